--- a/src/config.rs
+++ b/src/config.rs
@@ -10,8 +10,8 @@
 use serde_json::Value;
 
 use crate::api::{Micros, Settings};
-use crate::board::Notice;
 use crate::delivery::schedule::Schedule;
+use crate::discovery::Notice;
 use crate::identity::{self, Role};
 use crate::names::Names;
 use crate::settings;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,6 @@
 
 pub mod admin;
 pub mod api;
-pub mod board;
 pub mod cli;
 pub mod clock;
 pub mod config;
@@ -10,6 +9,7 @@
 pub mod council;
 pub mod counters;
 pub mod delivery;
+pub mod discovery;
 pub mod duty;
 pub mod ending;
 pub mod front;
--- a/src/node.rs
+++ b/src/node.rs
@@ -15,10 +15,10 @@
 use slotmap::{new_key_type, Key, KeyData, SecondaryMap, SlotMap};
 
 use crate::api::*;
-use crate::board::{self, Feed, Notice, Roster};
 use crate::clock::Clock;
 use crate::config::{Config, Operator};
 use crate::core::{Answer, AttemptKey, Command, Core, OrderKey, ProbeKey, RequestKey, Token};
+use crate::discovery::{self, Feed, Notice, Roster};
 use crate::ending::{Ending, Left};
 use crate::front::http::READ_LIMIT;
 use crate::front::line;
@@ -33,11 +33,11 @@
 mod connections;
 mod copies;
 mod council;
+mod endpoint_updates;
 mod error;
 mod gossip;
 mod handover;
 mod history;
-mod listing;
 mod loads;
 mod operations;
 mod reload;
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -85,7 +85,7 @@
             Role::Client { .. } => READ_LIMIT,
             Role::Portal(_) => crate::front::webhook::answer::READ_LIMIT,
             Role::Worker(_) => worker::READ_LIMIT,
-            Role::Board(_) => board::READ_LIMIT,
+            Role::Board(_) => discovery::READ_LIMIT,
             Role::Line => line::READ_LIMIT,
             Role::Peer(_) => council::READ_LIMIT,
         };
--- a/src/node/listing.rs
+++ b/src/node/endpoint_updates.rs
@@ -21,7 +21,7 @@
     }
 
     /// Takes one event; `false` if the board is to be asked anew for what was missed.
-    pub(super) fn on_event(&mut self, now: Micros, event: &board::Sse) -> bool {
+    pub(super) fn on_event(&mut self, now: Micros, event: &discovery::Sse) -> bool {
         let notice = match Notice::parse(&event.data, &self.config.names) {
             Ok(notice) => notice,
             Err(e) => {
