--- a/lab/src/emulator/mod.rs
+++ b/lab/src/emulator/mod.rs
@@ -14,6 +14,7 @@
 use std::sync::Arc;
 
 use molelug::api::*;
+use molelug::completion::{Ending, Left};
 use molelug::core::{Answer, AttemptKey, Back, Call, Command, Core, OrderKey, ProbeKey};
 use molelug::council::config::{found, kept_of};
 use molelug::council::kept::{Kept, Record};
@@ -23,7 +24,6 @@
 use molelug::duty::loads::{self, Loads, Word};
 use molelug::duty::trials::{self, Trials};
 use molelug::duty::Duty;
-use molelug::ending::{Ending, Left};
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -4,7 +4,7 @@
 
 use super::{AttemptKey, OrderKey, ProbeKey};
 use crate::api::{Arrival, ClassId, FunctionId, Micros, Report, Warmth, WorkerId};
-use crate::ending::Ending;
+use crate::completion::Ending;
 
 /// A call as a front hands it in.
 #[derive(Clone, Debug)]
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -9,8 +9,8 @@
 use slotmap::{new_key_type, Key, KeyData, SlotMap};
 
 use crate::api::*;
+use crate::completion::{Ending, Left};
 use crate::counters::{Counters, Ends, Final};
-use crate::ending::{Ending, Left};
 use crate::policy::Policy;
 
 mod command;
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use crate::api::ClassId;
-use crate::ending::Ending;
+use crate::completion::Ending;
 
 /// Final answers to the calls of one class. A call whose client left first has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::ending::{Ending, Left};
+use crate::completion::{Ending, Left};
 
 const SECOND: Micros = 1_000_000;
 
--- a/src/delivery/verdict.rs
+++ b/src/delivery/verdict.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::Micros;
-use crate::ending::{Ending, Left};
+use crate::completion::{Ending, Left};
 use crate::policy::never_ran;
 
 /// How an attempt at a callback ended.
--- a/src/net.rs
+++ b/src/net.rs
@@ -10,7 +10,7 @@
 use calloop::RegistrationToken;
 
 use crate::api::Micros;
-use crate::ending::Ending;
+use crate::completion::Ending;
 
 /// Bytes that a buffer starts with.
 const FIRST: usize = 2048;
--- a/src/node.rs
+++ b/src/node.rs
@@ -16,10 +16,10 @@
 
 use crate::api::*;
 use crate::clock::Clock;
+use crate::completion::{Ending, Left};
 use crate::config::{Config, Operator};
 use crate::core::{Answer, AttemptKey, Command, Core, OrderKey, ProbeKey, RequestKey, Token};
 use crate::discovery::{self, Feed, Notice, Roster};
-use crate::ending::{Ending, Left};
 use crate::front::http::READ_LIMIT;
 use crate::front::line;
 use crate::front::platform::{self, Ask};
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -7,8 +7,8 @@
 use slotmap::{Key, KeyData};
 
 use crate::api::{FunctionId, Micros, Report, Warmth, WorkerId};
+use crate::completion::{Ending, Left};
 use crate::core::{AttemptKey, Back, OrderKey, ProbeKey};
-use crate::ending::{Ending, Left};
 use crate::net::{Buffer, Outbox, KEPT_FRAME};
 
 /// Words that an array may hold, and bytes that one word may.
