--- a/lab/src/emulator/mod.rs
+++ b/lab/src/emulator/mod.rs
@@ -15,12 +15,12 @@
 
 use molelug::api::*;
 use molelug::completion::{Ending, Left};
+use molelug::consensus::config::{found, kept_of};
+use molelug::consensus::kept::{Kept, Record};
+use molelug::consensus::machine;
+use molelug::consensus::member::{self, Guards, Member, Output};
+use molelug::consensus::wire::{self, Body};
 use molelug::core::{Answer, AttemptKey, Back, Call, Command, Core, OrderKey, ProbeKey};
-use molelug::council::config::{found, kept_of};
-use molelug::council::kept::{Kept, Record};
-use molelug::council::machine;
-use molelug::council::member::{self, Guards, Member, Output};
-use molelug::council::wire::{self, Body};
 use molelug::duty::loads::{self, Loads, Word};
 use molelug::duty::trials::{self, Trials};
 use molelug::duty::Duty;
--- a/lab/src/links/mod.rs
+++ b/lab/src/links/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use molelug::council::wire::WORD;
+use molelug::consensus::wire::WORD;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/lab/tests/owners.rs
+++ b/lab/tests/owners.rs
@@ -312,7 +312,7 @@
         let mut s = std::net::TcpStream::connect(&listen).unwrap();
         s.set_read_timeout(Some(molelug_lab::stand_in::PATIENCE)).unwrap();
         s.write_all(bytes).unwrap();
-        let mut word = [0; molelug::council::wire::WORD];
+        let mut word = [0; molelug::consensus::wire::WORD];
         s.read_exact(&mut word).unwrap();
         if bytes.is_empty() {
             silent.push(s);
@@ -326,14 +326,14 @@
         [9; 32],
     )])
     .unwrap();
-    use molelug::council::wire::{word, Body, Session};
+    use molelug::consensus::wire::{word, Body, Session};
     let mut s = std::net::TcpStream::connect(&listen).unwrap();
     s.set_read_timeout(Some(molelug_lab::stand_in::PATIENCE)).unwrap();
-    let mut first = [0; molelug::council::wire::WORD];
+    let mut first = [0; molelug::consensus::wire::WORD];
     s.read_exact(&mut first).unwrap();
     let mut session = Session::connector("gw-1", &name(owner), word("gw-1", 1, 1));
     session.take(&keys, &first).unwrap();
-    let poll = Body::Poll(molelug::council::wire::Poll::default());
+    let poll = Body::Poll(molelug::consensus::wire::Poll::default());
     s.write_all(&session.pack(&keys, &poll).unwrap()).unwrap();
     assert_eq!(s.read(&mut [0; 8]).unwrap_or(0), 0, "a forged frame got an answer");
     let from = fleet.seen.len();
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -14,7 +14,7 @@
 use crate::store::records::Op;
 use crate::tenancy::{Registry, TenantError};
 
-pub mod council;
+pub mod consensus;
 pub mod endpoints;
 pub mod idempotency;
 pub mod messages;
@@ -187,8 +187,8 @@
         ("GET", ["v1", "counters"]) => Ok(Done::Now(Handled::new(200, json!(cx.counters)))),
         ("GET", ["v1", "peers"]) if cx.fleet.is_null() => Err(plain(404, "gossip is off")),
         ("GET", ["v1", "peers"]) => Ok(Done::Now(Handled::new(200, cx.fleet.take()))),
-        ("GET", ["v1", "council" | "duties"]) => council::show(cx),
-        ("POST", ["v1", "council", "voters"]) => now(council::exchange(r, cx)),
+        ("GET", ["v1", "council" | "duties"]) => consensus::show(cx),
+        ("POST", ["v1", "council", "voters"]) => now(consensus::exchange(r, cx)),
         ("GET", ["v1", "store"]) => Ok(Done::Ask(Op::Stat)),
         (_, ["v1", "tenants"]) => now(tenants::list(r, cx)),
         (_, ["v1", "tenants", name]) => now(tenants::one(r, cx, name)),
--- a/src/cli/council.rs
+++ b/src/cli/consensus.rs
@@ -8,8 +8,8 @@
 use serde_json::Value;
 
 use super::ask::{at, plain, At};
-use crate::council::config::{found, fresh, state_of, File};
-use crate::council::kept::Record;
+use crate::consensus::config::{found, fresh, state_of, File};
+use crate::consensus::kept::Record;
 use crate::store::disk::Disk;
 use crate::store::records::Op;
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -8,18 +8,18 @@
 
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError, Operator};
-use crate::council::config::File;
+use crate::consensus::config::File;
 use crate::membership::config::Gossip;
 use crate::node::{Extras, Node};
 
 mod ask;
-mod council;
+mod consensus;
 mod inherited;
 mod log;
 mod store;
 mod webhook;
 pub use ask::At;
-pub use council::{Council, Duties};
+pub use consensus::{Council, Duties};
 pub use log::{Format, Logging};
 pub use store::Store;
 pub use webhook::Webhook;
@@ -76,14 +76,14 @@
     #[bpaf(command("council"))]
     Council(
         #[allow(missing_docs)]
-        #[bpaf(external(council::council))]
+        #[bpaf(external(consensus::council))]
         Council,
     ),
     /// Who owns which duty on behalf of the fleet
     #[bpaf(command("duties"))]
     Duties(
         #[allow(missing_docs)]
-        #[bpaf(external(council::duties_command))]
+        #[bpaf(external(consensus::duties_command))]
         Duties,
     ),
     /// Print the version
@@ -117,8 +117,8 @@
     let result = match command {
         Command::Webhook(what) => accepted(webhook::run(what)),
         Command::Store(what) => accepted(store::run(what)),
-        Command::Council(what) => council::run(what),
-        Command::Duties(what) => council::duties(&what),
+        Command::Council(what) => consensus::run(what),
+        Command::Duties(what) => consensus::duties(&what),
         Command::Serve { operator, gossip, council, copies, logging } => {
             logging.begin();
             serve(operator, gossip, council, copies)
--- a/src/node.rs
+++ b/src/node.rs
@@ -31,8 +31,8 @@
 mod clients;
 mod commands;
 mod connections;
+mod consensus;
 mod copies;
-mod council;
 mod endpoint_updates;
 mod error;
 mod gossip;
@@ -149,7 +149,7 @@
     /// A caller of the second address.
     Line,
     /// Another gateway of the council.
-    Peer(council::Peer),
+    Peer(consensus::Peer),
     Portal(PortalLink),
 }
 
@@ -174,7 +174,7 @@
     /// The workers that are ready, while anybody here is to know.
     ready: Option<BTreeSet<WorkerId>>,
     talk: Option<gossip::Talk>,
-    hall: Option<council::Hall>,
+    hall: Option<consensus::Hall>,
     trials: Option<trials::TrialSide>,
     loads: Option<loads::LoadSide>,
     copies: Option<copies::Side>,
@@ -185,7 +185,7 @@
     /// Whether something waits to be read or accepted.
     fn busy(&self) -> bool {
         self.talk.as_ref().is_some_and(gossip::Talk::busy)
-            || self.hall.as_ref().is_some_and(council::Hall::busy)
+            || self.hall.as_ref().is_some_and(consensus::Hall::busy)
     }
 }
 
@@ -195,7 +195,7 @@
     /// Gossip between instances.
     pub gossip: Option<Gossip>,
     /// The council.
-    pub council: Option<crate::council::config::File>,
+    pub council: Option<crate::consensus::config::File>,
     /// Copies of what is held for others.
     pub copies: Option<crate::replication::config::File>,
 }
--- a/src/node/connections.rs
+++ b/src/node/connections.rs
@@ -87,14 +87,14 @@
             Role::Worker(_) => worker::READ_LIMIT,
             Role::Board(_) => discovery::READ_LIMIT,
             Role::Line => line::READ_LIMIT,
-            Role::Peer(_) => council::READ_LIMIT,
+            Role::Peer(_) => consensus::READ_LIMIT,
         };
         let read = conn.read(limit);
         if !was_up {
             let next = match role {
                 Role::Worker(_) => now + self.config.conn_idle * 4 / 5,
                 Role::Portal(_) => conn.deadline.unwrap_or(now),
-                Role::Peer(_) => now + council::SILENT,
+                Role::Peer(_) => now + consensus::SILENT,
                 _ => now + BOARD_SILENT,
             };
             self.set_deadline(key, Some(next));
--- a/src/node/council.rs
+++ b/src/node/consensus.rs
@@ -15,11 +15,11 @@
 
 use super::*;
 use crate::config::ConfigError;
-use crate::council::config;
-use crate::council::kept::Kept;
-use crate::council::machine;
-use crate::council::member::{Guards, Input, Member, Note, Output, Settings};
-use crate::council::wire::{self, Body, Effect, Session, LONGEST};
+use crate::consensus::config;
+use crate::consensus::kept::Kept;
+use crate::consensus::machine;
+use crate::consensus::member::{Guards, Input, Member, Note, Output, Settings};
+use crate::consensus::wire::{self, Body, Effect, Session, LONGEST};
 use crate::duty::{Duty, Term};
 use crate::membership::keys::Keys;
 use crate::store::disk::Disk;
--- a/src/node/copies.rs
+++ b/src/node/copies.rs
@@ -6,8 +6,8 @@
 use super::history::History;
 use super::*;
 use crate::config::ConfigError;
-use crate::council::state::Brought;
-use crate::council::{member, wire as frames};
+use crate::consensus::state::Brought;
+use crate::consensus::{member, wire as frames};
 use crate::replication::config::{self, Guards, WhenFewer};
 use crate::replication::error::Refusal;
 use crate::replication::history::Note;
@@ -96,7 +96,7 @@
                 format!("{name} is not among them"),
             )));
         }
-        let machine = Copies::new(file.settings(&name, process, guards()), council::uptime());
+        let machine = Copies::new(file.settings(&name, process, guards()), consensus::uptime());
         let beside = |what| History::beside(history.as_deref(), what, &name, process);
         let fail = |e: io::Error| NodeError::Loop(e.into());
         let (history, tenants) =
@@ -132,7 +132,7 @@
 
     pub(super) fn tell_copies(&mut self, input: Input) {
         if let Some(side) = &mut self.fleet.copies {
-            side.machine.handle(council::uptime(), input);
+            side.machine.handle(consensus::uptime(), input);
         }
     }
 
@@ -185,14 +185,14 @@
         if let Some((ticket, shard, bytes, want)) =
             self.second.hooks.as_mut().and_then(|h| h.shared.pop_front())
         {
-            side.machine.handle(council::uptime(), Input::Append { shard, ticket, bytes, want });
+            side.machine.handle(consensus::uptime(), Input::Append { shard, ticket, bytes, want });
             return true;
         }
         if let Some(output) = side.machine.output() {
             self.copies_output(now, output);
             return true;
         }
-        let up = council::uptime();
+        let up = consensus::uptime();
         let next = Some(now + side.machine.next_deadline().saturating_sub(up).max(1));
         if side.hung.is_none_or(|old| Some(old) > next || old <= now) {
             if let Some(old) = side.hung.take() {
@@ -240,7 +240,7 @@
                     "the disk is an old copy, or another process has begun on it since: what it held for others is let go \
                      of and copied anew; start each gateway on its own newest disk"
                 );
-                hooks.begin_disk(self.config.seed ^ council::uptime(), true);
+                hooks.begin_disk(self.config.seed ^ consensus::uptime(), true);
             }
             Output::Noted(note) => {
                 if let Note::Lost { shard } = note {
--- a/src/node/tenants.rs
+++ b/src/node/tenants.rs
@@ -5,11 +5,11 @@
 
 use crate::admin::{self, Change, Handled};
 use crate::api::Micros;
-use crate::council::member::Input as Say;
-use crate::council::state::Brought;
+use crate::consensus::member::Input as Say;
+use crate::consensus::state::Brought;
 use crate::delivery::EndpointId;
 use crate::front::http::{plain, Bad};
-use crate::node::council::uptime;
+use crate::node::consensus::uptime;
 use crate::node::history::History;
 use crate::node::{ConnKey, Node, TENANTS};
 use crate::tenancy::agreed::changes::{Changes, Input, Output, Settings, Ticket, Wanted};
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -3,11 +3,11 @@
 use super::records::StoreError;
 use super::space::{Space, Table};
 use super::tables::{key, number, pack, unpack, TOP};
-use crate::council::kept::{Head, Line, Record};
+use crate::consensus::kept::{Head, Line, Record};
 
 const SEAT: &[u8] = b"seat";
 
-/// Keeps a change, as [`crate::council::kept::Kept::apply`] makes it in memory.
+/// Keeps a change, as [`crate::consensus::kept::Kept::apply`] makes it in memory.
 pub fn keep(space: &mut dyn Space, record: &Record) -> Result<(), StoreError> {
     if record.anew {
         drop_range(space, &[], &TOP)?;
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -26,7 +26,7 @@
 use super::space::{Pair, Space, Table};
 use super::sums;
 use crate::api::{Effect, Micros};
-use crate::council::kept::{Head as Seat, Line};
+use crate::consensus::kept::{Head as Seat, Line};
 use crate::delivery::verdict::{Dead, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::{Place, ShardId};
