--- a/lab/src/emulator/mod.rs
+++ b/lab/src/emulator/mod.rs
@@ -21,9 +21,9 @@
 use molelug::consensus::member::{self, Guards, Member, Output};
 use molelug::consensus::wire::{self, Body};
 use molelug::core::{Answer, AttemptKey, Back, Call, Command, Core, OrderKey, ProbeKey};
-use molelug::duty::loads::{self, Loads, Word};
-use molelug::duty::trials::{self, Trials};
-use molelug::duty::Duty;
+use molelug::health_checks::{self, Trials};
+use molelug::lease::Duty;
+use molelug::load_coordination::{self, Loads, Word};
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -231,8 +231,8 @@
 }
 
 fn duties(shards: usize) -> BTreeSet<Duty> {
-    let shards = (0..shards).map(|n| format!("{}{n}", loads::PREFIX).into());
-    shards.chain([trials::NAME.into()]).collect()
+    let shards = (0..shards).map(|n| format!("{}{n}", load_coordination::PREFIX).into());
+    shards.chain([health_checks::NAME.into()]).collect()
 }
 
 fn name(n: usize) -> Arc<str> {
@@ -357,7 +357,7 @@
             process: self.processes,
             contacts: (0..s.voters).map(name).collect(),
             duties: duties(s.shards),
-            lease: molelug::duty::Settings { lease: s.lease_ms * MS, drift_ppm: 1_000 },
+            lease: molelug::lease::Settings { lease: s.lease_ms * MS, drift_ppm: 1_000 },
             council: machine::Settings { tick: s.tick_ms * MS },
             seed: self.ran.seed ^ ((n as u64) << 20),
             without: Guards::default(),
@@ -371,7 +371,7 @@
         let member = |w: u32| Member_(w).into();
         i.core.members(now, ListKind::Full, (0..all as u32).map(member).collect());
         i.trials = Trials::default();
-        i.trials.handle(now, trials::Input::Ready((0..all as u32).map(WorkerId).collect()));
+        i.trials.handle(now, health_checks::Input::Ready((0..all as u32).map(WorkerId).collect()));
         i.loads = council.then(|| Loads::new(name(n), &duties(shards))).flatten();
         i.orders.clear();
         i.numbers.clear();
@@ -385,7 +385,7 @@
 
     /// Whoever owns the trials now, and under which term.
     fn owner(&self) -> Option<(usize, u64)> {
-        let duty = trials::NAME.into();
+        let duty = health_checks::NAME.into();
         let of = |(n, i): (usize, &Instance)| {
             i.member
                 .as_ref()
@@ -509,9 +509,9 @@
                 }
                 if i.up {
                     i.core.tick(now, &mut Vec::new());
-                    i.trials.handle(now, trials::Input::Tick);
+                    i.trials.handle(now, health_checks::Input::Tick);
                     if let Some(l) = i.loads.as_mut() {
-                        l.handle(now, loads::Input::Tick);
+                        l.handle(now, load_coordination::Input::Tick);
                     }
                     if let Some(m) = i.member.as_mut() {
                         m.handle(now, member::Input::Tick);
@@ -555,7 +555,7 @@
                 if i.process == process && i.up {
                     if let (Some(l), Some(number)) = (i.loads.as_mut(), i.numbers.remove(&order)) {
                         i.orders.remove(&number);
-                        l.handle(now, loads::Input::Ended(number, copies));
+                        l.handle(now, load_coordination::Input::Ended(number, copies));
                     }
                     i.given.remove(&order);
                     i.core.order_ended(now, order, Ending::Served, Left::Some, copies);
@@ -566,7 +566,7 @@
                 let i = &mut self.instances[who];
                 if i.process == process && i.up {
                     if let Some(w) = i.probes.remove(&probe) {
-                        i.trials.handle(now, trials::Input::Tried(w, true));
+                        i.trials.handle(now, health_checks::Input::Tried(w, true));
                     }
                     i.core.probe_ended(now, probe, Ending::Served, None);
                     self.drive(who);
@@ -610,7 +610,7 @@
         let i = &mut self.instances[n];
         if let Some(w) = i.out.remove(&attempt) {
             if let Some(seen) = ending.seen(left) {
-                i.trials.handle(now, trials::Input::Outcome(w, seen));
+                i.trials.handle(now, health_checks::Input::Outcome(w, seen));
             }
         }
         i.core.ended(now, attempt, ending, left, Back::default());
@@ -672,7 +672,7 @@
                     self.number += 1;
                     i.orders.insert(self.number, (order, worker, function, copies));
                     i.numbers.insert(order, self.number);
-                    l.handle(now, loads::Input::Order(self.number, (worker, function)));
+                    l.handle(now, load_coordination::Input::Order(self.number, (worker, function)));
                 } else {
                     self.stage(n, order, worker, function, copies);
                 }
@@ -688,8 +688,11 @@
                 if let (Some(l), Some(number)) = (i.loads.as_mut(), i.numbers.remove(&order)) {
                     i.orders.remove(&number);
                     let given = i.given.remove(&order);
-                    let input =
-                        if given { loads::Input::Ended(number, 0) } else { loads::Input::Forget(number) };
+                    let input = if given {
+                        load_coordination::Input::Ended(number, 0)
+                    } else {
+                        load_coordination::Input::Forget(number)
+                    };
                     l.handle(now, input);
                 }
                 i.core.order_ended(now, order, Ending::TimedOut, Left::Some, 0);
@@ -710,27 +713,27 @@
         self.post(now + after + MS, Event::Loaded { who: n, process, order, copies: stands });
     }
 
-    fn of_loads(&mut self, n: usize, output: loads::Output) {
+    fn of_loads(&mut self, n: usize, output: load_coordination::Output) {
         let now = self.now;
         let i = &mut self.instances[n];
         let text = |w: &Word| serde_json::to_vec(w).unwrap_or_default();
         match output {
-            loads::Output::Report(duty, word) => {
+            load_coordination::Output::Report(duty, word) => {
                 if let Some(m) = i.member.as_mut() {
                     m.handle(now, member::Input::Report(duty, text(&word)));
                 }
             }
-            loads::Output::Tell(duty, word) => {
+            load_coordination::Output::Tell(duty, word) => {
                 if let Some(m) = i.member.as_mut() {
                     m.handle(now, member::Input::Act(duty, text(&word)));
                 }
             }
-            loads::Output::Give(number) => {
+            load_coordination::Output::Give(number) => {
                 if let Some((order, worker, function, copies)) = i.orders.get(&number).copied() {
                     self.stage(n, order, worker, function, copies);
                 }
             }
-            loads::Output::Stands(number, copies) => {
+            load_coordination::Output::Stands(number, copies) => {
                 if let Some((order, ..)) = i.orders.remove(&number) {
                     i.numbers.remove(&order);
                     self.ran.spared += 1;
@@ -745,11 +748,11 @@
         &mut self,
         n: usize,
         duty: &str,
-        input: impl FnOnce(Word) -> loads::Input,
+        input: impl FnOnce(Word) -> load_coordination::Input,
         content: &[u8],
     ) -> bool {
         let now = self.now;
-        if !duty.starts_with(loads::PREFIX) {
+        if !duty.starts_with(load_coordination::PREFIX) {
             return false;
         }
         if let (Some(l), Ok(word)) = (self.instances[n].loads.as_mut(), serde_json::from_slice(content)) {
@@ -763,25 +766,27 @@
         let now = self.now;
         let i = &mut self.instances[n];
         let (Some(l), Some(m)) = (i.loads.as_mut(), i.member.as_ref()) else { return };
-        for duty in duties(self.scenario.shards).into_iter().filter(|d| d.starts_with(loads::PREFIX)) {
+        for duty in
+            duties(self.scenario.shards).into_iter().filter(|d| d.starts_with(load_coordination::PREFIX))
+        {
             let owned = m.state().ledger.standing(&duty).owner.is_some();
-            l.handle(now, loads::Input::Owned(duty, owned));
+            l.handle(now, load_coordination::Input::Owned(duty, owned));
         }
     }
 
-    fn of_trials(&mut self, n: usize, output: trials::Output) {
+    fn of_trials(&mut self, n: usize, output: health_checks::Output) {
         let now = self.now;
         let i = &mut self.instances[n];
-        let duty = || trials::NAME.into();
+        let duty = || health_checks::NAME.into();
         let input = match output {
-            trials::Output::Report(w) => member::Input::Report(duty(), w.0.to_le_bytes().to_vec()),
-            trials::Output::Tell(verdicts) => {
+            health_checks::Output::Report(w) => member::Input::Report(duty(), w.0.to_le_bytes().to_vec()),
+            health_checks::Output::Tell(verdicts) => {
                 let plain = verdicts.into_iter().flat_map(|(w, ill)| [w.0, u32::from(ill)]);
                 member::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
             }
-            trials::Output::Able(able) => member::Input::Able(able),
-            trials::Output::Advise(w, until) => return i.core.rumour(now, w, until),
-            trials::Output::Try(w) => {
+            health_checks::Output::Able(able) => member::Input::Able(able),
+            health_checks::Output::Advise(w, until) => return i.core.rumour(now, w, until),
+            health_checks::Output::Try(w) => {
                 let probe = i.core.probe(now, w);
                 i.probes.insert(probe, w);
                 return;
@@ -795,10 +800,10 @@
     fn owns(&mut self, n: usize, duty: Duty, owns: bool) {
         let now = self.now;
         let i = &mut self.instances[n];
-        if *duty == *trials::NAME {
-            i.trials.handle(now, trials::Input::Owns(owns));
+        if *duty == *health_checks::NAME {
+            i.trials.handle(now, health_checks::Input::Owns(owns));
         } else if let Some(l) = i.loads.as_mut() {
-            l.handle(now, loads::Input::Owns(duty, owns));
+            l.handle(now, load_coordination::Input::Owns(duty, owns));
         }
     }
 
@@ -820,7 +825,7 @@
             Output::Began(duty, _) => self.owns(n, duty, true),
             Output::Ended(duty, _) => self.owns(n, duty, false),
             Output::Take(effect) => {
-                if self.tell_loads(n, &effect.duty, loads::Input::Told, &effect.content) {
+                if self.tell_loads(n, &effect.duty, load_coordination::Input::Told, &effect.content) {
                     return;
                 }
                 self.first_effect.entry(effect.term).or_insert(now);
@@ -834,14 +839,14 @@
                     .map(|c| c.iter().rev().fold(0, |w, b| w << 8 | u32::from(*b)))
                     .collect();
                 let verdicts = words.chunks_exact(2).map(|p| (WorkerId(p[0]), p[1] == 1)).collect();
-                self.instances[n].trials.handle(now, trials::Input::Verdicts(verdicts));
+                self.instances[n].trials.handle(now, health_checks::Input::Verdicts(verdicts));
             }
             Output::Hear(duty, from, content) => {
-                if self.tell_loads(n, &duty, |word| loads::Input::Heard(from, word), &content) {
+                if self.tell_loads(n, &duty, |word| load_coordination::Input::Heard(from, word), &content) {
                     return;
                 }
                 if let Some(w) = content.first_chunk::<4>() {
-                    let heard = trials::Input::Heard(WorkerId(u32::from_le_bytes(*w)));
+                    let heard = health_checks::Input::Heard(WorkerId(u32::from_le_bytes(*w)));
                     self.instances[n].trials.handle(now, heard);
                 }
             }
--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -11,7 +11,7 @@
 use super::state::State;
 use super::{founder, Seat, MOST_VOTERS};
 use crate::config::ConfigError;
-use crate::duty::ledger::{Ledger, MOST_DUTIES};
+use crate::lease::ledger::{Ledger, MOST_DUTIES};
 use crate::membership::config::read_keys;
 use crate::membership::is_name;
 use crate::membership::keys::Keys;
--- a/src/consensus/follow.rs
+++ b/src/consensus/follow.rs
@@ -216,14 +216,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::duty::ledger;
+    use crate::lease::ledger;
 
     const SECOND: Micros = 1_000_000;
 
     fn entry(term: u64) -> Entry {
         Entry::Duty(ledger::Entry::Grant {
             duty: "d".into(),
-            owner: crate::duty::Owner { name: "a".into(), incarnation: 1 },
+            owner: crate::lease::Owner { name: "a".into(), incarnation: 1 },
             term,
         })
     }
--- a/src/consensus/member.rs
+++ b/src/consensus/member.rs
@@ -12,11 +12,11 @@
 use super::wire::{Body, Effect, Passed, Report};
 use super::Seat;
 use crate::api::Micros;
-use crate::duty::fence::{Fence, Refused};
-use crate::duty::grantor::{self, Grantor, Why};
-use crate::duty::holder::{self, Answer, Ask, Holder};
-use crate::duty::ledger;
-use crate::duty::{Duty, Owner, Term};
+use crate::lease::fence::{Fence, Refused};
+use crate::lease::grantor::{self, Grantor, Why};
+use crate::lease::holder::{self, Answer, Ask, Holder};
+use crate::lease::ledger;
+use crate::lease::{Duty, Owner, Term};
 
 /// Ways back to those who asked through another voter; the oldest are forgotten, and asked again.
 const MOST_ROUTES: usize = 4096;
@@ -33,7 +33,7 @@
     /// The duties of the operator's list.
     pub duties: BTreeSet<Duty>,
     /// How long leases last.
-    pub lease: crate::duty::Settings,
+    pub lease: crate::lease::Settings,
     /// How the voters keep time.
     pub council: machine::Settings,
     /// Draws spans.
--- a/src/consensus/member_tests.rs
+++ b/src/consensus/member_tests.rs
@@ -9,7 +9,7 @@
 use super::member::{Guards, Input, Member, Note, Output, Settings};
 use super::wire::{Body, Effect};
 use crate::api::Micros;
-use crate::duty::{Duty, Term};
+use crate::lease::{Duty, Term};
 
 const MS: Micros = 1_000;
 const LEASE: Micros = 600 * MS;
@@ -69,7 +69,7 @@
             process: self.process,
             contacts: (0..self.voters + 1).map(name).collect(),
             duties: BTreeSet::from([duty()]),
-            lease: crate::duty::Settings { lease: LEASE, drift_ppm: 1_000 },
+            lease: crate::lease::Settings { lease: LEASE, drift_ppm: 1_000 },
             council: machine::Settings { tick: 20 * MS },
             seed: n as u64 * 77 + 5,
             without: self.guards,
@@ -294,8 +294,8 @@
     };
     // One that does not vote speaks for the owner.
     rig.handle(other, Input::Frame(outsider.clone(), Body::Effect(effect(&name(owner)))));
-    let back = crate::duty::holder::Ask {
-        from: crate::duty::Owner { name: name(owner), incarnation: 1 },
+    let back = crate::lease::holder::Ask {
+        from: crate::lease::Owner { name: name(owner), incarnation: 1 },
         stamp: 1,
         able: false,
         holds: vec![],
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Seat;
-use crate::duty::ledger::{self, Ledger};
+use crate::lease::ledger::{self, Ledger};
 use crate::replication::sets::{self, Sets};
 use crate::tenancy::agreed::state as tenants;
 
--- a/src/consensus/tests.rs
+++ b/src/consensus/tests.rs
@@ -9,8 +9,8 @@
 use super::state::Entry;
 use super::*;
 use crate::api::Micros;
-use crate::duty::ledger;
-use crate::duty::Owner;
+use crate::lease::ledger;
+use crate::lease::Owner;
 
 const MS: Micros = 1_000;
 
--- a/src/consensus/wire.rs
+++ b/src/consensus/wire.rs
@@ -14,8 +14,8 @@
 use super::memory::Known;
 use super::state::{Brought, Entry, State};
 use super::Seat;
-use crate::duty::holder::{Answer, Ask};
-use crate::duty::{Duty, Term};
+use crate::lease::holder::{Answer, Ask};
+use crate::lease::{Duty, Term};
 use crate::membership::is_name;
 use crate::membership::keys::Keys;
 
--- a/src/duty/mod.rs
+++ b/src/lease/mod.rs
@@ -21,12 +21,10 @@
 pub mod grantor;
 pub mod holder;
 pub mod ledger;
-pub mod loads;
 #[cfg(test)]
 mod model;
 #[cfg(test)]
 mod tests;
-pub mod trials;
 
 use std::sync::Arc;
 
--- a/src/duty/loads.rs
+++ b/src/load_coordination.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::Duty;
 use crate::api::{FunctionId, Micros, WorkerId};
+use crate::lease::Duty;
 
 /// What the duties' names begin with; a number follows.
 pub const PREFIX: &str = "loads-";
--- a/src/node.rs
+++ b/src/node.rs
@@ -37,13 +37,13 @@
 mod error;
 mod gossip;
 mod handover;
+mod health_checks;
 mod history;
-mod loads;
+mod load_coordination;
 mod operations;
 mod reload;
 mod second;
 mod tenants;
-mod trials;
 mod webhooks;
 pub use error::NodeError;
 use operations::Ops;
@@ -175,8 +175,8 @@
     ready: Option<BTreeSet<WorkerId>>,
     talk: Option<gossip::Talk>,
     hall: Option<consensus::Hall>,
-    trials: Option<trials::TrialSide>,
-    loads: Option<loads::LoadSide>,
+    trials: Option<health_checks::TrialSide>,
+    loads: Option<load_coordination::LoadSide>,
     copies: Option<copies::Side>,
     tenants: Option<tenants::TenantSide>,
 }
--- a/src/node/commands.rs
+++ b/src/node/commands.rs
@@ -1,6 +1,6 @@
 //! The core's commands carried out on worker connections, and their endings reported.
 
-use super::loads::Order;
+use super::load_coordination::Order;
 use super::*;
 use crate::front::webhook::message::Outcome;
 
--- a/src/node/consensus.rs
+++ b/src/node/consensus.rs
@@ -20,7 +20,7 @@
 use crate::consensus::machine;
 use crate::consensus::member::{Guards, Input, Member, Note, Output, Settings};
 use crate::consensus::wire::{self, Body, Effect, Session, LONGEST};
-use crate::duty::{Duty, Term};
+use crate::lease::{Duty, Term};
 use crate::membership::keys::Keys;
 use crate::store::disk::Disk;
 use crate::store::records::{Op, StoreError};
@@ -257,11 +257,11 @@
             room: true,
             told_able: true,
         });
-        if f.duties.contains(crate::duty::trials::NAME) {
+        if f.duties.contains(crate::health_checks::NAME) {
             self.set_up_trials(now, ready);
         }
         let duties: BTreeSet<Duty> = f.duties.iter().map(|d| d.as_str().into()).collect();
-        if let Some(loads) = crate::duty::loads::Loads::new(name.as_str().into(), &duties) {
+        if let Some(loads) = crate::load_coordination::Loads::new(name.as_str().into(), &duties) {
             self.set_up_loads(now, loads);
         }
         self.know_loads(now);
@@ -775,7 +775,7 @@
         process,
         contacts: f.voters.keys().map(|n| n.as_str().into()).collect(),
         duties: f.duties.iter().map(|d| d.as_str().into()).collect(),
-        lease: crate::duty::Settings { lease: f.lease_ms * 1_000, drift_ppm: f.drift_ppm },
+        lease: crate::lease::Settings { lease: f.lease_ms * 1_000, drift_ppm: f.drift_ppm },
         council: machine::Settings { tick: f.tick_ms * 1_000 },
         seed: seed ^ process,
         without: guards(),
--- a/src/node/trials.rs
+++ b/src/node/health_checks.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::consensus::member::Input as Say;
-use crate::duty::trials::{Input, Output, Trials, NAME};
+use crate::health_checks::{Input, Output, Trials, NAME};
 use crate::membership::group::Seen;
 
 /// The duty, while it is on the operator's list.
--- a/src/node/loads.rs
+++ b/src/node/load_coordination.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::consensus::member::Input as Say;
-use crate::duty::loads::{Input, Loads, Output, Word, LONGEST, PREFIX};
-use crate::duty::Duty;
+use crate::lease::Duty;
+use crate::load_coordination::{Input, Loads, Output, Word, LONGEST, PREFIX};
 
 /// An order of the module's.
 #[derive(Clone, Copy, Debug)]
