--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -9,8 +9,8 @@
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError, Operator};
 use crate::consensus::config::File;
+use crate::gateway::{Extras, Node};
 use crate::membership::config::Gossip;
-use crate::node::{Extras, Node};
 
 mod ask;
 mod consensus;
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -8,7 +8,7 @@
 use super::Seat;
 use crate::lease::ledger::{self, Ledger};
 use crate::replication::sets::{self, Sets};
-use crate::tenancy::agreed::state as tenants;
+use crate::tenancy::replicated::state as tenants;
 
 /// An entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! One value without I/O: [`Delivery::handle`] takes an [`Input`] and the time, and leaves [`Output`]s. Messages lie
 //! in the store; here is what is known of those due soon, a bounded number of an endpoint's, without their bodies.
-//! An endpoint that has more has them fetched when its own run low. Deadlines hang in a [`wheel::Wheel`];
+//! An endpoint that has more has them fetched when its own run low. Deadlines hang in a [`timing_wheel::Wheel`];
 //! [`Delivery::next_deadline`] is to hang in the core's one order, and [`Input::Tick`] tells that it fell due.
 //!
 //! Kept by id: endpoints until [`Input::Removed`]; messages until their end, or until they are left to the store.
@@ -15,17 +15,17 @@
 use crate::policy::allowed;
 
 pub mod breaker;
-pub mod networks;
+pub mod egress;
+pub mod fair_queue;
+pub mod response;
 pub mod schedule;
-pub mod turns;
-pub mod verdict;
-pub mod wheel;
+pub mod timing_wheel;
 
 use breaker::{Breaker, Bucket, Budget};
+use fair_queue::Turns;
+use response::{Dead, Meaning, Report, State};
 use schedule::Schedule;
-use turns::Turns;
-use verdict::{Dead, Meaning, Report, State};
-use wheel::{Timer, Wheel};
+use timing_wheel::{Timer, Wheel};
 
 /// Names an endpoint; never given again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/src/node.rs
+++ b/src/gateway.rs
@@ -21,7 +21,7 @@
 use crate::core::{Answer, AttemptKey, Command, Core, OrderKey, ProbeKey, RequestKey, Token};
 use crate::discovery::{self, Feed, Notice, Roster};
 use crate::front::http::READ_LIMIT;
-use crate::front::line;
+use crate::front::operator_console;
 use crate::front::platform::{self, Ask};
 use crate::membership::config::Gossip;
 use crate::names::Names;
@@ -32,22 +32,22 @@
 mod commands;
 mod connections;
 mod consensus;
-mod copies;
 mod endpoint_updates;
 mod error;
 mod gossip;
-mod handover;
 mod health_checks;
 mod history;
+mod hot_restart;
 mod load_coordination;
 mod operations;
 mod reload;
-mod second;
+mod replication;
+mod secondary_listeners;
 mod tenants;
 mod webhooks;
 pub use error::NodeError;
 use operations::Ops;
-use second::Second;
+use secondary_listeners::Second;
 use webhooks::{JobKey, PortalLink};
 
 new_key_type! {
@@ -177,7 +177,7 @@
     hall: Option<consensus::Hall>,
     trials: Option<health_checks::TrialSide>,
     loads: Option<load_coordination::LoadSide>,
-    copies: Option<copies::Side>,
+    copies: Option<replication::Side>,
     tenants: Option<tenants::TenantSide>,
 }
 
--- a/src/node/connections.rs
+++ b/src/gateway/connections.rs
@@ -86,7 +86,7 @@
             Role::Portal(_) => crate::front::webhook::answer::READ_LIMIT,
             Role::Worker(_) => worker::READ_LIMIT,
             Role::Board(_) => discovery::READ_LIMIT,
-            Role::Line => line::READ_LIMIT,
+            Role::Line => operator_console::READ_LIMIT,
             Role::Peer(_) => consensus::READ_LIMIT,
         };
         let read = conn.read(limit);
--- a/src/node/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -9,8 +9,8 @@
 use crate::config::ConfigError;
 use crate::membership::config::Gossip;
 use crate::membership::group::{Group, Input, Output, Settings};
+use crate::membership::reputation::Advice;
 use crate::membership::swim::Record;
-use crate::membership::trust::Advice;
 use crate::membership::wire::MTU;
 
 /// Datagrams taken in one turn; the others wait in the socket, and then are lost, as datagrams may be.
@@ -114,7 +114,7 @@
             bytes_per_s: g.bytes_per_s,
             datagrams_per_s: g.datagrams_per_s,
             swim: crate::membership::swim::Settings::default(),
-            bounds: crate::membership::trust::Bounds::default(),
+            bounds: crate::membership::reputation::Bounds::default(),
         };
         let mut group = Group::new(settings, keys, self.config.seed ^ now, now);
         group.handle(now, Input::Known(g.state.as_deref().map_or(Vec::new(), read_members), g.seeds.clone()));
--- a/src/node/handover.rs
+++ b/src/gateway/hot_restart.rs
@@ -1,5 +1,5 @@
 //! Drives the handover between processes of one gateway: its folder in `$TMPDIR`, its files, and the socket that
-//! both hold. What the words mean is decided in `operations::handover` and `operations::upkeep`.
+//! both hold. What the words mean is decided in `operations::hot_restart` and `operations::upkeep`.
 //!
 //! In the folder each process has `PID.lock`, locked while it lives, and `PID.word`, written beside and renamed. Both stay
 //! at its end: what it was told last is heard by whoever lives or starts next, who then clears them away.
@@ -10,7 +10,7 @@
 use std::time::SystemTime;
 
 use super::*;
-use crate::operations::handover::{Others, State, Word, MOST_BYTES, REFRESH};
+use crate::operations::hot_restart::{Others, State, Word, MOST_BYTES, REFRESH};
 
 /// How often the others' words are looked at: well within the grace that the rules give after a call.
 const LOOK: Micros = 100_000;
--- a/src/node/operations.rs
+++ b/src/gateway/operations.rs
@@ -2,12 +2,12 @@
 
 use std::fs::File;
 
-use super::handover::Handover;
+use super::hot_restart::Handover;
 use super::*;
-use crate::front::line::{self, Ask};
-use crate::operations::figures::{self, Gauges};
+use crate::front::operator_console::{self, Ask};
 use crate::operations::lifecycle::Lifecycle;
-use crate::operations::upkeep::{Refusal, Upkeep};
+use crate::operations::metrics::{self, Gauges};
+use crate::operations::overrides::{Refusal, Upkeep};
 
 /// Callers of the second address at once; beyond it the longest silent one yields.
 const MOST_LINES: usize = 16;
@@ -134,10 +134,10 @@
 
     pub(super) fn on_line(&mut self, key: ConnKey, now: Micros) {
         let Some((conn, _)) = self.conns.get(key).filter(|(conn, _)| !conn.closing) else { return };
-        let bytes = match line::take(conn.input.bytes(), conn.ended) {
+        let bytes = match operator_console::take(conn.input.bytes(), conn.ended) {
             Ok(None) => return,
             Ok(Some(ask)) => self.answer_line(now, ask),
-            Err(e) => line::answer(false, e),
+            Err(e) => operator_console::answer(false, e),
         };
         self.set_deadline(key, Some(now + LINGER));
         let Some((conn, _)) = self.conns.get_mut(key) else { return };
@@ -150,12 +150,17 @@
 
     fn answer_line(&mut self, now: Micros, ask: Ask) -> Vec<u8> {
         match ask {
-            Ask::Ready if self.ops.life.is_ready() => line::answer(true, "ready"),
-            Ask::Ready => line::answer(false, "not ready"),
+            Ask::Ready if self.ops.life.is_ready() => operator_console::answer(true, "ready"),
+            Ask::Ready => operator_console::answer(false, "not ready"),
             Ask::Telemetry => {
                 let counters = &self.core.counters;
                 let classes = &self.config.names.classes;
-                line::figures(&figures::text(classes, &counters.ends, counters.written, self.gauges()))
+                operator_console::figures(&metrics::text(
+                    classes,
+                    &counters.ends,
+                    counters.written,
+                    self.gauges(),
+                ))
             }
             Ask::Exclude(name) => {
                 let change = self.ops.upkeep.exclude(&name, now);
@@ -170,7 +175,7 @@
                     tracing::info!("is being emptied");
                     self.thin_out(now);
                 }
-                line::answer(true, "no connection stays")
+                operator_console::answer(true, "no connection stays")
             }
             Ask::Activate => {
                 if self.ops.life.is_emptied() {
@@ -178,7 +183,7 @@
                     self.ops.life.activate();
                     self.thin_out(now);
                 }
-                line::answer(true, "serves")
+                operator_console::answer(true, "serves")
             }
         }
     }
@@ -186,7 +191,7 @@
     /// What staff changed of a worker is told to all that asks for the list; then the answer may say so.
     fn keep_upkeep(&mut self, now: Micros, name: &str, change: Result<Option<Member>, Refusal>) -> Vec<u8> {
         match change {
-            Err(refusal) => line::answer(false, refusal),
+            Err(refusal) => operator_console::answer(false, refusal),
             Ok(change) => {
                 let out = self.ops.upkeep.is_banned(name);
                 tracing::info!(worker = name, out, changed = change.is_some(), "upkeep");
@@ -194,7 +199,7 @@
                     self.tell_member(now, member);
                 }
                 self.write_word(now);
-                line::answer(true, if out { "gets nothing new" } else { "may be used" })
+                operator_console::answer(true, if out { "gets nothing new" } else { "may be used" })
             }
         }
     }
--- a/src/node/copies.rs
+++ b/src/gateway/replication.rs
@@ -16,7 +16,7 @@
 use crate::replication::wire::{Body, Told};
 use crate::replication::{Epoch, Name, Place, ShardId};
 use crate::store::records::{CallRecord, CallState, Mark, Reply, StoreError};
-use crate::tenancy::agreed::changes::Settings as Agreeing;
+use crate::tenancy::replicated::changes::Settings as Agreeing;
 
 mod questions;
 pub(super) use questions::{Asked, Waits};
--- a/src/node/copies/questions.rs
+++ b/src/gateway/replication/questions.rs
@@ -5,7 +5,7 @@
 
 /// What is asked of a shard's primary.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
-pub(in crate::node) enum Asked {
+pub(in crate::gateway) enum Asked {
     /// Take a call.
     Take(Box<CallRecord>, Mark, Micros),
     /// How does a call stand?
@@ -14,7 +14,7 @@
 
 /// Who waits here for a primary's answer.
 #[derive(Debug)]
-pub(in crate::node) enum Waits {
+pub(in crate::gateway) enum Waits {
     /// A caller whose call is to be taken, and its identity.
     Take(ConnKey, Mark),
     /// A caller who asked how a call stands.
@@ -23,7 +23,7 @@
 
 impl Node {
     /// A caller's question goes to whoever leads its shard.
-    pub(in crate::node) fn ask_primary(&mut self, shard: ShardId, asked: &Asked, waits: Waits) {
+    pub(in crate::gateway) fn ask_primary(&mut self, shard: ShardId, asked: &Asked, waits: Waits) {
         let Some(side) = &mut self.fleet.copies else { return };
         side.tickets += 1;
         let ticket = side.tickets;
@@ -33,7 +33,7 @@
         self.tell_copies(Input::Ask { shard, ticket, bytes });
     }
 
-    pub(in crate::node) fn tell_asker(&mut self, to: Name, number: u64, told: Told) {
+    pub(in crate::gateway) fn tell_asker(&mut self, to: Name, number: u64, told: Told) {
         self.tell_copies(Input::Tell(to, number, told));
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// The identity was not taken after all.
-    pub(in crate::node) fn forget_mark(&mut self, shard: ShardId, mark: &Mark) {
+    pub(in crate::gateway) fn forget_mark(&mut self, shard: ShardId, mark: &Mark) {
         if let Some(taken) = self.fleet.copies.as_mut().and_then(|s| s.open.get_mut(&shard)) {
             taken.forget(mark);
         }
--- a/src/node/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -9,14 +9,14 @@
 use crate::consensus::state::Brought;
 use crate::delivery::EndpointId;
 use crate::front::http::{plain, Bad};
-use crate::node::consensus::uptime;
-use crate::node::history::History;
-use crate::node::{ConnKey, Node, TENANTS};
-use crate::tenancy::agreed::changes::{Changes, Input, Output, Settings, Ticket, Wanted};
-use crate::tenancy::agreed::error::Refusal;
-use crate::tenancy::agreed::history::Note;
-use crate::tenancy::agreed::state::Answer;
-use crate::tenancy::agreed::LONGEST_ANSWER;
+use crate::gateway::consensus::uptime;
+use crate::gateway::history::History;
+use crate::gateway::{ConnKey, Node, TENANTS};
+use crate::tenancy::replicated::changes::{Changes, Input, Output, Settings, Ticket, Wanted};
+use crate::tenancy::replicated::error::Refusal;
+use crate::tenancy::replicated::history::Note;
+use crate::tenancy::replicated::state::Answer;
+use crate::tenancy::replicated::LONGEST_ANSWER;
 use crate::tenancy::Tenant;
 
 /// An administrator who waits for a change to be agreed on.
--- a/src/node/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -4,7 +4,7 @@
 
 impl Node {
     /// Takes a webhook, or turns it away; none while its answer waits for the store.
-    pub(in crate::node) fn take_webhook(
+    pub(in crate::gateway) fn take_webhook(
         &mut self,
         key: ConnKey,
         r: &http::Request<'_>,
@@ -140,7 +140,7 @@
     }
 
     /// An attempt of a call that must not run twice waits until it is recorded that it leaves.
-    pub(in crate::node) fn wait_for_record(&mut self, now: Micros, command: &Command<Origin>) -> bool {
+    pub(in crate::gateway) fn wait_for_record(&mut self, now: Micros, command: &Command<Origin>) -> bool {
         let Some(hooks) = &mut self.second.hooks else { return false };
         let Command::Go { attempt, worker, id, class, function, expires, body } = command else {
             return false;
@@ -163,7 +163,7 @@
     }
 
     /// Whether an attempt still waited for its record: then it never left.
-    pub(in crate::node) fn unrecorded(&mut self, attempt: AttemptKey) -> bool {
+    pub(in crate::gateway) fn unrecorded(&mut self, attempt: AttemptKey) -> bool {
         self.second.hooks.as_mut().is_some_and(|h| h.unrecorded.remove(attempt).is_some())
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// An attempt has ended; whether it is proved never to have run.
-    pub(in crate::node) fn guarded_ended(&mut self, attempt: AttemptKey, never_ran: bool) {
+    pub(in crate::gateway) fn guarded_ended(&mut self, attempt: AttemptKey, never_ran: bool) {
         let Some(hooks) = &mut self.second.hooks else { return };
         let Some(id) = hooks.guarded.remove(attempt) else { return };
         let Some(guard) = hooks.guards.get_mut(&id) else { return };
@@ -195,7 +195,7 @@
     }
 
     /// A webhook's call has its final answer: it is kept with its messages, in place of the call.
-    pub(in crate::node) fn call_back(&mut self, now: Micros, job: JobKey, outcome: &Outcome) {
+    pub(in crate::gateway) fn call_back(&mut self, now: Micros, job: JobKey, outcome: &Outcome) {
         let Some(hooks) = &mut self.second.hooks else { return };
         let Some(held) = hooks.jobs.remove(job) else { return };
         hooks.guards.remove(&held.id);
@@ -220,7 +220,7 @@
     }
 
     /// An operational event to those of a tenant's endpoints that want it.
-    pub(in crate::node) fn tell_tenant(
+    pub(in crate::gateway) fn tell_tenant(
         &mut self,
         now: Micros,
         tenant: &str,
--- a/src/node/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -55,7 +55,7 @@
     }
 
     /// Something has come from a portal.
-    pub(in crate::node) fn on_portal(&mut self, key: ConnKey, now: Micros) {
+    pub(in crate::gateway) fn on_portal(&mut self, key: ConnKey, now: Micros) {
         let Some((conn, Role::Portal(link))) = self.conns.get_mut(key) else { return };
         let Some((seq, _)) = link.current else {
             // It says something unasked.
@@ -94,7 +94,7 @@
     }
 
     /// A portal's connection has ended.
-    pub(in crate::node) fn portal_closed(
+    pub(in crate::gateway) fn portal_closed(
         &mut self,
         now: Micros,
         key: ConnKey,
@@ -131,7 +131,7 @@
 
     /// Nothing more is begun towards portals: what waits goes on at the next start, what is out ends now and
     /// follows its class. Without a store all of it is awaited as before.
-    pub(in crate::node) fn stop_webhooks(&mut self, now: Micros) {
+    pub(in crate::gateway) fn stop_webhooks(&mut self, now: Micros) {
         let Some(hooks) = self.second.hooks.as_mut().filter(|h| h.durable()) else { return };
         hooks.stopping = Some(now);
         hooks.delivery.handle(now, Input::Stop);
@@ -141,7 +141,7 @@
     }
 
     /// Asks the store for an administrator.
-    pub(in crate::node) fn ask_for_admin(
+    pub(in crate::gateway) fn ask_for_admin(
         &mut self,
         conn: ConnKey,
         op: Op,
--- a/src/node/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -4,7 +4,7 @@
 
 impl Node {
     /// Does one thing that the store or delivery asks for; whether there was one.
-    pub(in crate::node) fn step_webhooks(&mut self, now: Micros) -> bool {
+    pub(in crate::gateway) fn step_webhooks(&mut self, now: Micros) -> bool {
         let Some(hooks) = &mut self.second.hooks else { return false };
         if let Some((number, reply)) = hooks.replies.pop_front() {
             if let Some(ask) = hooks.asked.remove(&number) {
@@ -30,7 +30,7 @@
     }
 
     /// Delivery's own deadline fell due.
-    pub(in crate::node) fn tick_webhooks(&mut self, now: Micros) {
+    pub(in crate::gateway) fn tick_webhooks(&mut self, now: Micros) {
         if let Some(hooks) = &mut self.second.hooks {
             hooks.hung = None;
             hooks.delivery.handle(now, Input::Tick);
@@ -119,7 +119,7 @@
     }
 
     /// Tells a caller how its call stands.
-    pub(in crate::node) fn answer_state(
+    pub(in crate::gateway) fn answer_state(
         &mut self,
         now: Micros,
         conn: ConnKey,
@@ -143,7 +143,7 @@
     }
 
     /// A pass of retention is due.
-    pub(in crate::node) fn retain(&mut self, now: Micros) {
+    pub(in crate::gateway) fn retain(&mut self, now: Micros) {
         let Some(hooks) = &mut self.second.hooks else { return };
         let (age, bytes) = hooks.retention;
         hooks.ask(Ask::Retain, Op::Retain(now, age, bytes, RETAINED));
--- a/src/node/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -4,7 +4,7 @@
 
 impl Hooks {
     /// What a question that is being kept is for, for tests that end the process there.
-    pub(in crate::node) fn is_for(&self, number: u64) -> Option<&'static str> {
+    pub(in crate::gateway) fn is_for(&self, number: u64) -> Option<&'static str> {
         match self.asked.get(&number)? {
             Ask::Take { .. } => Some("call recorded here"),
             Ask::Go(_) => Some("intent recorded here"),
@@ -15,12 +15,12 @@
     }
 
     /// Has the disk tell its number, and how often it was begun; with another one if it is to begin anew.
-    pub(in crate::node) fn begin_disk(&mut self, id: u64, anew: bool) {
+    pub(in crate::gateway) fn begin_disk(&mut self, id: u64, anew: bool) {
         self.ask(Ask::Disk, Op::BeginDisk(id.max(1), anew));
     }
 
     /// A record of a shard goes to the disk. One that cannot be read keeps its place, and does nothing.
-    pub(in crate::node) fn keep_record(
+    pub(in crate::gateway) fn keep_record(
         &mut self,
         shard: ShardId,
         place: Place,
@@ -32,37 +32,37 @@
     }
 
     /// Another disk's content takes the place of what this one holds of a shard.
-    pub(in crate::node) fn keep_shard(&mut self, shard: ShardId, place: Place, bytes: Vec<u8>) {
+    pub(in crate::gateway) fn keep_shard(&mut self, shard: ShardId, place: Place, bytes: Vec<u8>) {
         self.ask(Ask::Record(shard, None), Op::WriteShard(shard, place, bytes));
     }
 
     /// What the disk holds of a shard is read for a copy.
-    pub(in crate::node) fn read_shard(&mut self, shard: ShardId, to: Name) {
+    pub(in crate::gateway) fn read_shard(&mut self, shard: ShardId, to: Name) {
         self.ask(Ask::Shard(shard, to), Op::ReadShard(shard));
     }
 
     /// What the disk holds of shards is counted, beside all else.
-    pub(in crate::node) fn verify_shards(&mut self) {
+    pub(in crate::gateway) fn verify_shards(&mut self) {
         self.ask(Ask::Verify, Op::Verify);
     }
 
     /// What is left of a damaged shard counts.
-    pub(in crate::node) fn accept_shard(&mut self, shard: ShardId) {
+    pub(in crate::gateway) fn accept_shard(&mut self, shard: ShardId) {
         self.ask(Ask::Accept(shard), Op::Accept(shard));
     }
 
     /// A shard is led here: what stands of it is read.
-    pub(in crate::node) fn lead_shard(&mut self, shard: ShardId, epoch: Epoch) {
+    pub(in crate::gateway) fn lead_shard(&mut self, shard: ShardId, epoch: Epoch) {
         self.ask(Ask::Lead(shard, epoch), Op::Lead(shard));
     }
 
     /// Numbers of a shard are given here under an epoch.
-    pub(in crate::node) fn numbers_of(&mut self, shard: ShardId, epoch: Epoch) {
+    pub(in crate::gateway) fn numbers_of(&mut self, shard: ShardId, epoch: Epoch) {
         self.numbers.insert(shard, (epoch, 0));
     }
 
     /// A shard is led here no more: nothing of it is run or delivered here. Calls to be given up.
-    pub(in crate::node) fn rest_shard(&mut self, now: Micros, shard: ShardId) -> Vec<RequestKey> {
+    pub(in crate::gateway) fn rest_shard(&mut self, now: Micros, shard: ShardId) -> Vec<RequestKey> {
         self.numbers.remove(&shard);
         let mut over = Vec::new();
         self.jobs.retain(|_, held| {
@@ -82,7 +82,7 @@
     }
 
     /// Callbacks whose attempt had begun where their shard was led before: by their class they wait again, or nobody can tell.
-    pub(in crate::node) fn settle(&mut self, now: Micros, begun: Vec<(Waiting, Micros)>) {
+    pub(in crate::gateway) fn settle(&mut self, now: Micros, begun: Vec<(Waiting, Micros)>) {
         for (mut w, at) in begun {
             let (state, attempt) = crate::store::recovery::settled(&mut w, at, now);
             self.ask(Ask::Settled(w, state), Op::Ended(Box::new(w), state, Some(attempt)));
@@ -90,12 +90,12 @@
     }
 
     /// Callbacks wait.
-    pub(in crate::node) fn wait(&mut self, now: Micros, waits: Vec<Waiting>) {
+    pub(in crate::gateway) fn wait(&mut self, now: Micros, waits: Vec<Waiting>) {
         waits.into_iter().for_each(|w| self.delivery.handle(now, Input::Waits(w)));
     }
 
     /// How a call stands, for another gateway.
-    pub(in crate::node) fn ask_state(&mut self, serial: u64, id: String, from: Name, number: u64) {
+    pub(in crate::gateway) fn ask_state(&mut self, serial: u64, id: String, from: Name, number: u64) {
         self.ask(Ask::State(from, number), Op::Call(serial, id));
     }
 
@@ -113,7 +113,7 @@
 
 impl Node {
     /// Goes on with a call that another process has taken: by its class and stage it runs, is refused, or nobody can tell.
-    pub(in crate::node) fn go_on(&mut self, now: Micros, call: CallRecord, stepped_back: bool) -> Fate {
+    pub(in crate::gateway) fn go_on(&mut self, now: Micros, call: CallRecord, stepped_back: bool) -> Fate {
         let fate = fate(&call, now, stepped_back);
         let made = self.call_of(&call).filter(|_| !self.core.is_open(&call.worker_id));
         let Some(hooks) = &mut self.second.hooks else { return Fate::Refuse };
@@ -167,7 +167,7 @@
 
     /// A call that another gateway, or a caller here, wants this primary to take.
     #[allow(clippy::too_many_arguments)]
-    pub(in crate::node) fn take_asked(
+    pub(in crate::gateway) fn take_asked(
         &mut self,
         now: Micros,
         shard: ShardId,
@@ -200,14 +200,20 @@
     }
 
     /// A caller's call is promised by whoever leads its shard.
-    pub(in crate::node) fn promised_call(&mut self, now: Micros, conn: ConnKey, copies: u8) {
+    pub(in crate::gateway) fn promised_call(&mut self, now: Micros, conn: ConnKey, copies: u8) {
         self.core.counters.webhooks_taken += 1;
         let head = format!("X-Kept-In: store\r\nX-Copies: {copies}\r\n");
         self.answer_second(conn, now, |stays| http::response(202, &head, b"", stays));
     }
 
     /// A caller's call is not promised.
-    pub(in crate::node) fn refused_call(&mut self, now: Micros, conn: ConnKey, mark: &Mark, why: &Refusal) {
+    pub(in crate::gateway) fn refused_call(
+        &mut self,
+        now: Micros,
+        conn: ConnKey,
+        mark: &Mark,
+        why: &Refusal,
+    ) {
         if let Some(hooks) = self.second.hooks.as_mut().filter(|_| *why != Refusal::Seen) {
             hooks.inbound.replays.forget(mark);
         }
--- a/src/node/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -4,7 +4,7 @@
 
 impl Node {
     /// Sets webhooks up, and goes on with what the store holds.
-    pub(in crate::node) fn set_up_webhooks(&mut self, now: Micros, w: Webhooks) -> Result<(), NodeError> {
+    pub(in crate::gateway) fn set_up_webhooks(&mut self, now: Micros, w: Webhooks) -> Result<(), NodeError> {
         let seed = self.config.seed;
         let most_bytes = w.store_mb << 20;
         let mut found = Found::default();
@@ -127,7 +127,7 @@
     }
 
     /// Tells delivery of a tenant's endpoints as they are now.
-    pub(in crate::node) fn tell_endpoints(&mut self, now: Micros, tenant: &str) {
+    pub(in crate::gateway) fn tell_endpoints(&mut self, now: Micros, tenant: &str) {
         let (Some(hooks), Some(t)) = (&mut self.second.hooks, self.second.tenants.get(tenant)) else {
             return;
         };
@@ -137,7 +137,7 @@
     }
 
     /// Endpoints are no more.
-    pub(in crate::node) fn forget_endpoints(&mut self, now: Micros, ids: &[EndpointId]) {
+    pub(in crate::gateway) fn forget_endpoints(&mut self, now: Micros, ids: &[EndpointId]) {
         for id in ids {
             let Some(hooks) = &mut self.second.hooks else { return };
             hooks.delivery.handle(now, Input::Removed(*id));
--- a/src/membership/group.rs
+++ b/src/membership/group.rs
@@ -5,9 +5,9 @@
 
 use super::budget::Budget;
 use super::keys::Keys;
-use super::rumours::{Observation, Rumours, Says, LIFE};
+use super::observations::{Observation, Rumours, Says, LIFE};
+use super::reputation::{Advice, Bounds, Trust};
 use super::swim::{self, Message, Record, Standing, Swim};
-use super::trust::{Advice, Bounds, Trust};
 use super::wire::{self, Opener, Sighting, MOST_SEEN, MTU, SKEW};
 use crate::api::{Micros, WorkerId};
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -10,9 +10,9 @@
 pub mod config;
 pub mod group;
 pub mod keys;
-pub mod rumours;
+pub mod observations;
+pub mod reputation;
 pub mod swim;
-pub mod trust;
 pub mod wire;
 
 /// The longest name of an instance, in bytes.
--- a/src/membership/trust.rs
+++ b/src/membership/reputation.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::rumours::{Observation, Rumours, Says};
+use super::observations::{Observation, Rumours, Says};
 use crate::api::{Micros, WorkerId};
 
 const SECOND: Micros = 1_000_000;
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -11,7 +11,7 @@
 
 use super::is_name;
 use super::keys::Keys;
-use super::rumours::Observation;
+use super::observations::Observation;
 use super::swim::{Accusation, Message, Record, Say};
 use crate::api::{Micros, WorkerId};
 
--- a/src/operations/handover.rs
+++ b/src/operations/hot_restart.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use super::upkeep::{LONGEST_NAME, MOST_SEEN};
+use super::overrides::{LONGEST_NAME, MOST_SEEN};
 use crate::api::{LoadRation, Micros, Settings};
 
 /// The form that this version writes and reads.
--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 use super::error::FileError;
-use super::order::Host;
+use super::placement::Host;
 use super::{MOST_COPIES, MOST_SHARDS};
 use crate::api::Micros;
 use crate::membership::is_name;
--- a/src/replication/machine.rs
+++ b/src/replication/machine.rs
@@ -6,8 +6,8 @@
 use super::config::Settings;
 use super::error::{Declined, Refusal};
 use super::history::{short, Note};
-use super::leading::{fits, Leading, Ticket, MOST_OWED};
-use super::order;
+use super::placement;
+use super::primary::{fits, Leading, Ticket, MOST_OWED};
 use super::sets::{Disk, Entry, Move, Set, Sets};
 use super::shard::{Pending, Shard, Taken};
 use super::wire::{Body, Told, LONGEST_RECORD};
@@ -15,8 +15,8 @@
 use crate::api::Micros;
 
 mod agreed;
+mod integrity;
 mod records;
-mod soundness;
 
 /// Questions to other gateways under way at most.
 pub const MOST_ASKED: usize = 4096;
--- a/src/replication/machine/agreed.rs
+++ b/src/replication/machine/agreed.rs
@@ -158,7 +158,7 @@
                     self.propose(now, id, &set, [me.clone()].into());
                 }
             } else if set.members.is_empty() {
-                let order = order::order(id, &self.settings.hosts);
+                let order = placement::order(id, &self.settings.hosts);
                 let first = order.iter().find(|n| self.is_heard(now, n, self.settings.silent));
                 if first == Some(&me) {
                     self.propose(now, id, &set, [me.clone()].into());
@@ -278,7 +278,7 @@
                 && self.is_heard(now, n, self.settings.silent)
                 && self.calm.get(n).is_none_or(|t| *t <= now)
         };
-        order::next(id, &self.settings.hosts, members, may)
+        placement::next(id, &self.settings.hosts, members, may)
     }
 
     /// Another member, which has all, is to lead; it asks for an epoch of its own once it hears.
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -18,11 +18,11 @@
 pub mod error;
 pub mod history;
 pub mod identities;
-pub mod leading;
 pub mod machine;
 #[cfg(test)]
 mod model;
-pub mod order;
+pub mod placement;
+pub mod primary;
 pub mod sets;
 pub mod shard;
 #[cfg(test)]
--- a/src/replication/model.rs
+++ b/src/replication/model.rs
@@ -11,7 +11,7 @@
 
 use super::config::{Guards, Settings};
 use super::machine::{Copies, Input, Output};
-use super::order::Host;
+use super::placement::Host;
 use super::sets::{Disk, Entry, Sets};
 use super::wire::Body;
 use super::{Name, Place};
--- a/src/replication/shard.rs
+++ b/src/replication/shard.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::error::Declined;
-use super::leading::Leading;
+use super::primary::Leading;
 use super::sets::Set;
 use super::wire::{Body, LONGEST_SNAPSHOT};
 use super::{Epoch, Name, Place, ShardId};
--- a/src/replication/tests.rs
+++ b/src/replication/tests.rs
@@ -11,7 +11,7 @@
 use super::error::Refusal;
 use super::history::Note;
 use super::machine::{Copies, Input, Output};
-use super::order::Host;
+use super::placement::Host;
 use super::sets::{Entry, Sets};
 use super::wire::{Body, Told};
 use super::{Name, Place, ShardId};
--- a/src/store/sums.rs
+++ b/src/store/checksums.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use super::keyspace::{Look, Pair, Space, Table};
 use super::records::StoreError;
 use super::shards::{shard_of_mark, state, BY_NUMBER};
-use super::space::{Look, Pair, Space, Table};
 use super::tables::{key, number, TOP};
 use crate::delivery::Seq;
 use crate::replication::ShardId;
--- a/src/store/sums_tests.rs
+++ b/src/store/checksums_tests.rs
@@ -3,15 +3,15 @@
 use proptest::prelude::*;
 use redb::backends::InMemoryBackend;
 
+use super::checksums::{verify, Summed};
 use super::disk::Disk;
+use super::keyspace::{Look, Memory, Space, Table};
 use super::records::*;
 use super::shards;
-use super::space::{Look, Memory, Space, Table};
-use super::sums::{verify, Summed};
 use super::tables::{key, pack, Tables, FORMAT, TOP};
 use super::tests::{call, mark, message, BYTES, SECOND};
 use crate::api::{Effect, Micros};
-use crate::delivery::verdict::{Dead, State};
+use crate::delivery::response::{Dead, State};
 use crate::delivery::Seq;
 use crate::replication::{Place, ShardId};
 
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -8,9 +8,9 @@
     StorageBackend, TableDefinition, TableError, WriteTransaction,
 };
 
+use super::checksums::{self, Summed};
+use super::keyspace::{Look, Pair, Space, Table};
 use super::records::{Op, Reply, StoreError};
-use super::space::{Look, Pair, Space, Table};
-use super::sums::{self, Summed};
 use super::tables::{Found, Tables};
 use crate::api::Micros;
 use crate::replication::ShardId;
@@ -126,7 +126,7 @@
 impl Reader {
     /// Counts all that the disk holds of shards; the ranges of each that are not what was written.
     pub fn verify(&self) -> Result<Vec<(ShardId, Vec<u8>)>, StoreError> {
-        sums::verify(&Reading(self.0.begin_read().map_err(disk)?))
+        checksums::verify(&Reading(self.0.begin_read().map_err(disk)?))
     }
 }
 
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -1,7 +1,7 @@
 //! A voter's log in the tables: entries by their index, and all else of it under one name.
 
+use super::keyspace::{Space, Table};
 use super::records::StoreError;
-use super::space::{Space, Table};
 use super::tables::{key, number, pack, unpack, TOP};
 use crate::consensus::kept::{Head, Line, Record};
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,18 +4,18 @@
 //! [`writer::Writer`] the thread that commits; [`recovery`] what a start does with what it finds;
 //! `sums` what a disk tells by whether it still holds what was written.
 
+mod checksums;
 pub mod disk;
+pub mod keyspace;
 pub mod log;
 pub mod records;
 pub mod recovery;
 mod shards;
 pub mod shared;
-pub mod space;
-mod sums;
 pub mod tables;
 pub mod writer;
 
 #[cfg(test)]
-mod sums_tests;
+mod checksums_tests;
 #[cfg(test)]
 mod tests;
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -6,7 +6,7 @@
 
 use crate::api::{Effect, Micros};
 use crate::consensus::kept::Record;
-use crate::delivery::verdict::State;
+use crate::delivery::response::State;
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::error::Refusal;
 use crate::replication::{Place, ShardId};
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -3,7 +3,7 @@
 
 use super::records::{AttemptRecord, CallRecord};
 use crate::api::{Effect, Micros};
-use crate::delivery::verdict::{Dead, State};
+use crate::delivery::response::{Dead, State};
 use crate::delivery::Waiting;
 use crate::policy::allowed;
 
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -5,12 +5,12 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::checksums::Count;
+use super::keyspace::{Pair, Space, Table};
 use super::records::*;
-use super::space::{Pair, Space, Table};
-use super::sums::Count;
 use super::tables::{key, number, pack, unpack, waiting_key, TOP};
 use crate::api::Micros;
-use crate::delivery::verdict::State;
+use crate::delivery::response::State;
 use crate::delivery::Seq;
 use crate::replication::{Place, ShardId};
 
--- a/src/store/shared.rs
+++ b/src/store/shared.rs
@@ -5,7 +5,7 @@
 use super::records::{AttemptRecord, CallRecord, Mark, MessageRecord, Op, StoreError};
 use super::tables::{pack, unpack};
 use crate::api::Micros;
-use crate::delivery::verdict::State;
+use crate::delivery::response::State;
 use crate::delivery::{Seq, Waiting};
 
 /// An operation that counts once all copies have it.
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -19,15 +19,15 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
+use super::checksums;
+use super::keyspace::{Pair, Space, Table};
 use super::log;
 use super::records::*;
 use super::recovery::settled_with;
 use super::shards;
-use super::space::{Pair, Space, Table};
-use super::sums;
 use crate::api::{Effect, Micros};
 use crate::consensus::kept::{Head as Seat, Line};
-use crate::delivery::verdict::{Dead, State};
+use crate::delivery::response::{Dead, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::{Place, ShardId};
 
@@ -338,7 +338,7 @@
             Op::Retain(now, age, bytes, limit) => self.retain(space, now, age, bytes, limit),
             Op::Stat => Ok(Reply::Stat(self.head.stat)),
             // Read beside the thread that writes, where there is one.
-            Op::Verify => sums::verify(space).map(Reply::Verified),
+            Op::Verify => checksums::verify(space).map(Reply::Verified),
             Op::Log(record) => log::keep(space, &record).map(|()| Reply::Done),
             Op::BeginDisk(id, anew) => self.begin_disk(space, id, anew),
             Op::Shard(shard, place, op) => {
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -9,12 +9,12 @@
 use redb::StorageBackend;
 
 use super::disk::Disk;
+use super::keyspace::Memory;
 use super::records::*;
 use super::recovery::{fate, Fate};
-use super::space::Memory;
 use super::tables::Tables;
 use crate::api::{Effect, Group, Micros};
-use crate::delivery::verdict::{Dead, State};
+use crate::delivery::response::{Dead, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
 
 pub(super) const SECOND: Micros = 1_000_000;
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -8,17 +8,17 @@
 use crate::api::{Micros, TenantId};
 use crate::delivery::{Enabled, EndpointId};
 
-pub mod agreed;
 mod endpoint;
 mod error;
-mod kept;
+mod persistence;
+pub mod replicated;
 mod secret;
 #[cfg(test)]
 mod tests;
 
 pub use endpoint::{Endpoint, EndpointSpec, EndpointView, Portal, COMPLETED};
 pub use error::TenantError;
-pub use kept::Adopted;
+pub use persistence::Adopted;
 pub use secret::Secret;
 
 /// Tenants at most; what one holds stays small.
--- a/lab/src/bench.rs
+++ b/testbed/src/bench.rs
@@ -6,7 +6,7 @@
 use std::io::Result;
 use std::time::Instant;
 
-use molelug::delivery::wheel::Wheel;
+use molelug::delivery::timing_wheel::Wheel;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/lab/src/main.rs
+++ b/testbed/src/cli.rs
@@ -1,11 +1,11 @@
-//! Tools and stand-ins around the gateway.
+//! The testbed's command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+use crate::{bench, conformance, crash, demo, emulator, fault_injection, gossip, lease_trials, load, rate};
 use bpaf::Bpaf;
-use molelug_lab::{bench, conformance, crash, demo, emulator, gossip, load, owners, rate, rounds};
 
 /// Tools and stand-ins around the molelug gateway; all of it on loopback
 #[derive(Clone, Debug, Bpaf)]
@@ -87,7 +87,7 @@
         #[bpaf(long, argument("N"), fallback(4))]
         faults: usize,
         /// The lease, milliseconds
-        #[bpaf(long("lease-ms"), argument("MS"), fallback(owners::LEASE_MS))]
+        #[bpaf(long("lease-ms"), argument("MS"), fallback(lease_trials::LEASE_MS))]
         lease_ms: u64,
         /// Keep histories there
         #[bpaf(long, argument("DIR"))]
@@ -259,7 +259,8 @@
     },
 }
 
-fn main() -> ExitCode {
+/// Runs the sub-command that the program's arguments name.
+pub fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().collect();
     // The gateway itself, for the tools that start it.
     if args.get(1).is_some_and(|a| a == "gateway") {
@@ -283,32 +284,36 @@
             conformance::sender(own, listen, secret.as_deref())
         }
         Command::Owners { instances, voters, rounds, seed, faults, lease_ms, history, without } => {
-            let shape = owners::Shape {
+            let shape = lease_trials::Shape {
                 instances,
                 voters: voters.min(instances),
                 lease_ms,
                 without,
-                ..owners::Shape::default()
+                ..lease_trials::Shape::default()
             };
-            owners::run(&shape, rounds, seed, faults, history.as_deref())
+            lease_trials::run(&shape, rounds, seed, faults, history.as_deref())
         }
         Command::Rounds { instances, copies, rounds, seed, faults, without, subject } => match subject
             .as_str()
         {
             "copies" => {
-                let shape =
-                    rounds::fleet::Shape { instances, copies, without, ..rounds::fleet::Shape::default() };
-                rounds::copies::run(&shape, rounds, seed, faults)
+                let shape = fault_injection::fleet::Shape {
+                    instances,
+                    copies,
+                    without,
+                    ..fault_injection::fleet::Shape::default()
+                };
+                fault_injection::copies::run(&shape, rounds, seed, faults)
             }
-            "cost" => rounds::copies::cost(instances, rounds),
+            "cost" => fault_injection::copies::cost(instances, rounds),
             other => Err(std::io::Error::other(format!("no subject '{other}': there are copies and cost"))),
         },
-        Command::Calls { seconds, turns } => owners::calls(seconds, turns),
-        Command::Gain { instances, seconds } => owners::gain(instances, seconds),
+        Command::Calls { seconds, turns } => lease_trials::calls(seconds, turns),
+        Command::Gain { instances, seconds } => lease_trials::gain(instances, seconds),
         Command::Emulate { seeds, seed, instances, json, plot, scenario } => {
             emulator::run(&scenario, seeds, seed, &instances, json.as_deref(), plot.as_deref())
         }
-        Command::Check { folder } => molelug_lab::history::run(&folder),
+        Command::Check { folder } => crate::history::run(&folder),
         Command::Bench(Bench::Wheel) => bench::wheel(),
         Command::Bench(Bench::Rate { callers, rate, seconds, cores, before }) => {
             rate::run(rate::Load { callers, rate, seconds, cores }, before.as_deref())
@@ -318,7 +323,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
-            eprintln!("molelug-lab: {e}");
+            eprintln!("molelug-testbed: {e}");
             ExitCode::FAILURE
         }
     }
--- a/lab/src/conformance.rs
+++ b/testbed/src/conformance.rs
@@ -8,8 +8,8 @@
 use molelug::tenancy::Secret;
 use serde::Deserialize;
 
-use crate::stand_in::gateway::{Folder, SAFE, UNSAFE};
-use crate::stand_in::{
+use crate::fakes::gateway::{Folder, SAFE, UNSAFE};
+use crate::fakes::{
     body, call_body, header, now_s, read_http, secret, secret_text, status, Caller, Gateway, Worker, PATIENCE,
 };
 
--- a/lab/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -5,14 +5,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use molelug::delivery::verdict::{Dead, State};
+use molelug::delivery::response::{Dead, State};
 use molelug::store::disk::Disk;
 use molelug::store::records::{Filter, Op, Reply};
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::stand_in::gateway::{Folder, KEYED, SAFE, UNSAFE};
-use crate::stand_in::{call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker};
+use crate::fakes::gateway::{Folder, KEYED, SAFE, UNSAFE};
+use crate::fakes::{call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker};
 
 /// What one round did, for its report.
 #[derive(Debug, Default)]
@@ -144,7 +144,7 @@
 }
 
 fn now() -> u64 {
-    crate::stand_in::now_s() * 1_000_000
+    crate::fakes::now_s() * 1_000_000
 }
 
 fn open(folder: &Folder) -> Result<(Disk, usize)> {
--- a/lab/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -4,8 +4,8 @@
 use std::io::{Error, Result};
 use std::time::{Duration, Instant};
 
-use crate::stand_in::gateway::{Folder, SAFE, UNSAFE};
-use crate::stand_in::{
+use crate::fakes::gateway::{Folder, SAFE, UNSAFE};
+use crate::fakes::{
     body, call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker, PATIENCE,
 };
 
--- a/lab/src/rounds/copies.rs
+++ b/testbed/src/fault_injection/copies.rs
@@ -7,8 +7,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::fleet::{Fleet, Shape};
+use crate::fault_proxy::Faults;
 use crate::history::promises::Promised;
-use crate::links::Faults;
 
 /// What may break.
 pub const FAULTS: [&str; 12] = [
@@ -132,7 +132,7 @@
         "a full disk" => {
             fleet.kill(n)?;
             fleet.run_with_room(n, 256)?;
-            let name = crate::owners::name(n);
+            let name = crate::lease_trials::name(n);
             let held = |fleet: &Fleet| fleet.led().values().any(|s| s.2.contains(&name));
             fleet.await_that("one whose disk is full to be left out", || !held(fleet))?;
             fleet.promised_more(10)?;
--- a/lab/src/rounds/fleet.rs
+++ b/testbed/src/fault_injection/fleet.rs
@@ -12,13 +12,13 @@
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 
-use crate::history::promises::{self, CopyNote, Promised, Wrong};
-use crate::links::{Faults, Link, Way};
-use crate::owners::{free, make_seat, name};
-use crate::stand_in::gateway::{Folder, KEYED, SAFE, UNSAFE};
-use crate::stand_in::{
+use crate::fakes::gateway::{Folder, KEYED, SAFE, UNSAFE};
+use crate::fakes::{
     call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker, PATIENCE,
 };
+use crate::fault_proxy::{Faults, Link, Way};
+use crate::history::promises::{self, CopyNote, Promised, Wrong};
+use crate::lease_trials::{free, make_seat, name};
 
 /// The tenant of all calls.
 const TENANT: &str = "franq-bajio";
@@ -138,8 +138,7 @@
         std::fs::write(folder.0.join("shared.keys"), BASE64_STANDARD.encode([7u8; 32]))?;
         let workers: Vec<Worker> = (0..4).map(|_| Worker::start(shape.work, 0)).collect::<Result<_>>()?;
         let portal = Portal::start(secret(1), Manner::Good)?;
-        let admin =
-            if shape.administered { crate::stand_in::admin::write(&folder.0)? } else { String::new() };
+        let admin = if shape.administered { crate::fakes::admin::write(&folder.0)? } else { String::new() };
         let operator = format!(
             "{admin}[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\ncallback_answer_ms = 2000\npending = 4096\n\
              schedule_s = [0.05, 0.1, 0.2, 0.4, 0.8, 1, 1, 1, 2, 2, 2, 2]\n\
@@ -506,8 +505,7 @@
              webhook-signature: {signed}\r\n\r\n"
         );
         let answer = Caller::new(([127, 0, 0, 1], port).into()).exchange(head.as_bytes())?;
-        let body: serde_json::Value =
-            serde_json::from_slice(crate::stand_in::body(&answer)).unwrap_or_default();
+        let body: serde_json::Value = serde_json::from_slice(crate::fakes::body(&answer)).unwrap_or_default();
         Ok(body["outcome"].as_str().unwrap_or("").to_owned())
     }
 
--- a/lab/src/rounds/tenants.rs
+++ b/testbed/src/fault_injection/tenants.rs
@@ -7,9 +7,9 @@
 use serde_json::Value;
 
 use super::fleet::Fleet;
+use crate::fakes::{body, call_body, header, status, Caller};
 use crate::history::tenants::{check, read, TenantNote, Wrong};
-use crate::owners::name;
-use crate::stand_in::{body, call_body, header, status, Caller};
+use crate::lease_trials::name;
 
 /// An administrator at one gateway; may be taken to other threads.
 #[derive(Debug)]
@@ -80,7 +80,7 @@
         id: &str,
     ) -> Result<u16> {
         let at = self.gateway(n)?.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
-        let text = call_body(crate::stand_in::gateway::SAFE, 7, None);
+        let text = call_body(crate::fakes::gateway::SAFE, 7, None);
         Ok(Caller::new(at).call(tenant, secret, id, &text).map_or(0, |a| status(&a)))
     }
 
--- a/lab/src/gossip.rs
+++ b/testbed/src/gossip.rs
@@ -10,12 +10,12 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use molelug::api::WorkerId;
 use molelug::membership::keys::Keys;
-use molelug::membership::rumours::Observation;
+use molelug::membership::observations::Observation;
 use molelug::membership::swim::{Message, Say};
 use molelug::membership::wire;
 
-use crate::stand_in::gateway::{Folder, SAFE};
-use crate::stand_in::{status, Caller, Gateway, Worker, PATIENCE};
+use crate::fakes::gateway::{Folder, SAFE};
+use crate::fakes::{status, Caller, Gateway, Worker, PATIENCE};
 
 /// What each instance may send, as the tool sets it.
 pub const BYTES_PER_S: u32 = 16_384;
--- a/lab/src/history/promises.rs
+++ b/testbed/src/history/promises.rs
@@ -8,7 +8,7 @@
 
 use serde::Deserialize;
 
-use crate::stand_in::gateway::{SAFE, UNSAFE};
+use crate::fakes::gateway::{SAFE, UNSAFE};
 
 /// What a gateway noted of shards.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
--- a/lab/src/owners.rs
+++ b/testbed/src/lease_trials.rs
@@ -14,10 +14,10 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use crate::fakes::gateway::{command, Folder, SAFE, SOCKETS};
+use crate::fakes::{status, Caller, Gateway, Worker, PATIENCE};
+use crate::fault_proxy::{Faults, Link, Way};
 use crate::history::{self, Line, Note};
-use crate::links::{Faults, Link, Way};
-use crate::stand_in::gateway::{command, Folder, SAFE, SOCKETS};
-use crate::stand_in::{status, Caller, Gateway, Worker, PATIENCE};
 
 /// The lease that rounds play with, milliseconds.
 pub const LEASE_MS: u64 = 600;
@@ -124,7 +124,7 @@
         let folder = Folder::new(&format!("owners-{seed}"))?;
         std::fs::create_dir_all(folder.0.join("history"))?;
         std::fs::write(folder.0.join("shared.keys"), BASE64_STANDARD.encode([7u8; 32]))?;
-        let operator = crate::stand_in::admin::write(&folder.0)?;
+        let operator = crate::fakes::admin::write(&folder.0)?;
         let listed = shape.voters + shape.seats;
         let workers: Vec<Worker> =
             (0..6).map(|_| Worker::start(Duration::from_millis(2), 0)).collect::<Result<_>>()?;
--- a/lab/src/load.rs
+++ b/testbed/src/load.rs
@@ -10,16 +10,14 @@
 
 use hdrhistogram::Histogram;
 use molelug::api::Effect;
-use molelug::delivery::verdict::State;
+use molelug::delivery::response::State;
 use molelug::delivery::{Seq, Waiting};
 use molelug::store::disk::Disk;
 use molelug::store::records::{MessageRecord, Op};
 use serde_json::json;
 
-use crate::stand_in::gateway::{Folder, SAFE};
-use crate::stand_in::{
-    call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
-};
+use crate::fakes::gateway::{Folder, SAFE};
+use crate::fakes::{call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker};
 
 fn histogram() -> Result<Histogram<u64>> {
     Histogram::new_with_bounds(1, 600_000_000, 3).map_err(Error::other)
--- a/lab/src/rate.rs
+++ b/testbed/src/rate.rs
@@ -9,8 +9,8 @@
 
 use hdrhistogram::Histogram;
 
-use crate::stand_in::gateway::{Folder, SAFE};
-use crate::stand_in::{status, Caller, Gateway, Worker};
+use crate::fakes::gateway::{Folder, SAFE};
+use crate::fakes::{status, Caller, Gateway, Worker};
 
 /// How the load is made.
 #[derive(Clone, Copy, Debug)]
--- a/lab/tests/copies.rs
+++ b/testbed/tests/copies.rs
@@ -4,17 +4,17 @@
 use std::sync::{Mutex, MutexGuard, TryLockError};
 use std::time::Duration;
 
-use molelug_lab::history::promises::{check, CopyNote, Wrong};
-use molelug_lab::links::Faults;
-use molelug_lab::rounds::copies::play;
-use molelug_lab::rounds::fleet::{Fleet, Shape};
-use molelug_lab::stand_in::gateway::{PROGRAM, SAFE, UNSAFE};
+use molelug_testbed::fakes::gateway::{PROGRAM, SAFE, UNSAFE};
+use molelug_testbed::fault_injection::copies::play;
+use molelug_testbed::fault_injection::fleet::{Fleet, Shape};
+use molelug_testbed::fault_proxy::Faults;
+use molelug_testbed::history::promises::{check, CopyNote, Wrong};
 
 /// Two fleets at a time: more would only wait for the machine, and their silences are told by the clock.
 static PLACES: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 
 fn program() -> MutexGuard<'static, ()> {
-    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-lab")));
+    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
     loop {
         for place in &PLACES {
             match place.try_lock() {
@@ -160,7 +160,7 @@
     fleet.gateways[leaves].as_mut().unwrap().wait().unwrap();
     let rested = |n: &CopyNote| matches!(n, CopyNote::Rested { .. });
     let led = |n: &CopyNote| matches!(n, CopyNote::Led { .. });
-    let name = molelug_lab::owners::name(leaves);
+    let name = molelug_testbed::lease_trials::name(leaves);
     let notes = fleet.notes();
     let of =
         |is: &dyn Fn(&CopyNote) -> bool| notes.iter().filter(|(who, _, n)| *who == name && is(n)).count();
@@ -185,7 +185,7 @@
     for n in gone {
         fleet.gateway(n).unwrap().freeze().unwrap();
     }
-    let names: Vec<String> = gone.iter().map(|n| molelug_lab::owners::name(*n)).collect();
+    let names: Vec<String> = gone.iter().map(|n| molelug_testbed::lease_trials::name(*n)).collect();
     let whole = led.values().filter(|s| s.2.iter().all(|m| !names.contains(m))).count();
     let said: Vec<u16> = (0..24).map(|n| fleet.send(5, &format!("alone-{n}"), SAFE)).collect();
     let taken = said.iter().filter(|s| **s == 202).count();
@@ -215,7 +215,11 @@
     fleet.around(primary, Faults { cut: true, ..Faults::default() }, Faults::default());
     let promised = |fleet: &Fleet| {
         let of = |n: &CopyNote| matches!(n, CopyNote::Promised { shard: s, .. } if *s == shard);
-        fleet.notes().iter().filter(|(who, _, n)| *who == molelug_lab::owners::name(primary) && of(n)).count()
+        fleet
+            .notes()
+            .iter()
+            .filter(|(who, _, n)| *who == molelug_testbed::lease_trials::name(primary) && of(n))
+            .count()
     };
     let before = promised(&fleet);
     for n in 0..40 {
--- a/lab/tests/disks.rs
+++ b/testbed/tests/disks.rs
@@ -3,16 +3,16 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 
-use molelug_lab::history::promises::Wrong;
-use molelug_lab::owners::name;
-use molelug_lab::rounds::fleet::{Fleet, Shape};
-use molelug_lab::stand_in::gateway::PROGRAM;
+use molelug_testbed::fakes::gateway::PROGRAM;
+use molelug_testbed::fault_injection::fleet::{Fleet, Shape};
+use molelug_testbed::history::promises::Wrong;
+use molelug_testbed::lease_trials::name;
 
 /// One fleet at a time: more would only wait for the machine.
 static PLACE: Mutex<()> = Mutex::new(());
 
 fn alone() -> std::sync::MutexGuard<'static, ()> {
-    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-lab")));
+    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
     PLACE.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
@@ -96,7 +96,7 @@
         fleet.whole().unwrap();
         fleet.promised_more(20).unwrap();
         fleet.hang_up().unwrap();
-        let (_, wrong) = molelug_lab::history::promises::check(
+        let (_, wrong) = molelug_testbed::history::promises::check(
             &fleet.notes(),
             &Default::default(),
             &Default::default(),
--- a/lab/tests/emulator.rs
+++ b/testbed/tests/emulator.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use molelug_lab::emulator::{play, Scenario};
+use molelug_testbed::emulator::{play, Scenario};
 
 fn scenario(name: &str) -> Scenario {
     Scenario::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios").join(name)).unwrap()
@@ -34,7 +34,7 @@
     let (with, without) = (play(&s, 1).unwrap(), play(&Scenario { council: false, ..s.clone() }, 1).unwrap());
     assert_eq!(with.wrong, Vec::<String>::new());
     assert!(with.spared > 0 && with.orders < without.orders, "{with:?} {without:?}");
-    let share = |r: &molelug_lab::emulator::Ran| r.served as f64 / r.calls as f64;
+    let share = |r: &molelug_testbed::emulator::Ran| r.served as f64 / r.calls as f64;
     assert!(share(&with) > share(&without) - 0.03, "{} {}", share(&with), share(&without));
 }
 
--- a/lab/tests/gossip.rs
+++ b/testbed/tests/gossip.rs
@@ -2,14 +2,14 @@
 
 use std::path::PathBuf;
 
-use molelug_lab::gossip::{play, BYTES_PER_S};
-use molelug_lab::stand_in::gateway::PROGRAM;
+use molelug_testbed::fakes::gateway::PROGRAM;
+use molelug_testbed::gossip::{play, BYTES_PER_S};
 
 /// Five instances, one of them a stand-in that lies in every way: the four find and keep each other, serve, and stay
 /// under their ceiling.
 #[test]
 fn four_instances_keep_each_other_beside_one_that_lies() {
-    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-lab")));
+    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
     let ran = play(5, 1, 12, true).unwrap();
     assert_eq!(ran.agreeing, 4, "{ran:?}");
     assert!(ran.calls > 100 && ran.served * 100 >= ran.calls * 97, "{ran:?}");
--- a/lab/tests/owners.rs
+++ b/testbed/tests/owners.rs
@@ -3,16 +3,16 @@
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, TryLockError};
 
-use molelug_lab::history::{Note, Wrong};
-use molelug_lab::links::{Faults, Way};
-use molelug_lab::owners::{name, play, Fleet, Shape, DUTY};
-use molelug_lab::stand_in::gateway::PROGRAM;
+use molelug_testbed::fakes::gateway::PROGRAM;
+use molelug_testbed::fault_proxy::{Faults, Way};
+use molelug_testbed::history::{Note, Wrong};
+use molelug_testbed::lease_trials::{name, play, Fleet, Shape, DUTY};
 
 /// Three fleets at a time: more would only wait for the machine, and its leases end by the clock.
 static PLACES: [Mutex<()>; 3] = [Mutex::new(()), Mutex::new(()), Mutex::new(())];
 
 fn program() -> MutexGuard<'static, ()> {
-    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-lab")));
+    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
     loop {
         for place in &PLACES {
             match place.try_lock() {
@@ -113,7 +113,7 @@
     let file = fleet.histories().join("calls-5-0.jsonl");
     let served = || std::fs::read_to_string(&file).unwrap_or_default().matches("\"status\":200").count();
     let before = served();
-    let end = std::time::Instant::now() + molelug_lab::stand_in::PATIENCE;
+    let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
     while served() < before + 10 {
         assert!(std::time::Instant::now() < end, "calls stopped with the council");
         std::thread::sleep(std::time::Duration::from_millis(10));
@@ -145,7 +145,9 @@
     fleet.kill(victim).unwrap();
     std::fs::copy(&seat, &copy).unwrap();
     fleet.run(victim).unwrap();
-    let votes = |s: &molelug_lab::owners::Seen| s.instance == victim && matches!(s.note, Note::Agreed { .. });
+    let votes = |s: &molelug_testbed::lease_trials::Seen| {
+        s.instance == victim && matches!(s.note, Note::Agreed { .. })
+    };
     let from = fleet.seen.len();
     fleet.kill(owner).unwrap();
     let (_, later, _) = fleet.owned_after(term).unwrap();
@@ -156,8 +158,9 @@
     std::fs::copy(&copy, &seat).unwrap();
     let from = fleet.seen.len();
     fleet.run(victim).unwrap();
-    let retired =
-        |s: &molelug_lab::owners::Seen| s.instance == victim && matches!(s.note, Note::Retired { .. });
+    let retired = |s: &molelug_testbed::lease_trials::Seen| {
+        s.instance == victim && matches!(s.note, Note::Retired { .. })
+    };
     fleet.until(from, "the refusal of yesterday's disk", retired).unwrap();
     // The other two go on without it.
     let (owner, _) = fleet.owner().unwrap();
@@ -250,10 +253,10 @@
     let to = fleet.gateway(owner).unwrap().platform;
     let mut clients = std::collections::VecDeque::new();
     let from = fleet.seen.len();
-    let gone = |s: &molelug_lab::owners::Seen| {
+    let gone = |s: &molelug_testbed::lease_trials::Seen| {
         s.instance == owner && matches!(&s.note, Note::Ended { term: t, .. } if *t == term)
     };
-    let end = std::time::Instant::now() + molelug_lab::stand_in::PATIENCE;
+    let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
     while !fleet.seen[from..].iter().any(gone) {
         assert!(std::time::Instant::now() < end, "it kept the duty");
         // One that says nothing is let go after two seconds; others wait in its place.
@@ -310,7 +313,7 @@
     let mut silent = Vec::new();
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], &[3, 0, 0, 0, 1, 2, 3], &[]] {
         let mut s = std::net::TcpStream::connect(&listen).unwrap();
-        s.set_read_timeout(Some(molelug_lab::stand_in::PATIENCE)).unwrap();
+        s.set_read_timeout(Some(molelug_testbed::fakes::PATIENCE)).unwrap();
         s.write_all(bytes).unwrap();
         let mut word = [0; molelug::consensus::wire::WORD];
         s.read_exact(&mut word).unwrap();
@@ -328,7 +331,7 @@
     .unwrap();
     use molelug::consensus::wire::{word, Body, Session};
     let mut s = std::net::TcpStream::connect(&listen).unwrap();
-    s.set_read_timeout(Some(molelug_lab::stand_in::PATIENCE)).unwrap();
+    s.set_read_timeout(Some(molelug_testbed::fakes::PATIENCE)).unwrap();
     let mut first = [0; molelug::consensus::wire::WORD];
     s.read_exact(&mut first).unwrap();
     let mut session = Session::connector("gw-1", &name(owner), word("gw-1", 1, 1));
@@ -337,7 +340,8 @@
     s.write_all(&session.pack(&keys, &poll).unwrap()).unwrap();
     assert_eq!(s.read(&mut [0; 8]).unwrap_or(0), 0, "a forged frame got an answer");
     let from = fleet.seen.len();
-    let acts = |s: &molelug_lab::owners::Seen| s.instance == owner && matches!(s.note, Note::Acted { .. });
+    let acts =
+        |s: &molelug_testbed::lease_trials::Seen| s.instance == owner && matches!(s.note, Note::Acted { .. });
     fleet.until(from, "the owner to go on", acts).unwrap();
     assert_eq!(fleet.owner(), Some((owner, term)));
     drop(silent);
@@ -360,7 +364,7 @@
     let cut = Faults { cut: true, ..Faults::default() };
     fleet.around(gone, cut, cut);
     let until = |f: &Fleet, at: usize, what: &[&str], has: &str| {
-        let end = std::time::Instant::now() + molelug_lab::stand_in::PATIENCE;
+        let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
         loop {
             let said = f.ask(at, what).unwrap_or_else(|e| e.to_string());
             if said.contains(has) {
--- a/lab/tests/second_front.rs
+++ b/testbed/tests/second_front.rs
@@ -6,13 +6,13 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use molelug_lab::stand_in::gateway::{Folder, PROGRAM, SAFE, UNSAFE};
-use molelug_lab::stand_in::*;
-use molelug_lab::{conformance, crash, demo};
+use molelug_testbed::fakes::gateway::{Folder, PROGRAM, SAFE, UNSAFE};
+use molelug_testbed::fakes::*;
+use molelug_testbed::{conformance, crash, demo};
 
 /// The lab's own program, which runs the gateway.
 fn ready() {
-    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-lab")));
+    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
 }
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
--- a/lab/tests/tenants.rs
+++ b/testbed/tests/tenants.rs
@@ -3,18 +3,18 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 
-use molelug_lab::history::tenants::Wrong;
-use molelug_lab::links::Faults;
-use molelug_lab::rounds::fleet::{Fleet, Shape};
-use molelug_lab::stand_in::gateway::PROGRAM;
-use molelug_lab::stand_in::{secret, secret_text};
+use molelug_testbed::fakes::gateway::PROGRAM;
+use molelug_testbed::fakes::{secret, secret_text};
+use molelug_testbed::fault_injection::fleet::{Fleet, Shape};
+use molelug_testbed::fault_proxy::Faults;
+use molelug_testbed::history::tenants::Wrong;
 use serde_json::json;
 
 /// One fleet at a time: more would only wait for the machine.
 static PLACE: Mutex<()> = Mutex::new(());
 
 fn fleet(seed: u64, without: Option<&str>) -> Fleet {
-    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-lab")));
+    PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
     let shape = Shape { administered: true, without: without.map(Into::into), ..Shape::default() };
     let fleet = Fleet::start(shape, seed).unwrap();
     fleet.whole().unwrap();
