--- a/src/completion.rs
+++ b/src/completion.rs
@@ -6,21 +6,21 @@
 
 /// How a connection, or something that was out on it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ending {
+pub enum CloseReason {
     /// A worker answered `200`.
     Served,
     /// A worker answered `404`: the function is not loaded there.
-    Missed,
+    NotLoaded,
     /// A worker answered `503`: no room.
-    NoRoom,
+    AtCapacity,
     /// A worker answered `500`.
     Failed,
     /// A worker answered `504`: the request was over before it began.
-    Over,
+    Expired,
     /// A connection was refused.
     Refused,
     /// A connection did not come up by its deadline, or could not be opened at all.
-    NeverUp,
+    ConnectTimeout,
     /// The peer reset the connection, or the socket failed.
     Reset,
     /// The peer closed the connection.
@@ -30,64 +30,69 @@
     /// The deadline passed.
     TimedOut,
     /// The module called it off.
-    CalledOff,
+    Cancelled,
     /// Its worker drains, is gone or has started anew; what had not left was taken back.
     Withdrawn,
     /// Nothing was open on the connection for so long that this side closed it.
     Idle,
     /// This side has no descriptor or no room left for it.
-    Overflow,
+    LocalLimit,
     /// All connections to this worker carry as much as they may.
-    Crowded,
+    ConnectionsFull,
     /// This side is shutting down.
     Shutdown,
 }
 
 /// How much of a command had left this machine when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
+pub enum SendProgress {
     /// Not one byte: the worker cannot have heard of it.
-    Nothing,
+    Unsent,
     /// Some or all: it may have run.
-    Some,
+    Started,
 }
 
-impl Ending {
+impl CloseReason {
     /// The module's word for this ending. Guards the rule on double effects: what has left and was not
     /// answered may have run, whatever followed; what has not left never ran.
-    pub fn outcome(self, left: Left) -> Outcome {
+    pub fn outcome(self, left: SendProgress) -> Outcome {
         match (self, left) {
-            (Ending::Served, _) => Outcome::Ok,
-            (Ending::Missed, _) => Outcome::Miss,
-            (Ending::NoRoom, _) => Outcome::Rejected,
-            (Ending::Failed, _) => Outcome::Error,
-            (Ending::Over, _) => Outcome::NotSent,
-            (Ending::Refused | Ending::NeverUp, _) => Outcome::ConnectFailed,
-            (Ending::Crowded, Left::Nothing) => Outcome::Rejected,
+            (CloseReason::Served, _) => Outcome::Ok,
+            (CloseReason::NotLoaded, _) => Outcome::Miss,
+            (CloseReason::AtCapacity, _) => Outcome::Rejected,
+            (CloseReason::Failed, _) => Outcome::Error,
+            (CloseReason::Expired, _) => Outcome::NotSent,
+            (CloseReason::Refused | CloseReason::ConnectTimeout, _) => Outcome::ConnectFailed,
+            (CloseReason::ConnectionsFull, SendProgress::Unsent) => Outcome::Rejected,
             // What this side did or lacks tells nothing of the worker.
             (
-                Ending::TimedOut
-                | Ending::CalledOff
-                | Ending::Withdrawn
-                | Ending::Overflow
-                | Ending::Shutdown,
-                Left::Nothing,
+                CloseReason::TimedOut
+                | CloseReason::Cancelled
+                | CloseReason::Withdrawn
+                | CloseReason::LocalLimit
+                | CloseReason::Shutdown,
+                SendProgress::Unsent,
             ) => Outcome::NotSent,
-            (_, Left::Nothing) => Outcome::ConnectFailed,
-            (Ending::TimedOut, Left::Some) => Outcome::Timeout,
-            (Ending::CalledOff, Left::Some) => Outcome::Cancelled,
-            (_, Left::Some) => Outcome::Reset,
+            (_, SendProgress::Unsent) => Outcome::ConnectFailed,
+            (CloseReason::TimedOut, SendProgress::Started) => Outcome::Timeout,
+            (CloseReason::Cancelled, SendProgress::Started) => Outcome::Cancelled,
+            (_, SendProgress::Started) => Outcome::Reset,
         }
     }
 
     /// What instances that talk are told of a worker by this ending; none where it tells nothing of it.
-    pub fn seen(self, left: Left) -> Option<Seen> {
+    pub fn seen(self, left: SendProgress) -> Option<Seen> {
         match (self, left) {
-            (Ending::Served | Ending::Missed | Ending::NoRoom | Ending::Over, _) => Some(Seen::Answered),
-            (Ending::Failed, _) => Some(Seen::Failed),
-            (Ending::Refused | Ending::NeverUp, _) => Some(Seen::Refused),
-            (Ending::TimedOut | Ending::CalledOff, Left::Some) => Some(Seen::Silent),
-            (Ending::Reset | Ending::Closed | Ending::Malformed, Left::Some) => Some(Seen::Failed),
+            (
+                CloseReason::Served | CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired,
+                _,
+            ) => Some(Seen::Answered),
+            (CloseReason::Failed, _) => Some(Seen::Failed),
+            (CloseReason::Refused | CloseReason::ConnectTimeout, _) => Some(Seen::Refused),
+            (CloseReason::TimedOut | CloseReason::Cancelled, SendProgress::Started) => Some(Seen::Silent),
+            (CloseReason::Reset | CloseReason::Closed | CloseReason::Malformed, SendProgress::Started) => {
+                Some(Seen::Failed)
+            }
             _ => None,
         }
     }
@@ -95,23 +100,23 @@
     /// A short name for counters and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Ending::Served => "served",
-            Ending::Missed => "missed",
-            Ending::NoRoom => "no_room",
-            Ending::Failed => "failed",
-            Ending::Over => "over",
-            Ending::Refused => "refused",
-            Ending::NeverUp => "never_up",
-            Ending::Reset => "reset",
-            Ending::Closed => "closed",
-            Ending::Malformed => "malformed",
-            Ending::TimedOut => "timed_out",
-            Ending::CalledOff => "called_off",
-            Ending::Withdrawn => "withdrawn",
-            Ending::Idle => "idle",
-            Ending::Overflow => "overflow",
-            Ending::Crowded => "crowded",
-            Ending::Shutdown => "shutdown",
+            CloseReason::Served => "served",
+            CloseReason::NotLoaded => "missed",
+            CloseReason::AtCapacity => "no_room",
+            CloseReason::Failed => "failed",
+            CloseReason::Expired => "over",
+            CloseReason::Refused => "refused",
+            CloseReason::ConnectTimeout => "never_up",
+            CloseReason::Reset => "reset",
+            CloseReason::Closed => "closed",
+            CloseReason::Malformed => "malformed",
+            CloseReason::TimedOut => "timed_out",
+            CloseReason::Cancelled => "called_off",
+            CloseReason::Withdrawn => "withdrawn",
+            CloseReason::Idle => "idle",
+            CloseReason::LocalLimit => "overflow",
+            CloseReason::ConnectionsFull => "crowded",
+            CloseReason::Shutdown => "shutdown",
         }
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -11,7 +11,7 @@
 
 use crate::api::{Micros, Settings};
 use crate::delivery::schedule::Schedule;
-use crate::discovery::Notice;
+use crate::discovery::WatchEvent;
 use crate::identity::{self, Role};
 use crate::names::Names;
 use crate::settings;
@@ -120,7 +120,7 @@
     /// The last notice known at the start.
     pub known_rev: u64,
     /// The notices known at the start.
-    pub known: Vec<Notice>,
+    pub known: Vec<WatchEvent>,
     /// The module's settings.
     pub settings: Settings,
     /// The names.
@@ -195,7 +195,7 @@
             longest: module.classes.iter().map(|c| c.deadline).collect(),
         };
         let known = raw.known.notices.iter().map(|n| {
-            Notice::from_value(n, &names).map_err(|e| ConfigError::Value("known.notices", e.to_string()))
+            WatchEvent::from_value(n, &names).map_err(|e| ConfigError::Value("known.notices", e.to_string()))
         });
         Ok(Config {
             file: None,
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -4,7 +4,7 @@
 
 use super::{AttemptKey, OrderKey, ProbeKey};
 use crate::api::{Arrival, ClassId, CopyStart, FunctionId, LoadReport, Micros, WorkerId};
-use crate::completion::Ending;
+use crate::completion::CloseReason;
 
 /// A call as a front hands it in.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     /// A worker's body.
     Served(Vec<u8>),
     /// Refused: trying again is harmless, after this time.
-    Refused {
+    Rejected {
         /// The module's advice.
         retry_after: Micros,
     },
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub enum Command<O> {
     /// Send an attempt.
-    Go {
+    Dispatch {
         /// Names it until it has ended.
         attempt: AttemptKey,
         /// To whom.
@@ -57,28 +57,28 @@
         /// The function.
         function: FunctionId,
         /// When the gateway stops waiting.
-        expires: Micros,
+        expires_at: Micros,
         /// The payload.
         body: Rc<[u8]>,
     },
     /// An attempt is given up: take it back or tell the worker, and report its ending with how much of it
     /// had left.
-    Halt {
+    Cancel {
         /// Which.
         attempt: AttemptKey,
         /// The ending to report.
-        why: Ending,
+        reason: CloseReason,
     },
     /// An attempt must not begin any more: take it back if none of its bytes have left, and report the ending with
     /// nothing left; otherwise leave it as it is, without a word to the worker.
-    Recall {
+    Withdraw {
         /// Which.
         attempt: AttemptKey,
         /// The ending to report.
-        why: Ending,
+        reason: CloseReason,
     },
     /// Send an order to load.
-    Stage {
+    Load {
         /// Names it until it has ended.
         order: OrderKey,
         /// To whom.
@@ -89,21 +89,21 @@
         copies: u8,
     },
     /// Nobody waits for an order any more: take it back if it has not left, and report it as timed out.
-    Forget {
+    AbandonLoad {
         /// Which.
         order: OrderKey,
     },
     /// Have idle copies unloaded.
-    Purge {
+    Unload {
         /// To whom.
         worker: WorkerId,
         /// What.
         function: FunctionId,
     },
     /// Probe a worker.
-    Probe {
+    HealthCheck {
         /// Names it until it has ended.
-        probe: ProbeKey,
+        check: ProbeKey,
         /// Whom.
         worker: WorkerId,
     },
@@ -118,13 +118,13 @@
 
 /// What came back with an attempt's end.
 #[derive(Debug, Default)]
-pub struct Back {
+pub struct AttemptReply {
     /// The answer's body.
     pub body: Vec<u8>,
     /// What it tells of the copy.
-    pub warmth: Option<CopyStart>,
+    pub copy_start: Option<CopyStart>,
     /// Requests of the function that the worker held.
-    pub crowd: u32,
+    pub function_in_flight: u32,
     /// The worker's report.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -9,12 +9,12 @@
 use slotmap::{new_key_type, Key, KeyData, SlotMap};
 
 use crate::api::*;
-use crate::completion::{Ending, Left};
+use crate::completion::{CloseReason, SendProgress};
 use crate::counters::{Counters, Ends, Final};
 use crate::policy::Policy;
 
 mod command;
-pub use command::{Answer, Back, Call, Command};
+pub use command::{Answer, AttemptReply, Call, Command};
 
 new_key_type! {
     /// The slot of a request; a stale key names nothing.
@@ -202,18 +202,20 @@
                 Due::Wake(token) => self.feed(now, Event::Wake { token }),
                 Due::Attempt(k) => {
                     let key = AttemptKey::from(KeyData::from_ffi(k));
-                    self.commands.push_back(Command::Halt { attempt: key, why: Ending::TimedOut });
+                    self.commands.push_back(Command::Cancel { attempt: key, reason: CloseReason::TimedOut });
                 }
                 Due::Begin(k) => {
                     let key = AttemptKey::from(KeyData::from_ffi(k));
-                    self.commands.push_back(Command::Recall { attempt: key, why: Ending::Withdrawn });
+                    self.commands
+                        .push_back(Command::Withdraw { attempt: key, reason: CloseReason::Withdrawn });
                 }
                 Due::Request(k) => self.overdue(RequestKey::from(KeyData::from_ffi(k))),
                 Due::Order(k) => {
-                    self.commands.push_back(Command::Forget { order: OrderKey::from(KeyData::from_ffi(k)) });
+                    self.commands
+                        .push_back(Command::AbandonLoad { order: OrderKey::from(KeyData::from_ffi(k)) });
                 }
                 Due::Probe(k) => {
-                    self.probe_ended(now, ProbeKey::from(KeyData::from_ffi(k)), Ending::TimedOut, None)
+                    self.probe_ended(now, ProbeKey::from(KeyData::from_ffi(k)), CloseReason::TimedOut, None)
                 }
                 Due::Outside(token) => outside.push(token),
             }
@@ -298,7 +300,14 @@
 
     /// An attempt has ended outside. An attempt that is not open any more is passed over: the late answer of
     /// an old attempt must not be taken for that of a new one.
-    pub fn ended(&mut self, now: Micros, key: AttemptKey, ending: Ending, left: Left, back: Back) {
+    pub fn ended(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        ending: CloseReason,
+        left: SendProgress,
+        back: AttemptReply,
+    ) {
         let Some(a) = self.attempts.remove(key) else { return };
         self.deadlines.remove(&(a.expires, Due::Attempt(key.data().as_ffi())));
         if let Some(at) = a.begin_by {
@@ -324,10 +333,10 @@
             attempt: a.number,
             terminal: r.answered,
             outcome,
-            copy_start: back.warmth,
-            function_in_flight: back.crowd,
+            copy_start: back.copy_start,
+            function_in_flight: back.function_in_flight,
             latency: now.saturating_sub(a.sent),
-            load_report: back.report,
+            load_report: back.load_report,
         };
         tracing::debug!(
             call = ended.request.0,
@@ -344,7 +353,14 @@
     }
 
     /// A load order has ended outside.
-    pub fn order_ended(&mut self, now: Micros, key: OrderKey, ending: Ending, left: Left, copies: u32) {
+    pub fn order_ended(
+        &mut self,
+        now: Micros,
+        key: OrderKey,
+        ending: CloseReason,
+        left: SendProgress,
+        copies: u32,
+    ) {
         let Some((worker, function, at)) = self.orders.remove(key) else { return };
         self.deadlines.remove(&(at, Due::Order(key.data().as_ffi())));
         let outcome = ending.outcome(left);
@@ -358,7 +374,7 @@
         let probe = self.probes.insert((worker, at));
         self.deadlines.insert((at, Due::Probe(probe.data().as_ffi())));
         self.counters.probes += 1;
-        self.commands.push_back(Command::Probe { probe, worker });
+        self.commands.push_back(Command::HealthCheck { check: probe, worker });
         probe
     }
 
@@ -368,12 +384,22 @@
     }
 
     /// A probe has ended outside.
-    pub fn probe_ended(&mut self, now: Micros, key: ProbeKey, ending: Ending, report: Option<LoadReport>) {
+    pub fn probe_ended(
+        &mut self,
+        now: Micros,
+        key: ProbeKey,
+        ending: CloseReason,
+        report: Option<LoadReport>,
+    ) {
         let Some((worker, at)) = self.probes.remove(key) else { return };
         self.deadlines.remove(&(at, Due::Probe(key.data().as_ffi())));
         self.feed(
             now,
-            Event::HealthChecked { worker, outcome: ending.outcome(Left::Some), load_report: report },
+            Event::HealthChecked {
+                worker,
+                outcome: ending.outcome(SendProgress::Started),
+                load_report: report,
+            },
         );
     }
 
@@ -381,7 +407,7 @@
     /// settings let one be cancelled that has.
     fn recall(&mut self, key: RequestKey) {
         let Some(attempt) = self.requests.get(key).and_then(|r| r.out) else { return };
-        self.commands.push_back(Command::Recall { attempt, why: Ending::CalledOff });
+        self.commands.push_back(Command::Withdraw { attempt, reason: CloseReason::Cancelled });
     }
 
     fn effect_of(&self, class: ClassId) -> Effect {
@@ -395,7 +421,7 @@
         r.answered = true;
         let safe = self.effects.get(r.call.arrival.class.0 as usize) == Some(&Effect::Idempotent);
         let (answer, how) = if (safe || r.ran_from.is_none()) && r.out.is_none() {
-            (Answer::Refused { retry_after: 0 }, Final::Refused)
+            (Answer::Rejected { retry_after: 0 }, Final::Refused)
         } else {
             (Answer::Failed, Final::Failed)
         };
@@ -443,10 +469,10 @@
             Action::Cancel { request, attempt } => {
                 let Some(r) = self.by_id.get(&request).and_then(|k| self.requests.get(*k)) else { return };
                 let Some(key) = r.out.filter(|_| r.attempts == attempt + 1) else { return };
-                self.commands.push_back(Command::Halt { attempt: key, why: Ending::CalledOff });
+                self.commands.push_back(Command::Cancel { attempt: key, reason: CloseReason::Cancelled });
             }
             Action::Reject { request, retry_after } => {
-                self.finish(request, Answer::Refused { retry_after });
+                self.finish(request, Answer::Rejected { retry_after });
             }
             Action::Fail { request } => self.finish(request, Answer::Failed),
             Action::Load { worker, function, copies } => {
@@ -456,10 +482,10 @@
                 self.counters.orders += u64::from(copies > 0);
                 self.counters.asks += u64::from(copies == 0);
                 tracing::debug!(worker = worker.0, function = %Hex(function.0), copies, "order");
-                self.commands.push_back(Command::Stage { order, worker, function, copies });
+                self.commands.push_back(Command::Load { order, worker, function, copies });
             }
             Action::Unload { worker, function } => {
-                self.commands.push_back(Command::Purge { worker, function })
+                self.commands.push_back(Command::Unload { worker, function })
             }
             Action::HealthCheck { worker } => drop(self.probe(now, worker)),
             Action::Wake { after, token } => {
@@ -492,13 +518,13 @@
         if let Some(at) = begin_by {
             self.deadlines.insert((at, Due::Begin(attempt.data().as_ffi())));
         }
-        self.commands.push_back(Command::Go {
+        self.commands.push_back(Command::Dispatch {
             attempt,
             worker,
             id: r.call.id.clone(),
             class: r.call.arrival.class,
             function: r.call.arrival.function,
-            expires,
+            expires_at: expires,
             body: r.call.body.clone(),
         });
     }
@@ -507,7 +533,7 @@
         let Some(&key) = self.by_id.get(&request) else { return };
         let Some(r) = self.requests.get_mut(key).filter(|r| !r.answered) else { return };
         r.answered = true;
-        let refused = matches!(answer, Answer::Refused { .. });
+        let refused = matches!(answer, Answer::Rejected { .. });
         self.counters.answered(r.call.arrival.class, if refused { Final::Refused } else { Final::Failed });
         tracing::debug!(call = request.0, ?answer, "given up");
         self.commands.push_back(Command::Answer { origin: r.call.origin.clone(), answer });
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -81,20 +81,20 @@
         core.tick(now, &mut Vec::new());
         while let Some(command) = core.command() {
             match command {
-                Command::Go { attempt, id, class, .. } => {
+                Command::Dispatch { attempt, id, class, .. } => {
                     assert!(!out.values().any(|i| *i == id), "two attempts out");
                     assert!(class == ClassId(0) || !ran.contains(&id), "a booking may run twice");
                     out.insert(attempt, id);
                 }
-                Command::Halt { attempt, why } => {
+                Command::Cancel { attempt, reason: why } => {
                     if let Some(id) = out.remove(&attempt) {
                         ran.insert(id);
                     }
-                    core.ended(now, attempt, why, Left::Some, Back::default());
+                    core.ended(now, attempt, why, SendProgress::Started, AttemptReply::default());
                 }
-                Command::Stage { order, copies, .. } => {
-                    let ending = if next(3) == 0 { Ending::NoRoom } else { Ending::Served };
-                    core.order_ended(now, order, ending, Left::Some, u32::from(copies));
+                Command::Load { order, copies, .. } => {
+                    let ending = if next(3) == 0 { CloseReason::AtCapacity } else { CloseReason::Served };
+                    core.order_ended(now, order, ending, SendProgress::Started, u32::from(copies));
                 }
                 Command::Answer { origin, .. } => {
                     *answers.entry(origin).or_default() += 1;
@@ -106,19 +106,19 @@
         let ready: Vec<AttemptKey> = out.keys().copied().filter(|_| next(12) == 0).collect();
         for attempt in ready {
             let (ending, left) = match next(8) {
-                0 => (Ending::Missed, Left::Some),
-                1 => (Ending::Failed, Left::Some),
-                2 => (Ending::Reset, Left::Some),
-                3 => (Ending::Reset, Left::Nothing),
+                0 => (CloseReason::NotLoaded, SendProgress::Started),
+                1 => (CloseReason::Failed, SendProgress::Started),
+                2 => (CloseReason::Reset, SendProgress::Started),
+                3 => (CloseReason::Reset, SendProgress::Unsent),
                 4 => continue,
-                _ => (Ending::Served, Left::Some),
+                _ => (CloseReason::Served, SendProgress::Started),
             };
             let id = out.remove(&attempt).unwrap();
             if !crate::policy::never_ran(ending.outcome(left)) {
                 ran.insert(id);
             }
-            core.ended(now, attempt, ending, left, Back::default());
-            core.ended(now, attempt, Ending::Served, Left::Some, Back::default());
+            core.ended(now, attempt, ending, left, AttemptReply::default());
+            core.ended(now, attempt, CloseReason::Served, SendProgress::Started, AttemptReply::default());
         }
     }
     assert_eq!((answers.len(), core.open()), (1_000, 0));
@@ -147,21 +147,21 @@
                 4 => core.turned_away(ClassId(1)),
                 5..=7 if !out.is_empty() => {
                     let attempt = out.swap_remove(which.index(out.len()));
-                    let ending = [Ending::Served, Ending::Failed, Ending::Missed][usize::from(what) - 5];
-                    core.ended(now, attempt, ending, Left::Some, Back::default());
+                    let ending = [CloseReason::Served, CloseReason::Failed, CloseReason::NotLoaded][usize::from(what) - 5];
+                    core.ended(now, attempt, ending, SendProgress::Started, AttemptReply::default());
                 }
                 _ => {}
             }
             core.tick(now, &mut Vec::new());
             while let Some(command) = core.command() {
                 match command {
-                    Command::Go { attempt, .. } => out.push(attempt),
-                    Command::Halt { attempt, why } => {
+                    Command::Dispatch { attempt, .. } => out.push(attempt),
+                    Command::Cancel { attempt, reason } => {
                         out.retain(|a| *a != attempt);
-                        core.ended(now, attempt, why, Left::Some, Back::default());
+                        core.ended(now, attempt, reason, SendProgress::Started, AttemptReply::default());
                     }
-                    Command::Stage { order, copies, .. } => {
-                        core.order_ended(now, order, Ending::Served, Left::Some, u32::from(copies));
+                    Command::Load { order, copies, .. } => {
+                        core.order_ended(now, order, CloseReason::Served, SendProgress::Started, u32::from(copies));
                     }
                     _ => {}
                 }
@@ -188,14 +188,14 @@
     let mut out = Vec::new();
     while let Some(command) = core.command() {
         out.extend(match command {
-            Command::Go { attempt, .. } => Some(attempt),
+            Command::Dispatch { attempt, .. } => Some(attempt),
             _ => None,
         });
     }
     assert!(out.len() > 1, "some of them are out");
     assert_eq!(core.counters.settled, 1, "one look for the list and 200 calls");
     for attempt in out {
-        core.ended(20_000, attempt, Ending::Served, Left::Some, Back::default());
+        core.ended(20_000, attempt, CloseReason::Served, SendProgress::Started, AttemptReply::default());
     }
     while core.command().is_some() {}
     assert_eq!(core.counters.settled, 2, "and one for all the answers");
@@ -206,9 +206,9 @@
     let mut core: Core<u32> = Core::new(settings(), 3, 0);
     core.members(1, ListUpdate::Snapshot, vec![member(1)]);
     core.call(10, call(1, 10));
-    let Some(Command::Go { attempt, .. }) = core.command() else { panic!("it is sent") };
+    let Some(Command::Dispatch { attempt, .. }) = core.command() else { panic!("it is sent") };
     // A booking that may have run is failed in the very turn, not towards its deadline.
-    core.ended(20, attempt, Ending::Reset, Left::Some, Back::default());
+    core.ended(20, attempt, CloseReason::Reset, SendProgress::Started, AttemptReply::default());
     let answer = std::iter::from_fn(|| core.command()).find(|c| matches!(c, Command::Answer { .. }));
     assert!(matches!(answer, Some(Command::Answer { origin: 1, answer: Answer::Failed })));
 }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use crate::api::ClassId;
-use crate::completion::Ending;
+use crate::completion::CloseReason;
 
 /// Final answers to the calls of one class. A call whose client left first has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
@@ -105,7 +105,7 @@
     }
 
     /// Counts the end of an attempt.
-    pub fn ended(&mut self, ending: Ending) {
+    pub fn ended(&mut self, ending: CloseReason) {
         *self.endings.entry(ending.name()).or_default() += 1;
     }
 }
--- a/src/delivery/response.rs
+++ b/src/delivery/response.rs
@@ -3,16 +3,16 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::Micros;
-use crate::completion::{Ending, Left};
+use crate::completion::{CloseReason, SendProgress};
 use crate::policy::never_ran;
 
 /// How an attempt at a callback ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// How its connection ended, or [`Ending::Served`] and [`Ending::Failed`] for a whole answer.
-    pub ending: Ending,
+    /// How its connection ended, or [`CloseReason::Served`] and [`CloseReason::Failed`] for a whole answer.
+    pub ending: CloseReason,
     /// How much of it had left.
-    pub left: Left,
+    pub left: SendProgress,
     /// The answer's status, if one came whole.
     pub status: Option<u16>,
     /// The answer's `Retry-After`, as a span.
@@ -35,7 +35,7 @@
 impl Report {
     /// An attempt that never left, for a reason of this side's own.
     pub const VOID: Report =
-        Report { ending: Ending::Overflow, left: Left::Nothing, status: None, advice: None };
+        Report { ending: CloseReason::LocalLimit, left: SendProgress::Unsent, status: None, advice: None };
 
     /// Whether the portal may have taken it. Whatever a portal says, once its answer comes it has seen the message.
     pub fn may_have_arrived(&self) -> bool {
@@ -46,11 +46,15 @@
     /// operator has set.
     pub fn meaning(&self) -> Meaning {
         match (self.status, self.ending, self.left) {
-            (Some(200..=299), Ending::Served, _) => Meaning::Delivered,
+            (Some(200..=299), CloseReason::Served, _) => Meaning::Delivered,
             (Some(410), ..) => Meaning::Gone,
             (Some(429 | 503), ..) => Meaning::Failed(Some(self.advice.unwrap_or(0))),
             (Some(_), ..) => Meaning::Failed(None),
-            (None, Ending::Overflow | Ending::Shutdown | Ending::CalledOff, Left::Nothing) => Meaning::Void,
+            (
+                None,
+                CloseReason::LocalLimit | CloseReason::Shutdown | CloseReason::Cancelled,
+                SendProgress::Unsent,
+            ) => Meaning::Void,
             (None, ..) => Meaning::Failed(None),
         }
     }
@@ -110,8 +114,8 @@
     #[test]
     fn every_status_has_its_meaning() {
         let of = |status, advice| {
-            let ending = if status / 100 == 2 { Ending::Served } else { Ending::Failed };
-            Report { ending, left: Left::Some, status: Some(status), advice }.meaning()
+            let ending = if status / 100 == 2 { CloseReason::Served } else { CloseReason::Failed };
+            Report { ending, left: SendProgress::Started, status: Some(status), advice }.meaning()
         };
         for status in [200, 201, 204, 299] {
             assert_eq!(of(status, None), Meaning::Delivered);
@@ -122,9 +126,9 @@
         assert_eq!((of(429, Some(5)), of(503, None)), (Meaning::Failed(Some(5)), Meaning::Failed(Some(0))));
         assert_eq!(of(410, None), Meaning::Gone);
         let cut = |ending, left| Report { ending, left, status: None, advice: None };
-        assert_eq!(cut(Ending::Shutdown, Left::Nothing).meaning(), Meaning::Void);
-        assert_eq!(cut(Ending::Shutdown, Left::Some).meaning(), Meaning::Failed(None));
-        assert!(!cut(Ending::Refused, Left::Nothing).may_have_arrived());
-        assert!(cut(Ending::TimedOut, Left::Some).may_have_arrived());
+        assert_eq!(cut(CloseReason::Shutdown, SendProgress::Unsent).meaning(), Meaning::Void);
+        assert_eq!(cut(CloseReason::Shutdown, SendProgress::Started).meaning(), Meaning::Failed(None));
+        assert!(!cut(CloseReason::Refused, SendProgress::Unsent).may_have_arrived());
+        assert!(cut(CloseReason::TimedOut, SendProgress::Started).may_have_arrived());
     }
 }
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::completion::{Ending, Left};
+use crate::completion::{CloseReason, SendProgress};
 
 const SECOND: Micros = 1_000_000;
 
@@ -35,12 +35,14 @@
 }
 
 fn answer(status: u16) -> Report {
-    let ending = if status / 100 == 2 { Ending::Served } else { Ending::Failed };
-    Report { ending, left: Left::Some, status: Some(status), advice: None }
+    let ending = if status / 100 == 2 { CloseReason::Served } else { CloseReason::Failed };
+    Report { ending, left: SendProgress::Started, status: Some(status), advice: None }
 }
 
-const REFUSED: Report = Report { ending: Ending::Refused, left: Left::Nothing, status: None, advice: None };
-const CUT: Report = Report { ending: Ending::Reset, left: Left::Some, status: None, advice: None };
+const REFUSED: Report =
+    Report { ending: CloseReason::Refused, left: SendProgress::Unsent, status: None, advice: None };
+const CUT: Report =
+    Report { ending: CloseReason::Reset, left: SendProgress::Started, status: None, advice: None };
 
 impl World {
     fn new(caps: Caps, endpoints: u64) -> World {
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -15,7 +15,7 @@
 
 /// Why something from the board cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BoardError {
+pub enum DiscoveryError {
     /// The answer's head is not HTTP, or not a 200.
     Head(String),
     /// A chunk's length cannot be read.
@@ -28,19 +28,19 @@
     Entry(String),
 }
 
-impl fmt::Display for BoardError {
+impl fmt::Display for DiscoveryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BoardError::Head(what) => write!(f, "the notice board's answer cannot be used: {what}"),
-            BoardError::Chunk => write!(f, "a chunk of the notice board's answer has no readable length"),
-            BoardError::Json(e) => write!(f, "a notice is not JSON: {e}"),
-            BoardError::Field(name) => write!(f, "a notice lacks a usable '{name}'"),
-            BoardError::Entry(what) => write!(f, "a notice names a worker that cannot be used: {what}"),
+            DiscoveryError::Head(what) => write!(f, "the notice board's answer cannot be used: {what}"),
+            DiscoveryError::Chunk => write!(f, "a chunk of the notice board's answer has no readable length"),
+            DiscoveryError::Json(e) => write!(f, "a notice is not JSON: {e}"),
+            DiscoveryError::Field(name) => write!(f, "a notice lacks a usable '{name}'"),
+            DiscoveryError::Entry(what) => write!(f, "a notice names a worker that cannot be used: {what}"),
         }
     }
 }
 
-impl std::error::Error for BoardError {}
+impl std::error::Error for DiscoveryError {}
 
 /// One worker as a notice tells it.
 #[derive(Clone, Debug, PartialEq)]
@@ -63,7 +63,7 @@
 
 /// One numbered event.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Notice {
+pub struct WatchEvent {
     /// Its number.
     pub rev: u64,
     /// Whether it is the whole list.
@@ -72,33 +72,35 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-impl Notice {
+impl WatchEvent {
     /// Reads a notice's text.
-    pub fn parse(text: &str, names: &Names) -> Result<Notice, BoardError> {
-        let value: Value = serde_json::from_str(text).map_err(|e| BoardError::Json(e.to_string()))?;
-        Notice::from_value(&value, names)
+    pub fn parse(text: &str, names: &Names) -> Result<WatchEvent, DiscoveryError> {
+        let value: Value = serde_json::from_str(text).map_err(|e| DiscoveryError::Json(e.to_string()))?;
+        WatchEvent::from_value(&value, names)
     }
 
     /// Reads a notice from JSON.
-    pub fn from_value(value: &Value, names: &Names) -> Result<Notice, BoardError> {
-        let rev = value.get("rev").and_then(Value::as_u64).ok_or(BoardError::Field("rev"))?;
-        let pool = value.get("pool").ok_or(BoardError::Field("pool"))?;
-        let snapshot = pool.get("snapshot").and_then(Value::as_bool).ok_or(BoardError::Field("snapshot"))?;
-        let list = pool.get("endpoints").and_then(Value::as_array).ok_or(BoardError::Field("endpoints"))?;
+    pub fn from_value(value: &Value, names: &Names) -> Result<WatchEvent, DiscoveryError> {
+        let rev = value.get("rev").and_then(Value::as_u64).ok_or(DiscoveryError::Field("rev"))?;
+        let pool = value.get("pool").ok_or(DiscoveryError::Field("pool"))?;
+        let snapshot =
+            pool.get("snapshot").and_then(Value::as_bool).ok_or(DiscoveryError::Field("snapshot"))?;
+        let list =
+            pool.get("endpoints").and_then(Value::as_array).ok_or(DiscoveryError::Field("endpoints"))?;
         let endpoints = list.iter().map(|e| endpoint(e, names)).collect::<Result<_, _>>()?;
-        Ok(Notice { rev, snapshot, endpoints })
+        Ok(WatchEvent { rev, snapshot, endpoints })
     }
 }
 
-fn endpoint(value: &Value, names: &Names) -> Result<Endpoint, BoardError> {
+fn endpoint(value: &Value, names: &Names) -> Result<Endpoint, DiscoveryError> {
     let text = |field: &'static str| value.get(field).and_then(Value::as_str);
-    let name = text("name").filter(|n| !n.is_empty()).ok_or(BoardError::Field("name"))?;
-    let address = text("address").ok_or(BoardError::Field("address"))?;
-    let status = match text("status").ok_or(BoardError::Field("status"))? {
+    let name = text("name").filter(|n| !n.is_empty()).ok_or(DiscoveryError::Field("name"))?;
+    let address = text("address").ok_or(DiscoveryError::Field("address"))?;
+    let status = match text("status").ok_or(DiscoveryError::Field("status"))? {
         "SERVING" => WorkerStatus::Ready,
         "DRAINING" => WorkerStatus::Draining,
         "DELETED" => WorkerStatus::Removed,
-        other => return Err(BoardError::Entry(format!("{name} has the state '{other}'"))),
+        other => return Err(DiscoveryError::Entry(format!("{name} has the state '{other}'"))),
     };
     let zone = text("zone").and_then(|z| Names::place(&names.zones, z)).unwrap_or(usize::from(u8::MAX));
     let since = value.get("since_ms").and_then(Value::as_f64).unwrap_or(0.0);
@@ -106,7 +108,7 @@
         name: name.to_owned(),
         address: address
             .parse()
-            .map_err(|_| BoardError::Entry(format!("{name} has the address '{address}'")))?,
+            .map_err(|_| DiscoveryError::Entry(format!("{name} has the address '{address}'")))?,
         zone: ZoneId(zone as u8),
         cell: CellId(value.get("group").and_then(Value::as_u64).unwrap_or(0) as u16),
         status,
@@ -118,7 +120,7 @@
 /// The workers by name. A worker's number follows from its name alone, as all gateways walk the workers in one
 /// order of their numbers.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct EndpointList {
     numbers: BTreeMap<String, WorkerId>,
     taken: BTreeMap<WorkerId, String>,
     /// Where each worker listens.
@@ -129,7 +131,7 @@
     leaving: BTreeSet<WorkerId>,
 }
 
-impl Roster {
+impl EndpointList {
     /// A worker's number.
     pub fn number(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.numbers.get(name) {
@@ -149,7 +151,7 @@
     }
 
     /// Takes a notice over; returns what the module is told, and the workers that have another address now.
-    pub fn apply(&mut self, notice: &Notice) -> (Vec<WorkerEntry>, Vec<WorkerId>) {
+    pub fn apply(&mut self, notice: &WatchEvent) -> (Vec<WorkerEntry>, Vec<WorkerId>) {
         let mut moved = Vec::new();
         let mut members = Vec::with_capacity(notice.endpoints.len());
         if notice.snapshot {
@@ -231,7 +233,7 @@
 
 /// The reader of one connection to the board: bytes in, events out.
 #[derive(Debug, Default)]
-pub struct Feed {
+pub struct WatchStream {
     framing: Framing,
     text: Vec<u8>,
     id: Option<String>,
@@ -240,14 +242,14 @@
 
 /// One server-sent event as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sse {
+pub struct EventStreamDecoder {
     /// Its `id`, if it is a number.
     pub id: Option<u64>,
     /// Its `data`.
     pub data: String,
 }
 
-impl Feed {
+impl WatchStream {
     /// The request that begins a connection.
     pub fn request(board: SocketAddr, last: u64) -> Vec<u8> {
         format!(
@@ -268,7 +270,11 @@
     }
 
     /// Reads what has come; appends the events that are whole.
-    pub fn input(&mut self, input: &mut Buffer, events: &mut Vec<Sse>) -> Result<(), BoardError> {
+    pub fn input(
+        &mut self,
+        input: &mut Buffer,
+        events: &mut Vec<EventStreamDecoder>,
+    ) -> Result<(), DiscoveryError> {
         loop {
             let bytes = input.bytes();
             match self.framing {
@@ -278,12 +284,12 @@
                     let size = match head.parse(bytes) {
                         Ok(httparse::Status::Complete(n)) => n,
                         Ok(httparse::Status::Partial) if bytes.len() < 16 * 1024 => return Ok(()),
-                        Ok(_) => return Err(BoardError::Head("its head does not end".into())),
-                        Err(e) => return Err(BoardError::Head(e.to_string())),
+                        Ok(_) => return Err(DiscoveryError::Head("its head does not end".into())),
+                        Err(e) => return Err(DiscoveryError::Head(e.to_string())),
                     };
                     match head.code {
                         Some(200) => {}
-                        code => return Err(BoardError::Head(format!("status {}", code.unwrap_or(0)))),
+                        code => return Err(DiscoveryError::Head(format!("status {}", code.unwrap_or(0)))),
                     }
                     let chunked = head.headers.iter().any(|h| {
                         h.name.eq_ignore_ascii_case("transfer-encoding")
@@ -309,7 +315,7 @@
                             size as usize
                         }
                         Ok(httparse::Status::Partial) => return Ok(()),
-                        _ => return Err(BoardError::Chunk),
+                        _ => return Err(DiscoveryError::Chunk),
                     };
                     // The line end behind the chunk is counted in and cut off again below.
                     self.framing = Framing::Chunked(size + 2);
@@ -330,7 +336,7 @@
         }
     }
 
-    fn events(&mut self, events: &mut Vec<Sse>) -> Result<(), BoardError> {
+    fn events(&mut self, events: &mut Vec<EventStreamDecoder>) -> Result<(), DiscoveryError> {
         let mut start = 0;
         while let Some(n) = self.text[start..].iter().position(|b| *b == b'\n') {
             let line = String::from_utf8_lossy(&self.text[start..start + n]).into_owned();
@@ -339,16 +345,16 @@
         }
         self.text.drain(..start);
         if self.text.len() + self.data.len() > READ_LIMIT {
-            return Err(BoardError::Head("an event does not end".into()));
+            return Err(DiscoveryError::Head("an event does not end".into()));
         }
         Ok(())
     }
 
-    fn line(&mut self, line: &str, events: &mut Vec<Sse>) {
+    fn line(&mut self, line: &str, events: &mut Vec<EventStreamDecoder>) {
         if line.is_empty() {
             let (id, data) = (self.id.take(), std::mem::take(&mut self.data));
             if !data.is_empty() {
-                events.push(Sse { id: id.and_then(|i| i.trim().parse().ok()), data });
+                events.push(EventStreamDecoder { id: id.and_then(|i| i.trim().parse().ok()), data });
             }
             return;
         }
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -23,48 +23,48 @@
         a.len(),
         b.len()
     );
-    let (mut feed, mut input, mut events) = (Feed::default(), Buffer::default(), Vec::new());
+    let (mut feed, mut input, mut events) = (WatchStream::default(), Buffer::default(), Vec::new());
     for byte in wire.as_bytes() {
         input.feed(&[*byte]);
         feed.input(&mut input, &mut events).unwrap();
     }
     assert!(feed.ended());
     assert_eq!((events.len(), events[0].id), (1, Some(41)));
-    let n = Notice::parse(&events[0].data, &names()).unwrap();
+    let n = WatchEvent::parse(&events[0].data, &names()).unwrap();
     let e = &n.endpoints[0];
     assert_eq!((n.rev, n.snapshot, e.zone, e.started), (41, false, ZoneId(0), Some(12_000)));
-    assert_eq!(Roster::default().number(&e.name), WorkerId(0x00c4_1f7a), "the same at every gateway");
+    assert_eq!(EndpointList::default().number(&e.name), WorkerId(0x00c4_1f7a), "the same at every gateway");
 }
 
 #[test]
 fn workers_that_have_gone_are_forgotten_once_nothing_is_open_to_them() {
-    let mut roster = Roster::default();
+    let mut roster = EndpointList::default();
     for n in 0..1000u32 {
         let text = |n: u32, status| notice(status).replace("00c41f7a", &format!("{n:08x}"));
-        roster.apply(&Notice::parse(&text(n, "SERVING"), &names()).unwrap());
+        roster.apply(&WatchEvent::parse(&text(n, "SERVING"), &names()).unwrap());
         let old = n.saturating_sub(3);
-        roster.apply(&Notice::parse(&text(old, "DELETED"), &names()).unwrap());
+        roster.apply(&WatchEvent::parse(&text(old, "DELETED"), &names()).unwrap());
         roster.forget_gone(|w| *w == WorkerId(7));
     }
     assert!(roster.len() == 4 && roster.addresses.len() == 4 && roster.taken.len() == 4);
     assert!(roster.addresses.contains_key(&WorkerId(7)), "something was open to it");
     // A whole list names all there are.
     let whole = notice("SERVING").replace("\"snapshot\":false", "\"snapshot\":true");
-    roster.apply(&Notice::parse(&whole, &names()).unwrap());
+    roster.apply(&WatchEvent::parse(&whole, &names()).unwrap());
     roster.forget_gone(|_| false);
     assert_eq!(roster.addresses.keys().collect::<Vec<_>>(), [&WorkerId(0x00c4_1f7a)]);
 }
 
 #[test]
 fn what_cannot_be_used_is_told_clearly() {
-    let told = |text: &str| Notice::parse(text, &names()).unwrap_err().to_string();
+    let told = |text: &str| WatchEvent::parse(text, &names()).unwrap_err().to_string();
     assert_eq!(told("{\"rev\":1}"), "a notice lacks a usable 'pool'");
     assert!(told(&notice("ASLEEP")).ends_with("s-00c41f7a has the state 'ASLEEP'"));
     assert!(told(&notice("SERVING").replace("10.1.0.9:9090", "there")).ends_with("the address 'there'"));
     assert!(told("{").starts_with("a notice is not JSON"));
     for head in ["HTTP/1.1 503 No\r\n\r\n", "nonsense\r\n\r\n"] {
-        let (mut feed, mut input) = (Feed::default(), Buffer::default());
+        let (mut feed, mut input) = (WatchStream::default(), Buffer::default());
         input.feed(head.as_bytes());
-        assert!(matches!(feed.input(&mut input, &mut Vec::new()), Err(BoardError::Head(_))));
+        assert!(matches!(feed.input(&mut input, &mut Vec::new()), Err(DiscoveryError::Head(_))));
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -110,7 +110,7 @@
 pub fn answer(answer: &Answer, keep: bool) -> Vec<u8> {
     match answer {
         Answer::Served(body) => http::response(200, "Content-Type: application/octet-stream\r\n", body, keep),
-        Answer::Refused { retry_after } => {
+        Answer::Rejected { retry_after } => {
             let wait = format!("Retry-After: {}\r\n", retry_after.div_ceil(1_000_000));
             http::response(503, &wait, b"", keep)
         }
@@ -197,7 +197,7 @@
     #[test]
     fn a_refusal_says_when_to_come_back_in_whole_seconds() {
         for (advice, seconds) in [(0, 0), (1, 1), (500_000, 1), (1_000_001, 2)] {
-            let bytes = answer(&Answer::Refused { retry_after: advice }, true);
+            let bytes = answer(&Answer::Rejected { retry_after: advice }, true);
             let text = String::from_utf8(bytes).unwrap();
             assert!(
                 text.starts_with("HTTP/1.1 503 ") && text.contains(&format!("Retry-After: {seconds}\r\n")),
--- a/src/front/webhook/message.rs
+++ b/src/front/webhook/message.rs
@@ -28,7 +28,7 @@
     pub fn name(&self) -> &'static str {
         match self {
             Outcome::Answered(Answer::Served(body)) if body.len() <= LONGEST_PAYLOAD => "served",
-            Outcome::Answered(Answer::Refused { .. }) => "refused",
+            Outcome::Answered(Answer::Rejected { .. }) => "refused",
             Outcome::Answered(_) => "failed",
             Outcome::Unknown => "unknown",
         }
@@ -61,7 +61,7 @@
         Outcome::Answered(Answer::Served(_)) => {
             data["reason"] = "the answer is too large for a callback".into();
         }
-        Outcome::Answered(Answer::Refused { retry_after }) => {
+        Outcome::Answered(Answer::Rejected { retry_after }) => {
             data["retry_after_ms"] = (retry_after / 1000).into();
         }
         Outcome::Answered(Answer::Failed) => {}
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -16,17 +16,17 @@
 
 use crate::api::*;
 use crate::clock::Clock;
-use crate::completion::{Ending, Left};
+use crate::completion::{CloseReason, SendProgress};
 use crate::config::{Config, Operator};
 use crate::core::{Answer, AttemptKey, Command, Core, OrderKey, ProbeKey, RequestKey, Token};
-use crate::discovery::{self, Feed, Notice, Roster};
+use crate::discovery::{self, EndpointList, WatchEvent, WatchStream};
 use crate::front::http::READ_LIMIT;
 use crate::front::operator_console;
 use crate::front::platform::{self, Ask};
 use crate::membership::config::Gossip;
 use crate::names::Names;
 use crate::net::{self, Conn, Stream};
-use crate::worker::{self, Done, Go, Link, Open};
+use crate::worker::{self, AttemptCommand, Completed, Exchange, WorkerConnection};
 
 mod clients;
 mod commands;
@@ -144,8 +144,8 @@
         open: Option<Owed>,
         keep: bool,
     },
-    Worker(Link),
-    Board(Feed),
+    Worker(WorkerConnection),
+    Board(WatchStream),
     /// A caller of the second address.
     Line,
     /// Another gateway of the council.
@@ -207,7 +207,7 @@
     clock: Clock,
     config: Config,
     core: Core<Origin>,
-    roster: Roster,
+    roster: EndpointList,
     conns: SlotMap<ConnKey, (Conn, Role)>,
     links: BTreeMap<WorkerId, Vec<ConnKey>>,
     attempts: SecondaryMap<AttemptKey, ConnKey>,
@@ -228,7 +228,7 @@
     gap_at: Option<u64>,
     ready: Vec<ConnKey>,
     dirty: Vec<ConnKey>,
-    done: VecDeque<Done>,
+    done: VecDeque<Completed>,
     signals: Vec<Signal>,
     stop: bool,
 }
@@ -253,7 +253,7 @@
             clock,
             config,
             core,
-            roster: Roster::default(),
+            roster: EndpointList::default(),
             conns: SlotMap::with_key(),
             links: BTreeMap::new(),
             attempts: SecondaryMap::new(),
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -86,7 +86,7 @@
             return false;
         }
         self.core.counters.yielded += 1;
-        self.close(key, Ending::Overflow);
+        self.close(key, CloseReason::LocalLimit);
         true
     }
 
@@ -133,7 +133,7 @@
                 Ok(Ask::Call(call)) if self.core.open() >= self.config.most_held => {
                     // As the platform does beyond `mostHeld`: turned away before the module.
                     self.core.turned_away(call.arrival.class);
-                    let answer = Answer::Refused { retry_after: 1_000_000 };
+                    let answer = Answer::Rejected { retry_after: 1_000_000 };
                     conn.out.push(net::KEPT_FRAME, platform::answer(&answer, stays));
                     conn.closing = !stays;
                     self.dirty.push(key);
@@ -176,7 +176,7 @@
             // Guards memory against clients that ask for much and read nothing.
             let waiting = || self.conns.values().map(|(c, _)| c.out.len()).sum::<usize>();
             if body.len() > LARGE && waiting() > MOST_WAITING {
-                return self.close(key, Ending::Overflow);
+                return self.close(key, CloseReason::LocalLimit);
             }
         }
         let Some((conn, Role::Client { open, keep, .. })) = self.conns.get_mut(key) else { return };
@@ -267,7 +267,7 @@
             conn.out.push(net::KEPT_FRAME, platform::turn_away(&platform::too_slow(), false));
             let _ = conn.flush();
         }
-        self.close(key, Ending::Idle);
+        self.close(key, CloseReason::Idle);
     }
 
     /// An idle connection is about to be closed: what has come on it by now still counts. Tells whether the
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -21,7 +21,7 @@
                 self.core.counters.written += conn.out.take_whole();
                 match flushed {
                     Ok(true) if conn.closing && (!conn.linger || conn.hang_up()) => {
-                        self.close(key, Ending::Closed)
+                        self.close(key, CloseReason::Closed)
                     }
                     Ok(true) if conn.paused => {
                         conn.paused = false;
@@ -36,24 +36,24 @@
         }
     }
 
-    pub(super) fn report(&mut self, now: Micros, done: Done) {
+    pub(super) fn report(&mut self, now: Micros, done: Completed) {
         match done.what {
-            Open::Attempt(key) => {
+            Exchange::Attempt(key) => {
                 self.attempts.remove(key);
                 self.guarded_ended(key, crate::policy::never_ran(done.ending.outcome(done.left)));
                 let worker = self.core.worker_of(key);
                 self.tell_outcome(now, worker, done.ending, done.left);
                 self.core.ended(now, key, done.ending, done.left, done.back);
             }
-            Open::Order(key) => {
+            Exchange::Order(key) => {
                 self.orders.remove(key);
                 self.order_given_ended(now, key, done.copies);
                 self.core.order_ended(now, key, done.ending, done.left, done.copies);
             }
-            Open::Probe(key) => {
+            Exchange::Probe(key) => {
                 self.probes.remove(key);
                 self.trial_ended(now, key, done.ending);
-                self.core.probe_ended(now, key, done.ending, done.back.report);
+                self.core.probe_ended(now, key, done.ending, done.back.load_report);
             }
         }
     }
@@ -64,53 +64,67 @@
             Command::Answer { origin: Origin::Webhook(job), answer } => {
                 self.call_back(now, job, &Outcome::Answered(answer))
             }
-            command @ Command::Go { .. } if self.wait_for_record(now, &command) => {}
-            Command::Go { attempt, worker, id, class, function, expires, body } => {
+            command @ Command::Dispatch { .. } if self.wait_for_record(now, &command) => {}
+            Command::Dispatch { attempt, worker, id, class, function, expires_at: expires, body } => {
                 self.go(now, attempt, worker, id, class, function, expires, &body)
             }
-            Command::Halt { attempt, why } if self.unrecorded(attempt) => {
-                self.done.push_back(Done::plain(Open::Attempt(attempt), why, Left::Nothing));
+            Command::Cancel { attempt, reason: why } if self.unrecorded(attempt) => {
+                self.done.push_back(Completed::plain(Exchange::Attempt(attempt), why, SendProgress::Unsent));
             }
-            Command::Halt { attempt, why } => {
+            Command::Cancel { attempt, reason: why } => {
                 let left = self.attempts.get(attempt).copied();
-                let left = left.map_or(Left::Some, |key| self.give_up(now, key, Open::Attempt(attempt)));
-                self.done.push_back(Done::plain(Open::Attempt(attempt), why, left));
+                let left = left
+                    .map_or(SendProgress::Started, |key| self.give_up(now, key, Exchange::Attempt(attempt)));
+                self.done.push_back(Completed::plain(Exchange::Attempt(attempt), why, left));
             }
-            Command::Recall { attempt, why } => {
+            Command::Withdraw { attempt, reason: why } => {
                 if self.unrecorded(attempt) || self.recall(attempt) {
-                    self.done.push_back(Done::plain(Open::Attempt(attempt), why, Left::Nothing));
+                    self.done.push_back(Completed::plain(
+                        Exchange::Attempt(attempt),
+                        why,
+                        SendProgress::Unsent,
+                    ));
                 }
             }
-            Command::Stage { order: key, worker, function, copies } => {
+            Command::Load { order: key, worker, function, copies } => {
                 let order = Order { key, worker, function, copies };
                 if !self.order_waits(now, order) {
                     self.stage(now, order);
                 }
             }
-            Command::Forget { order } if self.order_forgotten(now, order) => {
-                self.done.push_back(Done::plain(Open::Order(order), Ending::TimedOut, Left::Nothing));
+            Command::AbandonLoad { order } if self.order_forgotten(now, order) => {
+                self.done.push_back(Completed::plain(
+                    Exchange::Order(order),
+                    CloseReason::TimedOut,
+                    SendProgress::Unsent,
+                ));
             }
-            Command::Forget { order } => {
+            Command::AbandonLoad { order } => {
                 let left = self.orders.get(order).copied();
-                let left = left.map_or(Left::Some, |key| self.give_up(now, key, Open::Order(order)));
-                self.done.push_back(Done::plain(Open::Order(order), Ending::TimedOut, left));
+                let left =
+                    left.map_or(SendProgress::Started, |key| self.give_up(now, key, Exchange::Order(order)));
+                self.done.push_back(Completed::plain(Exchange::Order(order), CloseReason::TimedOut, left));
             }
-            Command::Purge { worker, function } => {
+            Command::Unload { worker, function } => {
                 if let Ok(key) = self.link(now, worker, "") {
                     let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return };
-                    link.purge(&mut conn.out, function);
+                    link.send_unload(&mut conn.out, function);
                     self.dirty.push(key);
                 }
             }
-            Command::Probe { probe, worker } => match self.link(now, worker, "") {
+            Command::HealthCheck { check: probe, worker } => match self.link(now, worker, "") {
                 Ok(key) => {
                     let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return };
-                    link.probe(&mut conn.out, probe);
+                    link.send_health_check(&mut conn.out, probe);
                     self.probes.insert(probe, key);
                     self.dirty.push(key);
                 }
                 Err(ending) => {
-                    self.done.push_back(Done::plain(Open::Probe(probe), ending, Left::Nothing));
+                    self.done.push_back(Completed::plain(
+                        Exchange::Probe(probe),
+                        ending,
+                        SendProgress::Unsent,
+                    ));
                 }
             },
         }
@@ -119,17 +133,22 @@
     /// Sends an order to load.
     pub(super) fn stage(&mut self, now: Micros, order: Order) {
         if self.roster.is_leaving(order.worker) {
-            let done = Done::plain(Open::Order(order.key), Ending::Withdrawn, Left::Nothing);
+            let done =
+                Completed::plain(Exchange::Order(order.key), CloseReason::Withdrawn, SendProgress::Unsent);
             return self.done.push_back(done);
         }
         match self.link(now, order.worker, "") {
             Ok(key) => {
                 let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return };
-                link.stage(&mut conn.out, order.key, order.function, order.copies);
+                link.send_load(&mut conn.out, order.key, order.function, order.copies);
                 self.orders.insert(order.key, key);
                 self.dirty.push(key);
             }
-            Err(ending) => self.done.push_back(Done::plain(Open::Order(order.key), ending, Left::Nothing)),
+            Err(ending) => self.done.push_back(Completed::plain(
+                Exchange::Order(order.key),
+                ending,
+                SendProgress::Unsent,
+            )),
         }
     }
 
@@ -147,20 +166,27 @@
         body: &[u8],
     ) {
         let linked = match self.roster.is_leaving(worker) {
-            true => Err(Ending::Withdrawn),
+            true => Err(CloseReason::Withdrawn),
             false => self.link(now, worker, &id),
         };
         let key = match linked {
             Ok(key) => key,
             Err(ending) => {
-                return self.done.push_back(Done::plain(Open::Attempt(attempt), ending, Left::Nothing))
+                return self.done.push_back(Completed::plain(
+                    Exchange::Attempt(attempt),
+                    ending,
+                    SendProgress::Unsent,
+                ))
             }
         };
         let once = self.runs_once(class);
         let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return };
         let class = self.config.names.classes.get(class.0 as usize).map_or("", String::as_str);
         let wait_ms = expires.saturating_sub(now) / 1000;
-        link.go(&mut conn.out, Go { attempt, id, class, function, wait_ms, body, once });
+        link.send_attempt(
+            &mut conn.out,
+            AttemptCommand { attempt, id, class, function, wait_ms, body, once },
+        );
         self.attempts.insert(attempt, key);
         self.dirty.push(key);
     }
@@ -177,15 +203,15 @@
     fn recall(&mut self, attempt: AttemptKey) -> bool {
         let Some(key) = self.attempts.get(attempt) else { return false };
         let Some((conn, Role::Worker(link))) = self.conns.get_mut(*key) else { return false };
-        link.take_back(&mut conn.out, Open::Attempt(attempt))
+        link.withdraw(&mut conn.out, Exchange::Attempt(attempt))
     }
 
     /// Gives up what is open on a connection. One that has said nothing since takes nothing new: its machine
     /// may have vanished, and then only a new connection shows whether it is back.
-    pub(super) fn give_up(&mut self, now: Micros, key: ConnKey, what: Open) -> Left {
-        let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return Left::Some };
-        let left = link.give_up(&mut conn.out, what, now, now + 10_000_000);
-        if left == Left::Some && now > link.heard.max(link.busy) + SILENT {
+    pub(super) fn give_up(&mut self, now: Micros, key: ConnKey, what: Exchange) -> SendProgress {
+        let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return SendProgress::Started };
+        let left = link.cancel(&mut conn.out, what, now, now + 10_000_000);
+        if left == SendProgress::Started && now > link.heard.max(link.busy) + SILENT {
             link.suspect = true;
         }
         if link.suspect && link.open() == 0 {
@@ -196,11 +222,11 @@
     }
 
     /// A connection to a worker that takes this, opened if need be.
-    pub(super) fn link(&mut self, now: Micros, worker: WorkerId, id: &str) -> Result<ConnKey, Ending> {
+    pub(super) fn link(&mut self, now: Micros, worker: WorkerId, id: &str) -> Result<ConnKey, CloseReason> {
         let streams = self.config.streams;
         let keys = self.links.entry(worker).or_default();
         let fits = |key: &&ConnKey| match self.conns.get(**key) {
-            Some((conn, Role::Worker(link))) => link.takes(id, streams) && conn.out.len() < BACKLOG,
+            Some((conn, Role::Worker(link))) => link.accepts(id, streams) && conn.out.len() < BACKLOG,
             _ => false,
         };
         if let Some(key) = keys.iter().copied().find(|key| fits(&key)) {
@@ -211,19 +237,19 @@
         }
         let keys_held = keys.len();
         if keys_held >= MOST_LINKS {
-            return Err(Ending::Crowded);
+            return Err(CloseReason::ConnectionsFull);
         }
         if self.conns.len() >= self.sockets().saturating_sub(SPARE_DESCRIPTORS) {
-            return Err(Ending::Overflow);
+            return Err(CloseReason::LocalLimit);
         }
-        let address = *self.roster.addresses.get(&worker).ok_or(Ending::Withdrawn)?;
+        let address = *self.roster.addresses.get(&worker).ok_or(CloseReason::Withdrawn)?;
         let stream = net::connect(address).map_err(|e| match e.kind() {
-            io::ErrorKind::ConnectionRefused => Ending::Refused,
-            _ if net::is_own_limit(&e) => Ending::Overflow,
-            _ => Ending::NeverUp,
+            io::ErrorKind::ConnectionRefused => CloseReason::Refused,
+            _ if net::is_own_limit(&e) => CloseReason::LocalLimit,
+            _ => CloseReason::ConnectTimeout,
         })?;
-        let role = Role::Worker(Link::new(worker, now));
-        let key = self.add(stream, false, role).map_err(|_| Ending::NeverUp)?;
+        let role = Role::Worker(WorkerConnection::new(worker, now));
+        let key = self.add(stream, false, role).map_err(|_| CloseReason::ConnectTimeout)?;
         self.core.counters.connects += 1;
         tracing::debug!(worker = worker.0, links = keys_held + 1, "connects");
         self.links.entry(worker).or_default().push(key);
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -31,7 +31,7 @@
     }
 
     /// Ends a connection, and with it everything open on it.
-    pub(super) fn close(&mut self, key: ConnKey, ending: Ending) {
+    pub(super) fn close(&mut self, key: ConnKey, ending: CloseReason) {
         self.set_deadline(key, None);
         let Some((conn, role)) = self.conns.remove(key) else { return };
         self.handle.remove(conn.token);
@@ -105,11 +105,11 @@
         let Some((conn, role)) = self.conns.get(key) else { return };
         match read {
             Err(ending) => self.close(key, ending),
-            Ok(()) if conn.ended => self.close(key, Ending::Closed),
+            Ok(()) if conn.ended => self.close(key, CloseReason::Closed),
             // Clients' buffers are read on when their request has been answered.
             Ok(()) if !conn.more || matches!(role, Role::Client { .. }) => {}
             // Something longer than the buffer may be: it would never come whole, and nothing behind it.
-            Ok(()) if conn.input.bytes().len() >= limit => self.close(key, Ending::Malformed),
+            Ok(()) if conn.input.bytes().len() >= limit => self.close(key, CloseReason::Malformed),
             Ok(()) => self.ready.push(key),
         }
     }
@@ -141,7 +141,7 @@
                             worker = format_args!("{worker:08x}"),
                             "an answer cannot be read: {e}"
                         );
-                        self.close(key, Ending::Malformed);
+                        self.close(key, CloseReason::Malformed);
                     }
                 }
             }
@@ -153,7 +153,7 @@
                 self.set_deadline(key, Some(now + BOARD_SILENT));
                 for event in events {
                     if !self.on_event(now, &event) {
-                        return self.close(key, Ending::Malformed);
+                        return self.close(key, CloseReason::Malformed);
                     }
                 }
                 if answered {
@@ -162,9 +162,9 @@
                 if let Err(e) = result {
                     self.core.counters.unreadable += 1;
                     tracing::warn!("{e}");
-                    self.close(key, Ending::Malformed);
+                    self.close(key, CloseReason::Malformed);
                 } else if ended {
-                    self.close(key, Ending::Closed);
+                    self.close(key, CloseReason::Closed);
                 }
             }
         }
@@ -177,14 +177,14 @@
         match role {
             Role::Client { open: Some(_), .. } => {}
             Role::Client { .. } => self.end_idle(key, now),
-            Role::Worker(_) if !conn.up => self.close(key, Ending::NeverUp),
+            Role::Worker(_) if !conn.up => self.close(key, CloseReason::ConnectTimeout),
             // Guards what waits behind an answer that stopped short: nothing after it can be told apart.
             Role::Worker(link) if link.partial.is_some_and(|since| now >= since + ANSWER_SLOW) => {
                 self.core.counters.unreadable += 1;
-                self.close(key, Ending::Malformed)
+                self.close(key, CloseReason::Malformed)
             }
             Role::Worker(link) if link.open() == 0 && (link.suspect || now >= link.heard + idle) => {
-                self.close(key, Ending::Idle)
+                self.close(key, CloseReason::Idle)
             }
             Role::Worker(link) => {
                 let next = match link.open() {
@@ -195,10 +195,10 @@
                 };
                 self.set_deadline(key, Some(next));
             }
-            Role::Portal(link) if link.is_idle() => self.close(key, Ending::Idle),
-            Role::Line | Role::Peer(_) => self.close(key, Ending::Idle),
+            Role::Portal(link) if link.is_idle() => self.close(key, CloseReason::Idle),
+            Role::Line | Role::Peer(_) => self.close(key, CloseReason::Idle),
             Role::Board(_) | Role::Portal(_) => {
-                let ending = if conn.up { Ending::TimedOut } else { Ending::NeverUp };
+                let ending = if conn.up { CloseReason::TimedOut } else { CloseReason::ConnectTimeout };
                 self.close(key, ending)
             }
         }
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -445,7 +445,7 @@
         hall.again.retain(|_, t| *t > now);
         let missing: Vec<Arc<str>> =
             wanted.into_iter().filter(|n| !hall.out.contains_key(n) && !hall.again.contains_key(n)).collect();
-        over.into_iter().for_each(|key| self.close(key, Ending::Idle));
+        over.into_iter().for_each(|key| self.close(key, CloseReason::Idle));
         for name in missing {
             self.connect_peer(now, &name);
         }
@@ -520,7 +520,7 @@
         hall.strangers.push_back(key);
         let oldest = hall.strangers.front().copied().filter(|_| hall.strangers.len() > MOST_INBOUND);
         if let Some(oldest) = oldest {
-            self.close(oldest, Ending::Overflow);
+            self.close(oldest, CloseReason::LocalLimit);
         }
     }
 
@@ -536,7 +536,7 @@
                 Err(why) => {
                     *hall.refused.entry(why.to_string()).or_default() += 1;
                     tracing::debug!("a frame is refused: {why}");
-                    return self.close(key, Ending::Malformed);
+                    return self.close(key, CloseReason::Malformed);
                 }
             };
             conn.input.consume(size);
@@ -567,7 +567,7 @@
         }
         hall.strangers.retain(|k| *k != key);
         if let Some(old) = hall.inbound.insert(name.clone(), key) {
-            self.close(old, Ending::Idle);
+            self.close(old, CloseReason::Idle);
             if let Some(hall) = &mut self.fleet.hall {
                 hall.inbound.insert(name.clone(), key);
             }
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -8,11 +8,12 @@
         if self.conns.values().any(|(_, role)| matches!(role, Role::Board(_))) {
             return;
         }
-        let opened = net::connect(address).and_then(|s| self.add(s, false, Role::Board(Feed::default())));
+        let opened =
+            net::connect(address).and_then(|s| self.add(s, false, Role::Board(WatchStream::default())));
         match opened {
             Ok(key) => {
                 if let Some((conn, _)) = self.conns.get_mut(key) {
-                    conn.out.push(net::KEPT_FRAME, Feed::request(address, self.last_rev));
+                    conn.out.push(net::KEPT_FRAME, WatchStream::request(address, self.last_rev));
                 }
                 self.set_deadline(key, Some(now + 1_000_000));
             }
@@ -21,8 +22,8 @@
     }
 
     /// Takes one event; `false` if the board is to be asked anew for what was missed.
-    pub(super) fn on_event(&mut self, now: Micros, event: &discovery::Sse) -> bool {
-        let notice = match Notice::parse(&event.data, &self.config.names) {
+    pub(super) fn on_event(&mut self, now: Micros, event: &discovery::EventStreamDecoder) -> bool {
+        let notice = match WatchEvent::parse(&event.data, &self.config.names) {
             Ok(notice) => notice,
             Err(e) => {
                 // The list held stays as it is, and so does its number: the event is asked for once more, as it may
@@ -39,7 +40,7 @@
 
     /// Takes one notice; `false` if one before it was missed. One that is older than the list held is passed
     /// over: a board may write an event twice, and an old whole list would bring back workers that have gone.
-    pub(super) fn on_notice(&mut self, now: Micros, notice: &Notice) -> bool {
+    pub(super) fn on_notice(&mut self, now: Micros, notice: &WatchEvent) -> bool {
         if notice.rev < self.last_rev || notice.rev == self.last_rev && !notice.snapshot {
             return true;
         }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -154,7 +154,13 @@
     }
 
     /// An own attempt at a worker has ended.
-    pub(super) fn tell_outcome(&mut self, now: Micros, worker: Option<WorkerId>, ending: Ending, left: Left) {
+    pub(super) fn tell_outcome(
+        &mut self,
+        now: Micros,
+        worker: Option<WorkerId>,
+        ending: CloseReason,
+        left: SendProgress,
+    ) {
         let (Some(worker), Some(seen)) = (worker, ending.seen(left)) else { return };
         self.trials_outcome(now, worker, seen);
         if let Some(talk) = &mut self.fleet.talk {
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -72,11 +72,11 @@
     }
 
     /// A probe has ended outside; whether it was a trial.
-    pub(super) fn trial_ended(&mut self, now: Micros, key: ProbeKey, ending: Ending) {
+    pub(super) fn trial_ended(&mut self, now: Micros, key: ProbeKey, ending: CloseReason) {
         let Some(worker) = self.fleet.trials.as_mut().and_then(|side| side.probes.remove(&key)) else {
             return;
         };
-        self.tell_trials(now, Input::Tried(worker, ending == Ending::Served));
+        self.tell_trials(now, Input::Tried(worker, ending == CloseReason::Served));
     }
 
     /// Does what follows.
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -135,7 +135,7 @@
                     let Some(side) = &mut self.fleet.loads else { return };
                     if let Some(Order { key, .. }) = side.orders.remove(&number) {
                         side.numbers.remove(&key);
-                        self.core.order_ended(now, key, Ending::Served, Left::Nothing, copies);
+                        self.core.order_ended(now, key, CloseReason::Served, SendProgress::Unsent, copies);
                     }
                 }
             }
@@ -157,7 +157,7 @@
     fn give_order(&mut self, now: Micros, order: Order) {
         if self.fleet.ready.as_ref().is_some_and(|ready| !ready.contains(&order.worker)) {
             self.order_given_ended(now, order.key, 0);
-            return self.core.order_ended(now, order.key, Ending::Withdrawn, Left::Nothing, 0);
+            return self.core.order_ended(now, order.key, CloseReason::Withdrawn, SendProgress::Unsent, 0);
         }
         self.stage(now, order);
     }
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -127,7 +127,7 @@
         // Guards the places against callers that say nothing and linger.
         let oldest = side.callers.front().copied().filter(|_| side.callers.len() > MOST_LINES);
         if let Some(oldest) = oldest {
-            self.close(oldest, Ending::Overflow);
+            self.close(oldest, CloseReason::LocalLimit);
         }
         self.on_ready(key);
     }
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -26,7 +26,7 @@
         let boards = self.conns.iter().filter(|(_, (_, role))| matches!(role, Role::Board(_)));
         let boards: Vec<ConnKey> = boards.map(|(key, _)| key).collect();
         self.config.board = fresh.board;
-        boards.into_iter().for_each(|key| self.close(key, Ending::Shutdown));
+        boards.into_iter().for_each(|key| self.close(key, CloseReason::Shutdown));
         self.open_board(now);
         let to = fresh.board.map_or("none".to_owned(), |b| b.to_string());
         tracing::info!("the configuration was read anew; notice board: {to}");
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -288,8 +288,8 @@
 }
 
 fn answered(status: u16, advice: Option<Micros>) -> Report {
-    let ending = if (200..300).contains(&status) { Ending::Served } else { Ending::Failed };
-    Report { ending, left: Left::Some, status: Some(status), advice }
+    let ending = if (200..300).contains(&status) { CloseReason::Served } else { CloseReason::Failed };
+    Report { ending, left: SendProgress::Started, status: Some(status), advice }
 }
 
 fn job_of(call: &CallRecord) -> Job {
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -142,7 +142,8 @@
     /// An attempt of a call that must not run twice waits until it is recorded that it leaves.
     pub(in crate::gateway) fn wait_for_record(&mut self, now: Micros, command: &Command<Origin>) -> bool {
         let Some(hooks) = &mut self.second.hooks else { return false };
-        let Command::Go { attempt, worker, id, class, function, expires, body } = command else {
+        let Command::Dispatch { attempt, worker, id, class, function, expires_at: expires, body } = command
+        else {
             return false;
         };
         let Some(guard) = hooks.guards.get(id) else { return false };
@@ -171,10 +172,10 @@
         let Some(hooks) = &mut self.second.hooks else { return };
         let Some(w) = hooks.unrecorded.remove(attempt) else { return };
         if !kept || now > w.since + STALE {
-            return self.done.push_back(Done::plain(
-                Open::Attempt(attempt),
-                Ending::Withdrawn,
-                Left::Nothing,
+            return self.done.push_back(Completed::plain(
+                Exchange::Attempt(attempt),
+                CloseReason::Withdrawn,
+                SendProgress::Unsent,
             ));
         }
         step("intent promised");
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -13,10 +13,10 @@
             return hooks.delivery.handle(now, Input::Ended(seq, Report::VOID));
         };
         let (address, secrets) = (e.portal.address, tenant.signing(e, now));
-        let failed = |ending| Report { ending, left: Left::Nothing, status: None, advice: None };
+        let failed = |ending| Report { ending, left: SendProgress::Unsent, status: None, advice: None };
         if !hooks.networks.allows(address.ip()) || secrets.is_empty() {
             // Nothing is sent where the operator does not allow it, or unsigned.
-            return hooks.delivery.handle(now, Input::Ended(seq, failed(Ending::NeverUp)));
+            return hooks.delivery.handle(now, Input::Ended(seq, failed(CloseReason::ConnectTimeout)));
         }
         // One that must not come twice has a connection of its own: an idle one may be at its end unseen.
         let reuse = record.waiting.effect == Effect::Idempotent;
@@ -42,10 +42,10 @@
             }
             Err(e) => {
                 let ending = match e.kind() {
-                    io::ErrorKind::ConnectionRefused => Ending::Refused,
+                    io::ErrorKind::ConnectionRefused => CloseReason::Refused,
                     // Out of descriptors: nothing is known of the portal.
-                    _ if e.raw_os_error().is_some_and(|n| n == 24 || n == 23) => Ending::Overflow,
-                    _ => Ending::NeverUp,
+                    _ if e.raw_os_error().is_some_and(|n| n == 24 || n == 23) => CloseReason::LocalLimit,
+                    _ => CloseReason::ConnectTimeout,
                 };
                 if let Some(hooks) = &mut self.second.hooks {
                     hooks.delivery.handle(now, Input::Ended(seq, failed(ending)));
@@ -60,14 +60,14 @@
         let Some((seq, _)) = link.current else {
             // It says something unasked.
             if !conn.input.bytes().is_empty() {
-                self.close(key, Ending::Malformed);
+                self.close(key, CloseReason::Malformed);
             }
             return;
         };
         match answer::read(conn.input.bytes(), now) {
             Progress::Waits => {}
             Progress::Status(status, advice) => link.status = Some((status, advice)),
-            Progress::Malformed => self.close(key, Ending::Malformed),
+            Progress::Malformed => self.close(key, CloseReason::Malformed),
             Progress::Whole(status, advice, size, keep) => {
                 conn.input.consume(size);
                 (link.current, link.status) = (None, None);
@@ -87,7 +87,7 @@
                     if idle.is_empty() {
                         hooks.idle.remove(&id);
                     }
-                    self.close(key, Ending::Closed);
+                    self.close(key, CloseReason::Closed);
                 }
             }
         }
@@ -99,7 +99,7 @@
         now: Micros,
         key: ConnKey,
         link: &PortalLink,
-        ending: Ending,
+        ending: CloseReason,
         untouched: bool,
     ) {
         if let Some(hooks) = &mut self.second.hooks {
@@ -115,7 +115,7 @@
             // Its head told the answer; what was missing is of no use to anybody.
             Some((status, advice)) => answered(status, advice),
             None => {
-                let left = if untouched { Left::Nothing } else { Left::Some };
+                let left = if untouched { SendProgress::Unsent } else { SendProgress::Started };
                 Report { ending, left, status: None, advice: None }
             }
         };
@@ -137,7 +137,7 @@
         hooks.delivery.handle(now, Input::Stop);
         let portals: Vec<ConnKey> =
             self.conns.iter().filter(|(_, (_, r))| matches!(r, Role::Portal(_))).map(|(k, _)| k).collect();
-        portals.into_iter().for_each(|key| self.close(key, Ending::Shutdown));
+        portals.into_iter().for_each(|key| self.close(key, CloseReason::Shutdown));
     }
 
     /// Asks the store for an administrator.
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -134,7 +134,7 @@
             }
             // Its class or tenant is gone; it never ran, or may run again.
             _ => {
-                self.call_back(now, key, &Outcome::Answered(Answer::Refused { retry_after: 0 }));
+                self.call_back(now, key, &Outcome::Answered(Answer::Rejected { retry_after: 0 }));
                 Fate::Refuse
             }
         }
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -142,7 +142,7 @@
             let Some(hooks) = &mut self.second.hooks else { return };
             hooks.delivery.handle(now, Input::Removed(*id));
             for key in hooks.idle.remove(id).unwrap_or_default() {
-                self.close(key, Ending::Shutdown);
+                self.close(key, CloseReason::Shutdown);
             }
         }
     }
--- a/src/net.rs
+++ b/src/net.rs
@@ -10,7 +10,7 @@
 use calloop::RegistrationToken;
 
 use crate::api::Micros;
-use crate::completion::Ending;
+use crate::completion::CloseReason;
 
 /// Bytes that a buffer starts with.
 const FIRST: usize = 2048;
@@ -257,7 +257,7 @@
     }
 
     /// After a non-blocking connect: whether it has come up, still tries, or was refused.
-    pub fn check_connect(&mut self) -> Result<bool, Ending> {
+    pub fn check_connect(&mut self) -> Result<bool, CloseReason> {
         if self.up {
             return Ok(true);
         }
@@ -269,12 +269,12 @@
                 }
                 Err(_) => Ok(false),
             },
-            Ok(Some(_)) | Err(_) => Err(Ending::Refused),
+            Ok(Some(_)) | Err(_) => Err(CloseReason::Refused),
         }
     }
 
     /// Reads until the socket is dry, the buffer holds `limit`, or the peer has ended.
-    pub fn read(&mut self, limit: usize) -> Result<(), Ending> {
+    pub fn read(&mut self, limit: usize) -> Result<(), CloseReason> {
         self.more = true;
         loop {
             match self.input.fill(&mut &*self.stream.0, limit) {
@@ -288,7 +288,7 @@
                     (self.more, self.ended) = (false, true);
                     return Ok(());
                 }
-                Err(_) => return Err(Ending::Reset),
+                Err(_) => return Err(CloseReason::Reset),
             }
         }
     }
@@ -323,11 +323,11 @@
     }
 
     /// Writes what the peer takes.
-    pub fn flush(&mut self) -> Result<bool, Ending> {
+    pub fn flush(&mut self) -> Result<bool, CloseReason> {
         if !self.up {
             return Ok(self.out.is_empty());
         }
-        self.out.flush(&mut &*self.stream.0).map_err(|_| Ending::Reset)
+        self.out.flush(&mut &*self.stream.0).map_err(|_| CloseReason::Reset)
     }
 }
 
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -7,8 +7,8 @@
 use slotmap::{Key, KeyData};
 
 use crate::api::{CopyStart, FunctionId, LoadReport, Micros, WorkerId};
-use crate::completion::{Ending, Left};
-use crate::core::{AttemptKey, Back, OrderKey, ProbeKey};
+use crate::completion::{CloseReason, SendProgress};
+use crate::core::{AttemptKey, AttemptReply, OrderKey, ProbeKey};
 use crate::net::{Buffer, Outbox, KEPT_FRAME};
 
 /// Words that an array may hold, and bytes that one word may.
@@ -79,10 +79,10 @@
 }
 
 /// The words of an array and the bytes that it takes up.
-pub type Whole<'a> = (Vec<&'a [u8]>, usize);
+pub type CompleteArray<'a> = (Vec<&'a [u8]>, usize);
 
 /// The words of the first array in `bytes` and its length; `None` while it is not whole.
-pub fn parse(bytes: &[u8]) -> Result<Option<Whole<'_>>, RespError> {
+pub fn parse(bytes: &[u8]) -> Result<Option<CompleteArray<'_>>, RespError> {
     let Some((count, mut at)) = length(bytes, b'*', MOST_WORDS)? else { return Ok(None) };
     let mut words = Vec::with_capacity(count);
     for _ in 0..count {
@@ -121,7 +121,7 @@
 
 /// What something open on a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Open {
+pub enum Exchange {
     /// An attempt.
     Attempt(AttemptKey),
     /// A load order.
@@ -132,30 +132,30 @@
 
 /// Something open on a connection has ended.
 #[derive(Debug)]
-pub struct Done {
+pub struct Completed {
     /// What.
-    pub what: Open,
+    pub what: Exchange,
     /// How.
-    pub ending: Ending,
+    pub ending: CloseReason,
     /// How much of it had left.
-    pub left: Left,
+    pub left: SendProgress,
     /// What came back.
-    pub back: Back,
+    pub back: AttemptReply,
     /// For an order: copies standing.
     pub copies: u32,
 }
 
-impl Done {
+impl Completed {
     /// An end without an answer.
-    pub fn plain(what: Open, ending: Ending, left: Left) -> Done {
-        Done { what, ending, left, back: Back::default(), copies: 0 }
+    pub fn plain(what: Exchange, ending: CloseReason, left: SendProgress) -> Completed {
+        Completed { what, ending, left, back: AttemptReply::default(), copies: 0 }
     }
 }
 
 /// Something open on a connection.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    what: Open,
+    what: Exchange,
     /// The tag of its frame.
     tag: u64,
     /// Whether it must not run twice.
@@ -164,7 +164,7 @@
 
 /// What is open on one connection to a worker. It reads and writes buffers, never a socket.
 #[derive(Debug)]
-pub struct Link {
+pub struct WorkerConnection {
     /// The worker.
     pub worker: WorkerId,
     /// When it was opened.
@@ -187,7 +187,7 @@
 
 /// What a `go` carries.
 #[derive(Debug)]
-pub struct Go<'a> {
+pub struct AttemptCommand<'a> {
     /// The attempt.
     pub attempt: AttemptKey,
     /// The request's identity.
@@ -204,10 +204,10 @@
     pub once: bool,
 }
 
-impl Link {
+impl WorkerConnection {
     /// A connection to a worker, just opened.
-    pub fn new(worker: WorkerId, now: Micros) -> Link {
-        Link {
+    pub fn new(worker: WorkerId, now: Micros) -> WorkerConnection {
+        WorkerConnection {
             worker,
             opened: now,
             heard: now,
@@ -228,7 +228,7 @@
 
     /// Whether an attempt under this identity may go here. Guards a resend: the answer to an attempt that was
     /// given up may still come under the same identity, and only on its own connection.
-    pub fn takes(&self, id: &str, streams: usize) -> bool {
+    pub fn accepts(&self, id: &str, streams: usize) -> bool {
         !self.suspect
             && self.open.len() < streams
             && !self.open.contains_key(id)
@@ -243,65 +243,65 @@
         at.and_then(|at| self.turned_away.remove(at)).is_some()
     }
 
-    fn add(&mut self, id: Rc<str>, what: Open, once: bool, out: &mut Outbox, bytes: Vec<u8>) {
+    fn add(&mut self, id: Rc<str>, what: Exchange, once: bool, out: &mut Outbox, bytes: Vec<u8>) {
         let tag = self.next_tag;
         self.next_tag += 1;
         self.open.insert(id, Entry { what, tag, once });
         match what {
-            Open::Attempt(_) => out.push_counted(tag, bytes),
+            Exchange::Attempt(_) => out.push_counted(tag, bytes),
             _ => out.push(tag, bytes),
         }
     }
 
     /// Sends an attempt.
-    pub fn go(&mut self, out: &mut Outbox, go: Go<'_>) {
+    pub fn send_attempt(&mut self, out: &mut Outbox, go: AttemptCommand<'_>) {
         let (class, key, max) = (go.class, go.function.0, go.wait_ms.max(1));
         let fields = format!("profile={class},thing={key:016x},max={max}");
         let bytes = array(&[b"go", go.id.as_bytes(), fields.as_bytes(), go.body]);
-        self.add(go.id, Open::Attempt(go.attempt), go.once, out, bytes);
+        self.add(go.id, Exchange::Attempt(go.attempt), go.once, out, bytes);
     }
 
     /// Sends an order to load.
-    pub fn stage(&mut self, out: &mut Outbox, order: OrderKey, function: FunctionId, copies: u8) {
+    pub fn send_load(&mut self, out: &mut Outbox, order: OrderKey, function: FunctionId, copies: u8) {
         let tag: Rc<str> = format!("o{:x}", order.data().as_ffi()).into();
         let fields = format!("thing={:016x},copies={copies}", function.0);
         let bytes = array(&[b"stage", tag.as_bytes(), fields.as_bytes()]);
-        self.add(tag, Open::Order(order), false, out, bytes);
+        self.add(tag, Exchange::Order(order), false, out, bytes);
     }
 
     /// Sends a probe that brings a load report.
-    pub fn probe(&mut self, out: &mut Outbox, probe: ProbeKey) {
+    pub fn send_health_check(&mut self, out: &mut Outbox, probe: ProbeKey) {
         let tag: Rc<str> = format!("p{:x}", probe.data().as_ffi()).into();
         let bytes = array(&[b"stat", tag.as_bytes()]);
-        self.add(tag, Open::Probe(probe), false, out, bytes);
+        self.add(tag, Exchange::Probe(probe), false, out, bytes);
     }
 
     /// Orders idle copies to be unloaded.
-    pub fn purge(&mut self, out: &mut Outbox, function: FunctionId) {
+    pub fn send_unload(&mut self, out: &mut Outbox, function: FunctionId) {
         out.push(KEPT_FRAME, array(&[b"purge", format!("{:016x}", function.0).as_bytes()]));
     }
 
     /// Gives something up: takes it back unsent, or tells the worker.
-    pub fn give_up(&mut self, out: &mut Outbox, what: Open, now: Micros, until: Micros) -> Left {
+    pub fn cancel(&mut self, out: &mut Outbox, what: Exchange, now: Micros, until: Micros) -> SendProgress {
         let Some(id) = self.open.iter().find(|(_, e)| e.what == what).map(|(id, _)| id.clone()) else {
-            return Left::Some;
+            return SendProgress::Started;
         };
-        let Some(Entry { tag, .. }) = self.open.remove(&id) else { return Left::Some };
+        let Some(Entry { tag, .. }) = self.open.remove(&id) else { return SendProgress::Started };
         if out.withdraw(tag) {
-            return Left::Nothing;
+            return SendProgress::Unsent;
         }
-        if let Open::Attempt(_) = what {
+        if let Exchange::Attempt(_) = what {
             out.push(KEPT_FRAME, array(&[b"halt", id.as_bytes()]));
         }
         while self.given_up.front().is_some_and(|(_, t)| *t < now) {
             self.given_up.pop_front();
         }
         self.given_up.push_back((id, until));
-        Left::Some
+        SendProgress::Started
     }
 
     /// Takes something back if none of its bytes have left; tells whether it has.
-    pub fn take_back(&mut self, out: &mut Outbox, what: Open) -> bool {
+    pub fn withdraw(&mut self, out: &mut Outbox, what: Exchange) -> bool {
         let found = self.open.iter().find(|(_, e)| e.what == what);
         let Some((id, tag)) = found.map(|(id, e)| (id.clone(), e.tag)) else { return false };
         let unsent = out.withdraw(tag);
@@ -313,26 +313,31 @@
 
     /// Takes back every attempt and order that waits with none of its bytes gone. Guards the rules on drains,
     /// loads and cold starts for what is queued here.
-    pub fn withdraw_unsent(&mut self, out: &mut Outbox, done: &mut Vec<Done>) {
+    pub fn withdraw_unsent(&mut self, out: &mut Outbox, done: &mut Vec<Completed>) {
         self.open.retain(|_, Entry { what, tag, .. }| {
             let unsent = out.withdraw(*tag);
             if unsent {
-                done.push(Done::plain(*what, Ending::Withdrawn, Left::Nothing));
+                done.push(Completed::plain(*what, CloseReason::Withdrawn, SendProgress::Unsent));
             }
             !unsent
         });
     }
 
     /// The connection has ended, and with it everything open on it.
-    pub fn end(&mut self, out: &Outbox, ending: Ending, done: &mut Vec<Done>) {
+    pub fn end(&mut self, out: &Outbox, ending: CloseReason, done: &mut Vec<Completed>) {
         for (_, Entry { what, tag, .. }) in std::mem::take(&mut self.open) {
-            let left = if out.untouched(tag) { Left::Nothing } else { Left::Some };
-            done.push(Done::plain(what, ending, left));
+            let left = if out.untouched(tag) { SendProgress::Unsent } else { SendProgress::Started };
+            done.push(Completed::plain(what, ending, left));
         }
     }
 
     /// Reads the answers that have come whole; returns how many matched nothing open.
-    pub fn input(&mut self, now: Micros, input: &mut Buffer, done: &mut Vec<Done>) -> Result<u64, RespError> {
+    pub fn input(
+        &mut self,
+        now: Micros,
+        input: &mut Buffer,
+        done: &mut Vec<Completed>,
+    ) -> Result<u64, RespError> {
         let mut unmatched = 0;
         while let Some((words, size)) = parse(input.bytes())? {
             (self.heard, self.partial) = (now, None);
@@ -345,7 +350,7 @@
         Ok(unmatched)
     }
 
-    fn answer(&mut self, now: Micros, words: &[&[u8]], done: &mut Vec<Done>) -> Result<bool, RespError> {
+    fn answer(&mut self, now: Micros, words: &[&[u8]], done: &mut Vec<Completed>) -> Result<bool, RespError> {
         let (id, word, rest) = match words {
             [id, word, rest @ ..] if rest.len() <= 2 => (*id, *word, rest),
             _ => return Err(RespError::Words(words.len())),
@@ -359,22 +364,23 @@
             return Ok(false);
         };
         let ending = match (word, what) {
-            (b"200", _) | (b"alive", Open::Probe(_)) => Ending::Served,
-            (b"404", _) => Ending::Missed,
-            (b"503", _) => Ending::NoRoom,
-            (b"500", _) | (b"dead", Open::Probe(_)) => Ending::Failed,
-            (b"504", _) => Ending::Over,
+            (b"200", _) | (b"alive", Exchange::Probe(_)) => CloseReason::Served,
+            (b"404", _) => CloseReason::NotLoaded,
+            (b"503", _) => CloseReason::AtCapacity,
+            (b"500", _) | (b"dead", Exchange::Probe(_)) => CloseReason::Failed,
+            (b"504", _) => CloseReason::Expired,
             _ => return Err(RespError::Answer(text(word))),
         };
-        let turned_away = matches!(ending, Ending::Missed | Ending::NoRoom | Ending::Over);
+        let turned_away =
+            matches!(ending, CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired);
         if once && turned_away && self.is_heard_again(now, id) {
             return Ok(false);
         }
-        let mut d = Done::plain(what, ending, Left::Some);
+        let mut d = Completed::plain(what, ending, SendProgress::Started);
         for (name, value) in fields(of) {
             match name {
                 "remark" => {
-                    d.back.warmth = match value {
+                    d.back.copy_start = match value {
                         "w" => Some(CopyStart::Warm),
                         "c" => Some(CopyStart::Triggered),
                         "j" => Some(CopyStart::Joined),
@@ -382,9 +388,9 @@
                         _ => None,
                     }
                 }
-                "queue_fn" => d.back.crowd = value.parse().unwrap_or(0),
+                "queue_fn" => d.back.function_in_flight = value.parse().unwrap_or(0),
                 "copies" => d.copies = value.parse().unwrap_or(0),
-                "report" => d.back.report = report(value),
+                "report" => d.back.load_report = report(value),
                 _ => {}
             }
         }
--- a/src/worker/tests.rs
+++ b/src/worker/tests.rs
@@ -6,23 +6,23 @@
 const ID: &str = "9b1f03aa5c7e2d41";
 
 struct Rig {
-    link: Link,
+    link: WorkerConnection,
     out: Outbox,
     input: Buffer,
-    done: Vec<Done>,
+    done: Vec<Completed>,
     keys: SlotMap<AttemptKey, ()>,
 }
 
 impl Rig {
     fn new() -> Rig {
-        let link = Link::new(WorkerId(1), 0);
+        let link = WorkerConnection::new(WorkerId(1), 0);
         let keys = SlotMap::with_key();
         Rig { link, out: Outbox::default(), input: Buffer::default(), done: Vec::new(), keys }
     }
 
     fn go(&mut self, id: &str) -> AttemptKey {
         let attempt = self.keys.insert(());
-        let go = Go {
+        let go = AttemptCommand {
             attempt,
             id: id.into(),
             class: "c",
@@ -31,7 +31,7 @@
             body: b"x",
             once: true,
         };
-        self.link.go(&mut self.out, go);
+        self.link.send_attempt(&mut self.out, go);
         attempt
     }
 
@@ -40,7 +40,7 @@
         self.link.input(1, &mut self.input, &mut self.done)
     }
 
-    fn ends(&self) -> Vec<(Ending, Left)> {
+    fn ends(&self) -> Vec<(CloseReason, SendProgress)> {
         self.done.iter().map(|d| (d.ending, d.left)).collect()
     }
 }
@@ -50,23 +50,23 @@
     let mut r = Rig::new();
     let first = r.go(ID);
     r.out.drain();
-    assert_eq!(r.link.give_up(&mut r.out, Open::Attempt(first), 5, 100), Left::Some);
+    assert_eq!(r.link.cancel(&mut r.out, Exchange::Attempt(first), 5, 100), SendProgress::Started);
     assert_eq!(r.out.drain(), array(&[b"halt", ID.as_bytes()]));
-    assert!(!r.link.takes(ID, 100), "a resend goes on another connection");
-    assert!(r.link.takes("9b1f03aa5c7e2d42", 100));
+    assert!(!r.link.accepts(ID, 100), "a resend goes on another connection");
+    assert!(r.link.accepts("9b1f03aa5c7e2d42", 100));
     assert_eq!(r.hear(&array(&[ID.as_bytes(), b"200", b"-", b"old"])), Ok(1));
-    assert!(r.done.is_empty() && r.link.takes(ID, 100), "it has come, so the identity is free again");
+    assert!(r.done.is_empty() && r.link.accepts(ID, 100), "it has come, so the identity is free again");
 }
 
 #[test]
 fn what_has_not_left_is_taken_back_whole_and_without_a_word() {
     let mut r = Rig::new();
     let (first, _) = (r.go(ID), r.go("9b1f03aa5c7e2d42"));
-    assert_eq!(r.link.give_up(&mut r.out, Open::Attempt(first), 5, 100), Left::Nothing);
-    assert!(r.link.takes(ID, 100));
+    assert_eq!(r.link.cancel(&mut r.out, Exchange::Attempt(first), 5, 100), SendProgress::Unsent);
+    assert!(r.link.accepts(ID, 100));
     let mut done = Vec::new();
     r.link.withdraw_unsent(&mut r.out, &mut done);
-    assert_eq!((done.len(), done[0].ending, done[0].left), (1, Ending::Withdrawn, Left::Nothing));
+    assert_eq!((done.len(), done[0].ending, done[0].left), (1, CloseReason::Withdrawn, SendProgress::Unsent));
     assert_eq!((r.out.drain(), r.link.open()), (vec![], 0), "a drained worker hears nothing more");
 }
 
@@ -76,8 +76,11 @@
     r.go(ID);
     r.out.drain();
     r.go("9b1f03aa5c7e2d42");
-    r.link.end(&r.out, Ending::Reset, &mut r.done);
-    assert_eq!(r.ends(), vec![(Ending::Reset, Left::Some), (Ending::Reset, Left::Nothing)]);
+    r.link.end(&r.out, CloseReason::Reset, &mut r.done);
+    assert_eq!(
+        r.ends(),
+        vec![(CloseReason::Reset, SendProgress::Started), (CloseReason::Reset, SendProgress::Unsent)]
+    );
 }
 
 #[test]
@@ -96,7 +99,10 @@
         active_loads: Some(2.0),
         ..LoadReport::default()
     };
-    assert_eq!((back.warmth, back.crowd, back.report), (Some(CopyStart::LoadFailed), 3, Some(report)));
+    assert_eq!(
+        (back.copy_start, back.function_in_flight, back.load_report),
+        (Some(CopyStart::LoadFailed), 3, Some(report))
+    );
 }
 
 #[test]
@@ -140,7 +146,11 @@
     assert_eq!((r.hear(&missed), r.done.len()), (Ok(0), 2), "a third is its own");
     r.go(ID);
     assert_eq!(r.hear(&array(&[ID.as_bytes(), b"200", b"-", b""])), Ok(0));
-    assert_eq!(r.ends().last(), Some(&(Ending::Served, Left::Some)), "what says that it ran counts at once");
+    assert_eq!(
+        r.ends().last(),
+        Some(&(CloseReason::Served, SendProgress::Started)),
+        "what says that it ran counts at once"
+    );
     let mut later = Rig::new();
     later.go(ID);
     assert_eq!(later.hear(&missed), Ok(0));
@@ -153,9 +163,9 @@
 fn only_what_has_not_begun_to_leave_is_taken_back() {
     let mut r = Rig::new();
     let (first, second) = (r.go(ID), r.go("9b1f03aa5c7e2d42"));
-    assert!(r.link.take_back(&mut r.out, Open::Attempt(first)));
-    assert!(!r.link.take_back(&mut r.out, Open::Attempt(first)), "it is not there any more");
+    assert!(r.link.withdraw(&mut r.out, Exchange::Attempt(first)));
+    assert!(!r.link.withdraw(&mut r.out, Exchange::Attempt(first)), "it is not there any more");
     r.out.drain();
-    assert!(!r.link.take_back(&mut r.out, Open::Attempt(second)));
+    assert!(!r.link.withdraw(&mut r.out, Exchange::Attempt(second)));
     assert_eq!((r.link.open(), r.out.len()), (1, 0), "it goes on, and the worker hears nothing");
 }
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 
 use molelug::api::*;
-use molelug::completion::{Ending, Left};
+use molelug::completion::{CloseReason, SendProgress};
 use molelug::consensus::config::{found, kept_of};
 use molelug::consensus::kept::{Kept, Record};
 use molelug::consensus::machine;
 use molelug::consensus::member::{self, Guards, Member, Output};
 use molelug::consensus::wire::{self, Body};
-use molelug::core::{Answer, AttemptKey, Back, Call, Command, Core, OrderKey, ProbeKey};
+use molelug::core::{Answer, AttemptKey, AttemptReply, Call, Command, Core, OrderKey, ProbeKey};
 use molelug::health_checks::{self, Trials};
 use molelug::lease::Duty;
 use molelug::load_coordination::{self, Loads, Word};
@@ -182,7 +182,7 @@
     Deadline(usize),
     Kept { who: usize, process: u64, number: u64, record: Box<Record> },
     Call(usize),
-    Back { who: usize, process: u64, attempt: AttemptKey, ending: Ending, left: Left },
+    Back { who: usize, process: u64, attempt: AttemptKey, ending: CloseReason, left: SendProgress },
     Loaded { who: usize, process: u64, order: OrderKey, copies: u32 },
     Pinged { who: usize, process: u64, probe: ProbeKey },
     At(usize),
@@ -563,7 +563,7 @@
                         l.handle(now, load_coordination::Input::Ended(number, copies));
                     }
                     i.given.remove(&order);
-                    i.core.order_ended(now, order, Ending::Served, Left::Some, copies);
+                    i.core.order_ended(now, order, CloseReason::Served, SendProgress::Started, copies);
                     self.drive(who);
                 }
             }
@@ -573,7 +573,7 @@
                     if let Some(w) = i.probes.remove(&probe) {
                         i.trials.handle(now, health_checks::Input::Tried(w, true));
                     }
-                    i.core.probe_ended(now, probe, Ending::Served, None);
+                    i.core.probe_ended(now, probe, CloseReason::Served, None);
                     self.drive(who);
                 }
             }
@@ -610,7 +610,7 @@
         self.instances[n].core.call(self.now, call);
     }
 
-    fn ended(&mut self, n: usize, attempt: AttemptKey, ending: Ending, left: Left) {
+    fn ended(&mut self, n: usize, attempt: AttemptKey, ending: CloseReason, left: SendProgress) {
         let now = self.now;
         let i = &mut self.instances[n];
         if let Some(w) = i.out.remove(&attempt) {
@@ -618,7 +618,7 @@
                 i.trials.handle(now, health_checks::Input::Outcome(w, seen));
             }
         }
-        i.core.ended(now, attempt, ending, left, Back::default());
+        i.core.ended(now, attempt, ending, left, AttemptReply::default());
     }
 
     /// Carries out all that an instance's values have to have done.
@@ -652,7 +652,7 @@
         let now = self.now;
         let process = self.instances[n].process;
         match command {
-            Command::Go { attempt, worker, function, .. } => {
+            Command::Dispatch { attempt, worker, function, .. } => {
                 self.instances[n].out.insert(attempt, worker);
                 let Some(w) = self.workers.get_mut(worker.0 as usize) else { return };
                 let (after, ending) = match w.meet(now, function) {
@@ -660,18 +660,18 @@
                         self.ran.lost_attempts += 1;
                         return;
                     }
-                    Met::Missed => (MS, Ending::Missed),
-                    Met::Runs(span) => (span, Ending::Served),
+                    Met::Missed => (MS, CloseReason::NotLoaded),
+                    Met::Runs(span) => (span, CloseReason::Served),
                 };
                 self.post(
                     now + after + MS,
-                    Event::Back { who: n, process, attempt, ending, left: Left::Some },
+                    Event::Back { who: n, process, attempt, ending, left: SendProgress::Started },
                 );
             }
-            Command::Halt { attempt, why } => self.ended(n, attempt, why, Left::Some),
+            Command::Cancel { attempt, reason: why } => self.ended(n, attempt, why, SendProgress::Started),
             // Nothing waits in a buffer here: what was sent has begun.
-            Command::Recall { .. } => {}
-            Command::Stage { order, worker, function, copies } => {
+            Command::Withdraw { .. } => {}
+            Command::Load { order, worker, function, copies } => {
                 let i = &mut self.instances[n];
                 if let Some(l) = i.loads.as_mut().filter(|_| copies > 0) {
                     self.number += 1;
@@ -682,13 +682,13 @@
                     self.stage(n, order, worker, function, copies);
                 }
             }
-            Command::Probe { probe, worker } => {
+            Command::HealthCheck { check: probe, worker } => {
                 self.ran.pings += 1;
                 if self.workers.get(worker.0 as usize).is_some_and(|w| !w.silent) {
                     self.post(now + 2 * MS, Event::Pinged { who: n, process, probe });
                 }
             }
-            Command::Forget { order } => {
+            Command::AbandonLoad { order } => {
                 let i = &mut self.instances[n];
                 if let (Some(l), Some(number)) = (i.loads.as_mut(), i.numbers.remove(&order)) {
                     i.orders.remove(&number);
@@ -700,9 +700,9 @@
                     };
                     l.handle(now, input);
                 }
-                i.core.order_ended(now, order, Ending::TimedOut, Left::Some, 0);
+                i.core.order_ended(now, order, CloseReason::TimedOut, SendProgress::Started, 0);
             }
-            Command::Purge { .. } => {}
+            Command::Unload { .. } => {}
             Command::Answer { answer, .. } => {
                 self.ran.served += u64::from(matches!(answer, Answer::Served(_)))
             }
@@ -742,7 +742,7 @@
                 if let Some((order, ..)) = i.orders.remove(&number) {
                     i.numbers.remove(&order);
                     self.ran.spared += 1;
-                    i.core.order_ended(now, order, Ending::Served, Left::Nothing, copies);
+                    i.core.order_ended(now, order, CloseReason::Served, SendProgress::Unsent, copies);
                 }
             }
         }
