--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError, Operator};
 use crate::consensus::config::File;
-use crate::gateway::{Extras, Node};
+use crate::gateway::{Gateway, OptionalSubsystems};
 use crate::membership::config::Gossip;
 
 mod ask;
@@ -151,10 +151,10 @@
     let gossip = gossip.map(|path| Gossip::read(&path)).transpose()?;
     let council = council.map(|path| File::read(&path)).transpose()?;
     let copies = copies.map(|path| crate::replication::config::File::read(&path)).transpose()?;
-    let extras = Extras { gossip, council, copies };
+    let extras = OptionalSubsystems { gossip, consensus: council, replication: copies };
     let mut events = EventLoop::try_new()?;
-    Node::heed_signals(&events.handle())?;
-    let mut node = Node::new(config, operator, extras, socket, events.handle(), Clock::system())?;
+    Gateway::watch_signals(&events.handle())?;
+    let mut node = Gateway::new(config, operator, extras, socket, events.handle(), Clock::system())?;
     let listeners = [
         ("listens", node.address()),
         ("takes webhooks", node.webhook_address()),
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,6 +1,6 @@
 //! The gateway itself: calloop's events to connections, connections to the core, the core's commands back.
 //!
-//! Callbacks only note what is ready; all work is done after them, in [`Node::turn`].
+//! Callbacks only note what is ready; all work is done after them, in [`Gateway::turn`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
@@ -45,9 +45,9 @@
 mod secondary_listeners;
 mod tenants;
 mod webhooks;
-pub use error::NodeError;
+pub use error::GatewayError;
 use operations::Ops;
-use secondary_listeners::Second;
+use secondary_listeners::SecondaryListeners;
 use webhooks::{JobKey, PortalLink};
 
 new_key_type! {
@@ -130,7 +130,7 @@
 
 /// What a client's answer waits for.
 #[derive(Clone, Copy, Debug)]
-enum Owed {
+enum PendingResponse {
     /// The module.
     Call(RequestKey),
     /// The store.
@@ -141,7 +141,7 @@
 enum Role {
     Client {
         kind: Kind,
-        open: Option<Owed>,
+        open: Option<PendingResponse>,
         keep: bool,
     },
     Worker(WorkerConnection),
@@ -170,62 +170,62 @@
 
 /// What goes on between gateways, as far as it is on.
 #[derive(Debug, Default)]
-struct Fleet {
+struct ClusterDrivers {
     /// The workers that are ready, while anybody here is to know.
     ready: Option<BTreeSet<WorkerId>>,
-    talk: Option<gossip::Talk>,
-    hall: Option<consensus::Hall>,
-    trials: Option<health_checks::TrialSide>,
-    loads: Option<load_coordination::LoadSide>,
-    copies: Option<replication::Side>,
-    tenants: Option<tenants::TenantSide>,
+    gossip: Option<gossip::GossipDriver>,
+    consensus: Option<consensus::ConsensusDriver>,
+    health_checks: Option<health_checks::HealthCheckDriver>,
+    loads: Option<load_coordination::LoadDriver>,
+    replication: Option<replication::ReplicationDriver>,
+    tenants: Option<tenants::TenantDriver>,
 }
 
-impl Fleet {
+impl ClusterDrivers {
     /// Whether something waits to be read or accepted.
     fn busy(&self) -> bool {
-        self.talk.as_ref().is_some_and(gossip::Talk::busy)
-            || self.hall.as_ref().is_some_and(consensus::Hall::busy)
+        self.gossip.as_ref().is_some_and(gossip::GossipDriver::busy)
+            || self.consensus.as_ref().is_some_and(consensus::ConsensusDriver::busy)
     }
 }
 
 /// What else an operator has switched on at the start.
 #[derive(Debug, Default)]
-pub struct Extras {
+pub struct OptionalSubsystems {
     /// Gossip between instances.
     pub gossip: Option<Gossip>,
     /// The council.
-    pub council: Option<crate::consensus::config::File>,
+    pub consensus: Option<crate::consensus::config::File>,
     /// Copies of what is held for others.
-    pub copies: Option<crate::replication::config::File>,
+    pub replication: Option<crate::replication::config::File>,
 }
 
 /// One gateway.
 #[derive(Debug)]
-pub struct Node {
-    handle: LoopHandle<'static, Node>,
+pub struct Gateway {
+    handle: LoopHandle<'static, Gateway>,
     clock: Clock,
     config: Config,
     core: Core<Origin>,
-    roster: EndpointList,
-    conns: SlotMap<ConnKey, (Conn, Role)>,
-    links: BTreeMap<WorkerId, Vec<ConnKey>>,
+    endpoints: EndpointList,
+    connections: SlotMap<ConnKey, (Conn, Role)>,
+    worker_connections: BTreeMap<WorkerId, Vec<ConnKey>>,
     attempts: SecondaryMap<AttemptKey, ConnKey>,
-    orders: SecondaryMap<OrderKey, ConnKey>,
-    probes: SecondaryMap<ProbeKey, ConnKey>,
+    load_orders: SecondaryMap<OrderKey, ConnKey>,
+    health_checks: SecondaryMap<ProbeKey, ConnKey>,
     listeners: Vec<Listener>,
     accept: bool,
     clients: usize,
-    most_clients: usize,
+    max_clients: usize,
     /// Clients that are not the platform's.
-    others: usize,
-    has_others: bool,
-    most_others: usize,
-    second: Second,
-    fleet: Fleet,
+    secondary_clients: usize,
+    has_secondary: bool,
+    max_secondary_clients: usize,
+    secondary: SecondaryListeners,
+    cluster: ClusterDrivers,
     ops: Ops,
-    last_rev: u64,
-    gap_at: Option<u64>,
+    last_revision: u64,
+    revision_gap: Option<u64>,
     ready: Vec<ConnKey>,
     dirty: Vec<ConnKey>,
     done: VecDeque<Completed>,
@@ -233,44 +233,44 @@
     stop: bool,
 }
 
-impl Node {
-    /// Listens and takes over what is known; serves once [`Node::run`] is called.
+impl Gateway {
+    /// Listens and takes over what is known; serves once [`Gateway::run`] is called.
     pub fn new(
         config: Config,
         operator: Operator,
-        extras: Extras,
+        extras: OptionalSubsystems,
         inherited: Option<TcpListener>,
-        handle: LoopHandle<'static, Node>,
+        handle: LoopHandle<'static, Gateway>,
         mut clock: Clock,
-    ) -> Result<Node, NodeError> {
+    ) -> Result<Gateway, GatewayError> {
         let now = clock.now();
         let core = Core::new(config.settings.clone(), config.seed, now);
         let has_others = operator.webhooks.is_some() || operator.admin.is_some();
         let last_rev = config.known_rev;
         let listen = config.listen;
-        let mut node = Node {
+        let mut node = Gateway {
             handle,
             clock,
             config,
             core,
-            roster: EndpointList::default(),
-            conns: SlotMap::with_key(),
-            links: BTreeMap::new(),
+            endpoints: EndpointList::default(),
+            connections: SlotMap::with_key(),
+            worker_connections: BTreeMap::new(),
             attempts: SecondaryMap::new(),
-            orders: SecondaryMap::new(),
-            probes: SecondaryMap::new(),
+            load_orders: SecondaryMap::new(),
+            health_checks: SecondaryMap::new(),
             listeners: Vec::new(),
             accept: true,
             clients: 0,
-            most_clients: 0,
-            others: 0,
-            has_others,
-            most_others: 0,
-            second: Second::default(),
-            fleet: Fleet::default(),
+            max_clients: 0,
+            secondary_clients: 0,
+            has_secondary: has_others,
+            max_secondary_clients: 0,
+            secondary: SecondaryListeners::default(),
+            cluster: ClusterDrivers::default(),
             ops: Ops::default(),
-            last_rev,
-            gap_at: None,
+            last_revision: last_rev,
+            revision_gap: None,
             ready: Vec::new(),
             dirty: Vec::new(),
             done: VecDeque::new(),
@@ -294,16 +294,16 @@
         node.core.hang(now, BOARD_AGAIN);
         node.set_up_line()?;
         node.set_up(now, operator)?;
-        if extras.gossip.is_some() || extras.council.is_some() {
-            node.fleet.ready = Some(ready.clone());
+        if extras.gossip.is_some() || extras.consensus.is_some() {
+            node.cluster.ready = Some(ready.clone());
         }
         if let Some(g) = &extras.gossip {
             node.set_up_gossip(now, g, ready.clone())?;
         }
-        if let Some(c) = &extras.council {
+        if let Some(c) = &extras.consensus {
             node.set_up_council(now, c, ready)?;
         }
-        if let Some(c) = &extras.copies {
+        if let Some(c) = &extras.replication {
             node.set_up_copies(now, c)?;
         }
         Ok(node)
@@ -316,12 +316,12 @@
             if notice.snapshot {
                 members.clear();
             }
-            let lines = notice.endpoints.iter().map(|e| e.name.as_str()).zip(self.roster.apply(notice).0);
+            let lines = notice.endpoints.iter().map(|e| e.name.as_str()).zip(self.endpoints.apply(notice).0);
             let told = self.ops.upkeep.list(notice.snapshot, lines);
             members.extend(told.into_iter().map(|m| (m.worker, m)));
-            self.last_rev = self.last_rev.max(notice.rev);
+            self.last_revision = self.last_revision.max(notice.rev);
         }
-        members.values().for_each(|m| self.roster.set_leaving(m.worker, m.status != WorkerStatus::Ready));
+        members.values().for_each(|m| self.endpoints.set_leaving(m.worker, m.status != WorkerStatus::Ready));
         let ready = members.values().filter(|m| m.status == WorkerStatus::Ready).map(|m| m.worker).collect();
         let listed = members.into_values().filter(|m| m.status != WorkerStatus::Removed).collect();
         self.core.members(now, ListUpdate::Cached, listed);
@@ -336,8 +336,8 @@
             self.core.limits(now, ration, fall_multiple, bears);
         }
         let sockets = self.sockets();
-        self.most_clients = (sockets / CLIENTS_PART).max(LEAST_CLIENTS);
-        self.most_others = if self.has_others { self.most_clients / 4 } else { 0 };
+        self.max_clients = (sockets / CLIENTS_PART).max(LEAST_CLIENTS);
+        self.max_secondary_clients = if self.has_secondary { self.max_clients / 4 } else { 0 };
     }
 
     /// Descriptors that this process may hold.
@@ -345,7 +345,7 @@
         self.config.limits.sockets / self.processes()
     }
 
-    fn listen(&mut self, kind: Kind, address: SocketAddr) -> Result<(), NodeError> {
+    fn listen(&mut self, kind: Kind, address: SocketAddr) -> Result<(), GatewayError> {
         let (socket, token) = self.listening(address, |node| node.accept = true)?;
         self.listeners.push(Listener { kind, socket, token });
         Ok(())
@@ -355,15 +355,15 @@
     fn listening(
         &self,
         address: SocketAddr,
-        note: fn(&mut Node),
-    ) -> Result<(Rc<TcpListener>, RegistrationToken), NodeError> {
-        let fail = |e| NodeError::Listen(address, e);
+        note: fn(&mut Gateway),
+    ) -> Result<(Rc<TcpListener>, RegistrationToken), GatewayError> {
+        let fail = |e| GatewayError::Listen(address, e);
         let socket = TcpListener::bind(address).map_err(fail)?;
         // The library's queue of 128 overflows in a flood, and a connect that is dropped comes again after a
         // second only.
         rustix::net::listen(&socket, BACKLOG_CONNECTS).map_err(|e| fail(e.into()))?;
         self.watched(socket, note).map_err(|e| match e {
-            NodeError::Loop(calloop::Error::IoError(e)) => fail(e),
+            GatewayError::Loop(calloop::Error::IoError(e)) => fail(e),
             e => e,
         })
     }
@@ -372,16 +372,16 @@
     fn watched(
         &self,
         socket: TcpListener,
-        note: fn(&mut Node),
-    ) -> Result<(Rc<TcpListener>, RegistrationToken), NodeError> {
-        socket.set_nonblocking(true).map_err(|e| NodeError::Loop(e.into()))?;
+        note: fn(&mut Gateway),
+    ) -> Result<(Rc<TcpListener>, RegistrationToken), GatewayError> {
+        socket.set_nonblocking(true).map_err(|e| GatewayError::Loop(e.into()))?;
         let socket = Rc::new(socket);
         let source = Generic::new(Fd(socket.clone()), Interest::READ, Mode::Edge);
-        let noted = move |_, _: &mut _, node: &mut Node| {
+        let noted = move |_, _: &mut _, node: &mut Gateway| {
             note(node);
             Ok(PostAction::Continue)
         };
-        let token = self.handle.insert_source(source, noted).map_err(|e| NodeError::Loop(e.error))?;
+        let token = self.handle.insert_source(source, noted).map_err(|e| GatewayError::Loop(e.error))?;
         Ok((socket, token))
     }
 
@@ -406,26 +406,26 @@
 
     /// Has SIGTERM and SIGINT end the gateway in order, SIGHUP read the configuration anew and SIGUSR1 print the
     /// counters. To be called before anything is said to be ready, as an unheeded signal ends the process, and before
-    /// [`Node::new`]: the store's thread heeds signals as the thread does that it was begun from.
-    pub fn heed_signals(handle: &LoopHandle<'static, Node>) -> Result<(), NodeError> {
+    /// [`Gateway::new`]: the store's thread heeds signals as the thread does that it was begun from.
+    pub fn watch_signals(handle: &LoopHandle<'static, Gateway>) -> Result<(), GatewayError> {
         let source = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])?;
-        let note = |event: calloop::signals::Event, _: &mut (), node: &mut Node| {
+        let note = |event: calloop::signals::Event, _: &mut (), node: &mut Gateway| {
             node.signals.push(event.signal());
         };
-        handle.insert_source(source, note).map_err(|e| NodeError::Loop(e.error))?;
+        handle.insert_source(source, note).map_err(|e| GatewayError::Loop(e.error))?;
         Ok(())
     }
 
     /// Serves until told to stop; then everything taken has been answered.
-    pub fn run(&mut self, events: &mut EventLoop<'static, Node>) -> Result<(), NodeError> {
+    pub fn run(&mut self, events: &mut EventLoop<'static, Gateway>) -> Result<(), GatewayError> {
         while !self.stop {
-            self.turn();
+            self.run_once();
             if self.stop {
                 break;
             }
             let now = self.clock.now();
             let wait = match self.core.next_deadline() {
-                _ if !self.ready.is_empty() || self.accept || self.ops.is_busy() || self.fleet.busy() => {
+                _ if !self.ready.is_empty() || self.accept || self.ops.is_busy() || self.cluster.busy() => {
                     Some(Duration::ZERO)
                 }
                 next => next.map(|t| Duration::from_micros(t.saturating_sub(now))),
@@ -441,7 +441,7 @@
     }
 
     /// Does all that is ready and due.
-    fn turn(&mut self) {
+    fn run_once(&mut self) {
         for signal in std::mem::take(&mut self.signals) {
             match signal {
                 Signal::SIGUSR1 => eprintln!("counters {}", self.core.counters),
@@ -468,9 +468,9 @@
         self.step_council(now);
         // Advice may have moved the module to something.
         self.pump();
-        let hooks = self.second.hooks.as_ref().is_none_or(|h| h.is_idle(now));
+        let hooks = self.secondary.hooks.as_ref().is_none_or(|h| h.is_idle(now));
         if self.ops.life.is_ending() && self.listeners.is_empty() && self.clients == 0 && hooks {
-            let late = self.second.hooks.as_ref().is_some_and(|h| h.is_late(now));
+            let late = self.secondary.hooks.as_ref().is_some_and(|h| h.is_late(now));
             self.stop = self.copies_left() || late;
         }
     }
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -13,7 +13,7 @@
     Stuck,
 }
 
-impl Node {
+impl Gateway {
     pub(super) fn accept_all(&mut self) {
         self.accept = false;
         if !self.ops.life.accepts(self.clock.now()) {
@@ -33,8 +33,10 @@
             // What is not accepted waits in the machine's queue until a connection has ended. The platform's
             // clients keep their room whatever comes to the other listeners.
             let room = match kind {
-                Kind::Platform => self.clients - self.others < self.most_clients - self.most_others,
-                _ => self.others < self.most_others,
+                Kind::Platform => {
+                    self.clients - self.secondary_clients < self.max_clients - self.max_secondary_clients
+                }
+                _ => self.secondary_clients < self.max_secondary_clients,
             };
             let socket = listener.socket.clone();
             if !room && !self.make_room(kind) {
@@ -46,7 +48,7 @@
                     let role = Role::Client { kind, open: None, keep: true };
                     let Ok(key) = ready.and_then(|()| self.add(stream, true, role)) else { continue };
                     self.clients += 1;
-                    self.others += usize::from(kind != Kind::Platform);
+                    self.secondary_clients += usize::from(kind != Kind::Platform);
                     self.core.counters.accepted += 1;
                     let now = self.clock.now();
                     let by = self.ops.life.first_request_by(now).unwrap_or(now + CLIENT_SLOW);
@@ -72,7 +74,7 @@
     /// against clients that ask once and stay, or that connect and say nothing. Where none has been idle for
     /// long enough, it is tried again once one has.
     fn make_room(&mut self, kind: Kind) -> bool {
-        let idle = self.conns.iter().filter_map(|(key, (conn, role))| match role {
+        let idle = self.connections.iter().filter_map(|(key, (conn, role))| match role {
             Role::Client { kind: k, open: None, .. }
                 if (*k == Kind::Platform) == (kind == Kind::Platform) =>
             {
@@ -92,7 +94,7 @@
 
     pub(super) fn on_client(&mut self, key: ConnKey, now: Micros) {
         loop {
-            let Some((conn, Role::Client { open, .. })) = self.conns.get_mut(key) else { return };
+            let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else { return };
             if open.is_some() || conn.closing || conn.hold_back() {
                 return;
             }
@@ -126,7 +128,7 @@
             conn.idle = now;
             // A whole request came: the time for the next one begins anew.
             self.set_deadline(key, Some(now + CLIENT_IDLE));
-            let Some((conn, Role::Client { keep, .. })) = self.conns.get_mut(key) else { return };
+            let Some((conn, Role::Client { keep, .. })) = self.connections.get_mut(key) else { return };
             let stays = taken.keep && self.ops.life.keeps(now);
             *keep = stays;
             match taken.ask {
@@ -148,8 +150,8 @@
                 Ok(Ask::Call(call)) => {
                     self.set_deadline(key, None);
                     let request = self.core.call(now, call.with(Origin::Client(key)));
-                    if let Some((_, Role::Client { open, .. })) = self.conns.get_mut(key) {
-                        *open = Some(Owed::Call(request));
+                    if let Some((_, Role::Client { open, .. })) = self.connections.get_mut(key) {
+                        *open = Some(PendingResponse::Call(request));
                     }
                     return;
                 }
@@ -174,12 +176,12 @@
         let accepting = self.ops.life.keeps(now);
         if let Answer::Served(body) = answer {
             // Guards memory against clients that ask for much and read nothing.
-            let waiting = || self.conns.values().map(|(c, _)| c.out.len()).sum::<usize>();
+            let waiting = || self.connections.values().map(|(c, _)| c.out.len()).sum::<usize>();
             if body.len() > LARGE && waiting() > MOST_WAITING {
                 return self.close(key, CloseReason::LocalLimit);
             }
         }
-        let Some((conn, Role::Client { open, keep, .. })) = self.conns.get_mut(key) else { return };
+        let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else { return };
         *open = None;
         conn.idle = now;
         let stays = *keep && accepting;
@@ -240,7 +242,7 @@
     pub(super) fn thin_out(&mut self, now: Micros) {
         let mut idle: Vec<(Micros, ConnKey)> = Vec::new();
         let leaves = self.ops.life.idle_until(now, 0, 1).is_some();
-        for (key, (conn, role)) in self.conns.iter_mut() {
+        for (key, (conn, role)) in self.connections.iter_mut() {
             match role {
                 // Half a request has its own time, and its answer ends the connection.
                 Role::Client { open: None, .. } if !conn.input.bytes().is_empty() && !conn.closing => {}
@@ -262,7 +264,7 @@
         if self.last_look(key, now) {
             return;
         }
-        let Some((conn, _)) = self.conns.get_mut(key) else { return };
+        let Some((conn, _)) = self.connections.get_mut(key) else { return };
         if !conn.input.bytes().is_empty() && conn.out.is_empty() {
             conn.out.push(net::KEPT_FRAME, platform::turn_away(&platform::too_slow(), false));
             let _ = conn.flush();
@@ -273,7 +275,7 @@
     /// An idle connection is about to be closed: what has come on it by now still counts. Tells whether the
     /// connection stays for it.
     fn last_look(&mut self, key: ConnKey, now: Micros) -> bool {
-        let Some((conn, _)) = self.conns.get_mut(key) else { return false };
+        let Some((conn, _)) = self.connections.get_mut(key) else { return false };
         // One that has had its time for the rest of a request gets no more of it.
         if conn.closing || !conn.input.bytes().is_empty() {
             return false;
@@ -282,7 +284,7 @@
             return false;
         }
         self.on_input(key, now);
-        let Some((conn, Role::Client { open, .. })) = self.conns.get_mut(key) else { return true };
+        let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else { return true };
         if open.is_none() && !conn.closing && !conn.input.bytes().is_empty() {
             // Half a request: it may come whole yet, soon.
             self.set_deadline(key, Some(now + LAST_LOOK));
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::front::webhook::message::Outcome;
 
-impl Node {
+impl Gateway {
     /// Carries out commands and reports endings until there is nothing left; then writes.
     pub(super) fn pump(&mut self) {
         loop {
@@ -16,7 +16,7 @@
             } else if self.step_webhooks(now) || self.step_copies(now) || self.step_tenants(now) {
             } else if let Some(key) = self.dirty.pop() {
                 self.look_at_leases(key);
-                let Some((conn, _)) = self.conns.get_mut(key) else { continue };
+                let Some((conn, _)) = self.connections.get_mut(key) else { continue };
                 let flushed = conn.flush();
                 self.core.counters.written += conn.out.take_whole();
                 match flushed {
@@ -46,12 +46,12 @@
                 self.core.ended(now, key, done.ending, done.left, done.back);
             }
             Exchange::Order(key) => {
-                self.orders.remove(key);
+                self.load_orders.remove(key);
                 self.order_given_ended(now, key, done.copies);
                 self.core.order_ended(now, key, done.ending, done.left, done.copies);
             }
             Exchange::Probe(key) => {
-                self.probes.remove(key);
+                self.health_checks.remove(key);
                 self.trial_ended(now, key, done.ending);
                 self.core.probe_ended(now, key, done.ending, done.back.load_report);
             }
@@ -100,23 +100,23 @@
                 ));
             }
             Command::AbandonLoad { order } => {
-                let left = self.orders.get(order).copied();
+                let left = self.load_orders.get(order).copied();
                 let left =
                     left.map_or(SendProgress::Started, |key| self.give_up(now, key, Exchange::Order(order)));
                 self.done.push_back(Completed::plain(Exchange::Order(order), CloseReason::TimedOut, left));
             }
             Command::Unload { worker, function } => {
                 if let Ok(key) = self.link(now, worker, "") {
-                    let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return };
+                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { return };
                     link.send_unload(&mut conn.out, function);
                     self.dirty.push(key);
                 }
             }
             Command::HealthCheck { check: probe, worker } => match self.link(now, worker, "") {
                 Ok(key) => {
-                    let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return };
+                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { return };
                     link.send_health_check(&mut conn.out, probe);
-                    self.probes.insert(probe, key);
+                    self.health_checks.insert(probe, key);
                     self.dirty.push(key);
                 }
                 Err(ending) => {
@@ -132,16 +132,16 @@
 
     /// Sends an order to load.
     pub(super) fn stage(&mut self, now: Micros, order: Order) {
-        if self.roster.is_leaving(order.worker) {
+        if self.endpoints.is_leaving(order.worker) {
             let done =
                 Completed::plain(Exchange::Order(order.key), CloseReason::Withdrawn, SendProgress::Unsent);
             return self.done.push_back(done);
         }
         match self.link(now, order.worker, "") {
             Ok(key) => {
-                let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return };
+                let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { return };
                 link.send_load(&mut conn.out, order.key, order.function, order.copies);
-                self.orders.insert(order.key, key);
+                self.load_orders.insert(order.key, key);
                 self.dirty.push(key);
             }
             Err(ending) => self.done.push_back(Completed::plain(
@@ -165,7 +165,7 @@
         expires: Micros,
         body: &[u8],
     ) {
-        let linked = match self.roster.is_leaving(worker) {
+        let linked = match self.endpoints.is_leaving(worker) {
             true => Err(CloseReason::Withdrawn),
             false => self.link(now, worker, &id),
         };
@@ -180,7 +180,7 @@
             }
         };
         let once = self.runs_once(class);
-        let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return };
+        let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { return };
         let class = self.config.names.classes.get(class.0 as usize).map_or("", String::as_str);
         let wait_ms = expires.saturating_sub(now) / 1000;
         link.send_attempt(
@@ -202,14 +202,16 @@
     /// Takes an attempt back if none of its bytes have left; tells whether it has.
     fn recall(&mut self, attempt: AttemptKey) -> bool {
         let Some(key) = self.attempts.get(attempt) else { return false };
-        let Some((conn, Role::Worker(link))) = self.conns.get_mut(*key) else { return false };
+        let Some((conn, Role::Worker(link))) = self.connections.get_mut(*key) else { return false };
         link.withdraw(&mut conn.out, Exchange::Attempt(attempt))
     }
 
     /// Gives up what is open on a connection. One that has said nothing since takes nothing new: its machine
     /// may have vanished, and then only a new connection shows whether it is back.
     pub(super) fn give_up(&mut self, now: Micros, key: ConnKey, what: Exchange) -> SendProgress {
-        let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { return SendProgress::Started };
+        let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+            return SendProgress::Started;
+        };
         let left = link.cancel(&mut conn.out, what, now, now + 10_000_000);
         if left == SendProgress::Started && now > link.heard.max(link.busy) + SILENT {
             link.suspect = true;
@@ -224,13 +226,13 @@
     /// A connection to a worker that takes this, opened if need be.
     pub(super) fn link(&mut self, now: Micros, worker: WorkerId, id: &str) -> Result<ConnKey, CloseReason> {
         let streams = self.config.streams;
-        let keys = self.links.entry(worker).or_default();
-        let fits = |key: &&ConnKey| match self.conns.get(**key) {
+        let keys = self.worker_connections.entry(worker).or_default();
+        let fits = |key: &&ConnKey| match self.connections.get(**key) {
             Some((conn, Role::Worker(link))) => link.accepts(id, streams) && conn.out.len() < BACKLOG,
             _ => false,
         };
         if let Some(key) = keys.iter().copied().find(|key| fits(&key)) {
-            if let Some((_, Role::Worker(link))) = self.conns.get_mut(key) {
+            if let Some((_, Role::Worker(link))) = self.connections.get_mut(key) {
                 link.busy = if link.open() == 0 { now } else { link.busy };
             }
             return Ok(key);
@@ -239,10 +241,10 @@
         if keys_held >= MOST_LINKS {
             return Err(CloseReason::ConnectionsFull);
         }
-        if self.conns.len() >= self.sockets().saturating_sub(SPARE_DESCRIPTORS) {
+        if self.connections.len() >= self.sockets().saturating_sub(SPARE_DESCRIPTORS) {
             return Err(CloseReason::LocalLimit);
         }
-        let address = *self.roster.addresses.get(&worker).ok_or(CloseReason::Withdrawn)?;
+        let address = *self.endpoints.addresses.get(&worker).ok_or(CloseReason::Withdrawn)?;
         let stream = net::connect(address).map_err(|e| match e.kind() {
             io::ErrorKind::ConnectionRefused => CloseReason::Refused,
             _ if net::is_own_limit(&e) => CloseReason::LocalLimit,
@@ -252,7 +254,7 @@
         let key = self.add(stream, false, role).map_err(|_| CloseReason::ConnectTimeout)?;
         self.core.counters.connects += 1;
         tracing::debug!(worker = worker.0, links = keys_held + 1, "connects");
-        self.links.entry(worker).or_default().push(key);
+        self.worker_connections.entry(worker).or_default().push(key);
         self.set_deadline(key, Some(now + self.config.connect_limit));
         Ok(key)
     }
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-impl Node {
+impl Gateway {
     pub(super) fn add(&mut self, stream: std::net::TcpStream, up: bool, role: Role) -> io::Result<ConnKey> {
         let now = self.clock.now();
         let (handle, stream) = (&self.handle, Stream(Rc::new(stream)));
-        self.conns.try_insert_with_key(|key| {
+        self.connections.try_insert_with_key(|key| {
             let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-            let note = move |_, _: &mut _, node: &mut Node| {
+            let note = move |_, _: &mut _, node: &mut Gateway| {
                 node.ready.push(key);
                 Ok(PostAction::Continue)
             };
@@ -19,7 +19,7 @@
     }
 
     pub(super) fn set_deadline(&mut self, key: ConnKey, at: Option<Micros>) {
-        let Some((conn, _)) = self.conns.get_mut(key) else { return };
+        let Some((conn, _)) = self.connections.get_mut(key) else { return };
         let token = Token { kind: CONN, number: key.data().as_ffi() };
         if let Some(old) = conn.deadline.take() {
             self.core.unhang(old, token);
@@ -33,15 +33,15 @@
     /// Ends a connection, and with it everything open on it.
     pub(super) fn close(&mut self, key: ConnKey, ending: CloseReason) {
         self.set_deadline(key, None);
-        let Some((conn, role)) = self.conns.remove(key) else { return };
+        let Some((conn, role)) = self.connections.remove(key) else { return };
         self.handle.remove(conn.token);
         let now = self.clock.now();
         match role {
             Role::Client { kind, open, .. } => {
                 self.clients -= 1;
-                self.others -= usize::from(kind != Kind::Platform);
+                self.secondary_clients -= usize::from(kind != Kind::Platform);
                 self.accept |= !self.listeners.is_empty();
-                if let Some(Owed::Call(request)) = open {
+                if let Some(PendingResponse::Call(request)) = open {
                     self.core.caller_gone(now, request);
                 }
             }
@@ -57,10 +57,10 @@
                 let mut done = Vec::new();
                 link.end(&conn.out, ending, &mut done);
                 self.done.extend(done);
-                if let Some(keys) = self.links.get_mut(&link.worker) {
+                if let Some(keys) = self.worker_connections.get_mut(&link.worker) {
                     keys.retain(|k| *k != key);
                     if keys.is_empty() {
-                        self.links.remove(&link.worker);
+                        self.worker_connections.remove(&link.worker);
                     }
                 }
             }
@@ -74,7 +74,7 @@
 
     pub(super) fn on_ready(&mut self, key: ConnKey) {
         let now = self.clock.now();
-        let Some((conn, role)) = self.conns.get_mut(key) else { return };
+        let Some((conn, role)) = self.connections.get_mut(key) else { return };
         let was_up = conn.up;
         match conn.check_connect() {
             Ok(true) => {}
@@ -102,7 +102,7 @@
         self.dirty.push(key);
         // What came before the end still counts.
         self.on_input(key, now);
-        let Some((conn, role)) = self.conns.get(key) else { return };
+        let Some((conn, role)) = self.connections.get(key) else { return };
         match read {
             Err(ending) => self.close(key, ending),
             Ok(()) if conn.ended => self.close(key, CloseReason::Closed),
@@ -115,7 +115,7 @@
     }
 
     pub(super) fn on_input(&mut self, key: ConnKey, now: Micros) {
-        let Some((conn, role)) = self.conns.get_mut(key) else { return };
+        let Some((conn, role)) = self.connections.get_mut(key) else { return };
         match role {
             Role::Client { kind: Kind::Platform, .. } => self.on_client(key, now),
             Role::Client { .. } => self.on_second(key, now),
@@ -172,7 +172,7 @@
 
     pub(super) fn on_deadline(&mut self, now: Micros, key: ConnKey) {
         let idle = self.config.conn_idle * 4 / 5;
-        let Some((conn, role)) = self.conns.get_mut(key) else { return };
+        let Some((conn, role)) = self.connections.get_mut(key) else { return };
         conn.deadline = None;
         match role {
             Role::Client { open: Some(_), .. } => {}
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -56,7 +56,7 @@
 
 /// The council, while it is on.
 #[derive(Debug)]
-pub(super) struct Hall {
+pub(super) struct ConsensusDriver {
     member: Member,
     file: config::File,
     keys: Keys,
@@ -119,7 +119,7 @@
     guards
 }
 
-impl Hall {
+impl ConsensusDriver {
     /// This gateway's part.
     pub(super) fn member(&self) -> &Member {
         &self.member
@@ -149,10 +149,10 @@
 /// Opens a seat's disk; none if another process has it.
 fn open_seat(
     path: &std::path::Path,
-    handle: &LoopHandle<'static, Node>,
-) -> Result<Option<(Kept, Writer)>, NodeError> {
+    handle: &LoopHandle<'static, Gateway>,
+) -> Result<Option<(Kept, Writer)>, GatewayError> {
     let fail = |e: &dyn fmt::Display| {
-        NodeError::Operator(ConfigError::Parse(path.to_owned(), format!("the seat's disk: {e}")))
+        GatewayError::Operator(ConfigError::Parse(path.to_owned(), format!("the seat's disk: {e}")))
     };
     if !path.exists() {
         // Never made here: a disk that was lost must not come back as a founder's by itself.
@@ -164,12 +164,12 @@
     };
     let kept = Kept::found(found.log.0, found.log.1).map_err(|e| fail(&e))?;
     let (tell, told) = channel::channel();
-    let note = |event, _: &mut (), node: &mut Node| {
+    let note = |event, _: &mut (), node: &mut Gateway| {
         if let channel::Event::Msg((number, reply)) = event {
             node.record_kept(number, &reply);
         }
     };
-    handle.insert_source(told, note).map_err(|e| NodeError::Loop(e.error))?;
+    handle.insert_source(told, note).map_err(|e| GatewayError::Loop(e.error))?;
     let again = path.to_owned();
     let opener = move || Disk::reopen(&again, 0);
     let answered = move |number, reply: Result<_, StoreError>| {
@@ -180,11 +180,11 @@
     Ok(Some((kept, writer)))
 }
 
-impl Node {
+impl Gateway {
     /// Listens for other gateways; none while another process, the one before this, has the address.
-    fn listen_for_peers(&self, address: SocketAddr) -> Result<Option<Rc<TcpListener>>, NodeError> {
-        let note = |node: &mut Node| {
-            if let Some(hall) = &mut node.fleet.hall {
+    fn listen_for_peers(&self, address: SocketAddr) -> Result<Option<Rc<TcpListener>>, GatewayError> {
+        let note = |node: &mut Gateway| {
+            if let Some(hall) = &mut node.cluster.consensus {
                 hall.accept = true;
             }
         };
@@ -193,7 +193,7 @@
                 tracing::info!("meets the council on {address}");
                 Ok(Some(socket))
             }
-            Err(NodeError::Listen(_, e)) if e.kind() == io::ErrorKind::AddrInUse => {
+            Err(GatewayError::Listen(_, e)) if e.kind() == io::ErrorKind::AddrInUse => {
                 tracing::warn!("{address} is in use; tried again until it is free");
                 Ok(None)
             }
@@ -207,12 +207,12 @@
         now: Micros,
         f: &config::File,
         ready: BTreeSet<WorkerId>,
-    ) -> Result<(), NodeError> {
+    ) -> Result<(), GatewayError> {
         let name = f.name.clone().unwrap_or_else(|| self.config.name.clone());
         if !crate::membership::is_name(&name) {
-            return Err(NodeError::Operator(ConfigError::Value("council.name", name)));
+            return Err(GatewayError::Operator(ConfigError::Value("council.name", name)));
         }
-        let keys = f.keys(&name).map_err(NodeError::Operator)?;
+        let keys = f.keys(&name).map_err(GatewayError::Operator)?;
         let socket = self.listen_for_peers(f.listen)?;
         let open = |path: &PathBuf| open_seat(path, &self.handle);
         let (seat, seat_again) = match f.seat.as_ref().map(open) {
@@ -230,9 +230,9 @@
         let member = Member::new(member_settings(f, &name, process, self.config.seed), kept, uptime());
         let history =
             f.history.as_ref().map(|p| File::options().create(true).append(true).open(p)).transpose();
-        let history = history.map_err(|e| NodeError::Listen(f.listen, e))?;
+        let history = history.map_err(|e| GatewayError::Listen(f.listen, e))?;
         let book = f.voters.iter().map(|(n, a)| (n.as_str().into(), *a)).collect();
-        self.fleet.hall = Some(Hall {
+        self.cluster.consensus = Some(ConsensusDriver {
             member,
             file: f.clone(),
             keys,
@@ -273,13 +273,13 @@
         if let Err(e) = reply {
             return tracing::error!("a record of the council is not kept: {e}");
         }
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         hall.member.handle(uptime(), Input::Kept(number));
     }
 
     /// The deadline fell due; what follows is done at the turn's end.
     pub(super) fn tick_council(&mut self) {
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         hall.hung = None;
         let now = uptime();
         hall.member.handle(now, Input::Tick);
@@ -290,13 +290,13 @@
 
     /// The process before this one may have let go of the address and of the seat's disk: then this one votes.
     fn try_seat(&mut self, now: Micros) {
-        let Some(hall) = &self.fleet.hall else { return };
+        let Some(hall) = &self.cluster.consensus else { return };
         let (listens, address) = (hall.socket.is_some(), hall.file.listen);
         let wanted =
             hall.file.seat.clone().filter(|_| hall.writer.is_none() && hall.member.unfit().is_none());
         let socket = if listens { None } else { self.listen_for_peers(address).ok().flatten() };
         let seat = wanted.map(|path| open_seat(&path, &self.handle));
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         hall.seat_again = None;
         match socket {
             Some(socket) => (hall.socket, hall.accept) = (Some(socket), true),
@@ -315,14 +315,14 @@
     }
 
     pub(super) fn tell_member_of_council(&mut self, input: Input) {
-        if let Some(hall) = &mut self.fleet.hall {
+        if let Some(hall) = &mut self.cluster.consensus {
             hall.member.handle(uptime(), input);
         }
     }
 
     /// Whether the duties can be done here, as they find themselves.
     pub(super) fn set_able(&mut self, able: bool) {
-        if let Some(hall) = &mut self.fleet.hall {
+        if let Some(hall) = &mut self.cluster.consensus {
             hall.able = able;
         }
         self.look_at_able();
@@ -330,8 +330,8 @@
 
     /// One that has hardly a descriptor left, that finds itself cut off, or that is to end, leaves duties to others.
     fn look_at_able(&mut self) {
-        let left = self.sockets().saturating_sub(self.conns.len());
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let left = self.sockets().saturating_sub(self.connections.len());
+        let Some(hall) = &mut self.cluster.consensus else { return };
         hall.room = if hall.room { left >= FEW_SOCKETS } else { left >= FEW_SOCKETS + FEW_SOCKETS / 4 };
         let able = hall.able && hall.room && !hall.leaves;
         if std::mem::replace(&mut hall.told_able, able) != able {
@@ -347,21 +347,21 @@
 
     /// Accepts other gateways, and does what the member has to have done.
     pub(super) fn step_council(&mut self, now: Micros) {
-        if self.fleet.hall.is_none() {
+        if self.cluster.consensus.is_none() {
             return;
         }
         self.accept_peers(now);
         self.look_at_able();
         self.step_trials(now);
         self.step_loads(now);
-        while let Some(output) = self.fleet.hall.as_mut().and_then(|h| h.member.output()) {
+        while let Some(output) = self.cluster.consensus.as_mut().and_then(|h| h.member.output()) {
             self.carry_out(now, output);
             // What was learned may have moved a duty to something.
             self.step_trials(now);
             self.step_loads(now);
         }
         self.meet(now);
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         let up = uptime();
         let due = hall.member.next_deadline(up).min(hall.seat_again.unwrap_or(Micros::MAX));
         let next = Some(now + due.saturating_sub(up));
@@ -378,7 +378,7 @@
 
     /// What the log says of the shards here.
     fn know_loads(&mut self, now: Micros) {
-        let Some(hall) = &self.fleet.hall else { return };
+        let Some(hall) = &self.cluster.consensus else { return };
         let ledger = &hall.member.state().ledger;
         let of = |d: &String| {
             let duty: Duty = d.as_str().into();
@@ -394,7 +394,7 @@
             Output::Send(to, body) => self.say(now, &to, body),
             Output::SendOwn(to, effect) => self.say_own(&to, effect),
             Output::Keep(number, record) => {
-                if let Some(writer) = self.fleet.hall.as_ref().and_then(|h| h.writer.as_ref()) {
+                if let Some(writer) = self.cluster.consensus.as_ref().and_then(|h| h.writer.as_ref()) {
                     writer.ask(number, Op::Log(record));
                 }
             }
@@ -427,7 +427,7 @@
                     Note::Restored { .. } => self.know_loads(now),
                     _ => {}
                 }
-                if let Some(hall) = &mut self.fleet.hall {
+                if let Some(hall) = &mut self.cluster.consensus {
                     hall.record(&note);
                 }
             }
@@ -437,7 +437,7 @@
     /// Connections to those whom the member wants to speak with.
     fn meet(&mut self, now: Micros) {
         let copies = self.copies_peers();
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         let mut wanted: BTreeSet<Arc<str>> = hall.member.peers();
         wanted.extend(copies);
         let over: Vec<ConnKey> =
@@ -452,7 +452,7 @@
     }
 
     fn connect_peer(&mut self, now: Micros, name: &Arc<str>) {
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         let Some(address) = hall.book.get(name).copied() else { return };
         hall.again.insert(name.clone(), now + AGAIN);
         hall.words += 1;
@@ -460,14 +460,14 @@
         let session = Session::connector(hall.member.name(), name, word);
         let peer = Peer { session, to: Some(name.clone()), queued: Vec::new() };
         // Descriptors are the calls' first.
-        if self.conns.len() + FEW_SOCKETS / 2 >= self.sockets() {
+        if self.connections.len() + FEW_SOCKETS / 2 >= self.sockets() {
             return;
         }
         let added = net::connect(address).and_then(|s| self.add(s, false, Role::Peer(peer)));
         match added {
             Ok(key) => {
                 self.set_deadline(key, Some(now + 1_000_000));
-                if let Some(hall) = &mut self.fleet.hall {
+                if let Some(hall) = &mut self.cluster.consensus {
                     hall.out.insert(name.clone(), key);
                 }
             }
@@ -476,7 +476,7 @@
     }
 
     fn lost_peer(&mut self, name: &Arc<str>) {
-        if let Some(hall) = &mut self.fleet.hall {
+        if let Some(hall) = &mut self.cluster.consensus {
             hall.member.handle(uptime(), Input::Lost(name.clone()));
         }
         self.tell_copies(crate::replication::machine::Input::Lost(name.clone()));
@@ -484,7 +484,7 @@
 
     fn accept_peers(&mut self, now: Micros) {
         for _ in 0..MOST_IN_TURN {
-            let Some(hall) = self.fleet.hall.as_mut().filter(|h| h.accept) else { return };
+            let Some(hall) = self.cluster.consensus.as_mut().filter(|h| h.accept) else { return };
             let Some(socket) = &hall.socket else {
                 hall.accept = false;
                 return;
@@ -504,7 +504,7 @@
     }
 
     fn add_peer(&mut self, now: Micros, stream: std::net::TcpStream) {
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         hall.words += 1;
         let word = wire::word(hall.member.name(), hall.process, hall.words);
         let peer =
@@ -512,11 +512,11 @@
         let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
         let Ok(key) = ready.and_then(|()| self.add(stream, true, Role::Peer(peer))) else { return };
         self.set_deadline(key, Some(now + SILENT));
-        if let Some((conn, _)) = self.conns.get_mut(key) {
+        if let Some((conn, _)) = self.connections.get_mut(key) {
             conn.out.push(net::KEPT_FRAME, word.to_vec());
         }
         self.dirty.push(key);
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         hall.strangers.push_back(key);
         let oldest = hall.strangers.front().copied().filter(|_| hall.strangers.len() > MOST_INBOUND);
         if let Some(oldest) = oldest {
@@ -527,8 +527,8 @@
     /// Takes what has come from another gateway.
     pub(super) fn on_peer(&mut self, key: ConnKey, now: Micros) {
         loop {
-            let Some((conn, Role::Peer(peer))) = self.conns.get_mut(key) else { return };
-            let Some(hall) = &mut self.fleet.hall else { return };
+            let Some((conn, Role::Peer(peer))) = self.connections.get_mut(key) else { return };
+            let Some(hall) = &mut self.cluster.consensus else { return };
             let taken = peer.session.take(&hall.keys, conn.input.bytes());
             let (size, body) = match taken {
                 Ok(Some(taken)) => taken,
@@ -553,7 +553,7 @@
             }
             if let Some(Body::Copies(body)) = body {
                 self.copies_frame(name, body);
-            } else if let (Some(body), Some(hall)) = (body, &mut self.fleet.hall) {
+            } else if let (Some(body), Some(hall)) = (body, &mut self.cluster.consensus) {
                 hall.member.handle(uptime(), Input::Frame(name, body));
             }
         }
@@ -561,14 +561,14 @@
 
     /// Who made a connection has said its name; the newest of its connections counts.
     fn know_peer(&mut self, key: ConnKey, name: &Arc<str>) {
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         if hall.inbound.get(name) == Some(&key) {
             return;
         }
         hall.strangers.retain(|k| *k != key);
         if let Some(old) = hall.inbound.insert(name.clone(), key) {
             self.close(old, CloseReason::Idle);
-            if let Some(hall) = &mut self.fleet.hall {
+            if let Some(hall) = &mut self.cluster.consensus {
                 hall.inbound.insert(name.clone(), key);
             }
         }
@@ -576,7 +576,7 @@
 
     /// A connection between gateways has ended.
     pub(super) fn peer_closed(&mut self, now: Micros, key: ConnKey, peer: &Peer) {
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         hall.strangers.retain(|k| *k != key);
         hall.inbound.retain(|_, k| *k != key);
         if let Some(to) = &peer.to {
@@ -587,8 +587,8 @@
     }
 
     fn push(&mut self, key: ConnKey, body: &Body, tag: u64) {
-        let Some((conn, Role::Peer(peer))) = self.conns.get_mut(key) else { return };
-        let Some(hall) = &self.fleet.hall else { return };
+        let Some((conn, Role::Peer(peer))) = self.connections.get_mut(key) else { return };
+        let Some(hall) = &self.cluster.consensus else { return };
         if conn.out.len() > MOST_WAITING {
             return;
         }
@@ -600,18 +600,18 @@
 
     /// Who this gateway is to others, which process, and where it records.
     pub(super) fn council_identity(&self) -> Option<(Arc<str>, u64, Option<PathBuf>)> {
-        let hall = self.fleet.hall.as_ref()?;
+        let hall = self.cluster.consensus.as_ref()?;
         Some((hall.member.name().clone(), hall.process, hall.file.history.clone()))
     }
 
     /// What is agreed of shards, as far as it is known here.
     pub(super) fn agreed_sets(&self) -> Option<crate::replication::sets::Sets> {
-        self.fleet.hall.as_ref().map(|h| h.member.state().sets.clone())
+        self.cluster.consensus.as_ref().map(|h| h.member.state().sets.clone())
     }
 
     /// Where others than voters are reached; voters stay as the council's file has them.
     pub(super) fn know_addresses(&mut self, all: impl Iterator<Item = (Arc<str>, SocketAddr)>) {
-        if let Some(hall) = &mut self.fleet.hall {
+        if let Some(hall) = &mut self.cluster.consensus {
             for (name, at) in all {
                 hall.book.entry(name).or_insert(at);
             }
@@ -619,11 +619,16 @@
     }
 
     pub(super) fn say(&mut self, now: Micros, to: &Arc<str>, body: Body) {
-        if self.fleet.hall.as_ref().is_some_and(|h| h.connection(to).is_none() && !h.again.contains_key(to)) {
+        if self
+            .cluster
+            .consensus
+            .as_ref()
+            .is_some_and(|h| h.connection(to).is_none() && !h.again.contains_key(to))
+        {
             self.connect_peer(now, to);
         }
-        let Some(key) = self.fleet.hall.as_ref().and_then(|h| h.connection(to)) else { return };
-        let Some((_, Role::Peer(peer))) = self.conns.get_mut(key) else { return };
+        let Some(key) = self.cluster.consensus.as_ref().and_then(|h| h.connection(to)) else { return };
+        let Some((_, Role::Peer(peer))) = self.connections.get_mut(key) else { return };
         if peer.session.is_open() {
             return self.push(key, &body, net::KEPT_FRAME);
         }
@@ -635,10 +640,9 @@
     /// An effect of one's own: its lease is looked at once more, now that its bytes are to be queued. It does not wait for a
     /// connection to open.
     fn say_own(&mut self, to: &Arc<str>, effect: Effect) {
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         let up = uptime();
-        let open =
-            |key: &ConnKey| matches!(self.conns.get(*key), Some((_, Role::Peer(p))) if p.session.is_open());
+        let open = |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Peer(p))) if p.session.is_open());
         let key = hall.connection(to).filter(open);
         if !hall.member.still(up, &effect.duty, effect.term) {
             let Effect { duty, term, number, .. } = effect;
@@ -658,12 +662,12 @@
 
     /// Effects of an ended lease whose bytes still wait are taken back.
     fn take_back(&mut self, duty: &Duty, term: Term) {
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         let of = |e: &Effect| e.duty == *duty && e.term == term;
         let tags: Vec<u64> = hall.waits.iter().filter(|(_, e)| of(e)).map(|(t, _)| *t).collect();
         for tag in tags {
             let taken = self
-                .conns
+                .connections
                 .values_mut()
                 .any(|(conn, role)| matches!(role, Role::Peer(_)) && conn.out.withdraw(tag));
             let Some(Effect { duty, term, number, .. }) = hall.waits.remove(&tag) else { continue };
@@ -676,10 +680,10 @@
     /// Whether nothing of an ended lease is about to leave on a connection between gateways; looked at before bytes are
     /// written, as the process may have been stopped since they were queued.
     pub(super) fn look_at_leases(&mut self, key: ConnKey) {
-        if !matches!(self.conns.get(key), Some((conn, Role::Peer(_))) if !conn.out.is_empty()) {
+        if !matches!(self.connections.get(key), Some((conn, Role::Peer(_))) if !conn.out.is_empty()) {
             return;
         }
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         if hall.waits.is_empty() {
             return;
         }
@@ -695,7 +699,7 @@
 
     /// SIGTERM: others take over what this gateway does for all.
     pub(super) fn give_duties_back(&mut self, now: Micros) {
-        if let Some(hall) = &mut self.fleet.hall {
+        if let Some(hall) = &mut self.cluster.consensus {
             hall.leaves = true;
         }
         self.look_at_able();
@@ -714,12 +718,11 @@
 
     /// What can be seen of the council.
     pub(super) fn council_view(&self) -> serde_json::Value {
-        let Some(hall) = &self.fleet.hall else { return serde_json::Value::Null };
+        let Some(hall) = &self.cluster.consensus else { return serde_json::Value::Null };
         let (m, state) = (&hall.member, hall.member.state());
         let voters: BTreeMap<&str, String> =
             state.voters.iter().map(|(s, n)| (&**n, format!("{s:016x}"))).collect();
-        let open =
-            |key: &ConnKey| matches!(self.conns.get(*key), Some((_, Role::Peer(p))) if p.session.is_open());
+        let open = |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Peer(p))) if p.session.is_open());
         let reached: Vec<&str> = hall.out.iter().filter(|(_, k)| open(k)).map(|(n, _)| &**n).collect();
         json!({ "name": m.name(), "process": hall.process, "generation": state.generation, "applied": state.applied,
             "voters": voters, "votes": m.votes(), "leads": m.leads(), "leader": m.leader(), "asks": m.asks(),
@@ -731,7 +734,7 @@
 
     /// What can be seen of duties, and why one has no owner who acts, as far as this gateway can tell.
     pub(super) fn duties_view(&self) -> serde_json::Value {
-        let Some(hall) = &self.fleet.hall else { return serde_json::Value::Null };
+        let Some(hall) = &self.cluster.consensus else { return serde_json::Value::Null };
         let (m, now) = (&hall.member, uptime());
         let ledger = &m.state().ledger;
         let mut names: BTreeSet<Duty> = hall.file.duties.iter().map(|d| d.as_str().into()).collect();
@@ -756,7 +759,7 @@
 
     /// Reads the addresses of voters and the keys anew; what cannot be used leaves those held.
     pub(super) fn reload_council(&mut self) {
-        let Some(hall) = &mut self.fleet.hall else { return };
+        let Some(hall) = &mut self.cluster.consensus else { return };
         let name = hall.member.name().to_string();
         match config::File::read(&hall.file.file).and_then(|f| Ok((f.keys(&name)?, f))) {
             Ok((keys, f)) => {
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-impl Node {
+impl Gateway {
     pub(super) fn open_board(&mut self, now: Micros) {
         let Some(address) = self.config.board else { return };
-        if self.conns.values().any(|(_, role)| matches!(role, Role::Board(_))) {
+        if self.connections.values().any(|(_, role)| matches!(role, Role::Board(_))) {
             return;
         }
         let opened =
             net::connect(address).and_then(|s| self.add(s, false, Role::Board(WatchStream::default())));
         match opened {
             Ok(key) => {
-                if let Some((conn, _)) = self.conns.get_mut(key) {
-                    conn.out.push(net::KEPT_FRAME, WatchStream::request(address, self.last_rev));
+                if let Some((conn, _)) = self.connections.get_mut(key) {
+                    conn.out.push(net::KEPT_FRAME, WatchStream::request(address, self.last_revision));
                 }
                 self.set_deadline(key, Some(now + 1_000_000));
             }
@@ -30,8 +30,8 @@
                 // have been spoilt on the way. Unreadable again, it is passed over.
                 self.core.counters.unreadable += 1;
                 tracing::warn!(event = ?event.id, "a notice cannot be read: {e}");
-                let again = self.gap_at == Some(self.last_rev);
-                self.gap_at = Some(self.last_rev);
+                let again = self.revision_gap == Some(self.last_revision);
+                self.revision_gap = Some(self.last_revision);
                 return again;
             }
         };
@@ -41,15 +41,18 @@
     /// Takes one notice; `false` if one before it was missed. One that is older than the list held is passed
     /// over: a board may write an event twice, and an old whole list would bring back workers that have gone.
     pub(super) fn on_notice(&mut self, now: Micros, notice: &WatchEvent) -> bool {
-        if notice.rev < self.last_rev || notice.rev == self.last_rev && !notice.snapshot {
+        if notice.rev < self.last_revision || notice.rev == self.last_revision && !notice.snapshot {
             return true;
         }
-        if !notice.snapshot && notice.rev > self.last_rev + 1 && self.gap_at != Some(self.last_rev) {
-            self.gap_at = Some(self.last_rev);
+        if !notice.snapshot
+            && notice.rev > self.last_revision + 1
+            && self.revision_gap != Some(self.last_revision)
+        {
+            self.revision_gap = Some(self.last_revision);
             return false;
         }
-        (self.last_rev, self.gap_at) = (notice.rev, None);
-        let (listed, moved) = self.roster.apply(notice);
+        (self.last_revision, self.revision_gap) = (notice.rev, None);
+        let (listed, moved) = self.endpoints.apply(notice);
         let lines = notice.endpoints.iter().map(|e| e.name.as_str()).zip(listed);
         let members = self.ops.upkeep.list(notice.snapshot, lines);
         for m in &members {
@@ -61,9 +64,10 @@
         }
         if notice.snapshot {
             let listed = |w: &WorkerId| members.iter().any(|m| m.worker == *w);
-            let gone: Vec<WorkerId> = self.links.keys().filter(|w| !listed(w)).copied().collect();
+            let gone: Vec<WorkerId> =
+                self.worker_connections.keys().filter(|w| !listed(w)).copied().collect();
             for worker in gone {
-                self.roster.set_leaving(worker, true);
+                self.endpoints.set_leaving(worker, true);
                 self.retire(worker, None);
             }
         }
@@ -71,13 +75,13 @@
         let told =
             members.into_iter().filter(|m| !notice.snapshot || m.status != WorkerStatus::Removed).collect();
         self.core.members(now, kind, told);
-        let links = &self.links;
-        self.roster.forget_gone(|worker| links.contains_key(worker));
+        let links = &self.worker_connections;
+        self.endpoints.forget_gone(|worker| links.contains_key(worker));
         true
     }
 
     pub(super) fn on_member(&mut self, m: &WorkerEntry) {
-        self.roster.set_leaving(m.worker, m.status != WorkerStatus::Ready);
+        self.endpoints.set_leaving(m.worker, m.status != WorkerStatus::Ready);
         match (m.status, m.started_at) {
             (WorkerStatus::Ready, Some(started)) => self.retire(m.worker, Some(started)),
             (WorkerStatus::Ready, None) => {}
@@ -89,8 +93,8 @@
     /// taken back, what is out may still be answered.
     pub(super) fn retire(&mut self, worker: WorkerId, before: Option<Micros>) {
         let mut done = Vec::new();
-        for key in self.links.get(&worker).cloned().unwrap_or_default() {
-            let Some((conn, Role::Worker(link))) = self.conns.get_mut(key) else { continue };
+        for key in self.worker_connections.get(&worker).cloned().unwrap_or_default() {
+            let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { continue };
             if before.is_some_and(|t| link.opened >= t) {
                 continue;
             }
--- a/src/gateway/error.rs
+++ b/src/gateway/error.rs
@@ -5,7 +5,7 @@
 
 /// Why the gateway cannot start or go on.
 #[derive(Debug, thiserror::Error)]
-pub enum NodeError {
+pub enum GatewayError {
     /// An address cannot be listened on.
     #[error(
         "cannot listen on {0}: {1}; see that no other process does and that the address is this machine's"
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -28,7 +28,7 @@
 
 /// Gossip, while it is on.
 #[derive(Debug)]
-pub(super) struct Talk {
+pub(super) struct GossipDriver {
     group: Group,
     socket: Rc<UdpSocket>,
     file: PathBuf,
@@ -39,7 +39,7 @@
     keep_at: Option<Micros>,
 }
 
-impl Talk {
+impl GossipDriver {
     /// Whether datagrams wait to be read.
     pub(super) fn busy(&self) -> bool {
         self.readable
@@ -82,32 +82,32 @@
     std::fs::rename(&fresh, path)
 }
 
-impl Node {
+impl Gateway {
     /// Begins to talk. Called once the list of workers is known.
     pub(super) fn set_up_gossip(
         &mut self,
         now: Micros,
         g: &Gossip,
         ready: BTreeSet<WorkerId>,
-    ) -> Result<(), NodeError> {
+    ) -> Result<(), GatewayError> {
         let name = g.name.clone().unwrap_or_else(|| self.config.name.clone());
         if !crate::membership::is_name(&name) {
-            return Err(NodeError::Operator(ConfigError::Value("gossip.name", name)));
+            return Err(GatewayError::Operator(ConfigError::Value("gossip.name", name)));
         }
-        let keys = g.keys(&name).map_err(NodeError::Operator)?;
-        let fail = |e| NodeError::Listen(g.listen, e);
+        let keys = g.keys(&name).map_err(GatewayError::Operator)?;
+        let fail = |e| GatewayError::Listen(g.listen, e);
         let socket = UdpSocket::bind(g.listen).map_err(fail)?;
         socket.set_nonblocking(true).map_err(fail)?;
         let address = g.advertise.map_or_else(|| socket.local_addr(), Ok).map_err(fail)?;
         let socket = Rc::new(socket);
         let source = Generic::new(Udp(socket.clone()), Interest::READ, Mode::Edge);
-        let note = |_, _: &mut _, node: &mut Node| {
-            if let Some(talk) = &mut node.fleet.talk {
+        let note = |_, _: &mut _, node: &mut Gateway| {
+            if let Some(talk) = &mut node.cluster.gossip {
                 talk.readable = true;
             }
             Ok(PostAction::Continue)
         };
-        self.handle.insert_source(source, note).map_err(|e| NodeError::Loop(e.error))?;
+        self.handle.insert_source(source, note).map_err(|e| GatewayError::Loop(e.error))?;
         let settings = Settings {
             name: name.clone(),
             address,
@@ -120,7 +120,7 @@
         group.handle(now, Input::Known(g.state.as_deref().map_or(Vec::new(), read_members), g.seeds.clone()));
         group.handle(now, Input::Ready(ready));
         tracing::info!("{name} talks on {address}");
-        self.fleet.talk = Some(Talk {
+        self.cluster.gossip = Some(GossipDriver {
             group,
             socket,
             file: g.file.clone(),
@@ -135,7 +135,7 @@
 
     /// The list of workers has changed.
     pub(super) fn tell_ready(&mut self, now: Micros, snapshot: bool, members: &[WorkerEntry]) {
-        let Some(ready) = &mut self.fleet.ready else { return };
+        let Some(ready) = &mut self.cluster.ready else { return };
         if snapshot {
             ready.clear();
         }
@@ -148,7 +148,7 @@
         }
         let ready = ready.clone();
         self.trials_ready(now, ready.clone());
-        if let Some(talk) = &mut self.fleet.talk {
+        if let Some(talk) = &mut self.cluster.gossip {
             talk.group.handle(now, Input::Ready(ready));
         }
     }
@@ -163,14 +163,14 @@
     ) {
         let (Some(worker), Some(seen)) = (worker, ending.seen(left)) else { return };
         self.trials_outcome(now, worker, seen);
-        if let Some(talk) = &mut self.fleet.talk {
+        if let Some(talk) = &mut self.cluster.gossip {
             talk.group.handle(now, Input::Outcome(worker, seen));
         }
     }
 
     /// Takes what came, and does what follows.
     pub(super) fn step_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.fleet.talk else { return };
+        let Some(talk) = &mut self.cluster.gossip else { return };
         if talk.readable {
             let mut bytes = [0; MTU + 1];
             talk.readable = false;
@@ -222,7 +222,7 @@
 
     /// Gossip's deadline fell due.
     pub(super) fn tick_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.fleet.talk else { return };
+        let Some(talk) = &mut self.cluster.gossip else { return };
         talk.hung = None;
         talk.group.handle(now, Input::Tick);
         if talk.keep_at.is_some_and(|t| t <= now) {
@@ -237,7 +237,7 @@
 
     /// Reads seeds and keys anew; what cannot be used leaves those held.
     pub(super) fn reload_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.fleet.talk else { return };
+        let Some(talk) = &mut self.cluster.gossip else { return };
         match Gossip::read(&talk.file).and_then(|g| Ok((g.keys(&talk.name)?, g.seeds))) {
             Ok((keys, seeds)) => {
                 talk.group.handle(now, Input::Keys(keys));
@@ -250,7 +250,7 @@
 
     /// Leaves the group in order.
     pub(super) fn leave_group(&mut self, now: Micros) {
-        if let Some(talk) = &mut self.fleet.talk {
+        if let Some(talk) = &mut self.cluster.gossip {
             talk.group.handle(now, Input::Leave);
             self.step_gossip(now);
         }
@@ -258,7 +258,7 @@
 
     /// What can be seen of the group.
     pub(super) fn peers(&self, now: Micros) -> serde_json::Value {
-        let Some(talk) = &self.fleet.talk else { return serde_json::Value::Null };
+        let Some(talk) = &self.cluster.gossip else { return serde_json::Value::Null };
         let (refused, withheld) = talk.group.refused();
         let (rumours, held) = talk.group.sizes();
         serde_json::json!({ "name": talk.name, "peers": talk.group.peers(now), "refused": refused,
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -7,7 +7,7 @@
 
 /// The duty, while it is on the operator's list.
 #[derive(Debug)]
-pub(super) struct TrialSide {
+pub(super) struct HealthCheckDriver {
     trials: Trials,
     probes: BTreeMap<ProbeKey, WorkerId>,
     hung: Option<Micros>,
@@ -19,16 +19,16 @@
     postcard::to_stdvec(&plain).unwrap_or_default()
 }
 
-impl Node {
+impl Gateway {
     /// Begins the duty, with the workers that are ready.
     pub(super) fn set_up_trials(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
         let mut trials = Trials::default();
         trials.handle(now, Input::Ready(ready));
-        self.fleet.trials = Some(TrialSide { trials, probes: BTreeMap::new(), hung: None });
+        self.cluster.health_checks = Some(HealthCheckDriver { trials, probes: BTreeMap::new(), hung: None });
     }
 
     fn tell_trials(&mut self, now: Micros, input: Input) {
-        if let Some(side) = &mut self.fleet.trials {
+        if let Some(side) = &mut self.cluster.health_checks {
             side.trials.handle(now, input);
         }
     }
@@ -73,7 +73,8 @@
 
     /// A probe has ended outside; whether it was a trial.
     pub(super) fn trial_ended(&mut self, now: Micros, key: ProbeKey, ending: CloseReason) {
-        let Some(worker) = self.fleet.trials.as_mut().and_then(|side| side.probes.remove(&key)) else {
+        let Some(worker) = self.cluster.health_checks.as_mut().and_then(|side| side.probes.remove(&key))
+        else {
             return;
         };
         self.tell_trials(now, Input::Tried(worker, ending == CloseReason::Served));
@@ -81,7 +82,7 @@
 
     /// Does what follows.
     pub(super) fn step_trials(&mut self, now: Micros) {
-        while let Some(output) = self.fleet.trials.as_mut().and_then(|side| side.trials.output()) {
+        while let Some(output) = self.cluster.health_checks.as_mut().and_then(|side| side.trials.output()) {
             match output {
                 Output::Report(worker) => {
                     let content = postcard::to_stdvec(&worker.0).unwrap_or_default();
@@ -89,7 +90,7 @@
                 }
                 Output::Try(worker) => {
                     let probe = self.core.probe(now, worker);
-                    if let Some(side) = &mut self.fleet.trials {
+                    if let Some(side) = &mut self.cluster.health_checks {
                         side.probes.insert(probe, worker);
                     }
                 }
@@ -98,7 +99,7 @@
                 Output::Able(able) => self.set_able(able),
             }
         }
-        let Some(side) = &mut self.fleet.trials else { return };
+        let Some(side) = &mut self.cluster.health_checks else { return };
         // A probe that the core gave up has no word of its own; the trial has its own bound.
         let core = &self.core;
         side.probes.retain(|key, _| core.has_probe(*key));
@@ -115,7 +116,7 @@
     }
 
     pub(super) fn tick_trials(&mut self, now: Micros) {
-        if let Some(side) = &mut self.fleet.trials {
+        if let Some(side) = &mut self.cluster.health_checks {
             side.hung = None;
         }
         self.tell_trials(now, Input::Tick);
@@ -123,7 +124,7 @@
 
     /// What can be seen of the duty.
     pub(super) fn trials_view(&self) -> serde_json::Value {
-        let Some(side) = &self.fleet.trials else { return serde_json::Value::Null };
+        let Some(side) = &self.cluster.health_checks else { return serde_json::Value::Null };
         let ill: Vec<String> = side.trials.ill().map(|w| format!("{:08x}", w.0)).collect();
         serde_json::json!({ "ill": ill, "trials": side.trials.trials })
     }
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -48,7 +48,7 @@
     Ok((folder, file))
 }
 
-impl Node {
+impl Gateway {
     /// Begins the handover, before any list is taken over: bans that another process holds bind from the first
     /// moment.
     pub(super) fn begin_handover(&mut self, now: Micros) {
@@ -179,7 +179,7 @@
         let word = Word {
             gateway: self.config.name.clone(),
             state,
-            rev: self.last_rev,
+            rev: self.last_revision,
             bears: (self.core.bears() * 1e6).min(1e5),
             bans: upkeep.bans().clone(),
             seen: upkeep.seen().map(str::to_owned).collect(),
@@ -211,10 +211,10 @@
             return;
         }
         let told = self.config.board.is_none() || handover.board;
-        if told && self.last_rev >= handover.others.rev() || now >= handover.begun + BOARD_PATIENCE {
+        if told && self.last_revision >= handover.others.rev() || now >= handover.begun + BOARD_PATIENCE {
             self.ops.life.start();
             self.accept = true;
-            tracing::info!(rev = self.last_rev, "takes connections");
+            tracing::info!(rev = self.last_revision, "takes connections");
             self.write_word(now);
         }
     }
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -16,7 +16,7 @@
 
 /// The duties, while there are shards on the operator's list.
 #[derive(Debug)]
-pub(super) struct LoadSide {
+pub(super) struct LoadDriver {
     loads: Loads,
     /// Orders that wait or were given, by their numbers.
     orders: BTreeMap<u64, Order>,
@@ -25,7 +25,7 @@
     hung: Option<Micros>,
 }
 
-impl Node {
+impl Gateway {
     /// Begins the duties. An order may leave later than it was decided on: the ration's window is longer by that.
     pub(super) fn set_up_loads(&mut self, now: Micros, loads: Loads) {
         let settings = &self.config.settings;
@@ -34,11 +34,11 @@
             self.core.limits(now, Some(longer), settings.overload_multiple, 0.0);
         }
         let (orders, numbers) = (BTreeMap::new(), BTreeMap::new());
-        self.fleet.loads = Some(LoadSide { loads, orders, numbers, number: 0, hung: None });
+        self.cluster.loads = Some(LoadDriver { loads, orders, numbers, number: 0, hung: None });
     }
 
     fn tell_loads(&mut self, now: Micros, input: Input) {
-        if let Some(side) = &mut self.fleet.loads {
+        if let Some(side) = &mut self.cluster.loads {
             side.loads.handle(now, input);
         }
     }
@@ -46,7 +46,7 @@
     /// The module orders copies; whether that waits for an owner's word.
     pub(super) fn order_waits(&mut self, now: Micros, order: Order) -> bool {
         // A question is no order.
-        let Some(side) = self.fleet.loads.as_mut().filter(|_| order.copies > 0) else { return false };
+        let Some(side) = self.cluster.loads.as_mut().filter(|_| order.copies > 0) else { return false };
         side.number += 1;
         let number = side.number;
         side.orders.insert(number, order);
@@ -57,10 +57,10 @@
 
     /// The module needs an order no more; whether it had not been given yet.
     pub(super) fn order_forgotten(&mut self, now: Micros, order: OrderKey) -> bool {
-        let Some(side) = &mut self.fleet.loads else { return false };
+        let Some(side) = &mut self.cluster.loads else { return false };
         let Some(number) = side.numbers.get(&order).copied() else { return false };
         // One that was given ends by itself, and the owner hears of it.
-        if self.orders.contains_key(order) {
+        if self.load_orders.contains_key(order) {
             return false;
         }
         side.loads.handle(now, Input::Forget(number));
@@ -71,7 +71,7 @@
 
     /// An order has ended outside.
     pub(super) fn order_given_ended(&mut self, now: Micros, order: OrderKey, copies: u32) {
-        let Some(side) = &mut self.fleet.loads else { return };
+        let Some(side) = &mut self.cluster.loads else { return };
         if let Some(number) = side.numbers.remove(&order) {
             side.orders.remove(&number);
             side.loads.handle(now, Input::Ended(number, copies));
@@ -111,7 +111,7 @@
 
     /// Does what follows.
     pub(super) fn step_loads(&mut self, now: Micros) {
-        while let Some(output) = self.fleet.loads.as_mut().and_then(|side| side.loads.output()) {
+        while let Some(output) = self.cluster.loads.as_mut().and_then(|side| side.loads.output()) {
             match output {
                 Output::Report(duty, word) => {
                     self.tell_member_of_council(Say::Report(
@@ -126,13 +126,14 @@
                     ));
                 }
                 Output::Give(number) => {
-                    let order = self.fleet.loads.as_ref().and_then(|side| side.orders.get(&number)).copied();
+                    let order =
+                        self.cluster.loads.as_ref().and_then(|side| side.orders.get(&number)).copied();
                     if let Some(order) = order {
                         self.give_order(now, order);
                     }
                 }
                 Output::Stands(number, copies) => {
-                    let Some(side) = &mut self.fleet.loads else { return };
+                    let Some(side) = &mut self.cluster.loads else { return };
                     if let Some(Order { key, .. }) = side.orders.remove(&number) {
                         side.numbers.remove(&key);
                         self.core.order_ended(now, key, CloseReason::Served, SendProgress::Unsent, copies);
@@ -140,7 +141,7 @@
                 }
             }
         }
-        let Some(side) = &mut self.fleet.loads else { return };
+        let Some(side) = &mut self.cluster.loads else { return };
         let next = side.loads.next_deadline().map(|t| t.max(now));
         if next != side.hung {
             if let Some(old) = side.hung.take() {
@@ -155,7 +156,7 @@
 
     /// An order that waited leaves now, unless its worker has been told of as gone or draining meanwhile.
     fn give_order(&mut self, now: Micros, order: Order) {
-        if self.fleet.ready.as_ref().is_some_and(|ready| !ready.contains(&order.worker)) {
+        if self.cluster.ready.as_ref().is_some_and(|ready| !ready.contains(&order.worker)) {
             self.order_given_ended(now, order.key, 0);
             return self.core.order_ended(now, order.key, CloseReason::Withdrawn, SendProgress::Unsent, 0);
         }
@@ -163,7 +164,7 @@
     }
 
     pub(super) fn tick_loads(&mut self, now: Micros) {
-        if let Some(side) = &mut self.fleet.loads {
+        if let Some(side) = &mut self.cluster.loads {
             side.hung = None;
         }
         self.tell_loads(now, Input::Tick);
@@ -171,7 +172,7 @@
 
     /// What can be seen of the duties.
     pub(super) fn loads_view(&self) -> serde_json::Value {
-        let Some(side) = &self.fleet.loads else { return serde_json::Value::Null };
+        let Some(side) = &self.cluster.loads else { return serde_json::Value::Null };
         serde_json::json!({ "orders_waiting_or_out": side.orders.len(), "orders_spared": side.loads.spared })
     }
 }
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -61,9 +61,9 @@
     }
 }
 
-impl Node {
+impl Gateway {
     /// Listens on the second address, if there is to be one.
-    pub(super) fn set_up_line(&mut self) -> Result<(), NodeError> {
+    pub(super) fn set_up_line(&mut self) -> Result<(), GatewayError> {
         let Some(address) = self.config.admin_addr else { return Ok(()) };
         let (socket, _) = self.listening(address, |node| {
             if let Some(side) = &mut node.ops.line {
@@ -86,7 +86,7 @@
         if self.ops.line.is_none() {
             return;
         }
-        let is_line = |key: &ConnKey| matches!(self.conns.get(*key), Some((_, Role::Line)));
+        let is_line = |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Line)));
         let (lines, others) = std::mem::take(&mut self.ready).into_iter().partition(is_line);
         self.ready = others;
         let lines: Vec<ConnKey> = lines;
@@ -133,14 +133,14 @@
     }
 
     pub(super) fn on_line(&mut self, key: ConnKey, now: Micros) {
-        let Some((conn, _)) = self.conns.get(key).filter(|(conn, _)| !conn.closing) else { return };
+        let Some((conn, _)) = self.connections.get(key).filter(|(conn, _)| !conn.closing) else { return };
         let bytes = match operator_console::take(conn.input.bytes(), conn.ended) {
             Ok(None) => return,
             Ok(Some(ask)) => self.answer_line(now, ask),
             Err(e) => operator_console::answer(false, e),
         };
         self.set_deadline(key, Some(now + LINGER));
-        let Some((conn, _)) = self.conns.get_mut(key) else { return };
+        let Some((conn, _)) = self.connections.get_mut(key) else { return };
         conn.out.push(net::KEPT_FRAME, bytes);
         (conn.closing, conn.linger) = (true, true);
         // At once, not when the turn's other work is done.
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Node {
+impl Gateway {
     /// Reads the configuration's file again and moves to the notice board that it names, from the version
     /// held. A file that cannot be used changes nothing. What calls are under way under (names, limits, the
     /// module's settings) stays until a restart, and a file that would change it is said to.
@@ -23,7 +23,7 @@
                 break;
             }
         }
-        let boards = self.conns.iter().filter(|(_, (_, role))| matches!(role, Role::Board(_)));
+        let boards = self.connections.iter().filter(|(_, (_, role))| matches!(role, Role::Board(_)));
         let boards: Vec<ConnKey> = boards.map(|(key, _)| key).collect();
         self.config.board = fresh.board;
         boards.into_iter().for_each(|key| self.close(key, CloseReason::Shutdown));
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -23,7 +23,7 @@
 
 /// Copies, while they are on.
 #[derive(Debug)]
-pub(super) struct Side {
+pub(super) struct ReplicationDriver {
     machine: Copies,
     file: config::File,
     /// The shards that are led here and whose content was taken up, with the identities taken.
@@ -65,7 +65,7 @@
     guards
 }
 
-impl Side {
+impl ReplicationDriver {
     /// How many disks a call of a class asks for.
     pub(super) fn wants(&self, class: &str) -> usize {
         match self.file.when_fewer.get(class).copied().unwrap_or_default() {
@@ -80,25 +80,25 @@
     }
 }
 
-impl Node {
+impl Gateway {
     /// Begins to hold copies.
-    pub(super) fn set_up_copies(&mut self, now: Micros, file: &config::File) -> Result<(), NodeError> {
+    pub(super) fn set_up_copies(&mut self, now: Micros, file: &config::File) -> Result<(), GatewayError> {
         let needs = |what: &'static str| {
-            Err(NodeError::Operator(ConfigError::Value(what, "absent, and copies need it".into())))
+            Err(GatewayError::Operator(ConfigError::Value(what, "absent, and copies need it".into())))
         };
         let Some((name, process, history)) = self.council_identity() else { return needs("--council") };
-        if !self.second.hooks.as_ref().is_some_and(webhooks::Hooks::durable) {
+        if !self.secondary.hooks.as_ref().is_some_and(webhooks::WebhookDriver::durable) {
             return needs("webhooks.store");
         }
         if !file.members.contains_key(&*name) {
-            return Err(NodeError::Operator(ConfigError::Value(
+            return Err(GatewayError::Operator(ConfigError::Value(
                 "copies.members",
                 format!("{name} is not among them"),
             )));
         }
         let machine = Copies::new(file.settings(&name, process, guards()), consensus::uptime());
         let beside = |what| History::beside(history.as_deref(), what, &name, process);
-        let fail = |e: io::Error| NodeError::Loop(e.into());
+        let fail = |e: io::Error| GatewayError::Loop(e.into());
         let (history, tenants) =
             (beside("copies.jsonl").map_err(fail)?, beside("tenants.jsonl").map_err(fail)?);
         let settings = machine.settings();
@@ -110,7 +110,7 @@
             without_agreed: settings.without.agreed,
         };
         self.know_addresses(file.members.iter().map(|(n, m)| (n.as_str().into(), m.address)));
-        self.fleet.copies = Some(Side {
+        self.cluster.replication = Some(ReplicationDriver {
             machine,
             file: file.clone(),
             open: BTreeMap::new(),
@@ -123,7 +123,7 @@
         });
         self.set_up_tenants(now, agreeing, tenants);
         self.copies_agreed();
-        if let Some(hooks) = &mut self.second.hooks {
+        if let Some(hooks) = &mut self.secondary.hooks {
             hooks.begin_disk(process ^ self.config.seed, false);
         }
         self.step_copies(now);
@@ -131,14 +131,14 @@
     }
 
     pub(super) fn tell_copies(&mut self, input: Input) {
-        if let Some(side) = &mut self.fleet.copies {
+        if let Some(side) = &mut self.cluster.replication {
             side.machine.handle(consensus::uptime(), input);
         }
     }
 
     /// What is agreed has changed.
     pub(super) fn copies_agreed(&mut self) {
-        if self.fleet.copies.is_none() {
+        if self.cluster.replication.is_none() {
             return;
         }
         if let Some(sets) = self.agreed_sets() {
@@ -152,7 +152,7 @@
     }
 
     pub(super) fn tick_copies(&mut self) {
-        if let Some(side) = &mut self.fleet.copies {
+        if let Some(side) = &mut self.cluster.replication {
             side.hung = None;
         }
         self.tell_copies(Input::Tick);
@@ -160,20 +160,21 @@
 
     /// On how many disks a shard's promises stand.
     pub(super) fn disks_of(&self, shard: ShardId) -> u8 {
-        let set = self.fleet.copies.as_ref().and_then(|s| s.machine.shards().get(&shard));
+        let set = self.cluster.replication.as_ref().and_then(|s| s.machine.shards().get(&shard));
         // A set has five members at most.
         set.map_or(0, |s| s.set.members.len().min(255) as u8)
     }
 
     /// Those with whom a connection is kept for copies.
     pub(super) fn copies_peers(&self) -> Vec<Name> {
-        self.fleet.copies.as_ref().map_or(Vec::new(), |s| s.machine.peers().cloned().collect())
+        self.cluster.replication.as_ref().map_or(Vec::new(), |s| s.machine.peers().cloned().collect())
     }
 
     /// Whether nothing is led here any more, at the end of the process: what is led is handed to others first.
     pub(super) fn copies_left(&mut self) -> bool {
-        let leads = self.fleet.copies.as_ref().is_some_and(|s| s.machine.leads_any());
-        if leads && self.fleet.copies.as_mut().is_some_and(|s| !std::mem::replace(&mut s.leaves, true)) {
+        let leads = self.cluster.replication.as_ref().is_some_and(|s| s.machine.leads_any());
+        if leads && self.cluster.replication.as_mut().is_some_and(|s| !std::mem::replace(&mut s.leaves, true))
+        {
             self.tell_copies(Input::Leave);
         }
         !leads
@@ -181,9 +182,9 @@
 
     /// Does what there is to do; whether there was something.
     pub(super) fn step_copies(&mut self, now: Micros) -> bool {
-        let Some(side) = &mut self.fleet.copies else { return false };
+        let Some(side) = &mut self.cluster.replication else { return false };
         if let Some((ticket, shard, bytes, want)) =
-            self.second.hooks.as_mut().and_then(|h| h.shared.pop_front())
+            self.secondary.hooks.as_mut().and_then(|h| h.shared.pop_front())
         {
             side.machine.handle(consensus::uptime(), Input::Append { shard, ticket, bytes, want });
             return true;
@@ -207,7 +208,9 @@
     }
 
     fn copies_output(&mut self, now: Micros, output: Output) {
-        let (Some(side), Some(hooks)) = (&mut self.fleet.copies, &mut self.second.hooks) else { return };
+        let (Some(side), Some(hooks)) = (&mut self.cluster.replication, &mut self.secondary.hooks) else {
+            return;
+        };
         match output {
             Output::Send(to, body) => self.say(now, &to, frames::Body::Copies(body)),
             Output::Propose(entry) => {
@@ -300,10 +303,10 @@
         reply: Result<Reply, StoreError>,
     ) {
         let Ok(reply) = reply else { return };
-        if let Some(what) = ticket.and_then(|t| self.second.hooks.as_ref()?.is_for(t)) {
+        if let Some(what) = ticket.and_then(|t| self.secondary.hooks.as_ref()?.is_for(t)) {
             step(what);
         }
-        if let (Some(side), Some(ticket)) = (&mut self.fleet.copies, ticket) {
+        if let (Some(side), Some(ticket)) = (&mut self.cluster.replication, ticket) {
             side.kept.insert(ticket, reply);
         }
         self.tell_copies(Input::Kept(shard));
@@ -335,12 +338,12 @@
         if let Err(StoreError::Unsound(shard, ranges)) = reply {
             return self.tell_copies(Input::Unsound(shard, ranges));
         }
-        let (Some(side), Ok(Reply::Stands(stands))) = (&mut self.fleet.copies, reply) else { return };
+        let (Some(side), Ok(Reply::Stands(stands))) = (&mut self.cluster.replication, reply) else { return };
         if !side.machine.leads(shard) {
             return;
         }
         side.open.insert(shard, Identities::new(shard, stands.marks.iter().copied(), stands.forgotten));
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         hooks.numbers_of(shard, epoch);
         let (calls, waits, begun) = (stands.calls.len(), stands.waits.len(), stands.begun.len());
         hooks.settle(now, stands.begun);
--- a/src/gateway/replication/questions.rs
+++ b/src/gateway/replication/questions.rs
@@ -21,10 +21,10 @@
     State(ConnKey, String),
 }
 
-impl Node {
+impl Gateway {
     /// A caller's question goes to whoever leads its shard.
     pub(in crate::gateway) fn ask_primary(&mut self, shard: ShardId, asked: &Asked, waits: Waits) {
-        let Some(side) = &mut self.fleet.copies else { return };
+        let Some(side) = &mut self.cluster.replication else { return };
         side.tickets += 1;
         let ticket = side.tickets;
         side.waits.insert(ticket, waits);
@@ -50,7 +50,7 @@
         let why = match asked {
             None => Refusal::Unknown { what: "question".into() },
             Some(Asked::State(serial, id)) => {
-                let Some(hooks) = &mut self.second.hooks else { return };
+                let Some(hooks) = &mut self.secondary.hooks else { return };
                 return hooks.ask_state(serial, id, from, number);
             }
             Some(Asked::Take(mut call, mark, until)) => {
@@ -75,7 +75,7 @@
         (mark, until): (&Mark, Micros),
         class: &str,
     ) -> Result<usize, Refusal> {
-        let Some(side) = &mut self.fleet.copies else { return Err(Refusal::Leaving) };
+        let Some(side) = &mut self.cluster.replication else { return Err(Refusal::Leaving) };
         let (want, primary) = (side.wants(class), side.machine.settings().name.clone());
         // None while what stands of it is still being read.
         let taken = side.open.get_mut(&shard);
@@ -85,21 +85,21 @@
     }
 
     fn remember_mark(&mut self, shard: ShardId, mark: Mark, until: Micros) {
-        if let Some(taken) = self.fleet.copies.as_mut().and_then(|s| s.open.get_mut(&shard)) {
+        if let Some(taken) = self.cluster.replication.as_mut().and_then(|s| s.open.get_mut(&shard)) {
             taken.take(mark, until);
         }
     }
 
     /// The identity was not taken after all.
     pub(in crate::gateway) fn forget_mark(&mut self, shard: ShardId, mark: &Mark) {
-        if let Some(taken) = self.fleet.copies.as_mut().and_then(|s| s.open.get_mut(&shard)) {
+        if let Some(taken) = self.cluster.replication.as_mut().and_then(|s| s.open.get_mut(&shard)) {
             taken.forget(mark);
         }
     }
 
     /// A primary's answer to a question from here.
     pub(super) fn told_by_primary(&mut self, now: Micros, ticket: u64, told: Told) {
-        let waits = self.fleet.copies.as_mut().and_then(|s| s.waits.remove(&ticket));
+        let waits = self.cluster.replication.as_mut().and_then(|s| s.waits.remove(&ticket));
         match (waits, told) {
             (Some(Waits::Take(conn, _)), Told::Promised(copies)) => self.promised_call(now, conn, copies),
             (Some(Waits::Take(conn, mark)), Told::Refused(why)) => self.refused_call(now, conn, &mark, &why),
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use super::tenants;
-use super::webhooks::{refuse, Hooks};
+use super::webhooks::{refuse, WebhookDriver};
 use super::*;
 use crate::admin::{self, idempotency::Keys, idempotency::Known, Change, Context, Done as Handling};
 use crate::config::ConfigError;
@@ -18,13 +18,13 @@
 
 /// All that belongs to the second front.
 #[derive(Debug, Default)]
-pub(super) struct Second {
+pub(super) struct SecondaryListeners {
     pub(super) tenants: Registry,
     /// Tenants that the operator's file names.
     pub(super) listed: BTreeSet<String>,
     /// Where tenants are kept.
     state: Option<PathBuf>,
-    pub(super) hooks: Option<Hooks>,
+    pub(super) hooks: Option<WebhookDriver>,
     admin: Option<AdminSide>,
 }
 
@@ -37,30 +37,31 @@
     keys: Keys,
 }
 
-impl Node {
+impl Gateway {
     /// Sets up what an operator's file asks for.
-    pub(super) fn set_up(&mut self, now: Micros, operator: Operator) -> Result<(), NodeError> {
+    pub(super) fn set_up(&mut self, now: Micros, operator: Operator) -> Result<(), GatewayError> {
         let shares = self.config.settings.tenants.iter().map(|t| t.quota_per_s);
         let platform: Vec<_> = self.config.names.tenants.iter().cloned().zip(shares).collect();
-        self.second.tenants = operator.registry(&platform).map_err(NodeError::Operator)?;
-        self.second.listed = self.second.tenants.iter().map(|(name, _)| name.clone()).collect();
-        self.second.state = operator.state;
-        if let Some(path) = self.second.state.as_ref().filter(|p| p.exists()) {
+        self.secondary.tenants = operator.registry(&platform).map_err(GatewayError::Operator)?;
+        self.secondary.listed = self.secondary.tenants.iter().map(|(name, _)| name.clone()).collect();
+        self.secondary.state = operator.state;
+        if let Some(path) = self.secondary.state.as_ref().filter(|p| p.exists()) {
             let text = std::fs::read_to_string(path);
-            let text = text.map_err(|e| NodeError::Operator(ConfigError::Read(path.clone(), e)))?;
-            let bad = |e: TenantError| NodeError::Operator(ConfigError::Parse(path.clone(), e.to_string()));
-            self.second.tenants.restore(&text).map_err(bad)?;
+            let text = text.map_err(|e| GatewayError::Operator(ConfigError::Read(path.clone(), e)))?;
+            let bad =
+                |e: TenantError| GatewayError::Operator(ConfigError::Parse(path.clone(), e.to_string()));
+            self.secondary.tenants.restore(&text).map_err(bad)?;
         }
-        for (tenant, per_s) in self.second.tenants.shares() {
+        for (tenant, per_s) in self.secondary.tenants.shares() {
             self.core.share(now, tenant, per_s);
         }
         if let Some(w) = operator.webhooks {
             self.set_up_webhooks(now, w)?;
         }
         if let Some(a) = operator.admin {
-            let gate = Gate::new(&a.trust_domain, &a.audience, a.roles()).map_err(NodeError::Identity)?;
+            let gate = Gate::new(&a.trust_domain, &a.audience, a.roles()).map_err(GatewayError::Identity)?;
             let refresh = a.refresh_s.max(1) * 1_000_000;
-            self.second.admin = Some(AdminSide { gate, bundle: a.bundle, refresh, keys: Keys::default() });
+            self.secondary.admin = Some(AdminSide { gate, bundle: a.bundle, refresh, keys: Keys::default() });
             self.listen(Kind::Admin, a.listen)?;
             self.load_bundle(now);
         }
@@ -69,7 +70,7 @@
 
     /// Reads the trust bundle, now and again: keys rotate. One that cannot be read leaves the keys held.
     pub(super) fn load_bundle(&mut self, now: Micros) {
-        let Some(admin) = &mut self.second.admin else { return };
+        let Some(admin) = &mut self.secondary.admin else { return };
         let text = std::fs::read_to_string(&admin.bundle).map_err(|e| e.to_string());
         if let Err(e) = text.and_then(|t| admin.gate.load(&t).map_err(|e| e.to_string())) {
             tracing::warn!(bundle = %admin.bundle.display(), "the trust bundle stays as it is: {e}");
@@ -81,7 +82,9 @@
     /// Answers what has come on a webhook's or administrator's connection.
     pub(super) fn on_second(&mut self, key: ConnKey, now: Micros) {
         loop {
-            let Some((conn, Role::Client { kind, keep, open })) = self.conns.get_mut(key) else { return };
+            let Some((conn, Role::Client { kind, keep, open })) = self.connections.get_mut(key) else {
+                return;
+            };
             if open.is_some() || conn.closing || conn.hold_back() {
                 return;
             }
@@ -115,10 +118,10 @@
                 }
             };
             input.consume(size);
-            let Some((conn, Role::Client { open, .. })) = self.conns.get_mut(key) else { return };
+            let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else { return };
             conn.input = input;
             let Some(bytes) = bytes else {
-                *open = Some(Owed::Store);
+                *open = Some(PendingResponse::Store);
                 return self.set_deadline(key, None);
             };
             conn.out.push(KEPT_FRAME, bytes);
@@ -136,7 +139,7 @@
         now: Micros,
     ) -> Option<Vec<u8>> {
         let problem = |bad: Bad| Some(admin::answer(&Err(bad), stays));
-        let admitted = self.second.admin.as_ref().map(|side| admin::admit(r, &side.gate, now));
+        let admitted = self.secondary.admin.as_ref().map(|side| admin::admit(r, &side.gate, now));
         let who = match admitted.unwrap_or(Err(plain(404, "off"))) {
             Ok(who) => who,
             Err(bad) => return problem(bad),
@@ -153,7 +156,7 @@
             if !Keys::usable(key) {
                 return problem(plain(422, "an Idempotency-Key is 1 to 128 bytes"));
             }
-            let Some(side) = &mut self.second.admin else { return problem(plain(404, "off")) };
+            let Some(side) = &mut self.secondary.admin else { return problem(plain(404, "off")) };
             match side.keys.begin(&who, key, &request, now) {
                 Known::New => {}
                 Known::Answered(bytes) => return Some(bytes),
@@ -167,17 +170,17 @@
             self.end_key(key.map(|k| (who, k.to_owned())), false, &[]);
             return Some(answer.unwrap_or_else(|bad| admin::answer(&Err(bad), stays)));
         }
-        let before = self.second.tenants.clone();
+        let before = self.secondary.tenants.clone();
         let fleet = match r.path {
             "/v1/peers" => self.peers(now),
             "/v1/council" | "/v1/council/voters" => self.council_view(),
             "/v1/duties" => self.duties_view(),
             _ => serde_json::Value::Null,
         };
-        let hooks = &self.second.hooks;
+        let hooks = &self.secondary.hooks;
         let health = |id| hooks.as_ref().and_then(|h| h.health(id));
         let counters = &self.core.counters;
-        let mut cx = Context { tenants: &mut self.second.tenants, counters, health: &health, fleet, now };
+        let mut cx = Context { tenants: &mut self.secondary.tenants, counters, health: &health, fleet, now };
         let handled = admin::handle(r, &who, &mut cx);
         let key = key.map(|key| (who.clone(), key.to_owned()));
         let mut handled = match handled {
@@ -189,11 +192,11 @@
             Err(bad) => Err(bad),
         };
         let changes = handled.as_mut().map_or(Vec::new(), |h| std::mem::take(&mut h.changes));
-        if self.fleet.tenants.is_some() && changes.iter().any(Change::is_kept) {
+        if self.cluster.tenants.is_some() && changes.iter().any(Change::is_kept) {
             if let (Ok(handled), Some(tenant)) = (handled, admin::tenant_of(r.path)) {
                 // As it would be; it is so once all agree.
-                let kept = self.second.tenants.told(tenant, now);
-                self.second.tenants = before;
+                let kept = self.secondary.tenants.told(tenant, now);
+                self.secondary.tenants = before;
                 let key = key.zip(digests).map(|((_, key), (whose, what))| (key, whose, what));
                 self.agree_on(tenant, kept, tenants::Asker { conn, who, key, handled, changes });
             }
@@ -201,7 +204,7 @@
         }
         if !changes.is_empty() && !self.keep_tenants() {
             // A change that would be forgotten is not made.
-            self.second.tenants = before;
+            self.secondary.tenants = before;
             handled = Err(plain(500, "the change could not be kept"));
         } else {
             if !changes.is_empty() {
@@ -215,7 +218,7 @@
     }
 
     pub(super) fn end_key(&mut self, key: Option<(String, String)>, final_answer: bool, bytes: &[u8]) {
-        if let (Some((who, key)), Some(side)) = (key, &mut self.second.admin) {
+        if let (Some((who, key)), Some(side)) = (key, &mut self.secondary.admin) {
             side.keys.end(&who, &key, final_answer.then_some(bytes));
         }
     }
@@ -255,8 +258,8 @@
 
     /// Writes the tenants to their file, if they have one; `false` if that failed.
     pub(super) fn keep_tenants(&self) -> bool {
-        let Some(path) = &self.second.state else { return true };
-        match keep(path, &self.second.tenants.state()) {
+        let Some(path) = &self.secondary.state else { return true };
+        match keep(path, &self.secondary.tenants.state()) {
             Ok(()) => true,
             Err(e) => {
                 tracing::error!(file = %path.display(), "cannot be written: {e}");
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -11,7 +11,7 @@
 use crate::front::http::{plain, Bad};
 use crate::gateway::consensus::uptime;
 use crate::gateway::history::History;
-use crate::gateway::{ConnKey, Node, TENANTS};
+use crate::gateway::{ConnKey, Gateway, TENANTS};
 use crate::tenancy::replicated::changes::{Changes, Input, Output, Settings, Ticket, Wanted};
 use crate::tenancy::replicated::error::Refusal;
 use crate::tenancy::replicated::history::Note;
@@ -44,7 +44,7 @@
 
 /// Agreed tenants, while they are on.
 #[derive(Debug)]
-pub(super) struct TenantSide {
+pub(super) struct TenantDriver {
     machine: Changes,
     /// Tenants that the operator's file names.
     listed: BTreeSet<String>,
@@ -64,12 +64,12 @@
     (blake3::derive_key("molelug idempotency key 1", &whose), *blake3::hash(request).as_bytes())
 }
 
-impl Node {
+impl Gateway {
     /// Begins to agree on tenants with the other gateways.
     pub(super) fn set_up_tenants(&mut self, now: Micros, settings: Settings, history: History) {
-        self.fleet.tenants = Some(TenantSide {
+        self.cluster.tenants = Some(TenantDriver {
             machine: Changes::new(settings),
-            listed: self.second.listed.clone(),
+            listed: self.secondary.listed.clone(),
             waits: HashMap::new(),
             tickets: 0,
             wanted: VecDeque::new(),
@@ -77,7 +77,7 @@
             history,
             heard: false,
         });
-        if let Some(side) = &mut self.fleet.tenants {
+        if let Some(side) = &mut self.cluster.tenants {
             side.history.record(&Note::Begun);
         }
         self.tenants_agreed(now);
@@ -85,8 +85,8 @@
 
     /// What is agreed may have changed.
     pub(super) fn tenants_agreed(&mut self, now: Micros) {
-        let Some(side) = &self.fleet.tenants else { return };
-        let Some(hall) = self.fleet.hall.as_ref().map(|h| h.member().state()) else { return };
+        let Some(side) = &self.cluster.tenants else { return };
+        let Some(hall) = self.cluster.consensus.as_ref().map(|h| h.member().state()) else { return };
         // Most changes of what is agreed are of shards.
         if (side.machine.agreed().changes, side.machine.voters()) != (hall.tenants.changes, hall.voters.len())
         {
@@ -98,8 +98,8 @@
     /// Whether tenants are as all agree. A process that has just begun goes by its files until it has heard: one that was
     /// removed, or a secret that was taken back, must not count again meanwhile.
     pub(super) fn knows_tenants(&mut self) -> Result<(), Refusal> {
-        let Some(side) = &mut self.fleet.tenants else { return Ok(()) };
-        side.heard |= self.fleet.hall.as_ref().is_some_and(|h| h.member().has_heard());
+        let Some(side) = &mut self.cluster.tenants else { return Ok(()) };
+        side.heard |= self.cluster.consensus.as_ref().is_some_and(|h| h.member().has_heard());
         if side.heard {
             Ok(())
         } else {
@@ -108,7 +108,7 @@
     }
 
     pub(super) fn tick_tenants(&mut self, now: Micros) {
-        if let Some(side) = &mut self.fleet.tenants {
+        if let Some(side) = &mut self.cluster.tenants {
             side.hung = None;
         }
         self.tell_tenants(now, Input::Tick);
@@ -116,7 +116,7 @@
 
     /// Whether an answer was agreed on with a request of this key: the answer, or that the key came with another request.
     pub(super) fn answered_before(&self, key: &[u8; 32], request: &[u8; 32]) -> Option<Result<Vec<u8>, Bad>> {
-        let answer = self.fleet.tenants.as_ref()?.machine.agreed().answer(key)?;
+        let answer = self.cluster.tenants.as_ref()?.machine.agreed().answer(key)?;
         let other = plain(409, "the Idempotency-Key is in use for another request");
         Some(if answer.request == *request { Ok(answer.bytes.clone()) } else { Err(other) })
     }
@@ -131,13 +131,13 @@
 
     /// An endpoint was switched off here: all are to know.
     pub(super) fn agree_on_disabled(&mut self, now: Micros, tenant: &str, id: EndpointId) {
-        let version = self.second.tenants.get(tenant).and_then(|t| t.endpoint(id)).map(|(_, e)| e.version);
-        let kept = self.second.tenants.told(tenant, now);
+        let version = self.secondary.tenants.get(tenant).and_then(|t| t.endpoint(id)).map(|(_, e)| e.version);
+        let kept = self.secondary.tenants.told(tenant, now);
         self.want(tenant, kept, None, Waits::Disabled(id, version.map_or(0, |v| v.saturating_sub(1))));
     }
 
     fn want(&mut self, tenant: &str, kept: Option<Vec<u8>>, answer: Option<Answer>, waits: Waits) {
-        let Some(side) = &mut self.fleet.tenants else { return };
+        let Some(side) = &mut self.cluster.tenants else { return };
         side.tickets += 1;
         side.waits.insert(side.tickets, waits);
         let (ticket, listed) = (side.tickets, side.listed.contains(tenant));
@@ -146,22 +146,22 @@
 
     /// Does what there is to do; whether there was something.
     pub(super) fn step_tenants(&mut self, now: Micros) -> bool {
-        let wanted = self.fleet.tenants.as_mut().and_then(|s| s.wanted.pop_front());
+        let wanted = self.cluster.tenants.as_mut().and_then(|s| s.wanted.pop_front());
         let Some((ticket, wanted)) = wanted else { return false };
         self.tell_tenants(now, Input::Change(ticket, wanted));
         true
     }
 
     fn tell_tenants(&mut self, now: Micros, input: Input) {
-        let Some(side) = &mut self.fleet.tenants else { return };
+        let Some(side) = &mut self.cluster.tenants else { return };
         side.machine.handle(uptime(), input);
         let mut adopted = false;
-        while let Some(output) = self.fleet.tenants.as_mut().and_then(|s| s.machine.output()) {
+        while let Some(output) = self.cluster.tenants.as_mut().and_then(|s| s.machine.output()) {
             match output {
                 Output::Propose(entry) => {
                     self.tell_member_of_council(Say::Bring(Brought::Tenants(Box::new(entry))));
                 }
-                Output::Removals(removals) => self.second.tenants.set_removals(removals),
+                Output::Removals(removals) => self.secondary.tenants.set_removals(removals),
                 Output::Adopt(tenant, kept) => {
                     adopted = true;
                     self.adopt_tenant(now, &tenant, kept.as_deref());
@@ -169,7 +169,7 @@
                 Output::Done(ticket) => self.change_agreed(now, ticket),
                 Output::Refused(ticket, why) => self.change_refused(now, ticket, &why),
                 Output::Noted(note) => {
-                    if let Some(side) = &mut self.fleet.tenants {
+                    if let Some(side) = &mut self.cluster.tenants {
                         side.history.record(&note);
                     }
                 }
@@ -179,7 +179,7 @@
             // What is agreed holds, whatever becomes of the file; a failure was told.
             self.keep_tenants();
         }
-        let Some(side) = &mut self.fleet.tenants else { return };
+        let Some(side) = &mut self.cluster.tenants else { return };
         let up = uptime();
         let next = side.machine.next_deadline().map(|t| now + t.saturating_sub(up).max(1));
         if let Some(old) = side.hung.take() {
@@ -192,7 +192,7 @@
     }
 
     fn adopt_tenant(&mut self, now: Micros, tenant: &str, kept: Option<&[u8]>) {
-        match self.second.tenants.adopt(now, tenant, kept) {
+        match self.secondary.tenants.adopt(now, tenant, kept) {
             Ok(Some(adopted)) => {
                 tracing::info!(tenant, removed = kept.is_none(), "took over a tenant as it is agreed on");
                 self.core.share(now, adopted.share.0, adopted.share.1);
@@ -206,13 +206,13 @@
             }
         }
         // A removal that was taken over has counted itself.
-        if let Some(side) = &self.fleet.tenants {
-            self.second.tenants.set_removals(side.machine.agreed().removals);
+        if let Some(side) = &self.cluster.tenants {
+            self.secondary.tenants.set_removals(side.machine.agreed().removals);
         }
     }
 
     fn change_agreed(&mut self, now: Micros, ticket: Ticket) {
-        let waits = self.fleet.tenants.as_mut().and_then(|s| s.waits.remove(&ticket));
+        let waits = self.cluster.tenants.as_mut().and_then(|s| s.waits.remove(&ticket));
         let Some(Waits::Asker(asker)) = waits else { return };
         let Asker { conn, who, key, handled, changes } = *asker;
         tracing::info!(who, "administered, as all agree");
@@ -226,7 +226,7 @@
 
     fn change_refused(&mut self, now: Micros, ticket: Ticket, why: &Refusal) {
         tracing::warn!(remedy = why.remedy(), "{why}");
-        match self.fleet.tenants.as_mut().and_then(|s| s.waits.remove(&ticket)) {
+        match self.cluster.tenants.as_mut().and_then(|s| s.waits.remove(&ticket)) {
             Some(Waits::Asker(asker)) => {
                 let Asker { conn, who, key, .. } = *asker;
                 // It may be made again under the same key, whatever became of it.
@@ -240,10 +240,10 @@
             // agreed in time, and only this gateway knows.
             Some(Waits::Disabled(id, version)) if why.may_come_again() => {
                 let of = |(name, t): (&String, &Tenant)| Some((name.clone(), t.endpoint(id)?.1.version));
-                let found = self.second.tenants.iter().find_map(of);
+                let found = self.secondary.tenants.iter().find_map(of);
                 match found {
                     Some((tenant, now_at)) if now_at == version => {
-                        self.second.tenants.disable(id);
+                        self.secondary.tenants.disable(id);
                         self.agree_on_disabled(now, &tenant, id);
                     }
                     Some((tenant, now_at)) if now_at == version + 1 => {
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -184,7 +184,7 @@
 
 /// Webhooks, while they are on.
 #[derive(Debug)]
-pub(super) struct Hooks {
+pub(super) struct WebhookDriver {
     inbound: Inbound,
     delivery: Delivery,
     jobs: SlotMap<JobKey, Held>,
@@ -212,7 +212,7 @@
     numbers: HashMap<ShardId, (Epoch, u32)>,
 }
 
-impl Hooks {
+impl WebhookDriver {
     /// Callbacks that wait in memory; those in a file need no room here.
     fn waiting(&self) -> usize {
         match &self.backend {
@@ -283,8 +283,8 @@
     }
 }
 
-fn store_error(path: PathBuf, e: &StoreError) -> NodeError {
-    NodeError::Operator(ConfigError::Parse(path, e.to_string()))
+fn store_error(path: PathBuf, e: &StoreError) -> GatewayError {
+    GatewayError::Operator(ConfigError::Parse(path, e.to_string()))
 }
 
 fn answered(status: u16, advice: Option<Micros>) -> Report {
@@ -342,11 +342,11 @@
     http::response(bad.status, extra, bad.why.as_bytes(), stays && !bad.fatal)
 }
 
-impl Node {
+impl Gateway {
     /// Writes the answer that a client of the second front is owed, and reads on.
     pub(super) fn answer_second(&mut self, key: ConnKey, now: Micros, bytes: impl FnOnce(bool) -> Vec<u8>) {
         let accepting = self.ops.life.keeps(now);
-        let Some((conn, Role::Client { open, keep, .. })) = self.conns.get_mut(key) else { return };
+        let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else { return };
         *open = None;
         conn.idle = now;
         let stays = *keep && accepting;
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Node {
+impl Gateway {
     /// Takes a webhook, or turns it away; none while its answer waits for the store.
     pub(in crate::gateway) fn take_webhook(
         &mut self,
@@ -15,15 +15,15 @@
             tracing::debug!(remedy = why.remedy(), "{why}");
             return Some(refuse(&plain(503, "it is not known yet what is agreed of tenants"), stays));
         }
-        let tenants = &self.second.tenants;
-        let Some(hooks) = &mut self.second.hooks else { return Some(refuse(&plain(404, "off"), stays)) };
+        let tenants = &self.secondary.tenants;
+        let Some(hooks) = &mut self.secondary.hooks else { return Some(refuse(&plain(404, "off"), stays)) };
         if r.method == "GET" {
             return match hooks.inbound.ask(r, tenants, now) {
-                Ok((serial, id)) if self.fleet.copies.is_some() => {
+                Ok((serial, id)) if self.cluster.replication.is_some() => {
                     let tenant = r.path.strip_prefix("/webhooks/").and_then(|p| p.split_once('/'));
                     let mark = replay::mark(tenant.map_or("", |(t, _)| t), id);
                     let (id, shard) =
-                        (id.to_owned(), self.fleet.copies.as_ref().map_or(0, |s| s.shard_of(&mark)));
+                        (id.to_owned(), self.cluster.replication.as_ref().map_or(0, |s| s.shard_of(&mark)));
                     self.ask_primary(shard, &Asked::State(serial, id.clone()), Question::State(key, id));
                     None
                 }
@@ -68,7 +68,7 @@
                     order: job.order.clone(),
                     sent: None,
                 };
-                if let Some(shard) = self.fleet.copies.as_ref().map(|s| s.shard_of(&mark)) {
+                if let Some(shard) = self.cluster.replication.as_ref().map(|s| s.shard_of(&mark)) {
                     let left = record.expires.saturating_sub(now);
                     let asked = Asked::Take(Box::new(CallRecord { expires: left, ..record }), mark, until);
                     self.ask_primary(shard, &asked, Question::Take(key, mark));
@@ -95,7 +95,7 @@
         mark: Mark,
         kept: Result<Reply, StoreError>,
     ) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         if let Err(e) = kept {
             return match (caller, e) {
                 (Caller::Here(conn), e) => {
@@ -141,7 +141,7 @@
 
     /// An attempt of a call that must not run twice waits until it is recorded that it leaves.
     pub(in crate::gateway) fn wait_for_record(&mut self, now: Micros, command: &Command<Origin>) -> bool {
-        let Some(hooks) = &mut self.second.hooks else { return false };
+        let Some(hooks) = &mut self.secondary.hooks else { return false };
         let Command::Dispatch { attempt, worker, id, class, function, expires_at: expires, body } = command
         else {
             return false;
@@ -165,11 +165,11 @@
 
     /// Whether an attempt still waited for its record: then it never left.
     pub(in crate::gateway) fn unrecorded(&mut self, attempt: AttemptKey) -> bool {
-        self.second.hooks.as_mut().is_some_and(|h| h.unrecorded.remove(attempt).is_some())
+        self.secondary.hooks.as_mut().is_some_and(|h| h.unrecorded.remove(attempt).is_some())
     }
 
     pub(super) fn recorded(&mut self, now: Micros, attempt: AttemptKey, kept: bool) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         let Some(w) = hooks.unrecorded.remove(attempt) else { return };
         if !kept || now > w.since + STALE {
             return self.done.push_back(Completed::plain(
@@ -184,7 +184,7 @@
 
     /// An attempt has ended; whether it is proved never to have run.
     pub(in crate::gateway) fn guarded_ended(&mut self, attempt: AttemptKey, never_ran: bool) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         let Some(id) = hooks.guarded.remove(attempt) else { return };
         let Some(guard) = hooks.guards.get_mut(&id) else { return };
         step("attempt answered");
@@ -197,11 +197,11 @@
 
     /// A webhook's call has its final answer: it is kept with its messages, in place of the call.
     pub(in crate::gateway) fn call_back(&mut self, now: Micros, job: JobKey, outcome: &Outcome) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         let Some(held) = hooks.jobs.remove(job) else { return };
         hooks.guards.remove(&held.id);
         let body = message::event(COMPLETED, now, &message::completed(&held.job, outcome));
-        let tenant = self.second.tenants.same(&held.job.tenant, held.job.serial);
+        let tenant = self.secondary.tenants.same(&held.job.tenant, held.job.serial);
         let mut messages = Vec::new();
         for e in tenant.iter().flat_map(|t| t.endpoints.values()).filter(|e| e.wants(COMPLETED)) {
             let shard = held.seq.shard();
@@ -229,7 +229,7 @@
         kind: &str,
         data: &serde_json::Value,
     ) {
-        let (Some(hooks), Some(t)) = (&mut self.second.hooks, self.second.tenants.get(tenant)) else {
+        let (Some(hooks), Some(t)) = (&mut self.secondary.hooks, self.secondary.tenants.get(tenant)) else {
             return;
         };
         let body = message::event(kind, now, data);
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-impl Node {
+impl Gateway {
     /// Makes an attempt at a message, on a connection that is idle or a new one.
     pub(super) fn attempt(&mut self, now: Micros, mut record: MessageRecord, body: &[u8]) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         let (seq, id) = (record.waiting.seq, record.waiting.endpoint);
-        let tenant = self.second.tenants.same(&record.tenant, record.serial);
+        let tenant = self.secondary.tenants.same(&record.tenant, record.serial);
         let Some((tenant, e)) = tenant.and_then(|t| t.endpoint(id).map(|(_, e)| (t, e))) else {
             // Removed at this very moment; its end is kept by the removal.
             return hooks.delivery.handle(now, Input::Ended(seq, Report::VOID));
@@ -34,7 +34,7 @@
         };
         match key {
             Ok(key) => {
-                let Some((conn, Role::Portal(link))) = self.conns.get_mut(key) else { return };
+                let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else { return };
                 (link.current, link.status) = (Some((seq, now)), None);
                 conn.out.push(seq.0, bytes);
                 self.set_deadline(key, Some(deadline));
@@ -47,7 +47,7 @@
                     _ if e.raw_os_error().is_some_and(|n| n == 24 || n == 23) => CloseReason::LocalLimit,
                     _ => CloseReason::ConnectTimeout,
                 };
-                if let Some(hooks) = &mut self.second.hooks {
+                if let Some(hooks) = &mut self.secondary.hooks {
                     hooks.delivery.handle(now, Input::Ended(seq, failed(ending)));
                 }
             }
@@ -56,7 +56,7 @@
 
     /// Something has come from a portal.
     pub(in crate::gateway) fn on_portal(&mut self, key: ConnKey, now: Micros) {
-        let Some((conn, Role::Portal(link))) = self.conns.get_mut(key) else { return };
+        let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else { return };
         let Some((seq, _)) = link.current else {
             // It says something unasked.
             if !conn.input.bytes().is_empty() {
@@ -75,8 +75,8 @@
                 // An answer ahead of the request's end: what is left of it would be read as the next request.
                 let clean = keep && conn.out.is_empty() && conn.input.bytes().is_empty() && !conn.ended;
                 self.portal_ended(now, seq, answered(status, advice));
-                let Some(hooks) = &mut self.second.hooks else { return };
-                let tenants = &self.second.tenants;
+                let Some(hooks) = &mut self.secondary.hooks else { return };
+                let tenants = &self.secondary.tenants;
                 let same = |e: &Endpoint| e.id == id && e.portal.address == address;
                 let known = tenants.iter().any(|(_, t)| t.endpoint(id).is_some_and(|(_, e)| same(e)));
                 let idle = hooks.idle.entry(id).or_default();
@@ -102,7 +102,7 @@
         ending: CloseReason,
         untouched: bool,
     ) {
-        if let Some(hooks) = &mut self.second.hooks {
+        if let Some(hooks) = &mut self.secondary.hooks {
             if let Some(idle) = hooks.idle.get_mut(&link.endpoint) {
                 idle.retain(|k| *k != key);
                 if idle.is_empty() {
@@ -124,7 +124,7 @@
 
     pub(super) fn portal_ended(&mut self, now: Micros, seq: Seq, report: Report) {
         step("callback answered");
-        if let Some(hooks) = &mut self.second.hooks {
+        if let Some(hooks) = &mut self.secondary.hooks {
             hooks.delivery.handle(now, Input::Ended(seq, report));
         }
     }
@@ -132,11 +132,15 @@
     /// Nothing more is begun towards portals: what waits goes on at the next start, what is out ends now and
     /// follows its class. Without a store all of it is awaited as before.
     pub(in crate::gateway) fn stop_webhooks(&mut self, now: Micros) {
-        let Some(hooks) = self.second.hooks.as_mut().filter(|h| h.durable()) else { return };
+        let Some(hooks) = self.secondary.hooks.as_mut().filter(|h| h.durable()) else { return };
         hooks.stopping = Some(now);
         hooks.delivery.handle(now, Input::Stop);
-        let portals: Vec<ConnKey> =
-            self.conns.iter().filter(|(_, (_, r))| matches!(r, Role::Portal(_))).map(|(k, _)| k).collect();
+        let portals: Vec<ConnKey> = self
+            .connections
+            .iter()
+            .filter(|(_, (_, r))| matches!(r, Role::Portal(_)))
+            .map(|(k, _)| k)
+            .collect();
         portals.into_iter().for_each(|key| self.close(key, CloseReason::Shutdown));
     }
 
@@ -147,7 +151,7 @@
         op: Op,
         key: Option<(String, String)>,
     ) -> Result<(), Bad> {
-        let hooks = self.second.hooks.as_mut().ok_or(plain(404, "webhooks are off"))?;
+        let hooks = self.secondary.hooks.as_mut().ok_or(plain(404, "webhooks are off"))?;
         let limit = match &op {
             Op::Messages(filter) => Some(filter.limit),
             _ => None,
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-impl Node {
+impl Gateway {
     /// Does one thing that the store or delivery asks for; whether there was one.
     pub(in crate::gateway) fn step_webhooks(&mut self, now: Micros) -> bool {
-        let Some(hooks) = &mut self.second.hooks else { return false };
+        let Some(hooks) = &mut self.secondary.hooks else { return false };
         if let Some((number, reply)) = hooks.replies.pop_front() {
             if let Some(ask) = hooks.asked.remove(&number) {
                 self.replied(now, ask, reply);
@@ -31,14 +31,14 @@
 
     /// Delivery's own deadline fell due.
     pub(in crate::gateway) fn tick_webhooks(&mut self, now: Micros) {
-        if let Some(hooks) = &mut self.second.hooks {
+        if let Some(hooks) = &mut self.secondary.hooks {
             hooks.hung = None;
             hooks.delivery.handle(now, Input::Tick);
         }
     }
 
     pub(super) fn replied(&mut self, now: Micros, ask: Ask, reply: Result<Reply, StoreError>) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         match ask {
             Ask::Take { caller, call, seq, mark } => self.taken(now, caller, *call, seq, mark, reply),
             Ask::Disk => self.disk_began(reply),
@@ -138,19 +138,19 @@
     }
 
     pub(super) fn now_wait(&mut self, now: Micros, reply: Result<Reply, StoreError>) {
-        let (Some(hooks), Ok(Reply::Waits(all))) = (&mut self.second.hooks, reply) else { return };
+        let (Some(hooks), Ok(Reply::Waits(all))) = (&mut self.secondary.hooks, reply) else { return };
         all.into_iter().for_each(|w| hooks.delivery.handle(now, Input::Waits(w)));
     }
 
     /// A pass of retention is due.
     pub(in crate::gateway) fn retain(&mut self, now: Micros) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         let (age, bytes) = hooks.retention;
         hooks.ask(Ask::Retain, Op::Retain(now, age, bytes, RETAINED));
     }
 
     pub(super) fn deliver(&mut self, now: Micros, output: Output) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         match output {
             Output::Begin { seq, recorded, .. } => hooks.ask(Ask::Begin(seq), Op::Begin(seq, recorded, now)),
             Output::Fetch(id, limit) => hooks.ask(Ask::Fetch(id), Op::Fetch(id, limit)),
@@ -187,7 +187,7 @@
                 }
             }
             Output::Disabled(id, why) => {
-                let Some((tenant, name)) = self.second.tenants.disable(id) else { return };
+                let Some((tenant, name)) = self.secondary.tenants.disable(id) else { return };
                 tracing::warn!(tenant, endpoint = name, why, "an endpoint is switched off");
                 self.keep_tenants();
                 self.agree_on_disabled(now, &tenant, id);
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Hooks {
+impl WebhookDriver {
     /// What a question that is being kept is for, for tests that end the process there.
     pub(in crate::gateway) fn is_for(&self, number: u64) -> Option<&'static str> {
         match self.asked.get(&number)? {
@@ -111,12 +111,12 @@
     }
 }
 
-impl Node {
+impl Gateway {
     /// Goes on with a call that another process has taken: by its class and stage it runs, is refused, or nobody can tell.
     pub(in crate::gateway) fn go_on(&mut self, now: Micros, call: CallRecord, stepped_back: bool) -> Fate {
         let fate = fate(&call, now, stepped_back);
         let made = self.call_of(&call).filter(|_| !self.core.is_open(&call.worker_id));
-        let Some(hooks) = &mut self.second.hooks else { return Fate::Refuse };
+        let Some(hooks) = &mut self.secondary.hooks else { return Fate::Refuse };
         let (job, id): (Job, Rc<str>) = (job_of(&call), call.worker_id.as_str().into());
         let key = hooks.jobs.insert(Held { seq: call.seq, job, id: id.clone(), request: None });
         match (fate, made) {
@@ -141,7 +141,7 @@
     }
 
     pub(super) fn runs(&mut self, key: JobKey, request: RequestKey) {
-        if let Some(held) = self.second.hooks.as_mut().and_then(|h| h.jobs.get_mut(key)) {
+        if let Some(held) = self.secondary.hooks.as_mut().and_then(|h| h.jobs.get_mut(key)) {
             held.request = Some(request);
         }
     }
@@ -149,7 +149,7 @@
     /// The call that a record is of; none if its class or tenant is not known here.
     pub(super) fn call_of(&self, call: &CallRecord) -> Option<Call<Job>> {
         let place = Names::place(&self.config.names.classes, &call.class)?;
-        let tenant = self.second.tenants.same(&call.tenant, call.serial)?.id;
+        let tenant = self.secondary.tenants.same(&call.tenant, call.serial)?.id;
         let arrival = Arrival {
             request: RequestId(0),
             class: ClassId(place as u8),
@@ -185,7 +185,7 @@
             return Err(Refusal::Seen);
         }
         let call = self.call_of(&record).ok_or(unknown("class or tenant"))?;
-        let hooks = self.second.hooks.as_mut().ok_or(unknown("front"))?;
+        let hooks = self.secondary.hooks.as_mut().ok_or(unknown("front"))?;
         if hooks.stopping.is_some() {
             return Err(Refusal::Leaving);
         }
@@ -214,7 +214,7 @@
         mark: &Mark,
         why: &Refusal,
     ) {
-        if let Some(hooks) = self.second.hooks.as_mut().filter(|_| *why != Refusal::Seen) {
+        if let Some(hooks) = self.secondary.hooks.as_mut().filter(|_| *why != Refusal::Seen) {
             hooks.inbound.replays.forget(mark);
         }
         self.core.counters.webhooks_refused += 1;
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -2,9 +2,13 @@
 
 use super::*;
 
-impl Node {
+impl Gateway {
     /// Sets webhooks up, and goes on with what the store holds.
-    pub(in crate::gateway) fn set_up_webhooks(&mut self, now: Micros, w: Webhooks) -> Result<(), NodeError> {
+    pub(in crate::gateway) fn set_up_webhooks(
+        &mut self,
+        now: Micros,
+        w: Webhooks,
+    ) -> Result<(), GatewayError> {
         let seed = self.config.seed;
         let most_bytes = w.store_mb << 20;
         let mut found = Found::default();
@@ -14,12 +18,14 @@
                     Disk::open(path, most_bytes, now).map_err(|e| store_error(path.clone(), &e))?;
                 found = f;
                 let (tell, told) = channel::channel();
-                let note = |event, _: &mut (), node: &mut Node| {
-                    if let (channel::Event::Msg((number, reply)), Some(h)) = (event, &mut node.second.hooks) {
+                let note = |event, _: &mut (), node: &mut Gateway| {
+                    if let (channel::Event::Msg((number, reply)), Some(h)) =
+                        (event, &mut node.secondary.hooks)
+                    {
                         h.reply(number, reply);
                     }
                 };
-                self.handle.insert_source(told, note).map_err(|e| NodeError::Loop(e.error))?;
+                self.handle.insert_source(told, note).map_err(|e| GatewayError::Loop(e.error))?;
                 let again = path.clone();
                 // What a start would settle was settled then; what was begun since ends by its own report.
                 let opener = move || Disk::reopen(&again, most_bytes);
@@ -42,13 +48,14 @@
         let durable = w.store.is_some();
         let mut replays = match &w.replay_file {
             Some(path) => Replays::open(path, w.replay_entries, now)
-                .map_err(|e| NodeError::Operator(ConfigError::Read(path.clone(), e)))?,
+                .map_err(|e| GatewayError::Operator(ConfigError::Read(path.clone(), e)))?,
             None => Replays::new(w.replay_entries),
         };
         replays.load(&found.replays);
         let schedule = match (&w.schedule_s, durable) {
-            (Some(pauses), _) => Schedule::from_seconds(pauses)
-                .map_err(|e| NodeError::Operator(ConfigError::Value("webhooks.schedule_s", e.to_string())))?,
+            (Some(pauses), _) => Schedule::from_seconds(pauses).map_err(|e| {
+                GatewayError::Operator(ConfigError::Value("webhooks.schedule_s", e.to_string()))
+            })?,
             (None, true) => Schedule::default(),
             (None, false) => Schedule::short(w.callback_window_ms * 1000),
         };
@@ -57,7 +64,7 @@
             Caps { ready: usize::MAX / 2, loaded: usize::MAX / 2, soon: Micros::MAX / 2, ..Caps::default() };
         let caps = if durable { Caps::default() } else { all };
         let caps = Caps { out: w.portals, disable_after: w.disable_after_s * 1_000_000, ..caps };
-        self.second.hooks = Some(Hooks {
+        self.secondary.hooks = Some(WebhookDriver {
             inbound: Inbound {
                 tolerance_s: w.tolerance_s,
                 started: (w.replay_file.is_none() && !durable).then_some(now),
@@ -88,7 +95,7 @@
             shared: VecDeque::new(),
             numbers: HashMap::new(),
         });
-        let names: Vec<String> = self.second.tenants.iter().map(|(name, _)| name.clone()).collect();
+        let names: Vec<String> = self.secondary.tenants.iter().map(|(name, _)| name.clone()).collect();
         names.iter().for_each(|name| self.tell_endpoints(now, name));
         self.listen(Kind::Webhook, w.listen)?;
         self.recover(now, found);
@@ -100,7 +107,7 @@
 
     /// Goes on with what the process before left: one row of the crash table for each call.
     pub(super) fn recover(&mut self, now: Micros, found: Found) {
-        let Some(hooks) = &mut self.second.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else { return };
         for (id, due) in &found.endpoints {
             if hooks.delivery.health(*id).is_some() {
                 hooks.delivery.handle(now, Input::Stored(*id, *due));
@@ -128,7 +135,7 @@
 
     /// Tells delivery of a tenant's endpoints as they are now.
     pub(in crate::gateway) fn tell_endpoints(&mut self, now: Micros, tenant: &str) {
-        let (Some(hooks), Some(t)) = (&mut self.second.hooks, self.second.tenants.get(tenant)) else {
+        let (Some(hooks), Some(t)) = (&mut self.secondary.hooks, self.secondary.tenants.get(tenant)) else {
             return;
         };
         for e in t.endpoints.values() {
@@ -139,7 +146,7 @@
     /// Endpoints are no more.
     pub(in crate::gateway) fn forget_endpoints(&mut self, now: Micros, ids: &[EndpointId]) {
         for id in ids {
-            let Some(hooks) = &mut self.second.hooks else { return };
+            let Some(hooks) = &mut self.secondary.hooks else { return };
             hooks.delivery.handle(now, Input::Removed(*id));
             for key in hooks.idle.remove(id).unwrap_or_default() {
                 self.close(key, CloseReason::Shutdown);
