--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use super::ask::{at, plain, At};
-use crate::consensus::config::{found, fresh, state_of, File};
+use crate::consensus::config::{bootstrap, fresh, state_of, File};
 use crate::consensus::kept::Record;
 use crate::store::disk::Disk;
 use crate::store::records::Op;
@@ -170,7 +170,7 @@
                 None => None,
             };
             let path = seat_file(&file)?;
-            make(&path, found(generation, &me, &names, old.as_ref())?)?;
+            make(&path, bootstrap(generation, &me, &names, old.as_ref())?)?;
             println!("{me} is a founder of generation {generation}, with {} in all", names.len());
         }
         Council::Show(at) => {
--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -7,9 +7,9 @@
 
 use serde::Deserialize;
 
-use super::kept::{Head, Kept, Line, Record};
+use super::kept::{Head, LogLine, PersistentState, Record};
 use super::state::State;
-use super::{founder, Seat, MOST_VOTERS};
+use super::{bootstrap_voter, ReplicaId, MAX_VOTERS};
 use crate::config::ConfigError;
 use crate::lease::ledger::{Ledger, MOST_DUTIES};
 use crate::membership::config::read_keys;
@@ -112,7 +112,7 @@
 
 /// Why a council cannot be founded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unfounded {
+pub enum BootstrapError {
     /// Not 1 to 7 different names.
     Names,
     /// Who founds is not among them.
@@ -121,51 +121,56 @@
     Generation(u32),
 }
 
-impl std::fmt::Display for Unfounded {
+impl std::fmt::Display for BootstrapError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unfounded::Names => {
-                write!(f, "a council has 1 to {MOST_VOTERS} voters, each with a name of its own")
+            BootstrapError::Names => {
+                write!(f, "a council has 1 to {MAX_VOTERS} voters, each with a name of its own")
             }
-            Unfounded::NotAmongThem => f.write_str("the gateway itself is not among the voters"),
-            Unfounded::Generation(g) => {
+            BootstrapError::NotAmongThem => f.write_str("the gateway itself is not among the voters"),
+            BootstrapError::Generation(g) => {
                 write!(f, "the disk is of generation {g}, which is not an earlier one")
             }
         }
     }
 }
 
-impl std::error::Error for Unfounded {}
+impl std::error::Error for BootstrapError {}
 
 /// What the disk of a founder holds: the same state at every founder, its own seat. `from` is what a survivor of an older
 /// generation knows; its duties begin anew with terms above all that were granted.
-pub fn found(generation: u32, me: &str, names: &[String], from: Option<&State>) -> Result<Record, Unfounded> {
-    let voters: BTreeMap<Seat, Arc<str>> =
-        names.iter().map(|n| (founder(generation, n), n.as_str().into())).collect();
+pub fn bootstrap(
+    generation: u32,
+    me: &str,
+    names: &[String],
+    from: Option<&State>,
+) -> Result<Record, BootstrapError> {
+    let voters: BTreeMap<ReplicaId, Arc<str>> =
+        names.iter().map(|n| (bootstrap_voter(generation, n), n.as_str().into())).collect();
     let sound = !names.is_empty() && names.iter().all(|n| is_name(n));
-    if !sound || voters.len() != names.len() || names.len() > MOST_VOTERS {
-        return Err(Unfounded::Names);
+    if !sound || voters.len() != names.len() || names.len() > MAX_VOTERS {
+        return Err(BootstrapError::Names);
     }
     if !names.iter().any(|n| n == me) {
-        return Err(Unfounded::NotAmongThem);
+        return Err(BootstrapError::NotAmongThem);
     }
     if let Some(old) = from.filter(|s| s.generation >= generation) {
-        return Err(Unfounded::Generation(old.generation));
+        return Err(BootstrapError::Generation(old.generation));
     }
-    let ledger = from.map_or_else(Ledger::default, |s| s.ledger.founded_anew(generation));
+    let ledger = from.map_or_else(Ledger::default, |s| s.leases.founded_anew(generation));
     // As if one entry had been agreed: a seat that joins later has it not, and is sent the state.
-    let (sets, tenants) = from.map_or_else(Default::default, |s| (s.sets.clone(), s.tenants.clone()));
-    let state = State { generation, applied: FIRST, voters, ledger, sets, tenants };
-    Ok(seat_of(founder(generation, me), &state))
+    let (sets, tenants) = from.map_or_else(Default::default, |s| (s.replica_sets.clone(), s.tenants.clone()));
+    let state = State { generation, applied: FIRST, voters, leases: ledger, replica_sets: sets, tenants };
+    Ok(seat_of(bootstrap_voter(generation, me), &state))
 }
 
 /// What the disk of a seat holds that nobody has made a voter yet.
-pub fn fresh(seat: Seat) -> Record {
+pub fn fresh(seat: ReplicaId) -> Record {
     seat_of(seat, &State::default())
 }
 
-fn seat_of(seat: Seat, state: &State) -> Record {
-    let seats: Vec<Seat> = state.voters.keys().copied().collect();
+fn seat_of(seat: ReplicaId, state: &State) -> Record {
+    let seats: Vec<ReplicaId> = state.voters.keys().copied().collect();
     // A state always packs.
     let data = postcard::to_stdvec(state).unwrap_or_default();
     let at = state.applied;
@@ -180,18 +185,18 @@
 }
 
 /// The state that a disk's snapshot and its agreed entries come to; for founding anew from it.
-pub fn state_of(head: &Head, lines: &[Line]) -> Option<State> {
+pub fn state_of(head: &Head, lines: &[LogLine]) -> Option<State> {
     let mut state = State::read(&head.snapshot.3).ok()?;
     for line in lines.iter().filter(|l| l.index <= head.hard.2) {
         let bytes = if line.voters { &line.context } else { &line.data };
-        state.apply(line.index, &postcard::from_bytes(bytes).unwrap_or(super::state::Entry::Nothing));
+        state.apply(line.index, &postcard::from_bytes(bytes).unwrap_or(super::state::Entry::Noop));
     }
     Some(state)
 }
 
 /// A disk's content as the program holds it.
-pub fn kept_of(record: &Record) -> Kept {
-    let mut kept = Kept::default();
+pub fn kept_of(record: &Record) -> PersistentState {
+    let mut kept = PersistentState::default();
     kept.apply(record);
     kept
 }
--- a/src/consensus/follow.rs
+++ b/src/consensus/follow.rs
@@ -7,16 +7,16 @@
 use std::sync::Arc;
 
 use super::state::{Entry, State};
-use super::wire::{Effect, Passed, Poll};
-use super::Seat;
+use super::wire::{Forwarded, LeaseEffect, Poll};
+use super::ReplicaId;
 use crate::api::Micros;
 
 /// Followers at one voter whose questions wait; further ones are answered at once.
-pub const MOST_FOLLOWERS: usize = 2048;
+pub const MAX_LEARNERS: usize = 2048;
 /// Effects that are kept to be passed on; a follower that was away for longer gets the latest.
-pub const MOST_PASSED: usize = 64;
+pub const MAX_FORWARDED_EFFECTS: usize = 64;
 /// Entries in one answer.
-pub const MOST_ENTRIES: u64 = 128;
+pub const MAX_CATCH_UP_ENTRIES: u64 = 128;
 /// How long an answer waits for something to tell.
 const WAITS: Micros = 500_000;
 /// Without an answer for this long, another voter is asked.
@@ -24,21 +24,21 @@
 
 /// At a voter: whose questions wait, and what is passed on.
 #[derive(Clone, Debug, Default)]
-pub struct Followed {
+pub struct LearnerProgress {
     waits: BTreeMap<Arc<str>, (Poll, Micros)>,
-    passed: VecDeque<Effect>,
+    passed: VecDeque<LeaseEffect>,
     /// The number behind the last effect passed on.
     number: u64,
     /// Seats of followers that have one, by name: who may be made a voter.
-    seats: BTreeMap<Arc<str>, Seat>,
+    seats: BTreeMap<Arc<str>, ReplicaId>,
 }
 
-impl Followed {
+impl LearnerProgress {
     /// An effect was taken here.
-    pub fn pass(&mut self, effect: Effect) {
+    pub fn pass(&mut self, effect: LeaseEffect) {
         self.passed.push_back(effect);
         self.number += 1;
-        if self.passed.len() > MOST_PASSED {
+        if self.passed.len() > MAX_FORWARDED_EFFECTS {
             self.passed.pop_front();
         }
     }
@@ -47,20 +47,20 @@
     pub fn asked(&mut self, now: Micros, name: &str, poll: Poll) {
         let name: Arc<str> = name.into();
         match poll.seat {
-            Some(seat) if self.seats.len() < MOST_FOLLOWERS => drop(self.seats.insert(name.clone(), seat)),
+            Some(seat) if self.seats.len() < MAX_LEARNERS => drop(self.seats.insert(name.clone(), seat)),
             _ => drop(self.seats.remove(&name)),
         }
-        let until = if self.waits.len() < MOST_FOLLOWERS { now + WAITS } else { now };
+        let until = if self.waits.len() < MAX_LEARNERS { now + WAITS } else { now };
         self.waits.insert(name, (poll, until));
     }
 
     /// The seat that a follower has told of.
-    pub fn seat(&self, name: &str) -> Option<Seat> {
+    pub fn seat(&self, name: &str) -> Option<ReplicaId> {
         self.seats.get(name).copied()
     }
 
     /// All seats that followers have told of.
-    pub fn seats(&self) -> impl Iterator<Item = (&Arc<str>, Seat)> {
+    pub fn seats(&self) -> impl Iterator<Item = (&Arc<str>, ReplicaId)> {
         self.seats.iter().map(|(n, s)| (n, *s))
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// What is passed on to one who has so much.
-    pub fn since(&self, process: u64, poll: &Poll) -> Passed {
+    pub fn since(&self, process: u64, poll: &Poll) -> Forwarded {
         let has = if poll.passed.0 == process { poll.passed.1.min(self.number) } else { 0 };
         let news = (self.number - has).min(self.passed.len() as u64) as usize;
         (process, self.number, self.passed.iter().skip(self.passed.len() - news).cloned().collect())
@@ -110,31 +110,31 @@
 
 /// At a follower.
 #[derive(Clone, Debug)]
-pub struct Follower {
+pub struct Learner {
     state: State,
     passed: (u64, u64),
     voters: Vec<Arc<str>>,
     at: usize,
     asked: Option<Micros>,
-    seat: Option<Seat>,
+    seat: Option<ReplicaId>,
 }
 
 /// What a follower learns from an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct CatchUp {
     /// Entries that were applied, and whether they took hold.
     pub applied: Vec<(u64, Entry, bool)>,
     /// Whether the state was replaced.
     pub restored: bool,
     /// Effects passed on.
-    pub effects: Vec<Effect>,
+    pub effects: Vec<LeaseEffect>,
 }
 
-impl Follower {
+impl Learner {
     /// One that knows nothing but whom to ask.
-    pub fn new(voters: Vec<Arc<str>>, seat: Option<Seat>, seed: u64) -> Follower {
+    pub fn new(voters: Vec<Arc<str>>, seat: Option<ReplicaId>, seed: u64) -> Learner {
         let at = (seed as usize).checked_rem(voters.len()).unwrap_or(0);
-        Follower { state: State::default(), passed: (0, 0), voters, at, asked: None, seat }
+        Learner { state: State::default(), passed: (0, 0), voters, at, asked: None, seat }
     }
 
     /// The state as far as it has heard.
@@ -178,9 +178,9 @@
     }
 
     /// An answer came with entries.
-    pub fn entries(&mut self, generation: u32, entries: Vec<(u64, Entry)>, passed: Passed) -> News {
+    pub fn entries(&mut self, generation: u32, entries: Vec<(u64, Entry)>, passed: Forwarded) -> CatchUp {
         self.asked = None;
-        let mut news = News::default();
+        let mut news = CatchUp::default();
         if generation == self.state.generation {
             for (index, entry) in entries {
                 // One asked for twice comes twice.
@@ -195,9 +195,9 @@
     }
 
     /// An answer came with a state.
-    pub fn restored(&mut self, state: State, passed: Passed) -> News {
+    pub fn restored(&mut self, state: State, passed: Forwarded) -> CatchUp {
         self.asked = None;
-        let mut news = News::default();
+        let mut news = CatchUp::default();
         let newer = (state.generation, state.applied) > (self.state.generation, self.state.applied);
         if newer {
             self.state = state;
@@ -207,7 +207,7 @@
         news
     }
 
-    fn passed_on(&mut self, (process, number, effects): Passed, news: &mut News) {
+    fn passed_on(&mut self, (process, number, effects): Forwarded, news: &mut CatchUp) {
         self.passed = (process, number);
         news.effects = effects;
     }
@@ -221,20 +221,20 @@
     const SECOND: Micros = 1_000_000;
 
     fn entry(term: u64) -> Entry {
-        Entry::Duty(ledger::Entry::Grant {
+        Entry::Lease(ledger::Entry::Grant {
             duty: "d".into(),
             owner: crate::lease::Owner { name: "a".into(), incarnation: 1 },
             term,
         })
     }
 
-    fn effect(number: u64) -> Effect {
-        Effect { duty: "d".into(), term: 1, owner: "a".into(), number, content: Vec::new() }
+    fn effect(number: u64) -> LeaseEffect {
+        LeaseEffect { lease: "d".into(), term: 1, holder: "a".into(), number, content: Vec::new() }
     }
 
     #[test]
     fn a_silent_voter_is_left_for_the_next_and_one_question_is_out_at_a_time() {
-        let mut f = Follower::new(vec!["a".into(), "b".into()], None, 0);
+        let mut f = Learner::new(vec!["a".into(), "b".into()], None, 0);
         assert!(f.poll(0).is_some() && f.poll(1).is_none());
         assert_eq!(&**f.asks().unwrap(), "a");
         assert!(f.poll(SILENT).is_some_and(|(_, silent)| silent));
@@ -249,7 +249,7 @@
 
     #[test]
     fn entries_are_applied_once_and_in_order() {
-        let mut f = Follower::new(vec!["a".into()], None, 0);
+        let mut f = Learner::new(vec!["a".into()], None, 0);
         let state = State { generation: 1, applied: 4, ..State::default() };
         assert!(f.restored(state.clone(), (1, 0, Vec::new())).restored);
         assert!(!f.restored(state, (1, 0, Vec::new())).restored, "the same again is no news");
@@ -266,7 +266,7 @@
 
     #[test]
     fn an_answer_waits_for_news_and_no_longer_than_it_may() {
-        let (mut v, state) = (Followed::default(), State { applied: 5, ..State::default() });
+        let (mut v, state) = (LearnerProgress::default(), State { applied: 5, ..State::default() });
         let poll = Poll { generation: 0, applied: 5, passed: (9, 0), seat: None };
         v.asked(0, "f", poll.clone());
         assert!(v.due(1, 9, &state).is_empty());
@@ -282,6 +282,6 @@
         assert_eq!(v.since(9, &Poll { passed: (8, 70), ..poll.clone() }).2.len(), 1);
         (2..200).for_each(|n| v.pass(effect(n)));
         let (_, number, passed) = v.since(9, &poll);
-        assert_eq!((number, passed.len(), passed[0].number), (199, MOST_PASSED, 136));
+        assert_eq!((number, passed.len(), passed[0].number), (199, MAX_FORWARDED_EFFECTS, 136));
     }
 }
--- a/src/consensus/kept.rs
+++ b/src/consensus/kept.rs
@@ -9,7 +9,7 @@
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 use serde::{Deserialize, Serialize};
 
-use super::Seat;
+use super::ReplicaId;
 
 /// One change of what is kept. All of it is kept at once or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
     /// What is kept but for entries, if it changed.
     pub head: Option<Head>,
     /// Entries, in order; those at and behind their first index that were there are dropped.
-    pub entries: Vec<Line>,
+    pub entries: Vec<LogLine>,
     /// Entries below this are dropped.
     pub from: Option<u64>,
     /// All entries that were there are dropped, as a snapshot stands in their place.
@@ -35,22 +35,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// Drawn when the disk was made.
-    pub seat: Seat,
+    pub seat: ReplicaId,
     /// How often a process has begun on this disk.
     pub boots: u64,
     /// Why this seat must not vote any more, once that was found out.
     pub retired: Option<String>,
     /// The term it knows of, whom it voted for in it, and what it knows to be agreed.
-    pub hard: (u64, Seat, u64),
+    pub hard: (u64, ReplicaId, u64),
     /// Who votes.
-    pub voters: Vec<Seat>,
+    pub voters: Vec<ReplicaId>,
     /// The snapshot: its index, its term, its voters and the state there.
-    pub snapshot: (u64, u64, Vec<Seat>, Vec<u8>),
+    pub snapshot: (u64, u64, Vec<ReplicaId>, Vec<u8>),
 }
 
 /// An entry as it is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct LogLine {
     /// Its place.
     pub index: u64,
     /// Whose term it was written in.
@@ -65,7 +65,7 @@
 
 /// Why what a disk holds cannot be a voter's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Damaged {
+pub enum DamagedState {
     /// It has no head.
     Empty,
     /// An entry is missing among the others, or is there twice.
@@ -79,42 +79,44 @@
     },
 }
 
-impl fmt::Display for Damaged {
+impl fmt::Display for DamagedState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Damaged::Empty => f.write_str("no seat was founded on this disk"),
-            Damaged::Gap(at) => write!(f, "entry {at} of the log is missing"),
-            Damaged::Cut { last, agreed } => write!(f, "the log ends at {last}, and {agreed} was agreed"),
+            DamagedState::Empty => f.write_str("no seat was founded on this disk"),
+            DamagedState::Gap(at) => write!(f, "entry {at} of the log is missing"),
+            DamagedState::Cut { last, agreed } => {
+                write!(f, "the log ends at {last}, and {agreed} was agreed")
+            }
         }
     }
 }
 
-impl std::error::Error for Damaged {}
+impl std::error::Error for DamagedState {}
 
 /// What is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistentState {
     /// All but entries.
     pub head: Head,
     /// Entries behind the snapshot, in order.
-    lines: Vec<Line>,
+    lines: Vec<LogLine>,
 }
 
-impl Kept {
+impl PersistentState {
     /// What a disk was found to hold.
-    pub fn found(head: Option<Head>, lines: Vec<Line>) -> Result<Kept, Damaged> {
-        let head = head.ok_or(Damaged::Empty)?;
+    pub fn found(head: Option<Head>, lines: Vec<LogLine>) -> Result<PersistentState, DamagedState> {
+        let head = head.ok_or(DamagedState::Empty)?;
         let mut next = head.snapshot.0 + 1;
         for line in &lines {
             if line.index != next {
-                return Err(Damaged::Gap(next));
+                return Err(DamagedState::Gap(next));
             }
             next += 1;
         }
         if next <= head.hard.2 {
-            return Err(Damaged::Cut { last: next - 1, agreed: head.hard.2 });
+            return Err(DamagedState::Cut { last: next - 1, agreed: head.hard.2 });
         }
-        Ok(Kept { head, lines })
+        Ok(PersistentState { head, lines })
     }
 
     /// The last entry's place.
@@ -123,7 +125,7 @@
     }
 
     /// The entries behind the snapshot, in order.
-    pub fn lines(&self) -> &[Line] {
+    pub fn lines(&self) -> &[LogLine] {
         &self.lines
     }
 
@@ -154,16 +156,16 @@
         }
     }
 
-    fn line(&self, index: u64) -> Option<&Line> {
+    fn line(&self, index: u64) -> Option<&LogLine> {
         let at = index.checked_sub(self.head.snapshot.0 + 1)?;
         self.lines.get(usize::try_from(at).ok()?)
     }
 }
 
-impl Line {
+impl LogLine {
     /// From what `raft` hands out.
-    pub fn of(e: &eraftpb::Entry) -> Line {
-        Line {
+    pub fn of(e: &eraftpb::Entry) -> LogLine {
+        LogLine {
             index: e.index,
             term: e.term,
             voters: e.get_entry_type() != eraftpb::EntryType::EntryNormal,
@@ -184,13 +186,13 @@
     }
 }
 
-fn conf(voters: &[Seat]) -> eraftpb::ConfState {
+fn conf(voters: &[ReplicaId]) -> eraftpb::ConfState {
     let mut conf = eraftpb::ConfState::default();
     conf.set_voters(voters.to_vec());
     conf
 }
 
-impl Storage for Kept {
+impl Storage for PersistentState {
     fn initial_state(&self) -> raft::Result<RaftState> {
         let (term, vote, commit) = self.head.hard;
         let mut hard = eraftpb::HardState::default();
@@ -211,7 +213,7 @@
         if high > self.last() + 1 {
             return Err(StorageError::Unavailable.into());
         }
-        let all = (low..high).filter_map(|i| self.line(i)).map(Line::entry);
+        let all = (low..high).filter_map(|i| self.line(i)).map(LogLine::entry);
         let (most, mut size) = (max_size.into().unwrap_or(u64::MAX), 0);
         let mut found: Vec<eraftpb::Entry> = Vec::new();
         for e in all {
--- a/src/consensus/machine.rs
+++ b/src/consensus/machine.rs
@@ -14,10 +14,10 @@
 use raft::eraftpb::{ConfChange, ConfChangeType, EntryType, Message, MessageType};
 use raft::{Config, RawNode, StateRole, Storage};
 
-use super::kept::{Damaged, Head, Kept, Line, Record};
-use super::memory::{compare, Amnesia, Known, Memory, Probation};
+use super::kept::{DamagedState, Head, LogLine, PersistentState, Record};
+use super::memory::{compare, KnownState, PeerMemory, Probation, StateLoss};
 use super::state::{Entry, State};
-use super::{Seat, MOST_VOTERS};
+use super::{ReplicaId, MAX_VOTERS};
 use crate::api::Micros;
 
 /// Ticks without a leader's word after which a voter asks for votes, at least; at most twice as many.
@@ -25,7 +25,7 @@
 /// Ticks between a leader's words.
 const HEARTBEAT: usize = 2;
 /// Entries kept behind a snapshot before the next is made.
-pub const COMPACT: u64 = 256;
+pub const ENTRIES_PER_SNAPSHOT: u64 = 256;
 /// Bytes of entries in one message, so that no frame grows beyond what is taken.
 const MOST_BYTES: u64 = 64 << 10;
 /// Records on their way to the disk beyond which a voter neither hears nor ticks: its disk has failed or is full.
@@ -52,7 +52,7 @@
     /// A voter's message came: its seat, which start of its disk and which process that is, and the message.
     Message {
         /// Whose.
-        from: Seat,
+        from: ReplicaId,
         /// Which start of its disk.
         boots: u64,
         /// Which process.
@@ -61,21 +61,21 @@
         bytes: &'a [u8],
     },
     /// Another asks what is known of its seat.
-    Recall {
+    RecallRequest {
         /// Whose.
-        from: Seat,
+        from: ReplicaId,
         /// What its disk says.
-        own: Known,
+        own: KnownState,
     },
     /// Another tells what it knows of this seat.
-    Recalled {
+    RecallReply {
         /// Who.
-        from: Seat,
+        from: ReplicaId,
         /// What it knows.
-        known: Known,
+        known: KnownState,
     },
     /// All records up to this number are kept.
-    Kept(u64),
+    Persisted(u64),
     /// An entry is to be agreed; dropped unless this voter leads.
     Propose(Entry),
     /// Does a majority still take this voter for its leader? Answered by [`Output::Confirmed`] or not at all.
@@ -83,9 +83,9 @@
     /// One seat is to vote instead of another; each may be absent.
     Exchange {
         /// Who comes.
-        joins: Option<(Seat, Arc<str>)>,
+        joins: Option<(ReplicaId, Arc<str>)>,
         /// Who goes.
-        leaves: Option<Seat>,
+        leaves: Option<ReplicaId>,
     },
     /// A deadline fell due.
     Tick,
@@ -95,21 +95,21 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send to a voter; one that gets lost is said again.
-    Send(Seat, Vec<u8>),
+    Send(ReplicaId, Vec<u8>),
     /// Ask all other voters what they know of this seat.
-    Recall(Known),
+    Recall(KnownState),
     /// Tell a voter what is known of its seat.
-    Recalled(Seat, Known),
+    Recalled(ReplicaId, KnownState),
     /// Keep this, and report its number.
-    Keep(u64, Box<Record>),
+    Persist(u64, Box<Record>),
     /// An entry is agreed; whether it took hold.
     Applied(u64, Entry, bool),
     /// A snapshot stands in the place of entries that were never seen here.
     Restored,
     /// This voter leads, and has applied all that was agreed before.
-    Leads,
+    BecameLeader,
     /// It leads no more.
-    Follows,
+    LostLeadership,
     /// A majority has confirmed, in a round begun after the question of this number came, that it leads.
     Confirmed(u64),
     /// This seat must not vote any more.
@@ -118,30 +118,30 @@
 
 /// Why a voter cannot begin.
 #[derive(Debug)]
-pub enum Unfit {
+pub enum VoterError {
     /// What its disk holds cannot be a voter's.
-    Damaged(Damaged),
+    Damaged(DamagedState),
     /// Its seat was retired.
     Retired(String),
     /// What its disk holds cannot be understood.
     Raft(String),
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for VoterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unfit::Damaged(e) => write!(f, "{e}"),
-            Unfit::Retired(why) => write!(f, "its seat does not vote any more: {why}"),
-            Unfit::Raft(e) => write!(f, "its log cannot be used: {e}"),
+            VoterError::Damaged(e) => write!(f, "{e}"),
+            VoterError::Retired(why) => write!(f, "its seat does not vote any more: {why}"),
+            VoterError::Raft(e) => write!(f, "its log cannot be used: {e}"),
         }
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for VoterError {}
 
 /// Guards that a test takes out, to see what they hold off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Without {
+pub struct DisabledVoterGuards {
     /// Pre-vote and quorum check.
     pub pre_vote: bool,
     /// The questions that a new process asks before its first word.
@@ -151,13 +151,13 @@
 }
 
 /// One voter.
-pub struct Council {
-    raw: Option<RawNode<Kept>>,
+pub struct Voter {
+    raw: Option<RawNode<PersistentState>>,
     settings: Settings,
     seed: u64,
     process: u64,
     state: State,
-    memory: Memory,
+    memory: PeerMemory,
     probation: Option<Probation>,
     retired: Option<String>,
     /// Records on their way to the disk, in order, with what waits for them.
@@ -170,10 +170,10 @@
     /// The last entry on its disk when it began.
     found: u64,
     outputs: VecDeque<Output>,
-    without: Without,
+    without: DisabledVoterGuards,
 }
 
-impl fmt::Debug for Council {
+impl fmt::Debug for Voter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Council")
             .field("state", &self.state)
@@ -190,27 +190,27 @@
 }
 
 /// What `raft` may not be given: it would end the process over it.
-fn bears(kept: &Kept, m: &Message) -> bool {
+fn bears(kept: &PersistentState, m: &Message) -> bool {
     let commits = matches!(m.get_msg_type(), MessageType::MsgHeartbeat);
     !commits || m.commit <= kept.last()
 }
 
-impl Council {
+impl Voter {
     /// A voter on what its disk holds, begun by a process that is like no other. It asks before it speaks.
     pub fn new(
         settings: Settings,
-        mut kept: Kept,
+        mut kept: PersistentState,
         process: u64,
         seed: u64,
         now: Micros,
-        without: Without,
-    ) -> Result<Council, Unfit> {
+        without: DisabledVoterGuards,
+    ) -> Result<Voter, VoterError> {
         if let Some(why) = &kept.head.retired {
-            return Err(Unfit::Retired(why.clone()));
+            return Err(VoterError::Retired(why.clone()));
         }
         kept.head.boots += 1;
         let (index, _, _, data) = &kept.head.snapshot;
-        let state = State::read(data).map_err(|e| Unfit::Raft(e.to_string()))?;
+        let state = State::read(data).map_err(|e| VoterError::Raft(e.to_string()))?;
         let (seat, snapshot, head, found) = (kept.head.seat, *index, kept.head.clone(), kept.last());
         let config = Config {
             id: seat,
@@ -226,15 +226,15 @@
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let raw = catch_unwind(|| RawNode::new(&config, kept, &logger));
-        let raw = raw.map_err(|_| Unfit::Raft("it contradicts itself".into()))?;
-        let raw = raw.map_err(|e| Unfit::Raft(e.to_string()))?;
-        let mut council = Council {
+        let raw = raw.map_err(|_| VoterError::Raft("it contradicts itself".into()))?;
+        let raw = raw.map_err(|e| VoterError::Raft(e.to_string()))?;
+        let mut council = Voter {
             raw: Some(raw),
             settings,
             seed: seed ^ seat,
             process,
             state,
-            memory: Memory::default(),
+            memory: PeerMemory::default(),
             probation: (!without.probation).then(Probation::default),
             retired: None,
             waits: VecDeque::new(),
@@ -253,7 +253,7 @@
     }
 
     /// This seat.
-    pub fn seat(&self) -> Seat {
+    pub fn seat(&self) -> ReplicaId {
         self.raw.as_ref().map_or(0, |r| r.raft.id)
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Whose lead it follows, if anybody's; itself if it leads.
-    pub fn leader(&self) -> Option<Seat> {
+    pub fn leader(&self) -> Option<ReplicaId> {
         let raw = self.raw.as_ref().filter(|_| self.probation.is_none())?;
         Some(raw.raft.leader_id).filter(|l| *l != 0)
     }
@@ -319,9 +319,9 @@
         let entries = store.entries(index, high, None, raft::GetEntriesContext::empty(false)).ok()?;
         let lines = entries.iter().map(|e| {
             let entry = match e.get_entry_type() {
-                EntryType::EntryNormal => postcard::from_bytes(&e.data).unwrap_or(Entry::Nothing),
+                EntryType::EntryNormal => postcard::from_bytes(&e.data).unwrap_or(Entry::Noop),
                 // Who votes is told with the state that it led to; a follower needs no other word of it.
-                _ => postcard::from_bytes(&e.context).unwrap_or(Entry::Nothing),
+                _ => postcard::from_bytes(&e.context).unwrap_or(Entry::Noop),
             };
             (e.index, entry)
         });
@@ -342,13 +342,13 @@
     pub fn handle(&mut self, now: Micros, input: Input<'_>) {
         match input {
             Input::Message { from, boots, process, bytes } => self.message(from, boots, process, bytes),
-            Input::Recall { from, own } => {
+            Input::RecallRequest { from, own } => {
                 let known = self.memory.of(from);
-                self.memory.heard(from, Known { term: 0, kept: (0, 0), ..own });
+                self.memory.heard(from, KnownState { term: 0, kept: (0, 0), ..own });
                 self.outputs.push_back(Output::Recalled(from, known));
             }
-            Input::Recalled { from, known } => self.recalled(from, known),
-            Input::Kept(number) => self.kept(number),
+            Input::RecallReply { from, known } => self.recalled(from, known),
+            Input::Persisted(number) => self.kept(number),
             Input::Propose(entry) => self.propose(&entry),
             Input::Confirm(number) => {
                 if self.leads.is_some() {
@@ -363,7 +363,7 @@
     }
 
     /// Has `raft` do something; a panic of its ends the voting.
-    fn with<T>(&mut self, does: impl FnOnce(&mut RawNode<Kept>) -> T) -> Option<T> {
+    fn with<T>(&mut self, does: impl FnOnce(&mut RawNode<PersistentState>) -> T) -> Option<T> {
         let raw = self.raw.as_mut()?;
         match catch_unwind(AssertUnwindSafe(|| does(raw))) {
             Ok(done) => Some(done),
@@ -375,14 +375,19 @@
         }
     }
 
-    fn own(&self) -> Known {
-        let Some(raw) = &self.raw else { return Known::default() };
+    fn own(&self) -> KnownState {
+        let Some(raw) = &self.raw else { return KnownState::default() };
         let (store, last) = (raw.store(), raw.store().last());
         let term = store.term(last).unwrap_or(0);
-        Known { boots: store.head.boots, process: self.process, term: store.head.hard.0, kept: (term, last) }
+        KnownState {
+            boots: store.head.boots,
+            process: self.process,
+            term: store.head.hard.0,
+            kept: (term, last),
+        }
     }
 
-    fn message(&mut self, from: Seat, boots: u64, process: u64, bytes: &[u8]) {
+    fn message(&mut self, from: ReplicaId, boots: u64, process: u64, bytes: &[u8]) {
         let Ok(m) = Message::parse_from_bytes(bytes) else { return };
         if m.from != from || m.to != self.seat() {
             return;
@@ -395,18 +400,18 @@
         let asks = matches!(kind, MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse);
         // A question before an election is asked in a term that nobody is in yet.
         let term = if asks { 0 } else { m.term };
-        self.memory.heard(from, Known { boots, process, term, kept });
+        self.memory.heard(from, KnownState { boots, process, term, kept });
         if !self.votes() || self.waits.len() > MOST_RECORDS {
             return;
         }
         if !self.raw.as_ref().is_some_and(|raw| bears(raw.store(), &m)) {
-            return self.retire(Amnesia::Entries.name().into());
+            return self.retire(StateLoss::Entries.name().into());
         }
         // What `raft` refuses it says itself, or is silent about.
         self.with(|raw| drop(raw.step(m)));
     }
 
-    fn recalled(&mut self, from: Seat, known: Known) {
+    fn recalled(&mut self, from: ReplicaId, known: KnownState) {
         let Some(raw) = &self.raw else { return };
         let voters = raw.store().head.voters.clone();
         if !(voters.contains(&from) || voters.is_empty()) || self.without.probation {
@@ -434,7 +439,7 @@
         tracing::error!("this seat does not vote any more: {why}");
         self.retired = Some(why.clone());
         if self.leads.take().is_some() {
-            self.outputs.push_back(Output::Follows);
+            self.outputs.push_back(Output::LostLeadership);
         }
         self.waits.clear();
         if let Some(raw) = &mut self.raw {
@@ -442,7 +447,7 @@
             raw.mut_store().head.clone_from(&head);
             self.number += 1;
             let record = Record { head: Some(head), ..Record::default() };
-            self.outputs.push_back(Output::Keep(self.number, Box::new(record)));
+            self.outputs.push_back(Output::Persist(self.number, Box::new(record)));
         }
         self.outputs.push_back(Output::Retired(why));
     }
@@ -456,9 +461,9 @@
     }
 
     /// One change at a time, and never away from the last voter.
-    fn exchange(&mut self, joins: Option<(Seat, Arc<str>)>, leaves: Option<Seat>) {
+    fn exchange(&mut self, joins: Option<(ReplicaId, Arc<str>)>, leaves: Option<ReplicaId>) {
         let voters = &self.state.voters;
-        let joining = joins.filter(|(s, _)| !voters.contains_key(s) && voters.len() < MOST_VOTERS);
+        let joining = joins.filter(|(s, _)| !voters.contains_key(s) && voters.len() < MAX_VOTERS);
         let leaving = leaves.filter(|s| voters.contains_key(s) && voters.len() > 1);
         let mut change = ConfChange::default();
         let mut after = voters.clone();
@@ -548,7 +553,7 @@
             self.snapshot = meta.index;
             self.outputs.push_back(Output::Restored);
         }
-        record.entries = ready.entries().iter().map(Line::of).collect();
+        record.entries = ready.entries().iter().map(LogLine::of).collect();
         if let Some(hard) = ready.hs() {
             head.hard = (hard.term, hard.vote, hard.commit);
         }
@@ -573,7 +578,7 @@
             // And a new voter takes a snapshot only if it is among its voters.
             return self.compact();
         }
-        if self.state.applied >= self.snapshot + COMPACT {
+        if self.state.applied >= self.snapshot + ENTRIES_PER_SNAPSHOT {
             self.compact();
         }
     }
@@ -592,7 +597,7 @@
         }
         if !record.is_empty() {
             let number = if self.without.kept { 0 } else { self.number };
-            self.outputs.push_back(Output::Keep(number, Box::new(record)));
+            self.outputs.push_back(Output::Persist(number, Box::new(record)));
         }
         if self.waits.is_empty() {
             self.with(|raw| raw.on_persist_ready(u64::MAX));
@@ -638,19 +643,19 @@
 
     fn apply(&mut self, e: &raft::eraftpb::Entry) {
         let entry = match e.get_entry_type() {
-            EntryType::EntryNormal => postcard::from_bytes(&e.data).unwrap_or(Entry::Nothing),
+            EntryType::EntryNormal => postcard::from_bytes(&e.data).unwrap_or(Entry::Noop),
             _ => {
                 let Ok(change) = ConfChange::parse_from_bytes(&e.data) else { return };
                 let conf = self.with(|raw| raw.apply_conf_change(&change).ok()).flatten();
                 if let (Some(conf), Some(raw)) = (conf, &mut self.raw) {
                     raw.mut_store().head.voters = conf.get_voters().to_vec();
                 }
-                postcard::from_bytes(&e.context).unwrap_or(Entry::Nothing)
+                postcard::from_bytes(&e.context).unwrap_or(Entry::Noop)
             }
         };
         let held = self.state.apply(e.index, &entry);
         if matches!(entry, Entry::Voters(_)) {
-            let voters: BTreeMap<Seat, Arc<str>> = self.state.voters.clone();
+            let voters: BTreeMap<ReplicaId, Arc<str>> = self.state.voters.clone();
             self.memory.keep(|s| voters.contains_key(s));
         }
         self.outputs.push_back(Output::Applied(e.index, entry, held));
@@ -681,6 +686,6 @@
             return;
         }
         self.leads = leads;
-        self.outputs.push_back(if leads.is_some() { Output::Leads } else { Output::Follows });
+        self.outputs.push_back(if leads.is_some() { Output::BecameLeader } else { Output::LostLeadership });
     }
 }
--- a/src/consensus/member.rs
+++ b/src/consensus/member.rs
@@ -4,13 +4,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::follow::{Followed, Follower, News, MOST_ENTRIES};
-use super::kept::{Kept, Record};
-use super::machine::{self, Council, Without};
-use super::memory::Known;
-use super::state::{Brought, Entry, State};
-use super::wire::{Body, Effect, Passed, Report};
-use super::Seat;
+use super::follow::{CatchUp, Learner, LearnerProgress, MAX_CATCH_UP_ENTRIES};
+use super::kept::{PersistentState, Record};
+use super::machine::{self, DisabledVoterGuards, Voter};
+use super::memory::KnownState;
+use super::state::{Entry, State, SubsystemEntry};
+use super::wire::{Body, Forwarded, LeaseEffect, LeaseReport};
+use super::ReplicaId;
 use crate::api::Micros;
 use crate::lease::fence::{Fence, Refused};
 use crate::lease::grantor::{self, Grantor, Why};
@@ -31,22 +31,22 @@
     /// Those that are known to vote, or may come to: whom to ask.
     pub contacts: BTreeSet<Arc<str>>,
     /// The duties of the operator's list.
-    pub duties: BTreeSet<Duty>,
+    pub leases: BTreeSet<Duty>,
     /// How long leases last.
     pub lease: crate::lease::Settings,
     /// How the voters keep time.
-    pub council: machine::Settings,
+    pub voter: machine::Settings,
     /// Draws spans.
     pub seed: u64,
     /// Guards taken out, for tests.
-    pub without: Guards,
+    pub disabled_guards: DisabledGuards,
 }
 
 /// Guards that a test takes out, to see what they hold off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Guards {
+pub struct DisabledGuards {
     /// The voters'.
-    pub council: Without,
+    pub voter: DisabledVoterGuards,
     /// An effect's term is not looked at by who receives it.
     pub terms: bool,
     /// An owner does not look at its lease.
@@ -61,17 +61,17 @@
     /// Another gateway said something; its name was sealed.
     Frame(Arc<str>, Body),
     /// The connection to another has ended, or never came up.
-    Lost(Arc<str>),
+    Disconnected(Arc<str>),
     /// All records up to this number are kept.
-    Kept(u64),
+    Persisted(u64),
     /// Whether this gateway can do duties at all.
-    Able(bool),
+    SetEligible(bool),
     /// An effect of a duty of its own: dropped unless the lease runs.
     Act(Duty, Vec<u8>),
     /// Something for whoever owns a duty; it may get lost.
     Report(Duty, Vec<u8>),
     /// An entry of another subsystem is to be agreed; it may get lost.
-    Bring(Brought),
+    Submit(SubsystemEntry),
     /// An operator has one gateway vote, or another no more.
     Exchange {
         /// Who comes; it has a seat and follows here.
@@ -89,27 +89,27 @@
     /// Send to another gateway; it may get lost.
     Send(Arc<str>, Body),
     /// Send an effect of one's own, unless its lease has ended by the time its bytes are queued, or ends while they wait.
-    SendOwn(Arc<str>, Effect),
+    SendOwn(Arc<str>, LeaseEffect),
     /// Keep this, and report its number.
-    Keep(u64, Box<Record>),
+    Persist(u64, Box<Record>),
     /// A duty may be done from now on.
-    Began(Duty, Term),
+    LeaseBegan(Duty, Term),
     /// It may not any more.
-    Ended(Duty, Term),
+    LeaseEnded(Duty, Term),
     /// An effect of another is taken.
-    Take(Effect),
+    EffectReceived(LeaseEffect),
     /// Another has something for this owner of a duty.
-    Hear(Duty, Arc<str>, Vec<u8>),
+    ReportReceived(Duty, Arc<str>, Vec<u8>),
     /// What is agreed for other subsystems may have changed; also where a proposal had no effect.
-    Brought,
+    SubsystemChanged,
     /// Something to be recorded, in order.
-    Noted(Note),
+    Record(HistoryEvent),
 }
 
 /// What a member records of itself, for a checker apart from it.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum Note {
+pub enum HistoryEvent {
     /// An entry of duties took hold here.
     Agreed {
         /// Its place.
@@ -207,12 +207,12 @@
 
 /// One gateway's part.
 #[derive(Debug)]
-pub struct Member {
+pub struct Participant {
     settings: Settings,
-    council: Option<Council>,
-    unfit: Option<String>,
-    follower: Follower,
-    followed: Followed,
+    voter: Option<Voter>,
+    voter_error: Option<String>,
+    follower: Learner,
+    followed: LearnerProgress,
     grantor: Grantor,
     holder: Holder,
     fence: Fence,
@@ -222,7 +222,7 @@
     acted: BTreeMap<Duty, (Term, u64)>,
     routes: BTreeMap<Owner, (u64, Option<Arc<str>>)>,
     /// Seats of others that spoke before this one had a word of who votes.
-    heard: BTreeMap<Seat, Arc<str>>,
+    heard: BTreeMap<ReplicaId, Arc<str>>,
     /// The generation of who makes it a voter, until it has a word of it.
     adopted: u32,
     asked: u64,
@@ -230,14 +230,14 @@
     outputs: VecDeque<Output>,
 }
 
-impl Member {
+impl Participant {
     /// One that votes if its disk says so, and follows otherwise. What a disk holds that cannot be used is told by
     /// [`WorkerEntry::unfit`], and does not keep the gateway from following.
-    pub fn new(settings: Settings, kept: Option<Kept>, now: Micros) -> Member {
+    pub fn new(settings: Settings, kept: Option<PersistentState>, now: Micros) -> Participant {
         let (mut council, mut unfit) = (None, None);
         if let Some(kept) = kept {
-            let (c, process, seed) = (settings.council, settings.process, settings.seed);
-            match Council::new(c, kept, process, seed, now, settings.without.council) {
+            let (c, process, seed) = (settings.voter, settings.process, settings.seed);
+            match Voter::new(c, kept, process, seed, now, settings.disabled_guards.voter) {
                 Ok(c) => council = Some(c),
                 Err(e) => unfit = Some(e.to_string()),
             }
@@ -245,12 +245,12 @@
         let owner = Owner { name: settings.name.clone(), incarnation: settings.process };
         let voters: Vec<Arc<str>> =
             settings.contacts.iter().filter(|c| **c != settings.name).cloned().collect();
-        let seat = council.as_ref().map(Council::seat);
-        let grantor = Grantor::new(settings.lease, settings.duties.clone());
+        let seat = council.as_ref().map(Voter::seat);
+        let grantor = Grantor::new(settings.lease, settings.leases.clone());
         let holder = Holder::new(settings.lease, owner, now);
-        let mut member = Member {
-            follower: Follower::new(voters, seat, settings.seed),
-            followed: Followed::default(),
+        let mut member = Participant {
+            follower: Learner::new(voters, seat, settings.seed),
+            followed: LearnerProgress::default(),
             grantor,
             holder,
             fence: Fence::default(),
@@ -263,40 +263,40 @@
             voted: false,
             outputs: VecDeque::new(),
             settings,
-            council,
-            unfit,
+            voter: council,
+            voter_error: unfit,
         };
-        if let Some(c) = &member.council {
+        if let Some(c) = &member.voter {
             // What the snapshot says is applied already; entries behind it come.
-            member.grantor.handle(now, grantor::Input::Restored(c.state().ledger.clone()));
+            member.grantor.handle(now, grantor::Input::Restored(c.state().leases.clone()));
         }
-        if let Some(why) = member.unfit.clone() {
-            member.note(Note::Retired { why });
+        if let Some(why) = member.voter_error.clone() {
+            member.note(HistoryEvent::Retired { why });
         }
         member.settle(now);
         member
     }
 
     /// The disk of its seat has become free, as the process before this one has ended.
-    pub fn take_seat(&mut self, now: Micros, kept: Kept) {
-        let (c, process, seed) = (self.settings.council, self.settings.process, self.settings.seed);
-        match Council::new(c, kept, process, seed, now, self.settings.without.council) {
+    pub fn begin_voting(&mut self, now: Micros, kept: PersistentState) {
+        let (c, process, seed) = (self.settings.voter, self.settings.process, self.settings.seed);
+        match Voter::new(c, kept, process, seed, now, self.settings.disabled_guards.voter) {
             Ok(c) => {
-                self.grantor.handle(now, grantor::Input::Restored(c.state().ledger.clone()));
-                self.council = Some(c);
+                self.grantor.handle(now, grantor::Input::Restored(c.state().leases.clone()));
+                self.voter = Some(c);
             }
             Err(e) => {
                 let why = e.to_string();
-                self.unfit = Some(why.clone());
-                self.note(Note::Retired { why });
+                self.voter_error = Some(why.clone());
+                self.note(HistoryEvent::Retired { why });
             }
         }
         self.settle(now);
     }
 
     /// Whether the second look at a lease is taken out, for a test.
-    pub fn without_queue(&self) -> bool {
-        self.settings.without.queue
+    pub fn queue_guard_disabled(&self) -> bool {
+        self.settings.disabled_guards.queue
     }
 
     /// Its name.
@@ -305,36 +305,36 @@
     }
 
     /// Why its disk does not make it a voter, if it does not.
-    pub fn unfit(&self) -> Option<&str> {
-        self.unfit.as_deref().or_else(|| self.council.as_ref().and_then(Council::retired))
+    pub fn voter_error(&self) -> Option<&str> {
+        self.voter_error.as_deref().or_else(|| self.voter.as_ref().and_then(Voter::retired))
     }
 
     /// Whether it votes.
     pub fn votes(&self) -> bool {
-        self.council.as_ref().is_some_and(|c| c.votes() && c.state().voters.contains_key(&c.seat()))
+        self.voter.as_ref().is_some_and(|c| c.votes() && c.state().voters.contains_key(&c.seat()))
     }
 
     /// Whether it leads.
     pub fn leads(&self) -> bool {
-        self.council.as_ref().is_some_and(Council::leads)
+        self.voter.as_ref().is_some_and(Voter::leads)
     }
 
     /// The voter's machine, if it has one.
-    pub fn council(&self) -> Option<&Council> {
-        self.council.as_ref()
+    pub fn voter(&self) -> Option<&Voter> {
+        self.voter.as_ref()
     }
 
     /// The state as far as it knows.
     pub fn state(&self) -> &State {
-        match &self.council {
+        match &self.voter {
             Some(c) if self.voted => c.state(),
             _ => self.follower.state(),
         }
     }
 
     /// Whether it has heard of what is agreed since it began, and does not go by its disk alone.
-    pub fn has_heard(&self) -> bool {
-        match &self.council {
+    pub fn is_caught_up(&self) -> bool {
+        match &self.voter {
             Some(c) if self.voted => c.is_current(),
             _ => !self.follower.state().voters.is_empty(),
         }
@@ -342,45 +342,47 @@
 
     /// The name of who leads, as far as it knows.
     pub fn leader(&self) -> Option<Arc<str>> {
-        let c = self.council.as_ref().filter(|_| self.voted)?;
+        let c = self.voter.as_ref().filter(|_| self.voted)?;
         self.name_of(c.leader()?)
     }
 
     /// Which voter it asks, while it follows.
-    pub fn asks(&self) -> Option<&Arc<str>> {
+    pub fn catch_up_source(&self) -> Option<&Arc<str>> {
         self.follower.asks().filter(|_| !self.voted)
     }
 
     /// Followers whose questions wait here.
-    pub fn followers(&self) -> usize {
+    pub fn learners(&self) -> usize {
         self.followed.len()
     }
 
     /// Seats of followers that could be made voters, by their names.
-    pub fn seats(&self) -> BTreeMap<Arc<str>, String> {
+    pub fn replicas(&self) -> BTreeMap<Arc<str>, String> {
         self.followed.seats().map(|(n, s)| (n.clone(), format!("{s:016x}"))).collect()
     }
 
     /// The term under which a duty may be done now, if it may.
-    pub fn may(&self, now: Micros, duty: &Duty) -> Option<Term> {
-        if self.settings.without.lease {
+    pub fn held_term(&self, now: Micros, duty: &Duty) -> Option<Term> {
+        if self.settings.disabled_guards.lease {
             return self.holder.holds().find(|(d, ..)| *d == duty).map(|(_, term, _)| term);
         }
         self.holder.may(now, duty)
     }
 
     /// Whether an effect of one's own may still leave: asked when its bytes are queued.
-    pub fn still(&self, now: Micros, duty: &Duty, term: Term) -> bool {
-        self.settings.without.queue || self.settings.without.lease || self.holder.still(now, duty, term)
+    pub fn still_holds(&self, now: Micros, duty: &Duty, term: Term) -> bool {
+        self.settings.disabled_guards.queue
+            || self.settings.disabled_guards.lease
+            || self.holder.still(now, duty, term)
     }
 
     /// What it holds: the duty, its term, and until when it may act.
-    pub fn holds(&self) -> impl Iterator<Item = (&Duty, Term, Option<Micros>)> {
+    pub fn held_leases(&self) -> impl Iterator<Item = (&Duty, Term, Option<Micros>)> {
         self.holder.holds()
     }
 
     /// Why a duty has no owner who acts, as far as a leader can tell.
-    pub fn why(&self, now: Micros, duty: &Duty) -> Option<Why> {
+    pub fn grant_reason(&self, now: Micros, duty: &Duty) -> Option<Why> {
         self.grantor.why(now, duty)
     }
 
@@ -388,7 +390,7 @@
     pub fn peers(&self) -> BTreeSet<Arc<str>> {
         let others =
             |names: &mut dyn Iterator<Item = Arc<str>>| names.filter(|n| *n != self.settings.name).collect();
-        match &self.council {
+        match &self.voter {
             Some(c) if c.retired().is_none() && !c.state().voters.is_empty() => {
                 let voters = c.state().voters.values().chain(&self.settings.contacts).cloned();
                 others(&mut voters.into_iter())
@@ -400,7 +402,7 @@
     /// When `Tick` is due.
     pub fn next_deadline(&self, now: Micros) -> Micros {
         let mut next = self.holder.next_deadline();
-        let council = self.council.as_ref().and_then(Council::next_deadline);
+        let council = self.voter.as_ref().and_then(Voter::next_deadline);
         let follower = (!self.voted).then(|| self.follower.next_deadline(now));
         for t in [council, follower, self.grantor.next_deadline(now), self.followed.next_deadline()] {
             next = t.map_or(next, |t| t.min(next));
@@ -417,19 +419,19 @@
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             Input::Frame(from, body) => self.frame(now, &from, body),
-            Input::Lost(name) => {
-                if self.asks() == Some(&name) {
+            Input::Disconnected(name) => {
+                if self.catch_up_source() == Some(&name) {
                     self.follower.lost(now);
                 }
             }
-            Input::Kept(number) => self.council_handle(now, machine::Input::Kept(number)),
-            Input::Able(able) => self.holder.handle(now, holder::Input::Able(able)),
+            Input::Persisted(number) => self.council_handle(now, machine::Input::Persisted(number)),
+            Input::SetEligible(able) => self.holder.handle(now, holder::Input::Able(able)),
             Input::Act(duty, content) => self.act(now, duty, content),
             Input::Report(duty, content) => {
                 let from = self.settings.name.clone();
-                self.report(Report { duty, from, content }, false);
+                self.report(LeaseReport { lease: duty, from, content }, false);
             }
-            Input::Bring(entry) => self.bring(entry, false),
+            Input::Submit(entry) => self.bring(entry, false),
             Input::Exchange { joins, leaves } => {
                 let joins = joins.and_then(|n| Some((self.followed.seat(&n)?, n)));
                 // A name may have an old seat that votes and a new one that does not yet.
@@ -449,39 +451,39 @@
     }
 
     fn council_handle(&mut self, now: Micros, input: machine::Input<'_>) {
-        if let Some(c) = &mut self.council {
+        if let Some(c) = &mut self.voter {
             c.handle(now, input);
         }
     }
 
-    fn note(&mut self, note: Note) {
-        self.outputs.push_back(Output::Noted(note));
+    fn note(&mut self, note: HistoryEvent) {
+        self.outputs.push_back(Output::Record(note));
     }
 
     fn say(&mut self, to: Arc<str>, body: Body) {
         self.outputs.push_back(Output::Send(to, body));
     }
 
-    fn name_of(&self, seat: Seat) -> Option<Arc<str>> {
-        let c = self.council.as_ref()?;
+    fn name_of(&self, seat: ReplicaId) -> Option<Arc<str>> {
+        let c = self.voter.as_ref()?;
         // One that has just been made a voter does not know the others yet; founders' seats follow from their names.
         let known = c.state().voters.get(&seat).cloned();
         let generation = c.state().generation;
         known
             .or_else(|| {
-                self.settings.contacts.iter().find(|n| super::founder(generation, n) == seat).cloned()
+                self.settings.contacts.iter().find(|n| super::bootstrap_voter(generation, n) == seat).cloned()
             })
             .or_else(|| self.heard.get(&seat).cloned())
     }
 
     /// Whether a seat may speak by this name.
-    fn is_seat_of(&mut self, seat: Seat, name: &Arc<str>) -> bool {
+    fn is_seat_of(&mut self, seat: ReplicaId, name: &Arc<str>) -> bool {
         if let Some(its) = self.name_of(seat) {
             return its == *name;
         }
         // Only while it has no word of who votes: who makes it a voter speaks first.
-        let new = self.council.as_ref().is_some_and(|c| c.state().voters.is_empty());
-        if new && self.heard.len() < super::MOST_VOTERS && self.settings.contacts.contains(name) {
+        let new = self.voter.as_ref().is_some_and(|c| c.state().voters.is_empty());
+        if new && self.heard.len() < super::MAX_VOTERS && self.settings.contacts.contains(name) {
             self.heard.insert(seat, name.clone());
         }
         new
@@ -492,7 +494,7 @@
     }
 
     fn generation(&self) -> u32 {
-        match &self.council {
+        match &self.voter {
             Some(c) if c.state().voters.is_empty() => self.adopted,
             Some(c) => c.state().generation,
             None => self.follower.state().generation,
@@ -512,19 +514,19 @@
                     );
                 }
             }
-            Body::Recall(generation, seat, own) => {
+            Body::RecallRequest(generation, seat, own) => {
                 if generation == self.generation() && self.is_seat_of(seat, from) {
-                    self.council_handle(now, machine::Input::Recall { from: seat, own });
+                    self.council_handle(now, machine::Input::RecallRequest { from: seat, own });
                 }
             }
-            Body::Recalled(generation, seat, known, by) => {
-                let own = self.council.as_ref().map(Council::seat) == Some(seat);
+            Body::RecallReply(generation, seat, known, by) => {
+                let own = self.voter.as_ref().map(Voter::seat) == Some(seat);
                 if generation == self.generation() && own && self.is_seat_of(by, from) {
-                    self.council_handle(now, machine::Input::Recalled { from: by, known });
+                    self.council_handle(now, machine::Input::RecallReply { from: by, known });
                 }
             }
-            Body::Ask(ask, via) => self.asked(now, from, ask, via.map(Into::into)),
-            Body::Answer(answer) => {
+            Body::RenewLeases(ask, via) => self.asked(now, from, ask, via.map(Into::into)),
+            Body::RenewReply(answer) => {
                 // Only a voter grants leases or passes them on.
                 if self.is_voter(from) || self.settings.contacts.contains(from) {
                     self.answer(now, answer);
@@ -535,11 +537,11 @@
                     self.followed.asked(now, from, poll);
                 }
             }
-            Body::Entries(generation, entries, passed) if self.asks() == Some(from) => {
+            Body::Entries(generation, entries, passed) if self.catch_up_source() == Some(from) => {
                 let news = self.follower.entries(generation, entries, passed);
                 self.news(now, news);
             }
-            Body::State(state, passed) if self.asks() == Some(from) => {
+            Body::State(state, passed) if self.catch_up_source() == Some(from) => {
                 let news = self.follower.restored(*state, passed);
                 self.news(now, news);
             }
@@ -549,16 +551,16 @@
                     self.report(report, passed);
                 }
             }
-            Body::Brought(entry, passed) => {
+            Body::Submit(entry, passed) => {
                 if entry.by() == from || passed && self.is_voter(from) {
                     self.bring(entry, passed);
                 }
             }
             // The driver has given it to whom it is for.
-            Body::Copies(_) => {}
+            Body::Replication(_) => {}
             Body::Effect(effect) => {
                 // Its owner itself, or a voter that passes it on.
-                let straight = effect.owner == *from;
+                let straight = effect.holder == *from;
                 if straight || self.is_voter(from) {
                     let own = !self.is_voter(from);
                     self.effect(now, effect, own);
@@ -583,7 +585,7 @@
             self.grantor.handle(now, grantor::Input::Ask(ask));
         } else if let Some(leader) = self.leader().filter(|l| straight && l != &self.settings.name) {
             let me = self.settings.name.to_string();
-            self.say(leader, Body::Ask(ask, Some(me)));
+            self.say(leader, Body::RenewLeases(ask, Some(me)));
         }
     }
 
@@ -592,25 +594,25 @@
             self.holder.handle(now, holder::Input::Answer(answer));
         } else if self.voted {
             let to = answer.to.name.clone();
-            self.say(to, Body::Answer(answer));
+            self.say(to, Body::RenewReply(answer));
         }
     }
 
-    fn news(&mut self, now: Micros, news: News) {
+    fn news(&mut self, now: Micros, news: CatchUp) {
         if self.voted {
             return;
         }
         if news.restored {
-            let (index, ledger) = (self.follower.state().applied, self.follower.state().ledger.clone());
-            self.note(Note::Restored { index });
+            let (index, ledger) = (self.follower.state().applied, self.follower.state().leases.clone());
+            self.note(HistoryEvent::Restored { index });
             self.holder.handle(now, holder::Input::Restored(ledger));
-            self.outputs.push_back(Output::Brought);
+            self.outputs.push_back(Output::SubsystemChanged);
         }
         for (index, entry, held) in news.applied {
             match entry {
-                Entry::Duty(entry) if held => self.agreed(now, index, entry),
+                Entry::Lease(entry) if held => self.agreed(now, index, entry),
                 // Also one without effect: whoever proposed it learns what stands.
-                Entry::Sets(_) | Entry::Tenants(_) => self.outputs.push_back(Output::Brought),
+                Entry::ReplicaSets(_) | Entry::Tenants(_) => self.outputs.push_back(Output::SubsystemChanged),
                 _ => {}
             }
         }
@@ -625,22 +627,23 @@
             ledger::Entry::Grant { duty, owner, term } => (duty.clone(), *term, Some(owner.clone())),
             ledger::Entry::GivenBack { duty, term } => (duty.clone(), *term, None),
         };
-        self.note(Note::Agreed { index, duty, term, owner });
+        self.note(HistoryEvent::Agreed { index, duty, term, owner });
         self.holder.handle(now, holder::Input::Applied(entry));
     }
 
     fn act(&mut self, now: Micros, duty: Duty, content: Vec<u8>) {
         // The first look at the lease; the second comes when the bytes are queued.
-        let Some(term) = self.may(now, &duty) else { return };
+        let Some(term) = self.held_term(now, &duty) else { return };
         let count = self.acted.entry(duty.clone()).or_default();
         if count.0 != term {
             *count = (term, 0);
         }
         count.1 += 1;
-        let effect = Effect { duty, term, owner: self.settings.name.clone(), number: count.1, content };
-        self.note(Note::Acted { duty: effect.duty.clone(), term, number: effect.number });
+        let effect =
+            LeaseEffect { lease: duty, term, holder: self.settings.name.clone(), number: count.1, content };
+        self.note(HistoryEvent::Acted { duty: effect.lease.clone(), term, number: effect.number });
         // What it does it knows itself; its own fence learns of the term.
-        let _ = self.fence.admit(&effect.duty, term);
+        let _ = self.fence.admit(&effect.lease, term);
         let to: Vec<Arc<str>> = match self.voted {
             true => {
                 self.followed.pass(effect.clone());
@@ -654,11 +657,11 @@
     }
 
     /// To the duty's owner, by the shortest way that there may be.
-    fn report(&mut self, report: Report, passed: bool) {
-        let Some(owner) = self.state().ledger.standing(&report.duty).owner.map(|o| o.name) else { return };
+    fn report(&mut self, report: LeaseReport, passed: bool) {
+        let Some(owner) = self.state().leases.standing(&report.lease).owner.map(|o| o.name) else { return };
         if owner == self.settings.name {
             if report.from != owner {
-                self.outputs.push_back(Output::Hear(report.duty, report.from, report.content));
+                self.outputs.push_back(Output::ReportReceived(report.lease, report.from, report.content));
             }
         } else if !self.voted {
             self.follower
@@ -677,15 +680,15 @@
     }
 
     /// To whoever leads, by the shortest way that there may be; it is proposed again by whoever wants it.
-    fn bring(&mut self, entry: Brought, passed: bool) {
+    fn bring(&mut self, entry: SubsystemEntry, passed: bool) {
         if self.leads() {
-            if let Some(c) = &mut self.council {
+            if let Some(c) = &mut self.voter {
                 c.propose(&entry.entry());
             }
         } else if let Some(leader) = self.leader().filter(|l| !passed && *l != self.settings.name) {
-            self.say(leader, Body::Brought(entry, true));
-        } else if let Some(to) = self.asks().cloned().filter(|_| !passed) {
-            self.say(to, Body::Brought(entry, false));
+            self.say(leader, Body::Submit(entry, true));
+        } else if let Some(to) = self.catch_up_source().cloned().filter(|_| !passed) {
+            self.say(to, Body::Submit(entry, false));
         }
     }
 
@@ -694,25 +697,25 @@
     }
 
     /// An effect of another came; `first` if this voter is the first that it came to.
-    fn effect(&mut self, _: Micros, effect: Effect, first: bool) {
-        if effect.owner == self.settings.name {
+    fn effect(&mut self, _: Micros, effect: LeaseEffect, first: bool) {
+        if effect.holder == self.settings.name {
             return;
         }
-        let Effect { duty, term, owner, number, .. } = effect.clone();
+        let LeaseEffect { lease: duty, term, holder: owner, number, .. } = effect.clone();
         let admitted = match self.fence.admit(&duty, term) {
-            Err(Refused::Stale { .. }) if self.settings.without.terms => Ok(false),
+            Err(Refused::Stale { .. }) if self.settings.disabled_guards.terms => Ok(false),
             other => other,
         };
         if let Err(why) = admitted {
-            return self.note(Note::Refused { duty, term, owner, number, why: why.to_string() });
+            return self.note(HistoryEvent::Refused { duty, term, owner, number, why: why.to_string() });
         }
         // It may come by two ways.
         let last = self.taken.entry(duty.clone()).or_default();
-        if !self.settings.without.terms && (term, number) <= *last {
+        if !self.settings.disabled_guards.terms && (term, number) <= *last {
             return;
         }
         *last = (term, number);
-        self.note(Note::Accepted { duty, term, owner, number });
+        self.note(HistoryEvent::Accepted { duty, term, owner, number });
         if self.voted {
             self.followed.pass(effect.clone());
             if first {
@@ -721,13 +724,13 @@
                 }
             }
         }
-        self.outputs.push_back(Output::Take(effect));
+        self.outputs.push_back(Output::EffectReceived(effect));
     }
 
     /// Carries what each part has to say to the others, until there is nothing left.
     fn settle(&mut self, now: Micros) {
         loop {
-            if let Some(output) = self.council.as_mut().and_then(Council::output) {
+            if let Some(output) = self.voter.as_mut().and_then(Voter::output) {
                 self.of_council(now, output);
             } else if let Some(output) = self.grantor.output() {
                 self.of_grantor(now, output);
@@ -752,17 +755,17 @@
     fn look_at_vote(&mut self, now: Micros) {
         let votes = self.votes();
         if std::mem::replace(&mut self.voted, votes) != votes {
-            let ledger = self.state().ledger.clone();
+            let ledger = self.state().leases.clone();
             self.holder.handle(now, holder::Input::Restored(ledger));
-            self.outputs.push_back(Output::Brought);
+            self.outputs.push_back(Output::SubsystemChanged);
             if !votes {
-                self.followed = Followed::default();
+                self.followed = LearnerProgress::default();
             }
         }
     }
 
     fn of_council(&mut self, now: Micros, output: machine::Output) {
-        let Some(c) = &self.council else { return };
+        let Some(c) = &self.voter else { return };
         let (generation, seat) = (self.generation(), c.seat());
         match output {
             machine::Output::Send(to, bytes) => {
@@ -773,21 +776,23 @@
             }
             machine::Output::Recall(own) => {
                 for to in self.peers() {
-                    self.say(to, Body::Recall(generation, seat, own));
+                    self.say(to, Body::RecallRequest(generation, seat, own));
                 }
             }
             machine::Output::Recalled(to, known) => {
-                let known: Known = known;
+                let known: KnownState = known;
                 if let Some(name) = self.name_of(to) {
-                    self.say(name, Body::Recalled(generation, to, known, seat));
+                    self.say(name, Body::RecallReply(generation, to, known, seat));
                 }
             }
-            machine::Output::Keep(number, record) => self.outputs.push_back(Output::Keep(number, record)),
-            machine::Output::Applied(_, Entry::Sets(_) | Entry::Tenants(_), _) if self.voted => {
-                self.outputs.push_back(Output::Brought)
+            machine::Output::Persist(number, record) => {
+                self.outputs.push_back(Output::Persist(number, record))
+            }
+            machine::Output::Applied(_, Entry::ReplicaSets(_) | Entry::Tenants(_), _) if self.voted => {
+                self.outputs.push_back(Output::SubsystemChanged)
             }
             machine::Output::Applied(index, entry, held) => {
-                if let (Entry::Duty(entry), true) = (entry, held) {
+                if let (Entry::Lease(entry), true) = (entry, held) {
                     self.grantor.handle(now, grantor::Input::Applied(entry.clone()));
                     if self.voted {
                         self.agreed(now, index, entry);
@@ -795,26 +800,26 @@
                 }
             }
             machine::Output::Restored => {
-                let (index, ledger) = (c.state().applied, c.state().ledger.clone());
+                let (index, ledger) = (c.state().applied, c.state().leases.clone());
                 self.grantor.handle(now, grantor::Input::Restored(ledger.clone()));
                 if self.voted {
-                    self.note(Note::Restored { index });
+                    self.note(HistoryEvent::Restored { index });
                     self.holder.handle(now, holder::Input::Restored(ledger));
-                    self.outputs.push_back(Output::Brought);
+                    self.outputs.push_back(Output::SubsystemChanged);
                 }
             }
-            machine::Output::Leads => {
+            machine::Output::BecameLeader => {
                 let term = c.term();
-                self.note(Note::Leads { term });
+                self.note(HistoryEvent::Leads { term });
                 self.grantor.handle(now, grantor::Input::Leads);
             }
-            machine::Output::Follows => {
-                self.note(Note::Follows);
+            machine::Output::LostLeadership => {
+                self.note(HistoryEvent::Follows);
                 self.grantor.handle(now, grantor::Input::Follows);
                 self.routes.clear();
             }
             machine::Output::Confirmed(number) => self.grantor.handle(now, grantor::Input::Confirmed(number)),
-            machine::Output::Retired(why) => self.note(Note::Retired { why }),
+            machine::Output::Retired(why) => self.note(HistoryEvent::Retired { why }),
         }
     }
 
@@ -822,7 +827,7 @@
         match output {
             grantor::Output::Confirm(number) => self.council_handle(now, machine::Input::Confirm(number)),
             grantor::Output::Propose(entry) => {
-                self.council_handle(now, machine::Input::Propose(Entry::Duty(entry)))
+                self.council_handle(now, machine::Input::Propose(Entry::Lease(entry)))
             }
             grantor::Output::Answer(answer) => {
                 let via = self.routes.get(&answer.to).and_then(|(_, via)| via.clone());
@@ -830,7 +835,7 @@
                 if to == self.settings.name {
                     self.answer(now, answer);
                 } else {
-                    self.say(to, Body::Answer(answer));
+                    self.say(to, Body::RenewReply(answer));
                 }
             }
         }
@@ -842,28 +847,28 @@
                 if self.leads() {
                     let me = self.settings.name.clone();
                     self.asked(now, &me, ask, None);
-                } else if let Some(to) = self.leader().or_else(|| self.asks().cloned()) {
-                    self.say(to, Body::Ask(ask, None));
+                } else if let Some(to) = self.leader().or_else(|| self.catch_up_source().cloned()) {
+                    self.say(to, Body::RenewLeases(ask, None));
                 }
             }
             holder::Output::Began(duty, term) => {
-                self.note(Note::Began { duty: duty.clone(), term });
-                self.outputs.push_back(Output::Began(duty, term));
+                self.note(HistoryEvent::Began { duty: duty.clone(), term });
+                self.outputs.push_back(Output::LeaseBegan(duty, term));
             }
             holder::Output::Ended(duty, term) => {
-                self.note(Note::Ended { duty: duty.clone(), term });
-                self.outputs.push_back(Output::Ended(duty, term));
+                self.note(HistoryEvent::Ended { duty: duty.clone(), term });
+                self.outputs.push_back(Output::LeaseEnded(duty, term));
             }
         }
     }
 
     fn answer_followers(&mut self, now: Micros) {
-        let (process, Some(c)) = (self.settings.process, &self.council) else { return };
+        let (process, Some(c)) = (self.settings.process, &self.voter) else { return };
         let state = c.state();
         for (name, poll) in self.followed.due(now, process, state) {
-            let passed: Passed = self.followed.since(process, &poll);
+            let passed: Forwarded = self.followed.since(process, &poll);
             let same = poll.generation == state.generation;
-            let body = match c.since(poll.applied + 1, MOST_ENTRIES).filter(|_| same) {
+            let body = match c.since(poll.applied + 1, MAX_CATCH_UP_ENTRIES).filter(|_| same) {
                 Some(entries) => Body::Entries(state.generation, entries, passed),
                 None => Body::State(Box::new(state.clone()), passed),
             };
--- a/src/consensus/member_tests.rs
+++ b/src/consensus/member_tests.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::config::{found, fresh, kept_of};
-use super::kept::{Kept, Record};
+use super::config::{bootstrap, fresh, kept_of};
+use super::kept::{PersistentState, Record};
 use super::machine;
-use super::member::{Guards, Input, Member, Note, Output, Settings};
-use super::wire::{Body, Effect};
+use super::member::{DisabledGuards, HistoryEvent, Input, Output, Participant, Settings};
+use super::wire::{Body, LeaseEffect};
 use crate::api::Micros;
 use crate::lease::{Duty, Term};
 
@@ -25,24 +25,24 @@
 struct Rig {
     now: Micros,
     process: u64,
-    members: Vec<Option<Member>>,
-    disks: Vec<Option<Kept>>,
+    members: Vec<Option<Participant>>,
+    disks: Vec<Option<PersistentState>>,
     writes: Vec<VecDeque<(u64, Record)>>,
     way: VecDeque<(Micros, usize, Arc<str>, Body)>,
     stopped: BTreeSet<usize>,
     /// Those from whom nothing leaves, and to whom nothing comes; what would have is held.
     cut: BTreeSet<(usize, usize)>,
     held: Vec<(usize, Arc<str>, Body)>,
-    notes: Vec<(usize, Note)>,
+    notes: Vec<(usize, HistoryEvent)>,
     taken: Vec<(usize, Term, u64)>,
     voters: usize,
-    guards: Guards,
+    guards: DisabledGuards,
 }
 
 impl Rig {
-    fn new(members: usize, voters: usize, guards: Guards) -> Rig {
+    fn new(members: usize, voters: usize, guards: DisabledGuards) -> Rig {
         let names: Vec<String> = (0..voters).map(|n| name(n).to_string()).collect();
-        let disk = |n: usize| (n < voters).then(|| kept_of(&found(1, &names[n], &names, None).unwrap()));
+        let disk = |n: usize| (n < voters).then(|| kept_of(&bootstrap(1, &names[n], &names, None).unwrap()));
         let mut rig = Rig {
             now: 1_000 * MS,
             process: 0,
@@ -68,13 +68,13 @@
             name: name(n),
             process: self.process,
             contacts: (0..self.voters + 1).map(name).collect(),
-            duties: BTreeSet::from([duty()]),
+            leases: BTreeSet::from([duty()]),
             lease: crate::lease::Settings { lease: LEASE, drift_ppm: 1_000 },
-            council: machine::Settings { tick: 20 * MS },
+            voter: machine::Settings { tick: 20 * MS },
             seed: n as u64 * 77 + 5,
-            without: self.guards,
+            disabled_guards: self.guards,
         };
-        self.members[n] = Some(Member::new(settings, self.disks[n].clone(), self.now));
+        self.members[n] = Some(Participant::new(settings, self.disks[n].clone(), self.now));
     }
 
     fn kill(&mut self, n: usize) {
@@ -91,18 +91,21 @@
     }
 
     fn drain(&mut self, n: usize) {
-        while let Some(output) = self.members[n].as_mut().and_then(Member::output) {
+        while let Some(output) = self.members[n].as_mut().and_then(Participant::output) {
             match output {
                 Output::Send(to, body) => self.post(n, &to, body),
                 Output::SendOwn(to, effect) => {
-                    if self.members[n].as_ref().unwrap().still(self.now, &effect.duty, effect.term) {
+                    if self.members[n].as_ref().unwrap().still_holds(self.now, &effect.lease, effect.term) {
                         self.post(n, &to, Body::Effect(effect));
                     }
                 }
-                Output::Keep(number, record) => self.writes[n].push_back((number, *record)),
-                Output::Take(e) => self.taken.push((n, e.term, e.number)),
-                Output::Noted(note) => self.notes.push((n, note)),
-                Output::Hear(..) | Output::Began(..) | Output::Ended(..) | Output::Brought => {}
+                Output::Persist(number, record) => self.writes[n].push_back((number, *record)),
+                Output::EffectReceived(e) => self.taken.push((n, e.term, e.number)),
+                Output::Record(note) => self.notes.push((n, note)),
+                Output::ReportReceived(..)
+                | Output::LeaseBegan(..)
+                | Output::LeaseEnded(..)
+                | Output::SubsystemChanged => {}
             }
         }
     }
@@ -129,7 +132,7 @@
                 if let Some(disk) = &mut self.disks[n] {
                     disk.apply(&record);
                 }
-                self.handle(n, Input::Kept(number));
+                self.handle(n, Input::Persisted(number));
             }
             if self.members[n].as_ref().is_some_and(|m| m.next_deadline(self.now) <= self.now) {
                 self.handle(n, Input::Tick);
@@ -148,7 +151,8 @@
     }
 
     fn owner(&self) -> Option<(usize, Term)> {
-        let of = |n: usize| self.members[n].as_ref().and_then(|m| m.may(self.now, &duty())).map(|t| (n, t));
+        let of =
+            |n: usize| self.members[n].as_ref().and_then(|m| m.held_term(self.now, &duty())).map(|t| (n, t));
         (0..self.members.len()).filter(|n| !self.stopped.contains(n)).filter_map(of).max_by_key(|(_, t)| *t)
     }
 
@@ -182,7 +186,7 @@
 
 #[test]
 fn one_owns_the_duty_and_all_take_what_it_does() {
-    let mut rig = Rig::new(9, 5, Guards::default());
+    let mut rig = Rig::new(9, 5, DisabledGuards::default());
     let (owner, term) = rig.owned_after(0);
     rig.act(owner);
     rig.until("its effect everywhere", |r| r.taken.len() == 8);
@@ -197,7 +201,7 @@
 #[test]
 fn an_owner_stopped_past_its_lease_does_nothing_when_it_wakes() {
     for without in [false, true] {
-        let mut rig = Rig::new(5, 5, Guards { lease: without, ..Guards::default() });
+        let mut rig = Rig::new(5, 5, DisabledGuards { lease: without, ..DisabledGuards::default() });
         let (owner, term) = rig.owned_after(0);
         rig.stopped.insert(owner);
         let (next, later) = rig.owned_after(term);
@@ -207,7 +211,8 @@
         rig.stopped.clear();
         // It has not heard anything yet, and is asked to act at once.
         rig.handle(owner, Input::Act(duty(), vec![2]));
-        let acted = rig.notes.iter().any(|(n, note)| *n == owner && matches!(note, Note::Acted { .. }));
+        let acted =
+            rig.notes.iter().any(|(n, note)| *n == owner && matches!(note, HistoryEvent::Acted { .. }));
         assert_eq!(acted, without, "the look at the lease is what holds it back");
         rig.run(LEASE);
         // And whatever it did, nobody took it.
@@ -218,7 +223,7 @@
 #[test]
 fn what_was_held_on_its_way_is_refused_behind_the_next_owners_first() {
     for without in [false, true] {
-        let mut rig = Rig::new(5, 5, Guards { terms: without, ..Guards::default() });
+        let mut rig = Rig::new(5, 5, DisabledGuards { terms: without, ..DisabledGuards::default() });
         let (owner, term) = rig.owned_after(0);
         rig.cut.extend((0..5).map(|to| (owner, to)));
         rig.act(owner);
@@ -232,7 +237,7 @@
             }
         }
         assert_eq!(rig.stale(), without, "the terms are what refuses it");
-        let refused = rig.notes.iter().filter(|(_, n)| matches!(n, Note::Refused { .. })).count();
+        let refused = rig.notes.iter().filter(|(_, n)| matches!(n, HistoryEvent::Refused { .. })).count();
         assert_eq!(refused > 0, !without);
     }
 }
@@ -240,38 +245,38 @@
 #[test]
 fn an_effect_whose_lease_ends_before_its_bytes_are_queued_does_not_leave() {
     for without in [false, true] {
-        let rig = &mut Rig::new(5, 5, Guards { queue: without, ..Guards::default() });
+        let rig = &mut Rig::new(5, 5, DisabledGuards { queue: without, ..DisabledGuards::default() });
         let (owner, _) = rig.owned_after(0);
         let now = rig.now;
         let m = rig.members[owner].as_mut().unwrap();
         m.handle(now, Input::Act(duty(), vec![1]));
         let outputs: Vec<Output> = std::iter::from_fn(|| m.output()).collect();
-        let own: Vec<Effect> = outputs
+        let own: Vec<LeaseEffect> = outputs
             .into_iter()
             .filter_map(|o| if let Output::SendOwn(_, e) = o { Some(e) } else { None })
             .collect();
         assert_eq!(own.len(), 4);
-        assert!(own.iter().all(|e| m.still(now, &e.duty, e.term)));
+        assert!(own.iter().all(|e| m.still_holds(now, &e.lease, e.term)));
         // The process is stopped here, between its decision and the queue.
-        let leaves = own.iter().any(|e| m.still(now + 2 * LEASE, &e.duty, e.term));
+        let leaves = own.iter().any(|e| m.still_holds(now + 2 * LEASE, &e.lease, e.term));
         assert_eq!(leaves, without, "the second look is what holds it back");
     }
 }
 
 #[test]
 fn a_duty_given_back_is_owned_again_within_a_few_round_trips() {
-    let mut rig = Rig::new(5, 5, Guards::default());
+    let mut rig = Rig::new(5, 5, DisabledGuards::default());
     let (owner, term) = rig.owned_after(0);
     let begun = rig.now;
-    rig.handle(owner, Input::Able(false));
-    assert!(rig.members[owner].as_ref().unwrap().may(rig.now, &duty()).is_none(), "it stops first");
+    rig.handle(owner, Input::SetEligible(false));
+    assert!(rig.members[owner].as_ref().unwrap().held_term(rig.now, &duty()).is_none(), "it stops first");
     let (next, _) = rig.owned_after(term);
     assert!(next != owner && rig.now - begun < LEASE / 4, "{} us", rig.now - begun);
 }
 
 #[test]
 fn a_new_process_under_an_old_name_has_nothing_of_the_old_ones() {
-    let mut rig = Rig::new(5, 5, Guards::default());
+    let mut rig = Rig::new(5, 5, DisabledGuards::default());
     let (owner, term) = rig.owned_after(0);
     rig.kill(owner);
     rig.start(owner);
@@ -282,13 +287,13 @@
 
 #[test]
 fn forged_questions_answers_and_effects_change_nothing() {
-    let mut rig = Rig::new(6, 5, Guards::default());
+    let mut rig = Rig::new(6, 5, DisabledGuards::default());
     let (owner, term) = rig.owned_after(0);
     let (other, outsider) = ((owner + 1) % 5, name(5));
-    let effect = |from: &Arc<str>| Effect {
-        duty: duty(),
+    let effect = |from: &Arc<str>| LeaseEffect {
+        lease: duty(),
         term: term + 5,
-        owner: from.clone(),
+        holder: from.clone(),
         number: 1,
         content: vec![],
     };
@@ -302,8 +307,11 @@
         back: vec![(duty(), term)],
     };
     for n in 0..5 {
-        rig.handle(n, Input::Frame(outsider.clone(), Body::Ask(back.clone(), None)));
-        rig.handle(n, Input::Frame(outsider.clone(), Body::Ask(back.clone(), Some(name(0).to_string()))));
+        rig.handle(n, Input::Frame(outsider.clone(), Body::RenewLeases(back.clone(), None)));
+        rig.handle(
+            n,
+            Input::Frame(outsider.clone(), Body::RenewLeases(back.clone(), Some(name(0).to_string()))),
+        );
         rig.handle(n, Input::Frame(outsider.clone(), Body::Raft(1, 99, 1, 1, vec![8, 1])));
         rig.handle(n, Input::Frame(outsider.clone(), Body::Raft(7, 99, 1, 1, vec![])));
     }
@@ -313,13 +321,13 @@
 
 #[test]
 fn a_seat_made_later_votes_once_it_is_made_a_voter_and_outlives_its_maker() {
-    let mut rig = Rig::new(4, 3, Guards::default());
+    let mut rig = Rig::new(4, 3, DisabledGuards::default());
     rig.disks[3] = Some(kept_of(&fresh(4711)));
     rig.kill(3);
     rig.start(3);
     let (_, term) = rig.owned_after(0);
-    rig.until("a leader", |r| r.members.iter().flatten().any(Member::leads));
-    let leader = |r: &Rig| (0..4).find(|n| r.members[*n].as_ref().is_some_and(Member::leads));
+    rig.until("a leader", |r| r.members.iter().flatten().any(Participant::leads));
+    let leader = |r: &Rig| (0..4).find(|n| r.members[*n].as_ref().is_some_and(Participant::leads));
     let joins = Input::Exchange { joins: Some(name(3)), leaves: None };
     rig.run(2 * LEASE);
     // It follows at some voter: that one knows its seat, and so the leader once it asks there.
@@ -328,10 +336,15 @@
             rig.handle(l, joins.clone());
         }
         rig.run(LEASE);
-        if rig.members[3].as_ref().is_some_and(Member::votes) {
+        if rig.members[3].as_ref().is_some_and(Participant::votes) {
             break;
         }
-        rig.handle(3, Input::Lost(rig.members[3].as_ref().unwrap().asks().cloned().unwrap_or(name(0))));
+        rig.handle(
+            3,
+            Input::Disconnected(
+                rig.members[3].as_ref().unwrap().catch_up_source().cloned().unwrap_or(name(0)),
+            ),
+        );
     }
     assert!(rig.members[3].as_ref().unwrap().votes());
     assert_eq!(rig.members[3].as_ref().unwrap().state().generation, 1);
@@ -343,15 +356,15 @@
 
 #[test]
 fn a_council_founded_anew_refuses_all_that_the_old_one_granted() {
-    let mut rig = Rig::new(3, 3, Guards::default());
+    let mut rig = Rig::new(3, 3, DisabledGuards::default());
     let (owner, term) = rig.owned_after(0);
     let state = rig.members[owner].as_ref().unwrap().state().clone();
-    let record = found(2, "n1", &["n1".to_owned()], Some(&state)).unwrap();
+    let record = bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).unwrap();
     let anew = kept_of(&record);
     let state: super::state::State = postcard::from_bytes(&anew.head.snapshot.3).unwrap();
-    let stands = state.ledger.standing(&duty());
+    let stands = state.leases.standing(&duty());
     assert!(stands.owner.is_none() && stands.term > term + 1_000_000);
-    assert!(found(2, "n1", &["n1".to_owned()], Some(&state)).is_err(), "not twice of one generation");
-    assert!(found(1, "n9", &["n1".to_owned()], None).is_err());
-    assert!(found(1, "n1", &["n1".to_owned(), "n1".to_owned()], None).is_err());
+    assert!(bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).is_err(), "not twice of one generation");
+    assert!(bootstrap(1, "n9", &["n1".to_owned()], None).is_err());
+    assert!(bootstrap(1, "n1", &["n1".to_owned(), "n1".to_owned()], None).is_err());
 }
--- a/src/consensus/memory.rs
+++ b/src/consensus/memory.rs
@@ -15,11 +15,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Seat;
+use super::ReplicaId;
 
 /// What one voter knows of another's seat, or a seat of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownState {
     /// Which start of its disk, and which process that was.
     pub boots: u64,
     /// Which process.
@@ -32,7 +32,7 @@
 
 /// Why a seat must not vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Amnesia {
+pub enum StateLoss {
     /// The disk was started as often as, or less than, others have seen: it is a copy, or an older one.
     Boots,
     /// It has spoken in a later term than its disk knows.
@@ -41,24 +41,24 @@
     Entries,
 }
 
-impl Amnesia {
+impl StateLoss {
     /// Its name.
     pub fn name(&self) -> &'static str {
         match self {
-            Amnesia::Boots => "its disk was started less often than others have seen",
-            Amnesia::Term => "it spoke in a later term than its disk knows",
-            Amnesia::Entries => "it told to have kept entries that its disk does not hold",
+            StateLoss::Boots => "its disk was started less often than others have seen",
+            StateLoss::Term => "it spoke in a later term than its disk knows",
+            StateLoss::Entries => "it told to have kept entries that its disk does not hold",
         }
     }
 }
 
 /// What is remembered of the others; one line a seat, for seats of the operator's list of voters and those agreed on.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(BTreeMap<Seat, Known>);
+pub struct PeerMemory(BTreeMap<ReplicaId, KnownState>);
 
-impl Memory {
+impl PeerMemory {
     /// A seat spoke.
-    pub fn heard(&mut self, seat: Seat, heard: Known) {
+    pub fn heard(&mut self, seat: ReplicaId, heard: KnownState) {
         let known = self.0.entry(seat).or_default();
         if heard.boots > known.boots {
             (known.boots, known.process) = (heard.boots, heard.process);
@@ -67,27 +67,27 @@
     }
 
     /// What is known of a seat.
-    pub fn of(&self, seat: Seat) -> Known {
+    pub fn of(&self, seat: ReplicaId) -> KnownState {
         self.0.get(&seat).copied().unwrap_or_default()
     }
 
     /// Forgets all seats but these.
-    pub fn keep(&mut self, seats: impl Fn(&Seat) -> bool) {
+    pub fn keep(&mut self, seats: impl Fn(&ReplicaId) -> bool) {
         self.0.retain(|s, _| seats(s));
     }
 }
 
 /// Compares what one's own disk says with what another remembers.
-pub fn compare(own: Known, theirs: Known) -> Result<(), Amnesia> {
+pub fn compare(own: KnownState, theirs: KnownState) -> Result<(), StateLoss> {
     if theirs.boots > own.boots || theirs.boots == own.boots && theirs.process != own.process {
-        return Err(Amnesia::Boots);
+        return Err(StateLoss::Boots);
     }
     if theirs.term > own.term {
-        return Err(Amnesia::Term);
+        return Err(StateLoss::Term);
     }
     // What it kept in an older term than that of its last entry may have been written over since.
     if theirs.kept.1 > own.kept.1 && own.kept.0 <= theirs.kept.0 {
-        return Err(Amnesia::Entries);
+        return Err(StateLoss::Entries);
     }
     Ok(())
 }
@@ -98,13 +98,13 @@
 /// A voter between its start and its first word.
 #[derive(Clone, Debug, Default)]
 pub struct Probation {
-    answered: std::collections::BTreeSet<Seat>,
+    answered: std::collections::BTreeSet<ReplicaId>,
     asked: u32,
 }
 
 impl Probation {
     /// Another has answered, and knows of nothing that the disk does not.
-    pub fn answered(&mut self, by: Seat) {
+    pub fn answered(&mut self, by: ReplicaId) {
         self.answered.insert(by);
     }
 
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -5,8 +5,8 @@
 //! holds; [`state`] what the entries come to; [`memory`] what voters remember of one another, and with it the refusal of one
 //! whose disk is not the one it had; [`wire`] the frames; [`follow`] how members that do not vote keep up.
 //!
-//! Nothing here is on a call's way. What is kept by id: voters (at most [`MOST_VOTERS`]), duties (the ledger's bound), members
-//! that follow (at most [`follow::MOST_FOLLOWERS`], let go of when silent), entries (a snapshot every [`machine::COMPACT`]).
+//! Nothing here is on a call's way. What is kept by id: voters (at most [`MAX_VOTERS`]), duties (the ledger's bound), members
+//! that follow (at most [`follow::MAX_LEARNERS`], let go of when silent), entries (a snapshot every [`machine::ENTRIES_PER_SNAPSHOT`]).
 
 pub mod config;
 pub mod follow;
@@ -22,13 +22,13 @@
 pub mod wire;
 
 /// A voter's seat: a number drawn when its disk was made. A new disk is a new seat, whatever its name.
-pub type Seat = u64;
+pub type ReplicaId = u64;
 
 /// Voters at most.
-pub const MOST_VOTERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 /// The seat of a founder, the same at every founder so that they know one another: of a generation and a name.
-pub fn founder(generation: u32, name: &str) -> Seat {
+pub fn bootstrap_voter(generation: u32, name: &str) -> ReplicaId {
     let content = [&generation.to_le_bytes()[..], name.as_bytes()].concat();
     let hash = blake3::derive_key("molelug council founder's seat 1", &content);
     u64::from_le_bytes([hash[0], hash[1], hash[2], hash[3], hash[4], hash[5], hash[6], hash[7]]).max(1)
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Seat;
+use super::ReplicaId;
 use crate::lease::ledger::{self, Ledger};
 use crate::replication::sets::{self, Sets};
 use crate::tenancy::replicated::state as tenants;
@@ -14,40 +14,40 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// A leader's first: it says nothing but that all before it is agreed.
-    Nothing,
+    Noop,
     /// Of duties.
-    Duty(ledger::Entry),
+    Lease(ledger::Entry),
     /// Who votes from here on.
-    Voters(BTreeMap<Seat, Arc<str>>),
+    Voters(BTreeMap<ReplicaId, Arc<str>>),
     /// Of shards and the disks that hold them.
-    Sets(sets::Entry),
+    ReplicaSets(sets::Entry),
     /// Of tenants.
     Tenants(Box<tenants::Entry>),
 }
 
 /// An entry that another subsystem brings; the council knows no more of it than whose word it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Brought {
+pub enum SubsystemEntry {
     /// Of shards and the disks that hold them.
-    Sets(sets::Entry),
+    ReplicaSets(sets::Entry),
     /// Of tenants.
     Tenants(Box<tenants::Entry>),
 }
 
-impl Brought {
+impl SubsystemEntry {
     /// Whose word it is.
     pub fn by(&self) -> &Arc<str> {
         match self {
-            Brought::Sets(e) => e.by(),
-            Brought::Tenants(e) => &e.by,
+            SubsystemEntry::ReplicaSets(e) => e.by(),
+            SubsystemEntry::Tenants(e) => &e.by,
         }
     }
 
     /// As the log has it.
     pub fn entry(self) -> Entry {
         match self {
-            Brought::Sets(e) => Entry::Sets(e),
-            Brought::Tenants(e) => Entry::Tenants(e),
+            SubsystemEntry::ReplicaSets(e) => Entry::ReplicaSets(e),
+            SubsystemEntry::Tenants(e) => Entry::Tenants(e),
         }
     }
 }
@@ -60,19 +60,19 @@
     /// The last entry that is in it.
     pub applied: u64,
     /// Who votes.
-    pub voters: BTreeMap<Seat, Arc<str>>,
+    pub voters: BTreeMap<ReplicaId, Arc<str>>,
     /// Duties.
-    pub ledger: Ledger,
+    pub leases: Ledger,
     /// Shards.
-    pub sets: Sets,
+    pub replica_sets: Sets,
     /// Tenants as they were changed.
     pub tenants: tenants::Tenants,
 }
 
 /// The state as disks have it that were written before there were shards.
-type First = (u32, u64, BTreeMap<Seat, Arc<str>>, Ledger);
+type First = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, Ledger);
 /// As they have it that were written before there were tenants.
-type Second = (u32, u64, BTreeMap<Seat, Arc<str>>, Ledger, sets::Earlier);
+type Second = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, Ledger, sets::Earlier);
 
 impl State {
     /// Reads a snapshot's bytes, also those of an earlier version.
@@ -80,10 +80,17 @@
         postcard::from_bytes(bytes).or_else(|e| {
             let tenants = tenants::Tenants::default();
             if let Ok((generation, applied, voters, ledger, sets)) = postcard::from_bytes::<Second>(bytes) {
-                return Ok(State { generation, applied, voters, ledger, sets: sets.into(), tenants });
+                return Ok(State {
+                    generation,
+                    applied,
+                    voters,
+                    leases: ledger,
+                    replica_sets: sets.into(),
+                    tenants,
+                });
             }
             let (generation, applied, voters, ledger): First = postcard::from_bytes(bytes).map_err(|_| e)?;
-            Ok(State { generation, applied, voters, ledger, sets: Sets::default(), tenants })
+            Ok(State { generation, applied, voters, leases: ledger, replica_sets: Sets::default(), tenants })
         })
     }
 
@@ -91,9 +98,9 @@
     pub fn apply(&mut self, index: u64, entry: &Entry) -> bool {
         self.applied = index;
         match entry {
-            Entry::Nothing => false,
-            Entry::Duty(entry) => self.ledger.apply(entry),
-            Entry::Sets(entry) => self.sets.apply(entry),
+            Entry::Noop => false,
+            Entry::Lease(entry) => self.leases.apply(entry),
+            Entry::ReplicaSets(entry) => self.replica_sets.apply(entry),
             Entry::Tenants(entry) => self.tenants.apply(entry),
             Entry::Voters(voters) => {
                 self.voters.clone_from(voters);
--- a/src/consensus/tests.rs
+++ b/src/consensus/tests.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::kept::{Damaged, Head, Kept, Line, Record};
-use super::machine::{Council, Input, Output, Settings, Unfit, Without, COMPACT};
-use super::memory::Known;
+use super::kept::{DamagedState, Head, LogLine, PersistentState, Record};
+use super::machine::{DisabledVoterGuards, Input, Output, Settings, Voter, VoterError, ENTRIES_PER_SNAPSHOT};
+use super::memory::KnownState;
 use super::state::Entry;
 use super::*;
 use crate::api::Micros;
@@ -19,9 +19,9 @@
 }
 
 /// A disk as founding makes it.
-fn founded(n: usize, of: usize) -> Kept {
+fn founded(n: usize, of: usize) -> PersistentState {
     let names: Vec<String> = (0..of).map(|n| name(n).to_string()).collect();
-    config::kept_of(&config::found(1, &name(n), &names, None).unwrap())
+    config::kept_of(&config::bootstrap(1, &name(n), &names, None).unwrap())
 }
 
 fn below(seed: &mut u64, n: u64) -> u64 {
@@ -29,10 +29,10 @@
     (*seed >> 33) % n
 }
 
-struct Voter {
-    council: Option<Council>,
+struct Replica {
+    council: Option<Voter>,
     /// What the disk holds whatever happens.
-    disk: (Option<Head>, Vec<Line>),
+    disk: (Option<Head>, Vec<LogLine>),
     /// Records on their way to it.
     writes: VecDeque<(u64, Record)>,
     /// What it applied, in order, over all its lives.
@@ -42,15 +42,15 @@
 
 enum What {
     Message(u64, u64, Vec<u8>),
-    Recall(Known),
-    Recalled(Known),
+    Recall(KnownState),
+    Recalled(KnownState),
 }
 
 struct Rig {
     now: Micros,
     seed: u64,
     process: u64,
-    voters: Vec<Voter>,
+    voters: Vec<Replica>,
     /// Messages on their way: when they come, to whom, from whom.
     way: BTreeMap<(Micros, u64), (usize, usize, What)>,
     number: u64,
@@ -65,17 +65,17 @@
     full: BTreeSet<usize>,
     /// Voters that are stopped, and forget nothing.
     stopped: BTreeSet<usize>,
-    without: Without,
+    without: DisabledVoterGuards,
     leads: BTreeMap<u64, usize>,
     broken: Option<String>,
 }
 
 impl Rig {
-    fn new(of: usize, seed: u64, without: Without) -> Rig {
+    fn new(of: usize, seed: u64, without: DisabledVoterGuards) -> Rig {
         let voter = |n| {
             let kept = founded(n, of);
             let disk = (Some(kept.head), Vec::new());
-            Voter { council: None, disk, writes: VecDeque::new(), applied: BTreeMap::new(), retired: None }
+            Replica { council: None, disk, writes: VecDeque::new(), applied: BTreeMap::new(), retired: None }
         };
         let mut rig = Rig {
             now: 1,
@@ -101,9 +101,9 @@
     fn start(&mut self, n: usize) {
         self.process += 1;
         let (head, lines) = self.voters[n].disk.clone();
-        let kept = Kept::found(head, lines);
-        let council = kept.map_err(Unfit::Damaged).and_then(|kept| {
-            Council::new(Settings::default(), kept, self.process, self.seed, self.now, self.without)
+        let kept = PersistentState::found(head, lines);
+        let council = kept.map_err(VoterError::Damaged).and_then(|kept| {
+            Voter::new(Settings::default(), kept, self.process, self.seed, self.now, self.without)
         });
         match council {
             Ok(council) => self.voters[n].council = Some(council),
@@ -119,10 +119,10 @@
     fn write(&mut self, n: usize) {
         let v = &mut self.voters[n];
         let Some((number, record)) = v.writes.pop_front() else { return };
-        let mut kept = Kept::found(v.disk.0.clone(), v.disk.1.clone()).unwrap_or_default();
+        let mut kept = PersistentState::found(v.disk.0.clone(), v.disk.1.clone()).unwrap_or_default();
         kept.apply(&record);
         v.disk = (Some(kept.head.clone()), lines(&kept));
-        self.handle(n, Input::Kept(number));
+        self.handle(n, Input::Persisted(number));
     }
 
     fn handle(&mut self, n: usize, input: Input<'_>) {
@@ -133,7 +133,7 @@
     }
 
     fn drain(&mut self, n: usize) {
-        while let Some(output) = self.voters[n].council.as_mut().and_then(Council::output) {
+        while let Some(output) = self.voters[n].council.as_mut().and_then(Voter::output) {
             let (boots, process) =
                 self.voters[n].council.as_ref().map_or((0, 0), |c| (c.boots(), c.process()));
             match output {
@@ -141,32 +141,32 @@
                 Output::Recall(own) => {
                     for to in 0..self.voters.len() {
                         if to != n {
-                            self.post(n, founder(1, &name(to)), || What::Recall(own));
+                            self.post(n, bootstrap_voter(1, &name(to)), || What::Recall(own));
                         }
                     }
                 }
                 Output::Recalled(to, known) => self.post(n, to, || What::Recalled(known)),
-                Output::Keep(number, record) => self.voters[n].writes.push_back((number, *record)),
+                Output::Persist(number, record) => self.voters[n].writes.push_back((number, *record)),
                 Output::Applied(index, entry, _) => {
                     let before = self.voters[n].applied.insert(index, entry.clone());
                     if before.is_some_and(|b| b != entry) {
                         self.broken = Some(format!("entry {index} changed at {n}"));
                     }
                 }
-                Output::Leads => {
-                    let term = self.voters[n].council.as_ref().map_or(0, Council::term);
+                Output::BecameLeader => {
+                    let term = self.voters[n].council.as_ref().map_or(0, Voter::term);
                     if self.leads.insert(term, n).is_some_and(|other| other != n) {
                         self.broken = Some(format!("two lead in term {term}"));
                     }
                 }
                 Output::Retired(why) => self.voters[n].retired = Some(why),
-                Output::Restored | Output::Follows | Output::Confirmed(_) => {}
+                Output::Restored | Output::LostLeadership | Output::Confirmed(_) => {}
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: Seat, what: impl Fn() -> What) {
-        let Some(to) = (0..self.voters.len()).find(|n| founder(1, &name(*n)) == to) else { return };
+    fn post(&mut self, from: usize, to: ReplicaId, what: impl Fn() -> What) {
+        let Some(to) = (0..self.voters.len()).find(|n| bootstrap_voter(1, &name(*n)) == to) else { return };
         if self.cut.contains(&(from, to)) || below(&mut self.seed, 100) < self.lost {
             return;
         }
@@ -183,7 +183,7 @@
         self.now += MS;
         while let Some(entry) = self.way.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, from, what) = entry.remove();
-            let from = founder(1, &name(from));
+            let from = bootstrap_voter(1, &name(from));
             if self.stopped.contains(&to) {
                 continue;
             }
@@ -191,8 +191,8 @@
                 What::Message(boots, process, bytes) => {
                     self.handle(to, Input::Message { from, boots, process, bytes: &bytes })
                 }
-                What::Recall(own) => self.handle(to, Input::Recall { from, own }),
-                What::Recalled(known) => self.handle(to, Input::Recalled { from, known }),
+                What::Recall(own) => self.handle(to, Input::RecallRequest { from, own }),
+                What::Recalled(known) => self.handle(to, Input::RecallReply { from, known }),
             }
         }
         for n in 0..self.voters.len() {
@@ -203,7 +203,7 @@
             if below(&mut self.seed, self.slow) == 0 && !self.full.contains(&n) {
                 self.write(n);
             }
-            let due = self.voters[n].council.as_ref().and_then(Council::next_deadline);
+            let due = self.voters[n].council.as_ref().and_then(Voter::next_deadline);
             if due.is_some_and(|t| t <= self.now) {
                 self.handle(n, Input::Tick);
             }
@@ -225,12 +225,12 @@
             }
             self.step();
         }
-        let of = |v: &Voter| format!("{:?} {:?}", v.council, v.retired);
+        let of = |v: &Replica| format!("{:?} {:?}", v.council, v.retired);
         panic!("{what} did not come: {:?}", self.voters.iter().map(of).collect::<Vec<_>>());
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..self.voters.len()).rfind(|n| self.voters[*n].council.as_ref().is_some_and(Council::leads))
+        (0..self.voters.len()).rfind(|n| self.voters[*n].council.as_ref().is_some_and(Voter::leads))
     }
 
     fn propose(&mut self, n: usize, owner: u64) {
@@ -239,7 +239,7 @@
             owner: Owner { name: "x".into(), incarnation: owner },
             term: owner,
         };
-        self.handle(n, Input::Propose(Entry::Duty(entry)));
+        self.handle(n, Input::Propose(Entry::Lease(entry)));
     }
 
     /// All that was applied agrees, place for place.
@@ -263,13 +263,13 @@
     }
 }
 
-fn lines(kept: &Kept) -> Vec<Line> {
+fn lines(kept: &PersistentState) -> Vec<LogLine> {
     kept.lines().to_vec()
 }
 
 fn propose_all(rig: &mut Rig, owner: &mut u64) {
     for n in 0..rig.voters.len() {
-        if rig.voters[n].council.as_ref().is_some_and(Council::leads) {
+        if rig.voters[n].council.as_ref().is_some_and(Voter::leads) {
             *owner += 1;
             rig.propose(n, *owner);
         }
@@ -277,7 +277,7 @@
 }
 
 /// One run with faults drawn from the seed: messages lost and doubled, cuts one way, kills and restarts, slow disks.
-fn play(seed: u64, of: usize, without: Without) -> (Rig, Result<(), String>) {
+fn play(seed: u64, of: usize, without: DisabledVoterGuards) -> (Rig, Result<(), String>) {
     let mut rig = Rig::new(of, seed, without);
     (rig.lost, rig.doubled) = (below(&mut rig.seed, 30), below(&mut rig.seed, 10));
     rig.slow = 1 + below(&mut rig.seed, 40);
@@ -300,7 +300,7 @@
 }
 
 /// One run in which the first voter comes back with an older disk, again and again, while others are stopped at times.
-fn forget(seed: u64, without: Without) -> (Rig, Result<(), String>) {
+fn forget(seed: u64, without: DisabledVoterGuards) -> (Rig, Result<(), String>) {
     let mut rig = Rig::new(3, seed, without);
     rig.lost = below(&mut rig.seed, 30);
     let mut owner = 0;
@@ -333,7 +333,7 @@
 fn voters_agree_on_one_order_whatever_is_lost_doubled_or_killed() {
     let mut most = 0;
     for seed in 0..40 {
-        let (rig, judged) = play(seed, if seed % 2 == 0 { 3 } else { 5 }, Without::default());
+        let (rig, judged) = play(seed, if seed % 2 == 0 { 3 } else { 5 }, DisabledVoterGuards::default());
         assert_eq!(judged, Ok(()), "seed {seed}");
         let gone: Vec<_> = rig.voters.iter().filter_map(|v| v.retired.clone()).collect();
         assert_eq!(gone, Vec::<String>::new(), "seed {seed}: an honest disk was refused");
@@ -344,7 +344,7 @@
 
 #[test]
 fn what_is_said_before_it_is_kept_breaks_the_order() {
-    let without = Without { kept: true, ..Without::default() };
+    let without = DisabledVoterGuards { kept: true, ..DisabledVoterGuards::default() };
     // What was said and forgotten shows as an order that breaks, or before that as a disk that others know more of.
     let broken = |(rig, judged): (Rig, Result<(), String>)| {
         judged.is_err() || rig.voters.iter().any(|v| v.retired.is_some())
@@ -353,7 +353,7 @@
         (0..200).any(|seed| broken(play(seed, 3, without))),
         "the run does not need the guard that it tests"
     );
-    let both = Without { probation: true, ..without };
+    let both = DisabledVoterGuards { probation: true, ..without };
     assert!((0..200).any(|seed| play(seed, 3, both).1.is_err()), "the order does not need the two guards");
 }
 
@@ -361,19 +361,19 @@
 fn yesterdays_disk_does_not_vote_and_without_the_question_breaks_the_order() {
     let mut found = 0;
     for seed in 0..40 {
-        let (rig, judged) = forget(seed, Without::default());
+        let (rig, judged) = forget(seed, DisabledVoterGuards::default());
         assert_eq!(judged, Ok(()), "seed {seed}");
         found += rig.voters.iter().filter(|v| v.retired.is_some()).count();
     }
     assert!(found > 5, "no old disk came back");
-    let without = Without { probation: true, ..Without::default() };
+    let without = DisabledVoterGuards { probation: true, ..DisabledVoterGuards::default() };
     let broken = (0..200).any(|seed| forget(seed, without).1.is_err());
     assert!(broken, "the run does not need the guard that it tests");
 }
 
 #[test]
 fn an_empty_disk_founded_again_does_not_vote_as_who_it_was() {
-    let mut rig = Rig::new(3, 7, Without::default());
+    let mut rig = Rig::new(3, 7, DisabledVoterGuards::default());
     rig.until("a leader", |r| r.leader().is_some());
     let leader = rig.leader().unwrap();
     rig.propose(leader, 1);
@@ -401,20 +401,20 @@
 
 #[test]
 fn two_processes_on_copies_of_one_disk_are_told_apart() {
-    let own = |boots, process| Known { boots, process, term: 3, kept: (3, 9) };
+    let own = |boots, process| KnownState { boots, process, term: 3, kept: (3, 9) };
     assert!(super::memory::compare(own(4, 1), own(3, 9)).is_ok());
     assert!(super::memory::compare(own(4, 1), own(4, 1)).is_ok());
     assert!(super::memory::compare(own(4, 1), own(4, 2)).is_err());
     assert!(super::memory::compare(own(4, 1), own(5, 2)).is_err());
     // Written over since: entries kept in an older term need not be there any more.
-    let later = Known { term: 5, kept: (5, 8), ..own(4, 1) };
+    let later = KnownState { term: 5, kept: (5, 8), ..own(4, 1) };
     assert!(super::memory::compare(later, own(3, 9)).is_ok());
-    assert!(super::memory::compare(Known { kept: (3, 8), ..own(4, 1) }, own(3, 9)).is_err());
+    assert!(super::memory::compare(KnownState { kept: (3, 8), ..own(4, 1) }, own(3, 9)).is_err());
 }
 
 #[test]
 fn all_killed_at_once_come_back_to_what_was_agreed() {
-    let mut rig = Rig::new(5, 11, Without::default());
+    let mut rig = Rig::new(5, 11, DisabledVoterGuards::default());
     rig.until("a leader", |r| r.leader().is_some());
     let leader = rig.leader().unwrap();
     rig.propose(leader, 1);
@@ -425,13 +425,13 @@
     (0..5).for_each(|n| rig.start(n));
     rig.until("a leader again", |r| r.leader().is_some());
     let state = rig.voters[rig.leader().unwrap()].council.as_ref().unwrap().state().clone();
-    assert!(state.applied >= agreed && state.ledger.standing(&"d".into()).term == 1);
+    assert!(state.applied >= agreed && state.leases.standing(&"d".into()).term == 1);
     assert_eq!(rig.judge(), Ok(()));
 }
 
 #[test]
 fn without_a_majority_nothing_is_agreed_and_with_it_again_all_goes_on() {
-    let mut rig = Rig::new(5, 13, Without::default());
+    let mut rig = Rig::new(5, 13, DisabledVoterGuards::default());
     rig.until("a leader", |r| r.leader().is_some());
     let leader = rig.leader().unwrap();
     let gone: Vec<usize> = (0..5).filter(|n| *n != leader).take(3).collect();
@@ -448,7 +448,7 @@
 
 #[test]
 fn one_cut_off_and_back_does_not_unseat_the_leader() {
-    let unseats = |without: Without| {
+    let unseats = |without: DisabledVoterGuards| {
         let mut rig = Rig::new(5, 17, without);
         rig.until("a leader", |r| r.leader().is_some());
         rig.run(500 * MS);
@@ -463,18 +463,21 @@
         let now = rig.leader().map(|l| rig.voters[l].council.as_ref().unwrap().term());
         now != Some(term)
     };
-    assert!(!unseats(Without::default()));
-    assert!(unseats(Without { pre_vote: true, ..Without::default() }), "the run does not need pre-vote");
+    assert!(!unseats(DisabledVoterGuards::default()));
+    assert!(
+        unseats(DisabledVoterGuards { pre_vote: true, ..DisabledVoterGuards::default() }),
+        "the run does not need pre-vote"
+    );
 }
 
 #[test]
 fn the_log_is_bounded_and_one_far_behind_gets_a_snapshot() {
-    let mut rig = Rig::new(3, 19, Without::default());
+    let mut rig = Rig::new(3, 19, DisabledVoterGuards::default());
     rig.until("a leader", |r| r.leader().is_some());
     let leader = rig.leader().unwrap();
     let n = (leader + 1) % 3;
     rig.kill(n);
-    for owner in 1..=COMPACT * 2 {
+    for owner in 1..=ENTRIES_PER_SNAPSHOT * 2 {
         rig.propose(leader, owner);
         if owner % 16 == 0 {
             let before = rig.most_applied();
@@ -483,18 +486,18 @@
     }
     rig.run(500 * MS);
     let kept = rig.voters[leader].disk.1.len() as u64;
-    assert!(kept <= COMPACT + 64, "{kept} entries are kept");
+    assert!(kept <= ENTRIES_PER_SNAPSHOT + 64, "{kept} entries are kept");
     rig.start(n);
-    let ledger = |r: &Rig, n: usize| r.voters[n].council.as_ref().map(|c| c.state().ledger.clone());
+    let ledger = |r: &Rig, n: usize| r.voters[n].council.as_ref().map(|c| c.state().leases.clone());
     rig.until("the state", |r| ledger(r, n).is_some() && ledger(r, n) == ledger(r, leader));
 }
 
 #[test]
 fn voters_are_exchanged_one_at_a_time() {
-    let mut rig = Rig::new(3, 23, Without::default());
+    let mut rig = Rig::new(3, 23, DisabledVoterGuards::default());
     // A fourth with a seat of its own, which nobody has made a voter yet.
-    let head = config::kept_of(&config::fresh(founder(1, &name(3)))).head;
-    rig.voters.push(Voter {
+    let head = config::kept_of(&config::fresh(bootstrap_voter(1, &name(3)))).head;
+    rig.voters.push(Replica {
         council: None,
         disk: (Some(head), Vec::new()),
         writes: VecDeque::new(),
@@ -506,11 +509,11 @@
     let leader = rig.leader().unwrap();
     let gone = (leader + 1) % 3;
     rig.kill(gone);
-    let joins = Some((founder(1, &name(3)), name(3)));
+    let joins = Some((bootstrap_voter(1, &name(3)), name(3)));
     rig.handle(leader, Input::Exchange { joins, leaves: None });
     let voters = |r: &Rig, n: usize| r.voters[n].council.as_ref().map_or(0, |c| c.state().voters.len());
     rig.until("the fourth to know", |r| voters(r, 3) == 4);
-    rig.handle(leader, Input::Exchange { joins: None, leaves: Some(founder(1, &name(gone))) });
+    rig.handle(leader, Input::Exchange { joins: None, leaves: Some(bootstrap_voter(1, &name(gone))) });
     rig.until("three again", |r| voters(r, 3) == 3 && voters(r, leader) == 3);
     assert_eq!(rig.judge(), Ok(()));
     // The voters outlive a restart.
@@ -524,16 +527,19 @@
 
 #[test]
 fn a_damaged_log_is_told_and_does_not_vote() {
-    let line = |index| Line { index, term: 1, voters: false, data: Vec::new(), context: Vec::new() };
+    let line = |index| LogLine { index, term: 1, voters: false, data: Vec::new(), context: Vec::new() };
     let head = |agreed| Some(Head { hard: (1, 0, agreed), ..Head::default() });
-    assert!(Kept::found(head(2), vec![line(1), line(2)]).is_ok());
-    assert_eq!(Kept::found(None, Vec::new()), Err(Damaged::Empty));
-    assert_eq!(Kept::found(head(3), vec![line(1), line(3)]), Err(Damaged::Gap(2)));
-    assert_eq!(Kept::found(head(3), vec![line(1), line(2)]), Err(Damaged::Cut { last: 2, agreed: 3 }));
+    assert!(PersistentState::found(head(2), vec![line(1), line(2)]).is_ok());
+    assert_eq!(PersistentState::found(None, Vec::new()), Err(DamagedState::Empty));
+    assert_eq!(PersistentState::found(head(3), vec![line(1), line(3)]), Err(DamagedState::Gap(2)));
+    assert_eq!(
+        PersistentState::found(head(3), vec![line(1), line(2)]),
+        Err(DamagedState::Cut { last: 2, agreed: 3 })
+    );
     // Garbage from a voter changes nothing.
-    let mut rig = Rig::new(3, 29, Without::default());
+    let mut rig = Rig::new(3, 29, DisabledVoterGuards::default());
     rig.until("a leader", |r| r.leader().is_some());
-    let (leader, from) = (rig.leader().unwrap(), founder(1, &name((rig.leader().unwrap() + 1) % 3)));
+    let (leader, from) = (rig.leader().unwrap(), bootstrap_voter(1, &name((rig.leader().unwrap() + 1) % 3)));
     for bytes in [&b""[..], b"\xff\xff\xff", &[8; 4000]] {
         rig.handle(leader, Input::Message { from, boots: 1, process: 1, bytes });
     }
@@ -542,7 +548,7 @@
 
 #[test]
 fn a_voter_whose_disk_is_full_holds_little_and_catches_up_once_there_is_room() {
-    let mut rig = Rig::new(3, 31, Without::default());
+    let mut rig = Rig::new(3, 31, DisabledVoterGuards::default());
     rig.until("a leader", |r| r.leader().is_some());
     let leader = rig.leader().unwrap();
     let n = (leader + 1) % 3;
@@ -559,7 +565,7 @@
     assert!(rig.most_applied() > 300, "the other two go on");
     rig.full.clear();
     let all = |r: &Rig| {
-        r.voters.iter().map(|v| v.council.as_ref().map(|c| c.state().ledger.clone())).collect::<Vec<_>>()
+        r.voters.iter().map(|v| v.council.as_ref().map(|c| c.state().leases.clone())).collect::<Vec<_>>()
     };
     rig.until("it to catch up", |r| all(r).windows(2).all(|w| w[0] == w[1]));
     assert_eq!(rig.judge(), Ok(()));
--- a/src/consensus/wire.rs
+++ b/src/consensus/wire.rs
@@ -11,9 +11,9 @@
 use prost::Message as _;
 use serde::{Deserialize, Serialize};
 
-use super::memory::Known;
-use super::state::{Brought, Entry, State};
-use super::Seat;
+use super::memory::KnownState;
+use super::state::{Entry, State, SubsystemEntry};
+use super::ReplicaId;
 use crate::lease::holder::{Answer, Ask};
 use crate::lease::{Duty, Term};
 use crate::membership::is_name;
@@ -22,14 +22,14 @@
 /// The version of this wire: 2 has shards in the agreed state, 3 tenants.
 pub const VERSION: u32 = 3;
 /// Bytes of a frame at most.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 /// Bytes of the word that who accepts says first.
-pub const WORD: usize = 16;
+pub const CHALLENGE_BYTES: usize = 16;
 /// What is sealed; membership's are 1 to 4.
 const FRAME: u8 = 5;
 
 /// Once said by who accepts, and once by who connects.
-pub type Word = [u8; WORD];
+pub type Challenge = [u8; CHALLENGE_BYTES];
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Envelope {
@@ -51,13 +51,13 @@
 
 /// What one owner did for the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Effect {
+pub struct LeaseEffect {
     /// Under which duty.
-    pub duty: Duty,
+    pub lease: Duty,
     /// Under which term.
     pub term: Term,
     /// Whose.
-    pub owner: Arc<str>,
+    pub holder: Arc<str>,
     /// Which of its effects under this term.
     pub number: u64,
     /// What it is.
@@ -66,9 +66,9 @@
 
 /// What one gateway has for a duty's owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LeaseReport {
     /// Which duty.
-    pub duty: Duty,
+    pub lease: Duty,
     /// Whose word it is.
     pub from: Arc<str>,
     /// What it is.
@@ -79,29 +79,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
     /// From one voter to another: the generation, the sender's seat, which start of its disk and process, `raft`'s message.
-    Raft(u32, Seat, u64, u64, Vec<u8>),
+    Raft(u32, ReplicaId, u64, u64, Vec<u8>),
     /// A voter asks what is known of its seat.
-    Recall(u32, Seat, Known),
+    RecallRequest(u32, ReplicaId, KnownState),
     /// What is known of a seat, told by a seat.
-    Recalled(u32, Seat, Known, Seat),
+    RecallReply(u32, ReplicaId, KnownState, ReplicaId),
     /// A question of a duty's owner, to whoever leads; through which voter, if not straight.
-    Ask(Ask, Option<String>),
+    RenewLeases(Ask, Option<String>),
     /// The answer.
-    Answer(Answer),
+    RenewReply(Answer),
     /// What has been agreed since? And which effects were passed on since? With the seat of who asks, if its disk has one.
     Poll(Poll),
     /// Entries in order, as the answer to a poll.
-    Entries(u32, Vec<(u64, Entry)>, Passed),
+    Entries(u32, Vec<(u64, Entry)>, Forwarded),
     /// The state in place of entries that are not kept any more.
-    State(Box<State>, Passed),
+    State(Box<State>, Forwarded),
     /// What an owner did.
-    Effect(Effect),
+    Effect(LeaseEffect),
     /// Something for a duty's owner; whether a voter passed it on.
-    Report(Report, bool),
+    Report(LeaseReport, bool),
     /// An entry that a subsystem of somebody's wants agreed; whether a voter passed it on.
-    Brought(Brought, bool),
+    Submit(SubsystemEntry, bool),
     /// Between gateways that hold copies: not the council's.
-    Copies(crate::replication::wire::Body),
+    Replication(crate::replication::wire::Body),
 }
 
 /// A follower's question.
@@ -114,15 +114,15 @@
     /// Whose effects it has, and how far.
     pub passed: (u64, u64),
     /// Its seat, if it has one and does not vote.
-    pub seat: Option<Seat>,
+    pub seat: Option<ReplicaId>,
 }
 
 /// Effects that a voter passes on: which process it is, the number behind the last of these, and the effects.
-pub type Passed = (u64, u64, Vec<Effect>);
+pub type Forwarded = (u64, u64, Vec<LeaseEffect>);
 
 /// Why a frame is refused; the connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum FrameError {
     /// It is longer than a frame may be.
     TooLong,
     /// It cannot be read.
@@ -139,23 +139,23 @@
     Replayed,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Refused::TooLong => "too_long",
-            Refused::Garbled => "garbled",
-            Refused::Version => "version",
-            Refused::Stranger => "stranger",
-            Refused::Other => "other",
-            Refused::Seal => "seal",
-            Refused::Replayed => "replayed",
+            FrameError::TooLong => "too_long",
+            FrameError::Garbled => "garbled",
+            FrameError::Version => "version",
+            FrameError::Stranger => "stranger",
+            FrameError::Other => "other",
+            FrameError::Seal => "seal",
+            FrameError::Replayed => "replayed",
         })
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for FrameError {}
 
-fn content(e: &Envelope, accepted: &Word, by_connector: bool) -> Vec<u8> {
+fn content(e: &Envelope, accepted: &Challenge, by_connector: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(e.body.len() + 128);
     for part in [e.from.as_bytes(), e.to.as_bytes(), &e.word, accepted, &e.body] {
         out.extend((part.len() as u64).to_le_bytes());
@@ -168,11 +168,11 @@
 }
 
 /// A word never said before: of a process that is like no other, and a number that it uses once.
-pub fn word(name: &str, process: u64, number: u64) -> Word {
+pub fn challenge(name: &str, process: u64, number: u64) -> Challenge {
     let content = [name.as_bytes(), &[0], &process.to_le_bytes(), &number.to_le_bytes()].concat();
     let hash = blake3::derive_key("molelug council word 1", &content);
-    let mut word = [0; WORD];
-    word.copy_from_slice(&hash[..WORD]);
+    let mut word = [0; CHALLENGE_BYTES];
+    word.copy_from_slice(&hash[..CHALLENGE_BYTES]);
     word
 }
 
@@ -183,9 +183,9 @@
     /// Whether this end connected.
     connector: bool,
     /// The word of who accepted; known once it came.
-    accepted: Option<Word>,
+    accepted: Option<Challenge>,
     /// The word of who connected; known with its first frame.
-    word: Option<Word>,
+    word: Option<Challenge>,
     peer: Option<String>,
     sent: u64,
     heard: u64,
@@ -193,7 +193,7 @@
 
 impl Session {
     /// The end that connects to somebody.
-    pub fn connector(me: &str, peer: &str, word: Word) -> Session {
+    pub fn connector(me: &str, peer: &str, word: Challenge) -> Session {
         Session {
             me: me.into(),
             connector: true,
@@ -206,7 +206,7 @@
     }
 
     /// The end that accepts; its word is the first that leaves.
-    pub fn acceptor(me: &str, word: Word) -> Session {
+    pub fn acceptor(me: &str, word: Challenge) -> Session {
         Session {
             me: me.into(),
             connector: false,
@@ -244,46 +244,46 @@
         };
         e.seal = keys.seal(FRAME, &content(&e, &accepted, self.connector));
         let bytes = e.encode_to_vec();
-        (bytes.len() <= LONGEST).then(|| [&(bytes.len() as u32).to_le_bytes()[..], &bytes].concat())
+        (bytes.len() <= MAX_FRAME_BYTES).then(|| [&(bytes.len() as u32).to_le_bytes()[..], &bytes].concat())
     }
 
     /// Takes what stands whole at the beginning of what came: how many bytes it was, and what it says, if it says anything.
-    pub fn take(&mut self, keys: &Keys, bytes: &[u8]) -> Result<Option<(usize, Option<Body>)>, Refused> {
+    pub fn take(&mut self, keys: &Keys, bytes: &[u8]) -> Result<Option<(usize, Option<Body>)>, FrameError> {
         if self.accepted.is_none() {
-            let Some(word) = bytes.first_chunk::<WORD>() else { return Ok(None) };
+            let Some(word) = bytes.first_chunk::<CHALLENGE_BYTES>() else { return Ok(None) };
             self.accepted = Some(*word);
-            return Ok(Some((WORD, None)));
+            return Ok(Some((CHALLENGE_BYTES, None)));
         }
         let Some(length) = bytes.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_le_bytes(*length) as usize;
-        if length > LONGEST {
-            return Err(Refused::TooLong);
+        if length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong);
         }
         let Some(frame) = bytes.get(4..4 + length) else { return Ok(None) };
         Ok(Some((4 + length, Some(self.open(keys, frame)?))))
     }
 
-    fn open(&mut self, keys: &Keys, frame: &[u8]) -> Result<Body, Refused> {
-        let e = Envelope::decode(frame).map_err(|_| Refused::Garbled)?;
+    fn open(&mut self, keys: &Keys, frame: &[u8]) -> Result<Body, FrameError> {
+        let e = Envelope::decode(frame).map_err(|_| FrameError::Garbled)?;
         if e.version != VERSION {
-            return Err(Refused::Version);
+            return Err(FrameError::Version);
         }
         if !is_name(&e.from) || !keys.knows(&e.from) || self.peer.as_ref().is_some_and(|p| *p != e.from) {
-            return Err(Refused::Stranger);
+            return Err(FrameError::Stranger);
         }
         if e.to != self.me {
-            return Err(Refused::Other);
+            return Err(FrameError::Other);
         }
-        let word: Word = e.word.as_slice().try_into().map_err(|_| Refused::Garbled)?;
+        let word: Challenge = e.word.as_slice().try_into().map_err(|_| FrameError::Garbled)?;
         // One that was taken back before it left is missing among the numbers.
         if self.word.is_some_and(|w| w != word) || e.number <= self.heard {
-            return Err(Refused::Replayed);
+            return Err(FrameError::Replayed);
         }
-        let accepted = self.accepted.ok_or(Refused::Garbled)?;
+        let accepted = self.accepted.ok_or(FrameError::Garbled)?;
         if !keys.check(&e.from, FRAME, &content(&e, &accepted, !self.connector), &e.seal) {
-            return Err(Refused::Seal);
+            return Err(FrameError::Seal);
         }
-        let body = postcard::from_bytes(&e.body).map_err(|_| Refused::Garbled)?;
+        let body = postcard::from_bytes(&e.body).map_err(|_| FrameError::Garbled)?;
         (self.word, self.peer, self.heard) = (Some(word), Some(e.from), e.number);
         Ok(body)
     }
@@ -292,7 +292,7 @@
 /// Bytes of a frame that says this between two names, with a seal of a key that all share; for the emulator's figures.
 pub fn size(from: &str, to: &str, body: &Body) -> usize {
     // Tags and lengths of the envelope, its word, number and seal, and the frame's own length.
-    postcard::to_stdvec(body).map_or(0, |b| b.len()) + from.len() + to.len() + WORD + 64
+    postcard::to_stdvec(body).map_or(0, |b| b.len()) + from.len() + to.len() + CHALLENGE_BYTES + 64
 }
 
 #[cfg(test)]
@@ -301,14 +301,20 @@
     use crate::membership::keys::tests::each;
 
     fn both() -> (Session, Session) {
-        let mut a = Session::connector("a", "b", word("a", 1, 1));
-        let b = Session::acceptor("b", word("b", 2, 1));
-        assert_eq!(a.take(&each(0, 2), &word("b", 2, 1)), Ok(Some((WORD, None))));
+        let mut a = Session::connector("a", "b", challenge("a", 1, 1));
+        let b = Session::acceptor("b", challenge("b", 2, 1));
+        assert_eq!(a.take(&each(0, 2), &challenge("b", 2, 1)), Ok(Some((CHALLENGE_BYTES, None))));
         (a, b)
     }
 
     fn effect(number: u64) -> Body {
-        Body::Effect(Effect { duty: "d".into(), term: 3, owner: "a".into(), number, content: vec![7; 9] })
+        Body::Effect(LeaseEffect {
+            lease: "d".into(),
+            term: 3,
+            holder: "a".into(),
+            number,
+            content: vec![7; 9],
+        })
     }
 
     #[test]
@@ -321,21 +327,21 @@
             assert_eq!(b.clone().take(&kb, &one[..cut]), Ok(None));
         }
         assert_eq!(b.take(&kb, &one), Ok(Some((one.len(), Some(effect(1))))));
-        assert_eq!(b.clone().take(&kb, &one), Err(Refused::Replayed));
+        assert_eq!(b.clone().take(&kb, &one), Err(FrameError::Replayed));
         // One that was taken back is missing; the next counts.
         let three = a.pack(&ka, &effect(3)).unwrap();
         let mut later = b.clone();
         assert!(later.take(&kb, &three).is_ok());
-        assert_eq!(later.take(&kb, &two), Err(Refused::Replayed));
+        assert_eq!(later.take(&kb, &two), Err(FrameError::Replayed));
         // Answers go back; one's own frame sent back does not count.
         let back = b.pack(&kb, &effect(9)).unwrap();
         assert_eq!(a.clone().take(&ka, &back), Ok(Some((back.len(), Some(effect(9))))));
         assert!(a.take(&ka, &two).is_err());
         // On another connection it is refused, and by another reader.
-        let mut other = Session::acceptor("b", word("b", 2, 2));
-        assert_eq!(other.take(&kb, &one), Err(Refused::Seal));
-        let mut other = Session::acceptor("c", word("b", 2, 1));
-        assert_eq!(other.take(&kb, &one), Err(Refused::Other));
+        let mut other = Session::acceptor("b", challenge("b", 2, 2));
+        assert_eq!(other.take(&kb, &one), Err(FrameError::Seal));
+        let mut other = Session::acceptor("c", challenge("b", 2, 1));
+        assert_eq!(other.take(&kb, &one), Err(FrameError::Other));
     }
 
     #[test]
@@ -343,16 +349,16 @@
         let (ka, kb) = (each(0, 2), each(1, 2));
         let (mut a, b) = both();
         let mut frame = a.pack(&ka, &effect(1)).unwrap();
-        let long = [&(LONGEST as u32 + 1).to_le_bytes()[..], &[0; 9]].concat();
-        assert_eq!(b.clone().take(&kb, &long), Err(Refused::TooLong));
-        assert_eq!(b.clone().take(&kb, &[3, 0, 0, 0, 0xff, 0xff, 0xff]), Err(Refused::Garbled));
+        let long = [&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes()[..], &[0; 9]].concat();
+        assert_eq!(b.clone().take(&kb, &long), Err(FrameError::TooLong));
+        assert_eq!(b.clone().take(&kb, &[3, 0, 0, 0, 0xff, 0xff, 0xff]), Err(FrameError::Garbled));
         for at in 4..frame.len() {
             frame[at] ^= 1;
             assert!(b.clone().take(&kb, &frame).is_err(), "byte {at} changed");
             frame[at] ^= 1;
         }
         assert!(b.clone().take(&kb, &frame).is_ok());
-        let huge = Body::Raft(1, 1, 1, 1, vec![0; LONGEST]);
+        let huge = Body::Raft(1, 1, 1, 1, vec![0; MAX_FRAME_BYTES]);
         assert_eq!(a.pack(&ka, &huge), None);
     }
 }
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -16,10 +16,10 @@
 use super::*;
 use crate::config::ConfigError;
 use crate::consensus::config;
-use crate::consensus::kept::Kept;
+use crate::consensus::kept::PersistentState;
 use crate::consensus::machine;
-use crate::consensus::member::{Guards, Input, Member, Note, Output, Settings};
-use crate::consensus::wire::{self, Body, Effect, Session, LONGEST};
+use crate::consensus::member::{DisabledGuards, HistoryEvent, Input, Output, Participant, Settings};
+use crate::consensus::wire::{self, Body, LeaseEffect, Session, MAX_FRAME_BYTES};
 use crate::lease::{Duty, Term};
 use crate::membership::keys::Keys;
 use crate::store::disk::Disk;
@@ -27,11 +27,11 @@
 use crate::store::writer::Writer;
 
 /// Bytes read from one gateway before they are looked at.
-pub(super) const READ_LIMIT: usize = LONGEST + 4;
+pub(super) const READ_LIMIT: usize = MAX_FRAME_BYTES + 4;
 /// A connection between gateways on which nothing comes for so long is closed. Voters speak all the time, and followers ask.
 pub(super) const SILENT: Micros = 10_000_000;
 /// Bytes that may wait for one gateway; what comes beyond gets lost, as it may.
-const MOST_WAITING: usize = 2 * LONGEST;
+const MOST_WAITING: usize = 2 * MAX_FRAME_BYTES;
 /// Frames that wait for a connection to open.
 const MOST_QUEUED: usize = 64;
 /// Connections that other gateways have made, at once; beyond it the longest silent one yields.
@@ -57,7 +57,7 @@
 /// The council, while it is on.
 #[derive(Debug)]
 pub(super) struct ConsensusDriver {
-    member: Member,
+    member: Participant,
     file: config::File,
     keys: Keys,
     book: BTreeMap<Arc<str>, SocketAddr>,
@@ -76,7 +76,7 @@
     /// When the disk of the seat and the address are tried again, if another process held them.
     seat_again: Option<Micros>,
     /// Effects of one's own whose bytes may still wait: by the tag of their frames.
-    waits: HashMap<u64, Effect>,
+    waits: HashMap<u64, LeaseEffect>,
     tags: u64,
     refused: BTreeMap<String, u64>,
     /// Whether its duties find that they can be done here; whether the process is to end.
@@ -103,16 +103,16 @@
 }
 
 /// The guards that this build can take out, for the lab's runs; a build for use has none to take out.
-fn guards() -> Guards {
-    let mut guards = Guards::default();
+fn guards() -> DisabledGuards {
+    let mut guards = DisabledGuards::default();
     if cfg!(debug_assertions) {
         match std::env::var("MOLELUG_WITHOUT").as_deref() {
             Ok("terms") => guards.terms = true,
             Ok("lease") => guards.lease = true,
             Ok("queue") => guards.queue = true,
-            Ok("pre-vote") => guards.council.pre_vote = true,
-            Ok("probation") => guards.council.probation = true,
-            Ok("kept") => guards.council.kept = true,
+            Ok("pre-vote") => guards.voter.pre_vote = true,
+            Ok("probation") => guards.voter.probation = true,
+            Ok("kept") => guards.voter.kept = true,
             _ => {}
         }
     }
@@ -121,7 +121,7 @@
 
 impl ConsensusDriver {
     /// This gateway's part.
-    pub(super) fn member(&self) -> &Member {
+    pub(super) fn member(&self) -> &Participant {
         &self.member
     }
 
@@ -130,7 +130,7 @@
         self.accept
     }
 
-    fn record(&mut self, note: &Note) {
+    fn record(&mut self, note: &HistoryEvent) {
         let Some(file) = &mut self.history else { return };
         let line =
             json!({ "at": uptime(), "name": self.member.name(), "process": self.process, "note": note });
@@ -150,7 +150,7 @@
 fn open_seat(
     path: &std::path::Path,
     handle: &LoopHandle<'static, Gateway>,
-) -> Result<Option<(Kept, Writer)>, GatewayError> {
+) -> Result<Option<(PersistentState, Writer)>, GatewayError> {
     let fail = |e: &dyn fmt::Display| {
         GatewayError::Operator(ConfigError::Parse(path.to_owned(), format!("the seat's disk: {e}")))
     };
@@ -162,7 +162,7 @@
         Err(StoreError::Held) => return Ok(None),
         other => other.map_err(|e| fail(&e))?,
     };
-    let kept = Kept::found(found.log.0, found.log.1).map_err(|e| fail(&e))?;
+    let kept = PersistentState::found(found.log.0, found.log.1).map_err(|e| fail(&e))?;
     let (tell, told) = channel::channel();
     let note = |event, _: &mut (), node: &mut Gateway| {
         if let channel::Event::Msg((number, reply)) = event {
@@ -227,7 +227,7 @@
         let seat_again = seat_again.or(socket.is_none().then(|| uptime() + HELD_AGAIN));
         let (kept, writer) = seat.map_or((None, None), |(kept, writer)| (Some(kept), Some(writer)));
         let process = distinct(&name);
-        let member = Member::new(member_settings(f, &name, process, self.config.seed), kept, uptime());
+        let member = Participant::new(member_settings(f, &name, process, self.config.seed), kept, uptime());
         let history =
             f.history.as_ref().map(|p| File::options().create(true).append(true).open(p)).transpose();
         let history = history.map_err(|e| GatewayError::Listen(f.listen, e))?;
@@ -274,7 +274,7 @@
             return tracing::error!("a record of the council is not kept: {e}");
         }
         let Some(hall) = &mut self.cluster.consensus else { return };
-        hall.member.handle(uptime(), Input::Kept(number));
+        hall.member.handle(uptime(), Input::Persisted(number));
     }
 
     /// The deadline fell due; what follows is done at the turn's end.
@@ -293,7 +293,7 @@
         let Some(hall) = &self.cluster.consensus else { return };
         let (listens, address) = (hall.socket.is_some(), hall.file.listen);
         let wanted =
-            hall.file.seat.clone().filter(|_| hall.writer.is_none() && hall.member.unfit().is_none());
+            hall.file.seat.clone().filter(|_| hall.writer.is_none() && hall.member.voter_error().is_none());
         let socket = if listens { None } else { self.listen_for_peers(address).ok().flatten() };
         let seat = wanted.map(|path| open_seat(&path, &self.handle));
         let Some(hall) = &mut self.cluster.consensus else { return };
@@ -306,7 +306,7 @@
         match seat {
             Some(Ok(Some((kept, writer)))) => {
                 hall.writer = Some(writer);
-                hall.member.take_seat(now, kept);
+                hall.member.begin_voting(now, kept);
             }
             Some(Ok(None)) => hall.seat_again = Some(now + HELD_AGAIN),
             Some(Err(e)) => tracing::error!("this gateway does not vote: {e}"),
@@ -341,7 +341,7 @@
                 leaves = hall.leaves,
                 "whether this gateway does duties has changed"
             );
-            self.tell_member_of_council(Input::Able(able));
+            self.tell_member_of_council(Input::SetEligible(able));
         }
     }
 
@@ -379,7 +379,7 @@
     /// What the log says of the shards here.
     fn know_loads(&mut self, now: Micros) {
         let Some(hall) = &self.cluster.consensus else { return };
-        let ledger = &hall.member.state().ledger;
+        let ledger = &hall.member.state().leases;
         let of = |d: &String| {
             let duty: Duty = d.as_str().into();
             let owned = ledger.standing(&duty).owner.is_some();
@@ -393,38 +393,38 @@
         match output {
             Output::Send(to, body) => self.say(now, &to, body),
             Output::SendOwn(to, effect) => self.say_own(&to, effect),
-            Output::Keep(number, record) => {
+            Output::Persist(number, record) => {
                 if let Some(writer) = self.cluster.consensus.as_ref().and_then(|h| h.writer.as_ref()) {
                     writer.ask(number, Op::Log(record));
                 }
             }
-            Output::Began(duty, term) => {
+            Output::LeaseBegan(duty, term) => {
                 tracing::info!(duty = &*duty, term, "this gateway owns a duty");
                 self.trials_owned(now, &duty, true);
                 self.loads_owned(now, &duty, true);
             }
-            Output::Ended(duty, term) => {
+            Output::LeaseEnded(duty, term) => {
                 tracing::info!(duty = &*duty, term, "this gateway owns a duty no more");
                 self.take_back(&duty, term);
                 self.trials_owned(now, &duty, false);
                 self.loads_owned(now, &duty, false);
             }
-            Output::Take(effect) => {
-                self.trials_told(now, &effect.duty, &effect.content);
-                self.loads_told(now, &effect.duty, &effect.content);
+            Output::EffectReceived(effect) => {
+                self.trials_told(now, &effect.lease, &effect.content);
+                self.loads_told(now, &effect.lease, &effect.content);
             }
-            Output::Hear(duty, from, content) => {
+            Output::ReportReceived(duty, from, content) => {
                 self.trials_heard(now, &duty, &content);
                 self.loads_heard(now, &duty, &from, &content);
             }
-            Output::Brought => {
+            Output::SubsystemChanged => {
                 self.copies_agreed();
                 self.tenants_agreed(now);
             }
-            Output::Noted(note) => {
+            Output::Record(note) => {
                 match &note {
-                    Note::Agreed { duty, owner, .. } => self.loads_known(now, duty, owner.is_some()),
-                    Note::Restored { .. } => self.know_loads(now),
+                    HistoryEvent::Agreed { duty, owner, .. } => self.loads_known(now, duty, owner.is_some()),
+                    HistoryEvent::Restored { .. } => self.know_loads(now),
                     _ => {}
                 }
                 if let Some(hall) = &mut self.cluster.consensus {
@@ -456,7 +456,7 @@
         let Some(address) = hall.book.get(name).copied() else { return };
         hall.again.insert(name.clone(), now + AGAIN);
         hall.words += 1;
-        let word = wire::word(hall.member.name(), hall.process, hall.words);
+        let word = wire::challenge(hall.member.name(), hall.process, hall.words);
         let session = Session::connector(hall.member.name(), name, word);
         let peer = Peer { session, to: Some(name.clone()), queued: Vec::new() };
         // Descriptors are the calls' first.
@@ -477,7 +477,7 @@
 
     fn lost_peer(&mut self, name: &Arc<str>) {
         if let Some(hall) = &mut self.cluster.consensus {
-            hall.member.handle(uptime(), Input::Lost(name.clone()));
+            hall.member.handle(uptime(), Input::Disconnected(name.clone()));
         }
         self.tell_copies(crate::replication::machine::Input::Lost(name.clone()));
     }
@@ -506,7 +506,7 @@
     fn add_peer(&mut self, now: Micros, stream: std::net::TcpStream) {
         let Some(hall) = &mut self.cluster.consensus else { return };
         hall.words += 1;
-        let word = wire::word(hall.member.name(), hall.process, hall.words);
+        let word = wire::challenge(hall.member.name(), hall.process, hall.words);
         let peer =
             Peer { session: Session::acceptor(hall.member.name(), word), to: None, queued: Vec::new() };
         let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
@@ -551,7 +551,7 @@
             for body in queued {
                 self.push(key, &body, net::KEPT_FRAME);
             }
-            if let Some(Body::Copies(body)) = body {
+            if let Some(Body::Replication(body)) = body {
                 self.copies_frame(name, body);
             } else if let (Some(body), Some(hall)) = (body, &mut self.cluster.consensus) {
                 hall.member.handle(uptime(), Input::Frame(name, body));
@@ -606,7 +606,7 @@
 
     /// What is agreed of shards, as far as it is known here.
     pub(super) fn agreed_sets(&self) -> Option<crate::replication::sets::Sets> {
-        self.cluster.consensus.as_ref().map(|h| h.member.state().sets.clone())
+        self.cluster.consensus.as_ref().map(|h| h.member.state().replica_sets.clone())
     }
 
     /// Where others than voters are reached; voters stay as the council's file has them.
@@ -639,14 +639,14 @@
 
     /// An effect of one's own: its lease is looked at once more, now that its bytes are to be queued. It does not wait for a
     /// connection to open.
-    fn say_own(&mut self, to: &Arc<str>, effect: Effect) {
+    fn say_own(&mut self, to: &Arc<str>, effect: LeaseEffect) {
         let Some(hall) = &mut self.cluster.consensus else { return };
         let up = uptime();
         let open = |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Peer(p))) if p.session.is_open());
         let key = hall.connection(to).filter(open);
-        if !hall.member.still(up, &effect.duty, effect.term) {
-            let Effect { duty, term, number, .. } = effect;
-            return hall.record(&Note::TakenBack { duty, term, number });
+        if !hall.member.still_holds(up, &effect.lease, effect.term) {
+            let LeaseEffect { lease: duty, term, number, .. } = effect;
+            return hall.record(&HistoryEvent::TakenBack { duty, term, number });
         }
         let Some(key) = key else { return };
         hall.tags += 1;
@@ -656,23 +656,29 @@
             hall.waits.clear();
         }
         hall.waits.insert(tag, effect.clone());
-        hall.record(&Note::Sent { duty: effect.duty.clone(), term: effect.term, number: effect.number });
+        hall.record(&HistoryEvent::Sent {
+            duty: effect.lease.clone(),
+            term: effect.term,
+            number: effect.number,
+        });
         self.push(key, &Body::Effect(effect), tag);
     }
 
     /// Effects of an ended lease whose bytes still wait are taken back.
     fn take_back(&mut self, duty: &Duty, term: Term) {
         let Some(hall) = &mut self.cluster.consensus else { return };
-        let of = |e: &Effect| e.duty == *duty && e.term == term;
+        let of = |e: &LeaseEffect| e.lease == *duty && e.term == term;
         let tags: Vec<u64> = hall.waits.iter().filter(|(_, e)| of(e)).map(|(t, _)| *t).collect();
         for tag in tags {
             let taken = self
                 .connections
                 .values_mut()
                 .any(|(conn, role)| matches!(role, Role::Peer(_)) && conn.out.withdraw(tag));
-            let Some(Effect { duty, term, number, .. }) = hall.waits.remove(&tag) else { continue };
-            if taken && !hall.member.without_queue() {
-                hall.record(&Note::TakenBack { duty, term, number });
+            let Some(LeaseEffect { lease: duty, term, number, .. }) = hall.waits.remove(&tag) else {
+                continue;
+            };
+            if taken && !hall.member.queue_guard_disabled() {
+                hall.record(&HistoryEvent::TakenBack { duty, term, number });
             }
         }
     }
@@ -691,8 +697,8 @@
         let over: BTreeSet<(Duty, Term)> = hall
             .waits
             .values()
-            .filter(|e| !hall.member.still(up, &e.duty, e.term))
-            .map(|e| (e.duty.clone(), e.term))
+            .filter(|e| !hall.member.still_holds(up, &e.lease, e.term))
+            .map(|e| (e.lease.clone(), e.term))
             .collect();
         over.into_iter().for_each(|(duty, term)| self.take_back(&duty, term));
     }
@@ -725,10 +731,10 @@
         let open = |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Peer(p))) if p.session.is_open());
         let reached: Vec<&str> = hall.out.iter().filter(|(_, k)| open(k)).map(|(n, _)| &**n).collect();
         json!({ "name": m.name(), "process": hall.process, "generation": state.generation, "applied": state.applied,
-            "voters": voters, "votes": m.votes(), "leads": m.leads(), "leader": m.leader(), "asks": m.asks(),
-            "why_not_voting": m.unfit(), "waits_for_its_disk": hall.seat_again.is_some(),
-            "log_term": m.council().map(|c| c.term()), "entries": m.council().map(|c| c.entries()),
-            "followers": m.followers(), "seats": m.seats(), "reached": reached, "refused": hall.refused,
+            "voters": voters, "votes": m.votes(), "leads": m.leads(), "leader": m.leader(), "asks": m.catch_up_source(),
+            "why_not_voting": m.voter_error(), "waits_for_its_disk": hall.seat_again.is_some(),
+            "log_term": m.voter().map(|c| c.term()), "entries": m.voter().map(|c| c.entries()),
+            "followers": m.learners(), "seats": m.replicas(), "reached": reached, "refused": hall.refused,
             "able": hall.told_able })
     }
 
@@ -736,20 +742,20 @@
     pub(super) fn duties_view(&self) -> serde_json::Value {
         let Some(hall) = &self.cluster.consensus else { return serde_json::Value::Null };
         let (m, now) = (&hall.member, uptime());
-        let ledger = &m.state().ledger;
+        let ledger = &m.state().leases;
         let mut names: BTreeSet<Duty> = hall.file.duties.iter().map(|d| d.as_str().into()).collect();
         names.extend(ledger.duties().map(|(d, _)| d.clone()));
-        let mine: BTreeMap<&Duty, Option<Micros>> = m.holds().map(|(d, _, until)| (d, until)).collect();
+        let mine: BTreeMap<&Duty, Option<Micros>> = m.held_leases().map(|(d, _, until)| (d, until)).collect();
         let view = |duty: &Duty| {
             let stands = ledger.standing(duty);
             let until = mine.get(duty).copied().flatten();
-            let why = match (m.leads(), m.leader().is_some() || m.asks().is_some()) {
-                (true, _) => m.why(now, duty).map(|w| json!(w)),
+            let why = match (m.leads(), m.leader().is_some() || m.catch_up_source().is_some()) {
+                (true, _) => m.grant_reason(now, duty).map(|w| json!(w)),
                 (false, true) => None,
                 (false, false) => Some(json!("no_leader_known")),
             };
             json!({ "duty": duty, "term": stands.term, "owner": stands.owner.as_ref().map(|o| &*o.name),
-                "process": stands.owner.as_ref().map(|o| o.incarnation), "mine": m.may(now, duty).is_some(),
+                "process": stands.owner.as_ref().map(|o| o.incarnation), "mine": m.held_term(now, duty).is_some(),
                 "lease_left_ms": until.map(|t| t.saturating_sub(now) / 1_000), "why_nobody": why })
         };
         json!({ "name": m.name(), "leads": m.leads(), "leader": m.leader(),
@@ -777,10 +783,10 @@
         name: name.into(),
         process,
         contacts: f.voters.keys().map(|n| n.as_str().into()).collect(),
-        duties: f.duties.iter().map(|d| d.as_str().into()).collect(),
+        leases: f.duties.iter().map(|d| d.as_str().into()).collect(),
         lease: crate::lease::Settings { lease: f.lease_ms * 1_000, drift_ppm: f.drift_ppm },
-        council: machine::Settings { tick: f.tick_ms * 1_000 },
+        voter: machine::Settings { tick: f.tick_ms * 1_000 },
         seed: seed ^ process,
-        without: guards(),
+        disabled_guards: guards(),
     }
 }
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -6,7 +6,7 @@
 use super::history::History;
 use super::*;
 use crate::config::ConfigError;
-use crate::consensus::state::Brought;
+use crate::consensus::state::SubsystemEntry;
 use crate::consensus::{member, wire as frames};
 use crate::replication::config::{self, Guards, WhenFewer};
 use crate::replication::error::Refusal;
@@ -212,9 +212,9 @@
             return;
         };
         match output {
-            Output::Send(to, body) => self.say(now, &to, frames::Body::Copies(body)),
+            Output::Send(to, body) => self.say(now, &to, frames::Body::Replication(body)),
             Output::Propose(entry) => {
-                self.tell_member_of_council(member::Input::Bring(Brought::Sets(entry)));
+                self.tell_member_of_council(member::Input::Submit(SubsystemEntry::ReplicaSets(entry)));
             }
             Output::Store(shard, place, bytes, ticket) => hooks.keep_record(shard, place, &bytes, ticket),
             Output::Install(shard, place, bytes) => hooks.keep_shard(shard, place, bytes),
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -6,7 +6,7 @@
 use crate::admin::{self, Change, Handled};
 use crate::api::Micros;
 use crate::consensus::member::Input as Say;
-use crate::consensus::state::Brought;
+use crate::consensus::state::SubsystemEntry;
 use crate::delivery::EndpointId;
 use crate::front::http::{plain, Bad};
 use crate::gateway::consensus::uptime;
@@ -99,7 +99,7 @@
     /// removed, or a secret that was taken back, must not count again meanwhile.
     pub(super) fn knows_tenants(&mut self) -> Result<(), Refusal> {
         let Some(side) = &mut self.cluster.tenants else { return Ok(()) };
-        side.heard |= self.cluster.consensus.as_ref().is_some_and(|h| h.member().has_heard());
+        side.heard |= self.cluster.consensus.as_ref().is_some_and(|h| h.member().is_caught_up());
         if side.heard {
             Ok(())
         } else {
@@ -159,7 +159,7 @@
         while let Some(output) = self.cluster.tenants.as_mut().and_then(|s| s.machine.output()) {
             match output {
                 Output::Propose(entry) => {
-                    self.tell_member_of_council(Say::Bring(Brought::Tenants(Box::new(entry))));
+                    self.tell_member_of_council(Say::Submit(SubsystemEntry::Tenants(Box::new(entry))));
                 }
                 Output::Removals(removals) => self.secondary.tenants.set_removals(removals),
                 Output::Adopt(tenant, kept) => {
--- a/src/replication/machine.rs
+++ b/src/replication/machine.rs
@@ -89,7 +89,7 @@
     Send(Name, Body),
     /// Have an entry agreed; it may get lost.
     Propose(Entry),
-    /// Have a record on the disk, behind all before it; report it by [`Input::Kept`]. With the ticket, if it is led here.
+    /// Have a record on the disk, behind all before it; report it by [`Input::PersistentState`]. With the ticket, if it is led here.
     Store(ShardId, Place, Arc<[u8]>, Option<Ticket>),
     /// Have a snapshot take the place of what the disk holds; report it likewise.
     Install(ShardId, Place, Vec<u8>),
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -3,11 +3,11 @@
 use super::keyspace::{Space, Table};
 use super::records::StoreError;
 use super::tables::{key, number, pack, unpack, TOP};
-use crate::consensus::kept::{Head, Line, Record};
+use crate::consensus::kept::{Head, LogLine, Record};
 
 const SEAT: &[u8] = b"seat";
 
-/// Keeps a change, as [`crate::consensus::kept::Kept::apply`] makes it in memory.
+/// Keeps a change, as [`crate::consensus::kept::PersistentState::apply`] makes it in memory.
 pub fn keep(space: &mut dyn Space, record: &Record) -> Result<(), StoreError> {
     if record.anew {
         drop_range(space, &[], &TOP)?;
@@ -35,11 +35,11 @@
 }
 
 /// What is kept. An entry under another's index cannot be read.
-pub fn read(space: &dyn Space) -> Result<(Option<Head>, Vec<Line>), StoreError> {
+pub fn read(space: &dyn Space) -> Result<(Option<Head>, Vec<LogLine>), StoreError> {
     let head = space.get(Table::Meta, SEAT)?.map(|b| unpack(&b, "a seat")).transpose()?;
     let mut lines = Vec::new();
     for (k, v) in space.scan(Table::Log, &[], &TOP, usize::MAX, false)? {
-        let line: Line = unpack(&v, "an entry of the log")?;
+        let line: LogLine = unpack(&v, "an entry of the log")?;
         if line.index != number(&k, 0) {
             return Err(StoreError::Damaged("an entry of the log"));
         }
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -26,7 +26,7 @@
 use super::recovery::settled_with;
 use super::shards;
 use crate::api::{Effect, Micros};
-use crate::consensus::kept::{Head as Seat, Line};
+use crate::consensus::kept::{Head as Seat, LogLine};
 use crate::delivery::response::{Dead, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::{Place, ShardId};
@@ -70,7 +70,7 @@
     /// Callbacks of which nobody can tell whether they arrived.
     pub unknown: u64,
     /// A voter's seat and log, if the file has one.
-    pub log: (Option<Seat>, Vec<Line>),
+    pub log: (Option<Seat>, Vec<LogLine>),
 }
 
 /// The logic over one space.
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -244,7 +244,7 @@
     assert_eq!(s.answers.len(), MOST_ANSWERS);
     // All of it, at its fullest, fits into the frame that carries it.
     let most = MOST_BYTES + MOST_ANSWERS * (LONGEST_ANSWER + 64) + MOST_RECENT * 20;
-    assert!(most < crate::consensus::wire::LONGEST * 2 / 3);
+    assert!(most < crate::consensus::wire::MAX_FRAME_BYTES * 2 / 3);
 }
 
 /// Every refusal says what an operator can do, and none says it twice.
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -15,10 +15,10 @@
 
 use molelug::api::*;
 use molelug::completion::{CloseReason, SendProgress};
-use molelug::consensus::config::{found, kept_of};
-use molelug::consensus::kept::{Kept, Record};
+use molelug::consensus::config::{bootstrap, kept_of};
+use molelug::consensus::kept::{PersistentState, Record};
 use molelug::consensus::machine;
-use molelug::consensus::member::{self, Guards, Member, Output};
+use molelug::consensus::member::{self, DisabledGuards, Output, Participant};
 use molelug::consensus::wire::{self, Body};
 use molelug::core::{Answer, AttemptKey, AttemptReply, Call, Command, Core, OrderKey, ProbeKey};
 use molelug::health_checks::{self, Trials};
@@ -192,7 +192,7 @@
 struct Instance {
     name: Arc<str>,
     core: Core<u64>,
-    member: Option<Member>,
+    member: Option<Participant>,
     trials: Trials,
     loads: Option<Loads>,
     orders: BTreeMap<u64, (OrderKey, WorkerId, FunctionId, u8)>,
@@ -205,7 +205,7 @@
     /// What came while it was stopped.
     waits: Vec<Event>,
     probes: BTreeMap<ProbeKey, WorkerId>,
-    disk: Kept,
+    disk: PersistentState,
     votes: bool,
     hung: Micros,
     bytes: u64,
@@ -287,8 +287,8 @@
         for n in 0..scenario.instances {
             let votes = n < scenario.voters;
             let disk = match votes {
-                true => kept_of(&found(1, &names[n], &names, None).map_err(Error::other)?),
-                false => Kept::default(),
+                true => kept_of(&bootstrap(1, &names[n], &names, None).map_err(Error::other)?),
+                false => PersistentState::default(),
             };
             instances.push(Instance {
                 name: name(n),
@@ -361,11 +361,11 @@
             name: name(n),
             process: self.processes,
             contacts: (0..s.voters).map(name).collect(),
-            duties: duties(s.shards),
+            leases: duties(s.shards),
             lease: molelug::lease::Settings { lease: s.lease_ms * MS, drift_ppm: 1_000 },
-            council: machine::Settings { tick: s.tick_ms * MS },
+            voter: machine::Settings { tick: s.tick_ms * MS },
             seed: self.ran.seed ^ ((n as u64) << 20),
-            without: Guards::default(),
+            disabled_guards: DisabledGuards::default(),
         };
         let (now, council) = (self.now, s.council);
         let (count, all, shards) = (s.instances, s.workers, s.shards);
@@ -384,7 +384,7 @@
         i.probes.clear();
         i.out.clear();
         let kept = i.votes.then(|| i.disk.clone());
-        i.member = council.then(|| Member::new(settings, kept, now));
+        i.member = council.then(|| Participant::new(settings, kept, now));
         self.drive(n);
     }
 
@@ -395,7 +395,7 @@
             i.member
                 .as_ref()
                 .filter(|_| i.up && !i.stopped)
-                .and_then(|m| m.may(self.now, &duty))
+                .and_then(|m| m.held_term(self.now, &duty))
                 .map(|t| (n, t))
         };
         self.instances.iter().enumerate().filter_map(of).max_by_key(|(_, t)| *t)
@@ -406,7 +406,7 @@
             "all" => (0..self.instances.len()).collect(),
             "owner" => self.owner().map(|(n, _)| n).into_iter().collect(),
             "leader" => {
-                let leads = |n: &usize| self.instances[*n].member.as_ref().is_some_and(Member::leads);
+                let leads = |n: &usize| self.instances[*n].member.as_ref().is_some_and(Participant::leads);
                 (0..self.instances.len()).filter(leads).collect()
             }
             _ => (0..self.instances.len()).filter(|n| *self.instances[*n].name == *who).collect(),
@@ -536,7 +536,7 @@
                     return i.waits.push(Event::Kept { who, process, number, record: Box::default() });
                 }
                 if let Some(m) = i.member.as_mut() {
-                    m.handle(now, member::Input::Kept(number));
+                    m.handle(now, member::Input::Persisted(number));
                 }
                 self.drive(who);
             }
@@ -631,7 +631,7 @@
                 self.of_trials(n, output);
             } else if let Some(output) = self.instances[n].loads.as_mut().and_then(Loads::output) {
                 self.of_loads(n, output);
-            } else if let Some(output) = self.instances[n].member.as_mut().and_then(Member::output) {
+            } else if let Some(output) = self.instances[n].member.as_mut().and_then(Participant::output) {
                 self.of_member(n, output);
             } else {
                 break;
@@ -774,7 +774,7 @@
         for duty in
             duties(self.scenario.shards).into_iter().filter(|d| d.starts_with(load_coordination::PREFIX))
         {
-            let owned = m.state().ledger.standing(&duty).owner.is_some();
+            let owned = m.state().leases.standing(&duty).owner.is_some();
             l.handle(now, load_coordination::Input::Owned(duty, owned));
         }
     }
@@ -789,7 +789,7 @@
                 let plain = verdicts.into_iter().flat_map(|(w, ill)| [w.0, u32::from(ill)]);
                 member::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
             }
-            health_checks::Output::Able(able) => member::Input::Able(able),
+            health_checks::Output::Able(able) => member::Input::SetEligible(able),
             health_checks::Output::Advise(w, until) => return i.core.rumour(now, w, until),
             health_checks::Output::Try(w) => {
                 let probe = i.core.probe(now, w);
@@ -817,20 +817,20 @@
         match output {
             Output::Send(to, body) => self.send(n, &to, body),
             Output::SendOwn(to, effect) => {
-                let still = |m: &Member| m.still(now, &effect.duty, effect.term);
+                let still = |m: &Participant| m.still_holds(now, &effect.lease, effect.term);
                 if self.instances[n].member.as_ref().is_some_and(still) {
                     self.send(n, &to, Body::Effect(effect));
                 }
             }
-            Output::Keep(number, record) => {
+            Output::Persist(number, record) => {
                 let process = self.instances[n].process;
                 let at = now + MS + self.below(4 * MS);
                 self.post(at, Event::Kept { who: n, process, number, record });
             }
-            Output::Began(duty, _) => self.owns(n, duty, true),
-            Output::Ended(duty, _) => self.owns(n, duty, false),
-            Output::Take(effect) => {
-                if self.tell_loads(n, &effect.duty, load_coordination::Input::Told, &effect.content) {
+            Output::LeaseBegan(duty, _) => self.owns(n, duty, true),
+            Output::LeaseEnded(duty, _) => self.owns(n, duty, false),
+            Output::EffectReceived(effect) => {
+                if self.tell_loads(n, &effect.lease, load_coordination::Input::Told, &effect.content) {
                     return;
                 }
                 self.first_effect.entry(effect.term).or_insert(now);
@@ -846,7 +846,7 @@
                 let verdicts = words.chunks_exact(2).map(|p| (WorkerId(p[0]), p[1] == 1)).collect();
                 self.instances[n].trials.handle(now, health_checks::Input::Verdicts(verdicts));
             }
-            Output::Hear(duty, from, content) => {
+            Output::ReportReceived(duty, from, content) => {
                 if self.tell_loads(n, &duty, |word| load_coordination::Input::Heard(from, word), &content) {
                     return;
                 }
@@ -855,9 +855,10 @@
                     self.instances[n].trials.handle(now, heard);
                 }
             }
-            Output::Brought => {}
-            Output::Noted(note) => {
-                if matches!(note, member::Note::Agreed { .. } | member::Note::Restored { .. }) {
+            Output::SubsystemChanged => {}
+            Output::Record(note) => {
+                if matches!(note, member::HistoryEvent::Agreed { .. } | member::HistoryEvent::Restored { .. })
+                {
                     self.know_loads(n);
                 }
                 let i = &mut self.instances[n];
--- a/testbed/src/fault_proxy/mod.rs
+++ b/testbed/src/fault_proxy/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use molelug::consensus::wire::WORD;
+use molelug::consensus::wire::CHALLENGE_BYTES;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -240,7 +240,7 @@
     let mut queue = Queue::new(seed, way, shared.clone());
     let (mut held, mut chunk) = (Vec::new(), [0; 16 * 1024]);
     // Who accepts says a word before its frames.
-    let mut word = if way == Way::Back { WORD } else { 0 };
+    let mut word = if way == Way::Back { CHALLENGE_BYTES } else { 0 };
     let mut ended = false;
     while !shared.stop.load(Ordering::Relaxed) && shared.broken.load(Ordering::Relaxed) == born {
         if !ended && queue.waits.len() < 4096 {
@@ -294,7 +294,7 @@
         std::thread::spawn(move || {
             for mut s in listener.incoming().flatten() {
                 std::thread::spawn(move || {
-                    let _ = s.write_all(&[7; WORD]);
+                    let _ = s.write_all(&[7; CHALLENGE_BYTES]);
                     let mut bytes = [0; 512];
                     while let Ok(n @ 1..) = s.read(&mut bytes) {
                         let _ = s.write_all(&bytes[..n]);
@@ -312,9 +312,9 @@
     fn connect(link: &Link) -> TcpStream {
         let mut s = TcpStream::connect(link.address).unwrap();
         s.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        let mut word = [0; WORD];
+        let mut word = [0; CHALLENGE_BYTES];
         s.read_exact(&mut word).unwrap();
-        assert_eq!(word, [7; WORD]);
+        assert_eq!(word, [7; CHALLENGE_BYTES]);
         s
     }
 
--- a/testbed/tests/owners.rs
+++ b/testbed/tests/owners.rs
@@ -315,7 +315,7 @@
         let mut s = std::net::TcpStream::connect(&listen).unwrap();
         s.set_read_timeout(Some(molelug_testbed::fakes::PATIENCE)).unwrap();
         s.write_all(bytes).unwrap();
-        let mut word = [0; molelug::consensus::wire::WORD];
+        let mut word = [0; molelug::consensus::wire::CHALLENGE_BYTES];
         s.read_exact(&mut word).unwrap();
         if bytes.is_empty() {
             silent.push(s);
@@ -329,12 +329,12 @@
         [9; 32],
     )])
     .unwrap();
-    use molelug::consensus::wire::{word, Body, Session};
+    use molelug::consensus::wire::{challenge, Body, Session};
     let mut s = std::net::TcpStream::connect(&listen).unwrap();
     s.set_read_timeout(Some(molelug_testbed::fakes::PATIENCE)).unwrap();
-    let mut first = [0; molelug::consensus::wire::WORD];
+    let mut first = [0; molelug::consensus::wire::CHALLENGE_BYTES];
     s.read_exact(&mut first).unwrap();
-    let mut session = Session::connector("gw-1", &name(owner), word("gw-1", 1, 1));
+    let mut session = Session::connector("gw-1", &name(owner), challenge("gw-1", 1, 1));
     session.take(&keys, &first).unwrap();
     let poll = Body::Poll(molelug::consensus::wire::Poll::default());
     s.write_all(&session.pack(&keys, &poll).unwrap()).unwrap();
