--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -11,7 +11,7 @@
 use super::state::State;
 use super::{bootstrap_voter, ReplicaId, MAX_VOTERS};
 use crate::config::ConfigError;
-use crate::lease::ledger::{Ledger, MOST_DUTIES};
+use crate::lease::ledger::{LeaseTable, MAX_LEASES};
 use crate::membership::config::read_keys;
 use crate::membership::is_name;
 use crate::membership::keys::Keys;
@@ -85,7 +85,7 @@
         if f.voters.is_empty() {
             return bad("council.voters", "nobody");
         }
-        if f.duties.len() > MOST_DUTIES || f.duties.iter().any(|d| d.is_empty() || d.len() > 64) {
+        if f.duties.len() > MAX_LEASES || f.duties.iter().any(|d| d.is_empty() || d.len() > 64) {
             return bad("council.duties", "too many, or a name that is empty or longer than 64 bytes");
         }
         // A lease is renewed thrice while it runs, and must outlive a change of leaders only to be of use, not to be safe.
@@ -157,7 +157,7 @@
     if let Some(old) = from.filter(|s| s.generation >= generation) {
         return Err(BootstrapError::Generation(old.generation));
     }
-    let ledger = from.map_or_else(Ledger::default, |s| s.leases.founded_anew(generation));
+    let ledger = from.map_or_else(LeaseTable::default, |s| s.leases.rebootstrapped(generation));
     // As if one entry had been agreed: a seat that joins later has it not, and is sent the state.
     let (sets, tenants) = from.map_or_else(Default::default, |s| (s.replica_sets.clone(), s.tenants.clone()));
     let state = State { generation, applied: FIRST, voters, leases: ledger, replica_sets: sets, tenants };
--- a/src/consensus/follow.rs
+++ b/src/consensus/follow.rs
@@ -222,8 +222,8 @@
 
     fn entry(term: u64) -> Entry {
         Entry::Lease(ledger::Entry::Grant {
-            duty: "d".into(),
-            owner: crate::lease::Owner { name: "a".into(), incarnation: 1 },
+            lease: "d".into(),
+            holder: crate::lease::LeaseHolder { name: "a".into(), incarnation: 1 },
             term,
         })
     }
--- a/src/consensus/member.rs
+++ b/src/consensus/member.rs
@@ -12,11 +12,11 @@
 use super::wire::{Body, Forwarded, LeaseEffect, LeaseReport};
 use super::ReplicaId;
 use crate::api::Micros;
-use crate::lease::fence::{Fence, Refused};
-use crate::lease::grantor::{self, Grantor, Why};
-use crate::lease::holder::{self, Answer, Ask, Holder};
+use crate::lease::fence::{Fence, FenceError};
+use crate::lease::grantor::{self, GrantReason, LeaseGrantor};
+use crate::lease::holder::{self, HolderState, RenewReply, RenewRequest};
 use crate::lease::ledger;
-use crate::lease::{Duty, Owner, Term};
+use crate::lease::{LeaseHolder, LeaseName, Term};
 
 /// Ways back to those who asked through another voter; the oldest are forgotten, and asked again.
 const MOST_ROUTES: usize = 4096;
@@ -31,7 +31,7 @@
     /// Those that are known to vote, or may come to: whom to ask.
     pub contacts: BTreeSet<Arc<str>>,
     /// The duties of the operator's list.
-    pub leases: BTreeSet<Duty>,
+    pub leases: BTreeSet<LeaseName>,
     /// How long leases last.
     pub lease: crate::lease::Settings,
     /// How the voters keep time.
@@ -67,9 +67,9 @@
     /// Whether this gateway can do duties at all.
     SetEligible(bool),
     /// An effect of a duty of its own: dropped unless the lease runs.
-    Act(Duty, Vec<u8>),
+    Act(LeaseName, Vec<u8>),
     /// Something for whoever owns a duty; it may get lost.
-    Report(Duty, Vec<u8>),
+    Report(LeaseName, Vec<u8>),
     /// An entry of another subsystem is to be agreed; it may get lost.
     Submit(SubsystemEntry),
     /// An operator has one gateway vote, or another no more.
@@ -93,13 +93,13 @@
     /// Keep this, and report its number.
     Persist(u64, Box<Record>),
     /// A duty may be done from now on.
-    LeaseBegan(Duty, Term),
+    LeaseBegan(LeaseName, Term),
     /// It may not any more.
-    LeaseEnded(Duty, Term),
+    LeaseEnded(LeaseName, Term),
     /// An effect of another is taken.
     EffectReceived(LeaseEffect),
     /// Another has something for this owner of a duty.
-    ReportReceived(Duty, Arc<str>, Vec<u8>),
+    ReportReceived(LeaseName, Arc<str>, Vec<u8>),
     /// What is agreed for other subsystems may have changed; also where a proposal had no effect.
     SubsystemChanged,
     /// Something to be recorded, in order.
@@ -115,11 +115,11 @@
         /// Its place.
         index: u64,
         /// The duty.
-        duty: Duty,
+        duty: LeaseName,
         /// The term.
         term: Term,
         /// Its owner; none if it was given back.
-        owner: Option<Owner>,
+        owner: Option<LeaseHolder>,
     },
     /// The state was replaced up to a place.
     Restored {
@@ -129,21 +129,21 @@
     /// This gateway may do a duty.
     Began {
         /// Which.
-        duty: Duty,
+        duty: LeaseName,
         /// Under which term.
         term: Term,
     },
     /// It may not any more.
     Ended {
         /// Which.
-        duty: Duty,
+        duty: LeaseName,
         /// Under which term.
         term: Term,
     },
     /// It decided on an effect.
     Acted {
         /// Under which duty.
-        duty: Duty,
+        duty: LeaseName,
         /// Under which term.
         term: Term,
         /// Which of its effects.
@@ -152,7 +152,7 @@
     /// The bytes of an effect of its own were queued to leave.
     Sent {
         /// Under which duty.
-        duty: Duty,
+        duty: LeaseName,
         /// Under which term.
         term: Term,
         /// Which of its effects.
@@ -161,7 +161,7 @@
     /// It took an effect of another.
     Accepted {
         /// Under which duty.
-        duty: Duty,
+        duty: LeaseName,
         /// Under which term.
         term: Term,
         /// Whose.
@@ -172,7 +172,7 @@
     /// It refused an effect of another.
     Refused {
         /// Under which duty.
-        duty: Duty,
+        duty: LeaseName,
         /// Under which term.
         term: Term,
         /// Whose.
@@ -185,7 +185,7 @@
     /// It took back an effect of its own that had not left.
     TakenBack {
         /// Under which duty.
-        duty: Duty,
+        duty: LeaseName,
         /// Under which term.
         term: Term,
         /// Which of its effects.
@@ -213,14 +213,14 @@
     voter_error: Option<String>,
     follower: Learner,
     followed: LearnerProgress,
-    grantor: Grantor,
-    holder: Holder,
+    grantor: LeaseGrantor,
+    holder: HolderState,
     fence: Fence,
     /// The last effect taken under the highest term of a duty.
-    taken: BTreeMap<Duty, (Term, u64)>,
+    taken: BTreeMap<LeaseName, (Term, u64)>,
     /// How many effects were decided on under a term of one's own.
-    acted: BTreeMap<Duty, (Term, u64)>,
-    routes: BTreeMap<Owner, (u64, Option<Arc<str>>)>,
+    acted: BTreeMap<LeaseName, (Term, u64)>,
+    routes: BTreeMap<LeaseHolder, (u64, Option<Arc<str>>)>,
     /// Seats of others that spoke before this one had a word of who votes.
     heard: BTreeMap<ReplicaId, Arc<str>>,
     /// The generation of who makes it a voter, until it has a word of it.
@@ -242,12 +242,12 @@
                 Err(e) => unfit = Some(e.to_string()),
             }
         }
-        let owner = Owner { name: settings.name.clone(), incarnation: settings.process };
+        let owner = LeaseHolder { name: settings.name.clone(), incarnation: settings.process };
         let voters: Vec<Arc<str>> =
             settings.contacts.iter().filter(|c| **c != settings.name).cloned().collect();
         let seat = council.as_ref().map(Voter::seat);
-        let grantor = Grantor::new(settings.lease, settings.leases.clone());
-        let holder = Holder::new(settings.lease, owner, now);
+        let grantor = LeaseGrantor::new(settings.lease, settings.leases.clone());
+        let holder = HolderState::new(settings.lease, owner, now);
         let mut member = Participant {
             follower: Learner::new(voters, seat, settings.seed),
             followed: LearnerProgress::default(),
@@ -362,28 +362,28 @@
     }
 
     /// The term under which a duty may be done now, if it may.
-    pub fn held_term(&self, now: Micros, duty: &Duty) -> Option<Term> {
+    pub fn held_term(&self, now: Micros, duty: &LeaseName) -> Option<Term> {
         if self.settings.disabled_guards.lease {
-            return self.holder.holds().find(|(d, ..)| *d == duty).map(|(_, term, _)| term);
+            return self.holder.held_leases().find(|(d, ..)| *d == duty).map(|(_, term, _)| term);
         }
-        self.holder.may(now, duty)
+        self.holder.held_term(now, duty)
     }
 
     /// Whether an effect of one's own may still leave: asked when its bytes are queued.
-    pub fn still_holds(&self, now: Micros, duty: &Duty, term: Term) -> bool {
+    pub fn still_holds(&self, now: Micros, duty: &LeaseName, term: Term) -> bool {
         self.settings.disabled_guards.queue
             || self.settings.disabled_guards.lease
-            || self.holder.still(now, duty, term)
+            || self.holder.still_holds(now, duty, term)
     }
 
     /// What it holds: the duty, its term, and until when it may act.
-    pub fn held_leases(&self) -> impl Iterator<Item = (&Duty, Term, Option<Micros>)> {
-        self.holder.holds()
+    pub fn held_leases(&self) -> impl Iterator<Item = (&LeaseName, Term, Option<Micros>)> {
+        self.holder.held_leases()
     }
 
     /// Why a duty has no owner who acts, as far as a leader can tell.
-    pub fn grant_reason(&self, now: Micros, duty: &Duty) -> Option<Why> {
-        self.grantor.why(now, duty)
+    pub fn grant_reason(&self, now: Micros, duty: &LeaseName) -> Option<GrantReason> {
+        self.grantor.grant_reason(now, duty)
     }
 
     /// Those with whom it keeps a connection: the other voters while it votes, else the one that it asks.
@@ -425,7 +425,7 @@
                 }
             }
             Input::Persisted(number) => self.council_handle(now, machine::Input::Persisted(number)),
-            Input::SetEligible(able) => self.holder.handle(now, holder::Input::Able(able)),
+            Input::SetEligible(able) => self.holder.handle(now, holder::Input::SetEligible(able)),
             Input::Act(duty, content) => self.act(now, duty, content),
             Input::Report(duty, content) => {
                 let from = self.settings.name.clone();
@@ -569,7 +569,7 @@
         }
     }
 
-    fn asked(&mut self, now: Micros, from: &Arc<str>, ask: Ask, via: Option<Arc<str>>) {
+    fn asked(&mut self, now: Micros, from: &Arc<str>, ask: RenewRequest, via: Option<Arc<str>>) {
         let straight = via.is_none() && ask.from.name == *from;
         let passed = via.as_ref() == Some(from) && self.is_voter(from);
         if !(straight || passed) {
@@ -582,16 +582,16 @@
                 let oldest = self.routes.iter().min_by_key(|(_, (n, _))| *n).map(|(o, _)| o.clone());
                 oldest.map(|o| self.routes.remove(&o));
             }
-            self.grantor.handle(now, grantor::Input::Ask(ask));
+            self.grantor.handle(now, grantor::Input::Renew(ask));
         } else if let Some(leader) = self.leader().filter(|l| straight && l != &self.settings.name) {
             let me = self.settings.name.to_string();
             self.say(leader, Body::RenewLeases(ask, Some(me)));
         }
     }
 
-    fn answer(&mut self, now: Micros, answer: Answer) {
+    fn answer(&mut self, now: Micros, answer: RenewReply) {
         if answer.to.name == self.settings.name {
-            self.holder.handle(now, holder::Input::Answer(answer));
+            self.holder.handle(now, holder::Input::Reply(answer));
         } else if self.voted {
             let to = answer.to.name.clone();
             self.say(to, Body::RenewReply(answer));
@@ -624,14 +624,16 @@
     /// An entry of duties took hold where this member takes its word from.
     fn agreed(&mut self, now: Micros, index: u64, entry: ledger::Entry) {
         let (duty, term, owner) = match &entry {
-            ledger::Entry::Grant { duty, owner, term } => (duty.clone(), *term, Some(owner.clone())),
-            ledger::Entry::GivenBack { duty, term } => (duty.clone(), *term, None),
+            ledger::Entry::Grant { lease: duty, holder: owner, term } => {
+                (duty.clone(), *term, Some(owner.clone()))
+            }
+            ledger::Entry::Released { lease: duty, term } => (duty.clone(), *term, None),
         };
         self.note(HistoryEvent::Agreed { index, duty, term, owner });
         self.holder.handle(now, holder::Input::Applied(entry));
     }
 
-    fn act(&mut self, now: Micros, duty: Duty, content: Vec<u8>) {
+    fn act(&mut self, now: Micros, duty: LeaseName, content: Vec<u8>) {
         // The first look at the lease; the second comes when the bytes are queued.
         let Some(term) = self.held_term(now, &duty) else { return };
         let count = self.acted.entry(duty.clone()).or_default();
@@ -658,7 +660,7 @@
 
     /// To the duty's owner, by the shortest way that there may be.
     fn report(&mut self, report: LeaseReport, passed: bool) {
-        let Some(owner) = self.state().leases.standing(&report.lease).owner.map(|o| o.name) else { return };
+        let Some(owner) = self.state().leases.record(&report.lease).holder.map(|o| o.name) else { return };
         if owner == self.settings.name {
             if report.from != owner {
                 self.outputs.push_back(Output::ReportReceived(report.lease, report.from, report.content));
@@ -703,7 +705,7 @@
         }
         let LeaseEffect { lease: duty, term, holder: owner, number, .. } = effect.clone();
         let admitted = match self.fence.admit(&duty, term) {
-            Err(Refused::Stale { .. }) if self.settings.disabled_guards.terms => Ok(false),
+            Err(FenceError::Stale { .. }) if self.settings.disabled_guards.terms => Ok(false),
             other => other,
         };
         if let Err(why) = admitted {
@@ -811,11 +813,11 @@
             machine::Output::BecameLeader => {
                 let term = c.term();
                 self.note(HistoryEvent::Leads { term });
-                self.grantor.handle(now, grantor::Input::Leads);
+                self.grantor.handle(now, grantor::Input::BecameLeader);
             }
             machine::Output::LostLeadership => {
                 self.note(HistoryEvent::Follows);
-                self.grantor.handle(now, grantor::Input::Follows);
+                self.grantor.handle(now, grantor::Input::LostLeadership);
                 self.routes.clear();
             }
             machine::Output::Confirmed(number) => self.grantor.handle(now, grantor::Input::Confirmed(number)),
@@ -829,7 +831,7 @@
             grantor::Output::Propose(entry) => {
                 self.council_handle(now, machine::Input::Propose(Entry::Lease(entry)))
             }
-            grantor::Output::Answer(answer) => {
+            grantor::Output::Reply(answer) => {
                 let via = self.routes.get(&answer.to).and_then(|(_, via)| via.clone());
                 let to = via.unwrap_or_else(|| answer.to.name.clone());
                 if to == self.settings.name {
@@ -843,7 +845,7 @@
 
     fn of_holder(&mut self, now: Micros, output: holder::Output) {
         match output {
-            holder::Output::Ask(ask) => {
+            holder::Output::Renew(ask) => {
                 if self.leads() {
                     let me = self.settings.name.clone();
                     self.asked(now, &me, ask, None);
--- a/src/consensus/member_tests.rs
+++ b/src/consensus/member_tests.rs
@@ -9,7 +9,7 @@
 use super::member::{DisabledGuards, HistoryEvent, Input, Output, Participant, Settings};
 use super::wire::{Body, LeaseEffect};
 use crate::api::Micros;
-use crate::lease::{Duty, Term};
+use crate::lease::{LeaseName, Term};
 
 const MS: Micros = 1_000;
 const LEASE: Micros = 600 * MS;
@@ -18,7 +18,7 @@
     format!("n{n}").into()
 }
 
-fn duty() -> Duty {
+fn duty() -> LeaseName {
     "d".into()
 }
 
@@ -69,7 +69,7 @@
             process: self.process,
             contacts: (0..self.voters + 1).map(name).collect(),
             leases: BTreeSet::from([duty()]),
-            lease: crate::lease::Settings { lease: LEASE, drift_ppm: 1_000 },
+            lease: crate::lease::Settings { duration: LEASE, drift_ppm: 1_000 },
             voter: machine::Settings { tick: 20 * MS },
             seed: n as u64 * 77 + 5,
             disabled_guards: self.guards,
@@ -299,12 +299,12 @@
     };
     // One that does not vote speaks for the owner.
     rig.handle(other, Input::Frame(outsider.clone(), Body::Effect(effect(&name(owner)))));
-    let back = crate::lease::holder::Ask {
-        from: crate::lease::Owner { name: name(owner), incarnation: 1 },
+    let back = crate::lease::holder::RenewRequest {
+        from: crate::lease::LeaseHolder { name: name(owner), incarnation: 1 },
         stamp: 1,
-        able: false,
-        holds: vec![],
-        back: vec![(duty(), term)],
+        eligible: false,
+        held: vec![],
+        released: vec![(duty(), term)],
     };
     for n in 0..5 {
         rig.handle(n, Input::Frame(outsider.clone(), Body::RenewLeases(back.clone(), None)));
@@ -362,8 +362,8 @@
     let record = bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).unwrap();
     let anew = kept_of(&record);
     let state: super::state::State = postcard::from_bytes(&anew.head.snapshot.3).unwrap();
-    let stands = state.leases.standing(&duty());
-    assert!(stands.owner.is_none() && stands.term > term + 1_000_000);
+    let stands = state.leases.record(&duty());
+    assert!(stands.holder.is_none() && stands.term > term + 1_000_000);
     assert!(bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).is_err(), "not twice of one generation");
     assert!(bootstrap(1, "n9", &["n1".to_owned()], None).is_err());
     assert!(bootstrap(1, "n1", &["n1".to_owned(), "n1".to_owned()], None).is_err());
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::ReplicaId;
-use crate::lease::ledger::{self, Ledger};
+use crate::lease::ledger::{self, LeaseTable};
 use crate::replication::sets::{self, Sets};
 use crate::tenancy::replicated::state as tenants;
 
@@ -62,7 +62,7 @@
     /// Who votes.
     pub voters: BTreeMap<ReplicaId, Arc<str>>,
     /// Duties.
-    pub leases: Ledger,
+    pub leases: LeaseTable,
     /// Shards.
     pub replica_sets: Sets,
     /// Tenants as they were changed.
@@ -70,9 +70,9 @@
 }
 
 /// The state as disks have it that were written before there were shards.
-type First = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, Ledger);
+type First = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, LeaseTable);
 /// As they have it that were written before there were tenants.
-type Second = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, Ledger, sets::Earlier);
+type Second = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, LeaseTable, sets::Earlier);
 
 impl State {
     /// Reads a snapshot's bytes, also those of an earlier version.
--- a/src/consensus/tests.rs
+++ b/src/consensus/tests.rs
@@ -10,7 +10,7 @@
 use super::*;
 use crate::api::Micros;
 use crate::lease::ledger;
-use crate::lease::Owner;
+use crate::lease::LeaseHolder;
 
 const MS: Micros = 1_000;
 
@@ -235,8 +235,8 @@
 
     fn propose(&mut self, n: usize, owner: u64) {
         let entry = ledger::Entry::Grant {
-            duty: "d".into(),
-            owner: Owner { name: "x".into(), incarnation: owner },
+            lease: "d".into(),
+            holder: LeaseHolder { name: "x".into(), incarnation: owner },
             term: owner,
         };
         self.handle(n, Input::Propose(Entry::Lease(entry)));
@@ -425,7 +425,7 @@
     (0..5).for_each(|n| rig.start(n));
     rig.until("a leader again", |r| r.leader().is_some());
     let state = rig.voters[rig.leader().unwrap()].council.as_ref().unwrap().state().clone();
-    assert!(state.applied >= agreed && state.leases.standing(&"d".into()).term == 1);
+    assert!(state.applied >= agreed && state.leases.record(&"d".into()).term == 1);
     assert_eq!(rig.judge(), Ok(()));
 }
 
--- a/src/consensus/wire.rs
+++ b/src/consensus/wire.rs
@@ -14,8 +14,8 @@
 use super::memory::KnownState;
 use super::state::{Entry, State, SubsystemEntry};
 use super::ReplicaId;
-use crate::lease::holder::{Answer, Ask};
-use crate::lease::{Duty, Term};
+use crate::lease::holder::{RenewReply, RenewRequest};
+use crate::lease::{LeaseName, Term};
 use crate::membership::is_name;
 use crate::membership::keys::Keys;
 
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseEffect {
     /// Under which duty.
-    pub lease: Duty,
+    pub lease: LeaseName,
     /// Under which term.
     pub term: Term,
     /// Whose.
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseReport {
     /// Which duty.
-    pub lease: Duty,
+    pub lease: LeaseName,
     /// Whose word it is.
     pub from: Arc<str>,
     /// What it is.
@@ -85,9 +85,9 @@
     /// What is known of a seat, told by a seat.
     RecallReply(u32, ReplicaId, KnownState, ReplicaId),
     /// A question of a duty's owner, to whoever leads; through which voter, if not straight.
-    RenewLeases(Ask, Option<String>),
+    RenewLeases(RenewRequest, Option<String>),
     /// The answer.
-    RenewReply(Answer),
+    RenewReply(RenewReply),
     /// What has been agreed since? And which effects were passed on since? With the seat of who asks, if its disk has one.
     Poll(Poll),
     /// Entries in order, as the answer to a poll.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core: requests, attempts and orders in numbered slots, every deadline in one ordered structure.
 //!
 //! It knows no wire and no socket. Events come in, go through the decision module, and leave as [`Command`]s.
-//! Every call that it takes gets exactly one [`Answer`].
+//! Every call that it takes gets exactly one [`RenewReply`].
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -122,18 +122,18 @@
 #[derive(Debug, Default)]
 pub struct EndpointList {
     numbers: BTreeMap<String, WorkerId>,
-    taken: BTreeMap<WorkerId, String>,
+    names: BTreeMap<WorkerId, String>,
     /// Where each worker listens.
     pub addresses: BTreeMap<WorkerId, SocketAddr>,
     /// Workers that have left the list and are forgotten once nothing is open to them.
-    gone: BTreeSet<WorkerId>,
+    removed: BTreeSet<WorkerId>,
     /// Workers to which nothing new may go, by the list's word or the operator's.
-    leaving: BTreeSet<WorkerId>,
+    draining: BTreeSet<WorkerId>,
 }
 
 impl EndpointList {
     /// A worker's number.
-    pub fn number(&mut self, name: &str) -> WorkerId {
+    pub fn id_of(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.numbers.get(name) {
             return *id;
         }
@@ -142,11 +142,11 @@
         let hashed =
             || name.bytes().fold(0x811c_9dc5u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
         let mut id = WorkerId(hex.unwrap_or_else(hashed));
-        while self.taken.contains_key(&id) {
+        while self.names.contains_key(&id) {
             id.0 = id.0.wrapping_add(1);
         }
         self.numbers.insert(name.to_owned(), id);
-        self.taken.insert(id, name.to_owned());
+        self.names.insert(id, name.to_owned());
         id
     }
 
@@ -155,17 +155,17 @@
         let mut moved = Vec::new();
         let mut members = Vec::with_capacity(notice.endpoints.len());
         if notice.snapshot {
-            self.gone.extend(self.addresses.keys());
+            self.removed.extend(self.addresses.keys());
         }
         for e in &notice.endpoints {
-            let worker = self.number(&e.name);
+            let worker = self.id_of(&e.name);
             if self.addresses.insert(worker, e.address).is_some_and(|old| old != e.address) {
                 moved.push(worker);
             }
             if e.status == WorkerStatus::Removed {
-                self.gone.insert(worker);
+                self.removed.insert(worker);
             } else {
-                self.gone.remove(&worker);
+                self.removed.remove(&worker);
             }
             members.push(WorkerEntry {
                 worker,
@@ -181,32 +181,32 @@
 
     /// Forgets the workers that have left the list, but for those still in use. Guards memory where workers
     /// keep being replaced by new ones.
-    pub fn forget_gone(&mut self, in_use: impl Fn(&WorkerId) -> bool) {
-        let (kept, gone) = std::mem::take(&mut self.gone).into_iter().partition(|w| in_use(w));
-        self.gone = kept;
+    pub fn forget_removed(&mut self, in_use: impl Fn(&WorkerId) -> bool) {
+        let (kept, gone) = std::mem::take(&mut self.removed).into_iter().partition(|w| in_use(w));
+        self.removed = kept;
         let gone: BTreeSet<WorkerId> = gone;
         for worker in gone {
             self.addresses.remove(&worker);
-            self.leaving.remove(&worker);
-            if let Some(name) = self.taken.remove(&worker) {
+            self.draining.remove(&worker);
+            if let Some(name) = self.names.remove(&worker) {
                 self.numbers.remove(&name);
             }
         }
     }
 
     /// Notes whether a worker drains, is gone or is taken out.
-    pub fn set_leaving(&mut self, worker: WorkerId, leaving: bool) {
+    pub fn set_draining(&mut self, worker: WorkerId, leaving: bool) {
         if leaving {
-            self.leaving.insert(worker);
+            self.draining.insert(worker);
         } else {
-            self.leaving.remove(&worker);
+            self.draining.remove(&worker);
         }
     }
 
     /// Whether nothing new may go to a worker. Asked where its bytes would leave, as it may have been told since the
     /// module decided.
-    pub fn is_leaving(&self, worker: WorkerId) -> bool {
-        self.leaving.contains(&worker)
+    pub fn is_draining(&self, worker: WorkerId) -> bool {
+        self.draining.contains(&worker)
     }
 
     /// How many workers it knows.
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -33,7 +33,7 @@
     let n = WatchEvent::parse(&events[0].data, &names()).unwrap();
     let e = &n.endpoints[0];
     assert_eq!((n.rev, n.snapshot, e.zone, e.started), (41, false, ZoneId(0), Some(12_000)));
-    assert_eq!(EndpointList::default().number(&e.name), WorkerId(0x00c4_1f7a), "the same at every gateway");
+    assert_eq!(EndpointList::default().id_of(&e.name), WorkerId(0x00c4_1f7a), "the same at every gateway");
 }
 
 #[test]
@@ -44,14 +44,14 @@
         roster.apply(&WatchEvent::parse(&text(n, "SERVING"), &names()).unwrap());
         let old = n.saturating_sub(3);
         roster.apply(&WatchEvent::parse(&text(old, "DELETED"), &names()).unwrap());
-        roster.forget_gone(|w| *w == WorkerId(7));
+        roster.forget_removed(|w| *w == WorkerId(7));
     }
-    assert!(roster.len() == 4 && roster.addresses.len() == 4 && roster.taken.len() == 4);
+    assert!(roster.len() == 4 && roster.addresses.len() == 4 && roster.names.len() == 4);
     assert!(roster.addresses.contains_key(&WorkerId(7)), "something was open to it");
     // A whole list names all there are.
     let whole = notice("SERVING").replace("\"snapshot\":false", "\"snapshot\":true");
     roster.apply(&WatchEvent::parse(&whole, &names()).unwrap());
-    roster.forget_gone(|_| false);
+    roster.forget_removed(|_| false);
     assert_eq!(roster.addresses.keys().collect::<Vec<_>>(), [&WorkerId(0x00c4_1f7a)]);
 }
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -321,7 +321,7 @@
             members.extend(told.into_iter().map(|m| (m.worker, m)));
             self.last_revision = self.last_revision.max(notice.rev);
         }
-        members.values().for_each(|m| self.endpoints.set_leaving(m.worker, m.status != WorkerStatus::Ready));
+        members.values().for_each(|m| self.endpoints.set_draining(m.worker, m.status != WorkerStatus::Ready));
         let ready = members.values().filter(|m| m.status == WorkerStatus::Ready).map(|m| m.worker).collect();
         let listed = members.into_values().filter(|m| m.status != WorkerStatus::Removed).collect();
         self.core.members(now, ListUpdate::Cached, listed);
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -132,7 +132,7 @@
 
     /// Sends an order to load.
     pub(super) fn stage(&mut self, now: Micros, order: Order) {
-        if self.endpoints.is_leaving(order.worker) {
+        if self.endpoints.is_draining(order.worker) {
             let done =
                 Completed::plain(Exchange::Order(order.key), CloseReason::Withdrawn, SendProgress::Unsent);
             return self.done.push_back(done);
@@ -165,7 +165,7 @@
         expires: Micros,
         body: &[u8],
     ) {
-        let linked = match self.endpoints.is_leaving(worker) {
+        let linked = match self.endpoints.is_draining(worker) {
             true => Err(CloseReason::Withdrawn),
             false => self.link(now, worker, &id),
         };
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -20,7 +20,7 @@
 use crate::consensus::machine;
 use crate::consensus::member::{DisabledGuards, HistoryEvent, Input, Output, Participant, Settings};
 use crate::consensus::wire::{self, Body, LeaseEffect, Session, MAX_FRAME_BYTES};
-use crate::lease::{Duty, Term};
+use crate::lease::{LeaseName, Term};
 use crate::membership::keys::Keys;
 use crate::store::disk::Disk;
 use crate::store::records::{Op, StoreError};
@@ -260,7 +260,7 @@
         if f.duties.contains(crate::health_checks::NAME) {
             self.set_up_trials(now, ready);
         }
-        let duties: BTreeSet<Duty> = f.duties.iter().map(|d| d.as_str().into()).collect();
+        let duties: BTreeSet<LeaseName> = f.duties.iter().map(|d| d.as_str().into()).collect();
         if let Some(loads) = crate::load_coordination::Loads::new(name.as_str().into(), &duties) {
             self.set_up_loads(now, loads);
         }
@@ -381,11 +381,11 @@
         let Some(hall) = &self.cluster.consensus else { return };
         let ledger = &hall.member.state().leases;
         let of = |d: &String| {
-            let duty: Duty = d.as_str().into();
-            let owned = ledger.standing(&duty).owner.is_some();
+            let duty: LeaseName = d.as_str().into();
+            let owned = ledger.record(&duty).holder.is_some();
             (duty, owned)
         };
-        let all: Vec<(Duty, bool)> = hall.file.duties.iter().map(of).collect();
+        let all: Vec<(LeaseName, bool)> = hall.file.duties.iter().map(of).collect();
         all.into_iter().for_each(|(duty, owned)| self.loads_known(now, &duty, owned));
     }
 
@@ -665,7 +665,7 @@
     }
 
     /// Effects of an ended lease whose bytes still wait are taken back.
-    fn take_back(&mut self, duty: &Duty, term: Term) {
+    fn take_back(&mut self, duty: &LeaseName, term: Term) {
         let Some(hall) = &mut self.cluster.consensus else { return };
         let of = |e: &LeaseEffect| e.lease == *duty && e.term == term;
         let tags: Vec<u64> = hall.waits.iter().filter(|(_, e)| of(e)).map(|(t, _)| *t).collect();
@@ -694,7 +694,7 @@
             return;
         }
         let up = uptime();
-        let over: BTreeSet<(Duty, Term)> = hall
+        let over: BTreeSet<(LeaseName, Term)> = hall
             .waits
             .values()
             .filter(|e| !hall.member.still_holds(up, &e.lease, e.term))
@@ -743,19 +743,20 @@
         let Some(hall) = &self.cluster.consensus else { return serde_json::Value::Null };
         let (m, now) = (&hall.member, uptime());
         let ledger = &m.state().leases;
-        let mut names: BTreeSet<Duty> = hall.file.duties.iter().map(|d| d.as_str().into()).collect();
+        let mut names: BTreeSet<LeaseName> = hall.file.duties.iter().map(|d| d.as_str().into()).collect();
         names.extend(ledger.duties().map(|(d, _)| d.clone()));
-        let mine: BTreeMap<&Duty, Option<Micros>> = m.held_leases().map(|(d, _, until)| (d, until)).collect();
-        let view = |duty: &Duty| {
-            let stands = ledger.standing(duty);
+        let mine: BTreeMap<&LeaseName, Option<Micros>> =
+            m.held_leases().map(|(d, _, until)| (d, until)).collect();
+        let view = |duty: &LeaseName| {
+            let stands = ledger.record(duty);
             let until = mine.get(duty).copied().flatten();
             let why = match (m.leads(), m.leader().is_some() || m.catch_up_source().is_some()) {
                 (true, _) => m.grant_reason(now, duty).map(|w| json!(w)),
                 (false, true) => None,
                 (false, false) => Some(json!("no_leader_known")),
             };
-            json!({ "duty": duty, "term": stands.term, "owner": stands.owner.as_ref().map(|o| &*o.name),
-                "process": stands.owner.as_ref().map(|o| o.incarnation), "mine": m.held_term(now, duty).is_some(),
+            json!({ "duty": duty, "term": stands.term, "owner": stands.holder.as_ref().map(|o| &*o.name),
+                "process": stands.holder.as_ref().map(|o| o.incarnation), "mine": m.held_term(now, duty).is_some(),
                 "lease_left_ms": until.map(|t| t.saturating_sub(now) / 1_000), "why_nobody": why })
         };
         json!({ "name": m.name(), "leads": m.leads(), "leader": m.leader(),
@@ -784,7 +785,7 @@
         process,
         contacts: f.voters.keys().map(|n| n.as_str().into()).collect(),
         leases: f.duties.iter().map(|d| d.as_str().into()).collect(),
-        lease: crate::lease::Settings { lease: f.lease_ms * 1_000, drift_ppm: f.drift_ppm },
+        lease: crate::lease::Settings { duration: f.lease_ms * 1_000, drift_ppm: f.drift_ppm },
         voter: machine::Settings { tick: f.tick_ms * 1_000 },
         seed: seed ^ process,
         disabled_guards: guards(),
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -67,7 +67,7 @@
             let gone: Vec<WorkerId> =
                 self.worker_connections.keys().filter(|w| !listed(w)).copied().collect();
             for worker in gone {
-                self.endpoints.set_leaving(worker, true);
+                self.endpoints.set_draining(worker, true);
                 self.retire(worker, None);
             }
         }
@@ -76,12 +76,12 @@
             members.into_iter().filter(|m| !notice.snapshot || m.status != WorkerStatus::Removed).collect();
         self.core.members(now, kind, told);
         let links = &self.worker_connections;
-        self.endpoints.forget_gone(|worker| links.contains_key(worker));
+        self.endpoints.forget_removed(|worker| links.contains_key(worker));
         true
     }
 
     pub(super) fn on_member(&mut self, m: &WorkerEntry) {
-        self.endpoints.set_leaving(m.worker, m.status != WorkerStatus::Ready);
+        self.endpoints.set_draining(m.worker, m.status != WorkerStatus::Ready);
         match (m.status, m.started_at) {
             (WorkerStatus::Ready, Some(started)) => self.retire(m.worker, Some(started)),
             (WorkerStatus::Ready, None) => {}
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::consensus::member::Input as Say;
-use crate::lease::Duty;
+use crate::lease::LeaseName;
 use crate::load_coordination::{Input, Loads, Output, Word, LONGEST, PREFIX};
 
 /// An order of the module's.
@@ -78,14 +78,14 @@
         }
     }
 
-    pub(super) fn loads_owned(&mut self, now: Micros, duty: &Duty, owns: bool) {
+    pub(super) fn loads_owned(&mut self, now: Micros, duty: &LeaseName, owns: bool) {
         if duty.starts_with(PREFIX) {
             self.tell_loads(now, Input::Owns(duty.clone(), owns));
         }
     }
 
     /// Whether anybody owns a shard, as far as the log says here.
-    pub(super) fn loads_known(&mut self, now: Micros, duty: &Duty, owned: bool) {
+    pub(super) fn loads_known(&mut self, now: Micros, duty: &LeaseName, owned: bool) {
         if duty.starts_with(PREFIX) {
             self.tell_loads(now, Input::Owned(duty.clone(), owned));
         }
--- a/src/lease/grantor.rs
+++ b/src/lease/grantor.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::holder::{Answer, Ask};
-use super::ledger::{Entry, Ledger};
-use super::{Duty, Owner, Settings, Term};
+use super::holder::{RenewReply, RenewRequest};
+use super::ledger::{Entry, LeaseTable};
+use super::{LeaseHolder, LeaseName, Settings, Term};
 use crate::api::Micros;
 
 /// Instances whose offers are kept; those that offered last stay.
@@ -18,17 +18,17 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// This instance leads the log, and has applied all that was agreed before.
-    Leads,
+    BecameLeader,
     /// Another does, or nobody.
-    Follows,
+    LostLeadership,
     /// A question came.
-    Ask(Ask),
+    Renew(RenewRequest),
     /// A majority has said, in a round begun after the question of this number came, that this instance still leads.
     Confirmed(u64),
     /// An entry of the agreed log took hold.
     Applied(Entry),
     /// The state of all duties, in place of entries that were never seen here.
-    Restored(Ledger),
+    Restored(LeaseTable),
     /// A deadline fell due.
     Tick,
 }
@@ -41,12 +41,12 @@
     /// Propose an entry of the agreed log.
     Propose(Entry),
     /// Answer a question.
-    Answer(Answer),
+    Reply(RenewReply),
 }
 
 /// Why a duty has no owner who acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
-pub enum Why {
+pub enum GrantReason {
     /// Its owner's last lease may still run.
     WaitsOut,
     /// Nobody has offered to do it.
@@ -57,30 +57,30 @@
 
 /// Decides on grants while it leads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Grantor {
+pub struct LeaseGrantor {
     settings: Settings,
-    duties: BTreeSet<Duty>,
-    ledger: Ledger,
+    duties: BTreeSet<LeaseName>,
+    leases: LeaseTable,
     leads: bool,
     /// Until when offers are gathered before the first grants, so that they are spread over all who are there.
     gathers: Micros,
     /// Until when the last lease of a duty may run, as counted here. Only what this leader answered is in it, and all that
     /// a leader before it can have answered.
-    until: BTreeMap<Duty, Micros>,
+    until: BTreeMap<LeaseName, Micros>,
     /// Who would take duties, and until when that is believed.
-    offers: BTreeMap<Owner, Micros>,
+    offers: BTreeMap<LeaseHolder, Micros>,
     /// Who would take none, by which question, and until when an older one of theirs may still come.
-    declined: BTreeMap<Owner, (u64, Micros)>,
+    declined: BTreeMap<LeaseHolder, (u64, Micros)>,
     /// Entries under way, and when they are proposed again.
-    proposed: BTreeMap<Duty, (Term, Micros)>,
-    recalled: BTreeMap<Duty, Term>,
-    waiting: VecDeque<(u64, Ask)>,
+    proposed: BTreeMap<LeaseName, (Term, Micros)>,
+    recalled: BTreeMap<LeaseName, Term>,
+    waiting: VecDeque<(u64, RenewRequest)>,
     number: u64,
     outputs: VecDeque<Output>,
 }
 
 /// A duty's wish for an owner: the same at whoever leads, so that duties stay where they are when leaders change.
-fn wish(duty: &Duty, owner: &Owner) -> u64 {
+fn wish(duty: &LeaseName, owner: &LeaseHolder) -> u64 {
     // FNV-1a over both names, then mixed.
     let bytes = duty.bytes().chain([0]).chain(owner.name.bytes());
     let h = bytes.fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
@@ -88,13 +88,13 @@
     h ^ (h >> 29)
 }
 
-impl Grantor {
+impl LeaseGrantor {
     /// One that does not lead, for the duties of the operator's list.
-    pub fn new(settings: Settings, duties: BTreeSet<Duty>) -> Grantor {
-        Grantor {
+    pub fn new(settings: Settings, duties: BTreeSet<LeaseName>) -> LeaseGrantor {
+        LeaseGrantor {
             settings,
             duties,
-            ledger: Ledger::default(),
+            leases: LeaseTable::default(),
             leads: false,
             gathers: 0,
             until: BTreeMap::new(),
@@ -109,21 +109,21 @@
     }
 
     /// What the log says.
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn ledger(&self) -> &LeaseTable {
+        &self.leases
     }
 
     /// Why nobody is granted a duty now; none while its owner's lease runs.
-    pub fn why(&self, now: Micros, duty: &Duty) -> Option<Why> {
+    pub fn grant_reason(&self, now: Micros, duty: &LeaseName) -> Option<GrantReason> {
         if self.proposed.get(duty).is_some_and(|(_, again)| now < *again) {
-            return Some(Why::Proposed);
+            return Some(GrantReason::Proposed);
         }
-        let stands = self.ledger.standing(duty);
-        let runs = stands.owner.is_some() && self.until.get(duty).is_some_and(|u| now < *u);
-        match stands.owner {
+        let stands = self.leases.record(duty);
+        let runs = stands.holder.is_some() && self.until.get(duty).is_some_and(|u| now < *u);
+        match stands.holder {
             Some(owner) if runs && self.offers.contains_key(&owner) => None,
-            Some(_) if runs => Some(Why::WaitsOut),
-            _ => Some(Why::NobodyOffers),
+            Some(_) if runs => Some(GrantReason::WaitsOut),
+            _ => Some(GrantReason::NobodyOffers),
         }
     }
 
@@ -146,22 +146,22 @@
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             // Also if it led before: it may have been voted out and in again unnoticed, and another have answered between.
-            Input::Leads => {
+            Input::BecameLeader => {
                 self.leads = true;
                 self.forget();
                 self.offers.clear();
-                self.gathers = now + self.settings.pace();
+                self.gathers = now + self.settings.renew_interval();
                 // A leader before this one may have answered until the very moment at which it was voted out.
-                let owned = self.ledger.duties().filter(|(_, s)| s.owner.is_some());
-                let until = now + self.settings.waits();
+                let owned = self.leases.duties().filter(|(_, s)| s.holder.is_some());
+                let until = now + self.settings.grant_delay();
                 self.until = owned.map(|(d, _)| (d.clone(), until)).collect();
             }
-            Input::Follows => {
+            Input::LostLeadership => {
                 self.leads = false;
                 self.forget();
             }
-            Input::Ask(ask) if self.leads => self.asked(now, ask),
-            Input::Ask(_) => {}
+            Input::Renew(ask) if self.leads => self.asked(now, ask),
+            Input::Renew(_) => {}
             Input::Confirmed(number) if self.leads => {
                 while self.waiting.front().is_some_and(|(n, _)| *n <= number) {
                     if let Some((_, ask)) = self.waiting.pop_front() {
@@ -171,20 +171,20 @@
             }
             Input::Confirmed(_) => {}
             Input::Applied(entry) => {
-                if self.ledger.apply(&entry) {
-                    let (Entry::Grant { duty, .. } | Entry::GivenBack { duty, .. }) = &entry;
+                if self.leases.apply(&entry) {
+                    let (Entry::Grant { lease: duty, .. } | Entry::Released { lease: duty, .. }) = &entry;
                     self.proposed.remove(duty);
                     self.recalled.remove(duty);
                     if matches!(entry, Entry::Grant { .. }) {
                         // Time for its first question.
-                        self.until.insert(duty.clone(), now + self.settings.waits());
+                        self.until.insert(duty.clone(), now + self.settings.grant_delay());
                     } else {
                         self.until.remove(duty);
                     }
                 }
             }
             // Whoever is sent a state does not lead.
-            Input::Restored(ledger) => self.ledger = ledger,
+            Input::Restored(ledger) => self.leases = ledger,
             Input::Tick => {}
         }
         if self.leads {
@@ -200,10 +200,10 @@
         self.outputs.clear();
     }
 
-    fn asked(&mut self, now: Micros, ask: Ask) {
+    fn asked(&mut self, now: Micros, ask: RenewRequest) {
         let late = self.declined.get(&ask.from).is_some_and(|(stamp, _)| *stamp > ask.stamp);
-        if ask.able && !late {
-            self.offers.insert(ask.from.clone(), now + self.settings.lease);
+        if ask.eligible && !late {
+            self.offers.insert(ask.from.clone(), now + self.settings.duration);
             if self.offers.len() > MOST_OFFERS {
                 let oldest = self.offers.iter().min_by_key(|(_, t)| **t).map(|(o, _)| o.clone());
                 oldest.map(|o| self.offers.remove(&o));
@@ -211,19 +211,19 @@
         } else {
             self.offers.remove(&ask.from);
             if !late && self.declined.len() < MOST_OFFERS {
-                self.declined.insert(ask.from.clone(), (ask.stamp, now + self.settings.lease));
+                self.declined.insert(ask.from.clone(), (ask.stamp, now + self.settings.duration));
             }
         }
-        for (duty, term) in &ask.back {
-            let stands = self.ledger.standing(duty);
-            let its = stands.term == *term && stands.owner.as_ref() == Some(&ask.from);
+        for (duty, term) in &ask.released {
+            let stands = self.leases.record(duty);
+            let its = stands.term == *term && stands.holder.as_ref() == Some(&ask.from);
             if its && self.proposed.get(duty).is_none_or(|(_, again)| now >= *again) {
-                self.proposed.insert(duty.clone(), (*term, now + self.settings.pace()));
-                let entry = Entry::GivenBack { duty: duty.clone(), term: *term };
+                self.proposed.insert(duty.clone(), (*term, now + self.settings.renew_interval()));
+                let entry = Entry::Released { lease: duty.clone(), term: *term };
                 self.outputs.push_back(Output::Propose(entry));
             }
         }
-        if ask.holds.is_empty() {
+        if ask.held.is_empty() {
             return;
         }
         self.number += 1;
@@ -234,11 +234,11 @@
         self.outputs.push_back(Output::Confirm(self.number));
     }
 
-    fn answer(&mut self, now: Micros, ask: Ask) {
+    fn answer(&mut self, now: Micros, ask: RenewRequest) {
         let (mut renewed, mut recalled) = (Vec::new(), Vec::new());
-        for (duty, term) in ask.holds {
-            let stands = self.ledger.standing(&duty);
-            if stands.term != term || stands.owner.as_ref() != Some(&ask.from) {
+        for (duty, term) in ask.held {
+            let stands = self.leases.record(&duty);
+            if stands.term != term || stands.holder.as_ref() != Some(&ask.from) {
                 continue;
             }
             // A grant to another is under way: no lease may run into it.
@@ -249,11 +249,11 @@
                 recalled.push((duty, term));
                 continue;
             }
-            self.until.insert(duty.clone(), now + self.settings.waits());
+            self.until.insert(duty.clone(), now + self.settings.grant_delay());
             renewed.push((duty, term));
         }
         let (to, stamp) = (ask.from, ask.stamp);
-        self.outputs.push_back(Output::Answer(Answer { to, stamp, renewed, recalled }));
+        self.outputs.push_back(Output::Reply(RenewReply { to, stamp, renewed, recalled }));
     }
 
     /// Grants what nobody holds, and recalls what is to move.
@@ -263,16 +263,16 @@
         if now < self.gathers {
             return;
         }
-        let mut loads: BTreeMap<Owner, usize> = self.offers.keys().map(|o| (o.clone(), 0)).collect();
-        for (_, s) in self.ledger.duties() {
-            if let Some(load) = s.owner.as_ref().and_then(|o| loads.get_mut(o)) {
+        let mut loads: BTreeMap<LeaseHolder, usize> = self.offers.keys().map(|o| (o.clone(), 0)).collect();
+        for (_, s) in self.leases.duties() {
+            if let Some(load) = s.holder.as_ref().and_then(|o| loads.get_mut(o)) {
                 *load += 1;
             }
         }
         for duty in &self.duties {
-            let stands = self.ledger.standing(duty);
+            let stands = self.leases.record(duty);
             let runs = self.until.get(duty).is_some_and(|u| now < *u);
-            if stands.owner.is_some() && runs {
+            if stands.holder.is_some() && runs {
                 continue;
             }
             // Proposed, and not yet agreed: again after a while, as a proposal may be lost with its leader.
@@ -283,8 +283,12 @@
             let Some(owner) = best.map(|(o, _)| o.clone()) else { continue };
             loads.entry(owner.clone()).and_modify(|l| *l += 1);
             let term = stands.term + 1;
-            self.proposed.insert(duty.clone(), (term, now + self.settings.pace()));
-            self.outputs.push_back(Output::Propose(Entry::Grant { duty: duty.clone(), owner, term }));
+            self.proposed.insert(duty.clone(), (term, now + self.settings.renew_interval()));
+            self.outputs.push_back(Output::Propose(Entry::Grant {
+                lease: duty.clone(),
+                holder: owner,
+                term,
+            }));
         }
         self.spread();
     }
@@ -294,12 +298,14 @@
         if self.recalled.len() >= MOST_RECALLED || !self.proposed.is_empty() {
             return;
         }
-        let load = |o: &Owner| self.ledger.load(o);
+        let load = |o: &LeaseHolder| self.leases.held_by(o);
         let Some(least) = self.offers.keys().map(load).min() else { return };
         let most = self.offers.keys().filter(|o| load(o) >= least + 2).max_by_key(|o| load(o));
         let Some(owner) = most else { return };
-        let theirs =
-            self.ledger.duties().filter(|(d, s)| self.duties.contains(*d) && s.owner.as_ref() == Some(owner));
+        let theirs = self
+            .leases
+            .duties()
+            .filter(|(d, s)| self.duties.contains(*d) && s.holder.as_ref() == Some(owner));
         let moved = theirs.min_by_key(|(d, _)| wish(d, owner)).map(|(d, s)| (d.clone(), s.term));
         self.recalled.extend(moved);
     }
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::ledger::{Entry, Ledger};
-use super::{Duty, Owner, Settings, Term};
+use super::ledger::{Entry, LeaseTable};
+use super::{LeaseHolder, LeaseName, Settings, Term};
 use crate::api::Micros;
 
 /// Questions whose answers still count; older ones are forgotten.
@@ -15,54 +15,54 @@
     /// An entry of the agreed log took hold.
     Applied(Entry),
     /// The state of all duties, in place of entries that were never seen here.
-    Restored(Ledger),
+    Restored(LeaseTable),
     /// A grantor's answer.
-    Answer(Answer),
+    Reply(RenewReply),
     /// Whether the instance can do duties at all: not while it is cut off from its own zone, has no descriptors, drains.
-    Able(bool),
+    SetEligible(bool),
     /// A duty is to be given back: its own owner cannot do it, or it is to move.
-    Return(Duty),
+    Release(LeaseName),
     /// A deadline fell due.
     Tick,
 }
 
 /// A question to whoever leads the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Ask {
+pub struct RenewRequest {
     /// Who asks.
-    pub from: Owner,
+    pub from: LeaseHolder,
     /// Which question; it means something to its asker alone.
     pub stamp: u64,
     /// Whether it would take duties.
-    pub able: bool,
+    pub eligible: bool,
     /// The duties and terms for which it asks a lease.
-    pub holds: Vec<(Duty, Term)>,
+    pub held: Vec<(LeaseName, Term)>,
     /// Those that it does not do any more.
-    pub back: Vec<(Duty, Term)>,
+    pub released: Vec<(LeaseName, Term)>,
 }
 
 /// The answer to a question.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Answer {
+pub struct RenewReply {
     /// Whom it is for.
-    pub to: Owner,
+    pub to: LeaseHolder,
     /// Which question it answers.
     pub stamp: u64,
     /// Of what was asked for, that of which the lease runs on.
-    pub renewed: Vec<(Duty, Term)>,
+    pub renewed: Vec<(LeaseName, Term)>,
     /// Those that are to be given back, as they are to move.
-    pub recalled: Vec<(Duty, Term)>,
+    pub recalled: Vec<(LeaseName, Term)>,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// To whoever leads the log.
-    Ask(Ask),
+    Renew(RenewRequest),
     /// From now on the instance may act under this term.
-    Began(Duty, Term),
+    Began(LeaseName, Term),
     /// It may not any more; what is queued under it is taken back.
-    Ended(Duty, Term),
+    Ended(LeaseName, Term),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -76,13 +76,13 @@
 
 /// One instance's duties.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Holder {
+pub struct HolderState {
     settings: Settings,
-    me: Owner,
+    me: LeaseHolder,
     able: bool,
-    held: BTreeMap<Duty, Held>,
+    held: BTreeMap<LeaseName, Held>,
     /// Given back, until the log says so.
-    back: BTreeMap<Duty, Term>,
+    back: BTreeMap<LeaseName, Term>,
     /// When each question was asked, before it left.
     asked: VecDeque<(u64, Micros)>,
     stamp: u64,
@@ -90,10 +90,10 @@
     outputs: VecDeque<Output>,
 }
 
-impl Holder {
+impl HolderState {
     /// One that has nothing.
-    pub fn new(settings: Settings, me: Owner, now: Micros) -> Holder {
-        Holder {
+    pub fn new(settings: Settings, me: LeaseHolder, now: Micros) -> HolderState {
+        HolderState {
             settings,
             me,
             able: true,
@@ -107,24 +107,24 @@
     }
 
     /// Whose it is.
-    pub fn me(&self) -> &Owner {
+    pub fn me(&self) -> &LeaseHolder {
         &self.me
     }
 
     /// The term under which a duty may be done now, if it may. To be asked when an effect is decided on and again when its
     /// bytes are queued to leave: it looks at the clock and at nothing that a stopped process could have missed.
-    pub fn may(&self, now: Micros, duty: &Duty) -> Option<Term> {
+    pub fn held_term(&self, now: Micros, duty: &LeaseName) -> Option<Term> {
         let held = self.held.get(duty)?;
         held.until.filter(|until| now < *until).map(|_| held.term)
     }
 
     /// Whether an effect of this term may still leave.
-    pub fn still(&self, now: Micros, duty: &Duty, term: Term) -> bool {
-        self.may(now, duty) == Some(term)
+    pub fn still_holds(&self, now: Micros, duty: &LeaseName, term: Term) -> bool {
+        self.held_term(now, duty) == Some(term)
     }
 
     /// What it holds: the duty, its term, and until when it may act.
-    pub fn holds(&self) -> impl Iterator<Item = (&Duty, Term, Option<Micros>)> {
+    pub fn held_leases(&self) -> impl Iterator<Item = (&LeaseName, Term, Option<Micros>)> {
         self.held.iter().map(|(d, h)| (d, h.term, h.until))
     }
 
@@ -142,7 +142,7 @@
     /// Takes what happened.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Applied(Entry::Grant { duty, owner, term }) => {
+            Input::Applied(Entry::Grant { lease: duty, holder: owner, term }) => {
                 self.back.remove(&duty);
                 self.drop_held(&duty, |held| held < term);
                 if owner == self.me {
@@ -155,48 +155,47 @@
                     }
                 }
             }
-            Input::Applied(Entry::GivenBack { duty, term }) => {
+            Input::Applied(Entry::Released { lease: duty, term }) => {
                 self.back.remove(&duty);
                 self.drop_held(&duty, |held| held <= term);
             }
             Input::Restored(ledger) => self.restored(now, &ledger),
-            Input::Answer(answer) => self.answered(now, answer),
-            Input::Able(able) => {
+            Input::Reply(answer) => self.answered(now, answer),
+            Input::SetEligible(able) => {
                 if std::mem::replace(&mut self.able, able) != able {
                     self.next = now;
                 }
                 if !able {
-                    let all: Vec<Duty> = self.held.keys().cloned().collect();
+                    let all: Vec<LeaseName> = self.held.keys().cloned().collect();
                     all.into_iter().for_each(|d| self.give_back(now, &d));
                 }
             }
-            Input::Return(duty) => self.give_back(now, &duty),
+            Input::Release(duty) => self.give_back(now, &duty),
             Input::Tick => {}
         }
         self.tick(now);
     }
 
     /// What it holds by the same term runs on; all else ends, or begins without a lease.
-    fn restored(&mut self, now: Micros, ledger: &Ledger) {
-        let mine = |d: &Duty| {
-            Some(ledger.standing(d)).filter(|s| s.owner.as_ref() == Some(&self.me)).map(|s| s.term)
+    fn restored(&mut self, now: Micros, ledger: &LeaseTable) {
+        let mine = |d: &LeaseName| {
+            Some(ledger.record(d)).filter(|s| s.holder.as_ref() == Some(&self.me)).map(|s| s.term)
         };
-        let gone: Vec<Duty> =
+        let gone: Vec<LeaseName> =
             self.held.iter().filter(|(d, h)| mine(d) != Some(h.term)).map(|(d, _)| d.clone()).collect();
         gone.iter().for_each(|d| self.drop_held(d, |_| true));
-        self.back.retain(|d, t| {
-            ledger.standing(d).term == *t && ledger.standing(d).owner.as_ref() == Some(&self.me)
-        });
+        self.back
+            .retain(|d, t| ledger.record(d).term == *t && ledger.record(d).holder.as_ref() == Some(&self.me));
         for (duty, stands) in ledger.duties() {
             let back = self.back.contains_key(duty);
-            if stands.owner.as_ref() == Some(&self.me) && !self.held.contains_key(duty) && !back {
+            if stands.holder.as_ref() == Some(&self.me) && !self.held.contains_key(duty) && !back {
                 self.held.insert(duty.clone(), Held { term: stands.term, until: None, acts: false });
                 self.next = now;
             }
         }
     }
 
-    fn answered(&mut self, now: Micros, answer: Answer) {
+    fn answered(&mut self, now: Micros, answer: RenewReply) {
         let Some(at) = self.asked.iter().position(|(s, _)| *s == answer.stamp) else { return };
         if answer.to != self.me {
             return;
@@ -206,7 +205,7 @@
         for (duty, term) in answer.renewed {
             let Some(held) = self.held.get_mut(&duty).filter(|h| h.term == term) else { continue };
             // From before the question left. An answer that comes late gives what is left of it, or nothing.
-            let until = asked + self.settings.lease;
+            let until = asked + self.settings.duration;
             held.until = Some(held.until.map_or(until, |u| u.max(until)));
             if now < until && !std::mem::replace(&mut held.acts, true) {
                 self.outputs.push_back(Output::Began(duty, term));
@@ -220,14 +219,14 @@
     }
 
     /// Stops acting first, and then says so.
-    fn give_back(&mut self, now: Micros, duty: &Duty) {
+    fn give_back(&mut self, now: Micros, duty: &LeaseName) {
         let Some(term) = self.held.get(duty).map(|h| h.term) else { return };
         self.drop_held(duty, |_| true);
         self.back.insert(duty.clone(), term);
         self.next = now;
     }
 
-    fn drop_held(&mut self, duty: &Duty, ends: impl Fn(Term) -> bool) {
+    fn drop_held(&mut self, duty: &LeaseName, ends: impl Fn(Term) -> bool) {
         if self.held.get(duty).is_some_and(|h| ends(h.term)) {
             if let Some(h) = self.held.remove(duty).filter(|h| h.acts) {
                 self.outputs.push_back(Output::Ended(duty.clone(), h.term));
@@ -245,7 +244,7 @@
         if now < self.next {
             return;
         }
-        self.next = now + self.settings.pace();
+        self.next = now + self.settings.renew_interval();
         self.stamp += 1;
         self.asked.push_back((self.stamp, now));
         while self.asked.len() > MOST_ASKED {
@@ -254,6 +253,12 @@
         let holds = self.held.iter().map(|(d, h)| (d.clone(), h.term)).collect();
         let back = self.back.iter().map(|(d, t)| (d.clone(), *t)).collect();
         let (from, stamp, able) = (self.me.clone(), self.stamp, self.able);
-        self.outputs.push_back(Output::Ask(Ask { from, stamp, able, holds, back }));
+        self.outputs.push_back(Output::Renew(RenewRequest {
+            from,
+            stamp,
+            eligible: able,
+            held: holds,
+            released: back,
+        }));
     }
 }
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -31,7 +31,7 @@
 use crate::api::Micros;
 
 /// A duty's name, as the operator's file has it.
-pub type Duty = Arc<str>;
+pub type LeaseName = Arc<str>;
 
 /// Counts the grants of one duty; it only grows.
 pub type Term = u64;
@@ -39,7 +39,7 @@
 /// One process of an instance. A new process under the same name is another owner: it knows nothing of what the old one
 /// has under way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Owner {
+pub struct LeaseHolder {
     /// The instance's name.
     pub name: Arc<str>,
     /// Which of its processes.
@@ -50,20 +50,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// How long an owner may act after it asked, microseconds.
-    pub lease: Micros,
+    pub duration: Micros,
     /// By how many parts in a million two clocks may run apart at most.
     pub drift_ppm: u32,
 }
 
 impl Settings {
     /// How long a grantor waits from its answer, until the lease that it gave has surely ended.
-    pub fn waits(&self) -> Micros {
+    pub fn grant_delay(&self) -> Micros {
         // The owner's clock may be slow, and the grantor's fast.
-        self.lease + (self.lease / 1000 * Micros::from(self.drift_ppm)).div_ceil(500) + 1
+        self.duration + (self.duration / 1000 * Micros::from(self.drift_ppm)).div_ceil(500) + 1
     }
 
     /// How often an owner asks: twice more before a lease ends if the first question is lost.
-    pub fn pace(&self) -> Micros {
-        (self.lease / 3).max(1)
+    pub fn renew_interval(&self) -> Micros {
+        (self.duration / 3).max(1)
     }
 }
--- a/src/lease/model.rs
+++ b/src/lease/model.rs
@@ -10,8 +10,8 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 use super::fence::Fence;
-use super::grantor::{self, Grantor};
-use super::holder::{self, Answer, Ask, Holder};
+use super::grantor::{self, LeaseGrantor};
+use super::holder::{self, HolderState, RenewReply, RenewRequest};
 use super::ledger::Entry;
 use super::*;
 
@@ -39,13 +39,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Micros,
-    holders: Vec<(Holder, usize)>,
-    grantors: Vec<(Grantor, usize)>,
+    holders: Vec<(HolderState, usize)>,
+    grantors: Vec<(LeaseGrantor, usize)>,
     log: Vec<Entry>,
     leader: usize,
     elected: u8,
-    asks: BTreeSet<Ask>,
-    answers: BTreeSet<Answer>,
+    asks: BTreeSet<RenewRequest>,
+    answers: BTreeSet<RenewReply>,
     /// Messages that may yet come twice.
     doubles: u8,
     /// Rounds that a majority has answered, by grantor and number.
@@ -63,25 +63,25 @@
     HolderHears(usize),
     GrantorHears(usize),
     /// To which grantor, and whether it stays on its way.
-    Ask(usize, Ask, bool),
-    Answer(Answer, bool),
+    Ask(usize, RenewRequest, bool),
+    Answer(RenewReply, bool),
     Confirmed(usize, u64),
     Elect(usize),
     Effect(usize),
     Received(Term),
 }
 
-fn duty() -> Duty {
+fn duty() -> LeaseName {
     "trials".into()
 }
 
-fn owner(i: usize) -> Owner {
-    Owner { name: format!("n{i}").into(), incarnation: 1 }
+fn owner(i: usize) -> LeaseHolder {
+    LeaseHolder { name: format!("n{i}").into(), incarnation: 1 }
 }
 
 impl Play {
     fn guarded(times: Micros, elections: u8, lease: Micros) -> Play {
-        let settings = Settings { lease, drift_ppm: 0 };
+        let settings = Settings { duration: lease, drift_ppm: 0 };
         let (owner, grantor) = (settings, settings);
         Play {
             times,
@@ -100,11 +100,11 @@
             while let Some(output) = s.holders[i].0.output() {
                 match output {
                     // That somebody would take a duty is known at once: nothing rests on it.
-                    holder::Output::Ask(ask) if ask.holds.is_empty() => {
-                        s.grantors[s.leader].0.handle(s.now, grantor::Input::Ask(ask));
+                    holder::Output::Renew(ask) if ask.held.is_empty() => {
+                        s.grantors[s.leader].0.handle(s.now, grantor::Input::Renew(ask));
                     }
                     // Of one's questions, and of the answers to them, one is on its way: the last.
-                    holder::Output::Ask(ask) => {
+                    holder::Output::Renew(ask) => {
                         s.asks.retain(|a| a.from != ask.from);
                         s.asks.insert(ask);
                     }
@@ -120,7 +120,7 @@
                         s.heard.insert((g, n));
                     }
                     grantor::Output::Confirm(_) => {}
-                    grantor::Output::Answer(a) => {
+                    grantor::Output::Reply(a) => {
                         s.answers.retain(|b| a.to != b.to);
                         s.answers.insert(a);
                     }
@@ -145,12 +145,12 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let new = |i| Holder::new(self.owner, owner(i), 0);
-        let grant = Entry::Grant { duty: duty(), owner: owner(0), term: 1 };
-        let mut first = Grantor::new(self.grantor, BTreeSet::from([duty()]));
+        let new = |i| HolderState::new(self.owner, owner(i), 0);
+        let grant = Entry::Grant { lease: duty(), holder: owner(0), term: 1 };
+        let mut first = LeaseGrantor::new(self.grantor, BTreeSet::from([duty()]));
         first.handle(0, grantor::Input::Applied(grant.clone()));
         let second = first.clone();
-        first.handle(0, grantor::Input::Leads);
+        first.handle(0, grantor::Input::BecameLeader);
         vec![State {
             now: 0,
             holders: (0..2).map(|i| (new(i), 0)).collect(),
@@ -174,13 +174,13 @@
             out.push(Step::Time);
         }
         for (i, (h, heard)) in s.holders.iter().enumerate() {
-            if h.next_deadline() <= s.now && h.holds().next().is_some() {
+            if h.next_deadline() <= s.now && h.held_leases().next().is_some() {
                 out.push(Step::Holder(i));
             }
             if *heard < s.log.len() {
                 out.push(Step::HolderHears(i));
             }
-            if h.may(s.now, &duty()).is_some_and(|t| !s.effects.contains(&t)) {
+            if h.held_term(s.now, &duty()).is_some_and(|t| !s.effects.contains(&t)) {
                 out.push(Step::Effect(i));
             }
         }
@@ -211,7 +211,7 @@
             Step::Time => {
                 s.now += 1;
                 // Late or not, these change nothing that a guard rests on: who has nothing offers, and who leads decides.
-                for (h, _) in s.holders.iter_mut().filter(|(h, _)| h.holds().next().is_none()) {
+                for (h, _) in s.holders.iter_mut().filter(|(h, _)| h.held_leases().next().is_none()) {
                     h.handle(s.now, holder::Input::Tick);
                 }
                 s.grantors[s.leader].0.handle(s.now, grantor::Input::Tick);
@@ -233,7 +233,7 @@
                 } else {
                     s.asks.remove(&ask);
                 }
-                s.grantors[g].0.handle(now, grantor::Input::Ask(ask));
+                s.grantors[g].0.handle(now, grantor::Input::Renew(ask));
             }
             Step::Answer(answer, stays) => {
                 if stays {
@@ -242,7 +242,7 @@
                     s.answers.remove(&answer);
                 }
                 let i = s.holders.iter().position(|(h, _)| *h.me() == answer.to)?;
-                s.holders[i].0.handle(now, holder::Input::Answer(answer));
+                s.holders[i].0.handle(now, holder::Input::Reply(answer));
             }
             Step::Confirmed(g, n) => {
                 s.heard.remove(&(g, n));
@@ -255,10 +255,10 @@
                     s.grantors[g].1 += 1;
                     s.grantors[g].0.handle(now, grantor::Input::Applied(entry));
                 }
-                s.grantors[g].0.handle(now, grantor::Input::Leads);
+                s.grantors[g].0.handle(now, grantor::Input::BecameLeader);
             }
             Step::Effect(i) => {
-                let term = s.holders[i].0.may(now, &duty())?;
+                let term = s.holders[i].0.held_term(now, &duty())?;
                 s.effects.insert(term);
                 if !self.late_effects {
                     self.receive(&mut s, term);
@@ -273,7 +273,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one at a time", |_, s: &State| {
-                s.holders.iter().filter(|(h, _)| h.may(s.now, &duty()).is_some()).count() <= 1
+                s.holders.iter().filter(|(h, _)| h.held_term(s.now, &duty()).is_some()).count() <= 1
             }),
             Property::always("terms in order", |_, s: &State| !s.broken),
             Property::sometimes("handed on", |_, s: &State| s.last >= 2),
@@ -325,7 +325,7 @@
     let guarded = Play::guarded(3, 0, 2);
     let (found, _) = violated(Play { fences: false, late_effects: true, ..guarded.clone() });
     assert!(found.contains(&"terms in order"), "without terms at the receiver: {found:?}");
-    let long = Settings { lease: 4, drift_ppm: 0 };
+    let long = Settings { duration: 4, drift_ppm: 0 };
     let (found, _) = violated(Play { owner: long, ..guarded.clone() });
     assert!(found.contains(&"one at a time"), "without the grantor's margin: {found:?}");
     let (found, _) = violated(Play { confirms: false, ..Play::guarded(2, 1, 1) });
--- a/src/load_coordination.rs
+++ b/src/load_coordination.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use crate::api::{FunctionId, Micros, WorkerId};
-use crate::lease::Duty;
+use crate::lease::LeaseName;
 
 /// What the duties' names begin with; a number follows.
 pub const PREFIX: &str = "loads-";
@@ -29,7 +29,7 @@
 const MOST: usize = 4096;
 
 /// A worker and a function.
-pub type Home = (WorkerId, FunctionId);
+pub type CopyKey = (WorkerId, FunctionId);
 
 /// What is said between a gateway and a shard's owner.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -45,7 +45,7 @@
 }
 
 impl Word {
-    fn home(&self) -> Home {
+    fn home(&self) -> CopyKey {
         let (Word::Wants(w, f) | Word::Ended(w, f, _) | Word::Orders(w, f, _) | Word::Stands(w, f, _)) = self;
         (WorkerId(*w), FunctionId(*f))
     }
@@ -55,15 +55,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The module orders a copy; its number.
-    Order(u64, Home),
+    Order(u64, CopyKey),
     /// The module needs that order no more.
     Forget(u64),
     /// An order that was given has ended, with so many copies.
     Ended(u64, u32),
     /// Whether this gateway owns a shard.
-    Owns(Duty, bool),
+    Owns(LeaseName, bool),
     /// Whether anybody does, as far as is known.
-    Owned(Duty, bool),
+    Owned(LeaseName, bool),
     /// Another gateway's word to the owner.
     Heard(Arc<str>, Word),
     /// The owner's word to all.
@@ -80,9 +80,9 @@
     /// The order need not be given: so many copies stand.
     Stands(u64, u32),
     /// Tell a shard's owner.
-    Report(Duty, Word),
+    Report(LeaseName, Word),
     /// Tell all, as a shard's owner.
-    Tell(Duty, Word),
+    Tell(LeaseName, Word),
 }
 
 #[derive(Clone, Debug)]
@@ -97,19 +97,19 @@
 #[derive(Clone, Debug)]
 pub struct Loads {
     me: Arc<str>,
-    shards: Vec<Duty>,
-    owns: BTreeSet<Duty>,
-    owned: BTreeSet<Duty>,
+    shards: Vec<LeaseName>,
+    owns: BTreeSet<LeaseName>,
+    owned: BTreeSet<LeaseName>,
     /// Orders that wait, by what they are for.
-    waits: BTreeMap<Home, Waits>,
+    waits: BTreeMap<CopyKey, Waits>,
     /// Shards whose owner said nothing when it was asked, and until when it is not asked again.
-    quiet: BTreeMap<Duty, Micros>,
+    quiet: BTreeMap<LeaseName, Micros>,
     /// Orders given with the owner's leave.
-    given: BTreeMap<u64, Home>,
+    given: BTreeMap<u64, CopyKey>,
     /// Who orders, as the owner said, and until when that is believed.
-    ordered: BTreeMap<Home, (Arc<str>, Micros)>,
+    ordered: BTreeMap<CopyKey, (Arc<str>, Micros)>,
     /// Copies that stand, as the owner said, and until when that is believed.
-    stands: BTreeMap<Home, (u32, Micros)>,
+    stands: BTreeMap<CopyKey, (u32, Micros)>,
     /// Orders that were not given, as another's copy stood.
     pub spared: u64,
     outputs: VecDeque<Output>,
@@ -117,8 +117,8 @@
 
 impl Loads {
     /// One for the shards of the operator's list; none if there are none.
-    pub fn new(me: Arc<str>, duties: &BTreeSet<Duty>) -> Option<Loads> {
-        let shards: Vec<Duty> = duties.iter().filter(|d| d.starts_with(PREFIX)).cloned().collect();
+    pub fn new(me: Arc<str>, duties: &BTreeSet<LeaseName>) -> Option<Loads> {
+        let shards: Vec<LeaseName> = duties.iter().filter(|d| d.starts_with(PREFIX)).cloned().collect();
         (!shards.is_empty()).then(|| Loads {
             me,
             shards,
@@ -135,7 +135,7 @@
     }
 
     /// The shard of a function: the same at every gateway with the same list.
-    pub fn shard(&self, function: FunctionId) -> &Duty {
+    pub fn shard(&self, function: FunctionId) -> &LeaseName {
         let mixed = function.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         &self.shards[(mixed % self.shards.len() as u64) as usize]
     }
@@ -189,7 +189,7 @@
             Input::Told(word) => self.told(now, word),
             Input::Tick => {}
         }
-        let late: Vec<Home> = self.waits.iter().filter(|(_, w)| now >= w.until).map(|(h, _)| *h).collect();
+        let late: Vec<CopyKey> = self.waits.iter().filter(|(_, w)| now >= w.until).map(|(h, _)| *h).collect();
         for home in late {
             if self.waits.get(&home).is_some_and(|w| w.asked) {
                 // Without a majority, or with the owner cut off, orders go on as without it.
@@ -200,7 +200,7 @@
         }
     }
 
-    fn order(&mut self, now: Micros, number: u64, home: Home) {
+    fn order(&mut self, now: Micros, number: u64, home: CopyKey) {
         let shard = self.shard(home.1).clone();
         self.ordered.retain(|_, (_, until)| now < *until);
         self.stands.retain(|_, (_, until)| now < *until);
@@ -226,7 +226,7 @@
         }
     }
 
-    fn tell_owner(&mut self, now: Micros, home: Home, word: Word) {
+    fn tell_owner(&mut self, now: Micros, home: CopyKey, word: Word) {
         let shard = self.shard(home.1).clone();
         if self.owns.contains(&shard) {
             let me = self.me.clone();
@@ -298,7 +298,7 @@
     }
 
     /// What waits there is ordered; with the owner's leave, so that it is told of the end.
-    fn give(&mut self, home: Home, leave: bool) {
+    fn give(&mut self, home: CopyKey, leave: bool) {
         for number in self.waits.remove(&home).into_iter().flat_map(|w| w.numbers) {
             if leave && self.given.len() < MOST {
                 self.given.insert(number, home);
@@ -312,9 +312,9 @@
 mod tests {
     use super::*;
 
-    const HOME: Home = (WorkerId(3), FunctionId(70));
+    const HOME: CopyKey = (WorkerId(3), FunctionId(70));
 
-    fn shards(n: usize) -> BTreeSet<Duty> {
+    fn shards(n: usize) -> BTreeSet<LeaseName> {
         (0..n).map(|i| format!("{PREFIX}{i}").into()).chain(["trials".into()]).collect()
     }
 
@@ -436,7 +436,7 @@
     #[test]
     fn shards_are_spread_and_the_same_everywhere() {
         let (a, b) = (begun("a", false), begun("b", true));
-        let mut count: BTreeMap<Duty, usize> = BTreeMap::new();
+        let mut count: BTreeMap<LeaseName, usize> = BTreeMap::new();
         for f in 0..4_000 {
             assert_eq!(a.shard(FunctionId(f)), b.shard(FunctionId(f)));
             *count.entry(a.shard(FunctionId(f)).clone()).or_default() += 1;
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -22,7 +22,7 @@
 use molelug::consensus::wire::{self, Body};
 use molelug::core::{Answer, AttemptKey, AttemptReply, Call, Command, Core, OrderKey, ProbeKey};
 use molelug::health_checks::{self, Trials};
-use molelug::lease::Duty;
+use molelug::lease::LeaseName;
 use molelug::load_coordination::{self, Loads, Word};
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -230,7 +230,7 @@
     first_effect: BTreeMap<u64, Micros>,
 }
 
-fn duties(shards: usize) -> BTreeSet<Duty> {
+fn duties(shards: usize) -> BTreeSet<LeaseName> {
     let shards = (0..shards).map(|n| format!("{}{n}", load_coordination::PREFIX).into());
     shards.chain([health_checks::NAME.into()]).collect()
 }
@@ -362,7 +362,7 @@
             process: self.processes,
             contacts: (0..s.voters).map(name).collect(),
             leases: duties(s.shards),
-            lease: molelug::lease::Settings { lease: s.lease_ms * MS, drift_ppm: 1_000 },
+            lease: molelug::lease::Settings { duration: s.lease_ms * MS, drift_ppm: 1_000 },
             voter: machine::Settings { tick: s.tick_ms * MS },
             seed: self.ran.seed ^ ((n as u64) << 20),
             disabled_guards: DisabledGuards::default(),
@@ -774,7 +774,7 @@
         for duty in
             duties(self.scenario.shards).into_iter().filter(|d| d.starts_with(load_coordination::PREFIX))
         {
-            let owned = m.state().leases.standing(&duty).owner.is_some();
+            let owned = m.state().leases.record(&duty).holder.is_some();
             l.handle(now, load_coordination::Input::Owned(duty, owned));
         }
     }
@@ -802,7 +802,7 @@
         }
     }
 
-    fn owns(&mut self, n: usize, duty: Duty, owns: bool) {
+    fn owns(&mut self, n: usize, duty: LeaseName, owns: bool) {
         let now = self.now;
         let i = &mut self.instances[n];
         if *duty == *health_checks::NAME {
