--- a/src/completion.rs
+++ b/src/completion.rs
@@ -2,7 +2,7 @@
 //! the module's [`Outcome`].
 
 use crate::api::Outcome;
-use crate::membership::group::Seen;
+use crate::membership::group::Observed;
 
 /// How a connection, or something that was out on it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -81,17 +81,17 @@
     }
 
     /// What instances that talk are told of a worker by this ending; none where it tells nothing of it.
-    pub fn seen(self, left: SendProgress) -> Option<Seen> {
+    pub fn seen(self, left: SendProgress) -> Option<Observed> {
         match (self, left) {
             (
                 CloseReason::Served | CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired,
                 _,
-            ) => Some(Seen::Answered),
-            (CloseReason::Failed, _) => Some(Seen::Failed),
-            (CloseReason::Refused | CloseReason::ConnectTimeout, _) => Some(Seen::Refused),
-            (CloseReason::TimedOut | CloseReason::Cancelled, SendProgress::Started) => Some(Seen::Silent),
+            ) => Some(Observed::Answered),
+            (CloseReason::Failed, _) => Some(Observed::Failed),
+            (CloseReason::Refused | CloseReason::ConnectTimeout, _) => Some(Observed::Refused),
+            (CloseReason::TimedOut | CloseReason::Cancelled, SendProgress::Started) => Some(Observed::Silent),
             (CloseReason::Reset | CloseReason::Closed | CloseReason::Malformed, SendProgress::Started) => {
-                Some(Seen::Failed)
+                Some(Observed::Failed)
             }
             _ => None,
         }
--- a/src/completion/tests.rs
+++ b/src/completion/tests.rs
@@ -15,7 +15,7 @@
     }
     assert_eq!(
         (Served.seen(SendProgress::Started), ConnectTimeout.seen(SendProgress::Unsent)),
-        (Some(Seen::Answered), Some(Seen::Refused))
+        (Some(Observed::Answered), Some(Observed::Refused))
     );
 }
 
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -7,7 +7,7 @@
 
 use super::ReplicaId;
 use crate::lease::ledger::{self, LeaseTable};
-use crate::replication::sets::{self, Sets};
+use crate::replication::sets::{self, ReplicaSets};
 use crate::tenancy::replicated::state as tenants;
 
 /// An entry.
@@ -64,7 +64,7 @@
     /// Duties.
     pub leases: LeaseTable,
     /// Shards.
-    pub replica_sets: Sets,
+    pub replica_sets: ReplicaSets,
     /// Tenants as they were changed.
     pub tenants: tenants::Tenants,
 }
@@ -90,7 +90,14 @@
                 });
             }
             let (generation, applied, voters, ledger): First = postcard::from_bytes(bytes).map_err(|_| e)?;
-            Ok(State { generation, applied, voters, leases: ledger, replica_sets: Sets::default(), tenants })
+            Ok(State {
+                generation,
+                applied,
+                voters,
+                leases: ledger,
+                replica_sets: ReplicaSets::default(),
+                tenants,
+            })
         })
     }
 
--- a/src/delivery/fair_queue.rs
+++ b/src/delivery/fair_queue.rs
@@ -77,18 +77,18 @@
 
 /// Tenants, each with its endpoints.
 #[derive(Clone, Debug)]
-pub struct Turns<T, E> {
+pub struct FairQueue<T, E> {
     tenants: Ring<T>,
     endpoints: HashMap<T, Ring<E>>,
 }
 
-impl<T, E> Default for Turns<T, E> {
-    fn default() -> Turns<T, E> {
-        Turns { tenants: Ring::default(), endpoints: HashMap::new() }
+impl<T, E> Default for FairQueue<T, E> {
+    fn default() -> FairQueue<T, E> {
+        FairQueue { tenants: Ring::default(), endpoints: HashMap::new() }
     }
 }
 
-impl<T: Copy + Eq + Hash, E: Copy + Eq + Hash> Turns<T, E> {
+impl<T: Copy + Eq + Hash, E: Copy + Eq + Hash> FairQueue<T, E> {
     /// An endpoint has something to send.
     pub fn join(&mut self, tenant: T, endpoint: E) {
         self.endpoints.entry(tenant).or_default().join(endpoint);
@@ -128,7 +128,7 @@
 
     #[test]
     fn tenants_share_evenly_whatever_their_endpoints_and_sizes() {
-        let mut turns: Turns<u8, (u8, u8)> = Turns::default();
+        let mut turns: FairQueue<u8, (u8, u8)> = FairQueue::default();
         // Tenant 0 has ten endpoints, tenant 1 one with large pieces, tenant 2 one with small ones.
         let all: Vec<(u8, u8)> = (0..10).map(|e| (0, e)).chain([(1, 0), (2, 0)]).collect();
         let mut spent: BTreeMap<u8, u32> = BTreeMap::new();
@@ -144,7 +144,7 @@
 
     #[test]
     fn what_may_not_go_leaves_the_ring_and_comes_back_when_it_joins() {
-        let mut turns: Turns<u8, u8> = Turns::default();
+        let mut turns: FairQueue<u8, u8> = FairQueue::default();
         turns.join(1, 1);
         turns.join(2, 2);
         assert_eq!(turns.next(|e| (e == 2).then_some(1)), Some(2));
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! One value without I/O: [`Delivery::handle`] takes an [`Input`] and the time, and leaves [`Output`]s. Messages lie
 //! in the store; here is what is known of those due soon, a bounded number of an endpoint's, without their bodies.
-//! An endpoint that has more has them fetched when its own run low. Deadlines hang in a [`timing_wheel::Wheel`];
+//! An endpoint that has more has them fetched when its own run low. Deadlines hang in a [`timing_wheel::TimingWheel`];
 //! [`Delivery::next_deadline`] is to hang in the core's one order, and [`Input::Tick`] tells that it fell due.
 //!
 //! Kept by id: endpoints until [`Input::Removed`]; messages until their end, or until they are left to the store.
@@ -22,10 +22,10 @@
 pub mod timing_wheel;
 
 use breaker::{Breaker, Bucket, Budget};
-use fair_queue::Turns;
-use response::{Dead, Meaning, Report, State};
+use fair_queue::FairQueue;
+use response::{Dead, Report, ResponseClass, State};
 use schedule::Schedule;
-use timing_wheel::{Timer, Wheel};
+use timing_wheel::{Timer, TimingWheel};
 
 /// Names an endpoint; never given again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -233,8 +233,8 @@
     caps: Caps,
     seed: u64,
     endpoints: HashMap<EndpointId, Endpoint>,
-    turns: Turns<u64, EndpointId>,
-    wheel: Wheel<Due>,
+    turns: FairQueue<u64, EndpointId>,
+    wheel: TimingWheel<Due>,
     loaded: HashMap<Seq, (Waiting, Place)>,
     out: u32,
     stopped: bool,
@@ -253,8 +253,8 @@
             caps,
             seed,
             endpoints: HashMap::new(),
-            turns: Turns::default(),
-            wheel: Wheel::new(now),
+            turns: FairQueue::default(),
+            wheel: TimingWheel::new(now),
             loaded: HashMap::new(),
             out: 0,
             stopped: false,
@@ -580,35 +580,35 @@
         let mut off = None;
         if let Some(e) = self.endpoints.get_mut(&id) {
             match meaning {
-                Meaning::Delivered => {
+                ResponseClass::Delivered => {
                     e.breaker.succeeded(e.plan.in_flight);
                     e.budget.earn();
                 }
-                Meaning::Gone => off = Some("gone"),
-                Meaning::Failed(advice) => {
+                ResponseClass::Gone => off = Some("gone"),
+                ResponseClass::Failed(advice) => {
                     e.breaker.failed(now, advice);
                     if e.breaker.failing_since().is_some_and(|t| now >= t + disable_after) {
                         off = Some("failing");
                     }
                 }
-                Meaning::Void => e.breaker.proved_nothing(now),
+                ResponseClass::Void => e.breaker.proved_nothing(now),
             }
         }
-        if report.may_have_arrived() && meaning != Meaning::Delivered {
+        if report.may_have_arrived() && meaning != ResponseClass::Delivered {
             message.ran.get_or_insert(sent);
         }
         let mut attempt = Some(report);
         let known = self.endpoints.get(&id);
         let state = match meaning {
-            Meaning::Delivered => State::Delivered,
-            Meaning::Void => {
+            ResponseClass::Delivered => State::Delivered,
+            ResponseClass::Void => {
                 attempt = None;
                 message.due = now + VOID_PAUSE;
                 State::Waiting
             }
             _ if !allowed(message.effect, message.ran, now, 0).resend => State::Dead(Dead::Unknown),
-            Meaning::Gone => State::Dead(Dead::Gone),
-            Meaning::Failed(advice) => match known {
+            ResponseClass::Gone => State::Dead(Dead::Gone),
+            ResponseClass::Failed(advice) => match known {
                 None => State::Dead(Dead::Gone),
                 Some(e) => match e.plan.schedule.pause(message.tries + 1, self.seed ^ seq.0, advice) {
                     Some(pause) => {
--- a/src/delivery/response.rs
+++ b/src/delivery/response.rs
@@ -21,7 +21,7 @@
 
 /// What follows from a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum ResponseClass {
     /// A 2xx: the portal has it.
     Delivered,
     /// 410: the portal wants nothing more here.
@@ -44,18 +44,18 @@
 
     /// What it means. 3xx is a failure like any other: a signed message goes nowhere but to the address that the
     /// operator has set.
-    pub fn meaning(&self) -> Meaning {
+    pub fn meaning(&self) -> ResponseClass {
         match (self.status, self.ending, self.left) {
-            (Some(200..=299), CloseReason::Served, _) => Meaning::Delivered,
-            (Some(410), ..) => Meaning::Gone,
-            (Some(429 | 503), ..) => Meaning::Failed(Some(self.advice.unwrap_or(0))),
-            (Some(_), ..) => Meaning::Failed(None),
+            (Some(200..=299), CloseReason::Served, _) => ResponseClass::Delivered,
+            (Some(410), ..) => ResponseClass::Gone,
+            (Some(429 | 503), ..) => ResponseClass::Failed(Some(self.advice.unwrap_or(0))),
+            (Some(_), ..) => ResponseClass::Failed(None),
             (
                 None,
                 CloseReason::LocalLimit | CloseReason::Shutdown | CloseReason::Cancelled,
                 SendProgress::Unsent,
-            ) => Meaning::Void,
-            (None, ..) => Meaning::Failed(None),
+            ) => ResponseClass::Void,
+            (None, ..) => ResponseClass::Failed(None),
         }
     }
 }
@@ -118,16 +118,19 @@
             Report { ending, left: SendProgress::Started, status: Some(status), advice }.meaning()
         };
         for status in [200, 201, 204, 299] {
-            assert_eq!(of(status, None), Meaning::Delivered);
+            assert_eq!(of(status, None), ResponseClass::Delivered);
         }
         for status in [301, 302, 307, 308, 400, 401, 404, 500, 502] {
-            assert_eq!(of(status, Some(5)), Meaning::Failed(None), "{status}");
+            assert_eq!(of(status, Some(5)), ResponseClass::Failed(None), "{status}");
         }
-        assert_eq!((of(429, Some(5)), of(503, None)), (Meaning::Failed(Some(5)), Meaning::Failed(Some(0))));
-        assert_eq!(of(410, None), Meaning::Gone);
+        assert_eq!(
+            (of(429, Some(5)), of(503, None)),
+            (ResponseClass::Failed(Some(5)), ResponseClass::Failed(Some(0)))
+        );
+        assert_eq!(of(410, None), ResponseClass::Gone);
         let cut = |ending, left| Report { ending, left, status: None, advice: None };
-        assert_eq!(cut(CloseReason::Shutdown, SendProgress::Unsent).meaning(), Meaning::Void);
-        assert_eq!(cut(CloseReason::Shutdown, SendProgress::Started).meaning(), Meaning::Failed(None));
+        assert_eq!(cut(CloseReason::Shutdown, SendProgress::Unsent).meaning(), ResponseClass::Void);
+        assert_eq!(cut(CloseReason::Shutdown, SendProgress::Started).meaning(), ResponseClass::Failed(None));
         assert!(!cut(CloseReason::Refused, SendProgress::Unsent).may_have_arrived());
         assert!(cut(CloseReason::TimedOut, SendProgress::Started).may_have_arrived());
     }
--- a/src/delivery/timing_wheel.rs
+++ b/src/delivery/timing_wheel.rs
@@ -35,7 +35,7 @@
 
 /// The wheel.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimingWheel<T> {
     /// The tick up to which all has been told.
     ticked: u64,
     heads: [[u32; SLOTS]; LEVELS],
@@ -45,10 +45,10 @@
     len: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimingWheel<T> {
     /// An empty wheel whose time begins at `now`, in microseconds.
-    pub fn new(now: Micros) -> Wheel<T> {
-        Wheel {
+    pub fn new(now: Micros) -> TimingWheel<T> {
+        TimingWheel {
             ticked: now >> SHIFT,
             heads: [[NONE; SLOTS]; LEVELS],
             used: [0; LEVELS],
@@ -94,7 +94,7 @@
         self.release(timer.place)
     }
 
-    /// A time at or before which nothing falls due, and at which [`Wheel::expire`] is to be called; none while
+    /// A time at or before which nothing falls due, and at which [`TimingWheel::expire`] is to be called; none while
     /// nothing hangs. It is the exact time of an entry when that is near, else when one comes nearer.
     pub fn next(&self) -> Option<Micros> {
         for level in 0..LEVELS {
@@ -244,7 +244,7 @@
         /// The wheel tells what a plain ordered set tells, and its next time is never past the set's first.
         #[test]
         fn it_tells_what_an_ordered_set_tells(start in 0u64..1 << 40, steps in prop::collection::vec(step(), 1..200)) {
-            let (mut wheel, mut plain) = (Wheel::new(start), BTreeSet::new());
+            let (mut wheel, mut plain) = (TimingWheel::new(start), BTreeSet::new());
             let (mut now, mut timers) = (start, Vec::new());
             for (n, step) in steps.into_iter().enumerate() {
                 match step {
@@ -279,7 +279,7 @@
 
     #[test]
     fn places_are_used_again() {
-        let mut wheel = Wheel::new(0);
+        let mut wheel = TimingWheel::new(0);
         for round in 0..1000u64 {
             let timers: Vec<_> = (0..10).map(|n| wheel.insert(round * 7 + n * 1_000_000, n)).collect();
             timers.into_iter().for_each(|t| assert!(wheel.cancel(t).is_some()));
--- a/src/front/webhook/inbound.rs
+++ b/src/front/webhook/inbound.rs
@@ -11,7 +11,7 @@
 use crate::front::http::{plain, Bad, Request};
 use crate::front::platform::hex16;
 use crate::names::Names;
-use crate::store::records::Mark;
+use crate::store::records::IdentityDigest;
 use crate::tenancy::{Registry, Tenant, COMPLETED};
 
 /// The longest identity that is taken.
@@ -94,7 +94,7 @@
         tenants: &Registry,
         names: &Names,
         now: Micros,
-    ) -> Result<(Call<Job>, Mark, Micros), Bad> {
+    ) -> Result<(Call<Job>, IdentityDigest, Micros), Bad> {
         let name = r.path.strip_prefix("/webhooks/").ok_or(plain(404, "no such path"))?;
         if r.method != "POST" {
             return Err(plain(405, "a webhook is a POST"));
--- a/src/front/webhook/replay.rs
+++ b/src/front/webhook/replay.rs
@@ -8,7 +8,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::api::Micros;
-use crate::store::records::Mark;
+use crate::store::records::IdentityDigest;
 
 /// A file is written anew once it holds so many times more lines than the store holds marks, and no fewer.
 const SLACK: usize = 2;
@@ -22,14 +22,14 @@
     lines: usize,
 }
 
-fn line(until: Micros, mark: &Mark) -> String {
+fn line(until: Micros, mark: &IdentityDigest) -> String {
     let hex: String = mark.iter().map(|b| format!("{b:02x}")).collect();
     format!("{until} {hex}\n")
 }
 
-fn parse(line: &str) -> Option<(Micros, Mark)> {
+fn parse(line: &str) -> Option<(Micros, IdentityDigest)> {
     let (until, hex) = line.split_once(' ').filter(|(_, h)| h.len() == 64 && h.is_ascii())?;
-    let mut mark = Mark::default();
+    let mut mark = IdentityDigest::default();
     for (i, byte) in mark.iter_mut().enumerate() {
         *byte = u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).ok()?;
     }
@@ -37,7 +37,7 @@
 }
 
 /// The digest of a tenant's identity.
-pub fn mark(tenant: &str, id: &str) -> Mark {
+pub fn mark(tenant: &str, id: &str) -> IdentityDigest {
     let mut hash = Sha256::new();
     hash.update((tenant.len() as u64).to_le_bytes());
     hash.update(tenant);
@@ -60,8 +60,8 @@
 #[derive(Debug)]
 pub struct Replays {
     most: usize,
-    until: BTreeMap<Mark, Micros>,
-    order: BTreeSet<(Micros, Mark)>,
+    until: BTreeMap<IdentityDigest, Micros>,
+    order: BTreeSet<(Micros, IdentityDigest)>,
     kept: Option<Kept>,
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// Takes identities in that were kept elsewhere.
-    pub fn load(&mut self, kept: &[(Mark, Micros)]) {
+    pub fn load(&mut self, kept: &[(IdentityDigest, Micros)]) {
         for (mark, until) in kept {
             if self.until.insert(*mark, *until).is_none() {
                 self.order.insert((*until, *mark));
@@ -97,7 +97,7 @@
     }
 
     /// Forgets an identity whose call could not be kept.
-    pub fn forget(&mut self, mark: &Mark) {
+    pub fn forget(&mut self, mark: &IdentityDigest) {
         if let Some(until) = self.until.remove(mark) {
             self.order.remove(&(until, *mark));
         }
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    fn keep(&mut self, until: Micros, mark: &Mark) -> io::Result<()> {
+    fn keep(&mut self, until: Micros, mark: &IdentityDigest) -> io::Result<()> {
         let Some(kept) = &mut self.kept else { return Ok(()) };
         kept.file.write_all(line(until, mark).as_bytes())?;
         kept.lines += 1;
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -479,7 +479,7 @@
         if let Some(hall) = &mut self.cluster.consensus {
             hall.member.handle(uptime(), Input::Disconnected(name.clone()));
         }
-        self.tell_copies(crate::replication::machine::Input::Lost(name.clone()));
+        self.tell_copies(crate::replication::machine::Input::Disconnected(name.clone()));
     }
 
     fn accept_peers(&mut self, now: Micros) {
@@ -605,7 +605,7 @@
     }
 
     /// What is agreed of shards, as far as it is known here.
-    pub(super) fn agreed_sets(&self) -> Option<crate::replication::sets::Sets> {
+    pub(super) fn agreed_sets(&self) -> Option<crate::replication::sets::ReplicaSets> {
         self.cluster.consensus.as_ref().map(|h| h.member.state().replica_sets.clone())
     }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -9,7 +9,7 @@
 use crate::config::ConfigError;
 use crate::membership::config::Gossip;
 use crate::membership::group::{Group, Input, Output, Settings};
-use crate::membership::reputation::Advice;
+use crate::membership::reputation::HealthAdvice;
 use crate::membership::swim::Record;
 use crate::membership::wire::MTU;
 
@@ -192,8 +192,10 @@
             match output {
                 // One that the machine has no room for is lost, as any may be.
                 Output::Datagram(to, bytes) => drop(talk.socket.send_to(&bytes, to)),
-                Output::Advice(worker, Advice::Down(until)) => self.core.rumour(now, worker, Some(until)),
-                Output::Advice(worker, Advice::Well) => self.core.rumour(now, worker, None),
+                Output::Advice(worker, HealthAdvice::Down(until)) => {
+                    self.core.rumour(now, worker, Some(until))
+                }
+                Output::Advice(worker, HealthAdvice::Well) => self.core.rumour(now, worker, None),
                 Output::Changed(name, standing) => {
                     self.core.counters.gossip_alive = talk.group.alive() as u64;
                     tracing::info!(peer = name, standing = standing.name(), "a peer stands otherwise");
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::consensus::member::Input as Say;
 use crate::health_checks::{Input, Output, Trials, NAME};
-use crate::membership::group::Seen;
+use crate::membership::group::Observed;
 
 /// The duty, while it is on the operator's list.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
         self.tell_trials(now, Input::Ready(ready));
     }
 
-    pub(super) fn trials_outcome(&mut self, now: Micros, worker: WorkerId, seen: Seen) {
+    pub(super) fn trials_outcome(&mut self, now: Micros, worker: WorkerId, seen: Observed) {
         self.tell_trials(now, Input::Outcome(worker, seen));
     }
 
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -10,7 +10,9 @@
 use std::time::SystemTime;
 
 use super::*;
-use crate::operations::hot_restart::{Others, State, Word, MOST_BYTES, REFRESH};
+use crate::operations::hot_restart::{
+    SiblingProcesses, SiblingState, State, MAX_STATE_BYTES, WRITE_INTERVAL,
+};
 
 /// How often the others' words are looked at: well within the grace that the rules give after a call.
 const LOOK: Micros = 100_000;
@@ -23,7 +25,7 @@
     /// The folder, and the lock of this process; none if there is no place for it.
     folder: Option<(PathBuf, File)>,
     pid: u32,
-    others: Others,
+    others: SiblingProcesses,
     /// The word files read last, by process: when written and how long.
     read: BTreeMap<u32, (SystemTime, u64)>,
     written: (String, Micros),
@@ -33,7 +35,7 @@
 }
 
 impl Handover {
-    pub(super) fn others(&self) -> &Others {
+    pub(super) fn others(&self) -> &SiblingProcesses {
         &self.others
     }
 }
@@ -68,7 +70,7 @@
         let handover = Handover {
             folder,
             pid,
-            others: Others::default(),
+            others: SiblingProcesses::default(),
             read: BTreeMap::new(),
             written: (String::new(), 0),
             begun: now,
@@ -118,8 +120,8 @@
             }
             handover.read.insert(pid, mark);
             let age = SystemTime::now().duration_since(modified).map_or(0, |d| d.as_micros() as Micros);
-            let bytes = if meta.len() > MOST_BYTES as u64 { Ok(Vec::new()) } else { fs::read(&path) };
-            let word = bytes.map(|b| Word::read(&b, &self.config.name, alive, age));
+            let bytes = if meta.len() > MAX_STATE_BYTES as u64 { Ok(Vec::new()) } else { fs::read(&path) };
+            let word = bytes.map(|b| SiblingState::read(&b, &self.config.name, alive, age));
             match word {
                 Ok(Ok(word)) => heard.push((pid, alive, word)),
                 Ok(Err(e)) => tracing::error!(pid, "what another process left is passed over: {e}"),
@@ -176,7 +178,7 @@
         let Some(handover) = &mut self.ops.handover else { return };
         let Some((folder, _)) = &handover.folder else { return };
         let upkeep = &self.ops.upkeep;
-        let word = Word {
+        let word = SiblingState {
             gateway: self.config.name.clone(),
             state,
             rev: self.last_revision,
@@ -185,7 +187,7 @@
             seen: upkeep.seen().map(str::to_owned).collect(),
         };
         let text = word.text();
-        if text == handover.written.0 && now < handover.written.1 + REFRESH {
+        if text == handover.written.0 && now < handover.written.1 + WRITE_INTERVAL {
             return;
         }
         let (fresh, path) =
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -7,7 +7,7 @@
 use crate::front::operator_console::{self, Ask};
 use crate::operations::lifecycle::Lifecycle;
 use crate::operations::metrics::{self, Gauges};
-use crate::operations::overrides::{Refusal, Upkeep};
+use crate::operations::overrides::{OverrideError, WorkerOverrides};
 
 /// Callers of the second address at once; beyond it the longest silent one yields.
 const MOST_LINES: usize = 16;
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Ops {
     pub(super) life: Lifecycle,
-    pub(super) upkeep: Upkeep,
+    pub(super) upkeep: WorkerOverrides,
     line: Option<LineSide>,
     pub(super) handover: Option<Handover>,
 }
@@ -193,7 +193,7 @@
         &mut self,
         now: Micros,
         name: &str,
-        change: Result<Option<WorkerEntry>, Refusal>,
+        change: Result<Option<WorkerEntry>, OverrideError>,
     ) -> Vec<u8> {
         match change {
             Err(refusal) => operator_console::answer(false, refusal),
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -1,5 +1,5 @@
 //! Drives what gateways hold for one another: records to the disk and to copies, questions to a shard's primary, and what
-//! stands of a shard that comes to be led here. It decides nothing: that is [`Copies`]'.
+//! stands of a shard that comes to be led here. It decides nothing: that is [`Replicator`]'.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,13 +9,13 @@
 use crate::consensus::state::SubsystemEntry;
 use crate::consensus::{member, wire as frames};
 use crate::replication::config::{self, Guards, WhenFewer};
-use crate::replication::error::Refusal;
-use crate::replication::history::Note;
+use crate::replication::error::ReplicationError;
+use crate::replication::history::HistoryEvent;
 use crate::replication::identities::Identities;
-use crate::replication::machine::{Copies, Input, Output};
-use crate::replication::wire::{Body, Told};
-use crate::replication::{Epoch, Name, Place, ShardId};
-use crate::store::records::{CallRecord, CallState, Mark, Reply, StoreError};
+use crate::replication::machine::{Input, Output, Replicator};
+use crate::replication::wire::{Body, RequestOutcome};
+use crate::replication::{Epoch, LogPosition, Name, ShardId};
+use crate::store::records::{CallRecord, CallState, IdentityDigest, Reply, StoreError};
 use crate::tenancy::replicated::changes::Settings as Agreeing;
 
 mod questions;
@@ -24,7 +24,7 @@
 /// Copies, while they are on.
 #[derive(Debug)]
 pub(super) struct ReplicationDriver {
-    machine: Copies,
+    machine: Replicator,
     file: config::File,
     /// The shards that are led here and whose content was taken up, with the identities taken.
     pub(super) open: BTreeMap<ShardId, Identities>,
@@ -75,7 +75,7 @@
     }
 
     /// The shard of an identity.
-    pub(super) fn shard_of(&self, mark: &Mark) -> ShardId {
+    pub(super) fn shard_of(&self, mark: &IdentityDigest) -> ShardId {
         crate::replication::shard_of(mark, self.file.shards)
     }
 }
@@ -96,7 +96,7 @@
                 format!("{name} is not among them"),
             )));
         }
-        let machine = Copies::new(file.settings(&name, process, guards()), consensus::uptime());
+        let machine = Replicator::new(file.settings(&name, process, guards()), consensus::uptime());
         let beside = |what| History::beside(history.as_deref(), what, &name, process);
         let fail = |e: io::Error| GatewayError::Loop(e.into());
         let (history, tenants) =
@@ -142,7 +142,7 @@
             return;
         }
         if let Some(sets) = self.agreed_sets() {
-            self.tell_copies(Input::Agreed(std::sync::Arc::new(sets)));
+            self.tell_copies(Input::SetsChanged(std::sync::Arc::new(sets)));
         }
     }
 
@@ -175,7 +175,7 @@
         let leads = self.cluster.replication.as_ref().is_some_and(|s| s.machine.leads_any());
         if leads && self.cluster.replication.as_mut().is_some_and(|s| !std::mem::replace(&mut s.leaves, true))
         {
-            self.tell_copies(Input::Leave);
+            self.tell_copies(Input::GracefulShutdown);
         }
         !leads
     }
@@ -221,23 +221,25 @@
             Output::Read(shard, to) => hooks.read_shard(shard, to),
             Output::Verify => hooks.verify_shards(),
             Output::Accept(shard) => hooks.accept_shard(shard),
-            Output::Promised(ticket, _) => {
+            Output::Committed(ticket, _) => {
                 let reply = side.kept.remove(&ticket).unwrap_or(Reply::Done);
                 hooks.reply(ticket, Ok(reply));
             }
-            Output::Refused(ticket, why) => {
+            Output::Rejected(ticket, why) => {
                 side.kept.remove(&ticket);
                 hooks.reply(ticket, Err(StoreError::NotPromised(why)));
             }
-            Output::Lead(shard, epoch) => hooks.lead_shard(shard, epoch),
-            Output::Rest(shard) => {
+            Output::BecomePrimary(shard, epoch) => hooks.lead_shard(shard, epoch),
+            Output::StepDown(shard) => {
                 side.open.remove(&shard);
                 tracing::warn!(shard, "a shard is led here no more");
                 let over = hooks.rest_shard(now, shard);
                 over.into_iter().for_each(|key| self.core.caller_gone(now, key));
             }
-            Output::Hear(shard, from, number, bytes) => self.asked_of_shard(now, shard, from, number, &bytes),
-            Output::Told(ticket, told) => self.told_by_primary(now, ticket, told),
+            Output::HandleRequest(shard, from, number, bytes) => {
+                self.asked_of_shard(now, shard, from, number, &bytes)
+            }
+            Output::Response(ticket, told) => self.told_by_primary(now, ticket, told),
             Output::DiskRefused => {
                 tracing::error!(
                     "the disk is an old copy, or another process has begun on it since: what it held for others is let go \
@@ -245,8 +247,8 @@
                 );
                 hooks.begin_disk(self.config.seed ^ consensus::uptime(), true);
             }
-            Output::Noted(note) => {
-                if let Note::Lost { shard } = note {
+            Output::Record(note) => {
+                if let HistoryEvent::Lost { shard } = note {
                     tracing::error!(
                         shard,
                         "all disks that held this shard are lost, and what was promised in it with them; raise copies, \
@@ -254,34 +256,34 @@
                     );
                 }
                 match &note {
-                    Note::Damaged { shard, ranges } => tracing::error!(
+                    HistoryEvent::Damaged { shard, ranges } => tracing::error!(
                         shard,
                         ?ranges,
                         "the disk does not hold what was written: the shard is copied anew from another; look at this machine's \
                          disk and memory, and replace it if that comes again"
                     ),
-                    Note::Recalled { shard } => tracing::error!(
+                    HistoryEvent::Recalled { shard } => tracing::error!(
                         shard,
                         "all disks that held this shard are lost; this one had been left out and has what was promised until then: \
                          what was taken on fewer machines since is gone; raise copies, or spread members over more halls"
                     ),
-                    Note::Waits { shard, members } => tracing::error!(
+                    HistoryEvent::Waits { shard, members } => tracing::error!(
                         shard,
                         ?members,
                         "the disk here is damaged, and no other that holds the shard can be heard: bring one of them back; or, if \
                          their disks are lost, start them with empty ones, and what is left here counts"
                     ),
-                    Note::Mended { shard, accepted: false } => {
+                    HistoryEvent::Mended { shard, accepted: false } => {
                         tracing::info!(shard, "a damaged shard was mended from another disk");
                     }
-                    Note::Mended { shard, accepted: true } => tracing::error!(
+                    HistoryEvent::Mended { shard, accepted: true } => tracing::error!(
                         shard,
                         "no other disk has a damaged shard: what is left of it counts, and something promised may be gone; \
                          raise copies"
                     ),
                     _ => {}
                 }
-                if let Note::Led { shard, epoch, members, .. } = &note {
+                if let HistoryEvent::Led { shard, epoch, members, .. } = &note {
                     tracing::info!(shard, epoch, ?members, "a shard is led here");
                 }
                 side.history.record(&note);
@@ -309,20 +311,20 @@
         if let (Some(side), Some(ticket)) = (&mut self.cluster.replication, ticket) {
             side.kept.insert(ticket, reply);
         }
-        self.tell_copies(Input::Kept(shard));
+        self.tell_copies(Input::Persisted(shard));
     }
 
     pub(super) fn shard_read(&mut self, shard: ShardId, to: Name, reply: Result<Reply, StoreError>) {
         match reply {
             Ok(Reply::Shard(place, bytes)) => {
-                let place: Place = place;
+                let place: LogPosition = place;
                 self.tell_copies(Input::Read(shard, to, place, bytes));
             }
             other => {
                 if let Err(StoreError::Unsound(shard, ranges)) = other {
-                    self.tell_copies(Input::Unsound(shard, ranges));
+                    self.tell_copies(Input::Corrupt(shard, ranges));
                 }
-                self.tell_copies(Input::Unread(shard, to));
+                self.tell_copies(Input::ReadFailed(shard, to));
             }
         }
     }
@@ -336,7 +338,7 @@
         reply: Result<Reply, StoreError>,
     ) {
         if let Err(StoreError::Unsound(shard, ranges)) = reply {
-            return self.tell_copies(Input::Unsound(shard, ranges));
+            return self.tell_copies(Input::Corrupt(shard, ranges));
         }
         let (Some(side), Ok(Reply::Stands(stands))) = (&mut self.cluster.replication, reply) else { return };
         if !side.machine.leads(shard) {
--- a/src/gateway/replication/questions.rs
+++ b/src/gateway/replication/questions.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub(in crate::gateway) enum Asked {
     /// Take a call.
-    Take(Box<CallRecord>, Mark, Micros),
+    Take(Box<CallRecord>, IdentityDigest, Micros),
     /// How does a call stand?
     State(u64, String),
 }
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(in crate::gateway) enum Waits {
     /// A caller whose call is to be taken, and its identity.
-    Take(ConnKey, Mark),
+    Take(ConnKey, IdentityDigest),
     /// A caller who asked how a call stands.
     State(ConnKey, String),
 }
@@ -30,11 +30,11 @@
         side.waits.insert(ticket, waits);
         // A question always packs.
         let bytes = postcard::to_stdvec(asked).unwrap_or_default();
-        self.tell_copies(Input::Ask { shard, ticket, bytes });
+        self.tell_copies(Input::Request { shard, ticket, bytes });
     }
 
-    pub(in crate::gateway) fn tell_asker(&mut self, to: Name, number: u64, told: Told) {
-        self.tell_copies(Input::Tell(to, number, told));
+    pub(in crate::gateway) fn tell_asker(&mut self, to: Name, number: u64, told: RequestOutcome) {
+        self.tell_copies(Input::Respond(to, number, told));
     }
 
     /// A question to this primary.
@@ -48,7 +48,7 @@
     ) {
         let asked: Option<Asked> = postcard::from_bytes(bytes).ok();
         let why = match asked {
-            None => Refusal::Unknown { what: "question".into() },
+            None => ReplicationError::Unknown { what: "question".into() },
             Some(Asked::State(serial, id)) => {
                 let Some(hooks) = &mut self.secondary.hooks else { return };
                 return hooks.ask_state(serial, id, from, number);
@@ -64,7 +64,7 @@
                 }
             }
         };
-        self.tell_asker(from, number, Told::Refused(why));
+        self.tell_asker(from, number, RequestOutcome::Rejected(why));
     }
 
     /// How many disks a call of a class asks for, if its identity may be taken in a shard that is led here.
@@ -72,38 +72,42 @@
         &mut self,
         now: Micros,
         shard: ShardId,
-        (mark, until): (&Mark, Micros),
+        (mark, until): (&IdentityDigest, Micros),
         class: &str,
-    ) -> Result<usize, Refusal> {
-        let Some(side) = &mut self.cluster.replication else { return Err(Refusal::Leaving) };
+    ) -> Result<usize, ReplicationError> {
+        let Some(side) = &mut self.cluster.replication else { return Err(ReplicationError::Leaving) };
         let (want, primary) = (side.wants(class), side.machine.settings().name.clone());
         // None while what stands of it is still being read.
         let taken = side.open.get_mut(&shard);
-        let taken = taken.ok_or(Refusal::NotPrimary { shard, primary: Some(primary) })?;
+        let taken = taken.ok_or(ReplicationError::NotPrimary { shard, primary: Some(primary) })?;
         taken.may(now, mark, until, super::webhooks::MOST_MARKS)?;
         Ok(want)
     }
 
-    fn remember_mark(&mut self, shard: ShardId, mark: Mark, until: Micros) {
+    fn remember_mark(&mut self, shard: ShardId, mark: IdentityDigest, until: Micros) {
         if let Some(taken) = self.cluster.replication.as_mut().and_then(|s| s.open.get_mut(&shard)) {
             taken.take(mark, until);
         }
     }
 
     /// The identity was not taken after all.
-    pub(in crate::gateway) fn forget_mark(&mut self, shard: ShardId, mark: &Mark) {
+    pub(in crate::gateway) fn forget_mark(&mut self, shard: ShardId, mark: &IdentityDigest) {
         if let Some(taken) = self.cluster.replication.as_mut().and_then(|s| s.open.get_mut(&shard)) {
             taken.forget(mark);
         }
     }
 
     /// A primary's answer to a question from here.
-    pub(super) fn told_by_primary(&mut self, now: Micros, ticket: u64, told: Told) {
+    pub(super) fn told_by_primary(&mut self, now: Micros, ticket: u64, told: RequestOutcome) {
         let waits = self.cluster.replication.as_mut().and_then(|s| s.waits.remove(&ticket));
         match (waits, told) {
-            (Some(Waits::Take(conn, _)), Told::Promised(copies)) => self.promised_call(now, conn, copies),
-            (Some(Waits::Take(conn, mark)), Told::Refused(why)) => self.refused_call(now, conn, &mark, &why),
-            (Some(Waits::State(conn, id)), Told::Content(bytes)) => {
+            (Some(Waits::Take(conn, _)), RequestOutcome::Committed(copies)) => {
+                self.promised_call(now, conn, copies)
+            }
+            (Some(Waits::Take(conn, mark)), RequestOutcome::Rejected(why)) => {
+                self.refused_call(now, conn, &mark, &why)
+            }
+            (Some(Waits::State(conn, id)), RequestOutcome::Content(bytes)) => {
                 let state: Option<CallState> = postcard::from_bytes(&bytes).unwrap_or_default();
                 self.answer_state(now, conn, &id, Ok(state));
             }
@@ -115,8 +119,8 @@
                     Err(crate::front::http::plain(503, "nobody who knows of the call answered")),
                 );
             }
-            (Some(Waits::Take(conn, mark)), Told::Content(_)) => {
-                let why = Refusal::Unknown { what: "question".into() };
+            (Some(Waits::Take(conn, mark)), RequestOutcome::Content(_)) => {
+                let why = ReplicationError::Unknown { what: "question".into() };
                 self.refused_call(now, conn, &mark, &why);
             }
             (None, _) => {}
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -12,7 +12,7 @@
 use crate::gateway::consensus::uptime;
 use crate::gateway::history::History;
 use crate::gateway::{ConnKey, Gateway, TENANTS};
-use crate::tenancy::replicated::changes::{Changes, Input, Output, Settings, Ticket, Wanted};
+use crate::tenancy::replicated::changes::{ChangeRequest, Changes, Input, Output, Settings, Ticket};
 use crate::tenancy::replicated::error::Refusal;
 use crate::tenancy::replicated::history::Note;
 use crate::tenancy::replicated::state::Answer;
@@ -51,7 +51,7 @@
     waits: HashMap<Ticket, Waits>,
     tickets: Ticket,
     /// What the machine is told at the next step: an answer must not come while its request is still being read.
-    wanted: VecDeque<(Ticket, Wanted)>,
+    wanted: VecDeque<(Ticket, ChangeRequest)>,
     hung: Option<Micros>,
     history: History,
     /// Whether it was heard since the start what is agreed.
@@ -141,7 +141,7 @@
         side.tickets += 1;
         side.waits.insert(side.tickets, waits);
         let (ticket, listed) = (side.tickets, side.listed.contains(tenant));
-        side.wanted.push_back((ticket, Wanted { tenant: tenant.to_owned(), kept, listed, answer }));
+        side.wanted.push_back((ticket, ChangeRequest { tenant: tenant.to_owned(), kept, listed, answer }));
     }
 
     /// Does what there is to do; whether there was something.
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -23,13 +23,13 @@
 use crate::front::webhook::message::{self, Outcome};
 use crate::front::webhook::replay::{self, Replays};
 use crate::net::KEPT_FRAME;
-use crate::replication::error::Refusal;
-use crate::replication::wire::Told;
-use crate::replication::{Epoch, Name, Place, ShardId};
+use crate::replication::error::ReplicationError;
+use crate::replication::wire::RequestOutcome;
+use crate::replication::{Epoch, LogPosition, Name, ShardId};
 use crate::store::disk::Disk;
 use crate::store::keyspace::Memory;
 use crate::store::records::*;
-use crate::store::recovery::{fate, Fate};
+use crate::store::recovery::{fate, RecoveryAction};
 use crate::store::shared::Shared;
 use crate::store::tables::{Found, Tables};
 use crate::store::writer::Writer;
@@ -134,7 +134,7 @@
         caller: Caller,
         call: Box<Call<Job>>,
         seq: Seq,
-        mark: Mark,
+        mark: IdentityDigest,
     },
     Go(AttemptKey),
     /// Messages that may wait now.
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -92,7 +92,7 @@
         caller: Caller,
         call: Call<Job>,
         seq: Seq,
-        mark: Mark,
+        mark: IdentityDigest,
         kept: Result<Reply, StoreError>,
     ) {
         let Some(hooks) = &mut self.secondary.hooks else { return };
@@ -110,9 +110,9 @@
                     self.forget_mark(shard, &mark);
                     let why = match e {
                         StoreError::NotPromised(why) => why,
-                        _ => Refusal::Unreached { shard },
+                        _ => ReplicationError::Unreached { shard },
                     };
-                    self.tell_asker(to, number, Told::Refused(why));
+                    self.tell_asker(to, number, RequestOutcome::Rejected(why));
                 }
             };
         }
@@ -132,7 +132,7 @@
             Caller::Gateway(to, number) => {
                 step("call promised");
                 let disks = self.disks_of(seq.shard());
-                self.tell_asker(to, number, Told::Promised(disks));
+                self.tell_asker(to, number, RequestOutcome::Committed(disks));
             }
         }
         let request = self.core.call(now, call.with(Origin::Webhook(job)));
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -63,8 +63,10 @@
             }
             Ask::State(to, number) => {
                 let told = match reply {
-                    Ok(Reply::Call(state)) => Told::Content(postcard::to_stdvec(&state).unwrap_or_default()),
-                    _ => Told::Refused(Refusal::Unknown { what: "call".into() }),
+                    Ok(Reply::Call(state)) => {
+                        RequestOutcome::Content(postcard::to_stdvec(&state).unwrap_or_default())
+                    }
+                    _ => RequestOutcome::Rejected(ReplicationError::Unknown { what: "call".into() }),
                 };
                 self.tell_asker(to, number, told);
             }
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -23,7 +23,7 @@
     pub(in crate::gateway) fn keep_record(
         &mut self,
         shard: ShardId,
-        place: Place,
+        place: LogPosition,
         bytes: &[u8],
         ticket: Option<u64>,
     ) {
@@ -32,7 +32,7 @@
     }
 
     /// Another disk's content takes the place of what this one holds of a shard.
-    pub(in crate::gateway) fn keep_shard(&mut self, shard: ShardId, place: Place, bytes: Vec<u8>) {
+    pub(in crate::gateway) fn keep_shard(&mut self, shard: ShardId, place: LogPosition, bytes: Vec<u8>) {
         self.ask(Ask::Record(shard, None), Op::WriteShard(shard, place, bytes));
     }
 
@@ -113,29 +113,34 @@
 
 impl Gateway {
     /// Goes on with a call that another process has taken: by its class and stage it runs, is refused, or nobody can tell.
-    pub(in crate::gateway) fn go_on(&mut self, now: Micros, call: CallRecord, stepped_back: bool) -> Fate {
+    pub(in crate::gateway) fn go_on(
+        &mut self,
+        now: Micros,
+        call: CallRecord,
+        stepped_back: bool,
+    ) -> RecoveryAction {
         let fate = fate(&call, now, stepped_back);
         let made = self.call_of(&call).filter(|_| !self.core.is_open(&call.worker_id));
-        let Some(hooks) = &mut self.secondary.hooks else { return Fate::Refuse };
+        let Some(hooks) = &mut self.secondary.hooks else { return RecoveryAction::Refuse };
         let (job, id): (Job, Rc<str>) = (job_of(&call), call.worker_id.as_str().into());
         let key = hooks.jobs.insert(Held { seq: call.seq, job, id: id.clone(), request: None });
         match (fate, made) {
-            (Fate::Run, Some(made)) => {
+            (RecoveryAction::Run, Some(made)) => {
                 if call.effect != Effect::Idempotent {
                     hooks.guards.insert(id, Guard { seq: call.seq, ran: false });
                 }
                 let request = self.core.call(now, made.with(Origin::Webhook(key)));
                 self.runs(key, request);
-                Fate::Run
+                RecoveryAction::Run
             }
-            (Fate::Unknown, _) => {
+            (RecoveryAction::Unknown, _) => {
                 self.call_back(now, key, &Outcome::Unknown);
-                Fate::Unknown
+                RecoveryAction::Unknown
             }
             // Its class or tenant is gone; it never ran, or may run again.
             _ => {
                 self.call_back(now, key, &Outcome::Answered(Answer::Rejected { retry_after: 0 }));
-                Fate::Refuse
+                RecoveryAction::Refuse
             }
         }
     }
@@ -172,25 +177,25 @@
         now: Micros,
         shard: ShardId,
         mut record: CallRecord,
-        mark: Mark,
+        mark: IdentityDigest,
         until: Micros,
         want: usize,
         caller: Caller,
-    ) -> Result<(), Refusal> {
-        let unknown = |what: &str| Refusal::Unknown { what: what.into() };
+    ) -> Result<(), ReplicationError> {
+        let unknown = |what: &str| ReplicationError::Unknown { what: what.into() };
         if now >= record.expires {
-            return Err(Refusal::Unreached { shard });
+            return Err(ReplicationError::Unreached { shard });
         }
         if self.core.is_open(&record.worker_id) {
-            return Err(Refusal::Seen);
+            return Err(ReplicationError::Seen);
         }
         let call = self.call_of(&record).ok_or(unknown("class or tenant"))?;
         let hooks = self.secondary.hooks.as_mut().ok_or(unknown("front"))?;
         if hooks.stopping.is_some() {
-            return Err(Refusal::Leaving);
+            return Err(ReplicationError::Leaving);
         }
         if hooks.jobs.len() >= hooks.pending || hooks.asked.len() >= MOST_ASKED {
-            return Err(Refusal::Full);
+            return Err(ReplicationError::Full);
         }
         let seq = hooks.seq_in(shard);
         record.seq = seq;
@@ -211,23 +216,23 @@
         &mut self,
         now: Micros,
         conn: ConnKey,
-        mark: &Mark,
-        why: &Refusal,
+        mark: &IdentityDigest,
+        why: &ReplicationError,
     ) {
-        if let Some(hooks) = self.secondary.hooks.as_mut().filter(|_| *why != Refusal::Seen) {
+        if let Some(hooks) = self.secondary.hooks.as_mut().filter(|_| *why != ReplicationError::Seen) {
             hooks.inbound.replays.forget(mark);
         }
         self.core.counters.webhooks_refused += 1;
         let (status, text) = match why {
-            Refusal::Seen => (409, "already taken"),
-            Refusal::TooLong { .. } => (413, "longer than a record may be"),
-            Refusal::Late { .. } => (401, "its time stamp is over where its shard is led"),
-            Refusal::Unknown { .. } => (422, "unknown to the gateway that would take it"),
-            Refusal::Fewer { .. } => (503, "held by fewer machines than it has to be"),
-            Refusal::Full | Refusal::Busy { .. } | Refusal::Behind { .. } => {
+            ReplicationError::Seen => (409, "already taken"),
+            ReplicationError::TooLong { .. } => (413, "longer than a record may be"),
+            ReplicationError::Late { .. } => (401, "its time stamp is over where its shard is led"),
+            ReplicationError::Unknown { .. } => (422, "unknown to the gateway that would take it"),
+            ReplicationError::Fewer { .. } => (503, "held by fewer machines than it has to be"),
+            ReplicationError::Full | ReplicationError::Busy { .. } | ReplicationError::Behind { .. } => {
                 (503, "too many calls under way")
             }
-            Refusal::Leaving => (503, "the gateway is about to end"),
+            ReplicationError::Leaving => (503, "the gateway is about to end"),
             _ => (503, "nobody can promise it now"),
         };
         tracing::debug!(remedy = why.remedy(), "a call is not promised: {why}");
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -119,9 +119,9 @@
         let (mut run, mut refused, mut unknown) = (0, 0, 0);
         for call in found.calls {
             match self.go_on(now, call, found.stepped_back) {
-                Fate::Run => run += 1,
-                Fate::Unknown => unknown += 1,
-                Fate::Refuse => refused += 1,
+                RecoveryAction::Run => run += 1,
+                RecoveryAction::Unknown => unknown += 1,
+                RecoveryAction::Refuse => refused += 1,
             }
         }
         if run + refused + unknown + found.unknown > 0 {
--- a/src/health_checks.rs
+++ b/src/health_checks.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::api::{Micros, WorkerId};
-use crate::membership::group::Seen;
+use crate::membership::group::Observed;
 
 /// The duty's name.
 pub const NAME: &str = "trials";
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// An own attempt ended.
-    Outcome(WorkerId, Seen),
+    Outcome(WorkerId, Observed),
     /// The workers that are ready.
     Ready(BTreeSet<WorkerId>),
     /// Whether this gateway owns the duty.
@@ -116,7 +116,7 @@
     /// Takes what happened.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Outcome(worker, Seen::Answered) => {
+            Input::Outcome(worker, Observed::Answered) => {
                 self.bad.remove(&worker);
                 if self.ill.contains_key(&worker) {
                     self.well(worker);
@@ -273,11 +273,11 @@
     #[test]
     fn one_without_an_answer_is_told_to_the_owner_and_not_again_at_once() {
         let (mut t, w) = (begun(false, 3), WorkerId(1));
-        t.handle(1, Input::Outcome(w, Seen::Answered));
+        t.handle(1, Input::Outcome(w, Observed::Answered));
         assert_eq!(drained(&mut t), []);
-        t.handle(5, Input::Outcome(w, Seen::Refused));
+        t.handle(5, Input::Outcome(w, Observed::Refused));
         assert_eq!(drained(&mut t), [Output::Report(w)]);
-        t.handle(5 + TOLD, Input::Outcome(w, Seen::Refused));
+        t.handle(5 + TOLD, Input::Outcome(w, Observed::Refused));
         assert_eq!(drained(&mut t), [Output::Report(w)]);
     }
 
@@ -297,7 +297,7 @@
         }
         let pauses: Vec<Micros> = tries.windows(2).map(|t| t[1] - t[0] - ANSWERS).collect();
         assert_eq!(pauses[..5], [250, 500, 1_000, 2_000, 4_000].map(|ms| ms * MS));
-        t.handle(30_000 * MS, Input::Outcome(w, Seen::Answered));
+        t.handle(30_000 * MS, Input::Outcome(w, Observed::Answered));
         assert_eq!(drained(&mut t), [Output::Tell(vec![(w, false)]), Output::Advise(w, None)]);
     }
 
@@ -316,7 +316,7 @@
         assert!(told.iter().all(|(_, o)| *o == Output::Tell(vec![(w, true)])));
         assert!(told.windows(2).all(|t| t[1].0 - t[0].0 <= TELLS) && told.len() >= 9, "{told:?}");
         const { assert!(3 * TELLS < VALID) };
-        t.handle(now, Input::Outcome(w, Seen::Answered));
+        t.handle(now, Input::Outcome(w, Observed::Answered));
         drained(&mut t);
         now += 10_000 * MS;
         t.handle(now, Input::Tick);
@@ -338,7 +338,7 @@
         assert_eq!(t.ill().count(), 0);
         t.handle(VALID, Input::Verdicts(vec![(w, true)]));
         drained(&mut t);
-        t.handle(VALID + 1, Input::Outcome(w, Seen::Answered));
+        t.handle(VALID + 1, Input::Outcome(w, Observed::Answered));
         assert_eq!(drained(&mut t), [Output::Advise(w, None)]);
     }
 
@@ -350,7 +350,7 @@
             t.handle(n, Input::Tried(WorkerId(n as u32), false));
         }
         assert!(drained(&mut t).contains(&Output::Able(false)));
-        t.handle(9, Input::Outcome(WorkerId(0), Seen::Answered));
+        t.handle(9, Input::Outcome(WorkerId(0), Observed::Answered));
         let told: Vec<Output> = std::iter::from_fn(|| t.output()).collect();
         assert!(told.contains(&Output::Able(true)));
     }
--- a/src/membership/group.rs
+++ b/src/membership/group.rs
@@ -5,10 +5,10 @@
 
 use super::budget::Budget;
 use super::keys::Keys;
-use super::observations::{Observation, Rumours, Says, LIFE};
-use super::reputation::{Advice, Bounds, Trust};
-use super::swim::{self, Message, Record, Standing, Swim};
-use super::wire::{self, Opener, Sighting, MOST_SEEN, MTU, SKEW};
+use super::observations::{Observation, Observations, Says, OBSERVATION_LIFETIME};
+use super::reputation::{Bounds, HealthAdvice, Reputation};
+use super::swim::{self, MemberState, Message, Record, Swim};
+use super::wire::{self, Opener, SealedObservation, MAX_OBSERVATIONS, MTU, SKEW};
 use crate::api::{Micros, WorkerId};
 
 const SECOND: Micros = 1_000_000;
@@ -21,7 +21,7 @@
 
 /// How an own attempt at a worker ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum Observed {
     /// It answered, whatever.
     Answered,
     /// It failed fast.
@@ -55,7 +55,7 @@
     /// A datagram came.
     Datagram(SocketAddr, &'a [u8]),
     /// An own attempt ended.
-    Outcome(WorkerId, Seen),
+    Outcome(WorkerId, Observed),
     /// The workers that are ready.
     Ready(BTreeSet<WorkerId>),
     /// Members known from the last run, and addresses to begin with.
@@ -74,9 +74,9 @@
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
     /// Tell the decision module.
-    Advice(WorkerId, Advice),
+    Advice(WorkerId, HealthAdvice),
     /// A member stands otherwise.
-    Changed(String, Standing),
+    Changed(String, MemberState),
     /// The list of members to begin with next time has changed.
     Keep,
 }
@@ -104,8 +104,8 @@
     settings: Settings,
     keys: Keys,
     swim: Swim,
-    rumours: Rumours,
-    trust: Trust,
+    rumours: Observations,
+    trust: Reputation,
     opener: Opener,
     budget: Budget,
     number: u64,
@@ -115,7 +115,7 @@
     /// Workers of which the last own word was ill: that they are well again is worth telling.
     told_ill: BTreeSet<WorkerId>,
     /// Sightings to be sent on, by origin, and how often each was.
-    held: BTreeMap<(String, Micros), (u32, Sighting)>,
+    held: BTreeMap<(String, Micros), (u32, SealedObservation)>,
     outputs: VecDeque<Output>,
     /// Bytes sent.
     pub sent_bytes: u64,
@@ -129,8 +129,8 @@
         let own = wire::seal_record(&keys, &settings.name, settings.address, now, false);
         Group {
             swim: Swim::new(settings.swim, own, seed, now),
-            rumours: Rumours::default(),
-            trust: Trust::new(settings.bounds),
+            rumours: Observations::default(),
+            trust: Reputation::new(settings.bounds),
             opener: Opener::default(),
             budget: Budget::new(settings.bytes_per_s, settings.datagrams_per_s, now),
             number: now,
@@ -160,7 +160,7 @@
 
     /// Members to begin with next time.
     pub fn keep(&self) -> Vec<Record> {
-        self.swim.members().filter(|m| m.standing <= Standing::Suspect).map(|m| m.record).collect()
+        self.swim.members().filter(|m| m.standing <= MemberState::Suspect).map(|m| m.record).collect()
     }
 
     /// All members, without oneself.
@@ -178,11 +178,11 @@
 
     /// Members held for alive.
     pub fn alive(&self) -> usize {
-        self.swim.members().filter(|m| m.standing == Standing::Alive).count()
+        self.swim.members().filter(|m| m.standing == MemberState::Alive).count()
     }
 
     /// How a member stands.
-    pub fn standing(&self, name: &str) -> Option<Standing> {
+    pub fn standing(&self, name: &str) -> Option<MemberState> {
         self.swim.standing(name)
     }
 
@@ -203,10 +203,10 @@
             Input::Outcome(worker, seen) => {
                 let o = self.window.entry(worker).or_default();
                 let count = match seen {
-                    Seen::Answered => &mut o.answered,
-                    Seen::Failed => &mut o.failed,
-                    Seen::Silent => &mut o.silent,
-                    Seen::Refused => &mut o.refused,
+                    Observed::Answered => &mut o.answered,
+                    Observed::Failed => &mut o.failed,
+                    Observed::Silent => &mut o.silent,
+                    Observed::Refused => &mut o.refused,
                 };
                 *count = count.saturating_add(1);
             }
@@ -261,8 +261,8 @@
         self.swim.handle(now, swim::Input::Message(opened.from, address, opened.message));
     }
 
-    fn sighting(&mut self, now: Micros, s: Sighting) {
-        let member = self.swim.standing(&s.origin).is_some_and(|t| t <= Standing::Suspect);
+    fn sighting(&mut self, now: Micros, s: SealedObservation) {
+        let member = self.swim.standing(&s.origin).is_some_and(|t| t <= MemberState::Suspect);
         if s.origin == self.settings.name || !member {
             return;
         }
@@ -278,7 +278,7 @@
         }
     }
 
-    fn hold(&mut self, s: Sighting) {
+    fn hold(&mut self, s: SealedObservation) {
         if self.held.len() >= MOST_HELD {
             // The one that has gone out most often gives way.
             let most = self.held.iter().max_by_key(|(_, (sent, _))| *sent).map(|(k, _)| k.clone());
@@ -312,7 +312,7 @@
         }
         // Those ill first: they are fewer, and matter more.
         seen.sort_by_key(|(w, o)| (o.says() != Says::Ill, *w));
-        for part in seen.chunks(MOST_SEEN).take(4) {
+        for part in seen.chunks(MAX_OBSERVATIONS).take(4) {
             let at = now
                 + self.held.keys().filter(|(o, t)| *o == self.settings.name && *t >= now).count() as Micros;
             let part = part.iter().map(|(w, o)| (*w, Observation { at, ..*o })).collect();
@@ -320,7 +320,7 @@
             self.hold(sighting);
         }
         self.rumours.expire(now);
-        self.held.retain(|(_, at), (sent, _)| *sent < SPREAD && now < at + LIFE);
+        self.held.retain(|(_, at), (sent, _)| *sent < SPREAD && now < at + OBSERVATION_LIFETIME);
         for (worker, advice) in self.trust.advise(now, &self.rumours, &self.ready) {
             self.outputs.push_back(Output::Advice(worker, advice));
         }
--- a/src/membership/group_tests.rs
+++ b/src/membership/group_tests.rs
@@ -28,7 +28,7 @@
 struct World {
     now: Micros,
     groups: Vec<Group>,
-    advice: Vec<BTreeMap<WorkerId, Advice>>,
+    advice: Vec<BTreeMap<WorkerId, HealthAdvice>>,
     first_down: Vec<Option<Micros>>,
     /// All datagrams that went, for who replays.
     caught: Vec<Vec<u8>>,
@@ -66,7 +66,7 @@
                         }
                         Output::Advice(worker, advice) => {
                             self.advice[n].insert(worker, advice);
-                            if matches!(advice, Advice::Down(_)) {
+                            if matches!(advice, HealthAdvice::Down(_)) {
                                 self.first_down[n].get_or_insert(self.now);
                             }
                         }
@@ -81,7 +81,7 @@
     fn run(
         &mut self,
         seconds: u64,
-        seen: impl Fn(usize, u32) -> Seen,
+        seen: impl Fn(usize, u32) -> Observed,
         mut each_second: impl FnMut(&mut World),
     ) {
         for _ in 0..seconds * 10 {
@@ -106,7 +106,7 @@
         (0..9).all(|n| {
             (0..9)
                 .filter(|m| *m != n)
-                .all(|m| self.groups[n].standing(&name(m as u8)) == Some(Standing::Alive))
+                .all(|m| self.groups[n].standing(&name(m as u8)) == Some(MemberState::Alive))
         })
     }
 }
@@ -114,19 +114,19 @@
 #[test]
 fn one_silent_worker_is_moved_down_by_those_who_have_not_tried_it() {
     let mut w = World::new();
-    w.run(20, |_, _| Seen::Answered, |_| {});
+    w.run(20, |_, _| Observed::Answered, |_| {});
     assert!(w.all_alive() && w.advice.iter().all(BTreeMap::is_empty));
     let begun = w.now;
     // Three find worker 5 silent; the others see nothing of it themselves.
     let silent = |n: usize, worker: u32| {
         if worker == 5 {
             if n < 3 {
-                Seen::Silent
+                Observed::Silent
             } else {
-                Seen::Failed
+                Observed::Failed
             }
         } else {
-            Seen::Answered
+            Observed::Answered
         }
     };
     w.run(15, silent, |w| {
@@ -138,9 +138,9 @@
     assert!(told >= 6, "{:?}", w.first_down.iter().map(|t| t.map(|t| t - begun)).collect::<Vec<_>>());
     assert!(w.advice.iter().flat_map(BTreeMap::keys).all(|worker| *worker == WorkerId(5)));
     // It answers again: nothing is left of the rumour when its life is over.
-    w.run(30, |_, _| Seen::Answered, |_| {});
+    w.run(30, |_, _| Observed::Answered, |_| {});
     w.advice.iter_mut().for_each(BTreeMap::clear);
-    w.run(10, |_, _| Seen::Answered, |_| {});
+    w.run(10, |_, _| Observed::Answered, |_| {});
     assert!(w.advice.iter().all(BTreeMap::is_empty));
     assert!(
         w.groups.iter().all(|g| g.held.len() < 40),
@@ -153,8 +153,8 @@
 #[test]
 fn a_liar_moves_no_worker_and_kills_no_member() {
     let mut w = World::new();
-    let all_dead = |n: usize, _| if n == 9 { Seen::Refused } else { Seen::Answered };
-    w.run(20, |_, _| Seen::Answered, |_| {});
+    let all_dead = |n: usize, _| if n == 9 { Observed::Refused } else { Observed::Answered };
+    w.run(20, |_, _| Observed::Answered, |_| {});
     let before: Vec<u64> = w.groups.iter().map(|g| g.sent_bytes).collect();
     let keys = each(9, N);
     let mut forged = 0;
@@ -210,7 +210,7 @@
 fn keys_rotate_while_the_group_goes_on() {
     use super::super::keys::{tests::private, Keys};
     let mut w = World::new();
-    w.run(20, |_, _| Seen::Answered, |_| {});
+    w.run(20, |_, _| Observed::Answered, |_| {});
     let public = |n: u8| Keys::public(&private(n)).unwrap();
     // Instance a changes from key 1 to key 101: first all accept both, then it signs with the new one, then the old
     // one goes.
@@ -228,7 +228,7 @@
             let now = w.now;
             w.groups[n as usize].handle(now, Input::Keys(keys));
         }
-        w.run(20, |_, _| Seen::Answered, |_| {});
+        w.run(20, |_, _| Observed::Answered, |_| {});
         assert!(w.all_alive());
     }
     let refused = w.groups[3].refused().0.get("seal").copied().unwrap_or(0);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -16,11 +16,11 @@
 pub mod wire;
 
 /// The longest name of an instance, in bytes.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Whether a text can be an instance's name.
 pub fn is_name(name: &str) -> bool {
     !name.is_empty()
-        && name.len() <= LONGEST_NAME
+        && name.len() <= MAX_NAME_BYTES
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
 }
--- a/src/membership/observations.rs
+++ b/src/membership/observations.rs
@@ -8,9 +8,9 @@
 use crate::api::{Micros, WorkerId};
 
 /// How long an observation lives after the end of its window.
-pub const LIFE: Micros = 10_000_000;
+pub const OBSERVATION_LIFETIME: Micros = 10_000_000;
 /// Observations of one origin kept at most, and origins.
-pub const MOST_OF_ORIGIN: usize = 1024;
+pub const MAX_OBSERVATIONS_PER_ORIGIN: usize = 1024;
 const MOST_ORIGINS: usize = 2048;
 
 /// Outcomes of one origin's attempts at one worker over a window.
@@ -62,17 +62,17 @@
 
     /// Whether it still lives.
     pub fn lives(&self, now: Micros) -> bool {
-        now < self.at.saturating_add(LIFE)
+        now < self.at.saturating_add(OBSERVATION_LIFETIME)
     }
 }
 
 /// What all origins have seen.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rumours {
+pub struct Observations {
     by_origin: BTreeMap<String, BTreeMap<WorkerId, Observation>>,
 }
 
-impl Rumours {
+impl Observations {
     /// Takes an observation in; `true` if it was news. One from further ahead than `skew` is not: it would live too
     /// long.
     pub fn merge(
@@ -90,7 +90,7 @@
             return false;
         }
         let of = self.by_origin.entry(origin.to_owned()).or_default();
-        if !of.contains_key(&worker) && of.len() >= MOST_OF_ORIGIN {
+        if !of.contains_key(&worker) && of.len() >= MAX_OBSERVATIONS_PER_ORIGIN {
             return false;
         }
         let held = of.entry(worker).or_default();
@@ -101,7 +101,7 @@
     }
 
     /// Takes all that another knows in.
-    pub fn merge_all(&mut self, now: Micros, skew: Micros, other: &Rumours) {
+    pub fn merge_all(&mut self, now: Micros, skew: Micros, other: &Observations) {
         for (origin, of) in &other.by_origin {
             for (worker, o) in of {
                 self.merge(now, skew, origin, *worker, *o);
@@ -159,8 +159,8 @@
         })
     }
 
-    fn all(now: Micros, list: &[(u8, u32, Observation)]) -> Rumours {
-        let mut r = Rumours::default();
+    fn all(now: Micros, list: &[(u8, u32, Observation)]) -> Observations {
+        let mut r = Observations::default();
         for (o, w, x) in list {
             r.merge(now, SKEW, &o.to_string(), WorkerId(*w), *x);
         }
@@ -173,7 +173,7 @@
             a in prop::collection::vec(one(), 0..20), b in prop::collection::vec(one(), 0..20),
             c in prop::collection::vec(one(), 0..20), now in 0u64..20_000_000,
         ) {
-            let join = |x: &Rumours, y: &Rumours| {
+            let join = |x: &Observations, y: &Observations| {
                 let mut z = x.clone();
                 z.merge_all(now, SKEW, y);
                 z
@@ -190,7 +190,7 @@
                 }
             }
             let mut later = both.clone();
-            later.expire(now + LIFE + SKEW);
+            later.expire(now + OBSERVATION_LIFETIME + SKEW);
             prop_assert!(later.is_empty(), "each ends by itself");
         }
     }
@@ -206,11 +206,11 @@
 
     #[test]
     fn an_origin_that_floods_keeps_within_its_bound() {
-        let mut r = Rumours::default();
+        let mut r = Observations::default();
         for w in 0..5000 {
             r.merge(0, SKEW, "liar", WorkerId(w), Observation { at: 1, refused: 1, ..Default::default() });
         }
-        assert_eq!(r.len(), MOST_OF_ORIGIN);
+        assert_eq!(r.len(), MAX_OBSERVATIONS_PER_ORIGIN);
         let ahead = Observation { at: SKEW + 1, refused: 1, ..Default::default() };
         assert!(!r.merge(0, SKEW, "x", WorkerId(1), ahead), "from further ahead than clocks are apart");
         r.forget("liar");
--- a/src/membership/reputation.rs
+++ b/src/membership/reputation.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::observations::{Observation, Rumours, Says};
+use super::observations::{Observation, Observations, Says};
 use crate::api::{Micros, WorkerId};
 
 const SECOND: Micros = 1_000_000;
@@ -46,7 +46,7 @@
 
 /// What the decision module is told of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Advice {
+pub enum HealthAdvice {
     /// Walk to others first, until then.
     Down(Micros),
     /// A trial after an own failure may come now.
@@ -61,7 +61,7 @@
 
 /// Origins' weights and what is advised now.
 #[derive(Clone, Debug)]
-pub struct Trust {
+pub struct Reputation {
     bounds: Bounds,
     weights: BTreeMap<String, Weight>,
     own: HashMap<WorkerId, Observation>,
@@ -72,10 +72,10 @@
     pub panics: u64,
 }
 
-impl Trust {
+impl Reputation {
     /// Nothing known of anybody.
-    pub fn new(bounds: Bounds) -> Trust {
-        Trust {
+    pub fn new(bounds: Bounds) -> Reputation {
+        Reputation {
             bounds,
             weights: BTreeMap::new(),
             own: HashMap::new(),
@@ -116,7 +116,7 @@
 
     /// Holds claims against own evidence. Own attempts prove only what they saw: a claim from before them, or about
     /// what they did not try enough, is neither right nor wrong.
-    fn judge(&mut self, now: Micros, rumours: &Rumours) {
+    fn judge(&mut self, now: Micros, rumours: &Observations) {
         let own: Vec<(WorkerId, Observation)> = self
             .own
             .iter()
@@ -152,9 +152,9 @@
     pub fn advise(
         &mut self,
         now: Micros,
-        rumours: &Rumours,
+        rumours: &Observations,
         ready: &BTreeSet<WorkerId>,
-    ) -> Vec<(WorkerId, Advice)> {
+    ) -> Vec<(WorkerId, HealthAdvice)> {
         self.keep_workers(ready);
         self.judge(now, rumours);
         self.down.retain(|_, until| *until > now);
@@ -178,7 +178,7 @@
             if against - for_it >= self.bounds.needed && origins >= 2 && !seen_well {
                 ill.push((against - for_it, *worker));
             } else if for_it - against >= self.bounds.needed && own.is_some_and(|o| o.says() == Says::Ill) {
-                advice.push((*worker, Advice::Well));
+                advice.push((*worker, HealthAdvice::Well));
             }
         }
         if ill.len() as f64 > self.bounds.panic * ready.len() as f64 {
@@ -193,7 +193,7 @@
             }
             let until = now + self.bounds.hold;
             self.down.insert(worker, until);
-            advice.push((worker, Advice::Down(until)));
+            advice.push((worker, HealthAdvice::Down(until)));
         }
         advice
     }
@@ -220,13 +220,13 @@
 
     #[test]
     fn two_origins_move_a_worker_down_one_does_not_and_own_eyes_come_first() {
-        let (mut t, mut r) = (Trust::new(Bounds::default()), Rumours::default());
+        let (mut t, mut r) = (Reputation::new(Bounds::default()), Observations::default());
         r.merge(10, SKEW, "a", WorkerId(1), ill(10));
         assert!(t.advise(10, &r, &ready(8)).is_empty(), "one origin alone");
         r.merge(10, SKEW, "b", WorkerId(1), ill(10));
-        assert_eq!(t.advise(10, &r, &ready(8)), [(WorkerId(1), Advice::Down(10 + 3 * SECOND))]);
+        assert_eq!(t.advise(10, &r, &ready(8)), [(WorkerId(1), HealthAdvice::Down(10 + 3 * SECOND))]);
         assert!(t.advise(11, &r, &ready(8)).is_empty(), "said once while it holds");
-        let mut t = Trust::new(Bounds::default());
+        let mut t = Reputation::new(Bounds::default());
         t.observe(WorkerId(1), well(10));
         assert!(t.advise(10, &r, &ready(8)).is_empty(), "it answers here");
         assert!(t.weight(10, "a") < FIRST && t.weight(10, "b") < FIRST);
@@ -235,7 +235,7 @@
 
     #[test]
     fn a_liar_that_calls_all_dead_moves_nobody_and_loses_its_weight() {
-        let (mut t, mut r, mut now) = (Trust::new(Bounds::default()), Rumours::default(), SECOND);
+        let (mut t, mut r, mut now) = (Reputation::new(Bounds::default()), Observations::default(), SECOND);
         for _ in 0..10 {
             for w in 0..10 {
                 r.merge(now, SKEW, "liar", WorkerId(w), ill(now));
@@ -246,7 +246,7 @@
         }
         assert!(t.weight(now, "liar") < 0.05, "{}", t.weight(now, "liar"));
         // Two liars together, before anything is known of them, meet the panic threshold.
-        let mut t = Trust::new(Bounds::default());
+        let mut t = Reputation::new(Bounds::default());
         for w in 0..10 {
             r.merge(now, SKEW, "second", WorkerId(w), ill(now));
             r.merge(now, SKEW, "liar", WorkerId(w), ill(now));
@@ -256,7 +256,7 @@
 
     #[test]
     fn a_worker_falsely_called_well_gets_a_trial_and_no_more() {
-        let (mut t, mut r) = (Trust::new(Bounds::default()), Rumours::default());
+        let (mut t, mut r) = (Reputation::new(Bounds::default()), Observations::default());
         let now = 10 * SECOND;
         t.observe(WorkerId(3), ill(now));
         for origin in ["a", "b", "c"] {
@@ -264,7 +264,7 @@
         }
         // Own evidence contradicts them at once; three contradicted liars weigh 0.9 together, and then less.
         let first = t.advise(now, &r, &ready(8));
-        assert!(first.is_empty() || first == [(WorkerId(3), Advice::Well)]);
+        assert!(first.is_empty() || first == [(WorkerId(3), HealthAdvice::Well)]);
         for round in 1..4 {
             let now = now + round * SECOND;
             t.observe(WorkerId(3), ill(now));
@@ -282,7 +282,7 @@
         fn rumours_never_reach_more_than_the_share(
             claims in prop::collection::vec((0u8..6, 0u32..20, any::<bool>(), 0u64..8), 0..200), n in 1u32..20,
         ) {
-            let (mut t, mut r) = (Trust::new(Bounds::default()), Rumours::default());
+            let (mut t, mut r) = (Reputation::new(Bounds::default()), Observations::default());
             let mut down: BTreeMap<WorkerId, Micros> = BTreeMap::new();
             let mut now = SECOND;
             for (origin, w, bad, step) in claims {
@@ -292,7 +292,7 @@
                 down.retain(|_, until| *until > now);
                 for (worker, advice) in t.advise(now, &r, &ready(n)) {
                     prop_assert!(worker.0 < n);
-                    if let Advice::Down(until) = advice {
+                    if let HealthAdvice::Down(until) = advice {
                         prop_assert!(until <= now + Bounds::default().hold);
                         down.insert(worker, until);
                     }
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -66,9 +66,9 @@
 /// Pages that one who is new is sent at once.
 const MOST_PAGES: usize = 64;
 /// Records in one exchange's page: they fit one datagram.
-pub const PAGE: usize = 6;
+pub const MEMBERS_PER_MESSAGE: usize = 6;
 /// Pieces of news that ride on one message at most.
-pub const RIDERS: usize = 6;
+pub const PIGGYBACKED_PER_MESSAGE: usize = 6;
 
 /// A member's own word on itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -87,7 +87,7 @@
 
 /// A voice that says that a member does not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Accusation {
+pub struct Suspicion {
     /// Who is accused.
     pub accused: String,
     /// In which incarnation.
@@ -121,12 +121,12 @@
     /// Records.
     pub records: Vec<Record>,
     /// Accusations.
-    pub accusations: Vec<Accusation>,
+    pub accusations: Vec<Suspicion>,
 }
 
 /// How a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It did not, and has time to refute.
@@ -137,14 +137,14 @@
     Left,
 }
 
-impl Standing {
+impl MemberState {
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
-            Standing::Alive => "alive",
-            Standing::Suspect => "suspect",
-            Standing::Dead => "dead",
-            Standing::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         }
     }
 }
@@ -168,7 +168,7 @@
     /// Send this there.
     Send(SocketAddr, Message),
     /// A member stands otherwise than before.
-    Changed(String, Standing),
+    Changed(String, MemberState),
     /// A member is forgotten.
     Forgotten(String),
     /// The list of members to begin with next time has changed.
@@ -182,7 +182,7 @@
 #[derive(Clone, Debug)]
 struct Member {
     record: Record,
-    standing: Standing,
+    standing: MemberState,
     since: Micros,
     heard: Micros,
     /// Who accuses it, in its present incarnation.
@@ -190,7 +190,7 @@
     /// When the suspicion began, and when it ends.
     suspicion: Option<(Micros, Micros)>,
     /// The last voice against it, which it is told of when it is heard from.
-    voice: Option<Accusation>,
+    voice: Option<Suspicion>,
     /// When its wish for an exchange was last met.
     synced: Micros,
 }
@@ -220,7 +220,7 @@
 #[derive(Clone, Debug)]
 enum News {
     Record(String),
-    Accusation(Accusation),
+    Accusation(Suspicion),
 }
 
 /// What can be seen of a member.
@@ -229,7 +229,7 @@
     /// Its record.
     pub record: Record,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: MemberState,
     /// Since when.
     pub since: Micros,
     /// When it was last heard from.
@@ -314,7 +314,7 @@
     }
 
     /// How a member stands.
-    pub fn standing(&self, name: &str) -> Option<Standing> {
+    pub fn standing(&self, name: &str) -> Option<MemberState> {
         self.members.get(name).map(|m| m.standing)
     }
 
@@ -329,7 +329,7 @@
     }
 
     fn present(&self) -> usize {
-        self.members.values().filter(|m| m.standing <= Standing::Suspect).count()
+        self.members.values().filter(|m| m.standing <= MemberState::Suspect).count()
     }
 
     /// Takes what has happened.
@@ -374,7 +374,7 @@
     }
 
     /// An accusation of one's own, sealed.
-    pub fn accuse(&mut self, now: Micros, accusation: Accusation) {
+    pub fn accuse(&mut self, now: Micros, accusation: Suspicion) {
         self.accusation(now, accusation);
     }
 
@@ -383,7 +383,7 @@
     }
 
     /// News for one message: what has gone out least comes first.
-    fn riders(&mut self, most: usize) -> (Vec<Record>, Vec<Accusation>) {
+    fn riders(&mut self, most: usize) -> (Vec<Record>, Vec<Suspicion>) {
         let n = self.present() as u32 + 2;
         let times = RETRANSMIT * (32 - n.leading_zeros());
         // A refutation goes before what it refutes.
@@ -402,7 +402,7 @@
     }
 
     fn send(&mut self, to: SocketAddr, say: Say) {
-        let (records, mut accusations) = self.riders(RIDERS);
+        let (records, mut accusations) = self.riders(PIGGYBACKED_PER_MESSAGE);
         // The buddy system: who is suspected or thought dead hears of it from whoever speaks with it.
         let voice = self.members.values().find(|m| m.record.address == to).and_then(|m| m.voice.clone());
         accusations.extend(voice);
@@ -414,7 +414,7 @@
         let mut all: Vec<SocketAddr> = self
             .members
             .iter()
-            .filter(|(name, m)| m.standing == Standing::Alive && *name != but)
+            .filter(|(name, m)| m.standing == MemberState::Alive && *name != but)
             .map(|(_, m)| m.record.address)
             .collect();
         let mut chosen = Vec::new();
@@ -425,10 +425,10 @@
         chosen
     }
 
-    fn set(&mut self, now: Micros, name: &str, standing: Standing) {
+    fn set(&mut self, now: Micros, name: &str, standing: MemberState) {
         let Some(m) = self.members.get_mut(name).filter(|m| m.standing != standing) else { return };
         (m.standing, m.since) = (standing, now);
-        if standing != Standing::Suspect {
+        if standing != MemberState::Suspect {
             m.suspicion = None;
         }
         self.outputs.push_back(Output::Changed(name.to_owned(), standing));
@@ -439,7 +439,7 @@
 
     fn message(&mut self, now: Micros, from: &str, address: SocketAddr, message: Message) {
         let Message { say, records, accusations } = message;
-        let new = self.members.get(from).is_none_or(|m| m.standing != Standing::Alive);
+        let new = self.members.get(from).is_none_or(|m| m.standing != MemberState::Alive);
         for record in records {
             self.record(now, record);
         }
@@ -546,7 +546,7 @@
                 }
                 let member = Member {
                     record,
-                    standing: Standing::Dead,
+                    standing: MemberState::Dead,
                     since: now,
                     heard: now,
                     accusers: BTreeSet::new(),
@@ -565,7 +565,7 @@
         });
         self.tell(News::Record(name.clone()));
         let leaving = self.members.get(&name).is_some_and(|m| m.record.leaving);
-        self.set(now, &name, if leaving { Standing::Left } else { Standing::Alive });
+        self.set(now, &name, if leaving { MemberState::Left } else { MemberState::Alive });
     }
 
     fn refute(&mut self, incarnation: u64) {
@@ -577,7 +577,7 @@
     }
 
     /// A voice against a member.
-    fn accusation(&mut self, now: Micros, a: Accusation) {
+    fn accusation(&mut self, now: Micros, a: Suspicion) {
         if a.accused == self.own.name {
             if a.incarnation == self.own.incarnation && !self.leaving {
                 // To be suspected is a sign of being slow oneself, unless by one who suspects everybody.
@@ -593,7 +593,7 @@
         }
         // Only members have a voice, and only while most of what they say holds.
         let known =
-            a.by == self.own.name || self.members.get(&a.by).is_some_and(|m| m.standing != Standing::Left);
+            a.by == self.own.name || self.members.get(&a.by).is_some_and(|m| m.standing != MemberState::Left);
         if !known || self.silenced(now, &a.by) {
             return;
         }
@@ -602,7 +602,7 @@
         let most = (least as f64 * self.settings.suspicion_most) as Micros;
         let Some(m) = self.members.get_mut(&a.accused) else { return };
         // Of an incarnation that the accused never sealed, or has outdone: it says nothing.
-        let counts = a.incarnation == m.record.incarnation && m.standing <= Standing::Suspect;
+        let counts = a.incarnation == m.record.incarnation && m.standing <= MemberState::Suspect;
         if !counts || m.accusers.contains(&a.by) || m.accusers.len() > CONFIRMATIONS as usize {
             return;
         }
@@ -614,7 +614,7 @@
         let began = m.suspicion.map_or(now, |(began, _)| began);
         m.suspicion = Some((began, began + span));
         self.tell(News::Accusation(a.clone()));
-        self.set(now, &a.accused, Standing::Suspect);
+        self.set(now, &a.accused, MemberState::Suspect);
         self.due.insert((began + span, Due::Sweep));
     }
 
@@ -650,7 +650,7 @@
                 // against oneself.
                 let missing = p.asked.saturating_sub(p.nacks) as u32;
                 self.unwell = (self.unwell + missing.max(u32::from(p.asked == 0))).min(MOST_UNWELL);
-                let incarnation = self.members.get(&p.target).filter(|m| m.standing <= Standing::Suspect);
+                let incarnation = self.members.get(&p.target).filter(|m| m.standing <= MemberState::Suspect);
                 if let Some(incarnation) = incarnation.map(|m| m.record.incarnation) {
                     self.outputs.push_back(Output::Accuse(p.target, incarnation));
                 }
@@ -681,7 +681,9 @@
     fn any_address(&mut self) -> Option<SocketAddr> {
         let mut all: Vec<SocketAddr> =
             self.seeds.iter().copied().filter(|a| *a != self.own.address).collect();
-        all.extend(self.members.values().filter(|m| m.standing != Standing::Left).map(|m| m.record.address));
+        all.extend(
+            self.members.values().filter(|m| m.standing != MemberState::Left).map(|m| m.record.address),
+        );
         let n = all.len() as u64;
         (n > 0).then(|| all[(self.random.next_u64() % n) as usize])
     }
@@ -693,15 +695,15 @@
             let address = m.record.address;
             // Those thought dead are asked now and then, or two halves of a group would never find together again.
             let due = match m.standing {
-                Standing::Alive | Standing::Suspect => true,
-                Standing::Dead => self.random.next_u64().is_multiple_of(4),
-                Standing::Left => false,
+                MemberState::Alive | MemberState::Suspect => true,
+                MemberState::Dead => self.random.next_u64().is_multiple_of(4),
+                MemberState::Left => false,
             };
             self.round.push_back(name.clone());
             if !due {
                 continue;
             }
-            if m.standing == Standing::Dead {
+            if m.standing == MemberState::Dead {
                 return self.sync(address, true);
             }
             self.next += 1;
@@ -716,15 +718,20 @@
 
     /// Pages that all that is known takes.
     fn pages(&self) -> usize {
-        self.present().div_ceil(PAGE - 1).max(1)
+        self.present().div_ceil(MEMBERS_PER_MESSAGE - 1).max(1)
     }
 
     /// A page of all that is known; with each exchange the next one.
     fn sync(&mut self, to: SocketAddr, wanted: bool) {
         let mut all: Vec<Record> = vec![self.own.clone()];
         self.page = (self.page + 1) % self.pages();
-        let known = self.members.values().filter(|m| m.standing <= Standing::Suspect);
-        all.extend(known.skip(self.page * (PAGE - 1)).take(PAGE - 1).map(|m| m.record.clone()));
+        let known = self.members.values().filter(|m| m.standing <= MemberState::Suspect);
+        all.extend(
+            known
+                .skip(self.page * (MEMBERS_PER_MESSAGE - 1))
+                .take(MEMBERS_PER_MESSAGE - 1)
+                .map(|m| m.record.clone()),
+        );
         let voice = self.members.values().find(|m| m.record.address == to).and_then(|m| m.voice.clone());
         let accusations = voice.into_iter().collect();
         let message = Message { say: Say::Sync(wanted), records: all, accusations };
@@ -736,10 +743,10 @@
         let dead: Vec<String> = self.members.values().filter(over).map(|m| m.record.name.clone()).collect();
         for name in dead {
             self.news.retain(|(_, n)| !matches!(n, News::Accusation(a) if a.accused == name));
-            self.set(now, &name, Standing::Dead);
+            self.set(now, &name, MemberState::Dead);
         }
         let forget = self.settings.forget;
-        let gone = |m: &&Member| m.standing >= Standing::Dead && now >= m.since + forget;
+        let gone = |m: &&Member| m.standing >= MemberState::Dead && now >= m.since + forget;
         let gone: Vec<String> = self.members.values().filter(gone).map(|m| m.record.name.clone()).collect();
         for name in gone {
             self.members.remove(&name);
--- a/src/membership/swim_tests.rs
+++ b/src/membership/swim_tests.rs
@@ -71,7 +71,7 @@
                     self.letters.insert(self.count, (to, who.to_owned(), message));
                 }
                 Output::Accuse(accused, incarnation) => {
-                    let a = Accusation { accused, incarnation, by: who.to_owned(), seal: Vec::new() };
+                    let a = Suspicion { accused, incarnation, by: who.to_owned(), seal: Vec::new() };
                     self.nodes.get_mut(who).unwrap().accuse(self.now, a);
                 }
                 Output::Renew(incarnation, leaving) => {
@@ -79,7 +79,7 @@
                     let record = Record { incarnation, leaving, ..node.own().clone() };
                     node.renew(record);
                 }
-                Output::Changed(of, Standing::Dead) => self.deaths.push((self.now, who.to_owned(), of)),
+                Output::Changed(of, MemberState::Dead) => self.deaths.push((self.now, who.to_owned(), of)),
                 _ => {}
             }
         }
@@ -122,7 +122,7 @@
     fn agree(&self) -> bool {
         self.nodes.iter().all(|(me, s)| {
             let alive: BTreeSet<String> =
-                s.members().filter(|m| m.standing == Standing::Alive).map(|m| m.record.name).collect();
+                s.members().filter(|m| m.standing == MemberState::Alive).map(|m| m.record.name).collect();
             let there: BTreeSet<String> = self.nodes.keys().filter(|n| *n != me).cloned().collect();
             alive == there
         })
@@ -178,7 +178,7 @@
         }
     }
     net.run(90 * SECOND);
-    assert_eq!(net.nodes[&name(2)].standing(&name(8)), Some(Standing::Dead));
+    assert_eq!(net.nodes[&name(2)].standing(&name(8)), Some(MemberState::Dead));
     net.cut.clear();
     net.run(90 * SECOND);
     assert!(net.agree());
@@ -205,7 +205,7 @@
     net.nodes.remove(&name(4));
     net.run(30 * SECOND);
     assert!(net.deaths.is_empty() && net.agree());
-    assert!(net.nodes.values().all(|s| s.standing(&name(4)) == Some(Standing::Left)));
+    assert!(net.nodes.values().all(|s| s.standing(&name(4)) == Some(MemberState::Left)));
 }
 
 /// One that accuses everybody all the time, in their own and in huge incarnations, and brings records of others that
@@ -219,7 +219,7 @@
         for victim in 0..9 {
             let known = net.nodes[&name(victim)].own().incarnation;
             for incarnation in [known, u64::MAX] {
-                let a = Accusation { accused: name(victim), incarnation, by: name(9), seal: Vec::new() };
+                let a = Suspicion { accused: name(victim), incarnation, by: name(9), seal: Vec::new() };
                 let say = Say::Sync(false);
                 let message = Message { say, records: vec![record(victim, 0)], accusations: vec![a] };
                 for to in 0..9 {
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -12,7 +12,7 @@
 use super::is_name;
 use super::keys::Keys;
 use super::observations::Observation;
-use super::swim::{Accusation, Message, Record, Say};
+use super::swim::{Message, Record, Say, Suspicion};
 use crate::api::{Micros, WorkerId};
 
 /// The version of this wire.
@@ -22,7 +22,7 @@
 /// How far the clocks of members may be apart, and how late a datagram may come.
 pub const SKEW: Micros = 10_000_000;
 /// Observations in one sighting.
-pub const MOST_SEEN: usize = 24;
+pub const MAX_OBSERVATIONS: usize = 24;
 
 /// What is sealed: a seal for one is none for another.
 const ENVELOPE: u8 = 1;
@@ -117,7 +117,7 @@
 
 /// What an origin saw over one window, sealed by it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sighting {
+pub struct SealedObservation {
     /// Whose word it is.
     pub origin: String,
     /// The end of its window.
@@ -130,7 +130,7 @@
 
 /// Why a datagram, or a part of one, is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum DatagramError {
     /// It is longer than a datagram may be.
     TooLong,
     /// It cannot be read.
@@ -149,23 +149,23 @@
     Part,
 }
 
-impl Refused {
+impl DatagramError {
     /// Its name in counters.
     pub fn name(self) -> &'static str {
         match self {
-            Refused::TooLong => "too_long",
-            Refused::Garbled => "garbled",
-            Refused::Version => "version",
-            Refused::Stranger => "stranger",
-            Refused::Seal => "seal",
-            Refused::Stale => "stale",
-            Refused::Replayed => "replayed",
-            Refused::Part => "part",
+            DatagramError::TooLong => "too_long",
+            DatagramError::Garbled => "garbled",
+            DatagramError::Version => "version",
+            DatagramError::Stranger => "stranger",
+            DatagramError::Seal => "seal",
+            DatagramError::Stale => "stale",
+            DatagramError::Replayed => "replayed",
+            DatagramError::Part => "part",
         }
     }
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for DatagramError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -218,15 +218,20 @@
 }
 
 /// Seals an accusation of one's own.
-pub fn seal_accusation(keys: &Keys, accused: &str, incarnation: u64, by: &str) -> Accusation {
+pub fn seal_accusation(keys: &Keys, accused: &str, incarnation: u64, by: &str) -> Suspicion {
     let seal = keys.seal(ACCUSATION, &accusation_content(accused, incarnation, by));
-    Accusation { accused: accused.into(), incarnation, by: by.into(), seal }
+    Suspicion { accused: accused.into(), incarnation, by: by.into(), seal }
 }
 
 /// Seals what one saw.
-pub fn seal_sighting(keys: &Keys, origin: &str, at: Micros, seen: Vec<(WorkerId, Observation)>) -> Sighting {
+pub fn seal_sighting(
+    keys: &Keys,
+    origin: &str,
+    at: Micros,
+    seen: Vec<(WorkerId, Observation)>,
+) -> SealedObservation {
     let seal = keys.seal(SIGHTING, &sighting_content(origin, at, &seen));
-    Sighting { origin: origin.into(), at, seen, seal }
+    SealedObservation { origin: origin.into(), at, seen, seal }
 }
 
 fn envelope_content(e: &Envelope) -> Vec<u8> {
@@ -258,7 +263,7 @@
     now: Micros,
     message: &Message,
     most: usize,
-    mut sightings: impl FnMut(usize) -> Option<Sighting>,
+    mut sightings: impl FnMut(usize) -> Option<SealedObservation>,
 ) -> Option<Vec<u8>> {
     let (say, asked, name) = match &message.say {
         Say::Ping(n, name) => (1, *n, name.clone()),
@@ -363,7 +368,7 @@
     /// Its message, with the parts whose seals hold.
     pub message: Message,
     /// Sightings whose seals hold.
-    pub sightings: Vec<Sighting>,
+    pub sightings: Vec<SealedObservation>,
     /// Parts that were left out, as their seals do not hold.
     pub refused: u32,
 }
@@ -387,10 +392,10 @@
         now: Micros,
         bytes: &[u8],
         known: impl Fn(&Record) -> bool,
-    ) -> Result<Opened, Refused> {
+    ) -> Result<Opened, DatagramError> {
         let opened = self.check(keys, now, bytes, known);
         let why = match &opened {
-            Ok(o) if o.refused > 0 => Some(Refused::Part),
+            Ok(o) if o.refused > 0 => Some(DatagramError::Part),
             Ok(_) => None,
             Err(e) => Some(*e),
         };
@@ -406,22 +411,22 @@
         now: Micros,
         bytes: &[u8],
         known: impl Fn(&Record) -> bool,
-    ) -> Result<Opened, Refused> {
+    ) -> Result<Opened, DatagramError> {
         if bytes.len() > MTU {
-            return Err(Refused::TooLong);
+            return Err(DatagramError::TooLong);
         }
-        let e = Envelope::decode(bytes).map_err(|_| Refused::Garbled)?;
+        let e = Envelope::decode(bytes).map_err(|_| DatagramError::Garbled)?;
         if e.version != VERSION {
-            return Err(Refused::Version);
+            return Err(DatagramError::Version);
         }
         if !is_name(&e.from) || !keys.knows(&e.from) {
-            return Err(Refused::Stranger);
+            return Err(DatagramError::Stranger);
         }
         if e.sent_us.abs_diff(now) > SKEW {
-            return Err(Refused::Stale);
+            return Err(DatagramError::Stale);
         }
         if !keys.check(&e.from, ENVELOPE, &envelope_content(&e), &e.seal) {
-            return Err(Refused::Seal);
+            return Err(DatagramError::Seal);
         }
         let full = self.windows.len() >= MOST_WINDOWS && !self.windows.contains_key(&e.from);
         if full {
@@ -430,10 +435,10 @@
         }
         let window = self.windows.entry(e.from.clone()).or_default();
         if !window.take(e.number) {
-            return Err(Refused::Replayed);
+            return Err(DatagramError::Replayed);
         }
         window.heard = now;
-        let body = Body::decode(&e.body[..]).map_err(|_| Refused::Garbled)?;
+        let body = Body::decode(&e.body[..]).map_err(|_| DatagramError::Garbled)?;
         let say = match body.say {
             1 => Say::Ping(body.number, body.name),
             2 => Say::Ack(body.number),
@@ -441,7 +446,7 @@
             4 => Say::Nack(body.number),
             5 => Say::Sync(false),
             6 => Say::Sync(true),
-            _ => return Err(Refused::Garbled),
+            _ => return Err(DatagramError::Garbled),
         };
         let mut refused = 0;
         let mut records = Vec::new();
@@ -469,7 +474,7 @@
         }
         let mut accusations = Vec::new();
         for part in body.accusations {
-            let a = Accusation {
+            let a = Suspicion {
                 accused: part.accused,
                 incarnation: part.incarnation,
                 by: part.by,
@@ -498,8 +503,13 @@
                 })
                 .collect();
             let content = sighting_content(&part.origin, part.at_us, &seen);
-            if seen.len() <= MOST_SEEN && keys.check(&part.origin, SIGHTING, &content, &part.seal) {
-                sightings.push(Sighting { origin: part.origin, at: part.at_us, seen, seal: part.seal });
+            if seen.len() <= MAX_OBSERVATIONS && keys.check(&part.origin, SIGHTING, &content, &part.seal) {
+                sightings.push(SealedObservation {
+                    origin: part.origin,
+                    at: part.at_us,
+                    seen,
+                    seal: part.seal,
+                });
             } else {
                 refused += 1;
             }
@@ -526,7 +536,7 @@
         Message { say: Say::Ping(7, "b".into()), records, accusations }
     }
 
-    fn sighting(keys: &Keys) -> Sighting {
+    fn sighting(keys: &Keys) -> SealedObservation {
         let o = Observation { at: NOW, answered: 1, failed: 2, silent: 3, refused: 4 };
         seal_sighting(keys, "a", NOW, vec![(WorkerId(9), o)])
     }
@@ -544,19 +554,22 @@
         let opened = opener.open(&b, NOW + 5, &bytes, |_| false).unwrap();
         assert_eq!((opened.from.as_str(), &opened.message), ("a", &ping(&a)));
         assert_eq!((opened.sightings, opened.refused), (vec![sighting(&a)], 0));
-        assert_eq!(opener.open(&b, NOW + 6, &bytes, |_| false).unwrap_err(), Refused::Replayed);
+        assert_eq!(opener.open(&b, NOW + 6, &bytes, |_| false).unwrap_err(), DatagramError::Replayed);
         assert!(opener.open(&b, NOW, &packed(&a, 9), |_| false).is_ok(), "overtaken by the one before");
         assert!(opener.open(&b, NOW, &packed(&a, 500), |_| false).is_ok());
         assert_eq!(
             opener.open(&b, NOW, &packed(&a, 11), |_| false).unwrap_err(),
-            Refused::Replayed,
+            DatagramError::Replayed,
             "below the window"
         );
         for late in [NOW + SKEW + 1, NOW - SKEW - 1] {
-            assert_eq!(opener.open(&b, late, &packed(&a, 501), |_| false).unwrap_err(), Refused::Stale);
+            assert_eq!(opener.open(&b, late, &packed(&a, 501), |_| false).unwrap_err(), DatagramError::Stale);
         }
-        assert_eq!(opener.open(&each(0, 1), NOW, &packed(&b, 1), |_| false).unwrap_err(), Refused::Seal);
-        assert_eq!(opener.open(&b, NOW, &[0; MTU + 1], |_| false).unwrap_err(), Refused::TooLong);
+        assert_eq!(
+            opener.open(&each(0, 1), NOW, &packed(&b, 1), |_| false).unwrap_err(),
+            DatagramError::Seal
+        );
+        assert_eq!(opener.open(&b, NOW, &[0; MTU + 1], |_| false).unwrap_err(), DatagramError::TooLong);
         assert_eq!(opener.refused["replayed"], 2);
     }
 
@@ -565,9 +578,9 @@
         let (a, b) = (each(0, 3), each(1, 3));
         // b forges: a's record, an accusation in a's name, a sighting of a's; and a whole datagram as a.
         let records = vec![Record { name: "a".into(), ..seal_record(&b, "b", address(2), 99, false) }];
-        let accusations = vec![Accusation { by: "a".into(), ..seal_accusation(&b, "c", 1, "b") }];
+        let accusations = vec![Suspicion { by: "a".into(), ..seal_accusation(&b, "c", 1, "b") }];
         let message = Message { say: Say::Sync(false), records, accusations };
-        let mut forged = Some(Sighting { origin: "a".into(), ..sighting(&b) });
+        let mut forged = Some(SealedObservation { origin: "a".into(), ..sighting(&b) });
         let bytes = pack(&b, "b", 1, NOW, &message, MTU, |_| forged.take()).unwrap();
         let opened = Opener::default().open(&a, NOW, &bytes, |_| false).unwrap();
         assert_eq!(opened.refused, 3);
@@ -577,7 +590,10 @@
                 && opened.sightings.is_empty()
         );
         let bytes = pack(&b, "a", 1, NOW, &message, MTU, |_| None).unwrap();
-        assert_eq!(Opener::default().open(&each(2, 3), NOW, &bytes, |_| false).unwrap_err(), Refused::Seal);
+        assert_eq!(
+            Opener::default().open(&each(2, 3), NOW, &bytes, |_| false).unwrap_err(),
+            DatagramError::Seal
+        );
     }
 
     #[test]
@@ -587,7 +603,7 @@
         e.version = 2;
         e.seal = a.seal(ENVELOPE, &envelope_content(&e));
         let mut opener = Opener::default();
-        assert_eq!(opener.open(&b, NOW, &e.encode_to_vec(), |_| false).unwrap_err(), Refused::Version);
+        assert_eq!(opener.open(&b, NOW, &e.encode_to_vec(), |_| false).unwrap_err(), DatagramError::Version);
         let mut e = Envelope::decode(&packed(&a, 1)[..]).unwrap();
         // Field 99, a varint, at the end of the body.
         e.body.extend([0x98, 0x06, 0x01]);
--- a/src/operations/hot_restart.rs
+++ b/src/operations/hot_restart.rs
@@ -17,19 +17,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use super::overrides::{LONGEST_NAME, MOST_SEEN};
+use super::overrides::{MAX_NAME_BYTES, MAX_WORKERS_SEEN};
 use crate::api::{LoadRateLimit, Micros, Settings};
 
 /// The form that this version writes and reads.
 const VERSION: &str = "1";
 /// Bytes that a text may have.
-pub const MOST_BYTES: usize = 2 * MOST_SEEN * (LONGEST_NAME + 32);
+pub const MAX_STATE_BYTES: usize = 2 * MAX_WORKERS_SEEN * (MAX_NAME_BYTES + 32);
 /// Answers a second of one worker that are believed at most.
 const MOST_BORNE: f64 = 1e5;
 /// A text of a dead process that is older than this was not left by an upgrade.
-pub const LONG_DEAD: Micros = 60_000_000;
+pub const ABANDONED_AFTER: Micros = 60_000_000;
 /// A process that has nothing new to tell writes its text again after this, as a sign that it is not old.
-pub const REFRESH: Micros = 5_000_000;
+pub const WRITE_INTERVAL: Micros = 5_000_000;
 
 /// What a process says of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 /// What one process tells.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Word {
+pub struct SiblingState {
     /// The gateway that it is a process of.
     pub gateway: String,
     /// What it does.
@@ -65,7 +65,7 @@
 
 /// Why a text cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HandoverError {
+pub enum HotRestartError {
     /// It is not a text of this kind, or was written by another version.
     Version(String),
     /// Its sum does not fit: it is damaged or not whole.
@@ -80,30 +80,30 @@
     LongDead,
 }
 
-impl fmt::Display for HandoverError {
+impl fmt::Display for HotRestartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HandoverError::Version(line) => write!(f, "'{line}' is not the form that this version reads"),
-            HandoverError::Damaged => write!(f, "its sum does not fit"),
-            HandoverError::TooLarge => write!(f, "it is too large"),
-            HandoverError::Line(line) => write!(f, "the line '{line}' has no meaning"),
-            HandoverError::Foreign(name) => write!(f, "it is of the gateway '{name}'"),
-            HandoverError::LongDead => write!(f, "its process died long ago"),
+            HotRestartError::Version(line) => write!(f, "'{line}' is not the form that this version reads"),
+            HotRestartError::Damaged => write!(f, "its sum does not fit"),
+            HotRestartError::TooLarge => write!(f, "it is too large"),
+            HotRestartError::Line(line) => write!(f, "the line '{line}' has no meaning"),
+            HotRestartError::Foreign(name) => write!(f, "it is of the gateway '{name}'"),
+            HotRestartError::LongDead => write!(f, "its process died long ago"),
         }
     }
 }
 
-impl std::error::Error for HandoverError {}
+impl std::error::Error for HotRestartError {}
 
 fn sum(text: &str) -> String {
     blake3::hash(text.as_bytes()).to_hex().as_str()[..32].to_owned()
 }
 
 fn usable(name: &str) -> bool {
-    !name.is_empty() && name.len() <= LONGEST_NAME && name.bytes().all(|b| (0x21..0x7f).contains(&b))
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(|b| (0x21..0x7f).contains(&b))
 }
 
-impl Word {
+impl SiblingState {
     /// The text; names that cannot stand in a line of their own are left out.
     pub fn text(&self) -> String {
         let state = STATES.iter().find(|(s, _)| *s == self.state).map_or("", |(_, word)| word);
@@ -122,30 +122,30 @@
     }
 
     /// Reads a text that another process of the gateway `name` has left `age` ago; `alive` if it still runs.
-    pub fn read(bytes: &[u8], name: &str, alive: bool, age: Micros) -> Result<Word, HandoverError> {
-        if bytes.len() > MOST_BYTES {
-            return Err(HandoverError::TooLarge);
+    pub fn read(bytes: &[u8], name: &str, alive: bool, age: Micros) -> Result<SiblingState, HotRestartError> {
+        if bytes.len() > MAX_STATE_BYTES {
+            return Err(HotRestartError::TooLarge);
         }
-        let text = std::str::from_utf8(bytes).map_err(|_| HandoverError::Damaged)?;
-        let (first, _) = text.split_once('\n').ok_or(HandoverError::Damaged)?;
+        let text = std::str::from_utf8(bytes).map_err(|_| HotRestartError::Damaged)?;
+        let (first, _) = text.split_once('\n').ok_or(HotRestartError::Damaged)?;
         if first.strip_prefix("molelug-handover ") != Some(VERSION) {
-            return Err(HandoverError::Version(first.chars().take(40).collect()));
+            return Err(HotRestartError::Version(first.chars().take(40).collect()));
         }
         let body = text.strip_suffix('\n').and_then(|t| t.rsplit_once("\nsum "));
-        let (body, stated) = body.ok_or(HandoverError::Damaged)?;
+        let (body, stated) = body.ok_or(HotRestartError::Damaged)?;
         let whole = format!("{body}\n");
         if sum(&whole) != stated {
-            return Err(HandoverError::Damaged);
+            return Err(HotRestartError::Damaged);
         }
-        let mut word = Word::default();
+        let mut word = SiblingState::default();
         for line in whole.lines().skip(1) {
-            word.line(line).ok_or_else(|| HandoverError::Line(line.chars().take(40).collect()))?;
+            word.line(line).ok_or_else(|| HotRestartError::Line(line.chars().take(40).collect()))?;
         }
         if word.gateway != name {
-            return Err(HandoverError::Foreign(word.gateway));
+            return Err(HotRestartError::Foreign(word.gateway));
         }
-        if !alive && age > LONG_DEAD {
-            return Err(HandoverError::LongDead);
+        if !alive && age > ABANDONED_AFTER {
+            return Err(HotRestartError::LongDead);
         }
         Ok(word)
     }
@@ -171,14 +171,14 @@
 
 /// The other processes of this gateway that live.
 #[derive(Debug, Default)]
-pub struct Others {
-    living: BTreeMap<u32, Word>,
+pub struct SiblingProcesses {
+    living: BTreeMap<u32, SiblingState>,
     bears: f64,
 }
 
-impl Others {
+impl SiblingProcesses {
     /// A living process has told this.
-    pub fn heard(&mut self, pid: u32, word: Word) {
+    pub fn heard(&mut self, pid: u32, word: SiblingState) {
         self.bears = self.bears.max(word.bears);
         self.living.insert(pid, word);
     }
@@ -230,35 +230,52 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn word() -> Word {
+    fn word() -> SiblingState {
         let bans = [("s-1".to_owned(), (true, 7)), ("s-2".to_owned(), (false, 9))];
         let seen = vec!["s-1".into(), "s-2".into(), "s-3".into()];
-        Word { gateway: "n3".into(), state: State::Ready, rev: 41, bears: 24.5, bans: bans.into(), seen }
+        SiblingState {
+            gateway: "n3".into(),
+            state: State::Ready,
+            rev: 41,
+            bears: 24.5,
+            bans: bans.into(),
+            seen,
+        }
     }
 
     #[test]
     fn what_is_written_is_read_and_every_damage_is_told() {
         let text = word().text();
-        assert_eq!(Word::read(text.as_bytes(), "n3", true, 0), Ok(word()));
+        assert_eq!(SiblingState::read(text.as_bytes(), "n3", true, 0), Ok(word()));
         for cut in 0..text.len() {
-            assert!(Word::read(&text.as_bytes()[..cut], "n3", true, 0).is_err(), "cut at {cut}");
+            assert!(SiblingState::read(&text.as_bytes()[..cut], "n3", true, 0).is_err(), "cut at {cut}");
         }
         for at in 0..text.len() {
             let mut bad = text.clone().into_bytes();
             bad[at] ^= 1;
-            assert!(Word::read(&bad, "n3", true, 0).is_err(), "changed at {at}");
+            assert!(SiblingState::read(&bad, "n3", true, 0).is_err(), "changed at {at}");
         }
-        let read = |text: &str, name, alive, age| Word::read(text.as_bytes(), name, alive, age).unwrap_err();
-        assert_eq!(read(&text, "n4", true, 0), HandoverError::Foreign("n3".into()));
-        assert_eq!(read(&text, "n3", false, LONG_DEAD + 1), HandoverError::LongDead);
-        assert!(Word::read(text.as_bytes(), "n3", true, LONG_DEAD + 1).is_ok(), "a living one's counts");
-        assert!(Word::read(text.as_bytes(), "n3", false, LONG_DEAD).is_ok(), "one just killed, too");
+        let read =
+            |text: &str, name, alive, age| SiblingState::read(text.as_bytes(), name, alive, age).unwrap_err();
+        assert_eq!(read(&text, "n4", true, 0), HotRestartError::Foreign("n3".into()));
+        assert_eq!(read(&text, "n3", false, ABANDONED_AFTER + 1), HotRestartError::LongDead);
+        assert!(
+            SiblingState::read(text.as_bytes(), "n3", true, ABANDONED_AFTER + 1).is_ok(),
+            "a living one's counts"
+        );
+        assert!(
+            SiblingState::read(text.as_bytes(), "n3", false, ABANDONED_AFTER).is_ok(),
+            "one just killed, too"
+        );
         let newer = text.replace("handover 1", "handover 2");
-        assert!(matches!(read(&newer, "n3", true, 0), HandoverError::Version(_)));
+        assert!(matches!(read(&newer, "n3", true, 0), HotRestartError::Version(_)));
         let body = "molelug-handover 1\ngateway n3\nlanes 4\n";
         let odd = format!("{body}sum {}\n", sum(body));
-        assert_eq!(read(&odd, "n3", true, 0), HandoverError::Line("lanes 4".into()));
-        assert_eq!(Word::read(&vec![b'a'; MOST_BYTES + 1], "n3", true, 0), Err(HandoverError::TooLarge));
+        assert_eq!(read(&odd, "n3", true, 0), HotRestartError::Line("lanes 4".into()));
+        assert_eq!(
+            SiblingState::read(&vec![b'a'; MAX_STATE_BYTES + 1], "n3", true, 0),
+            Err(HotRestartError::TooLarge)
+        );
     }
 
     #[test]
@@ -266,24 +283,24 @@
         let mut w = word();
         w.bans.insert("a b".into(), (true, 1));
         w.seen.push("x\ny".into());
-        assert_eq!(Word::read(w.text().as_bytes(), "n3", true, 0), Ok(word()));
-        let name = |n: usize| format!("{n:0>LONGEST_NAME$}");
-        w.seen = (0..MOST_SEEN).map(name).collect();
-        w.bans = (0..MOST_SEEN).map(|n| (name(n), (true, Micros::MAX))).collect();
-        assert!(Word::read(w.text().as_bytes(), "n3", true, 0).is_ok());
+        assert_eq!(SiblingState::read(w.text().as_bytes(), "n3", true, 0), Ok(word()));
+        let name = |n: usize| format!("{n:0>MAX_NAME_BYTES$}");
+        w.seen = (0..MAX_WORKERS_SEEN).map(name).collect();
+        w.bans = (0..MAX_WORKERS_SEEN).map(|n| (name(n), (true, Micros::MAX))).collect();
+        assert!(SiblingState::read(w.text().as_bytes(), "n3", true, 0).is_ok());
     }
 
     #[test]
     fn another_process_takes_over_only_once_it_is_ready_and_while_it_lives() {
-        let mut others = Others::default();
+        let mut others = SiblingProcesses::default();
         let living = BTreeSet::from([8]);
         assert!(others.only(&living) && !others.only(&living));
         assert_eq!((others.processes(), others.take_over()), (2, false), "it has told nothing yet");
-        others.heard(8, Word { state: State::Starting, ..word() });
+        others.heard(8, SiblingState { state: State::Starting, ..word() });
         assert!(!others.take_over());
         others.heard(8, word());
         assert!(others.take_over() && others.rev() == 41);
-        others.heard(8, Word { state: State::Ending, ..word() });
+        others.heard(8, SiblingState { state: State::Ending, ..word() });
         assert!(!others.take_over());
         others.heard(8, word());
         assert!(others.only(&BTreeSet::new()));
@@ -297,7 +314,7 @@
         let ration = LoadRateLimit { window: 10, base_loads: 3.0, loads_per_request: 0.3 };
         let settings =
             Settings { load_rate_limit: Some(ration), overload_multiple: 3.0, ..Settings::default() };
-        let mut others = Others::default();
+        let mut others = SiblingProcesses::default();
         assert_eq!(others.limits(&settings), (Some(ration), 3.0));
         others.only(&BTreeSet::from([8, 9]));
         assert_eq!(others.limits(&settings), (Some(LoadRateLimit { base_loads: 1.0, ..ration }), 1.0));
@@ -306,7 +323,7 @@
     proptest! {
         #[test]
         fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-            prop_assert!(Word::read(&bytes, "n3", true, 0).is_err());
+            prop_assert!(SiblingState::read(&bytes, "n3", true, 0).is_err());
         }
     }
 }
--- a/src/operations/overrides.rs
+++ b/src/operations/overrides.rs
@@ -1,6 +1,6 @@
 //! Workers that staff have taken out: the list's word and the operator's of each worker, told as one.
 //!
-//! Bounds: what is listed, and [`MOST_SEEN`] names that were; bans can only be on those.
+//! Bounds: what is listed, and [`MAX_WORKERS_SEEN`] names that were; bans can only be on those.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -8,33 +8,33 @@
 use crate::api::{Micros, WorkerEntry, WorkerStatus};
 
 /// Names that are remembered after they have left the list, the oldest forgotten first.
-pub const MOST_SEEN: usize = 1024;
+pub const MAX_WORKERS_SEEN: usize = 1024;
 /// Bytes that a name may have to be remembered.
-pub const LONGEST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// Why a worker cannot be taken out or put back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum OverrideError {
     /// It was never listed.
     NeverListed,
     /// As many as are remembered are out already.
     TooMany,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for OverrideError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Refusal::NeverListed => "no worker of that name was ever listed",
-            Refusal::TooMany => "too many workers are out",
+            OverrideError::NeverListed => "no worker of that name was ever listed",
+            OverrideError::TooMany => "too many workers are out",
         })
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for OverrideError {}
 
 /// What the list and the operator say of the workers.
 #[derive(Debug, Default)]
-pub struct Upkeep {
+pub struct WorkerOverrides {
     /// The list's last word.
     listed: BTreeMap<String, WorkerEntry>,
     /// The operator's last word, and when it was given. One that ended a ban stays for other processes to hear.
@@ -44,7 +44,7 @@
     order: VecDeque<String>,
 }
 
-impl Upkeep {
+impl WorkerOverrides {
     /// Takes a notice's lines over; returns what the module is to be told of them.
     pub fn list<'a>(
         &mut self,
@@ -69,13 +69,13 @@
 
     /// Remembers a name as listed once.
     pub fn see(&mut self, name: &str) {
-        if name.len() > LONGEST_NAME || !self.seen.insert(name.to_owned()) {
+        if name.len() > MAX_NAME_BYTES || !self.seen.insert(name.to_owned()) {
             return;
         }
         self.order.push_back(name.to_owned());
         // What is banned or listed is not forgotten, and comes to the end of the row again.
         for _ in 0..self.order.len() {
-            if self.order.len() <= MOST_SEEN {
+            if self.order.len() <= MAX_WORKERS_SEEN {
                 return;
             }
             let Some(oldest) = self.order.pop_front() else { return };
@@ -101,21 +101,22 @@
     }
 
     /// Takes a worker out; returns what the module is to be told, if anything changes for it.
-    pub fn exclude(&mut self, name: &str, now: Micros) -> Result<Option<WorkerEntry>, Refusal> {
+    pub fn exclude(&mut self, name: &str, now: Micros) -> Result<Option<WorkerEntry>, OverrideError> {
         self.call(name, true, now)
     }
 
     /// Puts a worker back, however often it was taken out.
-    pub fn include(&mut self, name: &str, now: Micros) -> Result<Option<WorkerEntry>, Refusal> {
+    pub fn include(&mut self, name: &str, now: Micros) -> Result<Option<WorkerEntry>, OverrideError> {
         self.call(name, false, now)
     }
 
-    fn call(&mut self, name: &str, ban: bool, now: Micros) -> Result<Option<WorkerEntry>, Refusal> {
+    fn call(&mut self, name: &str, ban: bool, now: Micros) -> Result<Option<WorkerEntry>, OverrideError> {
         if !self.knows(name) {
-            return Err(Refusal::NeverListed);
+            return Err(OverrideError::NeverListed);
         }
-        if ban && !self.is_banned(name) && self.bans.values().filter(|(b, _)| *b).count() >= MOST_SEEN {
-            return Err(Refusal::TooMany);
+        if ban && !self.is_banned(name) && self.bans.values().filter(|(b, _)| *b).count() >= MAX_WORKERS_SEEN
+        {
+            return Err(OverrideError::TooMany);
         }
         // Later than all that was said before, whatever another process's clock shows.
         let at = self.bans.get(name).map_or(now, |(_, at)| now.max(at + 1));
@@ -181,14 +182,14 @@
         }
     }
 
-    fn list(u: &mut Upkeep, whole: bool, name: &str, status: WorkerStatus) -> WorkerStatus {
+    fn list(u: &mut WorkerOverrides, whole: bool, name: &str, status: WorkerStatus) -> WorkerStatus {
         u.list(whole, [(name, member(1, status))]).remove(0).status
     }
 
     #[test]
     fn a_ban_outlives_whatever_the_list_says_and_one_call_ends_it() {
-        let mut u = Upkeep::default();
-        let never = Err(Refusal::NeverListed);
+        let mut u = WorkerOverrides::default();
+        let never = Err(OverrideError::NeverListed);
         assert!(u.exclude("s-1", 5) == never && u.include("s-1", 1) == never);
         assert_eq!(list(&mut u, true, "s-1", WorkerStatus::Ready), WorkerStatus::Ready);
         assert_eq!(u.exclude("s-1", 5).unwrap().unwrap().status, WorkerStatus::Draining);
@@ -209,7 +210,7 @@
 
     #[test]
     fn one_that_was_listed_and_is_gone_may_be_banned_and_one_that_drains_stays_so() {
-        let mut u = Upkeep::default();
+        let mut u = WorkerOverrides::default();
         list(&mut u, true, "s-1", WorkerStatus::Ready);
         list(&mut u, false, "s-1", WorkerStatus::Removed);
         assert!(u.exclude("s-1", 5).unwrap().is_none() && u.is_banned("s-1"));
@@ -220,20 +221,20 @@
 
     #[test]
     fn names_are_forgotten_oldest_first_but_never_one_that_is_banned_or_listed() {
-        let mut u = Upkeep::default();
+        let mut u = WorkerOverrides::default();
         list(&mut u, true, "banned", WorkerStatus::Ready);
         u.exclude("banned", 5).unwrap();
         list(&mut u, false, "banned", WorkerStatus::Removed);
         list(&mut u, false, "listed", WorkerStatus::Ready);
-        for n in 0..3 * MOST_SEEN {
+        for n in 0..3 * MAX_WORKERS_SEEN {
             let name = format!("s-{n}");
             list(&mut u, false, &name, WorkerStatus::Ready);
             list(&mut u, false, &name, WorkerStatus::Removed);
         }
-        assert!(u.order.len() <= MOST_SEEN && u.seen.len() == u.order.len());
+        assert!(u.order.len() <= MAX_WORKERS_SEEN && u.seen.len() == u.order.len());
         assert!(u.is_banned("banned") && u.knows("listed") && u.knows("s-3000") && !u.knows("s-1"));
-        u.see(&"x".repeat(LONGEST_NAME + 1));
-        assert!(!u.knows(&"x".repeat(LONGEST_NAME + 1)));
+        u.see(&"x".repeat(MAX_NAME_BYTES + 1));
+        assert!(!u.knows(&"x".repeat(MAX_NAME_BYTES + 1)));
     }
 
     proptest! {
@@ -245,7 +246,7 @@
         ) {
             let names = ["a", "b", "c"];
             let heard = |words: &[(usize, bool, u64)]| {
-                let mut u = Upkeep::default();
+                let mut u = WorkerOverrides::default();
                 for (n, ban, at) in words {
                     u.merge(names[*n], *ban, *at, 9);
                 }
@@ -266,7 +267,7 @@
             steps in proptest::collection::vec((0..6u8, 0..4usize), 0..60),
         ) {
             let names = ["a", "b", "c", "d"];
-            let mut u = Upkeep::default();
+            let mut u = WorkerOverrides::default();
             let (mut ready, mut banned, mut ever) = ([false; 4], [false; 4], [false; 4]);
             let mut told = [false; 4];
             for (what, n) in steps {
--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -8,7 +8,7 @@
 
 use super::error::FileError;
 use super::placement::Host;
-use super::{MOST_COPIES, MOST_SHARDS};
+use super::{MAX_REPLICAS, MAX_SHARDS};
 use crate::api::Micros;
 use crate::membership::is_name;
 
@@ -161,10 +161,10 @@
             line: e.span().map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1),
             what: e.message().to_owned(),
         })?;
-        if !(1..=MOST_COPIES).contains(&f.copies) {
+        if !(1..=MAX_REPLICAS).contains(&f.copies) {
             return bad("copies", f.copies, "1 to 5 machines");
         }
-        if !(1..=MOST_SHARDS).contains(&f.shards) {
+        if !(1..=MAX_SHARDS).contains(&f.shards) {
             return bad("shards", f.shards, "1 to 1024 parts");
         }
         let spans = [("silent_ms", f.silent_ms), ("stall_ms", f.stall_ms), ("ask_ms", f.ask_ms)];
--- a/src/replication/disks_tests.rs
+++ b/src/replication/disks_tests.rs
@@ -1,11 +1,11 @@
 //! Disks that are full, that lie, or that change what they hold, on the virtual clock of [`super::tests`].
 
 use super::config::Guards;
-use super::history::Note;
+use super::history::HistoryEvent;
 use super::tests::{leader, name, World, MS};
 use super::Name;
 
-fn notes(w: &World, is: impl Fn(&Note) -> bool) -> usize {
+fn notes(w: &World, is: impl Fn(&HistoryEvent) -> bool) -> usize {
     w.notes.iter().filter(|(_, n)| is(n)).count()
 }
 
@@ -22,7 +22,7 @@
         assert!(w.gateways[copy].disk.damage(1));
         w.traffic(1_500 * MS);
         assert_eq!(w.judge().is_err(), sound, "the guard is what has it mended");
-        let mended = notes(&w, |n| matches!(n, Note::Mended { shard: 1, accepted: false }));
+        let mended = notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, accepted: false }));
         assert_eq!(mended > 0, !sound);
         assert!(sound || leader(&w, 1) == primary, "a copy's damage moves no lead");
     }
@@ -40,7 +40,7 @@
     w.traffic(2_000 * MS);
     assert_ne!(leader(&w, 1), primary);
     w.judge().unwrap();
-    assert!(notes(&w, |n| matches!(n, Note::Damaged { shard: 1, .. })) > 0);
+    assert!(notes(&w, |n| matches!(n, HistoryEvent::Damaged { shard: 1, .. })) > 0);
 }
 
 /// The only disk of a shard changes what it holds: there is nothing to mend it from, so what is left counts, and that is told.
@@ -51,7 +51,7 @@
     w.traffic(500 * MS);
     assert!(w.gateways[0].disk.damage(1));
     w.run(2_000 * MS);
-    assert_eq!(notes(&w, |n| matches!(n, Note::Mended { shard: 1, accepted: true })), 1);
+    assert_eq!(notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, accepted: true })), 1);
     let before = w.promised.len();
     w.traffic(500 * MS);
     assert!(w.promised.len() > before);
@@ -68,12 +68,12 @@
     w.kill(1 - primary);
     assert!(w.gateways[primary].disk.damage(1));
     w.run(6_000 * MS);
-    assert_eq!(notes(&w, |n| matches!(n, Note::Mended { shard: 1, .. })), 0);
-    assert_eq!(notes(&w, |n| matches!(n, Note::Waits { shard: 1, .. })), 1, "it is told once");
+    assert_eq!(notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, .. })), 0);
+    assert_eq!(notes(&w, |n| matches!(n, HistoryEvent::Waits { shard: 1, .. })), 1, "it is told once");
     w.start(1 - primary);
     w.run(4_000 * MS);
     w.judge().unwrap();
-    assert_eq!(notes(&w, |n| matches!(n, Note::Mended { shard: 1, accepted: false })), 1);
+    assert_eq!(notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, accepted: false })), 1);
 }
 
 /// A disk is full: a primary that can keep nothing is led away from, and a copy is exchanged.
--- a/src/replication/error.rs
+++ b/src/replication/error.rs
@@ -1,12 +1,12 @@
 //! Why something is not promised, and what an operator can do about it.
 
-use super::{Epoch, Name, Number, ShardId};
+use super::{Epoch, Name, SequenceNumber, ShardId};
 
 /// Why a record is not promised. Nothing of it may be relied on; to try again with the same identity is harmless.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error, serde::Serialize, serde::Deserialize,
 )]
-pub enum Refusal {
+pub enum ReplicationError {
     /// This gateway does not lead the shard.
     #[error("shard {shard} is led by {}", primary.as_deref().unwrap_or("nobody"))]
     NotPrimary {
@@ -88,26 +88,26 @@
     Leaving,
 }
 
-impl Refusal {
+impl ReplicationError {
     /// What an operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
-            Refusal::NotPrimary { .. } => {
+            ReplicationError::NotPrimary { .. } => {
                 "wait: a member of the set takes the shard over by itself; if none does, look at whether the council has a majority"
             }
-            Refusal::Deposed { .. } => "nothing: the shard goes on elsewhere; look at why this gateway was silent for so long",
-            Refusal::Fewer { .. } => {
+            ReplicationError::Deposed { .. } => "nothing: the shard goes on elsewhere; look at why this gateway was silent for so long",
+            ReplicationError::Fewer { .. } => {
                 "start the gateways that are down, or name further ones under [members]; or allow fewer copies for the class with when_fewer"
             }
-            Refusal::Unreached { .. } => "look at the links between gateways and at whether the council has a majority",
-            Refusal::Busy { .. } => "look for a primary that is slow; callers may try again",
-            Refusal::Behind { .. } => "look for a gateway of the set with a slow disk or link; it is left out after stall_ms",
-            Refusal::TooLong { .. } => "have callers send smaller bodies",
-            Refusal::Seen => "nothing: the call has its answer, or will have it",
-            Refusal::Late { .. } => "look at the clocks of the gateways and of the caller; the call may be sent under a new identity",
-            Refusal::Unknown { .. } => "give all gateways the same classes and tenants",
-            Refusal::Full => "raise webhooks.pending, or add gateways",
-            Refusal::Leaving => "nothing: callers find another gateway",
+            ReplicationError::Unreached { .. } => "look at the links between gateways and at whether the council has a majority",
+            ReplicationError::Busy { .. } => "look for a primary that is slow; callers may try again",
+            ReplicationError::Behind { .. } => "look for a gateway of the set with a slow disk or link; it is left out after stall_ms",
+            ReplicationError::TooLong { .. } => "have callers send smaller bodies",
+            ReplicationError::Seen => "nothing: the call has its answer, or will have it",
+            ReplicationError::Late { .. } => "look at the clocks of the gateways and of the caller; the call may be sent under a new identity",
+            ReplicationError::Unknown { .. } => "give all gateways the same classes and tenants",
+            ReplicationError::Full => "raise webhooks.pending, or add gateways",
+            ReplicationError::Leaving => "nothing: callers find another gateway",
         }
     }
 }
@@ -181,6 +181,6 @@
 }
 
 /// How far a copy has come, for messages to people.
-pub fn behind(primary: Number, copy: Number) -> Number {
+pub fn behind(primary: SequenceNumber, copy: SequenceNumber) -> SequenceNumber {
     primary.saturating_sub(copy)
 }
--- a/src/replication/history.rs
+++ b/src/replication/history.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Epoch, Name, Number, ShardId};
+use super::{Epoch, Name, SequenceNumber, ShardId};
 
 /// A note; digests are cut to eight bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "copies", rename_all = "snake_case")]
-pub enum Note {
+pub enum HistoryEvent {
     /// This process gives a shard's records their numbers from here on.
     Led {
         /// Which shard.
@@ -15,7 +15,7 @@
         /// Under which epoch.
         epoch: Epoch,
         /// How far its records go.
-        number: Number,
+        number: SequenceNumber,
         /// Their digest.
         chain: u64,
         /// The set.
@@ -35,7 +35,7 @@
         /// Under which epoch.
         epoch: Epoch,
         /// Which record.
-        number: Number,
+        number: SequenceNumber,
         /// The digest of all up to it.
         chain: u64,
         /// On how many disks.
@@ -48,7 +48,7 @@
         /// Under which epoch it came.
         epoch: Epoch,
         /// Which record.
-        number: Number,
+        number: SequenceNumber,
         /// The digest of all up to it.
         chain: u64,
     },
@@ -57,7 +57,7 @@
         /// Which shard.
         shard: ShardId,
         /// Up to which record.
-        number: Number,
+        number: SequenceNumber,
         /// The digest of all up to it.
         chain: u64,
     },
@@ -104,6 +104,6 @@
 }
 
 /// A digest as histories have it.
-pub fn short(chain: &super::Chain) -> u64 {
+pub fn short(chain: &super::ChainDigest) -> u64 {
     chain.first_chunk::<8>().map_or(0, |b| u64::from_le_bytes(*b))
 }
--- a/src/replication/identities.rs
+++ b/src/replication/identities.rs
@@ -6,18 +6,18 @@
 
 use std::collections::HashMap;
 
-use super::error::Refusal;
+use super::error::ReplicationError;
 use super::ShardId;
 use crate::api::Micros;
 
 /// The digest of an identity.
-pub type Mark = [u8; 32];
+pub type IdentityDigest = [u8; 32];
 
 /// Identities taken in one shard.
 #[derive(Clone, Debug, Default)]
 pub struct Identities {
     shard: ShardId,
-    marks: HashMap<Mark, Micros>,
+    marks: HashMap<IdentityDigest, Micros>,
     /// Identities that counted until then may have been forgotten; it only grows.
     forgotten: Micros,
 }
@@ -26,37 +26,43 @@
     /// Those that a disk holds of a shard.
     pub fn new(
         shard: ShardId,
-        marks: impl IntoIterator<Item = (Mark, Micros)>,
+        marks: impl IntoIterator<Item = (IdentityDigest, Micros)>,
         forgotten: Micros,
     ) -> Identities {
         Identities { shard, marks: marks.into_iter().collect(), forgotten }
     }
 
     /// Whether one may be taken now, which counts until then; at most so many are remembered.
-    pub fn may(&mut self, now: Micros, mark: &Mark, until: Micros, most: usize) -> Result<(), Refusal> {
+    pub fn may(
+        &mut self,
+        now: Micros,
+        mark: &IdentityDigest,
+        until: Micros,
+        most: usize,
+    ) -> Result<(), ReplicationError> {
         if self.marks.get(mark).is_some_and(|t| *t >= now.max(self.forgotten)) {
-            return Err(Refusal::Seen);
+            return Err(ReplicationError::Seen);
         }
         if self.marks.len() >= most {
             self.marks.retain(|_, t| *t >= now);
             self.forgotten = self.forgotten.max(now);
         }
         if until <= self.forgotten || until < now {
-            return Err(Refusal::Late { shard: self.shard });
+            return Err(ReplicationError::Late { shard: self.shard });
         }
         if self.marks.len() >= most {
-            return Err(Refusal::Full);
+            return Err(ReplicationError::Full);
         }
         Ok(())
     }
 
     /// One is taken.
-    pub fn take(&mut self, mark: Mark, until: Micros) {
+    pub fn take(&mut self, mark: IdentityDigest, until: Micros) {
         self.marks.insert(mark, until);
     }
 
     /// It was not taken after all.
-    pub fn forget(&mut self, mark: &Mark) {
+    pub fn forget(&mut self, mark: &IdentityDigest) {
         self.marks.remove(mark);
     }
 }
@@ -68,11 +74,11 @@
     #[test]
     fn one_is_taken_once_as_long_as_it_counts_and_never_where_it_may_have_been_forgotten() {
         let mut all = Identities::new(3, [([1; 32], 50)], 20);
-        let late = Err(Refusal::Late { shard: 3 });
-        assert_eq!(all.may(10, &[1; 32], 50, 9), Err(Refusal::Seen));
+        let late = Err(ReplicationError::Late { shard: 3 });
+        assert_eq!(all.may(10, &[1; 32], 50, 9), Err(ReplicationError::Seen));
         assert_eq!(all.may(10, &[2; 32], 50, 9), Ok(()));
         all.take([2; 32], 50);
-        assert_eq!(all.may(10, &[2; 32], 50, 9), Err(Refusal::Seen));
+        assert_eq!(all.may(10, &[2; 32], 50, 9), Err(ReplicationError::Seen));
         // Another disk, whose clock is ahead, may have forgotten it; the clock here has not come so far.
         assert_eq!(all.may(10, &[3; 32], 20, 9), late);
         assert_eq!(all.may(10, &[3; 32], 21, 9), Ok(()));
@@ -89,9 +95,13 @@
             assert_eq!(all.may(1, &[n; 32], 10 + u64::from(n), 4), Ok(()));
             all.take([n; 32], 10 + u64::from(n));
         }
-        assert_eq!(all.may(5, &[9; 32], 40, 4), Err(Refusal::Full));
+        assert_eq!(all.may(5, &[9; 32], 40, 4), Err(ReplicationError::Full));
         assert_eq!(all.may(12, &[9; 32], 40, 4), Ok(()), "two are over");
-        assert_eq!(all.may(3, &[0; 32], 10, 4), Err(Refusal::Late { shard: 0 }), "the clock went back");
-        assert_eq!(all.may(3, &[3; 32], 13, 4), Err(Refusal::Seen));
+        assert_eq!(
+            all.may(3, &[0; 32], 10, 4),
+            Err(ReplicationError::Late { shard: 0 }),
+            "the clock went back"
+        );
+        assert_eq!(all.may(3, &[3; 32], 13, 4), Err(ReplicationError::Seen));
     }
 }
--- a/src/replication/machine.rs
+++ b/src/replication/machine.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 
 use super::config::Settings;
-use super::error::{Declined, Refusal};
-use super::history::{short, Note};
+use super::error::{Declined, ReplicationError};
+use super::history::{short, HistoryEvent};
 use super::placement;
-use super::primary::{fits, Leading, Ticket, MOST_OWED};
-use super::sets::{Disk, Entry, Move, Set, Sets};
+use super::primary::{fits, CommitWaiter, Primary, MOST_OWED};
+use super::sets::{Disk, Entry, Move, ReplicaSet, ReplicaSets};
 use super::shard::{Pending, Shard, Taken};
-use super::wire::{Body, Told, LONGEST_RECORD};
-use super::{Epoch, Name, Place, ShardId};
+use super::wire::{Body, RequestOutcome, MAX_RECORD_BYTES};
+use super::{Epoch, LogPosition, Name, ShardId};
 use crate::api::Micros;
 
 mod agreed;
@@ -19,7 +19,7 @@
 mod records;
 
 /// Questions to other gateways under way at most.
-pub const MOST_ASKED: usize = 4096;
+pub const MAX_FORWARDED_REQUESTS: usize = 4096;
 /// So many times the stall a set that owes its word waits for another to come before it is left smaller.
 const GIVES_UP: Micros = 10;
 
@@ -33,51 +33,51 @@
         /// How often it was begun.
         boot: u64,
         /// The shards on it.
-        places: BTreeMap<ShardId, Place>,
+        places: BTreeMap<ShardId, LogPosition>,
     },
     /// What is agreed has changed.
-    Agreed(Arc<Sets>),
+    SetsChanged(Arc<ReplicaSets>),
     /// Another gateway said something.
     Frame(Name, Body),
     /// The connection to another has ended.
-    Lost(Name),
+    Disconnected(Name),
     /// Something is to be promised by this gateway, which leads; `want` disks are asked for.
     Append {
         /// In which shard.
         shard: ShardId,
         /// Where the promise is told.
-        ticket: Ticket,
+        ticket: CommitWaiter,
         /// The record.
         bytes: Vec<u8>,
         /// How many disks it asks for; 0 for as many as there are.
         want: usize,
     },
     /// The oldest of a shard's that was on its way to the disk is there.
-    Kept(ShardId),
+    Persisted(ShardId),
     /// What the disk holds of a shard, asked for by [`Output::Read`].
-    Read(ShardId, Name, Place, Vec<u8>),
+    Read(ShardId, Name, LogPosition, Vec<u8>),
     /// The disk was not read for a copy.
-    Unread(ShardId, Name),
+    ReadFailed(ShardId, Name),
     /// What the disk was looked at for: the ranges of each shard on it that are not what was written; none if it could not be
     /// read.
     Verified(Option<Vec<(ShardId, Vec<u8>)>>),
     /// Ranges of a shard were found not to be what was written.
-    Unsound(ShardId, Vec<u8>),
+    Corrupt(ShardId, Vec<u8>),
     /// What is left of a shard counts from here on.
     Accepted(ShardId),
     /// A question for a shard's primary.
-    Ask {
+    Request {
         /// Which shard.
         shard: ShardId,
         /// Of whoever asks here.
-        ticket: Ticket,
+        ticket: CommitWaiter,
         /// What.
         bytes: Vec<u8>,
     },
     /// The answer to a question that came from another.
-    Tell(Name, u64, Told),
+    Respond(Name, u64, RequestOutcome),
     /// The process is about to end: what it leads is handed to others that have all of it.
-    Leave,
+    GracefulShutdown,
     /// A deadline fell due.
     Tick,
 }
@@ -90,9 +90,9 @@
     /// Have an entry agreed; it may get lost.
     Propose(Entry),
     /// Have a record on the disk, behind all before it; report it by [`Input::PersistentState`]. With the ticket, if it is led here.
-    Store(ShardId, Place, Arc<[u8]>, Option<Ticket>),
+    Store(ShardId, LogPosition, Arc<[u8]>, Option<CommitWaiter>),
     /// Have a snapshot take the place of what the disk holds; report it likewise.
-    Install(ShardId, Place, Vec<u8>),
+    Install(ShardId, LogPosition, Vec<u8>),
     /// Read what the disk holds of a shard, for a copy.
     Read(ShardId, Name),
     /// Look at whether the disk still holds what was written, beside all else.
@@ -100,38 +100,38 @@
     /// No other disk has a shard that is damaged here: let what is left of it count.
     Accept(ShardId),
     /// A record is promised, on so many disks.
-    Promised(Ticket, usize),
+    Committed(CommitWaiter, usize),
     /// It is not.
-    Refused(Ticket, Refusal),
+    Rejected(CommitWaiter, ReplicationError),
     /// This process leads a shard from here on.
-    Lead(ShardId, Epoch),
+    BecomePrimary(ShardId, Epoch),
     /// It does so no more.
-    Rest(ShardId),
+    StepDown(ShardId),
     /// A question for this primary: whose, and its number there.
-    Hear(ShardId, Name, u64, Vec<u8>),
+    HandleRequest(ShardId, Name, u64, Vec<u8>),
     /// A question of one's own is answered.
-    Told(Ticket, Told),
+    Response(CommitWaiter, RequestOutcome),
     /// The disk here is not the one that it was: its content counts for nothing, and it needs a number of its own.
     DiskRefused,
     /// Something to be recorded.
-    Noted(Note),
+    Record(HistoryEvent),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Question {
-    ticket: Ticket,
+    ticket: CommitWaiter,
     shard: ShardId,
     until: Micros,
 }
 
 /// One gateway's part.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Copies {
+pub struct Replicator {
     settings: Settings,
     disk: Option<Disk>,
     /// Whether the log knows this process as the one that has its disk.
     known: bool,
-    sets: Arc<Sets>,
+    sets: Arc<ReplicaSets>,
     /// The process of each name whose words count.
     processes: BTreeMap<Name, u64>,
     shards: BTreeMap<ShardId, Shard>,
@@ -150,11 +150,11 @@
     outputs: VecDeque<Output>,
 }
 
-impl Copies {
+impl Replicator {
     /// Knows nothing yet.
-    pub fn new(settings: Settings, now: Micros) -> Copies {
+    pub fn new(settings: Settings, now: Micros) -> Replicator {
         let heard = settings.hosts.iter().map(|h| (h.name.clone(), now)).collect();
-        Copies {
+        Replicator {
             shards: (1..=settings.shards).map(|s| (s, Shard::of(settings.process))).collect(),
             settings,
             disk: None,
@@ -213,8 +213,8 @@
         self.outputs.push_back(Output::Send(to, body));
     }
 
-    fn note(&mut self, note: Note) {
-        self.outputs.push_back(Output::Noted(note));
+    fn note(&mut self, note: HistoryEvent) {
+        self.outputs.push_back(Output::Record(note));
     }
 
     /// Takes what happened.
@@ -231,13 +231,13 @@
                 self.look_at_disk(now);
                 self.take_up(now);
             }
-            Input::Agreed(sets) => {
+            Input::SetsChanged(sets) => {
                 self.sets = sets;
                 self.look_at_disk(now);
                 self.take_up(now);
             }
             Input::Frame(from, body) => self.frame(now, from, body),
-            Input::Lost(name) => {
+            Input::Disconnected(name) => {
                 for s in self.shards.values_mut() {
                     if let Some(l) = &mut s.leading {
                         l.lost(&name);
@@ -245,29 +245,29 @@
                 }
             }
             Input::Append { shard, ticket, bytes, want } => self.append(now, shard, ticket, bytes, want),
-            Input::Kept(shard) => self.kept(now, shard),
+            Input::Persisted(shard) => self.kept(now, shard),
             Input::Read(shard, to, place, bytes) => {
                 if let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) {
                     l.read(now, &to, place, bytes.into());
                 }
             }
-            Input::Unread(shard, to) => {
+            Input::ReadFailed(shard, to) => {
                 if let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) {
                     l.unread(now, &to);
                 }
             }
             Input::Verified(found) => self.verified(now, found),
-            Input::Unsound(shard, ranges) => self.unsound(shard, ranges),
+            Input::Corrupt(shard, ranges) => self.unsound(shard, ranges),
             Input::Accepted(shard) => self.accepted(shard),
-            Input::Ask { shard, ticket, bytes } => self.ask(now, shard, ticket, bytes),
-            Input::Tell(to, number, told) => {
+            Input::Request { shard, ticket, bytes } => self.ask(now, shard, ticket, bytes),
+            Input::Respond(to, number, told) => {
                 if to == self.settings.name {
                     self.told(number, told);
                 } else {
-                    self.say(to, Body::Told(number, told));
+                    self.say(to, Body::Reply(number, told));
                 }
             }
-            Input::Leave => {
+            Input::GracefulShutdown => {
                 self.leaving = true;
                 self.tick(now);
             }
@@ -277,7 +277,13 @@
     }
 }
 
-fn led(shard: ShardId, epoch: Epoch, place: Place, members: &BTreeSet<Name>) -> Output {
+fn led(shard: ShardId, epoch: Epoch, place: LogPosition, members: &BTreeSet<Name>) -> Output {
     let members = members.iter().cloned().collect();
-    Output::Noted(Note::Led { shard, epoch, number: place.number, chain: short(&place.chain), members })
+    Output::Record(HistoryEvent::Led {
+        shard,
+        epoch,
+        number: place.number,
+        chain: short(&place.chain),
+        members,
+    })
 }
--- a/src/replication/machine/agreed.rs
+++ b/src/replication/machine/agreed.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Copies {
+impl Replicator {
     /// The log is told which process has which disk; only then does it count for anything.
     pub(super) fn look_at_disk(&mut self, now: Micros) {
         let Some(disk) = self.disk else { return };
@@ -12,7 +12,7 @@
                 // Another process has begun on this disk since: it is yesterday's copy, or it was taken away.
                 (self.known, self.disk) = (false, None);
                 for s in self.shards.values_mut() {
-                    s.place = Place::default();
+                    s.place = LogPosition::default();
                 }
                 self.outputs.push_back(Output::DiskRefused);
             }
@@ -50,20 +50,20 @@
                 (Some(l), false) => {
                     let ours = l.epoch;
                     for ticket in l.unpromised() {
-                        let why = Refusal::Deposed { shard: id, ours, theirs: epoch };
-                        events.push(Output::Refused(ticket, why));
+                        let why = ReplicationError::Deposed { shard: id, ours, theirs: epoch };
+                        events.push(Output::Rejected(ticket, why));
                     }
-                    events.push(Output::Noted(Note::Rested { shard: id, epoch: ours }));
-                    events.push(Output::Rest(id));
+                    events.push(Output::Record(HistoryEvent::Rested { shard: id, epoch: ours }));
+                    events.push(Output::StepDown(id));
                     s.leading = None;
                 }
                 (None, true) => {
                     let come = (s.place, s.stored());
-                    s.leading = Some(Leading::new(now, &me, id, (epoch, members), come));
+                    s.leading = Some(Primary::new(now, &me, id, (epoch, members), come));
                     if older.epoch > 0 && older.members.is_empty() {
-                        events.push(Output::Noted(match older.former.contains_key(&me) {
-                            true => Note::Recalled { shard: id },
-                            false => Note::Lost { shard: id },
+                        events.push(Output::Record(match older.former.contains_key(&me) {
+                            true => HistoryEvent::Recalled { shard: id },
+                            false => HistoryEvent::Lost { shard: id },
                         }));
                     }
                 }
@@ -105,7 +105,7 @@
             l.open = true;
             let (epoch, event) = (l.epoch, led(id, l.epoch, l.head, &l.set));
             self.outputs.push_back(event);
-            self.outputs.push_back(Output::Lead(id, epoch));
+            self.outputs.push_back(Output::BecomePrimary(id, epoch));
         }
     }
 
@@ -118,14 +118,14 @@
         let over: Vec<u64> = self.asked.iter().filter(|(_, q)| q.until <= now).map(|(n, _)| *n).collect();
         for number in over {
             if let Some(q) = self.asked.remove(&number) {
-                let why = Refusal::Unreached { shard: q.shard };
-                self.outputs.push_back(Output::Told(q.ticket, Told::Refused(why)));
+                let why = ReplicationError::Unreached { shard: q.shard };
+                self.outputs.push_back(Output::Response(q.ticket, RequestOutcome::Rejected(why)));
             }
         }
         if now >= self.beat + self.settings.silent / 5 {
             self.beat = now;
             let to: Vec<Name> = self.peers().cloned().collect();
-            to.into_iter().for_each(|to| self.say(to, Body::Here));
+            to.into_iter().for_each(|to| self.say(to, Body::Heartbeat));
         }
         self.look_at_disk(now);
         if self.known {
@@ -197,8 +197,12 @@
         let (me, stall, silent) = (self.settings.name.clone(), self.settings.stall, self.settings.silent);
         let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else { return false };
         let (mut members, again) = (l.set.clone(), l.proposed.is_none_or(|t| t + stall / 2 <= now));
-        let set =
-            Set { epoch: l.epoch, primary: Some(me.clone()), members: members.clone(), ..Set::default() };
+        let set = ReplicaSet {
+            epoch: l.epoch,
+            primary: Some(me.clone()),
+            members: members.clone(),
+            ..ReplicaSet::default()
+        };
         let unheard = || l.set.iter().find(|n| !self.is_heard(now, n, silent)).cloned();
         let late = l.stalled(now, &me, stall).or_else(unheard);
         let since = late.is_some().then(|| l.late.unwrap_or(now));
@@ -286,7 +290,7 @@
         &mut self,
         now: Micros,
         shard: ShardId,
-        set: &Set,
+        set: &ReplicaSet,
         members: BTreeSet<Name>,
         to: Name,
     ) {
@@ -298,7 +302,7 @@
         self.outputs.push_back(Output::Propose(Entry::Move(entry)));
     }
 
-    pub(super) fn propose(&mut self, now: Micros, shard: ShardId, set: &Set, members: BTreeSet<Name>) {
+    pub(super) fn propose(&mut self, now: Micros, shard: ShardId, set: &ReplicaSet, members: BTreeSet<Name>) {
         if let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) {
             l.proposed = Some(now);
         }
--- a/src/replication/machine/integrity.rs
+++ b/src/replication/machine/integrity.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 
-impl Copies {
+impl Replicator {
     /// Has the disk looked at, now and again.
     pub(super) fn look_at_soundness(&mut self, now: Micros) {
         if self.settings.verify > 0 && self.verify.is_some_and(|t| t <= now) {
@@ -20,7 +20,7 @@
             .filter(|(_, s)| s.unsound.is_some() && s.leading.is_none())
             .filter_map(|(id, s)| {
                 let primary = s.set.primary.clone().filter(|p| *p != self.settings.name)?;
-                Some((primary, Body::Unsound(*id, s.set.epoch)))
+                Some((primary, Body::Corrupt(*id, s.set.epoch)))
             })
             .collect();
         said.into_iter().for_each(|(to, body)| self.say(to, body));
@@ -43,7 +43,7 @@
             return;
         }
         s.unsound = Some(ranges.clone());
-        self.note(Note::Damaged { shard, ranges });
+        self.note(HistoryEvent::Damaged { shard, ranges });
     }
 
     /// Whether this process should not lead a shard, if anybody else can.
@@ -80,7 +80,7 @@
                 let Some(s) = self.shards.get_mut(&shard).filter(|s| !s.waiting) else { return true };
                 s.waiting = true;
                 let members = s.set.members.iter().cloned().collect();
-                self.note(Note::Waits { shard, members });
+                self.note(HistoryEvent::Waits { shard, members });
                 true
             }
             None => false,
@@ -91,11 +91,11 @@
     pub(super) fn give_to(&mut self, now: Micros, shard: ShardId, to: Name) {
         let Some(l) = self.shards.get(&shard).and_then(|s| s.leading.as_ref()) else { return };
         let (epoch, members) = (l.epoch, l.set.clone());
-        let set = Set {
+        let set = ReplicaSet {
             epoch,
             primary: Some(self.settings.name.clone()),
             members: members.clone(),
-            ..Set::default()
+            ..ReplicaSet::default()
         };
         self.hand_over(now, shard, &set, members, to);
     }
@@ -107,10 +107,10 @@
         }
         s.waiting = false;
         let leads = s.leading.as_ref().map(|l| l.epoch);
-        self.note(Note::Mended { shard, accepted: true });
+        self.note(HistoryEvent::Mended { shard, accepted: true });
         if let Some(epoch) = leads {
             // What stands of it is read once more.
-            self.outputs.push_back(Output::Lead(shard, epoch));
+            self.outputs.push_back(Output::BecomePrimary(shard, epoch));
         }
     }
 }
--- a/src/replication/machine/records.rs
+++ b/src/replication/machine/records.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-impl Copies {
+impl Replicator {
     pub(super) fn frame(&mut self, now: Micros, from: Name, body: Body) {
         self.heard.insert(from.clone(), now);
         let without = self.settings.without;
         match body {
-            Body::Here => {}
-            Body::Where(shard, epoch) => {
+            Body::Heartbeat => {}
+            Body::QueryPosition(shard, epoch) => {
                 let taken = self.shard(shard).and_then(|s| s.asked(shard, &from, epoch, without.epochs));
                 self.taken(shard, &from, taken);
             }
@@ -19,17 +19,17 @@
                     .and_then(|s| s.record(now, shard, &from, (epoch, before), bytes, guards));
                 self.taken(shard, &from, taken);
             }
-            Body::Part(shard, epoch, place, part, last, bytes) if self.known => {
+            Body::SnapshotPart(shard, epoch, place, part, last, bytes) if self.known => {
                 let taken = self.shard(shard).map_or(Vec::new(), |s| {
                     s.part(now, shard, &from, epoch, place, (part, last), &bytes, without.epochs)
                 });
                 self.taken(shard, &from, taken);
             }
-            Body::Record(..) | Body::Part(..) => {}
+            Body::Record(..) | Body::SnapshotPart(..) => {}
             // The process before it said so, or one of which the log has not told yet: it is asked anew.
-            Body::At(.., process) | Body::Has(.., process) if self.processes.get(&from) != Some(&process) => {
-            }
-            Body::At(shard, epoch, place, _) => {
+            Body::Position(.., process) | Body::Acknowledge(.., process)
+                if self.processes.get(&from) != Some(&process) => {}
+            Body::Position(shard, epoch, place, _) => {
                 let ahead =
                     !without.ahead && self.leading(shard, epoch).is_some_and(|l| l.is_ahead(&from, place));
                 if ahead {
@@ -44,13 +44,13 @@
                 }
                 self.open(now, shard);
             }
-            Body::Has(shard, epoch, number, _) => {
+            Body::Acknowledge(shard, epoch, number, _) => {
                 if let Some(l) = self.leading(shard, epoch) {
                     l.has(now, &from, number);
                 }
                 self.promise(shard);
             }
-            Body::Took(shard, epoch, part) => {
+            Body::SnapshotPartReceived(shard, epoch, part) => {
                 if let Some(l) = self.leading(shard, epoch) {
                     l.took(now, &from, part);
                 }
@@ -58,16 +58,22 @@
             Body::Declined(shard, why) => {
                 tracing::debug!(shard, remedy = why.remedy(), "a copy does not take what was sent: {why}");
             }
-            Body::Ask(shard, number, bytes) => {
+            Body::Request(shard, number, bytes) => {
                 if self.leads(shard) {
-                    self.outputs.push_back(Output::Hear(shard, from, number, bytes));
+                    self.outputs.push_back(Output::HandleRequest(shard, from, number, bytes));
                 } else {
                     let primary = self.shards.get(&shard).and_then(|s| s.set.primary.clone());
-                    self.say(from, Body::Told(number, Told::Refused(Refusal::NotPrimary { shard, primary })));
+                    self.say(
+                        from,
+                        Body::Reply(
+                            number,
+                            RequestOutcome::Rejected(ReplicationError::NotPrimary { shard, primary }),
+                        ),
+                    );
                 }
             }
-            Body::Told(number, told) => self.told(number, told),
-            Body::Unsound(shard, epoch) => {
+            Body::Reply(number, told) => self.told(number, told),
+            Body::Corrupt(shard, epoch) => {
                 if self.leading(shard, epoch).is_some_and(|l| l.unsound(now, &from)) {
                     self.outputs.push_back(Output::Read(shard, from));
                 }
@@ -77,9 +83,9 @@
     }
 
     /// A question of one's own is answered, unless it was given up on.
-    pub(super) fn told(&mut self, number: u64, told: Told) {
+    pub(super) fn told(&mut self, number: u64, told: RequestOutcome) {
         if let Some(q) = self.asked.remove(&number) {
-            self.outputs.push_back(Output::Told(q.ticket, told));
+            self.outputs.push_back(Output::Response(q.ticket, told));
         }
     }
 
@@ -87,7 +93,7 @@
         self.shards.get_mut(&shard)
     }
 
-    pub(super) fn leading(&mut self, shard: ShardId, epoch: Epoch) -> Option<&mut Leading> {
+    pub(super) fn leading(&mut self, shard: ShardId, epoch: Epoch) -> Option<&mut Primary> {
         self.shards.get_mut(&shard)?.leading.as_mut().filter(|l| l.epoch == epoch)
     }
 
@@ -101,7 +107,7 @@
                 Taken::Install(place, bytes) => self.outputs.push_back(Output::Install(shard, place, bytes)),
                 Taken::Declined(why) => {
                     if let Declined::Stale { theirs, ours, .. } = why {
-                        self.note(Note::Declined { shard, theirs, ours });
+                        self.note(HistoryEvent::Declined { shard, theirs, ours });
                     }
                     self.say(from.clone(), Body::Declined(shard, why));
                 }
@@ -113,23 +119,23 @@
         &mut self,
         now: Micros,
         shard: ShardId,
-        ticket: Ticket,
+        ticket: CommitWaiter,
         bytes: Vec<u8>,
         want: usize,
     ) {
-        let refuse = |why| Output::Refused(ticket, why);
+        let refuse = |why| Output::Rejected(ticket, why);
         let Some(s) = self.shards.get_mut(&shard) else { return };
         let primary = s.set.primary.clone();
         let Some(l) = s.leading.as_mut().filter(|l| l.open) else {
-            return self.outputs.push_back(refuse(Refusal::NotPrimary { shard, primary }));
+            return self.outputs.push_back(refuse(ReplicationError::NotPrimary { shard, primary }));
         };
         let have = l.disks();
         let why = if !fits(bytes.len()) {
-            Some(Refusal::TooLong { bytes: bytes.len(), most: LONGEST_RECORD })
+            Some(ReplicationError::TooLong { bytes: bytes.len(), most: MAX_RECORD_BYTES })
         } else if have < want {
-            Some(Refusal::Fewer { shard, have, want })
+            Some(ReplicationError::Fewer { shard, have, want })
         } else if want > 0 && l.owed() > MOST_OWED {
-            Some(Refusal::Behind { shard, bytes: l.owed() })
+            Some(ReplicationError::Behind { shard, bytes: l.owed() })
         } else {
             None
         };
@@ -157,12 +163,12 @@
         if let Some(done) = done {
             let (number, chain) = (done.place.number, short(&done.place.chain));
             self.note(match done.whole {
-                true => Note::Installed { shard, number, chain },
-                false => Note::Stored { shard, epoch: done.epoch, number, chain },
+                true => HistoryEvent::Installed { shard, number, chain },
+                false => HistoryEvent::Stored { shard, epoch: done.epoch, number, chain },
             });
         }
         if mended {
-            self.note(Note::Mended { shard, accepted: false });
+            self.note(HistoryEvent::Mended { shard, accepted: false });
         }
         said.into_iter().for_each(|(to, body)| self.say(to, body));
         self.promise(shard);
@@ -174,29 +180,34 @@
         let (told, epoch, disks) = (l.promise(&me, (without.all, without.want)), l.epoch, l.disks());
         for (ticket, place) in told {
             let (number, chain) = (place.number, short(&place.chain));
-            self.note(Note::Promised { shard, epoch, number, chain, disks });
-            self.outputs.push_back(Output::Promised(ticket, disks));
+            self.note(HistoryEvent::Promised { shard, epoch, number, chain, disks });
+            self.outputs.push_back(Output::Committed(ticket, disks));
         }
     }
 
-    pub(super) fn ask(&mut self, now: Micros, shard: ShardId, ticket: Ticket, bytes: Vec<u8>) {
+    pub(super) fn ask(&mut self, now: Micros, shard: ShardId, ticket: CommitWaiter, bytes: Vec<u8>) {
         let Some(s) = self.shards.get(&shard) else { return };
         let (open, until) = (self.asked.len(), now + self.settings.ask);
         let why = match &s.set.primary {
-            _ if open >= MOST_ASKED => Refusal::Busy { open },
+            _ if open >= MAX_FORWARDED_REQUESTS => ReplicationError::Busy { open },
             Some(primary) if s.leading.is_some() || *primary != self.settings.name => {
                 // Also one's own question has an end, whatever becomes of its record.
                 let (primary, leads) = (primary.clone(), s.leading.is_some());
                 self.questions += 1;
                 self.asked.insert(self.questions, Question { ticket, shard, until });
                 if leads {
-                    return self.outputs.push_back(Output::Hear(shard, primary, self.questions, bytes));
+                    return self.outputs.push_back(Output::HandleRequest(
+                        shard,
+                        primary,
+                        self.questions,
+                        bytes,
+                    ));
                 }
-                return self.say(primary, Body::Ask(shard, self.questions, bytes));
+                return self.say(primary, Body::Request(shard, self.questions, bytes));
             }
-            primary => Refusal::NotPrimary { shard, primary: primary.clone() },
+            primary => ReplicationError::NotPrimary { shard, primary: primary.clone() },
         };
-        self.outputs.push_back(Output::Told(ticket, Told::Refused(why)));
+        self.outputs.push_back(Output::Response(ticket, RequestOutcome::Rejected(why)));
     }
 
     /// Says to copies what is to be said.
@@ -211,7 +222,7 @@
             said.extend(l.say(now, retry));
         }
         said.into_iter().for_each(|(to, body)| self.say(to, body));
-        let waits = |l: &Leading| l.promised < l.head.number || l.held > 0;
+        let waits = |l: &Primary| l.promised < l.head.number || l.held > 0;
         if !self.shards.values().any(|s| s.leading.as_ref().is_some_and(waits)) {
             return;
         }
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -4,13 +4,13 @@
 //! the *set in sync* ([`sets`]). The primary gives each record a number and a chained digest, has it on its own disk and on
 //! those of all the set, and only then is it promised ([`leading`]). Whoever is in the set can take the shard over with all
 //! that was promised ([`shard`]); whoever is not can come to it by a tail of records or a snapshot, and counts once it has
-//! all. Which gateways hold a shard follows from [`order`]. [`machine::Copies`] is one gateway's part in all shards; [`wire`]
+//! all. Which gateways hold a shard follows from [`order`]. [`machine::Replicator`] is one gateway's part in all shards; [`wire`]
 //! what parts say to one another; [`history`] what each process records for a checker;
 //! [`identities`] which calls were taken. A disk that no longer holds what was written is mended from another
 //! (`machine/soundness.rs`).
 //!
-//! Kept by id: shards (at most [`MOST_SHARDS`]), members (the file's), records of a tail (by bytes, the oldest go first),
-//! questions under way (at most [`machine::MOST_ASKED`], each with its end).
+//! Kept by id: shards (at most [`MAX_SHARDS`]), members (the file's), records of a tail (by bytes, the oldest go first),
+//! questions under way (at most [`machine::MAX_FORWARDED_REQUESTS`], each with its end).
 
 pub mod config;
 #[cfg(test)]
@@ -38,34 +38,34 @@
 /// Counts the agreed changes of one shard's set; it only grows.
 pub type Epoch = u64;
 /// The place of a record in its shard.
-pub type Number = u64;
+pub type SequenceNumber = u64;
 /// The digest of a record and of all before it.
-pub type Chain = [u8; 32];
+pub type ChainDigest = [u8; 32];
 
 /// Shards at most.
-pub const MOST_SHARDS: u16 = 1024;
+pub const MAX_SHARDS: u16 = 1024;
 /// A shard's gateways at most.
-pub const MOST_COPIES: usize = 5;
+pub const MAX_REPLICAS: usize = 5;
 
 /// How far a shard's records go, and the digest of all of them.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
-pub struct Place {
+pub struct LogPosition {
     /// The last record's number.
-    pub number: Number,
+    pub number: SequenceNumber,
     /// Its chained digest.
-    pub chain: Chain,
+    pub chain: ChainDigest,
 }
 
-impl Place {
+impl LogPosition {
     /// The place behind one more record.
-    pub fn then(&self, record: &[u8]) -> Place {
+    pub fn then(&self, record: &[u8]) -> LogPosition {
         let mut hash = blake3::Hasher::new_derive_key("molelug shard's records 1");
         hash.update(&self.chain);
         hash.update(&(self.number + 1).to_le_bytes());
         hash.update(record);
-        Place { number: self.number + 1, chain: *hash.finalize().as_bytes() }
+        LogPosition { number: self.number + 1, chain: *hash.finalize().as_bytes() }
     }
 }
 
--- a/src/replication/model.rs
+++ b/src/replication/model.rs
@@ -10,11 +10,11 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 use super::config::{Guards, Settings};
-use super::machine::{Copies, Input, Output};
+use super::machine::{Input, Output, Replicator};
 use super::placement::Host;
-use super::sets::{Disk, Entry, Sets};
+use super::sets::{Disk, Entry, ReplicaSets};
 use super::wire::Body;
-use super::{Name, Place};
+use super::{LogPosition, Name};
 use crate::api::Micros;
 
 const SILENT: Micros = 400;
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gateway {
-    machine: Copies,
+    machine: Replicator,
     now: Micros,
     begun: u64,
     id: u64,
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     gateways: Vec<Gateway>,
-    log: Vec<Arc<Sets>>,
+    log: Vec<Arc<ReplicaSets>>,
     proposed: BTreeSet<Entry>,
     frames: BTreeSet<(usize, usize, Body)>,
     asked: u8,
@@ -90,12 +90,12 @@
     format!("g{i}").into()
 }
 
-fn place(records: &[Vec<u8>]) -> Place {
-    records.iter().fold(Place::default(), |p, r| p.then(r))
+fn place(records: &[Vec<u8>]) -> LogPosition {
+    records.iter().fold(LogPosition::default(), |p, r| p.then(r))
 }
 
 impl Play {
-    fn machine(&self, i: usize, begun: u64, now: Micros) -> Copies {
+    fn machine(&self, i: usize, begun: u64, now: Micros) -> Replicator {
         let settings = Settings {
             name: name(i),
             process: 100 * (i as u64 + 1) + begun,
@@ -109,7 +109,7 @@
             hosts: (0..3).map(|n| Host { name: name(n), hall: None }).collect(),
             without: self.without,
         };
-        Copies::new(settings, now)
+        Replicator::new(settings, now)
     }
 
     fn give(&self, s: &mut State, i: usize, input: Input) {
@@ -118,7 +118,7 @@
         while let Some(output) = s.gateways[i].machine.output() {
             match output {
                 // Who is heard is played by silences.
-                Output::Send(_, Body::Here | Body::Declined(..)) => {}
+                Output::Send(_, Body::Heartbeat | Body::Declined(..)) => {}
                 Output::Send(to, body) => {
                     let to = to[1..].parse().unwrap();
                     s.frames.insert((i, to, body));
@@ -143,7 +143,7 @@
                     let bytes = postcard::to_stdvec(&all).unwrap();
                     self.give(s, i, Input::Read(shard, to, place(&all), bytes));
                 }
-                Output::Promised(ticket, _) => {
+                Output::Committed(ticket, _) => {
                     s.promised.insert(ticket as u8);
                     s.later |= s.gateways[i].machine.shards()[&1].set.epoch > s.first;
                 }
@@ -182,9 +182,9 @@
         // What was on its way to and from the process before is gone with its connections.
         s.frames.retain(|(from, to, _)| *from != i && *to != i);
         self.give(s, i, Input::Disk { id, boot, places });
-        self.give(s, i, Input::Agreed(sets));
+        self.give(s, i, Input::SetsChanged(sets));
         for other in (0..3).filter(|o| *o != i) {
-            self.give(s, other, Input::Lost(name(i)));
+            self.give(s, other, Input::Disconnected(name(i)));
         }
     }
 
@@ -200,7 +200,7 @@
     fn hear(&self, s: &mut State, i: usize) {
         s.gateways[i].heard = s.log.len() - 1;
         let sets = s.log.last().unwrap().clone();
-        self.give(s, i, Input::Agreed(sets));
+        self.give(s, i, Input::SetsChanged(sets));
     }
 
     fn silence(&self, s: &mut State, i: usize) {
@@ -241,11 +241,11 @@
             for i in 0..3 {
                 s.gateways[i].now += SILENT / 4;
                 for other in (0..3).filter(|o| *o != i) {
-                    self.give(&mut s, i, Input::Frame(name(other), Body::Here));
+                    self.give(&mut s, i, Input::Frame(name(other), Body::Heartbeat));
                 }
                 self.give(&mut s, i, Input::Tick);
                 while self.write(&mut s, i) {
-                    self.give(&mut s, i, Input::Kept(1));
+                    self.give(&mut s, i, Input::Persisted(1));
                 }
             }
             for (from, to, body) in std::mem::take(&mut s.frames) {
@@ -328,7 +328,7 @@
             Step::Hear(i) => self.hear(&mut s, i),
             Step::Write(i) => {
                 self.write(&mut s, i);
-                self.give(&mut s, i, Input::Kept(1));
+                self.give(&mut s, i, Input::Persisted(1));
             }
             Step::Silence(i) => {
                 s.silences -= 1;
--- a/src/replication/primary.rs
+++ b/src/replication/primary.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::wire::{Body, LONGEST_RECORD, PART};
-use super::{Epoch, Name, Number, Place, ShardId};
+use super::wire::{Body, MAX_RECORD_BYTES, SNAPSHOT_PART_BYTES};
+use super::{Epoch, LogPosition, Name, SequenceNumber, ShardId};
 use crate::api::Micros;
 
 /// Bytes of records kept for those who are behind.
@@ -12,18 +12,18 @@
 /// Bytes of records that may wait for other disks.
 pub const MOST_OWED: usize = 4 << 20;
 /// Records and bytes on their way to one copy at once.
-const WINDOW: Number = 256;
+const WINDOW: SequenceNumber = 256;
 /// Parts of a snapshot on their way at once.
 const PARTS: u32 = 3;
 
 /// Where a record's promise is told.
-pub type Ticket = u64;
+pub type CommitWaiter = u64;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record {
-    before: Place,
+    before: LogPosition,
     bytes: Arc<[u8]>,
-    ticket: Option<Ticket>,
+    ticket: Option<CommitWaiter>,
     /// On how many disks it is to stand before it is promised.
     want: usize,
 }
@@ -34,11 +34,11 @@
     /// It was asked how far it has come.
     Asked,
     /// Records are sent to it, up to this one so far.
-    Tail(Number),
+    Tail(SequenceNumber),
     /// The disk here is read for it.
     Reads,
     /// A snapshot is sent: as of where, its bytes, the next part and how many it has taken.
-    Sends(Place, Arc<[u8]>, u32, u32),
+    Sends(LogPosition, Arc<[u8]>, u32, u32),
 }
 
 /// One copy.
@@ -47,7 +47,7 @@
     /// How it is brought along.
     pub step: Step,
     /// All up to this is on its disk, of the history here.
-    pub has: Number,
+    pub has: SequenceNumber,
     /// Since when it owes a word; none if it owes none.
     pub owes: Option<Micros>,
     /// When it was asked or sent something again last.
@@ -56,7 +56,7 @@
 
 /// A shard while it is led here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Leading {
+pub struct Primary {
     shard: ShardId,
     /// Under which epoch.
     pub epoch: Epoch,
@@ -65,11 +65,11 @@
     /// Those that a change under this epoch may already have let in: promises wait for them too.
     pub maybe: BTreeSet<Name>,
     /// The last record.
-    pub head: Place,
+    pub head: LogPosition,
     /// How far this process's own disk has come.
-    pub stored: Number,
+    pub stored: SequenceNumber,
     /// How far all that count have come.
-    pub promised: Number,
+    pub promised: SequenceNumber,
     /// Records up to there that are not told promised, as fewer machines hold the shard than they ask for.
     pub held: usize,
     tail: VecDeque<Record>,
@@ -88,16 +88,16 @@
     pub late: Option<Micros>,
 }
 
-impl Leading {
+impl Primary {
     /// Begins under an epoch, with what the disk here holds.
     pub fn new(
         now: Micros,
         me: &Name,
         shard: ShardId,
         (epoch, set): (Epoch, BTreeSet<Name>),
-        (head, stored): (Place, Number),
-    ) -> Leading {
-        Leading {
+        (head, stored): (LogPosition, SequenceNumber),
+    ) -> Primary {
+        Primary {
             shard,
             epoch,
             began: now,
@@ -146,7 +146,7 @@
     }
 
     /// One more record.
-    pub fn append(&mut self, bytes: Arc<[u8]>, ticket: Ticket, want: usize) -> Place {
+    pub fn append(&mut self, bytes: Arc<[u8]>, ticket: CommitWaiter, want: usize) -> LogPosition {
         let before = self.head;
         self.head = before.then(&bytes);
         self.bytes += bytes.len();
@@ -167,10 +167,14 @@
 
     /// What can be promised now: tickets with their places, in order. A set may have become smaller since a record was taken:
     /// one that asks for more disks waits until it is whole again, and holds up nothing behind it.
-    pub fn promise(&mut self, me: &Name, (without_all, without_want): (bool, bool)) -> Vec<(Ticket, Place)> {
+    pub fn promise(
+        &mut self,
+        me: &Name,
+        (without_all, without_want): (bool, bool),
+    ) -> Vec<(CommitWaiter, LogPosition)> {
         let disks = self.disks();
         let has = |n: &Name| self.peers.get(n).map_or(0, |p| p.has);
-        let all = self.needed(me).map(has).min().unwrap_or(Number::MAX);
+        let all = self.needed(me).map(has).min().unwrap_or(SequenceNumber::MAX);
         let upto = if without_all { self.stored } else { self.stored.min(all) };
         let mut told = Vec::new();
         if upto > self.promised || self.held > 0 {
@@ -196,7 +200,7 @@
     }
 
     /// Tickets of what was never promised, for the end.
-    pub fn unpromised(&self) -> Vec<Ticket> {
+    pub fn unpromised(&self) -> Vec<CommitWaiter> {
         self.tail.iter().filter_map(|r| r.ticket).collect()
     }
 
@@ -220,7 +224,7 @@
         }
     }
 
-    fn chain_at(&self, number: Number) -> Option<super::Chain> {
+    fn chain_at(&self, number: SequenceNumber) -> Option<super::ChainDigest> {
         if number == self.head.number {
             return Some(self.head.chain);
         }
@@ -230,7 +234,7 @@
     }
 
     /// A copy tells how far it has come; whether the disk here has to be read for it.
-    pub fn at(&mut self, now: Micros, name: &Name, place: Place, without_chain: bool) -> bool {
+    pub fn at(&mut self, now: Micros, name: &Name, place: LogPosition, without_chain: bool) -> bool {
         let same = match without_chain {
             true => self.chain_at(place.number).is_some(),
             false => self.chain_at(place.number) == Some(place.chain),
@@ -252,7 +256,7 @@
     }
 
     /// The disk here was read for a copy.
-    pub fn read(&mut self, now: Micros, name: &Name, place: Place, bytes: Arc<[u8]>) {
+    pub fn read(&mut self, now: Micros, name: &Name, place: LogPosition, bytes: Arc<[u8]>) {
         if let Some(peer) = self.peers.get_mut(name).filter(|p| p.step == Step::Reads) {
             (peer.step, peer.again) = (Step::Sends(place, bytes, 0, 0), now);
         }
@@ -289,7 +293,7 @@
     }
 
     /// A copy has all up to a record on its disk.
-    pub fn has(&mut self, now: Micros, name: &Name, number: Number) {
+    pub fn has(&mut self, now: Micros, name: &Name, number: SequenceNumber) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         if let Step::Sends(place, ..) = &peer.step {
             if number != place.number {
@@ -317,13 +321,13 @@
                 Step::Asked if late => {
                     peer.again = now.max(1);
                     peer.owes.get_or_insert(now);
-                    said.push((name.clone(), Body::Where(shard, epoch)));
+                    said.push((name.clone(), Body::QueryPosition(shard, epoch)));
                 }
                 Step::Asked | Step::Reads => {}
                 // What was sent may have got lost: it tells where it stands.
                 Step::Tail(sent) if late && peer.has < *sent => {
                     (peer.step, peer.again) = (Step::Asked, now);
-                    said.push((name.clone(), Body::Where(shard, epoch)));
+                    said.push((name.clone(), Body::QueryPosition(shard, epoch)));
                 }
                 Step::Tail(sent) => {
                     while *sent < self.head.number && *sent < peer.has + WINDOW {
@@ -343,11 +347,11 @@
                         *next = *taken;
                         peer.again = now;
                     }
-                    let parts = bytes.len().div_ceil(PART).max(1) as u32;
+                    let parts = bytes.len().div_ceil(SNAPSHOT_PART_BYTES).max(1) as u32;
                     while *next < parts && *next < *taken + PARTS {
-                        let from = *next as usize * PART;
-                        let part = bytes[from..bytes.len().min(from + PART)].to_vec();
-                        let body = Body::Part(shard, epoch, *place, *next, *next + 1 == parts, part);
+                        let from = *next as usize * SNAPSHOT_PART_BYTES;
+                        let part = bytes[from..bytes.len().min(from + SNAPSHOT_PART_BYTES)].to_vec();
+                        let body = Body::SnapshotPart(shard, epoch, *place, *next, *next + 1 == parts, part);
                         said.push((name.clone(), body));
                         *next += 1;
                     }
@@ -384,7 +388,7 @@
     }
 
     /// Whether a member of the set has come further than all that there was here when the lead began.
-    pub fn is_ahead(&self, name: &Name, place: Place) -> bool {
+    pub fn is_ahead(&self, name: &Name, place: LogPosition) -> bool {
         self.tail.is_empty() && self.set.contains(name) && place.number > self.head.number
     }
 
@@ -401,5 +405,5 @@
 
 /// Whether a record is short enough.
 pub fn fits(bytes: usize) -> bool {
-    bytes <= LONGEST_RECORD
+    bytes <= MAX_RECORD_BYTES
 }
--- a/src/replication/sets.rs
+++ b/src/replication/sets.rs
@@ -8,10 +8,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Epoch, Name, ShardId, MOST_COPIES, MOST_SHARDS};
+use super::{Epoch, Name, ShardId, MAX_REPLICAS, MAX_SHARDS};
 
 /// Gateways with disks at most.
-pub const MOST_DISKS: usize = 1024;
+pub const MAX_DISKS: usize = 1024;
 
 /// A disk, and the process that has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
 
 /// A shard's gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Set {
+pub struct ReplicaSet {
     /// Counts the changes.
     pub epoch: Epoch,
     /// Who gives records their numbers; none if it lost its disk.
@@ -42,7 +42,7 @@
     pub whole: usize,
 }
 
-impl Set {
+impl ReplicaSet {
     /// Those of whom one may lead after all members were lost: who was left out last has the most.
     pub fn heirs(&self) -> impl Iterator<Item = &Name> {
         let last = self.former.values().max().copied();
@@ -70,12 +70,12 @@
     shards: BTreeMap<ShardId, (Epoch, Option<Name>, u64, BTreeSet<Name>)>,
 }
 
-impl From<Earlier> for Sets {
-    fn from(e: Earlier) -> Sets {
+impl From<Earlier> for ReplicaSets {
+    fn from(e: Earlier) -> ReplicaSets {
         let set = |(shard, (epoch, primary, process, members))| {
-            (shard, Set { epoch, primary, process, members, ..Set::default() })
+            (shard, ReplicaSet { epoch, primary, process, members, ..ReplicaSet::default() })
         };
-        Sets { disks: e.disks, shards: e.shards.into_iter().map(set).collect() }
+        ReplicaSets { disks: e.disks, shards: e.shards.into_iter().map(set).collect() }
     }
 }
 
@@ -141,16 +141,16 @@
 
 /// The state at one place in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Sets {
+pub struct ReplicaSets {
     /// Whose disks are known.
     pub disks: BTreeMap<Name, Disk>,
     /// The shards that were founded.
-    pub shards: BTreeMap<ShardId, Set>,
+    pub shards: BTreeMap<ShardId, ReplicaSet>,
 }
 
-impl Sets {
+impl ReplicaSets {
     /// A shard's set; epoch 0 and nobody if it was never founded.
-    pub fn of(&self, shard: ShardId) -> Set {
+    pub fn of(&self, shard: ShardId) -> ReplicaSet {
         self.shards.get(&shard).cloned().unwrap_or_default()
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// The set that a move leads to, if it may take hold.
-    fn moved(&self, m: &Move) -> Option<Set> {
+    fn moved(&self, m: &Move) -> Option<ReplicaSet> {
         let now = self.of(m.shard);
         let mut after = self.after(m.shard, m.was, &m.by, &m.primary, m.process, &m.members)?;
         let comes: Vec<&Name> = m.members.difference(&now.members).collect();
@@ -196,7 +196,7 @@
         let known = self.disks.get(name).copied();
         match known {
             Some(k) if k.id == disk.id && disk.boot <= k.boot => return false,
-            None if self.disks.len() >= MOST_DISKS => return false,
+            None if self.disks.len() >= MAX_DISKS => return false,
             _ => {}
         }
         self.disks.insert(name.clone(), disk);
@@ -225,12 +225,12 @@
         primary: &Name,
         process: u64,
         members: &BTreeSet<Name>,
-    ) -> Option<Set> {
+    ) -> Option<ReplicaSet> {
         let now = self.of(shard);
-        let sound = (1..=MOST_SHARDS).contains(&shard)
+        let sound = (1..=MAX_SHARDS).contains(&shard)
             && now.epoch == was
             && members.contains(primary)
-            && members.len() <= MOST_COPIES
+            && members.len() <= MAX_REPLICAS
             && members.iter().all(|m| self.disks.contains_key(m));
         let may = if now.members.is_empty() {
             // Founded, or founded anew after all that held it were lost.
@@ -246,7 +246,7 @@
             return None;
         }
         let (primary, members) = (Some(primary.clone()), members.clone());
-        Some(Set { epoch: was + 1, primary, process, members, ..now })
+        Some(ReplicaSet { epoch: was + 1, primary, process, members, ..now })
     }
 }
 
@@ -285,8 +285,8 @@
         Entry::Begun { name: n(name), disk: Disk { id, boot, process: id * 100 + boot } }
     }
 
-    fn three() -> Sets {
-        let mut s = Sets::default();
+    fn three() -> ReplicaSets {
+        let mut s = ReplicaSets::default();
         for (i, name) in ["a", "b", "c"].into_iter().enumerate() {
             assert!(s.apply(&begun(name, i as u64 + 1, 1)));
         }
--- a/src/replication/shard.rs
+++ b/src/replication/shard.rs
@@ -4,17 +4,17 @@
 use std::sync::Arc;
 
 use super::error::Declined;
-use super::primary::Leading;
-use super::sets::Set;
-use super::wire::{Body, LONGEST_SNAPSHOT};
-use super::{Epoch, Name, Place, ShardId};
+use super::primary::Primary;
+use super::sets::ReplicaSet;
+use super::wire::{Body, MAX_SNAPSHOT_BYTES};
+use super::{Epoch, LogPosition, Name, ShardId};
 use crate::api::Micros;
 
 /// A snapshot that is coming.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Coming {
     epoch: Epoch,
-    place: Place,
+    place: LogPosition,
     next: u32,
     bytes: Vec<u8>,
 }
@@ -27,7 +27,7 @@
     /// From whom; none if this process leads.
     pub from: Option<Name>,
     /// Where it leads.
-    pub place: Place,
+    pub place: LogPosition,
     /// Whether it is a snapshot.
     pub whole: bool,
 }
@@ -38,9 +38,9 @@
     /// Say something to whoever sent.
     Say(Body),
     /// Have a record on the disk.
-    Store(Place, Arc<[u8]>),
+    Store(LogPosition, Arc<[u8]>),
     /// Have a snapshot take the place of what the disk holds.
-    Install(Place, Vec<u8>),
+    Install(LogPosition, Vec<u8>),
     /// An older primary was refused.
     Declined(Declined),
 }
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Shard {
     /// What the log says.
-    pub set: Set,
+    pub set: ReplicaSet,
     /// The last record that came, on the disk or on its way there.
-    pub place: Place,
+    pub place: LogPosition,
     /// What is on its way there, in order.
     pub pending: VecDeque<Pending>,
     /// Since when the oldest of it is.
@@ -63,7 +63,7 @@
     /// Whether it was told that a damaged disk waits for another that has the shard whole.
     pub waiting: bool,
     /// The shard while it is led here.
-    pub leading: Option<Leading>,
+    pub leading: Option<Primary>,
     coming: Option<Coming>,
     /// Who waits to hear how far the disk has come.
     waits: Option<(Name, Epoch)>,
@@ -109,9 +109,9 @@
         match self.epoch_of(shard, from, epoch, without) {
             Err(e) => Some(Taken::Declined(e)),
             Ok(false) => None,
-            Ok(true) if self.unsound.is_some() => Some(Taken::Say(Body::Unsound(shard, epoch))),
+            Ok(true) if self.unsound.is_some() => Some(Taken::Say(Body::Corrupt(shard, epoch))),
             Ok(true) if self.pending.is_empty() => {
-                Some(Taken::Say(Body::At(shard, epoch, self.place, self.process)))
+                Some(Taken::Say(Body::Position(shard, epoch, self.place, self.process)))
             }
             Ok(true) => {
                 self.waits = Some((from.clone(), epoch));
@@ -127,7 +127,7 @@
         now: Micros,
         shard: ShardId,
         from: &Name,
-        (epoch, before): (Epoch, Place),
+        (epoch, before): (Epoch, LogPosition),
         bytes: Vec<u8>,
         without: (bool, bool),
     ) -> Option<Taken> {
@@ -155,7 +155,7 @@
         shard: ShardId,
         from: &Name,
         epoch: Epoch,
-        place: Place,
+        place: LogPosition,
         (part, last): (u32, bool),
         bytes: &[u8],
         without: bool,
@@ -174,13 +174,13 @@
         if part > coming.next {
             return Vec::new();
         }
-        let took = Taken::Say(Body::Took(shard, epoch, part));
+        let took = Taken::Say(Body::SnapshotPartReceived(shard, epoch, part));
         if part < coming.next {
             return vec![took];
         }
-        if coming.bytes.len() + bytes.len() > LONGEST_SNAPSHOT {
+        if coming.bytes.len() + bytes.len() > MAX_SNAPSHOT_BYTES {
             self.coming = None;
-            return vec![Taken::Declined(Declined::TooLong { shard, most: LONGEST_SNAPSHOT })];
+            return vec![Taken::Declined(Declined::TooLong { shard, most: MAX_SNAPSHOT_BYTES })];
         }
         coming.bytes.extend(bytes);
         coming.next += 1;
@@ -212,12 +212,12 @@
         let counts =
             self.leading.is_none() && self.unsound.is_none() && (without || done.epoch == self.set.epoch);
         if let Some(from) = done.from.clone().filter(|_| counts) {
-            said.push((from, Body::Has(shard, done.epoch, done.place.number, self.process)));
+            said.push((from, Body::Acknowledge(shard, done.epoch, done.place.number, self.process)));
         }
         if self.pending.is_empty() {
             if let Some((to, epoch)) = self.waits.take() {
                 if epoch == self.set.epoch && self.leading.is_none() && self.unsound.is_none() {
-                    said.push((to, Body::At(shard, epoch, self.place, self.process)));
+                    said.push((to, Body::Position(shard, epoch, self.place, self.process)));
                 }
             }
         }
--- a/src/replication/tests.rs
+++ b/src/replication/tests.rs
@@ -8,13 +8,13 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::config::{Guards, Settings};
-use super::error::Refusal;
-use super::history::Note;
-use super::machine::{Copies, Input, Output};
+use super::error::ReplicationError;
+use super::history::HistoryEvent;
+use super::machine::{Input, Output, Replicator};
 use super::placement::Host;
-use super::sets::{Entry, Sets};
-use super::wire::{Body, Told};
-use super::{Name, Place, ShardId};
+use super::sets::{Entry, ReplicaSets};
+use super::wire::{Body, RequestOutcome};
+use super::{LogPosition, Name, ShardId};
 use crate::api::Micros;
 
 pub(super) const MS: Micros = 1_000;
@@ -37,8 +37,8 @@
     }
 }
 
-fn place(records: &[Vec<u8>]) -> Place {
-    records.iter().fold(Place::default(), |p, r| p.then(r))
+fn place(records: &[Vec<u8>]) -> LogPosition {
+    records.iter().fold(LogPosition::default(), |p, r| p.then(r))
 }
 
 enum Write {
@@ -47,7 +47,7 @@
 }
 
 pub(super) struct Gateway {
-    pub(super) machine: Option<Copies>,
+    pub(super) machine: Option<Replicator>,
     pub(super) disk: DiskImage,
     writes: VecDeque<(Micros, Write)>,
     stopped: bool,
@@ -69,7 +69,7 @@
     now: Micros,
     random: ChaCha8Rng,
     pub(super) gateways: Vec<Gateway>,
-    log: Vec<Arc<Sets>>,
+    log: Vec<Arc<ReplicaSets>>,
     events: BTreeMap<(Micros, u64), Event>,
     number: u64,
     /// Percent of frames lost.
@@ -84,9 +84,9 @@
     /// What was asked to be promised, by ticket, and what was promised.
     asked: BTreeMap<u64, (ShardId, Vec<u8>)>,
     pub(super) promised: BTreeSet<u64>,
-    refused: Vec<Refusal>,
-    pub(super) notes: Vec<(usize, Note)>,
-    told: Vec<(usize, u64, Told)>,
+    refused: Vec<ReplicationError>,
+    pub(super) notes: Vec<(usize, HistoryEvent)>,
+    told: Vec<(usize, u64, RequestOutcome)>,
     heard_questions: Vec<(usize, Name, u64)>,
 }
 
@@ -164,7 +164,7 @@
         g.disk.boot += 1;
         g.writes.clear();
         g.stopped = false;
-        g.machine = Some(Copies::new(settings, self.now));
+        g.machine = Some(Replicator::new(settings, self.now));
         let (id, boot) = (g.disk.id, g.disk.boot);
         let places = g.disk.shards.iter().map(|(s, r)| (*s, place(r))).collect();
         g.heard = 0;
@@ -199,7 +199,7 @@
         if self.gateways[i].heard < last || last == 0 {
             self.gateways[i].heard = last;
             let sets = self.log[last].clone();
-            self.give(i, Input::Agreed(sets));
+            self.give(i, Input::SetsChanged(sets));
         }
     }
 
@@ -218,7 +218,7 @@
             }
         };
         if told {
-            self.give(i, Input::Kept(shard));
+            self.give(i, Input::Persisted(shard));
         }
     }
 
@@ -274,8 +274,8 @@
                     }
                 }
                 if self.gateways[i].disk.damaged.contains(&shard) && !self.without.sound {
-                    self.give(i, Input::Unsound(shard, vec![0]));
-                    return self.give(i, Input::Unread(shard, to));
+                    self.give(i, Input::Corrupt(shard, vec![0]));
+                    return self.give(i, Input::ReadFailed(shard, to));
                 }
                 let bytes = postcard::to_stdvec(&all).unwrap();
                 self.give(i, Input::Read(shard, to, place(&all), bytes));
@@ -289,25 +289,25 @@
                 self.gateways[i].disk.damaged.remove(&shard);
                 self.give(i, Input::Accepted(shard));
             }
-            Output::Promised(ticket, _) => {
+            Output::Committed(ticket, _) => {
                 assert!(self.promised.insert(ticket), "promised twice");
             }
-            Output::Refused(_, why) => self.refused.push(why),
+            Output::Rejected(_, why) => self.refused.push(why),
             Output::DiskRefused => {
                 let id = self.random.next_u64();
                 self.gateways[i].disk = DiskImage { id, boot: 1, ..DiskImage::default() };
                 self.gateways[i].writes.clear();
                 self.give(i, Input::Disk { id, boot: 1, places: BTreeMap::new() });
             }
-            Output::Noted(note) => self.notes.push((i, note)),
-            Output::Told(ticket, told) => self.told.push((i, ticket, told)),
-            Output::Hear(_, from, number, _) => self.heard_questions.push((i, from, number)),
-            Output::Lead(shard, _)
+            Output::Record(note) => self.notes.push((i, note)),
+            Output::Response(ticket, told) => self.told.push((i, ticket, told)),
+            Output::HandleRequest(_, from, number, _) => self.heard_questions.push((i, from, number)),
+            Output::BecomePrimary(shard, _)
                 if self.gateways[i].disk.damaged.contains(&shard) && !self.without.sound =>
             {
-                self.give(i, Input::Unsound(shard, vec![0]));
+                self.give(i, Input::Corrupt(shard, vec![0]));
             }
-            Output::Lead(..) | Output::Rest(_) => {}
+            Output::BecomePrimary(..) | Output::StepDown(_) => {}
         }
     }
 
@@ -344,7 +344,7 @@
                 if self.below(4) == 0 && !self.gateways[i].deaf {
                     self.hear(i);
                 }
-                let due = self.gateways[i].machine.as_ref().map(Copies::next_deadline);
+                let due = self.gateways[i].machine.as_ref().map(Replicator::next_deadline);
                 if due.is_some_and(|t| t <= self.now) {
                     self.give(i, Input::Tick);
                 }
@@ -411,12 +411,14 @@
         let mut led: BTreeMap<(ShardId, u64), usize> = BTreeMap::new();
         for (i, note) in &self.notes {
             match note {
-                Note::Promised { shard, number, chain, .. }
+                HistoryEvent::Promised { shard, number, chain, .. }
                     if *seen.entry((*shard, *number)).or_insert(*chain) != *chain =>
                 {
                     return Err(format!("record {number} of shard {shard} was promised twice"));
                 }
-                Note::Led { shard, epoch, .. } if *led.entry((*shard, *epoch)).or_insert(*i) != *i => {
+                HistoryEvent::Led { shard, epoch, .. }
+                    if *led.entry((*shard, *epoch)).or_insert(*i) != *i =>
+                {
                     return Err(format!("two led shard {shard} under epoch {epoch}"));
                 }
                 _ => {}
@@ -604,7 +606,7 @@
         w.asked.insert(ticket, (1, vec![1]));
         w.give(first, Input::Append { shard: 1, ticket, bytes: vec![1], want: 0 });
         w.run(10 * MS);
-        w.give(first, Input::Frame(name(second), Body::Has(1, set.epoch, number, told)));
+        w.give(first, Input::Frame(name(second), Body::Acknowledge(1, set.epoch, number, told)));
         assert_eq!(w.promised.contains(&ticket), process);
     }
 }
@@ -626,8 +628,12 @@
     w.give(old, Input::Append { shard: 1, ticket: w.tickets, bytes: vec![1], want: 0 });
     w.run(2_000 * MS);
     assert!(!w.promised.contains(&w.tickets));
-    assert!(w.refused.iter().any(|r| matches!(r, Refusal::Deposed { shard: 1, .. })), "{:?}", w.refused);
-    assert!(w.notes.iter().any(|(_, n)| matches!(n, Note::Declined { shard: 1, .. })));
+    assert!(
+        w.refused.iter().any(|r| matches!(r, ReplicationError::Deposed { shard: 1, .. })),
+        "{:?}",
+        w.refused
+    );
+    assert!(w.notes.iter().any(|(_, n)| matches!(n, HistoryEvent::Declined { shard: 1, .. })));
     w.judge().unwrap();
 }
 
@@ -644,7 +650,7 @@
     w.run(500 * MS);
     assert_eq!(w.promised.len(), 1);
     assert!(
-        w.refused.iter().all(|r| matches!(r, Refusal::Fewer { have: 2, want: 3, .. })),
+        w.refused.iter().all(|r| matches!(r, ReplicationError::Fewer { have: 2, want: 3, .. })),
         "{:?}",
         w.refused
     );
@@ -678,18 +684,21 @@
     w.run(3_000 * MS);
     let primary = w.log.last().unwrap().of(1).primary.unwrap()[1..].parse::<usize>().unwrap();
     let asks = |w: &mut World, at: usize, ticket| {
-        w.give(at, Input::Ask { shard: 1, ticket, bytes: vec![1] });
+        w.give(at, Input::Request { shard: 1, ticket, bytes: vec![1] });
         w.told.clear();
         w.run(700 * MS);
         w.told.clone()
     };
     for at in 0..3 {
         let told = asks(&mut w, at, 70 + at as u64);
-        assert_eq!(told, [(at, 70 + at as u64, Told::Refused(Refusal::Unreached { shard: 1 }))]);
+        assert_eq!(
+            told,
+            [(at, 70 + at as u64, RequestOutcome::Rejected(ReplicationError::Unreached { shard: 1 }))]
+        );
     }
     let (_, from, number) = w.heard_questions.last().cloned().unwrap();
     w.told.clear();
-    w.give(primary, Input::Tell(from, number, Told::Promised(2)));
+    w.give(primary, Input::Respond(from, number, RequestOutcome::Committed(2)));
     w.run(50 * MS);
     assert_eq!(w.told, []);
 }
@@ -704,7 +713,7 @@
     };
     let leaves = (0..4).find(|i| led(&w, *i) > 0).unwrap();
     let epochs: Vec<u64> = (1..=SHARDS).map(|s| w.log.last().unwrap().of(s).epoch).collect();
-    w.give(leaves, Input::Leave);
+    w.give(leaves, Input::GracefulShutdown);
     // Well within the silence after which others would take over by themselves.
     w.run(250 * MS);
     assert_eq!(led(&w, leaves), 0, "{epochs:?}");
@@ -717,19 +726,19 @@
 #[test]
 fn every_refusal_says_what_an_operator_can_do() {
     let all = [
-        Refusal::NotPrimary { shard: 3, primary: Some("g1".into()) },
-        Refusal::NotPrimary { shard: 3, primary: None },
-        Refusal::Deposed { shard: 3, ours: 4, theirs: 6 },
-        Refusal::Fewer { shard: 3, have: 1, want: 2 },
-        Refusal::Unreached { shard: 3 },
-        Refusal::Busy { open: 4096 },
-        Refusal::Behind { shard: 3, bytes: 5_000_000 },
-        Refusal::TooLong { bytes: 600_000, most: 524_288 },
-        Refusal::Seen,
-        Refusal::Late { shard: 3 },
-        Refusal::Unknown { what: "class".into() },
-        Refusal::Full,
-        Refusal::Leaving,
+        ReplicationError::NotPrimary { shard: 3, primary: Some("g1".into()) },
+        ReplicationError::NotPrimary { shard: 3, primary: None },
+        ReplicationError::Deposed { shard: 3, ours: 4, theirs: 6 },
+        ReplicationError::Fewer { shard: 3, have: 1, want: 2 },
+        ReplicationError::Unreached { shard: 3 },
+        ReplicationError::Busy { open: 4096 },
+        ReplicationError::Behind { shard: 3, bytes: 5_000_000 },
+        ReplicationError::TooLong { bytes: 600_000, most: 524_288 },
+        ReplicationError::Seen,
+        ReplicationError::Late { shard: 3 },
+        ReplicationError::Unknown { what: "class".into() },
+        ReplicationError::Full,
+        ReplicationError::Leaving,
     ];
     let text: Vec<String> = all.iter().map(|r| format!("{r}; {}", r.remedy())).collect();
     insta::assert_snapshot!(text.join("\n"));
