--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::Facts;
+use super::SettingsMap;
 
 /// Why settings cannot be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -119,7 +119,7 @@
     }
 }
 
-fn optional(facts: &Facts, key: &str, kind: Kind) -> Result<(), SettingsError> {
+fn optional(facts: &SettingsMap, key: &str, kind: Kind) -> Result<(), SettingsError> {
     match facts.get(key) {
         Some(value) if value != "null" && !kind.fits(value) => {
             Err(SettingsError::Value { key: key.to_owned(), value: value.clone(), expected: kind.expected() })
@@ -128,19 +128,19 @@
     }
 }
 
-fn required(facts: &Facts, key: &str, kind: Kind) -> Result<(), SettingsError> {
+fn required(facts: &SettingsMap, key: &str, kind: Kind) -> Result<(), SettingsError> {
     if facts.get(key).is_none_or(|v| v == "null") {
         return Err(SettingsError::Missing { key: key.to_owned(), expected: kind.expected() });
     }
     optional(facts, key, kind)
 }
 
-fn count(facts: &Facts, list: &str) -> usize {
+fn count(facts: &SettingsMap, list: &str) -> usize {
     facts.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
 /// The names of a list; each is there, and none twice.
-fn names(facts: &Facts, list: &str) -> Result<(), SettingsError> {
+fn names(facts: &SettingsMap, list: &str) -> Result<(), SettingsError> {
     let mut seen = BTreeSet::new();
     for i in 0..count(facts, list) {
         let key = format!("{list}.{i}.name");
@@ -152,7 +152,7 @@
     Ok(())
 }
 
-fn class(facts: &Facts, i: usize) -> Result<(), SettingsError> {
+fn class(facts: &SettingsMap, i: usize) -> Result<(), SettingsError> {
     let key = |name: &str| format!("services.{i}.{name}");
     required(facts, &key("aimMs"), COUNT)?;
     required(facts, &key("hardLimitMs"), COUNT)?;
@@ -167,7 +167,7 @@
     Ok(())
 }
 
-fn shares(facts: &Facts) -> Result<(), SettingsError> {
+fn shares(facts: &SettingsMap) -> Result<(), SettingsError> {
     let mut sum = 0.0;
     for i in 0..count(facts, "orgs") {
         let key = format!("orgs.{i}.fraction");
@@ -182,7 +182,7 @@
 }
 
 /// Whether all that is stated can be used, and nothing is missing that has no default.
-pub fn check(facts: &Facts) -> Result<(), SettingsError> {
+pub fn check(facts: &SettingsMap) -> Result<(), SettingsError> {
     if count(facts, "services") == 0 {
         let expected = "a list of classes".to_owned();
         return Err(SettingsError::Missing { key: "services".to_owned(), expected });
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -10,7 +10,7 @@
 pub use check::{check, SettingsError};
 
 /// Values by path.
-pub type Facts = BTreeMap<String, String>;
+pub type SettingsMap = BTreeMap<String, String>;
 
 /// The values of a load report, in the order in which they come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,13 +34,13 @@
 }
 
 /// Facts from lines of `path=value`; a line without a value is passed over.
-pub fn lines(text: &str) -> Facts {
+pub fn lines(text: &str) -> SettingsMap {
     text.lines().filter_map(|l| l.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
 }
 
 /// Facts from nested JSON: a list of simple values is joined by commas, a list of objects is counted.
-pub fn nested(value: &Value) -> Facts {
-    let mut facts = Facts::new();
+pub fn nested(value: &Value) -> SettingsMap {
+    let mut facts = SettingsMap::new();
     flatten(String::new(), value, &mut facts);
     facts
 }
@@ -49,7 +49,7 @@
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn flatten(path: String, value: &Value, facts: &mut Facts) {
+fn flatten(path: String, value: &Value, facts: &mut SettingsMap) {
     let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
         Value::Object(map) => map.iter().for_each(|(name, v)| flatten(under(name), v, facts)),
@@ -67,7 +67,7 @@
 }
 
 /// Reads the settings from facts, and the names of a load report's values in their order.
-pub fn from_facts(facts: &Facts) -> (Settings, Vec<Field>) {
+pub fn from_facts(facts: &SettingsMap) -> (Settings, Vec<Field>) {
     let get = |key: &str| facts.get(key).map(String::as_str);
     let number = |key: &str| get(key).and_then(|v| v.trim().parse::<f64>().ok()).filter(|v| v.is_finite());
     let time = |key: &str| micros(number(key).unwrap_or(0.0));
--- a/src/store/checksums_tests.rs
+++ b/src/store/checksums_tests.rs
@@ -13,7 +13,7 @@
 use crate::api::{Effect, Micros};
 use crate::delivery::response::{Dead, State};
 use crate::delivery::Seq;
-use crate::replication::{Place, ShardId};
+use crate::replication::{LogPosition, ShardId};
 
 fn seq(shard: ShardId, n: u32) -> Seq {
     Seq::of_shard(shard, 1, n)
@@ -23,14 +23,14 @@
 struct Store {
     space: Memory,
     tables: Tables,
-    place: Place,
+    place: LogPosition,
 }
 
 impl Store {
     fn new() -> Store {
         let mut space = Memory::default();
         let (tables, _) = Tables::open(&mut space, true, BYTES, 0).unwrap();
-        let mut s = Store { space, tables, place: Place::default() };
+        let mut s = Store { space, tables, place: LogPosition::default() };
         s.ask(Op::BeginDisk(7, false)).unwrap();
         s
     }
@@ -191,7 +191,7 @@
     disk.commit([Op::BeginDisk(7, false)], 0).unwrap();
     let c = call(seq(2, 1).0, Effect::Idempotent);
     let take = Op::Take(c, mark(1), 50 * SECOND);
-    disk.commit([Op::Shard(2, Place::default().then(b"r"), Box::new(take))], 0).unwrap();
+    disk.commit([Op::Shard(2, LogPosition::default().then(b"r"), Box::new(take))], 0).unwrap();
     assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
 
     let mut s = Store::new();
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -8,11 +8,11 @@
 use crate::consensus::kept::Record;
 use crate::delivery::response::State;
 use crate::delivery::{EndpointId, Seq, Waiting};
-use crate::replication::error::Refusal;
-use crate::replication::{Place, ShardId};
+use crate::replication::error::ReplicationError;
+use crate::replication::{LogPosition, ShardId};
 
 /// The digest of a call's identity.
-pub type Mark = [u8; 32];
+pub type IdentityDigest = [u8; 32];
 
 /// Why the store cannot do what it is asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// What the disk holds of a shard is not what was written.
     Unsound(ShardId, Vec<u8>),
     /// It does not stand on as many machines as it has to.
-    NotPromised(Refusal),
+    NotPromised(ReplicationError),
 }
 
 impl fmt::Display for StoreError {
@@ -165,9 +165,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op {
     /// Keep a call, and that its identity was seen, until this time.
-    Take(Box<CallRecord>, Mark, Micros),
+    Take(Box<CallRecord>, IdentityDigest, Micros),
     /// Forget a call whose taking could not be confirmed.
-    Untake(Seq, Mark),
+    Untake(Seq, IdentityDigest),
     /// An attempt of an unsafe call is about to leave, at this time.
     Sent(Seq, Micros),
     /// No attempt of it ran after all.
@@ -209,11 +209,11 @@
     /// go of all that is held for others.
     BeginDisk(u64, bool),
     /// A record of a shard, and the place it leads to.
-    Shard(ShardId, Place, Box<Op>),
+    Shard(ShardId, LogPosition, Box<Op>),
     /// All that the disk holds of a shard, for a copy.
     ReadShard(ShardId),
     /// What another disk holds of a shard takes the place of what this one does.
-    WriteShard(ShardId, Place, Vec<u8>),
+    WriteShard(ShardId, LogPosition, Vec<u8>),
     /// No other disk has a shard that is damaged here: what is left of it counts.
     Accept(ShardId),
     /// A shard is led here from now on: what stands of it.
@@ -263,11 +263,11 @@
     /// Figures.
     Stat(Stat),
     /// The disk's number, how often it was begun, and how far the shards on it have come.
-    Disk(u64, u64, Vec<(ShardId, Place)>),
+    Disk(u64, u64, Vec<(ShardId, LogPosition)>),
     /// The ranges of each shard that are not what was written.
     Verified(Vec<(ShardId, Vec<u8>)>),
     /// A shard's content, as of a place.
-    Shard(Place, Vec<u8>),
+    Shard(LogPosition, Vec<u8>),
     /// What stands of a shard.
     Stands(Box<Stands>),
 }
@@ -278,7 +278,7 @@
     /// Calls without an answer.
     pub calls: Vec<CallRecord>,
     /// Identities taken, and until when they count.
-    pub marks: Vec<(Mark, Micros)>,
+    pub marks: Vec<(IdentityDigest, Micros)>,
     /// Callbacks that wait.
     pub waits: Vec<Waiting>,
     /// Callbacks of which an attempt had begun, and when.
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -9,7 +9,7 @@
 
 /// What is done with a call found at a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RecoveryAction {
     /// It runs, as if it had just come.
     Run,
     /// It is refused at once: to call again is harmless.
@@ -21,16 +21,16 @@
 /// Tells a call's fate. A keyed call that may have run is not run again: the module does not know of the first
 /// attempt, and so not when workers forget it. With a clock that has stepped back nobody can tell that either, and
 /// it counts as one that must not run twice.
-pub fn fate(call: &CallRecord, now: Micros, stepped_back: bool) -> Fate {
+pub fn fate(call: &CallRecord, now: Micros, stepped_back: bool) -> RecoveryAction {
     let safe = call.effect == Effect::Idempotent;
     if call.sent.is_some() && !safe {
         let refuse = allowed(call.effect, call.sent, now, 0).refuse && !stepped_back;
-        return if refuse { Fate::Refuse } else { Fate::Unknown };
+        return if refuse { RecoveryAction::Refuse } else { RecoveryAction::Unknown };
     }
     if now < call.expires {
-        Fate::Run
+        RecoveryAction::Run
     } else {
-        Fate::Refuse
+        RecoveryAction::Refuse
     }
 }
 
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -12,12 +12,12 @@
 use crate::api::Micros;
 use crate::delivery::response::State;
 use crate::delivery::Seq;
-use crate::replication::{Place, ShardId};
+use crate::replication::{LogPosition, ShardId};
 
 /// What is kept of a shard itself.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 struct Head {
-    place: Place,
+    place: LogPosition,
     led: bool,
     /// Identities that counted until then may have been forgotten, here or by a disk that this content came from.
     forgotten: Micros,
@@ -26,10 +26,10 @@
 /// A shard's content, as it is sent to a copy.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(super) struct Content {
-    place: Place,
+    place: LogPosition,
     /// Rows of tables whose keys begin with a number: which table, key and value.
     rows: Vec<(u8, Vec<u8>, Vec<u8>)>,
-    marks: Vec<(Mark, Micros)>,
+    marks: Vec<(IdentityDigest, Micros)>,
     states: Vec<(Vec<u8>, CallState)>,
     forgotten: Micros,
 }
@@ -61,13 +61,13 @@
 }
 
 /// A record of a shard leads to a place.
-pub(super) fn keep(space: &mut dyn Space, shard: ShardId, place: Place) -> Result<(), StoreError> {
+pub(super) fn keep(space: &mut dyn Space, shard: ShardId, place: LogPosition) -> Result<(), StoreError> {
     let head = head(space, shard)?;
     put(space, shard, &Head { place, ..head })
 }
 
 /// All shards on the disk, and how far they have come.
-pub(super) fn places(space: &dyn Space) -> Result<Vec<(ShardId, Place)>, StoreError> {
+pub(super) fn places(space: &dyn Space) -> Result<Vec<(ShardId, LogPosition)>, StoreError> {
     let rows = space.scan(Table::Shards, &[], &TOP, usize::MAX, false)?;
     // Keys are written from numbers of shards.
     rows.iter().map(|(k, v)| Ok((number(k, 0) as ShardId, read_head(v)?.place))).collect()
@@ -194,10 +194,10 @@
 }
 
 /// A mark's shard is written with it.
-fn marks(space: &dyn Space, shard: ShardId) -> Result<Vec<(Mark, Micros)>, StoreError> {
+fn marks(space: &dyn Space, shard: ShardId) -> Result<Vec<(IdentityDigest, Micros)>, StoreError> {
     let mut found = Vec::new();
     for (k, v) in space.scan(Table::Replays, &[], &TOP, usize::MAX, false)? {
-        let mark: Mark = k.try_into().map_err(|_| StoreError::Damaged("a digest"))?;
+        let mark: IdentityDigest = k.try_into().map_err(|_| StoreError::Damaged("a digest"))?;
         let (until, of) = until_and_shard(&v)?;
         if of == shard {
             found.push((mark, until));
@@ -246,7 +246,7 @@
 pub(super) fn write(
     space: &mut dyn Space,
     shard: ShardId,
-    place: Place,
+    place: LogPosition,
     bytes: &[u8],
 ) -> Result<(Stat, Stat), StoreError> {
     let content: Content = unpack(bytes, "a shard's content")?;
--- a/src/store/shared.rs
+++ b/src/store/shared.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::records::{AttemptRecord, CallRecord, Mark, MessageRecord, Op, StoreError};
+use super::records::{AttemptRecord, CallRecord, IdentityDigest, MessageRecord, Op, StoreError};
 use super::tables::{pack, unpack};
 use crate::api::Micros;
 use crate::delivery::response::State;
@@ -12,9 +12,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Shared {
     /// A call is taken.
-    Take(Box<CallRecord>, Mark, Micros),
+    Take(Box<CallRecord>, IdentityDigest, Micros),
     /// It is not, after all.
-    Untake(Seq, Mark),
+    Untake(Seq, IdentityDigest),
     /// An attempt of an unsafe call is about to leave.
     Sent(Seq, Micros),
     /// No attempt of it ran after all.
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -29,7 +29,7 @@
 use crate::consensus::kept::{Head as Seat, LogLine};
 use crate::delivery::response::{Dead, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
-use crate::replication::{Place, ShardId};
+use crate::replication::{LogPosition, ShardId};
 
 /// The format of the tables; a file of a higher one is left alone.
 pub const FORMAT: u32 = 3;
@@ -60,7 +60,7 @@
     /// Endpoints for which messages wait, with the first due time.
     pub endpoints: Vec<(EndpointId, Micros)>,
     /// Identities seen, with the time until which they count.
-    pub replays: Vec<(Mark, Micros)>,
+    pub replays: Vec<(IdentityDigest, Micros)>,
     /// The highest number given.
     pub next: u64,
     /// Identities whose stamps were good until then may have been forgotten.
@@ -392,7 +392,7 @@
         &mut self,
         space: &mut dyn Space,
         shard: ShardId,
-        place: Place,
+        place: LogPosition,
         bytes: &[u8],
     ) -> Result<Reply, StoreError> {
         let (gone, came) = shards::write(space, shard, place, bytes)?;
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -11,7 +11,7 @@
 use super::disk::Disk;
 use super::keyspace::Memory;
 use super::records::*;
-use super::recovery::{fate, Fate};
+use super::recovery::{fate, RecoveryAction};
 use super::tables::Tables;
 use crate::api::{Effect, IdempotencyScope, Micros};
 use crate::delivery::response::{Dead, State};
@@ -41,8 +41,8 @@
     })
 }
 
-pub(super) fn mark(seq: u64) -> Mark {
-    let mut mark = Mark::default();
+pub(super) fn mark(seq: u64) -> IdentityDigest {
+    let mut mark = IdentityDigest::default();
     mark[..8].copy_from_slice(&seq.to_be_bytes());
     mark
 }
@@ -81,23 +81,23 @@
 fn each_stage_and_class_has_its_fate_after_a_kill() {
     let keyed = |group| Effect::Keyed { scope: group, window: 5 * SECOND };
     let rows = [
-        (Effect::NonIdempotent, None, 10, Fate::Run),
-        (Effect::NonIdempotent, None, 200, Fate::Refuse),
-        (Effect::Idempotent, Some(5), 10, Fate::Run),
-        (Effect::Idempotent, Some(5), 200, Fate::Refuse),
-        (Effect::NonIdempotent, Some(5), 10, Fate::Unknown),
-        (Effect::NonIdempotent, Some(5), 200, Fate::Unknown),
-        (keyed(IdempotencyScope::All), Some(7), 10, Fate::Refuse),
-        (keyed(IdempotencyScope::All), Some(4), 10, Fate::Unknown),
-        (keyed(IdempotencyScope::Zone), Some(99), 101, Fate::Unknown),
-        (keyed(IdempotencyScope::All), Some(99), 101, Fate::Refuse),
+        (Effect::NonIdempotent, None, 10, RecoveryAction::Run),
+        (Effect::NonIdempotent, None, 200, RecoveryAction::Refuse),
+        (Effect::Idempotent, Some(5), 10, RecoveryAction::Run),
+        (Effect::Idempotent, Some(5), 200, RecoveryAction::Refuse),
+        (Effect::NonIdempotent, Some(5), 10, RecoveryAction::Unknown),
+        (Effect::NonIdempotent, Some(5), 200, RecoveryAction::Unknown),
+        (keyed(IdempotencyScope::All), Some(7), 10, RecoveryAction::Refuse),
+        (keyed(IdempotencyScope::All), Some(4), 10, RecoveryAction::Unknown),
+        (keyed(IdempotencyScope::Zone), Some(99), 101, RecoveryAction::Unknown),
+        (keyed(IdempotencyScope::All), Some(99), 101, RecoveryAction::Refuse),
     ];
     for (effect, sent, now, expected) in rows {
         let c = CallRecord { sent: sent.map(|s| s * SECOND), ..*call(1, effect) };
         assert_eq!(fate(&c, now * SECOND, false), expected, "{effect:?} {sent:?} {now}");
     }
     let c = CallRecord { sent: Some(7 * SECOND), ..*call(1, keyed(IdempotencyScope::All)) };
-    assert_eq!(fate(&c, 6 * SECOND, true), Fate::Unknown, "the clock has stepped back");
+    assert_eq!(fate(&c, 6 * SECOND, true), RecoveryAction::Unknown, "the clock has stepped back");
 }
 
 #[derive(Clone, Debug)]
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -32,7 +32,7 @@
 
 /// A change that somebody here wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct ChangeRequest {
     /// The tenant.
     pub tenant: String,
     /// The tenant from then on; none if it is to be removed.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Somebody here wants a change, made on what was taken over so far.
-    Change(Ticket, Wanted),
+    Change(Ticket, ChangeRequest),
     /// What is agreed, and how many vote.
     Agreed(Arc<Tenants>, usize),
     /// A deadline fell due.
@@ -142,7 +142,7 @@
         self.tick(now);
     }
 
-    fn change(&mut self, now: Micros, ticket: Ticket, wanted: Wanted) -> Result<(), Refusal> {
+    fn change(&mut self, now: Micros, ticket: Ticket, wanted: ChangeRequest) -> Result<(), Refusal> {
         // An agreed change stands on the disks of a majority.
         let have = if self.voters == 0 { 0 } else { self.voters / 2 + 1 };
         let want = self.settings.copies;
@@ -154,7 +154,7 @@
         }
         self.agreed.room(&wanted.tenant, wanted.kept.as_deref())?;
         self.number += 1;
-        let Wanted { tenant, kept, listed, answer } = wanted;
+        let ChangeRequest { tenant, kept, listed, answer } = wanted;
         let entry = Entry {
             follows: self.agreed.follows(&tenant),
             tenant,
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::changes::{Changes, Input, Output, Settings, Wanted};
+use super::changes::{ChangeRequest, Changes, Input, Output, Settings};
 use super::error::Refusal;
 use super::history::{digest, Note};
 use super::state::{Answer, Entry, Follows, Tenants};
@@ -76,7 +76,7 @@
 
     fn want(&mut self, now: Micros, n: usize, ticket: u64, tenant: &str, kept: Option<&str>) {
         let kept = kept.map(|k| k.as_bytes().to_vec());
-        let wanted = Wanted { tenant: tenant.into(), kept, listed: false, answer: None };
+        let wanted = ChangeRequest { tenant: tenant.into(), kept, listed: false, answer: None };
         self.handle(now, n, Input::Change(ticket, wanted));
     }
 
--- a/testbed/src/bench.rs
+++ b/testbed/src/bench.rs
@@ -6,7 +6,7 @@
 use std::io::Result;
 use std::time::Instant;
 
-use molelug::delivery::timing_wheel::Wheel;
+use molelug::delivery::timing_wheel::TimingWheel;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -27,7 +27,7 @@
         let row = |name: &str, i: f64, c: f64, e: f64, bytes: String| {
             println!("{n:>9} {name:<14} {i:>6.0} ns {c:>6.0} ns {e:>6.0} ns {bytes:>12}");
         };
-        let mut w = Wheel::new(0);
+        let mut w = TimingWheel::new(0);
         let begun = Instant::now();
         let timers: Vec<_> = times.iter().enumerate().map(|(i, t)| w.insert(*t, i as u64)).collect();
         let insert = each(begun, n);
