--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,5 +26,9 @@
 pub mod tenancy;
 pub mod worker;
 
+#[cfg(test)]
+#[path = "../tests/common/fixture.rs"]
+mod fixture;
+
 pub use api::{Action, Event, Outcome, Settings};
 pub use policy::Policy;
--- /dev/null
+++ b/src/node/copies/questions/fixture_tests.rs
@@ -0,0 +1,55 @@
+//! Questions to a shard's primary as postcard.
+
+use super::Asked;
+use crate::api::Effect;
+use crate::delivery::Seq;
+use crate::fixture;
+use crate::store::records::CallRecord;
+
+const QUESTIONS: &str = "primary-questions.txt";
+
+fn call() -> CallRecord {
+    CallRecord {
+        seq: Seq(5),
+        tenant: "clinic".into(),
+        serial: 21,
+        webhook_id: "call-1".into(),
+        worker_id: "0000000000000005".into(),
+        class: "interactive".into(),
+        effect: Effect::Unsafe,
+        function: 1007,
+        expires: 100_000_000,
+        work: Some(250_000),
+        memory_mb: 96.5,
+        lanes: 3,
+        load_time: None,
+        body: b"body".to_vec(),
+        order: None,
+        sent: None,
+    }
+}
+
+fn to_line(asked: &Asked) -> String {
+    let bytes = postcard::to_stdvec(asked).expect("it encodes");
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n"
+}
+
+fn from_line(line: &str) -> Asked {
+    let digits = |at: usize| u8::from_str_radix(&line[at..at + 2], 16).expect("two hexadecimal digits");
+    let bytes: Vec<u8> = (0..line.len()).step_by(2).map(digits).collect();
+    postcard::from_bytes(&bytes).expect("it decodes")
+}
+
+#[test]
+fn questions_to_primary_encode_as_before() {
+    let take = Asked::Take(Box::new(call()), [0xc3; 32], 50_000_000);
+    let state = Asked::State(21, "call-1".into());
+    fixture::assert_matches(QUESTIONS, &(to_line(&take) + &to_line(&state)));
+
+    let stored: Vec<Asked> = fixture::read_text(QUESTIONS).lines().map(from_line).collect();
+    let [Asked::Take(stored_call, mark, until), Asked::State(serial, id)] = &stored[..] else {
+        panic!("other questions: {stored:?}")
+    };
+    assert_eq!((&**stored_call, *mark, *until), (&call(), [0xc3; 32], 50_000_000));
+    assert_eq!((*serial, id.as_str()), (21, "call-1"));
+}
--- a/src/node/gossip.rs
+++ b/src/node/gossip.rs
@@ -260,3 +260,6 @@
             "sent_bytes": talk.group.sent_bytes, "sent_datagrams": talk.group.sent_datagrams })
     }
 }
+
+#[cfg(test)]
+mod fixture_tests;
--- a/src/node/history.rs
+++ b/src/node/history.rs
@@ -38,3 +38,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod fixture_tests;
--- /dev/null
+++ b/tests/stored_data/agreed_log.rs
@@ -0,0 +1,287 @@
+//! The agreed log: entries, snapshots of all versions, and what a voter's disk holds, as postcard.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+
+use molelug::council::kept::{Damaged, Head, Kept, Line, Record};
+use molelug::council::machine::{Council, Settings, Without};
+use molelug::council::memory::Known;
+use molelug::council::state::{Brought, Entry, State};
+use molelug::council::wire::{word, Effect, Poll, Report};
+use molelug::council::{founder, Seat};
+use molelug::duty::fence::Fence;
+use molelug::duty::holder::{Answer, Ask};
+use molelug::duty::ledger::{self, Ledger};
+use molelug::duty::loads::Word;
+use molelug::duty::{Duty, Owner};
+use molelug::replication::order::{order, Host};
+use molelug::replication::sets::{self, Disk, Move, Set, Sets};
+use molelug::replication::{shard_of, Epoch, Name, Place, ShardId};
+use molelug::tenancy::agreed::state as tenants;
+use molelug::tenancy::agreed::Origin;
+
+use crate::pins::Pins;
+
+fn owner(name: &str) -> Owner {
+    Owner { name: name.into(), incarnation: 77 }
+}
+
+fn duty() -> Duty {
+    "loads-3".into()
+}
+
+fn names(of: &[&str]) -> BTreeSet<Name> {
+    of.iter().map(|name| Name::from(*name)).collect()
+}
+
+fn voters() -> BTreeMap<Seat, Arc<str>> {
+    [(11, "n1".into()), (12, "n2".into()), (13, "n3".into())].into()
+}
+
+fn disk() -> Disk {
+    Disk { id: 501, boot: 2, process: 9001 }
+}
+
+fn grant() -> ledger::Entry {
+    ledger::Entry::Grant { duty: duty(), owner: owner("n2"), term: 1 }
+}
+
+fn given_back() -> ledger::Entry {
+    ledger::Entry::GivenBack { duty: duty(), term: 1 }
+}
+
+fn begun() -> sets::Entry {
+    sets::Entry::Begun { name: "n1".into(), disk: disk() }
+}
+
+fn change() -> sets::Entry {
+    let members = names(&["n1", "n2"]);
+    sets::Entry::Change { shard: 3, was: 0, by: "n4".into(), primary: "n1".into(), process: 9001, members }
+}
+
+fn moved(joins: Option<(Name, u64)>) -> sets::Entry {
+    let (by, primary) = ("n4".into(), "n1".into());
+    let members = names(&["n1", "n2", "n5"]);
+    sets::Entry::Move(Move { shard: 3, was: 6, by, primary, process: 9001, members, joins })
+}
+
+fn tenant_answer() -> tenants::Answer {
+    tenants::Answer { key: [0xa1; 32], request: [0xb2; 32], bytes: b"201".to_vec() }
+}
+
+fn tenant(kept: Option<&[u8]>, follows: tenants::Follows) -> tenants::Entry {
+    tenants::Entry {
+        tenant: "clinic".into(),
+        follows,
+        by: "n2".into(),
+        origin: Origin { process: 9002, number: 3 },
+        kept: kept.map(<[u8]>::to_vec),
+        listed: true,
+        answer: kept.map(|_| tenant_answer()),
+    }
+}
+
+fn tenant_put() -> tenants::Entry {
+    tenant(Some(b"{}"), tenants::Follows::Nothing(0))
+}
+
+fn ledger() -> Ledger {
+    let mut ledger = Ledger::default();
+    assert!(ledger.apply(&grant()));
+    assert!(ledger.apply(&ledger::Entry::Grant { duty: "loads-4".into(), owner: owner("n1"), term: 1 }));
+    assert!(ledger.apply(&ledger::Entry::GivenBack { duty: "loads-4".into(), term: 1 }));
+    ledger
+}
+
+fn set() -> Set {
+    Set {
+        epoch: 6,
+        primary: Some("n1".into()),
+        process: 9001,
+        members: names(&["n1", "n2"]),
+        former: [("n3".into(), 5)].into(),
+        whole: 3,
+    }
+}
+
+fn state() -> State {
+    let line = |version, kept: Option<&[u8]>, listed| tenants::Line {
+        version,
+        kept: kept.map(<[u8]>::to_vec),
+        listed,
+    };
+    State {
+        generation: 2,
+        applied: 256,
+        voters: voters(),
+        ledger: ledger(),
+        sets: Sets { disks: [("n1".into(), disk())].into(), shards: [(3, set())].into() },
+        tenants: tenants::Tenants {
+            changes: 5,
+            removals: 1,
+            lines: [("clinic".into(), line(4, Some(b"{}"), false)), ("gone".into(), line(5, None, true))]
+                .into(),
+            recent: VecDeque::from([(Origin { process: 9002, number: 3 }, 4)]),
+            answers: VecDeque::from([tenant_answer()]),
+        },
+    }
+}
+
+#[test]
+fn agreed_entries_encode_as_before() {
+    let mut pins = Pins::of("agreed-entries.txt");
+    pins.postcard("nothing", &Entry::Nothing);
+    pins.postcard("duty granted", &Entry::Duty(grant()));
+    pins.postcard("duty given back", &Entry::Duty(given_back()));
+    pins.postcard("voters", &Entry::Voters(voters()));
+    pins.postcard("disk begun", &Entry::Sets(begun()));
+    pins.postcard("shard changed", &Entry::Sets(change()));
+    pins.postcard("shard moved", &Entry::Sets(moved(None)));
+    pins.postcard("shard moved to a further disk", &Entry::Sets(moved(Some(("n5".into(), 502)))));
+    pins.postcard("tenant put", &Entry::Tenants(Box::new(tenant_put())));
+    let removed = tenant(None, tenants::Follows::At(4));
+    pins.postcard("tenant removed", &Entry::Tenants(Box::new(removed.clone())));
+    pins.postcard("brought by shards", &Brought::Sets(begun()));
+    pins.postcard("brought by tenants", &Brought::Tenants(Box::new(removed)));
+    pins.finish();
+}
+
+#[test]
+fn duty_messages_encode_as_before() {
+    let mut pins = Pins::of("duty-messages.txt");
+    let ask = Ask {
+        from: owner("n2"),
+        stamp: 31,
+        able: true,
+        holds: vec![(duty(), 5)],
+        back: vec![("loads-4".into(), 6)],
+    };
+    pins.postcard("ask", &ask);
+    let (renewed, recalled) = (vec![(duty(), 5)], vec![("loads-4".into(), 6)]);
+    pins.postcard("answer", &Answer { to: owner("n2"), stamp: 31, renewed, recalled });
+    let mut fence = Fence::default();
+    assert_eq!(fence.admit(&duty(), 5), Ok(true));
+    pins.postcard("fence", &fence);
+    pins.postcard("load wanted", &Word::Wants(7, 1001));
+    pins.postcard("load ended", &Word::Ended(7, 1001, 2));
+    pins.postcard("load ordered", &Word::Orders(7, 1001, "n2".into()));
+    pins.postcard("load stands", &Word::Stands(7, 1001, 3));
+    let (from, content) = (Arc::from("n2"), b"content".to_vec());
+    pins.postcard("report", &Report { duty: duty(), from, content: content.clone() });
+    pins.postcard("effect", &Effect { duty: duty(), term: 5, owner: "n2".into(), number: 9, content });
+    pins.postcard("poll", &Poll { generation: 2, applied: 256, passed: (9001, 8), seat: Some(13) });
+    pins.postcard("poll without seat", &Poll::default());
+    pins.finish();
+}
+
+/// The state as it was written before there were shards, and before there were tenants.
+type StateWithoutShards = (u32, u64, BTreeMap<Seat, Arc<str>>, Ledger);
+type ShardsWithoutFormer = BTreeMap<ShardId, (Epoch, Option<Name>, u64, BTreeSet<Name>)>;
+type StateWithoutTenants =
+    (u32, u64, BTreeMap<Seat, Arc<str>>, Ledger, (BTreeMap<Name, Disk>, ShardsWithoutFormer));
+
+#[test]
+fn snapshots_of_all_versions_are_read() {
+    let now = state();
+    let mut pins = Pins::of("agreed-state.txt");
+    pins.postcard("state", &now);
+    let head = (now.generation, now.applied, now.voters.clone(), now.ledger.clone());
+    let first: StateWithoutShards = head.clone();
+    pins.postcard("state without shards", &first);
+    let shards = [(3, (6, Some("n1".into()), 9001, names(&["n1", "n2"])))].into();
+    let second: StateWithoutTenants = (head.0, head.1, head.2, head.3, (now.sets.disks.clone(), shards));
+    pins.postcard("state without tenants", &second);
+    pins.finish();
+
+    let encoded = |bytes: Result<Vec<u8>, _>| State::read(&bytes.expect("it encodes"));
+    assert_eq!(encoded(postcard::to_stdvec(&now)), Ok(now.clone()));
+    let without_tenants = State { tenants: tenants::Tenants::default(), ..now.clone() };
+    let set = Set { former: BTreeMap::new(), whole: 0, ..set() };
+    let sets = Sets { shards: [(3, set)].into(), ..now.sets.clone() };
+    assert_eq!(encoded(postcard::to_stdvec(&second)), Ok(State { sets, ..without_tenants.clone() }));
+    let without_shards = State { sets: Sets::default(), ..without_tenants };
+    assert_eq!(encoded(postcard::to_stdvec(&first)), Ok(without_shards));
+}
+
+/// A voter alone, so that it leads and applies all by itself.
+fn head() -> Head {
+    let alone = State { voters: [(11, "n1".into())].into(), ..state() };
+    let snapshot = postcard::to_stdvec(&alone).expect("it encodes");
+    Head {
+        seat: 11,
+        boots: 4,
+        retired: None,
+        hard: (8, 11, 258),
+        voters: vec![11],
+        snapshot: (256, 7, vec![11], snapshot),
+    }
+}
+
+fn lines() -> Vec<Line> {
+    let line = |index, entry: &Entry| Line {
+        index,
+        term: 8,
+        voters: false,
+        data: postcard::to_stdvec(entry).expect("it encodes"),
+        context: Vec::new(),
+    };
+    let removed = tenant(None, tenants::Follows::At(4));
+    vec![line(257, &Entry::Duty(given_back())), line(258, &Entry::Tenants(Box::new(removed)))]
+}
+
+/// A voter's disk with a snapshot and entries behind it.
+pub fn voter_record() -> Record {
+    Record { head: Some(head()), entries: lines(), from: None, anew: false }
+}
+
+#[test]
+fn voter_records_encode_as_before() {
+    let mut pins = Pins::of("voter-records.txt");
+    pins.postcard("record", &voter_record());
+    let retired = Some("its disk is an older one".to_owned());
+    pins.postcard("retired head", &Head { retired, ..head() });
+    let context = postcard::to_stdvec(&Entry::Voters(voters())).expect("it encodes");
+    pins.postcard("change of voters", &Line { index: 9, term: 3, voters: true, data: vec![1, 2], context });
+    pins.postcard("record that drops", &Record { from: Some(200), anew: true, ..Record::default() });
+    pins.postcard("known", &Known { boots: 4, process: 9001, term: 8, kept: (8, 258) });
+    pins.finish();
+}
+
+/// What an earlier process kept as a voter is what a new one begins from.
+#[test]
+fn stored_log_brings_voter_to_its_state() {
+    let bytes = crate::fixture::read_text("voter-records.txt");
+    let hex = bytes.lines().find_map(|line| line.strip_prefix("record: ")).expect("the record");
+    let record: Record = postcard::from_bytes(&crate::pins::from_hex(hex)).expect("it decodes");
+    let cut = Kept::found(record.head.clone(), record.entries[..1].to_vec());
+    assert_eq!(cut, Err(Damaged::Cut { last: 257, agreed: 258 }));
+    let kept = Kept::found(record.head, record.entries).expect("the log is whole");
+    assert_eq!((kept.last(), kept.len()), (258, 2));
+
+    let voter = Council::new(Settings::default(), kept, 9001, 1, 0, Without::default()).expect("it begins");
+    assert_eq!((voter.seat(), voter.boots(), voter.term()), (11, 5, 8));
+    let state = voter.state();
+    assert_eq!((state.applied, state.generation), (258, 2));
+    assert_eq!(state.ledger.standing(&duty()).owner, None, "entry 257 gave it back");
+    assert_eq!(state.tenants.lines["clinic"].kept, None, "entry 258 removed it");
+    assert_eq!(state.sets.of(3), set());
+}
+
+#[test]
+fn derived_identities_and_digests_stay() {
+    let mut pins = Pins::of("derived.txt");
+    pins.line("founder's seat", &founder(2, "n1").to_string());
+    pins.bytes("connection's word", &word("n1", 9001, 3));
+    let first = Place::default().then(b"record");
+    pins.postcard("place of a first record", &first);
+    pins.postcard("place of a second record", &first.then(b"another"));
+    let mark = molelug::front::webhook::replay::mark("clinic", "call-1");
+    pins.bytes("mark of a call", &mark);
+    pins.line("shard of a mark", &shard_of(&mark, 64).to_string());
+    let host = |at: u32| Host { name: format!("n{at}").into(), hall: Some(format!("hall-{}", at % 3)) };
+    let hosts: Vec<Host> = (1..=7).map(host).collect();
+    for shard in [1, 2, 3, 64] {
+        pins.line(&format!("hosts of shard {shard}"), &order(shard, &hosts).join(" "));
+    }
+    pins.finish();
+}
--- /dev/null
+++ b/tests/stored_data/store_files.rs
@@ -0,0 +1,318 @@
+//! Store files of formats 1, 2 and 3: written row by row as before, and read with all that waits in them.
+
+use std::path::Path;
+
+use molelug::api::{Effect, Group};
+use molelug::delivery::verdict::{Dead, State};
+use molelug::delivery::{EndpointId, Seq};
+use molelug::replication::{Place, ShardId};
+use molelug::store::disk::Disk;
+use molelug::store::records::{CallRecord, CallState, Mark, MessageRecord, Op, Reply, Shown, Stands, Stat};
+use molelug::store::tables::Found;
+
+use crate::agreed_log::voter_record;
+use crate::store_records::{attempt, call, mark, message, SECOND};
+use crate::store_rows::{file_of, from_text, rows, to_text, Row, Scratch};
+use crate::{fixture, pins};
+
+const FORMAT_1: &str = "store-format-1.txt";
+const FORMAT_2: &str = "store-format-2.txt";
+const FORMAT_3: &str = "store-format-3.txt";
+/// The same as a file.
+const FORMAT_3_FILE: &str = "store-format-3.redb";
+/// What the store hands to a copy of shard 2.
+const SHARD_CONTENT: &str = "store-shard-content.txt";
+
+const MAX_BYTES: u64 = 1 << 30;
+const SHARDS: [ShardId; 2] = [2, 3];
+const KEYED: Effect = Effect::Keyed { group: Group::Zone, window: 5 * SECOND };
+
+fn commit(disk: &mut Disk, ops: Vec<Op>) -> Vec<Reply> {
+    let replies = disk.commit(ops, 30 * SECOND).expect("it is kept");
+    replies.into_iter().map(|reply| reply.expect("it is done")).collect()
+}
+
+fn ask(disk: &mut Disk, op: Op) -> Reply {
+    commit(disk, vec![op]).remove(0)
+}
+
+fn take(seq: Seq, effect: Effect, of: u8, until: u64) -> Op {
+    Op::Take(Box::new(call(seq, effect)), mark(of), until)
+}
+
+/// The gateway's own: open calls, messages at each stage, an attempt that has begun, an identity that was forgotten.
+fn fill_own(disk: &mut Disk) {
+    let answers = vec![message(Seq(10), Effect::Unsafe, Some(7)), message(Seq(11), Effect::Unsafe, Some(7))];
+    let published = vec![
+        message(Seq(12), Effect::Safe, None),
+        message(Seq(13), KEYED, None),
+        message(Seq(14), Effect::Safe, None),
+        message(Seq(15), Effect::Unsafe, None),
+    ];
+    let waiting = |at: usize| Box::new(published[at].0.waiting);
+    let mut tried = waiting(2);
+    (tried.due, tried.tries, tried.ran) = (9 * SECOND, 1, Some(7 * SECOND));
+    let ended = [
+        Op::Ended(waiting(0), State::Delivered, Some(attempt())),
+        Op::Ended(waiting(1), State::Dead(Dead::Exhausted), Some(attempt())),
+        Op::Ended(tried, State::Waiting, Some(attempt())),
+        Op::Begin(Seq(15), true, 6 * SECOND),
+        Op::Retain(30 * SECOND, 1 << 40, MAX_BYTES, 100),
+    ];
+    let mut ops = vec![
+        take(Seq(1), Effect::Unsafe, 1, 100 * SECOND),
+        Op::Sent(Seq(1), 3 * SECOND),
+        take(Seq(2), KEYED, 2, 100 * SECOND),
+        take(Seq(3), Effect::Safe, 3, 20 * SECOND),
+        Op::Answer(Seq(3), "served".into(), answers),
+        Op::Publish(published.clone()),
+    ];
+    ops.extend(ended);
+    commit(disk, ops);
+}
+
+fn number(shard: ShardId, number: u32) -> Seq {
+    Seq::of_shard(shard, 1, number)
+}
+
+/// An order key that no other shard has.
+fn ordered(shard: ShardId, n: u32) -> (MessageRecord, Vec<u8>) {
+    message(number(shard, n), Effect::Unsafe, Some(u64::from(shard)))
+}
+
+fn shard_mark(shard: ShardId, of: u8) -> u8 {
+    16 * shard as u8 + of
+}
+
+/// The records of a shard: an open call, two that have answers, an attempt that has begun, one that has ended.
+fn shard_records(shard: ShardId) -> Vec<Op> {
+    let taken = |of: u8| take(number(shard, of.into()), Effect::Unsafe, shard_mark(shard, of), 100 * SECOND);
+    let (unordered, body) = message(number(shard, 103), KEYED, None);
+    let waiting = Box::new(unordered.waiting);
+    vec![
+        taken(1),
+        taken(2),
+        Op::Sent(number(shard, 1), 3 * SECOND),
+        Op::Answer(number(shard, 2), "served".into(), vec![ordered(shard, 101), ordered(shard, 102)]),
+        Op::Begin(number(shard, 101), true, 6 * SECOND),
+        taken(3),
+        Op::Answer(number(shard, 3), "failed".into(), vec![(unordered, body)]),
+        Op::Ended(waiting, State::Dead(Dead::Unknown), Some(attempt())),
+    ]
+}
+
+fn last_place() -> Place {
+    shard_records(2).iter().fold(Place::default(), |place, _| place.then(b"record"))
+}
+
+fn fill_shard(disk: &mut Disk, shard: ShardId) {
+    let mut place = Place::default();
+    for op in shard_records(shard) {
+        place = place.then(b"record");
+        ask(disk, Op::Shard(shard, place, Box::new(op)));
+    }
+}
+
+fn rows_of_format_3() -> Vec<Row> {
+    let file = Scratch::new();
+    let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("it is made");
+    fill_own(&mut disk);
+    ask(&mut disk, Op::BeginDisk(7001, false));
+    SHARDS.into_iter().for_each(|shard| fill_shard(&mut disk, shard));
+    ask(&mut disk, Op::Lead(3));
+    ask(&mut disk, Op::Log(Box::new(voter_record())));
+    disk.compact().expect("it shrinks");
+    drop(disk);
+    let written = rows(file.path());
+    if fixture::is_updating() {
+        std::fs::copy(file.path(), fixture::path(FORMAT_3_FILE)).expect("the fixture is written");
+    }
+    written
+}
+
+fn is_head(row: &Row) -> bool {
+    row.table == "meta" && row.key == b"head"
+}
+
+/// As the version before wrote it: without sums, and shards do not tell what was forgotten.
+fn to_format_2(mut rows: Vec<Row>) -> Vec<Row> {
+    rows.retain(|row| row.table != "sums");
+    for row in &mut rows {
+        if is_head(row) {
+            row.value[0] = 2;
+        } else if row.table == "shards" {
+            let (place, led, _): (Place, bool, u64) = postcard::from_bytes(&row.value).expect("a shard");
+            row.value = postcard::to_stdvec(&(place, led)).expect("it encodes");
+        }
+    }
+    rows
+}
+
+/// As the first versions wrote it: rows by identity have no shard.
+fn rows_of_format_1() -> Vec<Row> {
+    let file = Scratch::new();
+    let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("it is made");
+    fill_own(&mut disk);
+    drop(disk);
+    let mut rows = rows(file.path());
+    for row in &mut rows {
+        if is_head(row) {
+            assert_eq!(row.value[0], 1);
+        } else if row.table == "by_call" {
+            let state: CallState = postcard::from_bytes(&row.value).expect("a call's state");
+            row.value = postcard::to_stdvec(&(state.taken, state.outcome)).expect("it encodes");
+        } else if row.table == "replays" {
+            let (until, _): (u64, ShardId) = postcard::from_bytes(&row.value).expect("an identity");
+            row.value = postcard::to_stdvec(&until).expect("it encodes");
+        }
+    }
+    rows
+}
+
+fn open(path: &Path) -> (Disk, Found) {
+    Disk::open(path, MAX_BYTES, 40 * SECOND).expect("it opens")
+}
+
+fn open_fixture(name: &str) -> (Scratch, Disk, Found) {
+    let file = file_of(&from_text(&fixture::read_text(name)));
+    let (disk, found) = open(file.path());
+    (file, disk, found)
+}
+
+fn sent(seq: Seq) -> CallRecord {
+    CallRecord { sent: Some(3 * SECOND), ..call(seq, Effect::Unsafe) }
+}
+
+fn marks(of: &[u8]) -> Vec<(Mark, u64)> {
+    of.iter().map(|of| (mark(*of), 100 * SECOND)).collect()
+}
+
+fn assert_own_is_found(found: &Found) {
+    assert_eq!(found.calls, [sent(Seq(1)), call(Seq(2), KEYED)]);
+    assert_eq!(found.endpoints, [(EndpointId(4004), 6 * SECOND)]);
+    assert_eq!((found.next, found.forgotten), (15, 20 * SECOND));
+    assert_eq!((found.unknown, found.stepped_back), (1, false));
+}
+
+fn shown(disk: &mut Disk, seq: Seq) -> Shown {
+    match ask(disk, Op::Message(seq, 21)) {
+        Reply::Message(Some(shown)) => *shown,
+        other => panic!("{seq:?}: {other:?}"),
+    }
+}
+
+fn assert_own_is_kept(disk: &mut Disk) {
+    let (mut record, body) = message(Seq(14), Effect::Safe, None);
+    (record.waiting.due, record.waiting.tries) = (9 * SECOND, 1);
+    record.waiting.ran = Some(7 * SECOND);
+    assert_eq!(shown(disk, Seq(14)), Shown { record, attempts: vec![attempt()], body });
+    let (record, _) = message(Seq(11), Effect::Unsafe, Some(7));
+    assert_eq!(shown(disk, Seq(11)).record, MessageRecord { state: State::Behind, ..record });
+    for (seq, state) in [
+        (10, State::Waiting),
+        (12, State::Delivered),
+        (13, State::Dead(Dead::Exhausted)),
+        (15, State::Dead(Dead::Unknown)),
+    ] {
+        assert_eq!(shown(disk, Seq(seq)).record.state, state, "{seq}");
+    }
+    let answered = Some(CallState { taken: 100 * SECOND, outcome: Some("served".into()), shard: 0 });
+    assert_eq!(ask(disk, Op::Call(21, "call-3".into())), Reply::Call(answered));
+    let open = Some(CallState { taken: 100 * SECOND, outcome: None, shard: 0 });
+    assert_eq!(ask(disk, Op::Call(21, "call-2".into())), Reply::Call(open));
+}
+
+fn assert_shards_are_found(found: &Found) {
+    let record = voter_record();
+    assert_eq!(found.log, (record.head, record.entries));
+    let of_shards = SHARDS.iter().flat_map(|shard| (1..4).map(|of| shard_mark(*shard, of)));
+    let expected: Vec<u8> = [1, 2].into_iter().chain(of_shards).collect();
+    assert_eq!(found.replays, marks(&expected));
+}
+
+/// Both shards, once a process has begun on the disk.
+fn assert_shards_are_kept(disk: &mut Disk) {
+    let sound = SHARDS.map(|shard| (shard, Vec::new())).to_vec();
+    assert_eq!(disk.reader().verify(), Ok(sound));
+    let figures = Stat { calls: 4, messages: 12, waiting: 7, bytes: 4 * 13 + 12 * 16 };
+    assert_eq!(ask(disk, Op::Stat), Reply::Stat(figures));
+    for shard in SHARDS {
+        let begun = ordered(shard, 101).0.waiting;
+        let stands = Stands {
+            calls: vec![sent(number(shard, 1))],
+            marks: marks(&[1, 2, 3].map(|of| shard_mark(shard, of))),
+            waits: Vec::new(),
+            begun: vec![(begun, 6 * SECOND)],
+            forgotten: 20 * SECOND,
+        };
+        assert_eq!(ask(disk, Op::Lead(shard)), Reply::Stands(Box::new(stands)));
+        let (record, _) = ordered(shard, 102);
+        let behind = MessageRecord { state: State::Behind, ..record };
+        assert_eq!(shown(disk, number(shard, 102)).record, behind);
+    }
+}
+
+fn begin(disk: &mut Disk) {
+    let places = SHARDS.map(|shard| (shard, last_place())).to_vec();
+    assert_eq!(ask(disk, Op::BeginDisk(1, false)), Reply::Disk(7001, 2, places));
+}
+
+#[test]
+fn store_rows_are_written_as_before() {
+    let written = rows_of_format_3();
+    fixture::assert_matches(FORMAT_3, &to_text(&written));
+    fixture::assert_matches(FORMAT_2, &to_text(&to_format_2(written)));
+    fixture::assert_matches(FORMAT_1, &to_text(&rows_of_format_1()));
+}
+
+#[test]
+fn store_file_of_format_3_is_read() {
+    let file = Scratch::new();
+    std::fs::write(file.path(), fixture::read(FORMAT_3_FILE)).expect("a copy");
+    assert_eq!(to_text(&rows(file.path())), fixture::read_text(FORMAT_3));
+    let (mut disk, found) = open(file.path());
+    assert_own_is_found(&found);
+    assert_shards_are_found(&found);
+    assert_own_is_kept(&mut disk);
+    begin(&mut disk);
+    assert_shards_are_kept(&mut disk);
+}
+
+#[test]
+fn store_of_format_2_is_read_and_summed() {
+    let (_file, mut disk, found) = open_fixture(FORMAT_2);
+    assert_own_is_found(&found);
+    assert_shards_are_found(&found);
+    assert_own_is_kept(&mut disk);
+    let unsound = disk.reader().verify().expect("it is read");
+    assert!(unsound.iter().all(|(_, ranges)| !ranges.is_empty()), "nothing is summed yet: {unsound:?}");
+    begin(&mut disk);
+    assert_shards_are_kept(&mut disk);
+}
+
+#[test]
+fn store_of_format_1_is_read() {
+    let (_file, mut disk, found) = open_fixture(FORMAT_1);
+    assert_own_is_found(&found);
+    assert_eq!(found.replays, marks(&[1, 2]));
+    assert_eq!(found.log, (None, Vec::new()));
+    assert_own_is_kept(&mut disk);
+    assert_eq!(ask(&mut disk, Op::BeginDisk(7001, false)), Reply::Disk(7001, 1, Vec::new()));
+    assert_own_is_kept(&mut disk);
+}
+
+#[test]
+fn shard_content_is_handed_on_as_before() {
+    let (_file, mut disk, _) = open_fixture(FORMAT_3);
+    let Reply::Shard(place, content) = ask(&mut disk, Op::ReadShard(2)) else { panic!("no content") };
+    assert_eq!(place, last_place());
+    fixture::assert_matches(SHARD_CONTENT, &format!("{}\n", pins::to_hex(&content)));
+
+    let stored = pins::from_hex(fixture::read_text(SHARD_CONTENT).trim_end());
+    let copy = Scratch::new();
+    let (mut disk, _) = open(copy.path());
+    ask(&mut disk, Op::BeginDisk(7002, false));
+    ask(&mut disk, Op::WriteShard(2, place, stored.clone()));
+    assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
+    assert_eq!(ask(&mut disk, Op::ReadShard(2)), Reply::Shard(place, stored));
+}
--- /dev/null
+++ b/tests/stored_data/store_records.rs
@@ -0,0 +1,137 @@
+//! Records of the store, one value of each variant, as postcard; among them the operations that copies are sent.
+
+use molelug::api::{Effect, Group, Micros};
+use molelug::delivery::verdict::{Dead, State};
+use molelug::delivery::{EndpointId, Seq, Waiting};
+use molelug::store::records::{AttemptRecord, CallRecord, CallState, Mark, MessageRecord, Op, Stat};
+use molelug::store::shared::Shared;
+
+use crate::pins::Pins;
+
+pub const SECOND: Micros = 1_000_000;
+
+/// A call of which each field has a value of its own.
+pub fn call(seq: Seq, effect: Effect) -> CallRecord {
+    CallRecord {
+        seq,
+        tenant: "clinic".into(),
+        serial: 21,
+        webhook_id: format!("call-{:x}", seq.0),
+        worker_id: format!("{:016x}", seq.0),
+        class: "interactive".into(),
+        effect,
+        function: 1007,
+        expires: 100 * SECOND,
+        work: Some(250_000),
+        memory_mb: 96.5,
+        lanes: 3,
+        load_time: Some(1_500_000),
+        body: b"a call's body".to_vec(),
+        order: Some("patient-9".into()),
+        sent: None,
+    }
+}
+
+/// The digest of a call's identity.
+pub fn mark(of: u8) -> Mark {
+    std::array::from_fn(|at| of.wrapping_add(at as u8))
+}
+
+/// A message that waits for its first attempt, and its body.
+pub fn message(seq: Seq, effect: Effect, order: Option<u64>) -> (MessageRecord, Vec<u8>) {
+    let body = b"a message's body".to_vec();
+    let waiting = Waiting {
+        seq,
+        endpoint: EndpointId(4004),
+        due: 6 * SECOND,
+        effect,
+        ran: None,
+        tries: 0,
+        size: body.len() as u32,
+    };
+    let record = MessageRecord {
+        waiting,
+        state: State::Waiting,
+        tenant: "clinic".into(),
+        serial: 21,
+        id: format!("msg_{:x}", seq.0),
+        kind: "call.completed".into(),
+        call: Some("call-1".into()),
+        created: 5 * SECOND,
+        order,
+        acknowledged: None,
+    };
+    (record, body)
+}
+
+/// How an attempt ended.
+pub fn attempt() -> AttemptRecord {
+    let ending = "status".into();
+    AttemptRecord { at: 7 * SECOND, took: 30_000, ending, status: Some(503), may_have_arrived: true }
+}
+
+fn states() -> [(&'static str, State); 7] {
+    [
+        ("waiting", State::Waiting),
+        ("behind", State::Behind),
+        ("delivered", State::Delivered),
+        ("dead, exhausted", State::Dead(Dead::Exhausted)),
+        ("dead, unknown", State::Dead(Dead::Unknown)),
+        ("dead, gone", State::Dead(Dead::Gone)),
+        ("dead, expired", State::Dead(Dead::Expired)),
+    ]
+}
+
+#[test]
+fn store_records_encode_as_before() {
+    let mut pins = Pins::of("store-records.txt");
+    let keyed = |group| Effect::Keyed { group, window: 5 * SECOND };
+    pins.postcard("call, safe", &call(Seq(1), Effect::Safe));
+    pins.postcard("call, unsafe", &CallRecord { sent: Some(3 * SECOND), ..call(Seq(1), Effect::Unsafe) });
+    pins.postcard("call, keyed for all", &call(Seq(1), keyed(Group::All)));
+    pins.postcard("call, keyed in a zone", &call(Seq(1), keyed(Group::Zone)));
+    pins.postcard("call, keyed in a cell", &call(Seq(1), keyed(Group::Cell)));
+    let bare = CallRecord { work: None, load_time: None, order: None, ..call(Seq(1), Effect::Safe) };
+    pins.postcard("call without hints", &bare);
+    for (name, state) in states() {
+        let (message, _) = message(Seq(10), Effect::Safe, Some(7));
+        pins.postcard(&format!("message, {name}"), &MessageRecord { state, ..message });
+    }
+    let (mut sent, _) = message(Seq(10), Effect::Unsafe, None);
+    (sent.waiting.ran, sent.waiting.tries) = (Some(4 * SECOND), 2);
+    (sent.call, sent.acknowledged) = (None, Some("ops".into()));
+    pins.postcard("message sent again", &sent);
+    pins.postcard("attempt", &attempt());
+    let failed = AttemptRecord { status: None, may_have_arrived: false, ..attempt() };
+    pins.postcard("attempt without status", &failed);
+    let outcome = Some("served".to_owned());
+    pins.postcard("call's state", &CallState { taken: 100 * SECOND, outcome, shard: 3 });
+    pins.postcard("open call's state", &CallState { taken: 100 * SECOND, outcome: None, shard: 0 });
+    pins.postcard("figures", &Stat { calls: 1, messages: 2, waiting: 3, bytes: 4 });
+    pins.postcard("number of a shard", &Seq::of_shard(3, 7, 41));
+    pins.finish();
+}
+
+#[test]
+fn shard_records_encode_as_before() {
+    let seq = Seq::of_shard(3, 7, 41);
+    let (record, body) = message(Seq::of_shard(3, 7, 141), Effect::Unsafe, Some(7));
+    let waiting = Box::new(record.waiting);
+    let records = [
+        ("take", Shared::Take(Box::new(call(seq, Effect::Unsafe)), mark(1), 50 * SECOND)),
+        ("untake", Shared::Untake(seq, mark(1))),
+        ("sent", Shared::Sent(seq, 3 * SECOND)),
+        ("unsent", Shared::Unsent(seq)),
+        ("answer", Shared::Answer(seq, "served".into(), vec![(record, body)])),
+        ("begin", Shared::Begin(seq, 6 * SECOND)),
+        ("ended", Shared::Ended(waiting, State::Dead(Dead::Unknown), Some(attempt()))),
+    ];
+    let mut pins = Pins::of("shard-records.txt");
+    for (name, record) in &records {
+        pins.postcard(name, record);
+        let op: Op = record.clone().op();
+        assert_eq!(Shared::of(&op).as_ref(), Some(record), "{name}");
+        assert_eq!(op.shard(), Some(3), "{name}");
+    }
+    pins.finish();
+}
--- /dev/null
+++ b/tests/stored_data/texts.rs
@@ -0,0 +1,140 @@
+//! Files of text: the tenants' state, what the processes of one gateway tell each other, identities that were seen.
+
+use molelug::delivery::Enabled;
+use molelug::front::webhook::replay::{Replays, Seen};
+use molelug::operations::handover::{State, Word};
+use molelug::tenancy::{EndpointSpec, Registry, Secret, Spec};
+
+use crate::fixture;
+use crate::store_rows::Scratch;
+
+/// What a file was read as, and written anew from.
+const TENANTS: &str = "tenants-state.json";
+const TENANTS_WITHOUT_ENDPOINTS: &str = "tenants-state-without-endpoints.json";
+const TENANT_TOLD: &str = "tenant-told.json";
+const HANDOVER: &str = "handover.txt";
+const REPLAYS: &str = "replays.txt";
+
+const SECRET: &str = "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM0NTY3";
+const ROTATED: &str = "whsec_YWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFh";
+const SIGNING: &str = "whsk_YWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWFhYWE=";
+
+fn registry() -> Registry {
+    let mut registry = Registry::new(&[]);
+    let spec = |url: &str| Spec {
+        name: String::new(),
+        share_per_s: Some(9.5),
+        portal: Some(url.into()),
+        secrets: vec![SECRET.into()],
+        endpoints: Vec::new(),
+    };
+    registry.put("gone", &spec("http://127.0.0.1:9/gone")).expect("a tenant");
+    registry.remove("gone").expect("it goes");
+    registry.put("clinic", &spec("http://127.0.0.1:9/in")).expect("a tenant");
+    registry.rotate("clinic", ROTATED, 10, 2_000_000).expect("a secret");
+    let all = EndpointSpec {
+        url: Some("http://127.0.0.1:9/all".into()),
+        types: Some(vec!["endpoint.*".into(), "call.completed".into()]),
+        enabled: Some(false),
+        rate_per_s: Some(2.5),
+        in_flight: Some(3),
+        schedule_s: Some(vec![1.0, 30.0]),
+        ordered: Some(true),
+        secrets: Some(vec![SIGNING.into()]),
+        ..EndpointSpec::default()
+    };
+    registry.put_endpoint("clinic", "all", &all).expect("an endpoint");
+    let failed = EndpointSpec { url: Some("http://127.0.0.1:9/failed".into()), ..EndpointSpec::default() };
+    registry.put_endpoint("clinic", "failed", &failed).expect("an endpoint");
+    let id = registry.get("clinic").expect("a tenant").endpoints["failed"].id;
+    registry.disable(id).expect("it is known");
+    registry.put_endpoint("clinic", "removed", &failed).expect("an endpoint");
+    registry.remove_endpoint("clinic", "removed").expect("it goes");
+    registry
+}
+
+fn assert_tenant_is_whole(registry: &Registry, until: u64) {
+    let (clinic, expected) = (registry.get("clinic").expect("a tenant"), self::registry());
+    let expected = expected.get("clinic").expect("a tenant");
+    assert_eq!((clinic.serial, clinic.version), (expected.serial, expected.version));
+    assert_eq!((clinic.share_per_s, clinic.endpoints.len()), (9.5, 3));
+    let secrets: Vec<&Secret> = clinic.secrets(until).collect();
+    assert_eq!(secrets, [&Secret::parse(ROTATED).expect("a secret")]);
+    assert_eq!(clinic.secrets(until - 1).count(), 2);
+    for (name, endpoint) in &clinic.endpoints {
+        assert_eq!(format!("{endpoint:?}"), format!("{:?}", expected.endpoints[name]), "{name}");
+        assert_eq!(clinic.signing(endpoint, until), expected.signing(&expected.endpoints[name], 2_000_000));
+    }
+    assert_eq!(clinic.endpoints["portal"].enabled, Enabled::Yes);
+    assert_eq!(clinic.endpoints["all"].enabled, Enabled::ByHand);
+    assert_eq!(clinic.endpoints["failed"].enabled, Enabled::ByFailure);
+}
+
+#[test]
+fn tenants_state_is_written_and_read_as_before() {
+    fixture::assert_matches(TENANTS, &registry().state());
+    let mut registry = Registry::new(&[]);
+    registry.restore(&fixture::read_text(TENANTS)).expect("it is read");
+    assert_tenant_is_whole(&registry, 2_000_000);
+    assert_eq!(registry.state(), fixture::read_text(TENANTS));
+}
+
+#[test]
+fn tenants_state_without_endpoints_is_read() {
+    let list = format!(
+        "[{{\"name\":\"clinic\",\"share_per_s\":3.0,\"portal\":\"http://127.0.0.1:9/in\",\
+         \"secrets\":[[\"{SECRET}\",null],[\"{ROTATED}\",20]]}}]"
+    );
+    fixture::assert_matches(TENANTS_WITHOUT_ENDPOINTS, &list);
+    let mut registry = Registry::new(&[]);
+    registry.restore(&fixture::read_text(TENANTS_WITHOUT_ENDPOINTS)).expect("it is read");
+    let clinic = registry.get("clinic").expect("a tenant");
+    assert_eq!(clinic.endpoints["portal"].portal.to_string(), "http://127.0.0.1:9/in");
+    assert_eq!((clinic.secrets(19).count(), clinic.secrets(20).count()), (2, 1));
+}
+
+/// What the agreed log holds of a tenant.
+#[test]
+fn told_tenant_is_written_and_adopted_as_before() {
+    let told = registry().told("clinic", 1_000_000).expect("a tenant");
+    fixture::assert_matches(TENANT_TOLD, std::str::from_utf8(&told).expect("text"));
+    let mut other = Registry::new(&[]);
+    let stored = fixture::read(TENANT_TOLD);
+    assert!(other.adopt(500, "clinic", Some(&stored)).expect("it is read").is_some());
+    assert_tenant_is_whole(&other, 1_000_500);
+}
+
+fn word(state: State) -> Word {
+    let bans = [("s-1".to_owned(), (true, 1_764_620_000_000_000)), ("s-2".to_owned(), (false, 9))];
+    let seen = vec!["s-1".into(), "s-2".into(), "s-3".into()];
+    Word { gateway: "n3".into(), state, rev: 41, bears: 24.5, bans: bans.into(), seen }
+}
+
+#[test]
+fn handover_texts_are_written_and_read_as_before() {
+    let states = [State::Starting, State::Ready, State::Ending];
+    let texts: Vec<String> = states.iter().map(|state| word(*state).text()).collect();
+    fixture::assert_matches(HANDOVER, &texts.join("\n"));
+    let stored = fixture::read_text(HANDOVER);
+    for (text, state) in stored.split("\n\n").zip(states) {
+        let text = format!("{}\n", text.trim_end());
+        assert_eq!(Word::read(text.as_bytes(), "n3", true, 0), Ok(word(state)));
+    }
+    assert_eq!(stored.split("\n\n").count(), states.len());
+}
+
+#[test]
+fn seen_identities_are_written_and_read_as_before() {
+    let file = Scratch::new();
+    let mut replays = Replays::open(file.path(), 10, 0).expect("it is made");
+    for (id, until) in [("call-1", 5_000), ("call-2", 4_000)] {
+        assert_eq!(replays.take("clinic", id, 1_000, until), Seen::New);
+    }
+    fixture::assert_matches(REPLAYS, &std::fs::read_to_string(file.path()).expect("text"));
+
+    let copy = Scratch::new();
+    std::fs::write(copy.path(), fixture::read(REPLAYS)).expect("a copy");
+    let mut replays = Replays::open(copy.path(), 10, 4_500).expect("it is read");
+    assert_eq!(replays.take("clinic", "call-1", 4_500, 9_000), Seen::Before);
+    assert_eq!(replays.take("clinic", "call-2", 4_500, 9_000), Seen::New);
+}
