--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -7,7 +7,9 @@
 use molelug::delivery::{EndpointId, Seq};
 use molelug::replication::{Place, ShardId};
 use molelug::store::disk::Disk;
-use molelug::store::records::{CallRecord, CallState, Mark, MessageRecord, Op, Reply, Shown, Stands, Stat};
+use molelug::store::records::{
+    CallRecord, CallState, Filter, Mark, MessageRecord, Op, Reply, Shown, Stands, Stat,
+};
 use molelug::store::tables::Found;
 
 use crate::agreed_log::voter_record;
@@ -222,6 +224,24 @@
     assert_eq!(ask(disk, Op::Call(21, "call-2".into())), Reply::Call(open));
 }
 
+/// What waits is found by its endpoint, and the next of an order key comes forward.
+fn assert_waiting_goes_on(disk: &mut Disk) {
+    let (first, _) = message(Seq(10), Effect::Unsafe, Some(7));
+    let Reply::Fetched(waiting, None) = ask(disk, Op::Fetch(EndpointId(4004), 10)) else {
+        panic!("more waits")
+    };
+    let own: Vec<Seq> = waiting.iter().map(|waiting| waiting.seq).filter(|seq| seq.shard() == 0).collect();
+    assert_eq!(own, [Seq(10), Seq(14)]);
+    let delivered = Op::Ended(Box::new(first.waiting), State::Delivered, None);
+    let (next, _) = message(Seq(11), Effect::Unsafe, Some(7));
+    assert_eq!(ask(disk, delivered), Reply::Waits(vec![next.waiting]));
+    let filter = Filter { serial: 21, state: Some("unknown".into()), limit: 1, ..Filter::default() };
+    let Reply::Messages(listed) = ask(disk, Op::Messages(Filter { before: Some(Seq(100)), ..filter })) else {
+        panic!("no list")
+    };
+    assert_eq!(listed.iter().map(|message| message.waiting.seq).collect::<Vec<_>>(), [Seq(15)]);
+}
+
 fn assert_shards_are_found(found: &Found) {
     let record = voter_record();
     assert_eq!(found.log, (record.head, record.entries));
@@ -276,6 +296,7 @@
     assert_own_is_kept(&mut disk);
     begin(&mut disk);
     assert_shards_are_kept(&mut disk);
+    assert_waiting_goes_on(&mut disk);
 }
 
 #[test]
@@ -288,6 +309,7 @@
     assert!(unsound.iter().all(|(_, ranges)| !ranges.is_empty()), "nothing is summed yet: {unsound:?}");
     begin(&mut disk);
     assert_shards_are_kept(&mut disk);
+    assert_waiting_goes_on(&mut disk);
 }
 
 #[test]
@@ -299,6 +321,7 @@
     assert_own_is_kept(&mut disk);
     assert_eq!(ask(&mut disk, Op::BeginDisk(7001, false)), Reply::Disk(7001, 1, Vec::new()));
     assert_own_is_kept(&mut disk);
+    assert_waiting_goes_on(&mut disk);
 }
 
 #[test]
