--- a/src/front/webhook/inbound.rs
+++ b/src/front/webhook/inbound.rs
@@ -221,3 +221,6 @@
         hash.finalize().iter().take(8).map(|b| format!("{b:02x}")).collect()
     }
 }
+
+#[cfg(test)]
+mod fixture_tests;
--- /dev/null
+++ b/src/front/webhook/inbound/fixture_tests.rs
@@ -0,0 +1,20 @@
+//! The identity that workers are told of a call, compared with its recorded value.
+//!
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+
+use super::Inbound;
+use crate::fixtures::check_lines;
+use crate::front::webhook::replay::Replays;
+
+#[test]
+fn worker_identity_matches_its_recorded_value() {
+    let inbound = Inbound {
+        tolerance_s: 300,
+        started: None,
+        forgotten: 0,
+        replays: Replays::new(1),
+        seed: 0x5eed,
+        classes: Vec::new(),
+    };
+    check_lines("wire/worker_identity.txt", &[format!("identity {}", inbound.identity("acme", "msg_1"))]);
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,5 +26,13 @@
 pub mod tenancy;
 pub mod worker;
 
+/// Recorded files that tests of private formats are compared with.
+#[cfg(test)]
+#[path = "../tests/common/fixtures.rs"]
+mod fixtures;
+#[cfg(test)]
+#[path = "../tests/common/hex.rs"]
+mod hex;
+
 pub use api::{Action, Event, Outcome, Settings};
 pub use policy::Policy;
--- a/src/node/copies/questions.rs
+++ b/src/node/copies/questions.rs
@@ -123,3 +123,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod fixture_tests;
--- a/src/node/tenants.rs
+++ b/src/node/tenants.rs
@@ -256,3 +256,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod fixture_tests;
--- a/src/node/trials.rs
+++ b/src/node/trials.rs
@@ -128,3 +128,6 @@
         serde_json::json!({ "ill": ill, "trials": side.trials.trials })
     }
 }
+
+#[cfg(test)]
+mod fixture_tests;
--- a/src/operations/handover.rs
+++ b/src/operations/handover.rs
@@ -225,6 +225,9 @@
     }
 }
 
+#[cfg(test)]
+mod fixture_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/src/store/sums.rs
+++ b/src/store/sums.rs
@@ -200,3 +200,6 @@
         Ok(old)
     }
 }
+
+#[cfg(test)]
+mod fixture_tests;
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -11,6 +11,8 @@
 pub mod agreed;
 mod endpoint;
 mod error;
+#[cfg(test)]
+mod fixture_tests;
 mod kept;
 mod secret;
 #[cfg(test)]
--- a/src/tenancy/secret.rs
+++ b/src/tenancy/secret.rs
@@ -166,3 +166,6 @@
     secrets.insert(0, fresh);
     Ok(secrets)
 }
+
+#[cfg(test)]
+mod fixture_tests;
--- /dev/null
+++ b/tests/wire_formats.rs
@@ -0,0 +1,46 @@
+//! What goes over the wire and what is hashed or signed, compared to the byte with recorded files.
+//!
+//! The files are in `tests/fixtures/wire`: one line a value, its name and its bytes in hex. A renaming must leave them as
+//! they are. Where a format is changed on purpose, `UPDATE_FIXTURES=1 cargo test --test wire_formats` writes them anew;
+//! a change of bytes breaks gateways of different versions in one fleet unless the version of the wire changes with it.
+
+#[path = "wire_formats/board.rs"]
+mod board;
+#[path = "wire_formats/council.rs"]
+mod council;
+#[path = "wire_formats/digests.rs"]
+mod digests;
+#[path = "common/fixtures.rs"]
+mod fixtures;
+#[path = "common/hex.rs"]
+mod hex;
+#[path = "wire_formats/membership.rs"]
+mod membership;
+#[path = "wire_formats/worker.rs"]
+mod worker;
+
+use std::collections::BTreeMap;
+
+use base64::prelude::{Engine, BASE64_STANDARD};
+use molelug::membership::keys::Keys;
+
+/// The two gateways of all fixtures.
+const ALPHA: &str = "alpha";
+const BETA: &str = "beta";
+
+fn encoded_key(byte: u8) -> String {
+    BASE64_STANDARD.encode([byte; 32])
+}
+
+/// Keys that all gateways share; their seals are keyed hashes.
+fn shared_keys() -> Keys {
+    Keys::shared(&[encoded_key(7)]).expect("a key of 32 bytes")
+}
+
+/// Keys of which each gateway has its own; their seals are Ed25519 signatures, which are deterministic.
+fn own_keys(name: &str) -> Keys {
+    let private = BTreeMap::from([(ALPHA, encoded_key(1)), (BETA, encoded_key(2))]);
+    let public = |key: &String| vec![Keys::public(key).expect("a key of 32 bytes")];
+    let accepted = private.iter().map(|(name, key)| ((*name).to_owned(), public(key))).collect();
+    Keys::each(name, &private[name], &accepted).expect("its own key is accepted")
+}
--- /dev/null
+++ b/tests/wire_formats/board.rs
@@ -0,0 +1,98 @@
+//! What is asked of the notice board and read from it. The events are written by hand, not by `UPDATE_FIXTURES`.
+
+use molelug::api::{CellId, Status, WorkerId, ZoneId};
+use molelug::board::{Endpoint, Feed, Notice, Roster, Sse};
+use molelug::names::Names;
+use molelug::net::Buffer;
+
+use crate::fixtures::check_lines;
+use crate::hex::hex_line;
+
+const SNAPSHOT: &str = include_str!("../fixtures/wire/board_snapshot.json");
+const DELTA: &str = include_str!("../fixtures/wire/board_delta.json");
+
+fn names() -> Names {
+    Names { zones: vec!["east".into(), "west".into()], ..Names::default() }
+}
+
+/// The events of a board that sends one text as one event.
+fn events(id: u64, json: &str) -> Vec<Sse> {
+    let data: String = json.lines().map(|line| format!("data: {line}\n")).collect();
+    let stream =
+        format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\nid: {id}\n{data}\n");
+    let (mut feed, mut input, mut events) = (Feed::default(), Buffer::default(), Vec::new());
+    input.feed(stream.as_bytes());
+    feed.input(&mut input, &mut events).expect("the stream can be read");
+    events
+}
+
+fn notice(id: u64, json: &str) -> Notice {
+    let events = events(id, json);
+    assert_eq!((events.len(), events[0].id), (1, Some(id)));
+    Notice::parse(&events[0].data, &names()).expect("the notice can be read")
+}
+
+#[test]
+fn board_request_matches_its_recorded_bytes() {
+    let request = Feed::request("192.0.2.7:8080".parse().expect("an address"), 41);
+    check_lines("wire/board_request.txt", &[hex_line("request", &request)]);
+}
+
+#[test]
+fn board_snapshot_is_read_field_by_field() {
+    let expected = Notice {
+        rev: 41,
+        snapshot: true,
+        endpoints: vec![
+            Endpoint {
+                name: "s-00c41f7a".into(),
+                address: "10.1.0.9:9090".parse().expect("an address"),
+                zone: ZoneId(1),
+                cell: CellId(2),
+                status: Status::Ready,
+                capacity: 4.5,
+                started: Some(12_500),
+            },
+            Endpoint {
+                name: "plain".into(),
+                address: "[2001:db8::7]:9090".parse().expect("an address"),
+                zone: ZoneId(255),
+                cell: CellId(0),
+                status: Status::Draining,
+                capacity: 1.0,
+                started: None,
+            },
+        ],
+    };
+    assert_eq!(notice(41, SNAPSHOT), expected);
+}
+
+#[test]
+fn board_delta_is_read_field_by_field() {
+    let expected = Notice {
+        rev: 42,
+        snapshot: false,
+        endpoints: vec![Endpoint {
+            name: "s-00c41f7a".into(),
+            address: "10.1.0.10:9091".parse().expect("an address"),
+            zone: ZoneId(0),
+            cell: CellId(3),
+            status: Status::Gone,
+            capacity: 0.5,
+            started: None,
+        }],
+    };
+    assert_eq!(notice(42, DELTA), expected);
+}
+
+#[test]
+fn workers_keep_numbers_made_of_names() {
+    let mut roster = Roster::default();
+    let (members, moved) = roster.apply(&notice(41, SNAPSHOT));
+    let numbers: Vec<WorkerId> = members.iter().map(|m| m.worker).collect();
+    assert_eq!(numbers[0], WorkerId(0x00c4_1f7a));
+    assert_eq!((numbers.len(), moved.len()), (2, 0));
+    let number = format!("plain {:08x}", numbers[1].0);
+    check_lines("wire/worker_numbers.txt", &[number]);
+    assert_eq!(roster.apply(&notice(42, DELTA)).1, [WorkerId(0x00c4_1f7a)], "it has another address");
+}
--- /dev/null
+++ b/tests/wire_formats/worker.rs
@@ -0,0 +1,140 @@
+//! Commands written for workers, and the answers that are read from them.
+
+use std::rc::Rc;
+
+use molelug::api::{FunctionId, Report, Warmth, WorkerId};
+use molelug::core::{AttemptKey, OrderKey, ProbeKey};
+use molelug::ending::{Ending, Left};
+use molelug::net::{Buffer, Outbox};
+use molelug::worker::{array, key, parse, Done, Go, Link, Open};
+
+use crate::fixtures::check_lines;
+use crate::hex::hex_line;
+
+const IDENTITY: &str = "9b1f03aa5c7e2d41";
+const FUNCTION: FunctionId = FunctionId(0x00ab_cdef_0123_4567);
+/// Keys of a slot map as numbers.
+const ATTEMPT: u64 = 0x1_0000_0002;
+const ORDER: u64 = 0x3_0000_0007;
+const PROBE: u64 = 0x5_0000_0009;
+
+/// A link with a call, an order and a probe out, and the bytes of each.
+fn busy_link() -> (Link, Vec<(&'static str, Vec<u8>)>) {
+    let mut link = Link::new(WorkerId(1), 0);
+    let mut outbox = Outbox::default();
+    let go = Go {
+        attempt: key::<AttemptKey>(ATTEMPT),
+        id: Rc::from(IDENTITY),
+        class: "checkout",
+        function: FUNCTION,
+        wait_ms: 2500,
+        body: b"{\"amount\":12}\r\n\x00\xff",
+        once: true,
+    };
+    link.go(&mut outbox, go);
+    let call = outbox.drain();
+    link.stage(&mut outbox, key::<OrderKey>(ORDER), FUNCTION, 2);
+    let load = outbox.drain();
+    link.probe(&mut outbox, key::<ProbeKey>(PROBE));
+    let probe = outbox.drain();
+    link.purge(&mut outbox, FUNCTION);
+    let unload = outbox.drain();
+    (link, vec![("call", call), ("load", load), ("probe", probe), ("unload", unload)])
+}
+
+/// Whole words of an array, read by the gateway's own reader.
+fn words(bytes: &[u8]) -> Vec<Vec<u8>> {
+    let (words, size) = parse(bytes).expect("it can be read").expect("it is whole");
+    assert_eq!(size, bytes.len());
+    words.into_iter().map(<[u8]>::to_vec).collect()
+}
+
+fn answered(link: &mut Link, answer: &[&[u8]]) -> Done {
+    let (mut input, mut done) = (Buffer::default(), Vec::new());
+    input.feed(&array(answer));
+    assert_eq!(link.input(1, &mut input, &mut done), Ok(0));
+    done.pop().expect("it matches something open")
+}
+
+#[test]
+fn worker_commands_match_their_recorded_bytes() {
+    let (mut link, mut commands) = busy_link();
+    let mut outbox = Outbox::default();
+    let attempt = Open::Attempt(key::<AttemptKey>(ATTEMPT));
+    // Its bytes have left already, so that the worker is told.
+    assert_eq!(link.give_up(&mut outbox, attempt, 5, 100), Left::Some);
+    commands.push(("cancel", outbox.drain()));
+    for (name, bytes) in &commands {
+        assert_eq!(array(&words(bytes).iter().map(Vec::as_slice).collect::<Vec<_>>()), *bytes, "{name}");
+    }
+    let lines: Vec<String> = commands.iter().map(|(name, bytes)| hex_line(name, bytes)).collect();
+    check_lines("wire/worker_commands.txt", &lines);
+}
+
+#[test]
+fn worker_command_words_stay_as_written() {
+    let (_, commands) = busy_link();
+    let text = |bytes: &Vec<u8>| {
+        let words = words(bytes);
+        words.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect::<Vec<_>>()
+    };
+    let all: Vec<Vec<String>> = commands.iter().map(|(_, bytes)| text(bytes)).collect();
+    assert_eq!(all[0][..3], ["go", IDENTITY, "profile=checkout,thing=00abcdef01234567,max=2500"]);
+    assert_eq!(all[1], ["stage", "o300000007", "thing=00abcdef01234567,copies=2"]);
+    assert_eq!(all[2], ["stat", "p500000009"]);
+    assert_eq!(all[3], ["purge", "00abcdef01234567"]);
+}
+
+#[test]
+fn served_answer_brings_every_field() {
+    let (mut link, _) = busy_link();
+    let fields = b"remark=w,queue_fn=3,report=q:1.5;rif:2;busy:0.25;x0:0.5;x1:4";
+    let done = answered(&mut link, &[IDENTITY.as_bytes(), b"200", fields, b"body"]);
+    assert_eq!(done.what, Open::Attempt(key::<AttemptKey>(ATTEMPT)));
+    assert_eq!((done.ending, done.left, done.copies), (Ending::Served, Left::Some, 0));
+    assert_eq!((done.back.warmth, done.back.crowd), (Some(Warmth::Stood), 3));
+    assert_eq!(done.back.body, b"body");
+    let report = Report {
+        queue: Some(1.5),
+        inflight: Some(2.0),
+        busy: Some(0.25),
+        pinned: Some(0.5),
+        loads: Some(4.0),
+    };
+    assert_eq!(done.back.report, Some(report));
+}
+
+#[test]
+fn answer_words_mean_fixed_endings() {
+    let expected: [(&[u8], Ending); 5] = [
+        (b"200", Ending::Served),
+        (b"404", Ending::Missed),
+        (b"503", Ending::NoRoom),
+        (b"500", Ending::Failed),
+        (b"504", Ending::Over),
+    ];
+    for (word, ending) in expected {
+        let (mut link, _) = busy_link();
+        assert_eq!(answered(&mut link, &[IDENTITY.as_bytes(), word]).ending, ending);
+        assert_eq!(answered(&mut link, &[b"o300000007", word, b"copies=2"]).copies, 2);
+    }
+    for (word, ending) in [(&b"alive"[..], Ending::Served), (b"dead", Ending::Failed)] {
+        let (mut link, _) = busy_link();
+        assert_eq!(answered(&mut link, &[b"p500000009", word]).ending, ending);
+    }
+    let remarks = [
+        ("w", Some(Warmth::Stood)),
+        ("c", Some(Warmth::Began)),
+        ("j", Some(Warmth::Waited)),
+        ("f", Some(Warmth::LoadFailed)),
+        ("z", None),
+    ];
+    for (remark, warmth) in remarks {
+        let (mut link, _) = busy_link();
+        let fields = format!("remark={remark}");
+        assert_eq!(
+            answered(&mut link, &[IDENTITY.as_bytes(), b"200", fields.as_bytes()]).back.warmth,
+            warmth
+        );
+    }
+}
