--- /dev/null
+++ b/tests/decisions/combinations.rs
@@ -0,0 +1,157 @@
+//! The settings under which streams are recorded.
+
+use molelug::api::{Class, Effect, Group, LoadRation, Micros, OnMiss, Settings, Tenant, ZoneId};
+
+pub const MILLISECOND: Micros = 1_000;
+pub const SECOND: Micros = 1_000 * MILLISECOND;
+
+/// Whether events reach the module one by one or all of a tick together.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Delivery {
+    Single,
+    Batched,
+}
+
+/// When the workers of the first list were started.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum FirstWorkers {
+    Warm,
+    Cold,
+}
+
+/// One set of settings, and the traffic and the fleet that go with it.
+pub struct Combination {
+    pub name: &'static str,
+    pub settings: Settings,
+    pub workers: u32,
+    pub functions: u64,
+    /// Mean time between two calls in ordinary hours.
+    pub mean_gap: Micros,
+    pub delivery: Delivery,
+    pub first_workers: FirstWorkers,
+}
+
+fn class(effect: Effect) -> Class {
+    Class { aim: SECOND, deadline: 3 * SECOND, worth: 1.0, late_worth: 0.2, effect }
+}
+
+fn classes() -> Vec<Class> {
+    let keyed = |group, seconds| Effect::Keyed { group, window: seconds * SECOND };
+    vec![
+        class(Effect::Safe),
+        class(keyed(Group::All, 5)),
+        class(keyed(Group::Zone, 3)),
+        Class { aim: 300 * MILLISECOND, deadline: 2 * SECOND, ..class(keyed(Group::Cell, 1)) },
+        class(Effect::Unsafe),
+    ]
+}
+
+fn tenants(quotas: &[f64]) -> Vec<Tenant> {
+    quotas.iter().map(|quota| Tenant { quota_per_s: *quota }).collect()
+}
+
+fn base(instances: u32, on_miss: OnMiss) -> Settings {
+    Settings {
+        instances,
+        zone: ZoneId(0),
+        tick: 4 * MILLISECOND,
+        classes: classes(),
+        tenants: tenants(&[0.0, 0.0, 0.0]),
+        over_share_worth: 0.1,
+        answer_grace: 16 * MILLISECOND,
+        drain_grace: 50 * MILLISECOND,
+        cold_from: 0.3,
+        cold_time: 10 * SECOND,
+        fall_multiple: 2.0,
+        fall_window: SECOND,
+        keep: 9 * SECOND,
+        may_load: true,
+        ration: None,
+        order_limit: 2 * SECOND,
+        on_miss,
+        tells_warm: true,
+        max_attempts: 4,
+        may_cancel: true,
+        may_probe: true,
+        reports_inline: true,
+        max_retry_after: 2 * SECOND,
+        must_subscribe: false,
+    }
+}
+
+fn few(name: &'static str, settings: Settings) -> Combination {
+    Combination {
+        name,
+        settings,
+        workers: 8,
+        functions: 24,
+        mean_gap: 22 * MILLISECOND,
+        delivery: Delivery::Single,
+        first_workers: FirstWorkers::Warm,
+    }
+}
+
+fn hundred(name: &'static str, settings: Settings) -> Combination {
+    Combination { workers: 60, functions: 30, mean_gap: 40 * MILLISECOND, ..few(name, settings) }
+}
+
+/// All of them.
+pub fn combinations() -> Vec<Combination> {
+    let ration = Some(LoadRation { window: 10 * SECOND, free: 4.0, ratio: 0.05 });
+    let tight_ration = Some(LoadRation { window: 5 * SECOND, free: 1.0, ratio: 0.01 });
+    vec![
+        few("few-loads", base(2, OnMiss::Loads)),
+        few(
+            "few-answers-ration-quota",
+            Settings { ration, tenants: tenants(&[60.0, 12.0, 0.0]), ..base(3, OnMiss::Answers) },
+        ),
+        Combination {
+            delivery: Delivery::Batched,
+            ..few(
+                "one-answers-without-cancel",
+                Settings {
+                    may_cancel: false,
+                    tells_warm: false,
+                    reports_inline: false,
+                    must_subscribe: true,
+                    max_retry_after: 0,
+                    ..base(1, OnMiss::Answers)
+                },
+            )
+        },
+        Combination {
+            workers: 5,
+            mean_gap: 6 * MILLISECOND,
+            ..few("eight-loads-overload", Settings { max_attempts: 2, ..base(8, OnMiss::Loads) })
+        },
+        Combination {
+            first_workers: FirstWorkers::Cold,
+            ..few(
+                "four-answers-cold",
+                Settings { fall_multiple: 1.2, must_subscribe: true, ..base(4, OnMiss::Answers) },
+            )
+        },
+        hundred("hundred-loads", base(100, OnMiss::Loads)),
+        hundred(
+            "hundred-answers-ration-quota",
+            Settings {
+                ration: tight_ration,
+                tenants: tenants(&[600.0, 100.0, 0.0]),
+                ..base(100, OnMiss::Answers)
+            },
+        ),
+        Combination {
+            delivery: Delivery::Batched,
+            first_workers: FirstWorkers::Cold,
+            ..hundred("hundred-answers-cold", Settings { may_load: false, ..base(100, OnMiss::Answers) })
+        },
+        Combination {
+            workers: 12,
+            mean_gap: 12 * MILLISECOND,
+            ..hundred(
+                "hundred-answers-overload",
+                Settings { tells_warm: false, tenants: Vec::new(), ..base(100, OnMiss::Answers) },
+            )
+        },
+    ]
+}
--- /dev/null
+++ b/tests/decisions/record.rs
@@ -0,0 +1,123 @@
+//! What is kept of a run: its actions as text, and how often each kind was seen.
+
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+use molelug::api::{Action, Event, Micros, Outcome, Warmth};
+
+/// Counts by kind.
+pub type Counts = BTreeMap<&'static str, u64>;
+
+/// The actions in the order of a record's line.
+const ACTIONS: [&str; 10] =
+    ["send", "cancel", "refuse", "fail", "order", "ask", "unload", "probe", "wake", "subscribe"];
+
+/// A run as it is recorded.
+#[derive(Default)]
+pub struct Record {
+    text: String,
+    pub actions: Counts,
+    pub events: Counts,
+    pub outcomes: Counts,
+    pub warmths: Counts,
+}
+
+impl Record {
+    /// The actions with their times, one a line.
+    pub fn text(&self) -> &str {
+        &self.text
+    }
+
+    /// Notes an action and its time.
+    pub fn action(&mut self, now: Micros, action: &Action) {
+        let (kind, values) = describe(action);
+        writeln!(self.text, "{now} {kind}{values}").expect("a string takes all");
+        *self.actions.entry(kind).or_default() += 1;
+    }
+
+    /// Notes an event.
+    pub fn event(&mut self, event: &Event) {
+        *self.events.entry(event_kind(event)).or_default() += 1;
+        let outcome = match event {
+            Event::Ended(ended) => Some(ended.outcome),
+            Event::Loaded { outcome, .. } | Event::Probed { outcome, .. } => Some(*outcome),
+            _ => None,
+        };
+        if let Some(outcome) = outcome {
+            *self.outcomes.entry(outcome_kind(outcome)).or_default() += 1;
+        }
+        if let Event::Ended(ended) = event {
+            let warmth = ended.warmth.map(warmth_kind);
+            warmth.into_iter().for_each(|kind| *self.warmths.entry(kind).or_default() += 1);
+        }
+    }
+
+    /// The run in one line: how many events it took, the hash of its text and the counts of its actions.
+    pub fn line(&self, name: &str) -> String {
+        let events: u64 = self.events.values().sum();
+        let hash = blake3::hash(self.text.as_bytes());
+        let count = |kind: &&str| format!("{kind}={}", self.actions.get(kind).unwrap_or(&0));
+        let counts: Vec<String> = ACTIONS.iter().map(count).collect();
+        format!("{name} events={events} blake3={hash} {}", counts.join(" "))
+    }
+}
+
+/// An action's kind and its values, in words that do not follow the module's names.
+fn describe(action: &Action) -> (&'static str, String) {
+    match action {
+        Action::Send { request, worker, within } => {
+            let within = within.map_or("none".to_owned(), |time| time.to_string());
+            ("send", format!(" {} w{} within={within}", request.0, worker.0))
+        }
+        Action::Cancel { request, attempt } => ("cancel", format!(" {} attempt={attempt}", request.0)),
+        Action::Refuse { request, retry_after } => ("refuse", format!(" {} retry={retry_after}", request.0)),
+        Action::Fail { request } => ("fail", format!(" {}", request.0)),
+        Action::Load { worker, function, copies: 0 } => ("ask", format!(" w{} f{}", worker.0, function.0)),
+        Action::Load { worker, function, copies } => {
+            ("order", format!(" w{} f{} copies={copies}", worker.0, function.0))
+        }
+        Action::Unload { worker, function } => ("unload", format!(" w{} f{}", worker.0, function.0)),
+        Action::Probe { worker } => ("probe", format!(" w{}", worker.0)),
+        Action::Wake { after, token } => ("wake", format!(" after={after} token={token}")),
+        Action::Subscribe => ("subscribe", String::new()),
+    }
+}
+
+fn event_kind(event: &Event) -> &'static str {
+    match event {
+        Event::Members { .. } => "members",
+        Event::Request(_) => "request",
+        Event::Ended(_) => "ended",
+        Event::Streaming { .. } => "streaming",
+        Event::ClientGone { .. } => "gone",
+        Event::Loaded { .. } => "loaded",
+        Event::Probed { .. } => "probed",
+        Event::Rumour { .. } => "rumour",
+        Event::Share { .. } => "share",
+        Event::Limits { .. } => "limits",
+        Event::Wake { .. } => "wake",
+    }
+}
+
+fn outcome_kind(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "ok",
+        Outcome::Error => "error",
+        Outcome::Full => "full",
+        Outcome::Timeout => "timeout",
+        Outcome::ConnectFailed => "connect-failed",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::Moot => "moot",
+        Outcome::Miss => "miss",
+    }
+}
+
+fn warmth_kind(warmth: Warmth) -> &'static str {
+    match warmth {
+        Warmth::Stood => "stood",
+        Warmth::Began => "began",
+        Warmth::Waited => "waited",
+        Warmth::LoadFailed => "load-failed",
+    }
+}
