--- a/src/node/copies/questions.rs
+++ b/src/node/copies/questions.rs
@@ -124,5 +124,7 @@
     }
 }
 
+#[cfg(test)]
+mod digest_tests;
 #[cfg(test)]
 mod fixture_tests;
--- a/src/node/tenants.rs
+++ b/src/node/tenants.rs
@@ -257,5 +257,7 @@
     }
 }
 
+#[cfg(test)]
+mod digest_tests;
 #[cfg(test)]
 mod fixture_tests;
