--- /dev/null
+++ b/tests/operator_configuration.rs
@@ -0,0 +1,224 @@
+//! The gateway's configuration, which the platform writes: what every key sets, and which keys are read at all. A renaming
+//! in the code changes none of it.
+//!
+//! `fixtures/operator/gateway.json` has every key set to something else than its default. Values are written under names
+//! of this test's own, so that a snapshot does not change with a field's name. A snapshot in `snapshots/` that has to
+//! change is written anew with `INSTA_UPDATE=always cargo test --test operator_configuration`.
+
+#[path = "common/values.rs"]
+mod values;
+
+use molelug::api::{Effect, Group, OnMiss, Settings, Status};
+use molelug::config::Config;
+use molelug::settings::{self, Field};
+use serde_json::Value;
+use values::{read_fixture, Values};
+
+fn class_values(out: &mut Values, settings: &Settings) {
+    for (n, class) in settings.classes.iter().enumerate() {
+        let at = format!("settings.classes.{n}");
+        out.add(&format!("{at}.latency_objective_us"), class.aim);
+        out.add(&format!("{at}.deadline_us"), class.deadline);
+        out.add(&format!("{at}.weight"), class.worth);
+        out.add(&format!("{at}.late_weight"), class.late_worth);
+        let effect = match class.effect {
+            Effect::Safe => "safe".to_owned(),
+            Effect::Keyed { group: Group::All, window } => format!("keyed among all for {window} us"),
+            Effect::Keyed { group: Group::Zone, window } => format!("keyed in a zone for {window} us"),
+            Effect::Keyed { group: Group::Cell, window } => format!("keyed in a cell for {window} us"),
+            Effect::Unsafe => "unsafe".to_owned(),
+        };
+        out.add(&format!("{at}.effect"), effect);
+    }
+}
+
+fn settings_values(out: &mut Values, settings: &Settings) {
+    out.add("settings.instances", settings.instances);
+    out.add("settings.zone", settings.zone.0);
+    out.add("settings.tick_us", settings.tick);
+    class_values(out, settings);
+    out.add("settings.quotas_per_s", settings.tenants.iter().map(|t| t.quota_per_s).collect::<Vec<_>>());
+    out.add("settings.over_quota_weight", settings.over_share_worth);
+    out.add("settings.answer_grace_us", settings.answer_grace);
+    out.add("settings.drain_grace_us", settings.drain_grace);
+    out.add("settings.slow_start_floor", settings.cold_from);
+    out.add("settings.slow_start_duration_us", settings.cold_time);
+    out.add("settings.overload_multiple", settings.fall_multiple);
+    out.add("settings.overload_window_us", settings.fall_window);
+    out.add("settings.copy_idle_timeout_us", settings.keep);
+    out.add("settings.may_load", settings.may_load);
+    let limit = settings.ration.as_ref();
+    out.add("settings.load_limit.window_us", limit.map(|l| l.window));
+    out.add("settings.load_limit.free", limit.map(|l| l.free));
+    out.add("settings.load_limit.ratio", limit.map(|l| l.ratio));
+    out.add("settings.load_timeout_us", settings.order_limit);
+    let on_miss = match settings.on_miss {
+        OnMiss::Loads => "loads",
+        OnMiss::Answers => "answers",
+    };
+    out.add("settings.on_miss", on_miss);
+    out.add("settings.tells_warm", settings.tells_warm);
+    out.add("settings.max_attempts", settings.max_attempts);
+    out.add("settings.may_cancel", settings.may_cancel);
+    out.add("settings.may_probe", settings.may_probe);
+    out.add("settings.reports_inline", settings.reports_inline);
+    out.add("settings.max_retry_after_us", settings.max_retry_after);
+    out.add("settings.must_subscribe", settings.must_subscribe);
+}
+
+fn known_values(out: &mut Values, config: &Config) {
+    out.add("known.revision", config.known_rev);
+    for (n, notice) in config.known.iter().enumerate() {
+        out.add(&format!("known.{n}.revision"), notice.rev);
+        out.add(&format!("known.{n}.snapshot"), notice.snapshot);
+        for (m, endpoint) in notice.endpoints.iter().enumerate() {
+            let at = format!("known.{n}.endpoints.{m}");
+            let status = match endpoint.status {
+                Status::Ready => "ready",
+                Status::Draining => "draining",
+                Status::Gone => "gone",
+            };
+            out.add(&format!("{at}.name"), &endpoint.name);
+            out.add(&format!("{at}.address"), endpoint.address);
+            out.add(&format!("{at}.zone"), endpoint.zone.0);
+            out.add(&format!("{at}.cell"), endpoint.cell.0);
+            out.add(&format!("{at}.status"), status);
+            out.add(&format!("{at}.capacity"), endpoint.capacity);
+            out.add(&format!("{at}.started_us"), endpoint.started);
+        }
+    }
+}
+
+/// What the simulator's host takes from the settings otherwise than a gateway does.
+fn simulator_values(out: &mut Values, settings: &Value) {
+    let (module, fields) = settings::from_facts(&settings::nested(settings));
+    let name = |field: &Field| match field {
+        Field::Queue => "queue",
+        Field::Inflight => "in flight",
+        Field::Busy => "busy",
+        Field::Pinned => "pinned",
+        Field::Loads => "loads",
+        Field::Other => "other",
+    };
+    out.add("simulator.report_fields", fields.iter().map(name).collect::<Vec<_>>());
+    out.add("simulator.max_retry_after_us", module.max_retry_after);
+}
+
+/// All that a configuration sets, or why it cannot be used.
+fn configuration_values(file: &Value) -> Result<String, String> {
+    let config = Config::parse(&file.to_string(), None, None).map_err(|e| e.to_string())?;
+    let mut out = Values::default();
+    out.add("name", &config.name);
+    out.add("listen", config.listen);
+    out.add("second_address", config.admin_addr);
+    out.add("seed", config.seed);
+    out.add("limits.memory_mb", config.limits.memory_mb);
+    out.add("limits.sockets", config.limits.sockets);
+    out.add("discovery", config.board);
+    known_values(&mut out, &config);
+    out.add("names.classes", &config.names.classes);
+    out.add("names.tenants", &config.names.tenants);
+    out.add("names.zones", &config.names.zones);
+    out.add("names.deadlines_us", &config.names.longest);
+    out.add("connect_timeout_us", config.connect_limit);
+    out.add("connection_idle_timeout_us", config.conn_idle);
+    out.add("streams_per_connection", config.streams);
+    out.add("max_held", config.most_held);
+    settings_values(&mut out, &config.settings);
+    simulator_values(&mut out, &file["settings"]);
+    Ok(out.0)
+}
+
+fn configuration() -> Value {
+    serde_json::from_str(&read_fixture("gateway.json")).expect("JSON")
+}
+
+#[test]
+fn configuration_with_every_key_keeps_values() {
+    let values = configuration_values(&configuration()).expect("a usable configuration");
+    insta::assert_snapshot!("configuration", values);
+}
+
+#[test]
+fn example_configuration_keeps_values_and_defaults() {
+    let text = std::fs::read_to_string("examples/gateway.json").expect("the example");
+    let file: Value = serde_json::from_str(&text).expect("JSON");
+    insta::assert_snapshot!("example_configuration", configuration_values(&file).expect("it can be used"));
+}
+
+/// The keys of all objects in a value, as JSON pointers.
+fn pointers(at: &str, value: &Value, out: &mut Vec<String>) {
+    match value {
+        Value::Object(map) => {
+            for (key, inner) in map {
+                let at = format!("{at}/{key}");
+                out.push(at.clone());
+                pointers(&at, inner, out);
+            }
+        }
+        Value::Array(list) => {
+            list.iter().enumerate().for_each(|(n, inner)| pointers(&format!("{at}/{n}"), inner, out));
+        }
+        _ => {}
+    }
+}
+
+/// What becomes of the configuration when one key is spelt otherwise.
+fn effect_of_misspelling(file: &Value, pointer: &str, values: &str) -> &'static str {
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+    let mut changed = file.clone();
+    let object = changed.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
+    let value = object.remove(key).expect("the key");
+    object.insert(format!("{key}_misspelt"), value);
+    match configuration_values(&changed) {
+        Err(_) => "required",
+        Ok(other) if other == values => "no effect",
+        Ok(_) => "read",
+    }
+}
+
+/// Whether a word that is no number, no flag and of no closed list is refused as a value of this key.
+fn refuses_any_word(file: &Value, pointer: &str) -> bool {
+    let mut changed = file.clone();
+    let value = changed.pointer_mut(pointer).expect("the key");
+    if value.is_object() || value.is_array() {
+        return false;
+    }
+    *value = Value::from("any-word");
+    configuration_values(&changed).is_err()
+}
+
+/// Unknown keys are passed over in a configuration, which the platform writes; each key that counts is seen by its absence.
+#[test]
+fn configuration_keys_are_read_as_spelt() {
+    let file = configuration();
+    let values = configuration_values(&file).expect("a usable configuration");
+    let mut all = Vec::new();
+    pointers("", &file, &mut all);
+    let line = |pointer: &String| {
+        let checked = if refuses_any_word(&file, pointer) { ", value checked" } else { "" };
+        format!("{pointer}: {}{checked}", effect_of_misspelling(&file, pointer, &values))
+    };
+    let lines: Vec<String> = all.iter().map(line).collect();
+    insta::assert_snapshot!("configuration_keys", lines.join("\n"));
+}
+
+/// A word of a configuration that is of a closed list.
+fn with_word(pointer: &str, word: &str) -> Result<String, String> {
+    let mut file = configuration();
+    *file.pointer_mut(pointer).expect("the key") = Value::from(word);
+    configuration_values(&file)
+}
+
+#[test]
+fn unknown_words_in_settings_are_refused() {
+    for pointer in
+        ["/settings/services/0/repeat", "/settings/services/1/group", "/settings/familyInfo/onMiss"]
+    {
+        let error = with_word(pointer, "unknown").expect_err(pointer);
+        assert!(error.contains("'unknown' cannot be used"), "{error}");
+    }
+    let status = "/known/notices/0/pool/endpoints/0/status";
+    assert!(with_word(status, "UNKNOWN").expect_err(status).contains("UNKNOWN"));
+    assert!(with_word("/settings/familyInfo/onMiss", "load").is_ok());
+}
--- /dev/null
+++ b/tests/operator_surface.rs
@@ -0,0 +1,261 @@
+//! What operators see and type: the help of every command, the counters, the second address, the routes of the
+//! administration API, and the environment. A renaming in the code changes none of it.
+//!
+//! A snapshot in `snapshots/` that has to change is written anew with
+//! `INSTA_UPDATE=always cargo test --test operator_surface`.
+
+mod common;
+
+use std::io::Write;
+use std::net::{TcpListener, TcpStream};
+use std::process::{Command, Output};
+
+use common::*;
+use molelug::admin;
+use molelug::ending::Ending;
+use molelug::identity::Role;
+use rustix::process::Signal;
+use serde_json::Value;
+
+/// Runs the program with these variables in place of all that operators can set.
+fn run(arguments: &[&str], variables: &[(&str, &str)]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_molelug"));
+    command.current_dir(env!("CARGO_MANIFEST_DIR")).args(arguments);
+    for name in ["RELAY_CONFIG", "RELAY_NAME", "RELAY_LISTEN", "RELAY_ADMIN_ADDR", "RELAY_FD"] {
+        command.env_remove(name);
+    }
+    command.envs(variables.iter().copied()).output().expect("the program runs")
+}
+
+fn text(bytes: &[u8]) -> String {
+    String::from_utf8(bytes.to_vec()).expect("plain text")
+}
+
+fn help_of(commands: &[String]) -> String {
+    let arguments: Vec<&str> = commands.iter().map(String::as_str).chain(["--help"]).collect();
+    let output = run(&arguments, &[]);
+    assert!(output.status.success() && output.stderr.is_empty(), "{arguments:?}: {output:?}");
+    text(&output.stdout)
+}
+
+/// The commands that a help text lists; positional items are in capitals and options begin with a dash.
+fn listed_commands(help: &str) -> Vec<String> {
+    if !help.lines().any(|line| line.starts_with("Usage: ") && line.ends_with(" COMMAND ...")) {
+        return Vec::new();
+    }
+    let listed = help.lines().filter_map(|line| line.strip_prefix("    "));
+    let names = listed.filter(|line| line.starts_with(|c: char| c.is_ascii_lowercase()));
+    names.filter_map(|line| line.split_whitespace().next()).map(str::to_owned).collect()
+}
+
+/// Appends the help of a command and of all commands under it.
+fn append_help(commands: &[String], all: &mut String) {
+    let help = help_of(commands);
+    *all += &format!("$ molelug {}\n{help}[end]\n\n", [commands, &["--help".into()]].concat().join(" "));
+    for name in listed_commands(&help) {
+        append_help(&[commands, &[name]].concat(), all);
+    }
+}
+
+#[test]
+fn help_of_every_command_stays_byte_identical() {
+    let mut all = String::new();
+    append_help(&[], &mut all);
+    assert_eq!(all.matches("\n[end]\n").count(), 20, "the program, seven commands and twelve under them");
+    insta::assert_snapshot!("help", all);
+}
+
+/// Every run of digits becomes `N`.
+fn without_numbers(text: &str) -> String {
+    let mut out = String::new();
+    for c in text.chars() {
+        if !c.is_ascii_digit() {
+            out.push(c);
+        } else if !out.ends_with('N') {
+            out.push('N');
+        }
+    }
+    out
+}
+
+/// The keys of an object and of the objects in it, as paths.
+fn key_paths(prefix: &str, value: &Value, out: &mut Vec<String>) {
+    match value {
+        Value::Object(map) => map.iter().for_each(|(key, v)| key_paths(&format!("{prefix}.{key}"), v, out)),
+        Value::Array(list) => list.iter().for_each(|v| key_paths(&format!("{prefix}[]"), v, out)),
+        _ => out.push(prefix.to_owned()),
+    }
+}
+
+/// Sends one call that is served and returns once its answer has come.
+fn serve_one_call(gateway: &Gateway) {
+    let mut client = TcpStream::connect(gateway.platform).expect("it listens");
+    let call = "POST /call/0000000000000007/trigger HTTP/1.1\r\nHost: t\r\nX-Class: disponibilidad\r\n\
+                X-Org: franq-bajio\r\nX-Correlation-Id: 0000000000000001\r\nX-Deadline-Ms: 2400\r\nContent-Length: 0\r\n\r\n";
+    client.write_all(call.as_bytes()).expect("it reads");
+    let answer = read_message(&mut client, &mut Vec::new(), http_length).expect("an answer");
+    assert!(text(&answer).starts_with("HTTP/1.1 200 "), "{}", text(&answer));
+}
+
+#[test]
+fn counters_on_sigusr1_and_exit_keep_names() {
+    let worker = Worker::start();
+    let workers = [endpoint("s-00000001", worker.address, "SERVING")];
+    let mut gateway = Gateway::start(&settings(2500.0), &workers, None, None);
+    serve_one_call(&gateway);
+    gateway.signal(Signal::USR1);
+    let line = gateway.line("counters ");
+    insta::assert_snapshot!("counters", without_numbers(&line));
+    let (_, on_request) = line.split_once("counters ").expect("the counters");
+    let (mut during, mut at_exit) = (Vec::new(), Vec::new());
+    key_paths("", &serde_json::from_str(on_request).expect("JSON"), &mut during);
+    key_paths("", &gateway.stop(), &mut at_exit);
+    assert_eq!(during, at_exit);
+}
+
+#[test]
+fn attempt_endings_keep_their_counter_names() {
+    let all = [
+        Ending::Served,
+        Ending::Missed,
+        Ending::NoRoom,
+        Ending::Failed,
+        Ending::Over,
+        Ending::Refused,
+        Ending::NeverUp,
+        Ending::Reset,
+        Ending::Closed,
+        Ending::Malformed,
+        Ending::TimedOut,
+        Ending::CalledOff,
+        Ending::Withdrawn,
+        Ending::Idle,
+        Ending::Overflow,
+        Ending::Crowded,
+        Ending::Shutdown,
+    ];
+    let names = all.map(Ending::name);
+    let expected = [
+        "served",
+        "missed",
+        "no_room",
+        "failed",
+        "over",
+        "refused",
+        "never_up",
+        "reset",
+        "closed",
+        "malformed",
+        "timed_out",
+        "called_off",
+        "withdrawn",
+        "idle",
+        "overflow",
+        "crowded",
+        "shutdown",
+    ];
+    assert_eq!(names, expected);
+}
+
+/// The figures after a call, and the answers that a program reads.
+#[test]
+fn second_address_keeps_commands_and_figure_names() {
+    let worker = Worker::start();
+    let workers = [endpoint("s-00000001", worker.address, "SERVING")];
+    let gateway = Gateway::start_daily(&settings(2500.0), &workers, None);
+    serve_one_call(&gateway);
+    let mut all = String::new();
+    for line in ["readyz", "telemetry", "exclude s-00000001", "telemetry", "include s-00000001", "evacuate"] {
+        all += &format!("> {line}\n{}\n", gateway.ask(format!("{line}\n").as_bytes()));
+    }
+    for line in ["readyz", "activate", "readyz", "metrics"] {
+        all += &format!("> {line}\n{}\n", gateway.ask(format!("{line}\n").as_bytes()));
+    }
+    insta::assert_snapshot!("second_address", all);
+}
+
+#[test]
+fn admin_routes_and_roles_stay_unchanged() {
+    let role = |role: Role| match role {
+        Role::Viewer => "viewer",
+        Role::Operator => "operator",
+    };
+    let lines = admin::ROUTES.map(|(method, path, needed)| format!("{method} {path} {}", role(needed)));
+    insta::assert_snapshot!("admin_routes", lines.join("\n"));
+}
+
+#[test]
+fn openapi_document_keeps_its_digest() {
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/openapi.json");
+    let document = std::fs::read(path).expect("the document");
+    insta::assert_snapshot!("openapi_digest", blake3::hash(&document).to_hex().as_str());
+}
+
+#[test]
+fn problem_details_keep_type_and_members() {
+    let problems = [
+        admin::problem(400, "a detail", None, true),
+        admin::problem(401, "a detail", None, false),
+        admin::problem(409, "a detail", Some("a remedy"), true),
+        admin::problem(503, "a detail", Some("a remedy"), false),
+    ];
+    let shown: Vec<String> = problems.iter().map(|bytes| text(bytes).replace("\r\n", "\\r\\n\n")).collect();
+    insta::assert_snapshot!("problem_details", shown.join("\n\n"));
+}
+
+/// The first line that `check-config` prints under these variables.
+fn checked(variables: &[(&str, &str)]) -> String {
+    let output = run(&["check-config"], variables);
+    assert!(output.status.success(), "{variables:?}: {}", text(&output.stderr));
+    text(&output.stdout)
+}
+
+#[test]
+fn configuration_variables_take_effect() {
+    const CONFIG: (&str, &str) = ("RELAY_CONFIG", "examples/gateway.json");
+    let rest = "2 classes, 1 tenants, 1 notices known\n";
+    assert_eq!(checked(&[CONFIG]), format!("example listens on 127.0.0.1:7000: {rest}"));
+    assert_eq!(
+        checked(&[CONFIG, ("RELAY_NAME", "other")]),
+        format!("other listens on 127.0.0.1:7000: {rest}")
+    );
+    assert_eq!(
+        checked(&[CONFIG, ("RELAY_LISTEN", "127.0.0.1:7999")]),
+        format!("example listens on 127.0.0.1:7999: {rest}")
+    );
+    let empty = [CONFIG, ("RELAY_NAME", ""), ("RELAY_LISTEN", ""), ("RELAY_ADMIN_ADDR", "")];
+    assert_eq!(checked(&empty), checked(&[CONFIG]), "an empty variable counts as none");
+}
+
+#[test]
+fn unusable_variables_are_refused_by_name() {
+    const CONFIG: (&str, &str) = ("RELAY_CONFIG", "examples/gateway.json");
+    let cases = [
+        ("check-config", None, "RELAY_CONFIG is not set"),
+        ("check-config", Some(("RELAY_LISTEN", "nowhere")), "RELAY_LISTEN = 'nowhere' cannot be used"),
+        (
+            "check-config",
+            Some(("RELAY_ADMIN_ADDR", "nowhere")),
+            "RELAY_ADMIN_ADDR = 'nowhere' cannot be used",
+        ),
+        ("serve", Some(("RELAY_FD", "2")), "RELAY_FD = '2' is no descriptor from 3 on"),
+        ("serve", Some(("RELAY_FD", "77")), "RELAY_FD names descriptor 77"),
+    ];
+    for (command, variable, expected) in cases {
+        let variables: Vec<(&str, &str)> = variable.map_or(Vec::new(), |v| vec![CONFIG, v]);
+        let output = run(&[command], &variables);
+        let error = text(&output.stderr);
+        assert_eq!(output.status.code(), Some(1), "{command} {variables:?}");
+        assert!(error.starts_with("molelug: ") && error.contains(expected), "{expected}: {error}");
+    }
+}
+
+/// RELAY_FD, RELAY_ADMIN_ADDR and TMPDIR as the platform sets them for a new version beside an old one.
+#[test]
+fn inherited_socket_and_handover_folder_are_used() {
+    let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let gateway = Gateway::handed(&socket, &[], None);
+    assert_eq!(gateway.platform, socket.local_addr().expect("an address"));
+    assert!(gateway.folder.join("tmp/molelug-handover").is_dir());
+    assert!(gateway.ask(b"telemetry\n").starts_with("200 OK\n"));
+}
