--- a/tests/operator_answers.rs
+++ b/tests/operator_answers.rs
@@ -14,6 +14,11 @@
 use common::*;
 use jsonwebtoken::jwk::{Jwk, PublicKeyUse};
 use jsonwebtoken::{Algorithm, EncodingKey, Header};
+use molelug::delivery::verdict::{Dead, State};
+use molelug::delivery::Enabled;
+use molelug::duty::grantor::Why;
+use molelug::membership::group::PeerView;
+use molelug::membership::swim::Standing;
 use serde_json::{json, Value};
 
 const OPERATOR: &str = "spiffe://aurora.example/desk/operator";
@@ -251,3 +256,39 @@
         assert_eq!(got, 400, "{line} {unknown}: {answer}");
     }
 }
+
+#[test]
+fn state_words_in_answers_stay_unchanged() {
+    let messages = [
+        State::Waiting,
+        State::Behind,
+        State::Delivered,
+        State::Dead(Dead::Exhausted),
+        State::Dead(Dead::Unknown),
+        State::Dead(Dead::Gone),
+        State::Dead(Dead::Expired),
+    ];
+    let expected = ["waiting", "waiting", "delivered", "exhausted", "unknown", "gone", "expired"];
+    assert_eq!(messages.map(State::name), expected);
+    let enabled = json!([Enabled::Yes, Enabled::ByHand, Enabled::ByFailure]);
+    assert_eq!(enabled, json!(["yes", "by_hand", "by_failure"]));
+    let without_holder = json!([Why::WaitsOut, Why::NobodyOffers, Why::Proposed]);
+    assert_eq!(without_holder, json!(["WaitsOut", "NobodyOffers", "Proposed"]));
+    let members = [Standing::Alive, Standing::Suspect, Standing::Dead, Standing::Left];
+    assert_eq!(members.map(Standing::name), ["alive", "suspect", "dead", "left"]);
+}
+
+#[test]
+fn peer_entries_keep_their_keys() {
+    let peer = PeerView {
+        name: "n2".into(),
+        address: SocketAddr::from(([127, 0, 0, 1], 8190)),
+        standing: "alive",
+        incarnation: 3,
+        heard: 4,
+        weight: 0.5,
+    };
+    let expected = json!({ "name": "n2", "address": "127.0.0.1:8190", "standing": "alive", "incarnation": 3,
+        "heard": 4, "weight": 0.5 });
+    assert_eq!(json!(peer), expected);
+}
