--- a/tests/operator_surface.rs
+++ b/tests/operator_surface.rs
@@ -229,20 +229,27 @@
 
 #[test]
 fn unusable_variables_are_refused_by_name() {
-    const CONFIG: (&str, &str) = ("RELAY_CONFIG", "examples/gateway.json");
+    let example = "examples/gateway.json";
     let cases = [
-        ("check-config", None, "RELAY_CONFIG is not set"),
-        ("check-config", Some(("RELAY_LISTEN", "nowhere")), "RELAY_LISTEN = 'nowhere' cannot be used"),
+        ("check-config", "", None, "RELAY_CONFIG is not set"),
+        (
+            "check-config",
+            example,
+            Some(("RELAY_LISTEN", "nowhere")),
+            "RELAY_LISTEN = 'nowhere' cannot be used",
+        ),
         (
             "check-config",
+            example,
             Some(("RELAY_ADMIN_ADDR", "nowhere")),
             "RELAY_ADMIN_ADDR = 'nowhere' cannot be used",
         ),
-        ("serve", Some(("RELAY_FD", "2")), "RELAY_FD = '2' is no descriptor from 3 on"),
-        ("serve", Some(("RELAY_FD", "77")), "RELAY_FD names descriptor 77"),
+        // The descriptor is looked at first; if it were not, a configuration that is not there would end the program.
+        ("serve", "no-such-file", Some(("RELAY_FD", "2")), "RELAY_FD = '2' is no descriptor from 3 on"),
+        ("serve", "no-such-file", Some(("RELAY_FD", "77")), "RELAY_FD names descriptor 77"),
     ];
-    for (command, variable, expected) in cases {
-        let variables: Vec<(&str, &str)> = variable.map_or(Vec::new(), |v| vec![CONFIG, v]);
+    for (command, config, variable, expected) in cases {
+        let variables: Vec<(&str, &str)> = [("RELAY_CONFIG", config)].into_iter().chain(variable).collect();
         let output = run(&[command], &variables);
         let error = text(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{command} {variables:?}");
