--- a/examples/send_webhook.rs
+++ b/examples/send_webhook.rs
@@ -10,7 +10,9 @@
 use molelug::tenancy::Secret;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let at = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:7002".into());
+    let at = std::env::args()
+        .nth(1)
+        .unwrap_or_else(|| "127.0.0.1:7002".into());
     let secret = Secret::parse("whsec_ZXhhbXBsZSBrZXkgb25seSBmb3IgdHJ5aW5nIQ==")?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH)?;
     let (id, stamp) = (format!("msg_{}", now.as_nanos()), now.as_secs());
--- a/examples/toy_worker.rs
+++ b/examples/toy_worker.rs
@@ -18,7 +18,14 @@
         held.extend(&chunk[..n]);
         while let Some((words, size)) = parse(&held).map_err(std::io::Error::other)? {
             let word = |i: usize| words.get(i).copied().unwrap_or_default();
-            println!("{}", words.iter().map(|w| String::from_utf8_lossy(w)).collect::<Vec<_>>().join(" "));
+            println!(
+                "{}",
+                words
+                    .iter()
+                    .map(|w| String::from_utf8_lossy(w))
+                    .collect::<Vec<_>>()
+                    .join(" ")
+            );
             let answer = match word(0) {
                 b"go" => {
                     std::thread::sleep(Duration::from_millis(20));
@@ -37,7 +44,9 @@
 }
 
 fn main() -> std::io::Result<()> {
-    let at = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:7001".into());
+    let at = std::env::args()
+        .nth(1)
+        .unwrap_or_else(|| "127.0.0.1:7001".into());
     let listener = TcpListener::bind(&at)?;
     println!("toy worker on {}", listener.local_addr()?);
     for stream in listener.incoming() {
--- a/src/admin/consensus.rs
+++ b/src/admin/consensus.rs
@@ -33,17 +33,33 @@
     let view = on(&mut cx.fleet)?;
     let Exchange { joins, leaves } = body(r, "not an exchange of voters")?;
     if joins.iter().chain(&leaves).any(|n| !is_name(n)) || joins.is_none() && leaves.is_none() {
-        return Err(plain(422, "names of gateways: who joins, who leaves, or both"));
+        return Err(plain(
+            422,
+            "names of gateways: who joins, who leaves, or both",
+        ));
     }
     if view["leads"] != true {
-        return Err(plain(409, "this gateway does not lead the council; 'leader' in GET /v1/council does"));
+        return Err(plain(
+            409,
+            "this gateway does not lead the council; 'leader' in GET /v1/council does",
+        ));
     }
-    let votes = |n: &String| view["voters"].as_object().is_some_and(|v| v.contains_key(n));
+    let votes = |n: &String| {
+        view["voters"]
+            .as_object()
+            .is_some_and(|v| v.contains_key(n))
+    };
     if leaves.as_ref().is_some_and(|n| !votes(n)) {
         return Err(plain(422, "who is to leave does not vote"));
     }
-    if joins.as_ref().is_some_and(|n| view["seats"].get(n).is_none()) {
-        return Err(plain(409, "who is to join has no seat, or does not follow here"));
+    if joins
+        .as_ref()
+        .is_some_and(|n| view["seats"].get(n).is_none())
+    {
+        return Err(plain(
+            409,
+            "who is to join has no seat, or does not follow here",
+        ));
     }
     let mut handled = Handled::new(202, view);
     handled.changes.push(Change::Voters { joins, leaves });
--- a/src/admin/idempotency.rs
+++ b/src/admin/idempotency.rs
@@ -52,7 +52,13 @@
             Some(e) if e.request != request => Known::Conflict,
             Some(e) => e.answer.clone().map_or(Known::Conflict, Known::Answered),
             None => {
-                self.entries.insert(name.clone(), Entry { request: request.to_vec(), answer: None });
+                self.entries.insert(
+                    name.clone(),
+                    Entry {
+                        request: request.to_vec(),
+                        answer: None,
+                    },
+                );
                 self.order.push_back((now, name));
                 Known::New
             }
@@ -83,12 +89,23 @@
         assert_eq!(keys.begin("a", "k", b"r", 0), Known::New);
         assert_eq!(keys.begin("a", "k", b"r", 1), Known::Conflict, "under way");
         keys.end("a", "k", Some(b"done"));
-        assert_eq!(keys.begin("a", "k", b"r", 2), Known::Answered(b"done".to_vec()));
+        assert_eq!(
+            keys.begin("a", "k", b"r", 2),
+            Known::Answered(b"done".to_vec())
+        );
         assert_eq!(keys.begin("a", "k", b"other", 2), Known::Conflict);
         assert_eq!(keys.begin("b", "k", b"r", 2), Known::New);
         keys.end("b", "k", None);
-        assert_eq!(keys.begin("b", "k", b"r", 3), Known::New, "it failed, and may be tried again");
-        assert_eq!(keys.begin("a", "k", b"r", KEPT + 1), Known::New, "a day is over");
+        assert_eq!(
+            keys.begin("b", "k", b"r", 3),
+            Known::New,
+            "it failed, and may be tried again"
+        );
+        assert_eq!(
+            keys.begin("a", "k", b"r", KEPT + 1),
+            Known::New,
+            "a day is over"
+        );
         for n in 0..3 * MOST {
             keys.begin("c", &n.to_string(), b"r", KEPT + 2);
         }
--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -15,18 +15,30 @@
 const LONGEST_PAGE: usize = 200;
 
 fn seq(text: &str) -> Result<Seq, Bad> {
-    text.parse().map(Seq).map_err(|_| plain(404, "no such message"))
+    text.parse()
+        .map(Seq)
+        .map_err(|_| plain(404, "no such message"))
 }
 
 fn serial(cx: &Context<'_>, tenant: &str) -> Result<u64, Bad> {
-    cx.tenants.get(tenant).map(|t| t.serial).ok_or(refused(TenantError::Unknown))
+    cx.tenants
+        .get(tenant)
+        .map(|t| t.serial)
+        .ok_or(refused(TenantError::Unknown))
 }
 
 /// A page of a tenant's messages, by state, type, endpoint and time.
 pub fn list(cx: &Context<'_>, tenant: &str, q: &str) -> Result<Done, Bad> {
-    let t = cx.tenants.get(tenant).ok_or(refused(TenantError::Unknown))?;
+    let t = cx
+        .tenants
+        .get(tenant)
+        .ok_or(refused(TenantError::Unknown))?;
     let bad = plain(422, "a parameter cannot be used");
-    let number = |name: &str| query(q, name).map(|v| v.parse::<u64>().map_err(|_| bad)).transpose();
+    let number = |name: &str| {
+        query(q, name)
+            .map(|v| v.parse::<u64>().map_err(|_| bad))
+            .transpose()
+    };
     let endpoint = query(q, "endpoint").map(|name| t.endpoints.get(name).map(|e| e.id));
     let limit = number("limit")?.map_or(PAGE, |n| n as usize);
     if limit == 0 || limit > LONGEST_PAGE || endpoint == Some(None) {
@@ -57,10 +69,21 @@
 }
 
 /// Sends one again.
-pub fn again(r: &Request<'_>, cx: &Context<'_>, who: &str, tenant: &str, message: &str) -> Result<Done, Bad> {
+pub fn again(
+    r: &Request<'_>,
+    cx: &Context<'_>,
+    who: &str,
+    tenant: &str,
+    message: &str,
+) -> Result<Done, Bad> {
     let again: Again = body(r, "body is not a request to send again")?;
     let by = again.acknowledge_duplicate.then(|| who.to_owned());
-    Ok(Done::Ask(Op::Again(seq(message)?, serial(cx, tenant)?, cx.now, by)))
+    Ok(Done::Ask(Op::Again(
+        seq(message)?,
+        serial(cx, tenant)?,
+        cx.now,
+        by,
+    )))
 }
 
 fn view(m: &MessageRecord) -> Value {
@@ -97,9 +120,15 @@
         Ok(Reply::Messages(all)) => {
             // A full page may have one behind it.
             let full = op_limit.is_some_and(|limit| all.len() >= limit);
-            let cursor = all.last().filter(|_| full).map(|m| m.waiting.seq.0.to_string());
+            let cursor = all
+                .last()
+                .filter(|_| full)
+                .map(|m| m.waiting.seq.0.to_string());
             let list: Vec<Value> = all.iter().map(view).collect();
-            Ok(Handled::new(200, json!({ "messages": list, "cursor": cursor })))
+            Ok(Handled::new(
+                200,
+                json!({ "messages": list, "cursor": cursor }),
+            ))
         }
         Ok(Reply::Message(Some(shown))) => {
             let mut body = view(&shown.record);
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -113,7 +113,12 @@
 impl Handled {
     /// An answer from which nothing follows.
     pub fn new(status: u16, body: Value) -> Handled {
-        Handled { status, body: Some(body), version: None, changes: Vec::new() }
+        Handled {
+            status,
+            body: Some(body),
+            version: None,
+            changes: Vec::new(),
+        }
     }
 }
 
@@ -144,11 +149,18 @@
 
 /// Who asks, if the caller has the role for it. Nothing is done for one without.
 pub fn admit(r: &Request<'_>, gate: &Gate, now: Micros) -> Result<String, Bad> {
-    let token = r.header("Authorization").and_then(|a| a.strip_prefix("Bearer "));
+    let token = r
+        .header("Authorization")
+        .and_then(|a| a.strip_prefix("Bearer "));
     let token = token.ok_or(plain(401, "a JWT-SVID is needed"))?;
-    let (who, role) =
-        gate.check(token.trim(), now).map_err(|_| plain(401, "the JWT-SVID is not accepted"))?;
-    let needed = if r.method == "GET" { Role::Viewer } else { Role::Operator };
+    let (who, role) = gate
+        .check(token.trim(), now)
+        .map_err(|_| plain(401, "the JWT-SVID is not accepted"))?;
+    let needed = if r.method == "GET" {
+        Role::Viewer
+    } else {
+        Role::Operator
+    };
     if role.is_none_or(|role| role < needed) {
         return Err(plain(403, "the caller has no role for this"));
     }
@@ -157,7 +169,10 @@
 
 /// The value of a query's parameter, if it comes once and has no escapes.
 pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    let mut all = query.split('&').filter_map(|p| p.split_once('=')).filter(|(n, _)| *n == name);
+    let mut all = query
+        .split('&')
+        .filter_map(|p| p.split_once('='))
+        .filter(|(n, _)| *n == name);
     let (_, value) = all.next()?;
     (all.next().is_none() && !value.contains('%')).then_some(value)
 }
@@ -170,7 +185,9 @@
 
 /// Checks `If-Match` against a version; a change without it is made whatever the version.
 pub fn matches(r: &Request<'_>, version: Option<u64>) -> Result<(), Bad> {
-    let Some(given) = r.header("If-Match") else { return Ok(()) };
+    let Some(given) = r.header("If-Match") else {
+        return Ok(());
+    };
     let fits = given.split(',').map(str::trim).any(|tag| match version {
         Some(v) => tag == "*" || tag == format!("\"{v}\""),
         None => false,
@@ -195,11 +212,17 @@
         ("POST", ["v1", "tenants", name, "secrets"]) => now(tenants::rotate(r, cx, name)),
         ("GET", ["v1", "tenants", name, "endpoints"]) => now(endpoints::list(cx, name)),
         (_, ["v1", "tenants", name, "endpoints", e]) => now(endpoints::one(r, cx, name, e)),
-        ("POST", ["v1", "tenants", name, "endpoints", e, "recover"]) => endpoints::recover(r, cx, name, e),
-        ("POST", ["v1", "tenants", name, "endpoints", e, what]) => now(endpoints::act(r, cx, name, e, what)),
+        ("POST", ["v1", "tenants", name, "endpoints", e, "recover"]) => {
+            endpoints::recover(r, cx, name, e)
+        }
+        ("POST", ["v1", "tenants", name, "endpoints", e, what]) => {
+            now(endpoints::act(r, cx, name, e, what))
+        }
         ("GET", ["v1", "tenants", name, "messages"]) => messages::list(cx, name, query),
         ("GET", ["v1", "tenants", name, "messages", m]) => messages::one(cx, name, m),
-        ("POST", ["v1", "tenants", name, "messages", m, "again"]) => messages::again(r, cx, who, name, m),
+        ("POST", ["v1", "tenants", name, "messages", m, "again"]) => {
+            messages::again(r, cx, who, name, m)
+        }
         _ if known(&parts) => Err(plain(405, "no such method here")),
         _ => Err(plain(404, "no such path")),
     }
@@ -224,7 +247,9 @@
     let store = "Cache-Control: no-store\r\n";
     match handled {
         Ok(h) => {
-            let tag = h.version.map_or(String::new(), |v| format!("ETag: \"{v}\"\r\n"));
+            let tag = h
+                .version
+                .map_or(String::new(), |v| format!("ETag: \"{v}\"\r\n"));
             let text = h.body.as_ref().map_or(String::new(), Value::to_string);
             let head = format!("Content-Type: application/json\r\n{store}{tag}");
             response(h.status, &head, text.as_bytes(), keep)
@@ -235,7 +260,8 @@
 
 /// The bytes of a problem detail, with what an operator can do about it.
 pub fn problem(status: u16, detail: &str, remedy: Option<&str>, keep: bool) -> Vec<u8> {
-    let mut head = "Content-Type: application/problem+json\r\nCache-Control: no-store\r\n".to_owned();
+    let mut head =
+        "Content-Type: application/problem+json\r\nCache-Control: no-store\r\n".to_owned();
     if status == 401 {
         head.push_str("WWW-Authenticate: Bearer\r\n");
     }
--- a/src/admin/tenants.rs
+++ b/src/admin/tenants.rs
@@ -15,9 +15,15 @@
 }
 
 fn shown(cx: &Context<'_>, status: u16, name: &str) -> Result<Handled, Bad> {
-    let view = cx.tenants.view(name, cx.now).ok_or(refused(TenantError::Unknown))?;
+    let view = cx
+        .tenants
+        .view(name, cx.now)
+        .ok_or(refused(TenantError::Unknown))?;
     let version = cx.tenants.get(name).map(|t| t.version);
-    Ok(Handled { version, ..Handled::new(status, json!(view)) })
+    Ok(Handled {
+        version,
+        ..Handled::new(status, json!(view))
+    })
 }
 
 /// One tenant: shown, created or changed, removed.
@@ -33,8 +39,14 @@
             }
             let new = cx.tenants.put(name, &spec).map_err(refused)?;
             let t = cx.tenants.get(name).ok_or(refused(TenantError::Unknown))?;
-            let changes = vec![Change::Share(t.id, t.share_per_s), Change::Endpoints(name.to_owned())];
-            Ok(Handled { changes, ..shown(cx, if new { 201 } else { 200 }, name)? })
+            let changes = vec![
+                Change::Share(t.id, t.share_per_s),
+                Change::Endpoints(name.to_owned()),
+            ];
+            Ok(Handled {
+                changes,
+                ..shown(cx, if new { 201 } else { 200 }, name)?
+            })
         }
         "DELETE" => {
             matches(r, version)?;
@@ -42,7 +54,12 @@
             let ids = t.map_or(Vec::new(), |t| t.endpoints.values().map(|e| e.id).collect());
             let (tenant, per_s) = cx.tenants.remove(name).map_err(refused)?;
             let changes = vec![Change::Share(tenant, per_s), Change::Removed(ids)];
-            Ok(Handled { status: 204, body: None, version: None, changes })
+            Ok(Handled {
+                status: 204,
+                body: None,
+                version: None,
+                changes,
+            })
         }
         _ => Err(plain(405, "no such method here")),
     }
@@ -61,7 +78,12 @@
 pub fn rotate(r: &Request<'_>, cx: &mut Context<'_>, name: &str) -> Result<Handled, Bad> {
     matches(r, cx.tenants.get(name).map(|t| t.version))?;
     let (secret, until) = rotation(r, cx.now)?;
-    cx.tenants.rotate(name, &secret, cx.now, until).map_err(refused)?;
+    cx.tenants
+        .rotate(name, &secret, cx.now, until)
+        .map_err(refused)?;
     let changes = vec![Change::Rotated(name.to_owned(), None)];
-    Ok(Handled { changes, ..shown(cx, 200, name)? })
+    Ok(Handled {
+        changes,
+        ..shown(cx, 200, name)?
+    })
 }
--- a/src/bin/molelug-simhost/main.rs
+++ b/src/bin/molelug-simhost/main.rs
@@ -26,7 +26,13 @@
             let fields = instances.get(&who).map_or(&[][..], |i| &i.fields);
             match wire::message(&body, count, index, fields)? {
                 Message::Enlist(seed, settings, fields) => {
-                    instances.insert(who, Instance { policy: Policy::new(*settings, seed, now), fields });
+                    instances.insert(
+                        who,
+                        Instance {
+                            policy: Policy::new(*settings, seed, now),
+                            fields,
+                        },
+                    );
                 }
                 Message::Killed => {
                     instances.remove(&who);
--- a/src/bin/molelug-simhost/wire.rs
+++ b/src/bin/molelug-simhost/wire.rs
@@ -55,7 +55,10 @@
 }
 
 /// Reads a frame's body and record count and clock; `None` at a clean end of input.
-pub fn read_frame(input: &mut impl Read, body: &mut Vec<u8>) -> Result<Option<(usize, Micros)>, WireError> {
+pub fn read_frame(
+    input: &mut impl Read,
+    body: &mut Vec<u8>,
+) -> Result<Option<(usize, Micros)>, WireError> {
     let mut head = [0u8; 16];
     let mut got = 0;
     while got < head.len() {
@@ -123,7 +126,10 @@
     let start = u32_at(record, at)? as usize;
     let length = (u32_at(record, at + 4)? as usize).saturating_mul(size);
     let tail = &body[count * EVENT..];
-    match start.checked_add(length).and_then(|end| tail.get(start..end)) {
+    match start
+        .checked_add(length)
+        .and_then(|end| tail.get(start..end))
+    {
         Some(part) => Ok(part),
         None => bad("a record points past the end of the tail"),
     }
@@ -177,7 +183,12 @@
 }
 
 /// Reads record `index`; `fields` names the values of a load report at its instance.
-pub fn message(body: &[u8], count: usize, index: usize, fields: &[Field]) -> Result<Message, WireError> {
+pub fn message(
+    body: &[u8],
+    count: usize,
+    index: usize,
+    fields: &[Field],
+) -> Result<Message, WireError> {
     let r = record(body, index)?;
     Ok(Message::Event(match r[0] {
         8 => {
@@ -201,7 +212,10 @@
             let entries = tail(body, count, r, 8, ENTRY)?;
             Event::WorkerList {
                 update: kind,
-                workers: entries.chunks_exact(ENTRY).map(member).collect::<Result<_, _>>()?,
+                workers: entries
+                    .chunks_exact(ENTRY)
+                    .map(member)
+                    .collect::<Result<_, _>>()?,
             }
         }
         1 => Event::Request(Arrival {
@@ -236,15 +250,21 @@
                 load_report: report(r, 27, fields)?,
             })
         }
-        11 => Event::ClientGone { request: RequestId(u32_at(r, 3)?) },
+        11 => Event::ClientGone {
+            request: RequestId(u32_at(r, 3)?),
+        },
         4 => Event::LoadEnded {
             outcome: outcome(u16_at(r, 11)?)?,
             copies: u32::from(u8_at(r, 13)?),
             worker: WorkerId(u32_at(r, 14)?),
             function: FunctionId(u64_at(r, 18)?),
         },
-        6 => Event::Streaming { request: RequestId(u32_at(r, 3)?) },
-        9 => Event::Wake { token: u64_at(r, 3)? },
+        6 => Event::Streaming {
+            request: RequestId(u32_at(r, 3)?),
+        },
+        9 => Event::Wake {
+            token: u64_at(r, 3)?,
+        },
         2 => Event::HealthChecked {
             worker: WorkerId(u32_at(r, 3)?),
             outcome: outcome(u16_at(r, 7)?)?,
@@ -295,21 +315,33 @@
         self.records.push(code);
         self.records.extend(who.to_le_bytes());
         match *action {
-            Action::Send { request, worker, timeout: within } => {
+            Action::Send {
+                request,
+                worker,
+                timeout: within,
+            } => {
                 self.records.extend(request.0.to_le_bytes());
                 self.records.extend(worker.0.to_le_bytes());
-                self.records.extend(within.map_or(0.0, millis).to_le_bytes());
+                self.records
+                    .extend(within.map_or(0.0, millis).to_le_bytes());
             }
             Action::Cancel { request, attempt } => {
                 self.records.extend(request.0.to_le_bytes());
                 self.records.push(attempt);
             }
-            Action::Reject { request, retry_after } => {
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
                 self.records.extend(request.0.to_le_bytes());
                 self.records.extend(millis(retry_after).to_le_bytes());
             }
             Action::Fail { request } => self.records.extend(request.0.to_le_bytes()),
-            Action::Load { worker, function, copies } => {
+            Action::Load {
+                worker,
+                function,
+                copies,
+            } => {
                 self.records.extend(worker.0.to_le_bytes());
                 self.records.extend(function.0.to_le_bytes());
                 self.records.push(copies);
--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -31,11 +31,13 @@
 impl At {
     /// Asks, and returns the answer's JSON.
     pub fn ask(&self, method: &str, path: &str, body: &str) -> Result<Value, Box<dyn Error>> {
-        let token =
-            std::fs::read_to_string(&self.token).map_err(|e| format!("{}: {e}", self.token.display()))?;
+        let token = std::fs::read_to_string(&self.token)
+            .map_err(|e| format!("{}: {e}", self.token.display()))?;
         let mut stream = TcpStream::connect_timeout(&self.admin, PATIENCE)?;
         stream.set_read_timeout(Some(PATIENCE))?;
-        stream.write_all(request(method, path, &self.admin.to_string(), token.trim(), body).as_bytes())?;
+        stream.write_all(
+            request(method, path, &self.admin.to_string(), token.trim(), body).as_bytes(),
+        )?;
         let mut bytes = Vec::new();
         stream.take(LONGEST).read_to_end(&mut bytes)?;
         answer(&bytes)
@@ -57,7 +59,8 @@
         return Err("the answer was cut short".into());
     };
     let status = response.code.unwrap_or(0);
-    let body: Value = serde_json::from_slice(bytes.get(head..).unwrap_or_default()).unwrap_or(Value::Null);
+    let body: Value =
+        serde_json::from_slice(bytes.get(head..).unwrap_or_default()).unwrap_or(Value::Null);
     if !(200..300).contains(&status) {
         let why = body["detail"].as_str().unwrap_or("no reason was given");
         return Err(format!("{status}: {why}").into());
@@ -82,9 +85,12 @@
     fn answers_are_read_and_refusals_told() {
         let ok = answer(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"a\": 1}").unwrap();
         assert_eq!(ok["a"], 1);
-        let bad = answer(b"HTTP/1.1 404 Not Found\r\n\r\n{\"detail\":\"the council is off\"}").unwrap_err();
+        let bad = answer(b"HTTP/1.1 404 Not Found\r\n\r\n{\"detail\":\"the council is off\"}")
+            .unwrap_err();
         assert_eq!(bad.to_string(), "404: the council is off");
         assert!(answer(b"HTTP/1.1 200 OK\r\nCont").is_err() && answer(b"").is_err());
-        assert!(request("GET", "/v1/duties", "h", "t", "").contains("\r\nAuthorization: Bearer t\r\n"));
+        assert!(
+            request("GET", "/v1/duties", "h", "t", "").contains("\r\nAuthorization: Bearer t\r\n")
+        );
     }
 }
--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -83,9 +83,18 @@
         println!("{view}");
         return Ok(());
     }
-    println!("as {} knows it; the leader is {}", plain(&view["name"]), plain(&view["leader"]));
+    println!(
+        "as {} knows it; the leader is {}",
+        plain(&view["name"]),
+        plain(&view["leader"])
+    );
     for d in view["duties"].as_array().into_iter().flatten() {
-        print!("{}  term {}  owner {}", plain(&d["duty"]), plain(&d["term"]), plain(&d["owner"]));
+        print!(
+            "{}  term {}  owner {}",
+            plain(&d["duty"]),
+            plain(&d["term"]),
+            plain(&d["owner"])
+        );
         if d["mine"] == true {
             print!("  its own for {} ms more", plain(&d["lease_left_ms"]));
         }
@@ -96,7 +105,11 @@
     }
     let trials = &view["trials"];
     if *trials != Value::Null {
-        println!("trials made here {}, workers held for ill: {}", plain(&trials["trials"]), trials["ill"]);
+        println!(
+            "trials made here {}, workers held for ill: {}",
+            plain(&trials["trials"]),
+            trials["ill"]
+        );
     }
     Ok(())
 }
@@ -136,13 +149,19 @@
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// Writes a disk that is not there yet: one that is has a seat that others know.
 fn make(path: &Path, record: Record) -> Result<(), Box<dyn Error>> {
     if path.exists() {
-        return Err(format!("{} is there already; a new seat wants a new disk", path.display()).into());
+        return Err(format!(
+            "{} is there already; a new seat wants a new disk",
+            path.display()
+        )
+        .into());
     }
     let (mut disk, _) = Disk::open(path, 0, now())?;
     let kept = disk.commit([Op::Log(Box::new(record))], now())?;
@@ -150,18 +169,29 @@
 }
 
 fn seat_file(file: &File) -> Result<PathBuf, Box<dyn Error>> {
-    file.seat.clone().ok_or_else(|| "the council file names no disk for a seat".into())
+    file.seat
+        .clone()
+        .ok_or_else(|| "the council file names no disk for a seat".into())
 }
 
 /// Does it.
 pub fn run(what: Council) -> Result<(), Box<dyn Error>> {
     match what {
-        Council::Found { council, name, generation, from, names } => {
+        Council::Found {
+            council,
+            name,
+            generation,
+            from,
+            names,
+        } => {
             let file = File::read(&council)?;
-            let me =
-                name.or_else(|| file.name.clone()).ok_or("no name: give one by --name or in the file")?;
+            let me = name
+                .or_else(|| file.name.clone())
+                .ok_or("no name: give one by --name or in the file")?;
             let old = match from {
-                Some(path) if !path.exists() => return Err(format!("there is no {}", path.display()).into()),
+                Some(path) if !path.exists() => {
+                    return Err(format!("there is no {}", path.display()).into())
+                }
                 Some(path) => {
                     let (_, found) = Disk::open(&path, 0, now())?;
                     let head = found.log.0.ok_or("the disk has no seat")?;
@@ -171,7 +201,10 @@
             };
             let path = seat_file(&file)?;
             make(&path, bootstrap(generation, &me, &names, old.as_ref())?)?;
-            println!("{me} is a founder of generation {generation}, with {} in all", names.len());
+            println!(
+                "{me} is a founder of generation {generation}, with {} in all",
+                names.len()
+            );
         }
         Council::Show(at) => {
             let view = at.ask("GET", "/v1/council", "")?;
@@ -198,7 +231,9 @@
                 path.as_os_str().as_encoded_bytes(),
             ];
             let hash = blake3::derive_key("molelug council seat 1", &drawn.concat());
-            let seat = hash.first_chunk::<8>().map_or(1, |b| u64::from_le_bytes(*b).max(1));
+            let seat = hash
+                .first_chunk::<8>()
+                .map_or(1, |b| u64::from_le_bytes(*b).max(1));
             make(&path, fresh(seat))?;
             println!("a seat was made; it votes once a council has made it a voter");
         }
--- a/src/cli/inherited.rs
+++ b/src/cli/inherited.rs
@@ -18,12 +18,20 @@
 impl fmt::Display for InheritError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InheritError::Number(text) => write!(f, "RELAY_FD = '{text}' is no descriptor from 3 on"),
+            InheritError::Number(text) => {
+                write!(f, "RELAY_FD = '{text}' is no descriptor from 3 on")
+            }
             InheritError::Socket(fd, e) => {
-                write!(f, "RELAY_FD names descriptor {fd}, which cannot be used: {e}")
+                write!(
+                    f,
+                    "RELAY_FD names descriptor {fd}, which cannot be used: {e}"
+                )
             }
             InheritError::NotListening(fd) => {
-                write!(f, "RELAY_FD names descriptor {fd}, a socket that does not listen")
+                write!(
+                    f,
+                    "RELAY_FD names descriptor {fd}, a socket that does not listen"
+                )
             }
         }
     }
@@ -35,7 +43,9 @@
 /// down could by then be one of this process's own. The crate's way of naming the first descriptor is the
 /// environment, which is safe to change while there is one thread.
 pub fn take() -> Result<Option<TcpListener>, InheritError> {
-    let Some(text) = std::env::var("RELAY_FD").ok().filter(|v| !v.is_empty()) else { return Ok(None) };
+    let Some(text) = std::env::var("RELAY_FD").ok().filter(|v| !v.is_empty()) else {
+        return Ok(None);
+    };
     let fd = text.trim().parse::<i32>().ok().filter(|fd| *fd > 2);
     let fd = fd.ok_or(InheritError::Number(text))?;
     std::env::set_var("LISTEN_FDS", "1");
@@ -43,7 +53,9 @@
     std::env::remove_var("LISTEN_PID");
     let taken = listenfd::ListenFd::from_env().take_tcp_listener(0);
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
-    let socket = taken.map_err(|e| InheritError::Socket(fd, e))?.ok_or(InheritError::NotListening(fd))?;
+    let socket = taken
+        .map_err(|e| InheritError::Socket(fd, e))?
+        .ok_or(InheritError::NotListening(fd))?;
     match rustix::net::sockopt::socket_acceptconn(&socket) {
         Ok(true) => Ok(Some(socket)),
         _ => Err(InheritError::NotListening(fd)),
--- a/src/cli/log.rs
+++ b/src/cli/log.rs
@@ -31,7 +31,12 @@
 #[derive(Clone, Debug, Bpaf)]
 pub struct Logging {
     /// The least level that is logged: off, error, warn, info, debug or trace
-    #[bpaf(long("log-level"), argument("LEVEL"), fallback(LevelFilter::INFO), display_fallback)]
+    #[bpaf(
+        long("log-level"),
+        argument("LEVEL"),
+        fallback(LevelFilter::INFO),
+        display_fallback
+    )]
     level: LevelFilter,
     /// How a line is written: text or json
     #[bpaf(long("log-format"), argument("FORMAT"), fallback(Format::Text))]
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -119,7 +119,13 @@
         Command::Store(what) => accepted(store::run(what)),
         Command::Council(what) => consensus::run(what),
         Command::Duties(what) => consensus::duties(&what),
-        Command::Serve { operator, gossip, council, copies, logging } => {
+        Command::Serve {
+            operator,
+            gossip,
+            council,
+            copies,
+            logging,
+        } => {
             logging.begin();
             serve(operator, gossip, council, copies)
         }
@@ -147,21 +153,38 @@
     let socket = inherited::take()?;
     let config = Config::from_env()?;
     let name = config.name.clone();
-    let operator = operator.map_or_else(|| Ok(Operator::default()), |path| Operator::read(&path))?;
+    let operator =
+        operator.map_or_else(|| Ok(Operator::default()), |path| Operator::read(&path))?;
     let gossip = gossip.map(|path| Gossip::read(&path)).transpose()?;
     let council = council.map(|path| File::read(&path)).transpose()?;
-    let copies = copies.map(|path| crate::replication::config::File::read(&path)).transpose()?;
-    let extras = OptionalSubsystems { gossip, consensus: council, replication: copies };
+    let copies = copies
+        .map(|path| crate::replication::config::File::read(&path))
+        .transpose()?;
+    let extras = OptionalSubsystems {
+        gossip,
+        consensus: council,
+        replication: copies,
+    };
     let mut events = EventLoop::try_new()?;
     Gateway::watch_signals(&events.handle())?;
-    let mut node = Gateway::new(config, operator, extras, socket, events.handle(), Clock::system())?;
+    let mut node = Gateway::new(
+        config,
+        operator,
+        extras,
+        socket,
+        events.handle(),
+        Clock::system(),
+    )?;
     let listeners = [
         ("listens", node.address()),
         ("takes webhooks", node.webhook_address()),
         ("is administered", node.admin_address()),
         ("is asked line by line", node.line_address()),
     ];
-    for (what, at) in listeners.iter().filter_map(|(what, at)| at.map(|at| (what, at))) {
+    for (what, at) in listeners
+        .iter()
+        .filter_map(|(what, at)| at.map(|at| (what, at)))
+    {
         tracing::info!("{name} {what} on {at}");
     }
     node.run(&mut events)?;
@@ -186,8 +209,14 @@
         let operator = Operator::read(&path)?;
         println!(
             "webhooks {}, administration {}, {} tenants",
-            operator.webhooks.as_ref().map_or("off".into(), |w| w.listen.to_string()),
-            operator.admin.as_ref().map_or("off".into(), |a| a.listen.to_string()),
+            operator
+                .webhooks
+                .as_ref()
+                .map_or("off".into(), |w| w.listen.to_string()),
+            operator
+                .admin
+                .as_ref()
+                .map_or("off".into(), |a| a.listen.to_string()),
             operator.tenants.len()
         );
     }
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -53,13 +53,19 @@
 
 /// Does it; `false` if a check found damage.
 pub fn run(what: Store) -> Result<bool, Box<dyn Error>> {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64);
     match what {
         Store::Check { file } => {
             let sound = open(&file)?.check()?;
             println!(
                 "{}",
-                if sound { "sound" } else { "it was damaged, and is repaired as far as it could be" }
+                if sound {
+                    "sound"
+                } else {
+                    "it was damaged, and is repaired as far as it could be"
+                }
             );
             Ok(sound)
         }
@@ -74,19 +80,29 @@
             let mut disk = open(&file)?;
             let mut after = None;
             loop {
-                let Some(Ok(Reply::Messages(page))) = disk.commit([Op::Export(after, 500)], now)?.pop()
+                let Some(Ok(Reply::Messages(page))) =
+                    disk.commit([Op::Export(after, 500)], now)?.pop()
                 else {
                     return Err("the store has no messages to read".into());
                 };
                 for m in &page {
                     println!("{}", crate::admin::messages::exported(m));
                 }
-                let Some(last) = page.last() else { return Ok(true) };
+                let Some(last) = page.last() else {
+                    return Ok(true);
+                };
                 after = Some(last.waiting.seq);
             }
         }
         Store::Compact { file } => {
-            println!("{}", if open(&file)?.compact()? { "made smaller" } else { "nothing to give back" });
+            println!(
+                "{}",
+                if open(&file)?.compact()? {
+                    "made smaller"
+                } else {
+                    "nothing to give back"
+                }
+            );
             Ok(true)
         }
     }
--- a/src/cli/webhook.rs
+++ b/src/cli/webhook.rs
@@ -79,7 +79,9 @@
 }
 
 fn now_s() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_secs())
 }
 
 fn input() -> Result<Vec<u8>, Box<dyn Error>> {
@@ -96,24 +98,55 @@
         return Err("this key only checks".into());
     }
     let signed = signature::sign(std::iter::once(secret), id, stamp, body);
-    Ok(format!("webhook-id: {id}\r\nwebhook-timestamp: {stamp}\r\nwebhook-signature: {signed}\r\n"))
+    Ok(format!(
+        "webhook-id: {id}\r\nwebhook-timestamp: {stamp}\r\nwebhook-signature: {signed}\r\n"
+    ))
 }
 
 /// Does it; `false` if what was checked or sent was not accepted.
 pub fn run(what: Webhook) -> Result<bool, Box<dyn Error>> {
     match what {
-        Webhook::Sign { secret_file, id, timestamp } => {
+        Webhook::Sign {
+            secret_file,
+            id,
+            timestamp,
+        } => {
             let stamp = timestamp.unwrap_or_else(now_s);
-            print!("{}", headers(&secret(&secret_file)?, &id, stamp, &input()?)?.replace("\r\n", "\n"));
+            print!(
+                "{}",
+                headers(&secret(&secret_file)?, &id, stamp, &input()?)?.replace("\r\n", "\n")
+            );
             Ok(true)
         }
-        Webhook::Verify { secret_file, id, timestamp, signature } => {
+        Webhook::Verify {
+            secret_file,
+            id,
+            timestamp,
+            signature,
+        } => {
             let secret = secret(&secret_file)?;
-            let holds = signature::verify(std::iter::once(&secret), &id, timestamp, &input()?, &signature);
-            println!("{}", if holds { "the signature holds" } else { "the signature does not hold" });
+            let holds = signature::verify(
+                std::iter::once(&secret),
+                &id,
+                timestamp,
+                &input()?,
+                &signature,
+            );
+            println!(
+                "{}",
+                if holds {
+                    "the signature holds"
+                } else {
+                    "the signature does not hold"
+                }
+            );
             Ok(holds)
         }
-        Webhook::Send { secret_file, id, url } => {
+        Webhook::Send {
+            secret_file,
+            id,
+            url,
+        } => {
             let portal = crate::tenancy::Portal::parse(&url)?;
             let body = input()?;
             let signed = headers(&secret(&secret_file)?, &id, now_s(), &body)?;
@@ -134,7 +167,10 @@
             println!("{text}");
             Ok(text.split(' ').nth(1).is_some_and(|s| s.starts_with('2')))
         }
-        Webhook::Listen { secret_file, address } => {
+        Webhook::Listen {
+            secret_file,
+            address,
+        } => {
             let secret = secret(&secret_file)?;
             let listener = TcpListener::bind(address)?;
             println!("listens on {}", listener.local_addr()?);
@@ -155,12 +191,18 @@
     loop {
         let answer = match http::request(&held) {
             Ok(Some(r)) => {
-                let stamp = r.header("webhook-timestamp").and_then(|t| t.parse().ok()).unwrap_or(0);
+                let stamp = r
+                    .header("webhook-timestamp")
+                    .and_then(|t| t.parse().ok())
+                    .unwrap_or(0);
                 let id = r.header("webhook-id").unwrap_or_default();
                 let given = r.header("webhook-signature").unwrap_or_default();
                 let holds = signature::verify(std::iter::once(secret), id, stamp, r.body, given);
                 let fresh = stamp.abs_diff(now_s()) <= 300;
-                println!("{id} signature {holds}, fresh {fresh}: {}", String::from_utf8_lossy(r.body));
+                println!(
+                    "{id} signature {holds}, fresh {fresh}: {}",
+                    String::from_utf8_lossy(r.body)
+                );
                 http::response(if holds && fresh { 204 } else { 401 }, "", b"", false)
             }
             Ok(None) => match stream.read(&mut chunk)? {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -15,13 +15,21 @@
 impl Clock {
     /// A clock that reads Unix time now and goes on from there without steps.
     pub fn system() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-        Clock { unix, begun: Instant::now(), last: unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as Micros);
+        Clock {
+            unix,
+            begun: Instant::now(),
+            last: unix,
+        }
     }
 
     /// Unix microseconds; never less than what was told before.
     pub fn now(&mut self) -> Micros {
-        self.last = self.last.max(self.unix + self.begun.elapsed().as_micros() as Micros);
+        self.last = self
+            .last
+            .max(self.unix + self.begun.elapsed().as_micros() as Micros);
         self.last
     }
 }
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -84,15 +84,21 @@
     pub fn seen(self, left: SendProgress) -> Option<Observed> {
         match (self, left) {
             (
-                CloseReason::Served | CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired,
+                CloseReason::Served
+                | CloseReason::NotLoaded
+                | CloseReason::AtCapacity
+                | CloseReason::Expired,
                 _,
             ) => Some(Observed::Answered),
             (CloseReason::Failed, _) => Some(Observed::Failed),
             (CloseReason::Refused | CloseReason::ConnectTimeout, _) => Some(Observed::Refused),
-            (CloseReason::TimedOut | CloseReason::Cancelled, SendProgress::Started) => Some(Observed::Silent),
-            (CloseReason::Reset | CloseReason::Closed | CloseReason::Malformed, SendProgress::Started) => {
-                Some(Observed::Failed)
+            (CloseReason::TimedOut | CloseReason::Cancelled, SendProgress::Started) => {
+                Some(Observed::Silent)
             }
+            (
+                CloseReason::Reset | CloseReason::Closed | CloseReason::Malformed,
+                SendProgress::Started,
+            ) => Some(Observed::Failed),
             _ => None,
         }
     }
--- a/src/completion/tests.rs
+++ b/src/completion/tests.rs
@@ -8,13 +8,22 @@
 fn others_are_told_only_what_the_worker_did() {
     use CloseReason::*;
     for e in [Withdrawn, Idle, LocalLimit, ConnectionsFull, Shutdown] {
-        assert!(e.seen(SendProgress::Started).is_none() && e.seen(SendProgress::Unsent).is_none(), "{e:?}");
+        assert!(
+            e.seen(SendProgress::Started).is_none() && e.seen(SendProgress::Unsent).is_none(),
+            "{e:?}"
+        );
     }
     for e in [TimedOut, Cancelled, Reset, Closed] {
-        assert!(e.seen(SendProgress::Unsent).is_none() && e.seen(SendProgress::Started).is_some(), "{e:?}");
+        assert!(
+            e.seen(SendProgress::Unsent).is_none() && e.seen(SendProgress::Started).is_some(),
+            "{e:?}"
+        );
     }
     assert_eq!(
-        (Served.seen(SendProgress::Started), ConnectTimeout.seen(SendProgress::Unsent)),
+        (
+            Served.seen(SendProgress::Started),
+            ConnectTimeout.seen(SendProgress::Unsent)
+        ),
         (Some(Observed::Answered), Some(Observed::Refused))
     );
 }
@@ -34,8 +43,14 @@
         ConnectionsFull,
         Shutdown,
     ] {
-        assert!(never_ran(e.outcome(SendProgress::Unsent)), "{e:?} before a byte left");
-        assert!(!never_ran(e.outcome(SendProgress::Started)), "{e:?} after a byte left");
+        assert!(
+            never_ran(e.outcome(SendProgress::Unsent)),
+            "{e:?} before a byte left"
+        );
+        assert!(
+            !never_ran(e.outcome(SendProgress::Started)),
+            "{e:?} after a byte left"
+        );
     }
     for e in [NotLoaded, AtCapacity, Expired, Refused, ConnectTimeout] {
         assert!(never_ran(e.outcome(SendProgress::Started)), "{e:?}");
@@ -48,7 +63,16 @@
 /// Guards workers against this side's own limits: a gateway without descriptors must not take all workers for dead.
 #[test]
 fn what_this_side_lacks_is_not_put_down_to_the_worker() {
-    assert_eq!(CloseReason::LocalLimit.outcome(SendProgress::Unsent), Outcome::NotSent);
-    assert_eq!(CloseReason::ConnectionsFull.outcome(SendProgress::Unsent), Outcome::Rejected);
-    assert_eq!(CloseReason::ConnectTimeout.outcome(SendProgress::Unsent), Outcome::ConnectFailed);
+    assert_eq!(
+        CloseReason::LocalLimit.outcome(SendProgress::Unsent),
+        Outcome::NotSent
+    );
+    assert_eq!(
+        CloseReason::ConnectionsFull.outcome(SendProgress::Unsent),
+        Outcome::Rejected
+    );
+    assert_eq!(
+        CloseReason::ConnectTimeout.outcome(SendProgress::Unsent),
+        Outcome::ConnectFailed
+    );
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -73,7 +73,10 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { memory_mb: default_memory(), sockets: default_sockets() }
+        Limits {
+            memory_mb: default_memory(),
+            sockets: default_sockets(),
+        }
     }
 }
 
@@ -148,46 +151,89 @@
     }
 
     /// Reads a file; `name` and `listen` win over what it says.
-    pub fn read(path: &Path, name: Option<String>, listen: Option<String>) -> Result<Config, ConfigError> {
+    pub fn read(
+        path: &Path,
+        name: Option<String>,
+        listen: Option<String>,
+    ) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e))?;
         let read = Config::parse(&text, name, listen).map_err(|e| match e {
             ConfigError::Parse(_, e) => ConfigError::Parse(path.into(), e),
             e => e,
         })?;
-        Ok(Config { file: Some(path.into()), ..read })
+        Ok(Config {
+            file: Some(path.into()),
+            ..read
+        })
     }
 
     /// Reads the same file again, under the same name and for the same listener.
     pub fn again(&self) -> Result<Config, ConfigError> {
-        let path = self.file.as_ref().ok_or(ConfigError::Missing("RELAY_CONFIG"))?;
+        let path = self
+            .file
+            .as_ref()
+            .ok_or(ConfigError::Missing("RELAY_CONFIG"))?;
         Config::read(path, Some(self.name.clone()), Some(self.listen.to_string()))
     }
 
     /// All that a running gateway keeps until it is started anew.
     pub fn fixed(&self) -> impl PartialEq + '_ {
-        let limits = (self.limits.sockets, self.connect_limit, self.conn_idle, self.streams, self.most_held);
+        let limits = (
+            self.limits.sockets,
+            self.connect_limit,
+            self.conn_idle,
+            self.streams,
+            self.most_held,
+        );
         (&self.settings, &self.names, limits)
     }
 
     /// Reads the JSON itself.
-    pub fn parse(text: &str, name: Option<String>, listen: Option<String>) -> Result<Config, ConfigError> {
+    pub fn parse(
+        text: &str,
+        name: Option<String>,
+        listen: Option<String>,
+    ) -> Result<Config, ConfigError> {
         let raw: Raw = serde_json::from_str(text)
             .map_err(|e| ConfigError::Parse(PathBuf::from("configuration"), e.to_string()))?;
-        let listen = listen.or(raw.listen).ok_or(ConfigError::Missing("RELAY_LISTEN"))?;
+        let listen = listen
+            .or(raw.listen)
+            .ok_or(ConfigError::Missing("RELAY_LISTEN"))?;
         let board = raw.board.filter(|b| !b.is_empty());
         let admin = raw.admin_addr.filter(|a| !a.is_empty());
         let facts = settings::nested(&raw.settings);
         settings::check(&facts)?;
         let (mut module, _) = settings::from_facts(&facts);
-        let number = |key: &str| facts.get(key).and_then(|v| v.parse::<f64>().ok()).filter(|v| *v > 0.0);
+        let number = |key: &str| {
+            facts
+                .get(key)
+                .and_then(|v| v.parse::<f64>().ok())
+                .filter(|v| *v > 0.0)
+        };
         // Clients of the simulator are told nothing; on sockets every refusal says when to come back.
         let advice = number("caps.maxRetryAfterMs").unwrap_or(0.0);
         module.max_retry_after = module.max_retry_after.max((advice * 1e3) as Micros);
         let listed = |list: &str, field: &str| -> Vec<String> {
-            let named = |v: &Value| v.get(field).and_then(Value::as_str).unwrap_or_default().to_owned();
-            raw.settings.get(list).and_then(Value::as_array).into_iter().flatten().map(named).collect()
+            let named = |v: &Value| {
+                v.get(field)
+                    .and_then(Value::as_str)
+                    .unwrap_or_default()
+                    .to_owned()
+            };
+            raw.settings
+                .get(list)
+                .and_then(Value::as_array)
+                .into_iter()
+                .flatten()
+                .map(named)
+                .collect()
         };
-        let zones = raw.settings.get("dcs").and_then(Value::as_array).into_iter().flatten();
+        let zones = raw
+            .settings
+            .get("dcs")
+            .and_then(Value::as_array)
+            .into_iter()
+            .flatten();
         let names = Names {
             classes: listed("services", "name"),
             tenants: listed("orgs", "name"),
@@ -195,7 +241,8 @@
             longest: module.classes.iter().map(|c| c.deadline).collect(),
         };
         let known = raw.known.notices.iter().map(|n| {
-            WatchEvent::from_value(n, &names).map_err(|e| ConfigError::Value("known.notices", e.to_string()))
+            WatchEvent::from_value(n, &names)
+                .map_err(|e| ConfigError::Value("known.notices", e.to_string()))
         });
         Ok(Config {
             file: None,
@@ -208,7 +255,8 @@
             known_rev: raw.known.rev,
             known: known.collect::<Result<_, _>>()?,
             names,
-            connect_limit: number("caps.connectTimeoutMs").map_or(250_000, |ms| (ms * 1e3) as Micros),
+            connect_limit: number("caps.connectTimeoutMs")
+                .map_or(250_000, |ms| (ms * 1e3) as Micros),
             conn_idle: number("caps.connIdleMs").map_or(30_000_000, |ms| (ms * 1e3) as Micros),
             streams: number("caps.streamsPerConn").map_or(100, |n| n as usize),
             most_held: number("caps.mostHeld").map_or(20_000, |n| n as usize),
@@ -218,15 +266,20 @@
 }
 
 fn address(what: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::Value(what, text.to_owned()))
+    text.parse()
+        .map_err(|_| ConfigError::Value(what, text.to_owned()))
 }
 
 /// A seed comes as 16 hex digits; a number will do too.
 fn seed(value: &Value) -> Result<u64, ConfigError> {
     match value {
         Value::Null => Ok(0),
-        Value::Number(n) => n.as_u64().ok_or_else(|| ConfigError::Value("seed", n.to_string())),
-        Value::String(s) => u64::from_str_radix(s, 16).map_err(|_| ConfigError::Value("seed", s.clone())),
+        Value::Number(n) => n
+            .as_u64()
+            .ok_or_else(|| ConfigError::Value("seed", n.to_string())),
+        Value::String(s) => {
+            u64::from_str_radix(s, 16).map_err(|_| ConfigError::Value("seed", s.clone()))
+        }
         other => Err(ConfigError::Value("seed", other.to_string())),
     }
 }
@@ -374,7 +427,10 @@
 impl Admin {
     /// Roles by SPIFFE ID.
     pub fn roles(&self) -> BTreeMap<String, Role> {
-        self.callers.iter().map(|c| (c.spiffe_id.clone(), c.role)).collect()
+        self.callers
+            .iter()
+            .map(|c| (c.spiffe_id.clone(), c.role))
+            .collect()
     }
 }
 
@@ -402,8 +458,9 @@
     /// Reads the text itself, and checks all that can be checked without the machine.
     pub fn parse(text: &str) -> Result<Operator, ConfigError> {
         // The error of a file that may hold secrets is told without the line it is about.
-        let operator: Operator = toml::from_str(text)
-            .map_err(|e| ConfigError::Parse(PathBuf::from("operator's file"), e.message().to_owned()))?;
+        let operator: Operator = toml::from_str(text).map_err(|e| {
+            ConfigError::Parse(PathBuf::from("operator's file"), e.message().to_owned())
+        })?;
         if let Some(admin) = &operator.admin {
             if !admin.listen.ip().is_loopback() {
                 return Err(ConfigError::Value("admin.listen", admin.listen.to_string()));
@@ -428,9 +485,13 @@
         let mut registry = Registry::new(platform);
         for spec in &self.tenants {
             let new = registry.put(&spec.name, spec);
-            let new = new.map_err(|e| ConfigError::Value("tenants", format!("{}: {e}", spec.name)))?;
+            let new =
+                new.map_err(|e| ConfigError::Value("tenants", format!("{}: {e}", spec.name)))?;
             if !new {
-                return Err(ConfigError::Value("tenants", format!("{} comes twice", spec.name)));
+                return Err(ConfigError::Value(
+                    "tenants",
+                    format!("{} comes twice", spec.name),
+                ));
             }
         }
         Ok(registry)
--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -74,11 +74,21 @@
     pub fn read(path: &Path) -> Result<File, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e))?;
         let parsed = toml::from_str(&text);
-        let mut f: File = parsed.map_err(|e| ConfigError::Parse(path.into(), e.message().to_owned()))?;
+        let mut f: File =
+            parsed.map_err(|e| ConfigError::Parse(path.into(), e.message().to_owned()))?;
         f.file = path.to_owned();
         let folder = path.parent().unwrap_or(Path::new(""));
-        let files = [&mut f.seat, &mut f.history, &mut f.shared_keys, &mut f.own_key, &mut f.accepted];
-        files.into_iter().flatten().for_each(|file| *file = folder.join(&*file));
+        let files = [
+            &mut f.seat,
+            &mut f.history,
+            &mut f.shared_keys,
+            &mut f.own_key,
+            &mut f.accepted,
+        ];
+        files
+            .into_iter()
+            .flatten()
+            .for_each(|file| *file = folder.join(&*file));
         if let Some(name) = f.voters.keys().chain(&f.name).find(|n| !is_name(n)) {
             return bad("council.voters", name);
         }
@@ -86,7 +96,10 @@
             return bad("council.voters", "nobody");
         }
         if f.duties.len() > MAX_LEASES || f.duties.iter().any(|d| d.is_empty() || d.len() > 64) {
-            return bad("council.duties", "too many, or a name that is empty or longer than 64 bytes");
+            return bad(
+                "council.duties",
+                "too many, or a name that is empty or longer than 64 bytes",
+            );
         }
         // A lease is renewed thrice while it runs, and must outlive a change of leaders only to be of use, not to be safe.
         if !(5..=1_000).contains(&f.tick_ms)
@@ -103,7 +116,13 @@
 
     /// Reads the keys that it names, for this instance's name.
     pub fn keys(&self, name: &str) -> Result<Keys, ConfigError> {
-        read_keys("council", name, &self.shared_keys, &self.own_key, &self.accepted)
+        read_keys(
+            "council",
+            name,
+            &self.shared_keys,
+            &self.own_key,
+            &self.accepted,
+        )
     }
 }
 
@@ -125,11 +144,19 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             BootstrapError::Names => {
-                write!(f, "a council has 1 to {MAX_VOTERS} voters, each with a name of its own")
+                write!(
+                    f,
+                    "a council has 1 to {MAX_VOTERS} voters, each with a name of its own"
+                )
+            }
+            BootstrapError::NotAmongThem => {
+                f.write_str("the gateway itself is not among the voters")
             }
-            BootstrapError::NotAmongThem => f.write_str("the gateway itself is not among the voters"),
             BootstrapError::Generation(g) => {
-                write!(f, "the disk is of generation {g}, which is not an earlier one")
+                write!(
+                    f,
+                    "the disk is of generation {g}, which is not an earlier one"
+                )
             }
         }
     }
@@ -145,8 +172,10 @@
     names: &[String],
     from: Option<&State>,
 ) -> Result<Record, BootstrapError> {
-    let voters: BTreeMap<ReplicaId, Arc<str>> =
-        names.iter().map(|n| (bootstrap_voter(generation, n), n.as_str().into())).collect();
+    let voters: BTreeMap<ReplicaId, Arc<str>> = names
+        .iter()
+        .map(|n| (bootstrap_voter(generation, n), n.as_str().into()))
+        .collect();
     let sound = !names.is_empty() && names.iter().all(|n| is_name(n));
     if !sound || voters.len() != names.len() || names.len() > MAX_VOTERS {
         return Err(BootstrapError::Names);
@@ -159,8 +188,17 @@
     }
     let ledger = from.map_or_else(LeaseTable::default, |s| s.leases.rebootstrapped(generation));
     // As if one entry had been agreed: a seat that joins later has it not, and is sent the state.
-    let (sets, tenants) = from.map_or_else(Default::default, |s| (s.replica_sets.clone(), s.tenants.clone()));
-    let state = State { generation, applied: FIRST, voters, leases: ledger, replica_sets: sets, tenants };
+    let (sets, tenants) = from.map_or_else(Default::default, |s| {
+        (s.replica_sets.clone(), s.tenants.clone())
+    });
+    let state = State {
+        generation,
+        applied: FIRST,
+        voters,
+        leases: ledger,
+        replica_sets: sets,
+        tenants,
+    };
     Ok(seat_of(bootstrap_voter(generation, me), &state))
 }
 
@@ -181,15 +219,25 @@
         snapshot: (at, at, seats, data),
         ..Head::default()
     };
-    Record { head: Some(head), ..Record::default() }
+    Record {
+        head: Some(head),
+        ..Record::default()
+    }
 }
 
 /// The state that a disk's snapshot and its agreed entries come to; for founding anew from it.
 pub fn state_of(head: &Head, lines: &[LogLine]) -> Option<State> {
     let mut state = State::read(&head.snapshot.3).ok()?;
     for line in lines.iter().filter(|l| l.index <= head.hard.2) {
-        let bytes = if line.voters { &line.context } else { &line.data };
-        state.apply(line.index, &postcard::from_bytes(bytes).unwrap_or(super::state::Entry::Noop));
+        let bytes = if line.voters {
+            &line.context
+        } else {
+            &line.data
+        };
+        state.apply(
+            line.index,
+            &postcard::from_bytes(bytes).unwrap_or(super::state::Entry::Noop),
+        );
     }
     Some(state)
 }
--- a/src/consensus/follow.rs
+++ b/src/consensus/follow.rs
@@ -47,10 +47,16 @@
     pub fn asked(&mut self, now: Micros, name: &str, poll: Poll) {
         let name: Arc<str> = name.into();
         match poll.seat {
-            Some(seat) if self.seats.len() < MAX_LEARNERS => drop(self.seats.insert(name.clone(), seat)),
+            Some(seat) if self.seats.len() < MAX_LEARNERS => {
+                drop(self.seats.insert(name.clone(), seat))
+            }
             _ => drop(self.seats.remove(&name)),
         }
-        let until = if self.waits.len() < MAX_LEARNERS { now + WAITS } else { now };
+        let until = if self.waits.len() < MAX_LEARNERS {
+            now + WAITS
+        } else {
+            now
+        };
         self.waits.insert(name, (poll, until));
     }
 
@@ -97,14 +103,28 @@
             .filter(|(_, (p, until))| now >= *until || news(p))
             .map(|(n, _)| n.clone())
             .collect();
-        due.into_iter().filter_map(|n| self.waits.remove(&n).map(|(p, _)| (n, p))).collect()
+        due.into_iter()
+            .filter_map(|n| self.waits.remove(&n).map(|(p, _)| (n, p)))
+            .collect()
     }
 
     /// What is passed on to one who has so much.
     pub fn since(&self, process: u64, poll: &Poll) -> Forwarded {
-        let has = if poll.passed.0 == process { poll.passed.1.min(self.number) } else { 0 };
+        let has = if poll.passed.0 == process {
+            poll.passed.1.min(self.number)
+        } else {
+            0
+        };
         let news = (self.number - has).min(self.passed.len() as u64) as usize;
-        (process, self.number, self.passed.iter().skip(self.passed.len() - news).cloned().collect())
+        (
+            process,
+            self.number,
+            self.passed
+                .iter()
+                .skip(self.passed.len() - news)
+                .cloned()
+                .collect(),
+        )
     }
 }
 
@@ -134,7 +154,14 @@
     /// One that knows nothing but whom to ask.
     pub fn new(voters: Vec<Arc<str>>, seat: Option<ReplicaId>, seed: u64) -> Learner {
         let at = (seed as usize).checked_rem(voters.len()).unwrap_or(0);
-        Learner { state: State::default(), passed: (0, 0), voters, at, asked: None, seat }
+        Learner {
+            state: State::default(),
+            passed: (0, 0),
+            voters,
+            at,
+            asked: None,
+            seat,
+        }
     }
 
     /// The state as far as it has heard.
@@ -163,7 +190,15 @@
         }
         self.asked = Some(now);
         let (generation, applied) = (self.state.generation, self.state.applied);
-        Some((Poll { generation, applied, passed: self.passed, seat: self.seat }, silent))
+        Some((
+            Poll {
+                generation,
+                applied,
+                passed: self.passed,
+                seat: self.seat,
+            },
+            silent,
+        ))
     }
 
     /// The connection to the voter that was asked has ended.
@@ -178,7 +213,12 @@
     }
 
     /// An answer came with entries.
-    pub fn entries(&mut self, generation: u32, entries: Vec<(u64, Entry)>, passed: Forwarded) -> CatchUp {
+    pub fn entries(
+        &mut self,
+        generation: u32,
+        entries: Vec<(u64, Entry)>,
+        passed: Forwarded,
+    ) -> CatchUp {
         self.asked = None;
         let mut news = CatchUp::default();
         if generation == self.state.generation {
@@ -223,13 +263,22 @@
     fn entry(term: u64) -> Entry {
         Entry::Lease(ledger::Entry::Grant {
             lease: "d".into(),
-            holder: crate::lease::LeaseHolder { name: "a".into(), incarnation: 1 },
+            holder: crate::lease::LeaseHolder {
+                name: "a".into(),
+                incarnation: 1,
+            },
             term,
         })
     }
 
     fn effect(number: u64) -> LeaseEffect {
-        LeaseEffect { lease: "d".into(), term: 1, holder: "a".into(), number, content: Vec::new() }
+        LeaseEffect {
+            lease: "d".into(),
+            term: 1,
+            holder: "a".into(),
+            number,
+            content: Vec::new(),
+        }
     }
 
     #[test]
@@ -250,24 +299,51 @@
     #[test]
     fn entries_are_applied_once_and_in_order() {
         let mut f = Learner::new(vec!["a".into()], None, 0);
-        let state = State { generation: 1, applied: 4, ..State::default() };
+        let state = State {
+            generation: 1,
+            applied: 4,
+            ..State::default()
+        };
         assert!(f.restored(state.clone(), (1, 0, Vec::new())).restored);
-        assert!(!f.restored(state, (1, 0, Vec::new())).restored, "the same again is no news");
-        let news = f.entries(1, vec![(4, entry(9)), (5, entry(1)), (7, entry(3))], (1, 0, Vec::new()));
+        assert!(
+            !f.restored(state, (1, 0, Vec::new())).restored,
+            "the same again is no news"
+        );
+        let news = f.entries(
+            1,
+            vec![(4, entry(9)), (5, entry(1)), (7, entry(3))],
+            (1, 0, Vec::new()),
+        );
         assert_eq!(news.applied, [(5, entry(1), true)]);
         assert_eq!(
-            f.entries(2, vec![(6, entry(2))], (1, 0, Vec::new())).applied,
+            f.entries(2, vec![(6, entry(2))], (1, 0, Vec::new()))
+                .applied,
             [],
             "of another generation"
         );
-        let older = State { generation: 1, applied: 3, ..State::default() };
+        let older = State {
+            generation: 1,
+            applied: 3,
+            ..State::default()
+        };
         assert!(!f.restored(older, (1, 0, Vec::new())).restored);
     }
 
     #[test]
     fn an_answer_waits_for_news_and_no_longer_than_it_may() {
-        let (mut v, state) = (LearnerProgress::default(), State { applied: 5, ..State::default() });
-        let poll = Poll { generation: 0, applied: 5, passed: (9, 0), seat: None };
+        let (mut v, state) = (
+            LearnerProgress::default(),
+            State {
+                applied: 5,
+                ..State::default()
+            },
+        );
+        let poll = Poll {
+            generation: 0,
+            applied: 5,
+            passed: (9, 0),
+            seat: None,
+        };
         v.asked(0, "f", poll.clone());
         assert!(v.due(1, 9, &state).is_empty());
         assert_eq!(v.next_deadline(), Some(WAITS));
@@ -278,10 +354,34 @@
         assert_eq!(due.len(), 1);
         assert_eq!(v.since(9, &due[0].1), (9, 1, vec![effect(1)]));
         // One that has it, one of another process, and one that was away for long.
-        assert_eq!(v.since(9, &Poll { passed: (9, 1), ..poll.clone() }).2, []);
-        assert_eq!(v.since(9, &Poll { passed: (8, 70), ..poll.clone() }).2.len(), 1);
+        assert_eq!(
+            v.since(
+                9,
+                &Poll {
+                    passed: (9, 1),
+                    ..poll.clone()
+                }
+            )
+            .2,
+            []
+        );
+        assert_eq!(
+            v.since(
+                9,
+                &Poll {
+                    passed: (8, 70),
+                    ..poll.clone()
+                }
+            )
+            .2
+            .len(),
+            1
+        );
         (2..200).for_each(|n| v.pass(effect(n)));
         let (_, number, passed) = v.since(9, &poll);
-        assert_eq!((number, passed.len(), passed[0].number), (199, MAX_FORWARDED_EFFECTS, 136));
+        assert_eq!(
+            (number, passed.len(), passed[0].number),
+            (199, MAX_FORWARDED_EFFECTS, 136)
+        );
     }
 }
--- a/src/consensus/kept.rs
+++ b/src/consensus/kept.rs
@@ -114,7 +114,10 @@
             next += 1;
         }
         if next <= head.hard.2 {
-            return Err(DamagedState::Cut { last: next - 1, agreed: head.hard.2 });
+            return Err(DamagedState::Cut {
+                last: next - 1,
+                agreed: head.hard.2,
+            });
         }
         Ok(PersistentState { head, lines })
     }
@@ -234,7 +237,9 @@
         if index < at {
             return Err(StorageError::Compacted.into());
         }
-        self.line(index).map(|l| l.term).ok_or_else(|| StorageError::Unavailable.into())
+        self.line(index)
+            .map(|l| l.term)
+            .ok_or_else(|| StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -250,7 +255,10 @@
         if *index < request_index {
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
-        let mut snapshot = eraftpb::Snapshot { data: data.clone().into(), ..eraftpb::Snapshot::default() };
+        let mut snapshot = eraftpb::Snapshot {
+            data: data.clone().into(),
+            ..eraftpb::Snapshot::default()
+        };
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (*index, *term);
         meta.set_conf_state(conf(voters));
--- a/src/consensus/machine.rs
+++ b/src/consensus/machine.rs
@@ -211,7 +211,8 @@
         kept.head.boots += 1;
         let (index, _, _, data) = &kept.head.snapshot;
         let state = State::read(data).map_err(|e| VoterError::Raft(e.to_string()))?;
-        let (seat, snapshot, head, found) = (kept.head.seat, *index, kept.head.clone(), kept.last());
+        let (seat, snapshot, head, found) =
+            (kept.head.seat, *index, kept.head.clone(), kept.last());
         let config = Config {
             id: seat,
             election_tick: ELECTION,
@@ -247,7 +248,13 @@
             without,
         };
         // That the disk was started once more is kept before a word leaves.
-        council.keep(Record { head: Some(head), ..Record::default() }, Vec::new());
+        council.keep(
+            Record {
+                head: Some(head),
+                ..Record::default()
+            },
+            Vec::new(),
+        );
         council.settle();
         Ok(council)
     }
@@ -316,7 +323,9 @@
             return None;
         }
         let high = (self.state.applied + 1).min(index + most);
-        let entries = store.entries(index, high, None, raft::GetEntriesContext::empty(false)).ok()?;
+        let entries = store
+            .entries(index, high, None, raft::GetEntriesContext::empty(false))
+            .ok()?;
         let lines = entries.iter().map(|e| {
             let entry = match e.get_entry_type() {
                 EntryType::EntryNormal => postcard::from_bytes(&e.data).unwrap_or(Entry::Noop),
@@ -330,7 +339,10 @@
 
     /// When `Tick` is due.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.raw.as_ref().filter(|_| self.retired.is_none()).map(|_| self.next)
+        self.raw
+            .as_ref()
+            .filter(|_| self.retired.is_none())
+            .map(|_| self.next)
     }
 
     /// The next thing to be done, if any.
@@ -341,10 +353,22 @@
     /// Takes what happened.
     pub fn handle(&mut self, now: Micros, input: Input<'_>) {
         match input {
-            Input::Message { from, boots, process, bytes } => self.message(from, boots, process, bytes),
+            Input::Message {
+                from,
+                boots,
+                process,
+                bytes,
+            } => self.message(from, boots, process, bytes),
             Input::RecallRequest { from, own } => {
                 let known = self.memory.of(from);
-                self.memory.heard(from, KnownState { term: 0, kept: (0, 0), ..own });
+                self.memory.heard(
+                    from,
+                    KnownState {
+                        term: 0,
+                        kept: (0, 0),
+                        ..own
+                    },
+                );
                 self.outputs.push_back(Output::Recalled(from, known));
             }
             Input::RecallReply { from, known } => self.recalled(from, known),
@@ -376,7 +400,9 @@
     }
 
     fn own(&self) -> KnownState {
-        let Some(raw) = &self.raw else { return KnownState::default() };
+        let Some(raw) = &self.raw else {
+            return KnownState::default();
+        };
         let (store, last) = (raw.store(), raw.store().last());
         let term = store.term(last).unwrap_or(0);
         KnownState {
@@ -388,7 +414,9 @@
     }
 
     fn message(&mut self, from: ReplicaId, boots: u64, process: u64, bytes: &[u8]) {
-        let Ok(m) = Message::parse_from_bytes(bytes) else { return };
+        let Ok(m) = Message::parse_from_bytes(bytes) else {
+            return;
+        };
         if m.from != from || m.to != self.seat() {
             return;
         }
@@ -397,10 +425,21 @@
             MessageType::MsgAppendResponse if !m.reject => (m.term, m.index),
             _ => (0, 0),
         };
-        let asks = matches!(kind, MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse);
+        let asks = matches!(
+            kind,
+            MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
+        );
         // A question before an election is asked in a term that nobody is in yet.
         let term = if asks { 0 } else { m.term };
-        self.memory.heard(from, KnownState { boots, process, term, kept });
+        self.memory.heard(
+            from,
+            KnownState {
+                boots,
+                process,
+                term,
+                kept,
+            },
+        );
         if !self.votes() || self.waits.len() > MOST_RECORDS {
             return;
         }
@@ -428,7 +467,10 @@
     }
 
     fn look_at_probation(&mut self) {
-        let voters = self.raw.as_ref().map_or(0, |raw| raw.store().head.voters.len());
+        let voters = self
+            .raw
+            .as_ref()
+            .map_or(0, |raw| raw.store().head.voters.len());
         self.probation.take_if(|p| p.is_over(voters));
     }
 
@@ -443,18 +485,27 @@
         }
         self.waits.clear();
         if let Some(raw) = &mut self.raw {
-            let head = Head { retired: Some(why.clone()), ..raw.store().head.clone() };
+            let head = Head {
+                retired: Some(why.clone()),
+                ..raw.store().head.clone()
+            };
             raw.mut_store().head.clone_from(&head);
             self.number += 1;
-            let record = Record { head: Some(head), ..Record::default() };
-            self.outputs.push_back(Output::Persist(self.number, Box::new(record)));
+            let record = Record {
+                head: Some(head),
+                ..Record::default()
+            };
+            self.outputs
+                .push_back(Output::Persist(self.number, Box::new(record)));
         }
         self.outputs.push_back(Output::Retired(why));
     }
 
     pub(super) fn propose(&mut self, entry: &Entry) {
         // An entry always packs; one that `raft` drops is proposed again by whoever wants it.
-        let Ok(data) = postcard::to_stdvec(entry) else { return };
+        let Ok(data) = postcard::to_stdvec(entry) else {
+            return;
+        };
         if self.leads.is_some() {
             self.with(|raw| drop(raw.propose(Vec::new(), data)));
         }
@@ -481,7 +532,9 @@
             }
             (None, None) => return,
         }
-        let Ok(context) = postcard::to_stdvec(&Entry::Voters(after)) else { return };
+        let Ok(context) = postcard::to_stdvec(&Entry::Voters(after)) else {
+            return;
+        };
         if self.leads.is_some() {
             self.with(|raw| drop(raw.propose_conf_change(context, change)));
         }
@@ -507,7 +560,10 @@
                     return;
                 }
                 let own = self.own();
-                self.probation.as_mut().into_iter().for_each(Probation::asked);
+                self.probation
+                    .as_mut()
+                    .into_iter()
+                    .for_each(Probation::asked);
                 self.outputs.push_back(Output::Recall(own));
                 return self.look_at_probation();
             }
@@ -518,7 +574,11 @@
     /// Hands out what has come of it.
     fn settle(&mut self) {
         while self.retired.is_none() && self.raw.as_ref().is_some_and(RawNode::has_ready) {
-            if self.with(|raw| raw.ready()).map(|ready| self.ready(ready)).is_none() {
+            if self
+                .with(|raw| raw.ready())
+                .map(|ready| self.ready(ready))
+                .is_none()
+            {
                 return;
             }
         }
@@ -536,7 +596,8 @@
         self.send(ready.take_messages());
         for read in ready.take_read_states() {
             if let Ok(number) = <[u8; 8]>::try_from(read.request_ctx.as_slice()) {
-                self.outputs.push_back(Output::Confirmed(u64::from_le_bytes(number)));
+                self.outputs
+                    .push_back(Output::Confirmed(u64::from_le_bytes(number)));
             }
         }
         let Some(raw) = &mut self.raw else { return };
@@ -574,7 +635,10 @@
         self.keep(if sync { record } else { Record::default() }, says);
         // Begun again it must not go back to voters of long ago: with those of one change ago it shares a majority, with
         // older ones perhaps none.
-        if applies.iter().any(|e| e.get_entry_type() != EntryType::EntryNormal) {
+        if applies
+            .iter()
+            .any(|e| e.get_entry_type() != EntryType::EntryNormal)
+        {
             // And a new voter takes a snapshot only if it is among its voters.
             return self.compact();
         }
@@ -597,7 +661,8 @@
         }
         if !record.is_empty() {
             let number = if self.without.kept { 0 } else { self.number };
-            self.outputs.push_back(Output::Persist(number, Box::new(record)));
+            self.outputs
+                .push_back(Output::Persist(number, Box::new(record)));
         }
         if self.waits.is_empty() {
             self.with(|raw| raw.on_persist_ready(u64::MAX));
@@ -645,8 +710,12 @@
         let entry = match e.get_entry_type() {
             EntryType::EntryNormal => postcard::from_bytes(&e.data).unwrap_or(Entry::Noop),
             _ => {
-                let Ok(change) = ConfChange::parse_from_bytes(&e.data) else { return };
-                let conf = self.with(|raw| raw.apply_conf_change(&change).ok()).flatten();
+                let Ok(change) = ConfChange::parse_from_bytes(&e.data) else {
+                    return;
+                };
+                let conf = self
+                    .with(|raw| raw.apply_conf_change(&change).ok())
+                    .flatten();
                 if let (Some(conf), Some(raw)) = (conf, &mut self.raw) {
                     raw.mut_store().head.voters = conf.get_voters().to_vec();
                 }
@@ -658,7 +727,8 @@
             let voters: BTreeMap<ReplicaId, Arc<str>> = self.state.voters.clone();
             self.memory.keep(|s| voters.contains_key(s));
         }
-        self.outputs.push_back(Output::Applied(e.index, entry, held));
+        self.outputs
+            .push_back(Output::Applied(e.index, entry, held));
     }
 
     /// Puts a snapshot in the place of entries that are applied.
@@ -666,12 +736,17 @@
         let applied = self.state.applied;
         // The state is that of the last entry applied: a snapshot stands there, or nowhere.
         let Some(raw) = &mut self.raw else { return };
-        let (Ok(term), Ok(data)) = (raw.store().term(applied), postcard::to_stdvec(&self.state)) else {
+        let (Ok(term), Ok(data)) = (raw.store().term(applied), postcard::to_stdvec(&self.state))
+        else {
             return;
         };
         let mut head = raw.store().head.clone();
         head.snapshot = (applied, term, head.voters.clone(), data);
-        let record = Record { head: Some(head), from: Some(applied + 1), ..Record::default() };
+        let record = Record {
+            head: Some(head),
+            from: Some(applied + 1),
+            ..Record::default()
+        };
         raw.mut_store().apply(&record);
         self.snapshot = applied;
         self.keep(record, Vec::new());
@@ -686,6 +761,10 @@
             return;
         }
         self.leads = leads;
-        self.outputs.push_back(if leads.is_some() { Output::BecameLeader } else { Output::LostLeadership });
+        self.outputs.push_back(if leads.is_some() {
+            Output::BecameLeader
+        } else {
+            Output::LostLeadership
+        });
     }
 }
--- a/src/consensus/member.rs
+++ b/src/consensus/member.rs
@@ -242,9 +242,16 @@
                 Err(e) => unfit = Some(e.to_string()),
             }
         }
-        let owner = LeaseHolder { name: settings.name.clone(), incarnation: settings.process };
-        let voters: Vec<Arc<str>> =
-            settings.contacts.iter().filter(|c| **c != settings.name).cloned().collect();
+        let owner = LeaseHolder {
+            name: settings.name.clone(),
+            incarnation: settings.process,
+        };
+        let voters: Vec<Arc<str>> = settings
+            .contacts
+            .iter()
+            .filter(|c| **c != settings.name)
+            .cloned()
+            .collect();
         let seat = council.as_ref().map(Voter::seat);
         let grantor = LeaseGrantor::new(settings.lease, settings.leases.clone());
         let holder = HolderState::new(settings.lease, owner, now);
@@ -268,7 +275,9 @@
         };
         if let Some(c) = &member.voter {
             // What the snapshot says is applied already; entries behind it come.
-            member.grantor.handle(now, grantor::Input::Restored(c.state().leases.clone()));
+            member
+                .grantor
+                .handle(now, grantor::Input::Restored(c.state().leases.clone()));
         }
         if let Some(why) = member.voter_error.clone() {
             member.note(HistoryEvent::Retired { why });
@@ -279,10 +288,22 @@
 
     /// The disk of its seat has become free, as the process before this one has ended.
     pub fn begin_voting(&mut self, now: Micros, kept: PersistentState) {
-        let (c, process, seed) = (self.settings.voter, self.settings.process, self.settings.seed);
-        match Voter::new(c, kept, process, seed, now, self.settings.disabled_guards.voter) {
+        let (c, process, seed) = (
+            self.settings.voter,
+            self.settings.process,
+            self.settings.seed,
+        );
+        match Voter::new(
+            c,
+            kept,
+            process,
+            seed,
+            now,
+            self.settings.disabled_guards.voter,
+        ) {
             Ok(c) => {
-                self.grantor.handle(now, grantor::Input::Restored(c.state().leases.clone()));
+                self.grantor
+                    .handle(now, grantor::Input::Restored(c.state().leases.clone()));
                 self.voter = Some(c);
             }
             Err(e) => {
@@ -306,12 +327,16 @@
 
     /// Why its disk does not make it a voter, if it does not.
     pub fn voter_error(&self) -> Option<&str> {
-        self.voter_error.as_deref().or_else(|| self.voter.as_ref().and_then(Voter::retired))
+        self.voter_error
+            .as_deref()
+            .or_else(|| self.voter.as_ref().and_then(Voter::retired))
     }
 
     /// Whether it votes.
     pub fn votes(&self) -> bool {
-        self.voter.as_ref().is_some_and(|c| c.votes() && c.state().voters.contains_key(&c.seat()))
+        self.voter
+            .as_ref()
+            .is_some_and(|c| c.votes() && c.state().voters.contains_key(&c.seat()))
     }
 
     /// Whether it leads.
@@ -358,13 +383,20 @@
 
     /// Seats of followers that could be made voters, by their names.
     pub fn replicas(&self) -> BTreeMap<Arc<str>, String> {
-        self.followed.seats().map(|(n, s)| (n.clone(), format!("{s:016x}"))).collect()
+        self.followed
+            .seats()
+            .map(|(n, s)| (n.clone(), format!("{s:016x}")))
+            .collect()
     }
 
     /// The term under which a duty may be done now, if it may.
     pub fn held_term(&self, now: Micros, duty: &LeaseName) -> Option<Term> {
         if self.settings.disabled_guards.lease {
-            return self.holder.held_leases().find(|(d, ..)| *d == duty).map(|(_, term, _)| term);
+            return self
+                .holder
+                .held_leases()
+                .find(|(d, ..)| *d == duty)
+                .map(|(_, term, _)| term);
         }
         self.holder.held_term(now, duty)
     }
@@ -388,11 +420,17 @@
 
     /// Those with whom it keeps a connection: the other voters while it votes, else the one that it asks.
     pub fn peers(&self) -> BTreeSet<Arc<str>> {
-        let others =
-            |names: &mut dyn Iterator<Item = Arc<str>>| names.filter(|n| *n != self.settings.name).collect();
+        let others = |names: &mut dyn Iterator<Item = Arc<str>>| {
+            names.filter(|n| *n != self.settings.name).collect()
+        };
         match &self.voter {
             Some(c) if c.retired().is_none() && !c.state().voters.is_empty() => {
-                let voters = c.state().voters.values().chain(&self.settings.contacts).cloned();
+                let voters = c
+                    .state()
+                    .voters
+                    .values()
+                    .chain(&self.settings.contacts)
+                    .cloned();
                 others(&mut voters.into_iter())
             }
             _ => others(&mut self.follower.asks().cloned().into_iter()),
@@ -404,7 +442,12 @@
         let mut next = self.holder.next_deadline();
         let council = self.voter.as_ref().and_then(Voter::next_deadline);
         let follower = (!self.voted).then(|| self.follower.next_deadline(now));
-        for t in [council, follower, self.grantor.next_deadline(now), self.followed.next_deadline()] {
+        for t in [
+            council,
+            follower,
+            self.grantor.next_deadline(now),
+            self.followed.next_deadline(),
+        ] {
             next = t.map_or(next, |t| t.min(next));
         }
         next
@@ -429,7 +472,14 @@
             Input::Act(duty, content) => self.act(now, duty, content),
             Input::Report(duty, content) => {
                 let from = self.settings.name.clone();
-                self.report(LeaseReport { lease: duty, from, content }, false);
+                self.report(
+                    LeaseReport {
+                        lease: duty,
+                        from,
+                        content,
+                    },
+                    false,
+                );
             }
             Input::Submit(entry) => self.bring(entry, false),
             Input::Exchange { joins, leaves } => {
@@ -437,8 +487,12 @@
                 // A name may have an old seat that votes and a new one that does not yet.
                 let new = joins.as_ref().map(|(s, _)| *s);
                 let voters = &self.state().voters;
-                let old =
-                    |n: Arc<str>| voters.iter().find(|(s, v)| **v == n && Some(**s) != new).map(|(s, _)| *s);
+                let old = |n: Arc<str>| {
+                    voters
+                        .iter()
+                        .find(|(s, v)| **v == n && Some(**s) != new)
+                        .map(|(s, _)| *s)
+                };
                 let leaves = leaves.and_then(old);
                 self.council_handle(now, machine::Input::Exchange { joins, leaves });
             }
@@ -471,7 +525,11 @@
         let generation = c.state().generation;
         known
             .or_else(|| {
-                self.settings.contacts.iter().find(|n| super::bootstrap_voter(generation, n) == seat).cloned()
+                self.settings
+                    .contacts
+                    .iter()
+                    .find(|n| super::bootstrap_voter(generation, n) == seat)
+                    .cloned()
             })
             .or_else(|| self.heard.get(&seat).cloned())
     }
@@ -482,7 +540,10 @@
             return its == *name;
         }
         // Only while it has no word of who votes: who makes it a voter speaks first.
-        let new = self.voter.as_ref().is_some_and(|c| c.state().voters.is_empty());
+        let new = self
+            .voter
+            .as_ref()
+            .is_some_and(|c| c.state().voters.is_empty());
         if new && self.heard.len() < super::MAX_VOTERS && self.settings.contacts.contains(name) {
             self.heard.insert(seat, name.clone());
         }
@@ -510,7 +571,12 @@
                 if generation == self.generation() && self.is_seat_of(seat, from) {
                     self.council_handle(
                         now,
-                        machine::Input::Message { from: seat, boots, process, bytes: &bytes },
+                        machine::Input::Message {
+                            from: seat,
+                            boots,
+                            process,
+                            bytes: &bytes,
+                        },
                     );
                 }
             }
@@ -579,11 +645,18 @@
             self.asked += 1;
             self.routes.insert(ask.from.clone(), (self.asked, via));
             if self.routes.len() > MOST_ROUTES {
-                let oldest = self.routes.iter().min_by_key(|(_, (n, _))| *n).map(|(o, _)| o.clone());
+                let oldest = self
+                    .routes
+                    .iter()
+                    .min_by_key(|(_, (n, _))| *n)
+                    .map(|(o, _)| o.clone());
                 oldest.map(|o| self.routes.remove(&o));
             }
             self.grantor.handle(now, grantor::Input::Renew(ask));
-        } else if let Some(leader) = self.leader().filter(|l| straight && l != &self.settings.name) {
+        } else if let Some(leader) = self
+            .leader()
+            .filter(|l| straight && l != &self.settings.name)
+        {
             let me = self.settings.name.to_string();
             self.say(leader, Body::RenewLeases(ask, Some(me)));
         }
@@ -603,7 +676,10 @@
             return;
         }
         if news.restored {
-            let (index, ledger) = (self.follower.state().applied, self.follower.state().leases.clone());
+            let (index, ledger) = (
+                self.follower.state().applied,
+                self.follower.state().leases.clone(),
+            );
             self.note(HistoryEvent::Restored { index });
             self.holder.handle(now, holder::Input::Restored(ledger));
             self.outputs.push_back(Output::SubsystemChanged);
@@ -612,7 +688,9 @@
             match entry {
                 Entry::Lease(entry) if held => self.agreed(now, index, entry),
                 // Also one without effect: whoever proposed it learns what stands.
-                Entry::ReplicaSets(_) | Entry::Tenants(_) => self.outputs.push_back(Output::SubsystemChanged),
+                Entry::ReplicaSets(_) | Entry::Tenants(_) => {
+                    self.outputs.push_back(Output::SubsystemChanged)
+                }
                 _ => {}
             }
         }
@@ -624,26 +702,44 @@
     /// An entry of duties took hold where this member takes its word from.
     fn agreed(&mut self, now: Micros, index: u64, entry: ledger::Entry) {
         let (duty, term, owner) = match &entry {
-            ledger::Entry::Grant { lease: duty, holder: owner, term } => {
-                (duty.clone(), *term, Some(owner.clone()))
-            }
+            ledger::Entry::Grant {
+                lease: duty,
+                holder: owner,
+                term,
+            } => (duty.clone(), *term, Some(owner.clone())),
             ledger::Entry::Released { lease: duty, term } => (duty.clone(), *term, None),
         };
-        self.note(HistoryEvent::Agreed { index, duty, term, owner });
+        self.note(HistoryEvent::Agreed {
+            index,
+            duty,
+            term,
+            owner,
+        });
         self.holder.handle(now, holder::Input::Applied(entry));
     }
 
     fn act(&mut self, now: Micros, duty: LeaseName, content: Vec<u8>) {
         // The first look at the lease; the second comes when the bytes are queued.
-        let Some(term) = self.held_term(now, &duty) else { return };
+        let Some(term) = self.held_term(now, &duty) else {
+            return;
+        };
         let count = self.acted.entry(duty.clone()).or_default();
         if count.0 != term {
             *count = (term, 0);
         }
         count.1 += 1;
-        let effect =
-            LeaseEffect { lease: duty, term, holder: self.settings.name.clone(), number: count.1, content };
-        self.note(HistoryEvent::Acted { duty: effect.lease.clone(), term, number: effect.number });
+        let effect = LeaseEffect {
+            lease: duty,
+            term,
+            holder: self.settings.name.clone(),
+            number: count.1,
+            content,
+        };
+        self.note(HistoryEvent::Acted {
+            duty: effect.lease.clone(),
+            term,
+            number: effect.number,
+        });
         // What it does it knows itself; its own fence learns of the term.
         let _ = self.fence.admit(&effect.lease, term);
         let to: Vec<Arc<str>> = match self.voted {
@@ -660,10 +756,22 @@
 
     /// To the duty's owner, by the shortest way that there may be.
     fn report(&mut self, report: LeaseReport, passed: bool) {
-        let Some(owner) = self.state().leases.record(&report.lease).holder.map(|o| o.name) else { return };
+        let Some(owner) = self
+            .state()
+            .leases
+            .record(&report.lease)
+            .holder
+            .map(|o| o.name)
+        else {
+            return;
+        };
         if owner == self.settings.name {
             if report.from != owner {
-                self.outputs.push_back(Output::ReportReceived(report.lease, report.from, report.content));
+                self.outputs.push_back(Output::ReportReceived(
+                    report.lease,
+                    report.from,
+                    report.content,
+                ));
             }
         } else if !self.voted {
             self.follower
@@ -687,7 +795,10 @@
             if let Some(c) = &mut self.voter {
                 c.propose(&entry.entry());
             }
-        } else if let Some(leader) = self.leader().filter(|l| !passed && *l != self.settings.name) {
+        } else if let Some(leader) = self
+            .leader()
+            .filter(|l| !passed && *l != self.settings.name)
+        {
             self.say(leader, Body::Submit(entry, true));
         } else if let Some(to) = self.catch_up_source().cloned().filter(|_| !passed) {
             self.say(to, Body::Submit(entry, false));
@@ -695,7 +806,12 @@
     }
 
     fn other_voters(&self) -> Vec<Arc<str>> {
-        self.state().voters.values().filter(|n| **n != self.settings.name).cloned().collect()
+        self.state()
+            .voters
+            .values()
+            .filter(|n| **n != self.settings.name)
+            .cloned()
+            .collect()
     }
 
     /// An effect of another came; `first` if this voter is the first that it came to.
@@ -703,13 +819,25 @@
         if effect.holder == self.settings.name {
             return;
         }
-        let LeaseEffect { lease: duty, term, holder: owner, number, .. } = effect.clone();
+        let LeaseEffect {
+            lease: duty,
+            term,
+            holder: owner,
+            number,
+            ..
+        } = effect.clone();
         let admitted = match self.fence.admit(&duty, term) {
             Err(FenceError::Stale { .. }) if self.settings.disabled_guards.terms => Ok(false),
             other => other,
         };
         if let Err(why) = admitted {
-            return self.note(HistoryEvent::Refused { duty, term, owner, number, why: why.to_string() });
+            return self.note(HistoryEvent::Refused {
+                duty,
+                term,
+                owner,
+                number,
+                why: why.to_string(),
+            });
         }
         // It may come by two ways.
         let last = self.taken.entry(duty.clone()).or_default();
@@ -717,7 +845,12 @@
             return;
         }
         *last = (term, number);
-        self.note(HistoryEvent::Accepted { duty, term, owner, number });
+        self.note(HistoryEvent::Accepted {
+            duty,
+            term,
+            owner,
+            number,
+        });
         if self.voted {
             self.followed.pass(effect.clone());
             if first {
@@ -790,12 +923,15 @@
             machine::Output::Persist(number, record) => {
                 self.outputs.push_back(Output::Persist(number, record))
             }
-            machine::Output::Applied(_, Entry::ReplicaSets(_) | Entry::Tenants(_), _) if self.voted => {
+            machine::Output::Applied(_, Entry::ReplicaSets(_) | Entry::Tenants(_), _)
+                if self.voted =>
+            {
                 self.outputs.push_back(Output::SubsystemChanged)
             }
             machine::Output::Applied(index, entry, held) => {
                 if let (Entry::Lease(entry), true) = (entry, held) {
-                    self.grantor.handle(now, grantor::Input::Applied(entry.clone()));
+                    self.grantor
+                        .handle(now, grantor::Input::Applied(entry.clone()));
                     if self.voted {
                         self.agreed(now, index, entry);
                     }
@@ -803,7 +939,8 @@
             }
             machine::Output::Restored => {
                 let (index, ledger) = (c.state().applied, c.state().leases.clone());
-                self.grantor.handle(now, grantor::Input::Restored(ledger.clone()));
+                self.grantor
+                    .handle(now, grantor::Input::Restored(ledger.clone()));
                 if self.voted {
                     self.note(HistoryEvent::Restored { index });
                     self.holder.handle(now, holder::Input::Restored(ledger));
@@ -820,14 +957,18 @@
                 self.grantor.handle(now, grantor::Input::LostLeadership);
                 self.routes.clear();
             }
-            machine::Output::Confirmed(number) => self.grantor.handle(now, grantor::Input::Confirmed(number)),
+            machine::Output::Confirmed(number) => {
+                self.grantor.handle(now, grantor::Input::Confirmed(number))
+            }
             machine::Output::Retired(why) => self.note(HistoryEvent::Retired { why }),
         }
     }
 
     fn of_grantor(&mut self, now: Micros, output: grantor::Output) {
         match output {
-            grantor::Output::Confirm(number) => self.council_handle(now, machine::Input::Confirm(number)),
+            grantor::Output::Confirm(number) => {
+                self.council_handle(now, machine::Input::Confirm(number))
+            }
             grantor::Output::Propose(entry) => {
                 self.council_handle(now, machine::Input::Propose(Entry::Lease(entry)))
             }
@@ -854,23 +995,34 @@
                 }
             }
             holder::Output::Began(duty, term) => {
-                self.note(HistoryEvent::Began { duty: duty.clone(), term });
+                self.note(HistoryEvent::Began {
+                    duty: duty.clone(),
+                    term,
+                });
                 self.outputs.push_back(Output::LeaseBegan(duty, term));
             }
             holder::Output::Ended(duty, term) => {
-                self.note(HistoryEvent::Ended { duty: duty.clone(), term });
+                self.note(HistoryEvent::Ended {
+                    duty: duty.clone(),
+                    term,
+                });
                 self.outputs.push_back(Output::LeaseEnded(duty, term));
             }
         }
     }
 
     fn answer_followers(&mut self, now: Micros) {
-        let (process, Some(c)) = (self.settings.process, &self.voter) else { return };
+        let (process, Some(c)) = (self.settings.process, &self.voter) else {
+            return;
+        };
         let state = c.state();
         for (name, poll) in self.followed.due(now, process, state) {
             let passed: Forwarded = self.followed.since(process, &poll);
             let same = poll.generation == state.generation;
-            let body = match c.since(poll.applied + 1, MAX_CATCH_UP_ENTRIES).filter(|_| same) {
+            let body = match c
+                .since(poll.applied + 1, MAX_CATCH_UP_ENTRIES)
+                .filter(|_| same)
+            {
                 Some(entries) => Body::Entries(state.generation, entries, passed),
                 None => Body::State(Box::new(state.clone()), passed),
             };
--- a/src/consensus/memory.rs
+++ b/src/consensus/memory.rs
@@ -115,8 +115,11 @@
 
     /// Whether it may take part, among so many voters.
     pub fn is_over(&self, voters: usize) -> bool {
-        let others =
-            if self.asked > PATIENCE { voters / 2 } else { (voters / 2 + 1).min(voters.saturating_sub(1)) };
+        let others = if self.asked > PATIENCE {
+            voters / 2
+        } else {
+            (voters / 2 + 1).min(voters.saturating_sub(1))
+        };
         self.answered.len() >= others
     }
 }
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -31,5 +31,8 @@
 pub fn bootstrap_voter(generation: u32, name: &str) -> ReplicaId {
     let content = [&generation.to_le_bytes()[..], name.as_bytes()].concat();
     let hash = blake3::derive_key("molelug council founder's seat 1", &content);
-    u64::from_le_bytes([hash[0], hash[1], hash[2], hash[3], hash[4], hash[5], hash[6], hash[7]]).max(1)
+    u64::from_le_bytes([
+        hash[0], hash[1], hash[2], hash[3], hash[4], hash[5], hash[6], hash[7],
+    ])
+    .max(1)
 }
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -72,14 +72,22 @@
 /// The state as disks have it that were written before there were shards.
 type First = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, LeaseTable);
 /// As they have it that were written before there were tenants.
-type Second = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, LeaseTable, sets::Earlier);
+type Second = (
+    u32,
+    u64,
+    BTreeMap<ReplicaId, Arc<str>>,
+    LeaseTable,
+    sets::Earlier,
+);
 
 impl State {
     /// Reads a snapshot's bytes, also those of an earlier version.
     pub fn read(bytes: &[u8]) -> Result<State, postcard::Error> {
         postcard::from_bytes(bytes).or_else(|e| {
             let tenants = tenants::Tenants::default();
-            if let Ok((generation, applied, voters, ledger, sets)) = postcard::from_bytes::<Second>(bytes) {
+            if let Ok((generation, applied, voters, ledger, sets)) =
+                postcard::from_bytes::<Second>(bytes)
+            {
                 return Ok(State {
                     generation,
                     applied,
@@ -89,7 +97,8 @@
                     tenants,
                 });
             }
-            let (generation, applied, voters, ledger): First = postcard::from_bytes(bytes).map_err(|_| e)?;
+            let (generation, applied, voters, ledger): First =
+                postcard::from_bytes(bytes).map_err(|_| e)?;
             Ok(State {
                 generation,
                 applied,
--- a/src/consensus/tests.rs
+++ b/src/consensus/tests.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 
 use super::kept::{DamagedState, Head, LogLine, PersistentState, Record};
-use super::machine::{DisabledVoterGuards, Input, Output, Settings, Voter, VoterError, ENTRIES_PER_SNAPSHOT};
+use super::machine::{
+    DisabledVoterGuards, Input, Output, Settings, Voter, VoterError, ENTRIES_PER_SNAPSHOT,
+};
 use super::memory::KnownState;
 use super::state::Entry;
 use super::*;
@@ -25,7 +27,9 @@
 }
 
 fn below(seed: &mut u64, n: u64) -> u64 {
-    *seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+    *seed = seed
+        .wrapping_mul(6_364_136_223_846_793_005)
+        .wrapping_add(1_442_695_040_888_963_407);
     (*seed >> 33) % n
 }
 
@@ -75,7 +79,13 @@
         let voter = |n| {
             let kept = founded(n, of);
             let disk = (Some(kept.head), Vec::new());
-            Replica { council: None, disk, writes: VecDeque::new(), applied: BTreeMap::new(), retired: None }
+            Replica {
+                council: None,
+                disk,
+                writes: VecDeque::new(),
+                applied: BTreeMap::new(),
+                retired: None,
+            }
         };
         let mut rig = Rig {
             now: 1,
@@ -103,7 +113,14 @@
         let (head, lines) = self.voters[n].disk.clone();
         let kept = PersistentState::found(head, lines);
         let council = kept.map_err(VoterError::Damaged).and_then(|kept| {
-            Voter::new(Settings::default(), kept, self.process, self.seed, self.now, self.without)
+            Voter::new(
+                Settings::default(),
+                kept,
+                self.process,
+                self.seed,
+                self.now,
+                self.without,
+            )
         });
         match council {
             Ok(council) => self.voters[n].council = Some(council),
@@ -118,8 +135,11 @@
 
     fn write(&mut self, n: usize) {
         let v = &mut self.voters[n];
-        let Some((number, record)) = v.writes.pop_front() else { return };
-        let mut kept = PersistentState::found(v.disk.0.clone(), v.disk.1.clone()).unwrap_or_default();
+        let Some((number, record)) = v.writes.pop_front() else {
+            return;
+        };
+        let mut kept =
+            PersistentState::found(v.disk.0.clone(), v.disk.1.clone()).unwrap_or_default();
         kept.apply(&record);
         v.disk = (Some(kept.head.clone()), lines(&kept));
         self.handle(n, Input::Persisted(number));
@@ -127,17 +147,23 @@
 
     fn handle(&mut self, n: usize, input: Input<'_>) {
         let now = self.now;
-        let Some(council) = &mut self.voters[n].council else { return };
+        let Some(council) = &mut self.voters[n].council else {
+            return;
+        };
         council.handle(now, input);
         self.drain(n);
     }
 
     fn drain(&mut self, n: usize) {
         while let Some(output) = self.voters[n].council.as_mut().and_then(Voter::output) {
-            let (boots, process) =
-                self.voters[n].council.as_ref().map_or((0, 0), |c| (c.boots(), c.process()));
+            let (boots, process) = self.voters[n]
+                .council
+                .as_ref()
+                .map_or((0, 0), |c| (c.boots(), c.process()));
             match output {
-                Output::Send(to, bytes) => self.post(n, to, || What::Message(boots, process, bytes.clone())),
+                Output::Send(to, bytes) => {
+                    self.post(n, to, || What::Message(boots, process, bytes.clone()))
+                }
                 Output::Recall(own) => {
                     for to in 0..self.voters.len() {
                         if to != n {
@@ -146,7 +172,9 @@
                     }
                 }
                 Output::Recalled(to, known) => self.post(n, to, || What::Recalled(known)),
-                Output::Persist(number, record) => self.voters[n].writes.push_back((number, *record)),
+                Output::Persist(number, record) => {
+                    self.voters[n].writes.push_back((number, *record))
+                }
                 Output::Applied(index, entry, _) => {
                     let before = self.voters[n].applied.insert(index, entry.clone());
                     if before.is_some_and(|b| b != entry) {
@@ -166,7 +194,9 @@
     }
 
     fn post(&mut self, from: usize, to: ReplicaId, what: impl Fn() -> What) {
-        let Some(to) = (0..self.voters.len()).find(|n| bootstrap_voter(1, &name(*n)) == to) else { return };
+        let Some(to) = (0..self.voters.len()).find(|n| bootstrap_voter(1, &name(*n)) == to) else {
+            return;
+        };
         if self.cut.contains(&(from, to)) || below(&mut self.seed, 100) < self.lost {
             return;
         }
@@ -188,9 +218,15 @@
                 continue;
             }
             match what {
-                What::Message(boots, process, bytes) => {
-                    self.handle(to, Input::Message { from, boots, process, bytes: &bytes })
-                }
+                What::Message(boots, process, bytes) => self.handle(
+                    to,
+                    Input::Message {
+                        from,
+                        boots,
+                        process,
+                        bytes: &bytes,
+                    },
+                ),
                 What::Recall(own) => self.handle(to, Input::RecallRequest { from, own }),
                 What::Recalled(known) => self.handle(to, Input::RecallReply { from, known }),
             }
@@ -203,7 +239,10 @@
             if below(&mut self.seed, self.slow) == 0 && !self.full.contains(&n) {
                 self.write(n);
             }
-            let due = self.voters[n].council.as_ref().and_then(Voter::next_deadline);
+            let due = self.voters[n]
+                .council
+                .as_ref()
+                .and_then(Voter::next_deadline);
             if due.is_some_and(|t| t <= self.now) {
                 self.handle(n, Input::Tick);
             }
@@ -226,7 +265,10 @@
             self.step();
         }
         let of = |v: &Replica| format!("{:?} {:?}", v.council, v.retired);
-        panic!("{what} did not come: {:?}", self.voters.iter().map(of).collect::<Vec<_>>());
+        panic!(
+            "{what} did not come: {:?}",
+            self.voters.iter().map(of).collect::<Vec<_>>()
+        );
     }
 
     fn leader(&self) -> Option<usize> {
@@ -236,7 +278,10 @@
     fn propose(&mut self, n: usize, owner: u64) {
         let entry = ledger::Entry::Grant {
             lease: "d".into(),
-            holder: LeaseHolder { name: "x".into(), incarnation: owner },
+            holder: LeaseHolder {
+                name: "x".into(),
+                incarnation: owner,
+            },
             term: owner,
         };
         self.handle(n, Input::Propose(Entry::Lease(entry)));
@@ -259,7 +304,12 @@
     }
 
     fn most_applied(&self) -> u64 {
-        self.voters.iter().filter_map(|v| v.applied.keys().next_back()).max().copied().unwrap_or(0)
+        self.voters
+            .iter()
+            .filter_map(|v| v.applied.keys().next_back())
+            .max()
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -290,7 +340,9 @@
         match below(&mut rig.seed, 10) {
             0..=2 => rig.kill(n),
             3..=5 if rig.voters[n].council.is_none() => rig.start(n),
-            6 => rig.cut.extend([(n, below(&mut rig.seed, of as u64) as usize)]),
+            6 => rig
+                .cut
+                .extend([(n, below(&mut rig.seed, of as u64) as usize)]),
             7 => rig.cut.clear(),
             _ => {}
         }
@@ -333,10 +385,22 @@
 fn voters_agree_on_one_order_whatever_is_lost_doubled_or_killed() {
     let mut most = 0;
     for seed in 0..40 {
-        let (rig, judged) = play(seed, if seed % 2 == 0 { 3 } else { 5 }, DisabledVoterGuards::default());
+        let (rig, judged) = play(
+            seed,
+            if seed % 2 == 0 { 3 } else { 5 },
+            DisabledVoterGuards::default(),
+        );
         assert_eq!(judged, Ok(()), "seed {seed}");
-        let gone: Vec<_> = rig.voters.iter().filter_map(|v| v.retired.clone()).collect();
-        assert_eq!(gone, Vec::<String>::new(), "seed {seed}: an honest disk was refused");
+        let gone: Vec<_> = rig
+            .voters
+            .iter()
+            .filter_map(|v| v.retired.clone())
+            .collect();
+        assert_eq!(
+            gone,
+            Vec::<String>::new(),
+            "seed {seed}: an honest disk was refused"
+        );
         most = most.max(rig.most_applied());
     }
     assert!(most > 20, "hardly anything was agreed");
@@ -344,7 +408,10 @@
 
 #[test]
 fn what_is_said_before_it_is_kept_breaks_the_order() {
-    let without = DisabledVoterGuards { kept: true, ..DisabledVoterGuards::default() };
+    let without = DisabledVoterGuards {
+        kept: true,
+        ..DisabledVoterGuards::default()
+    };
     // What was said and forgotten shows as an order that breaks, or before that as a disk that others know more of.
     let broken = |(rig, judged): (Rig, Result<(), String>)| {
         judged.is_err() || rig.voters.iter().any(|v| v.retired.is_some())
@@ -353,8 +420,14 @@
         (0..200).any(|seed| broken(play(seed, 3, without))),
         "the run does not need the guard that it tests"
     );
-    let both = DisabledVoterGuards { probation: true, ..without };
-    assert!((0..200).any(|seed| play(seed, 3, both).1.is_err()), "the order does not need the two guards");
+    let both = DisabledVoterGuards {
+        probation: true,
+        ..without
+    };
+    assert!(
+        (0..200).any(|seed| play(seed, 3, both).1.is_err()),
+        "the order does not need the two guards"
+    );
 }
 
 #[test]
@@ -366,7 +439,10 @@
         found += rig.voters.iter().filter(|v| v.retired.is_some()).count();
     }
     assert!(found > 5, "no old disk came back");
-    let without = DisabledVoterGuards { probation: true, ..DisabledVoterGuards::default() };
+    let without = DisabledVoterGuards {
+        probation: true,
+        ..DisabledVoterGuards::default()
+    };
     let broken = (0..200).any(|seed| forget(seed, without).1.is_err());
     assert!(broken, "the run does not need the guard that it tests");
 }
@@ -377,7 +453,9 @@
     rig.until("a leader", |r| r.leader().is_some());
     let leader = rig.leader().unwrap();
     rig.propose(leader, 1);
-    rig.until("agreement", |r| r.voters.iter().all(|v| v.applied.len() >= 2));
+    rig.until("agreement", |r| {
+        r.voters.iter().all(|v| v.applied.len() >= 2)
+    });
     let n = (leader + 1) % 3;
     rig.kill(n);
     rig.voters[n].disk = (Some(founded(n, 3).head), Vec::new());
@@ -390,7 +468,10 @@
     rig.start(n);
     assert!(
         rig.voters[n].council.is_none()
-            && rig.voters[n].retired.as_ref().is_some_and(|w| w.contains("its seat"))
+            && rig.voters[n]
+                .retired
+                .as_ref()
+                .is_some_and(|w| w.contains("its seat"))
     );
     // The other two go on.
     let before = rig.most_applied();
@@ -401,15 +482,31 @@
 
 #[test]
 fn two_processes_on_copies_of_one_disk_are_told_apart() {
-    let own = |boots, process| KnownState { boots, process, term: 3, kept: (3, 9) };
+    let own = |boots, process| KnownState {
+        boots,
+        process,
+        term: 3,
+        kept: (3, 9),
+    };
     assert!(super::memory::compare(own(4, 1), own(3, 9)).is_ok());
     assert!(super::memory::compare(own(4, 1), own(4, 1)).is_ok());
     assert!(super::memory::compare(own(4, 1), own(4, 2)).is_err());
     assert!(super::memory::compare(own(4, 1), own(5, 2)).is_err());
     // Written over since: entries kept in an older term need not be there any more.
-    let later = KnownState { term: 5, kept: (5, 8), ..own(4, 1) };
+    let later = KnownState {
+        term: 5,
+        kept: (5, 8),
+        ..own(4, 1)
+    };
     assert!(super::memory::compare(later, own(3, 9)).is_ok());
-    assert!(super::memory::compare(KnownState { kept: (3, 8), ..own(4, 1) }, own(3, 9)).is_err());
+    assert!(super::memory::compare(
+        KnownState {
+            kept: (3, 8),
+            ..own(4, 1)
+        },
+        own(3, 9)
+    )
+    .is_err());
 }
 
 #[test]
@@ -418,13 +515,20 @@
     rig.until("a leader", |r| r.leader().is_some());
     let leader = rig.leader().unwrap();
     rig.propose(leader, 1);
-    rig.until("agreement", |r| r.voters.iter().filter(|v| v.applied.len() >= 2).count() >= 3);
+    rig.until("agreement", |r| {
+        r.voters.iter().filter(|v| v.applied.len() >= 2).count() >= 3
+    });
     let agreed = rig.most_applied();
     (0..5).for_each(|n| rig.kill(n));
     rig.way.clear();
     (0..5).for_each(|n| rig.start(n));
     rig.until("a leader again", |r| r.leader().is_some());
-    let state = rig.voters[rig.leader().unwrap()].council.as_ref().unwrap().state().clone();
+    let state = rig.voters[rig.leader().unwrap()]
+        .council
+        .as_ref()
+        .unwrap()
+        .state()
+        .clone();
     assert!(state.applied >= agreed && state.leases.record(&"d".into()).term == 1);
     assert_eq!(rig.judge(), Ok(()));
 }
@@ -460,12 +564,17 @@
         rig.run(3_000 * MS);
         rig.cut.clear();
         rig.run(1_000 * MS);
-        let now = rig.leader().map(|l| rig.voters[l].council.as_ref().unwrap().term());
+        let now = rig
+            .leader()
+            .map(|l| rig.voters[l].council.as_ref().unwrap().term());
         now != Some(term)
     };
     assert!(!unseats(DisabledVoterGuards::default()));
     assert!(
-        unseats(DisabledVoterGuards { pre_vote: true, ..DisabledVoterGuards::default() }),
+        unseats(DisabledVoterGuards {
+            pre_vote: true,
+            ..DisabledVoterGuards::default()
+        }),
         "the run does not need pre-vote"
     );
 }
@@ -488,8 +597,15 @@
     let kept = rig.voters[leader].disk.1.len() as u64;
     assert!(kept <= ENTRIES_PER_SNAPSHOT + 64, "{kept} entries are kept");
     rig.start(n);
-    let ledger = |r: &Rig, n: usize| r.voters[n].council.as_ref().map(|c| c.state().leases.clone());
-    rig.until("the state", |r| ledger(r, n).is_some() && ledger(r, n) == ledger(r, leader));
+    let ledger = |r: &Rig, n: usize| {
+        r.voters[n]
+            .council
+            .as_ref()
+            .map(|c| c.state().leases.clone())
+    };
+    rig.until("the state", |r| {
+        ledger(r, n).is_some() && ledger(r, n) == ledger(r, leader)
+    });
 }
 
 #[test]
@@ -510,28 +626,67 @@
     let gone = (leader + 1) % 3;
     rig.kill(gone);
     let joins = Some((bootstrap_voter(1, &name(3)), name(3)));
-    rig.handle(leader, Input::Exchange { joins, leaves: None });
-    let voters = |r: &Rig, n: usize| r.voters[n].council.as_ref().map_or(0, |c| c.state().voters.len());
+    rig.handle(
+        leader,
+        Input::Exchange {
+            joins,
+            leaves: None,
+        },
+    );
+    let voters = |r: &Rig, n: usize| {
+        r.voters[n]
+            .council
+            .as_ref()
+            .map_or(0, |c| c.state().voters.len())
+    };
     rig.until("the fourth to know", |r| voters(r, 3) == 4);
-    rig.handle(leader, Input::Exchange { joins: None, leaves: Some(bootstrap_voter(1, &name(gone))) });
-    rig.until("three again", |r| voters(r, 3) == 3 && voters(r, leader) == 3);
+    rig.handle(
+        leader,
+        Input::Exchange {
+            joins: None,
+            leaves: Some(bootstrap_voter(1, &name(gone))),
+        },
+    );
+    rig.until("three again", |r| {
+        voters(r, 3) == 3 && voters(r, leader) == 3
+    });
     assert_eq!(rig.judge(), Ok(()));
     // The voters outlive a restart.
     rig.run(200 * MS);
     rig.kill(3);
     rig.start(3);
     rig.until("the fourth to follow again", |r| {
-        r.voters[3].council.as_ref().is_some_and(|c| c.leader().is_some() && c.state().voters.len() == 3)
+        r.voters[3]
+            .council
+            .as_ref()
+            .is_some_and(|c| c.leader().is_some() && c.state().voters.len() == 3)
     });
 }
 
 #[test]
 fn a_damaged_log_is_told_and_does_not_vote() {
-    let line = |index| LogLine { index, term: 1, voters: false, data: Vec::new(), context: Vec::new() };
-    let head = |agreed| Some(Head { hard: (1, 0, agreed), ..Head::default() });
+    let line = |index| LogLine {
+        index,
+        term: 1,
+        voters: false,
+        data: Vec::new(),
+        context: Vec::new(),
+    };
+    let head = |agreed| {
+        Some(Head {
+            hard: (1, 0, agreed),
+            ..Head::default()
+        })
+    };
     assert!(PersistentState::found(head(2), vec![line(1), line(2)]).is_ok());
-    assert_eq!(PersistentState::found(None, Vec::new()), Err(DamagedState::Empty));
-    assert_eq!(PersistentState::found(head(3), vec![line(1), line(3)]), Err(DamagedState::Gap(2)));
+    assert_eq!(
+        PersistentState::found(None, Vec::new()),
+        Err(DamagedState::Empty)
+    );
+    assert_eq!(
+        PersistentState::found(head(3), vec![line(1), line(3)]),
+        Err(DamagedState::Gap(2))
+    );
     assert_eq!(
         PersistentState::found(head(3), vec![line(1), line(2)]),
         Err(DamagedState::Cut { last: 2, agreed: 3 })
@@ -539,9 +694,20 @@
     // Garbage from a voter changes nothing.
     let mut rig = Rig::new(3, 29, DisabledVoterGuards::default());
     rig.until("a leader", |r| r.leader().is_some());
-    let (leader, from) = (rig.leader().unwrap(), bootstrap_voter(1, &name((rig.leader().unwrap() + 1) % 3)));
+    let (leader, from) = (
+        rig.leader().unwrap(),
+        bootstrap_voter(1, &name((rig.leader().unwrap() + 1) % 3)),
+    );
     for bytes in [&b""[..], b"\xff\xff\xff", &[8; 4000]] {
-        rig.handle(leader, Input::Message { from, boots: 1, process: 1, bytes });
+        rig.handle(
+            leader,
+            Input::Message {
+                from,
+                boots: 1,
+                process: 1,
+                bytes,
+            },
+        );
     }
     assert_eq!(rig.leader(), Some(leader));
 }
@@ -561,12 +727,21 @@
         }
         rig.run(20 * MS);
     }
-    assert!(rig.voters[n].writes.len() <= 140, "{} records wait for its disk", rig.voters[n].writes.len());
+    assert!(
+        rig.voters[n].writes.len() <= 140,
+        "{} records wait for its disk",
+        rig.voters[n].writes.len()
+    );
     assert!(rig.most_applied() > 300, "the other two go on");
     rig.full.clear();
     let all = |r: &Rig| {
-        r.voters.iter().map(|v| v.council.as_ref().map(|c| c.state().leases.clone())).collect::<Vec<_>>()
+        r.voters
+            .iter()
+            .map(|v| v.council.as_ref().map(|c| c.state().leases.clone()))
+            .collect::<Vec<_>>()
     };
-    rig.until("it to catch up", |r| all(r).windows(2).all(|w| w[0] == w[1]));
+    rig.until("it to catch up", |r| {
+        all(r).windows(2).all(|w| w[0] == w[1])
+    });
     assert_eq!(rig.judge(), Ok(()));
 }
--- a/src/consensus/wire.rs
+++ b/src/consensus/wire.rs
@@ -157,7 +157,13 @@
 
 fn content(e: &Envelope, accepted: &Challenge, by_connector: bool) -> Vec<u8> {
     let mut out = Vec::with_capacity(e.body.len() + 128);
-    for part in [e.from.as_bytes(), e.to.as_bytes(), &e.word, accepted, &e.body] {
+    for part in [
+        e.from.as_bytes(),
+        e.to.as_bytes(),
+        &e.word,
+        accepted,
+        &e.body,
+    ] {
         out.extend((part.len() as u64).to_le_bytes());
         out.extend(part);
     }
@@ -169,7 +175,13 @@
 
 /// A word never said before: of a process that is like no other, and a number that it uses once.
 pub fn challenge(name: &str, process: u64, number: u64) -> Challenge {
-    let content = [name.as_bytes(), &[0], &process.to_le_bytes(), &number.to_le_bytes()].concat();
+    let content = [
+        name.as_bytes(),
+        &[0],
+        &process.to_le_bytes(),
+        &number.to_le_bytes(),
+    ]
+    .concat();
     let hash = blake3::derive_key("molelug council word 1", &content);
     let mut word = [0; CHALLENGE_BYTES];
     word.copy_from_slice(&hash[..CHALLENGE_BYTES]);
@@ -244,22 +256,33 @@
         };
         e.seal = keys.seal(FRAME, &content(&e, &accepted, self.connector));
         let bytes = e.encode_to_vec();
-        (bytes.len() <= MAX_FRAME_BYTES).then(|| [&(bytes.len() as u32).to_le_bytes()[..], &bytes].concat())
+        (bytes.len() <= MAX_FRAME_BYTES)
+            .then(|| [&(bytes.len() as u32).to_le_bytes()[..], &bytes].concat())
     }
 
     /// Takes what stands whole at the beginning of what came: how many bytes it was, and what it says, if it says anything.
-    pub fn take(&mut self, keys: &Keys, bytes: &[u8]) -> Result<Option<(usize, Option<Body>)>, FrameError> {
+    pub fn take(
+        &mut self,
+        keys: &Keys,
+        bytes: &[u8],
+    ) -> Result<Option<(usize, Option<Body>)>, FrameError> {
         if self.accepted.is_none() {
-            let Some(word) = bytes.first_chunk::<CHALLENGE_BYTES>() else { return Ok(None) };
+            let Some(word) = bytes.first_chunk::<CHALLENGE_BYTES>() else {
+                return Ok(None);
+            };
             self.accepted = Some(*word);
             return Ok(Some((CHALLENGE_BYTES, None)));
         }
-        let Some(length) = bytes.first_chunk::<4>() else { return Ok(None) };
+        let Some(length) = bytes.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*length) as usize;
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong);
         }
-        let Some(frame) = bytes.get(4..4 + length) else { return Ok(None) };
+        let Some(frame) = bytes.get(4..4 + length) else {
+            return Ok(None);
+        };
         Ok(Some((4 + length, Some(self.open(keys, frame)?))))
     }
 
@@ -268,19 +291,31 @@
         if e.version != VERSION {
             return Err(FrameError::Version);
         }
-        if !is_name(&e.from) || !keys.knows(&e.from) || self.peer.as_ref().is_some_and(|p| *p != e.from) {
+        if !is_name(&e.from)
+            || !keys.knows(&e.from)
+            || self.peer.as_ref().is_some_and(|p| *p != e.from)
+        {
             return Err(FrameError::Stranger);
         }
         if e.to != self.me {
             return Err(FrameError::Other);
         }
-        let word: Challenge = e.word.as_slice().try_into().map_err(|_| FrameError::Garbled)?;
+        let word: Challenge = e
+            .word
+            .as_slice()
+            .try_into()
+            .map_err(|_| FrameError::Garbled)?;
         // One that was taken back before it left is missing among the numbers.
         if self.word.is_some_and(|w| w != word) || e.number <= self.heard {
             return Err(FrameError::Replayed);
         }
         let accepted = self.accepted.ok_or(FrameError::Garbled)?;
-        if !keys.check(&e.from, FRAME, &content(&e, &accepted, !self.connector), &e.seal) {
+        if !keys.check(
+            &e.from,
+            FRAME,
+            &content(&e, &accepted, !self.connector),
+            &e.seal,
+        ) {
             return Err(FrameError::Seal);
         }
         let body = postcard::from_bytes(&e.body).map_err(|_| FrameError::Garbled)?;
@@ -303,7 +338,10 @@
     fn both() -> (Session, Session) {
         let mut a = Session::connector("a", "b", challenge("a", 1, 1));
         let b = Session::acceptor("b", challenge("b", 2, 1));
-        assert_eq!(a.take(&each(0, 2), &challenge("b", 2, 1)), Ok(Some((CHALLENGE_BYTES, None))));
+        assert_eq!(
+            a.take(&each(0, 2), &challenge("b", 2, 1)),
+            Ok(Some((CHALLENGE_BYTES, None)))
+        );
         (a, b)
     }
 
@@ -335,7 +373,10 @@
         assert_eq!(later.take(&kb, &two), Err(FrameError::Replayed));
         // Answers go back; one's own frame sent back does not count.
         let back = b.pack(&kb, &effect(9)).unwrap();
-        assert_eq!(a.clone().take(&ka, &back), Ok(Some((back.len(), Some(effect(9))))));
+        assert_eq!(
+            a.clone().take(&ka, &back),
+            Ok(Some((back.len(), Some(effect(9)))))
+        );
         assert!(a.take(&ka, &two).is_err());
         // On another connection it is refused, and by another reader.
         let mut other = Session::acceptor("b", challenge("b", 2, 2));
@@ -351,7 +392,10 @@
         let mut frame = a.pack(&ka, &effect(1)).unwrap();
         let long = [&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes()[..], &[0; 9]].concat();
         assert_eq!(b.clone().take(&kb, &long), Err(FrameError::TooLong));
-        assert_eq!(b.clone().take(&kb, &[3, 0, 0, 0, 0xff, 0xff, 0xff]), Err(FrameError::Garbled));
+        assert_eq!(
+            b.clone().take(&kb, &[3, 0, 0, 0, 0xff, 0xff, 0xff]),
+            Err(FrameError::Garbled)
+        );
         for at in 4..frame.len() {
             frame[at] ^= 1;
             assert!(b.clone().take(&kb, &frame).is_err(), "byte {at} changed");
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -22,8 +22,15 @@
 impl<O> Call<O> {
     /// The same call with another origin.
     pub fn with<P>(self, origin: P) -> Call<P> {
-        let Call { id, body, arrival, .. } = self;
-        Call { origin, id, body, arrival }
+        let Call {
+            id, body, arrival, ..
+        } = self;
+        Call {
+            origin,
+            id,
+            body,
+            arrival,
+        }
     }
 }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -115,11 +115,18 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Core<O> {
         let (grace, order_limit) = (settings.answer_grace, settings.load_order_timeout);
         let effects: Vec<Effect> = settings.classes.iter().map(|c| c.effect).collect();
-        let counters = Counters { ends: vec![Ends::default(); effects.len()], ..Counters::default() };
+        let counters = Counters {
+            ends: vec![Ends::default(); effects.len()],
+            ..Counters::default()
+        };
         Core {
             policy: Policy::new(settings, seed, now),
             grace,
-            order_limit: if order_limit == 0 { 10_000_000 } else { order_limit },
+            order_limit: if order_limit == 0 {
+                10_000_000
+            } else {
+                order_limit
+            },
             effects,
             requests: SlotMap::with_key(),
             by_id: HashMap::new(),
@@ -169,7 +176,9 @@
     }
 
     fn settle(&mut self) {
-        let Some(now) = self.unsettled.take() else { return };
+        let Some(now) = self.unsettled.take() else {
+            return;
+        };
         self.counters.settled += 1;
         let mut actions = std::mem::take(&mut self.actions);
         self.policy.settle(now, &mut actions);
@@ -202,21 +211,30 @@
                 Due::Wake(token) => self.feed(now, Event::Wake { token }),
                 Due::Attempt(k) => {
                     let key = AttemptKey::from(KeyData::from_ffi(k));
-                    self.commands.push_back(Command::Cancel { attempt: key, reason: CloseReason::TimedOut });
+                    self.commands.push_back(Command::Cancel {
+                        attempt: key,
+                        reason: CloseReason::TimedOut,
+                    });
                 }
                 Due::Begin(k) => {
                     let key = AttemptKey::from(KeyData::from_ffi(k));
-                    self.commands
-                        .push_back(Command::Withdraw { attempt: key, reason: CloseReason::Withdrawn });
+                    self.commands.push_back(Command::Withdraw {
+                        attempt: key,
+                        reason: CloseReason::Withdrawn,
+                    });
                 }
                 Due::Request(k) => self.overdue(RequestKey::from(KeyData::from_ffi(k))),
                 Due::Order(k) => {
-                    self.commands
-                        .push_back(Command::AbandonLoad { order: OrderKey::from(KeyData::from_ffi(k)) });
-                }
-                Due::Probe(k) => {
-                    self.probe_ended(now, ProbeKey::from(KeyData::from_ffi(k)), CloseReason::TimedOut, None)
+                    self.commands.push_back(Command::AbandonLoad {
+                        order: OrderKey::from(KeyData::from_ffi(k)),
+                    });
                 }
+                Due::Probe(k) => self.probe_ended(
+                    now,
+                    ProbeKey::from(KeyData::from_ffi(k)),
+                    CloseReason::TimedOut,
+                    None,
+                ),
                 Due::Outside(token) => outside.push(token),
             }
         }
@@ -224,16 +242,34 @@
 
     /// Takes news of the list of workers.
     pub fn members(&mut self, now: Micros, kind: ListUpdate, members: Vec<WorkerEntry>) {
-        self.feed(now, Event::WorkerList { update: kind, workers: members });
+        self.feed(
+            now,
+            Event::WorkerList {
+                update: kind,
+                workers: members,
+            },
+        );
     }
 
     /// Sets a tenant's share, calls a second over all gateways; 0 states none.
     pub fn share(&mut self, now: Micros, tenant: TenantId, quota_per_s: f64) {
-        self.feed(now, Event::TenantQuota { tenant, quota_per_s });
+        self.feed(
+            now,
+            Event::TenantQuota {
+                tenant,
+                quota_per_s,
+            },
+        );
     }
 
     /// Sets this instance's part of the load ration and of what cold workers bear.
-    pub fn limits(&mut self, now: Micros, ration: Option<LoadRateLimit>, fall_multiple: f64, bears: f64) {
+    pub fn limits(
+        &mut self,
+        now: Micros,
+        ration: Option<LoadRateLimit>,
+        fall_multiple: f64,
+        bears: f64,
+    ) {
         self.feed(
             now,
             Event::InstanceLimits {
@@ -251,7 +287,13 @@
 
     /// Tells the module what others saw of a worker; see [`Event::Rumour`].
     pub fn rumour(&mut self, now: Micros, worker: WorkerId, down: Option<Micros>) {
-        self.feed(now, Event::PeerHealth { worker, unhealthy_until: down });
+        self.feed(
+            now,
+            Event::PeerHealth {
+                worker,
+                unhealthy_until: down,
+            },
+        );
     }
 
     /// Takes a call; from here on it is owed one answer.
@@ -275,7 +317,8 @@
         });
         self.by_id.insert(request_id, key);
         // The module answers by the deadline; this guards the one answer against its oversight.
-        self.deadlines.insert((expires + self.grace, Due::Request(key.data().as_ffi())));
+        self.deadlines
+            .insert((expires + self.grace, Due::Request(key.data().as_ffi())));
         self.counters.taken += 1;
         tracing::debug!(call = request_id.0, class = arrival.class.0, function = %Hex(arrival.function.0), "taken");
         self.feed(now, Event::Request(arrival));
@@ -284,7 +327,9 @@
 
     /// The caller has left: no answer is owed any more.
     pub fn caller_gone(&mut self, now: Micros, key: RequestKey) {
-        let Some(r) = self.requests.get_mut(key).filter(|r| !r.answered) else { return };
+        let Some(r) = self.requests.get_mut(key).filter(|r| !r.answered) else {
+            return;
+        };
         r.answered = true;
         let request = r.request_id;
         self.counters.left += 1;
@@ -308,13 +353,19 @@
         left: SendProgress,
         back: AttemptReply,
     ) {
-        let Some(a) = self.attempts.remove(key) else { return };
-        self.deadlines.remove(&(a.expires, Due::Attempt(key.data().as_ffi())));
+        let Some(a) = self.attempts.remove(key) else {
+            return;
+        };
+        self.deadlines
+            .remove(&(a.expires, Due::Attempt(key.data().as_ffi())));
         if let Some(at) = a.begin_by {
-            self.deadlines.remove(&(at, Due::Begin(key.data().as_ffi())));
+            self.deadlines
+                .remove(&(at, Due::Begin(key.data().as_ffi())));
         }
         self.counters.ended(ending);
-        let Some(r) = self.requests.get_mut(a.request) else { return };
+        let Some(r) = self.requests.get_mut(a.request) else {
+            return;
+        };
         r.out = None;
         let outcome = ending.outcome(left);
         if !crate::policy::never_ran(outcome) {
@@ -325,7 +376,10 @@
             r.answered = true;
             self.counters.answered(r.call.arrival.class, Final::Served);
             let origin = r.call.origin.clone();
-            self.commands.push_back(Command::Answer { origin, answer: Answer::Served(back.body) });
+            self.commands.push_back(Command::Answer {
+                origin,
+                answer: Answer::Served(back.body),
+            });
         }
         let ended = AttemptEnd {
             request: r.request_id,
@@ -361,20 +415,35 @@
         left: SendProgress,
         copies: u32,
     ) {
-        let Some((worker, function, at)) = self.orders.remove(key) else { return };
-        self.deadlines.remove(&(at, Due::Order(key.data().as_ffi())));
+        let Some((worker, function, at)) = self.orders.remove(key) else {
+            return;
+        };
+        self.deadlines
+            .remove(&(at, Due::Order(key.data().as_ffi())));
         let outcome = ending.outcome(left);
         tracing::debug!(worker = worker.0, function = %Hex(function.0), how = ending.name(), copies, "order ended");
-        self.feed(now, Event::LoadEnded { worker, function, outcome, copies });
+        self.feed(
+            now,
+            Event::LoadEnded {
+                worker,
+                function,
+                outcome,
+                copies,
+            },
+        );
     }
 
     /// Probes a worker, for the module or on behalf of the fleet.
     pub fn probe(&mut self, now: Micros, worker: WorkerId) -> ProbeKey {
         let at = now + PROBE_LIMIT;
         let probe = self.probes.insert((worker, at));
-        self.deadlines.insert((at, Due::Probe(probe.data().as_ffi())));
+        self.deadlines
+            .insert((at, Due::Probe(probe.data().as_ffi())));
         self.counters.probes += 1;
-        self.commands.push_back(Command::HealthCheck { check: probe, worker });
+        self.commands.push_back(Command::HealthCheck {
+            check: probe,
+            worker,
+        });
         probe
     }
 
@@ -391,8 +460,11 @@
         ending: CloseReason,
         report: Option<LoadReport>,
     ) {
-        let Some((worker, at)) = self.probes.remove(key) else { return };
-        self.deadlines.remove(&(at, Due::Probe(key.data().as_ffi())));
+        let Some((worker, at)) = self.probes.remove(key) else {
+            return;
+        };
+        self.deadlines
+            .remove(&(at, Due::Probe(key.data().as_ffi())));
         self.feed(
             now,
             Event::HealthChecked {
@@ -406,18 +478,28 @@
     /// A request has its end: an attempt of it that has not begun must not begin any more, whether or not the
     /// settings let one be cancelled that has.
     fn recall(&mut self, key: RequestKey) {
-        let Some(attempt) = self.requests.get(key).and_then(|r| r.out) else { return };
-        self.commands.push_back(Command::Withdraw { attempt, reason: CloseReason::Cancelled });
+        let Some(attempt) = self.requests.get(key).and_then(|r| r.out) else {
+            return;
+        };
+        self.commands.push_back(Command::Withdraw {
+            attempt,
+            reason: CloseReason::Cancelled,
+        });
     }
 
     fn effect_of(&self, class: ClassId) -> Effect {
-        self.effects.get(class.0 as usize).copied().unwrap_or_default()
+        self.effects
+            .get(class.0 as usize)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// The module has let a request's time pass: it is refused where that is harmless (its class is safe, or nothing of
     /// it can have run), and has failed otherwise.
     fn overdue(&mut self, key: RequestKey) {
-        let Some(r) = self.requests.get_mut(key).filter(|r| !r.answered) else { return };
+        let Some(r) = self.requests.get_mut(key).filter(|r| !r.answered) else {
+            return;
+        };
         r.answered = true;
         let safe = self.effects.get(r.call.arrival.class.0 as usize) == Some(&Effect::Idempotent);
         let (answer, how) = if (safe || r.ran_from.is_none()) && r.out.is_none() {
@@ -427,7 +509,10 @@
         };
         self.counters.answered(r.call.arrival.class, how);
         self.counters.overdue += 1;
-        self.commands.push_back(Command::Answer { origin: r.call.origin.clone(), answer });
+        self.commands.push_back(Command::Answer {
+            origin: r.call.origin.clone(),
+            answer,
+        });
         self.recall(key);
         self.drop_finished(key);
     }
@@ -439,7 +524,8 @@
                 self.by_id.remove(&r.request_id);
                 self.ids.remove(&r.call.id);
                 let at = r.call.arrival.expires_at + self.grace;
-                self.deadlines.remove(&(at, Due::Request(key.data().as_ffi())));
+                self.deadlines
+                    .remove(&(at, Due::Request(key.data().as_ffi())));
             }
         }
     }
@@ -465,31 +551,56 @@
 
     fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { request, worker, timeout: within } => self.send(now, request, worker, within),
+            Action::Send {
+                request,
+                worker,
+                timeout: within,
+            } => self.send(now, request, worker, within),
             Action::Cancel { request, attempt } => {
-                let Some(r) = self.by_id.get(&request).and_then(|k| self.requests.get(*k)) else { return };
-                let Some(key) = r.out.filter(|_| r.attempts == attempt + 1) else { return };
-                self.commands.push_back(Command::Cancel { attempt: key, reason: CloseReason::Cancelled });
+                let Some(r) = self.by_id.get(&request).and_then(|k| self.requests.get(*k)) else {
+                    return;
+                };
+                let Some(key) = r.out.filter(|_| r.attempts == attempt + 1) else {
+                    return;
+                };
+                self.commands.push_back(Command::Cancel {
+                    attempt: key,
+                    reason: CloseReason::Cancelled,
+                });
             }
-            Action::Reject { request, retry_after } => {
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
                 self.finish(request, Answer::Rejected { retry_after });
             }
             Action::Fail { request } => self.finish(request, Answer::Failed),
-            Action::Load { worker, function, copies } => {
+            Action::Load {
+                worker,
+                function,
+                copies,
+            } => {
                 let at = now + self.order_limit;
                 let order = self.orders.insert((worker, function, at));
-                self.deadlines.insert((at, Due::Order(order.data().as_ffi())));
+                self.deadlines
+                    .insert((at, Due::Order(order.data().as_ffi())));
                 self.counters.orders += u64::from(copies > 0);
                 self.counters.asks += u64::from(copies == 0);
                 tracing::debug!(worker = worker.0, function = %Hex(function.0), copies, "order");
-                self.commands.push_back(Command::Load { order, worker, function, copies });
-            }
-            Action::Unload { worker, function } => {
-                self.commands.push_back(Command::Unload { worker, function })
+                self.commands.push_back(Command::Load {
+                    order,
+                    worker,
+                    function,
+                    copies,
+                });
             }
+            Action::Unload { worker, function } => self
+                .commands
+                .push_back(Command::Unload { worker, function }),
             Action::HealthCheck { worker } => drop(self.probe(now, worker)),
             Action::Wake { after, token } => {
-                self.deadlines.insert((now + after.max(1), Due::Wake(token)));
+                self.deadlines
+                    .insert((now + after.max(1), Due::Wake(token)));
             }
             // The board pushes; there is nothing to subscribe to.
             Action::Subscribe => {}
@@ -497,26 +608,48 @@
     }
 
     fn send(&mut self, now: Micros, request: RequestId, worker: WorkerId, within: Option<Micros>) {
-        let Some(&key) = self.by_id.get(&request) else { return };
-        let class = self.requests.get(key).map_or(ClassId::default(), |r| r.call.arrival.class);
+        let Some(&key) = self.by_id.get(&request) else {
+            return;
+        };
+        let class = self
+            .requests
+            .get(key)
+            .map_or(ClassId::default(), |r| r.call.arrival.class);
         let effect = self.effect_of(class);
-        let Some(r) = self.requests.get_mut(key).filter(|r| !r.answered && r.out.is_none()) else { return };
+        let Some(r) = self
+            .requests
+            .get_mut(key)
+            .filter(|r| !r.answered && r.out.is_none())
+        else {
+            return;
+        };
         // Workers drop repeats for so long only; a connection that is still coming up may not carry one past that.
         let begin_by = match effect {
             Effect::Keyed { window, .. } => r.ran_from.map(|from| from + window),
             Effect::Idempotent | Effect::NonIdempotent => None,
         };
-        let expires = within.map_or(r.call.arrival.expires_at, |w| r.call.arrival.expires_at.min(now + w));
+        let expires = within.map_or(r.call.arrival.expires_at, |w| {
+            r.call.arrival.expires_at.min(now + w)
+        });
         let number = r.attempts;
         r.attempts = r.attempts.saturating_add(1);
-        let attempt = Attempt { request: key, worker, number, sent: now, expires, begin_by };
+        let attempt = Attempt {
+            request: key,
+            worker,
+            number,
+            sent: now,
+            expires,
+            begin_by,
+        };
         let attempt = self.attempts.insert(attempt);
         r.out = Some(attempt);
         self.counters.sent += 1;
         tracing::debug!(call = request.0, worker = worker.0, "sent");
-        self.deadlines.insert((expires, Due::Attempt(attempt.data().as_ffi())));
+        self.deadlines
+            .insert((expires, Due::Attempt(attempt.data().as_ffi())));
         if let Some(at) = begin_by {
-            self.deadlines.insert((at, Due::Begin(attempt.data().as_ffi())));
+            self.deadlines
+                .insert((at, Due::Begin(attempt.data().as_ffi())));
         }
         self.commands.push_back(Command::Dispatch {
             attempt,
@@ -530,13 +663,27 @@
     }
 
     fn finish(&mut self, request: RequestId, answer: Answer) {
-        let Some(&key) = self.by_id.get(&request) else { return };
-        let Some(r) = self.requests.get_mut(key).filter(|r| !r.answered) else { return };
+        let Some(&key) = self.by_id.get(&request) else {
+            return;
+        };
+        let Some(r) = self.requests.get_mut(key).filter(|r| !r.answered) else {
+            return;
+        };
         r.answered = true;
         let refused = matches!(answer, Answer::Rejected { .. });
-        self.counters.answered(r.call.arrival.class, if refused { Final::Refused } else { Final::Failed });
+        self.counters.answered(
+            r.call.arrival.class,
+            if refused {
+                Final::Refused
+            } else {
+                Final::Failed
+            },
+        );
         tracing::debug!(call = request.0, ?answer, "given up");
-        self.commands.push_back(Command::Answer { origin: r.call.origin.clone(), answer });
+        self.commands.push_back(Command::Answer {
+            origin: r.call.origin.clone(),
+            answer,
+        });
         self.recall(key);
         self.drop_finished(key);
     }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -51,7 +51,12 @@
         concurrency_per_copy: 2,
         load_duration: None,
     };
-    Call { origin, id: format!("{origin:016x}").into(), body: Rc::from(&b""[..]), arrival }
+    Call {
+        origin,
+        id: format!("{origin:016x}").into(),
+        body: Rc::from(&b""[..]),
+        arrival,
+    }
 }
 
 /// Workers that answer, miss, fail, say nothing, or whose connections end, in a fixed pseudo-random order:
@@ -63,7 +68,9 @@
     core.members(1, ListUpdate::Snapshot, (1..5).map(member).collect());
     let mut state = 9u64;
     let mut next = |n: u64| {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) % n
     };
     let mut answers: BTreeMap<u32, u32> = BTreeMap::new();
@@ -81,19 +88,37 @@
         core.tick(now, &mut Vec::new());
         while let Some(command) = core.command() {
             match command {
-                Command::Dispatch { attempt, id, class, .. } => {
+                Command::Dispatch {
+                    attempt, id, class, ..
+                } => {
                     assert!(!out.values().any(|i| *i == id), "two attempts out");
-                    assert!(class == ClassId(0) || !ran.contains(&id), "a booking may run twice");
+                    assert!(
+                        class == ClassId(0) || !ran.contains(&id),
+                        "a booking may run twice"
+                    );
                     out.insert(attempt, id);
                 }
-                Command::Cancel { attempt, reason: why } => {
+                Command::Cancel {
+                    attempt,
+                    reason: why,
+                } => {
                     if let Some(id) = out.remove(&attempt) {
                         ran.insert(id);
                     }
-                    core.ended(now, attempt, why, SendProgress::Started, AttemptReply::default());
+                    core.ended(
+                        now,
+                        attempt,
+                        why,
+                        SendProgress::Started,
+                        AttemptReply::default(),
+                    );
                 }
                 Command::Load { order, copies, .. } => {
-                    let ending = if next(3) == 0 { CloseReason::AtCapacity } else { CloseReason::Served };
+                    let ending = if next(3) == 0 {
+                        CloseReason::AtCapacity
+                    } else {
+                        CloseReason::Served
+                    };
                     core.order_ended(now, order, ending, SendProgress::Started, u32::from(copies));
                 }
                 Command::Answer { origin, .. } => {
@@ -118,7 +143,13 @@
                 ran.insert(id);
             }
             core.ended(now, attempt, ending, left, AttemptReply::default());
-            core.ended(now, attempt, CloseReason::Served, SendProgress::Started, AttemptReply::default());
+            core.ended(
+                now,
+                attempt,
+                CloseReason::Served,
+                SendProgress::Started,
+                AttemptReply::default(),
+            );
         }
     }
     assert_eq!((answers.len(), core.open()), (1_000, 0));
@@ -193,9 +224,18 @@
         });
     }
     assert!(out.len() > 1, "some of them are out");
-    assert_eq!(core.counters.settled, 1, "one look for the list and 200 calls");
+    assert_eq!(
+        core.counters.settled, 1,
+        "one look for the list and 200 calls"
+    );
     for attempt in out {
-        core.ended(20_000, attempt, CloseReason::Served, SendProgress::Started, AttemptReply::default());
+        core.ended(
+            20_000,
+            attempt,
+            CloseReason::Served,
+            SendProgress::Started,
+            AttemptReply::default(),
+        );
     }
     while core.command().is_some() {}
     assert_eq!(core.counters.settled, 2, "and one for all the answers");
@@ -206,9 +246,24 @@
     let mut core: Core<u32> = Core::new(settings(), 3, 0);
     core.members(1, ListUpdate::Snapshot, vec![member(1)]);
     core.call(10, call(1, 10));
-    let Some(Command::Dispatch { attempt, .. }) = core.command() else { panic!("it is sent") };
+    let Some(Command::Dispatch { attempt, .. }) = core.command() else {
+        panic!("it is sent")
+    };
     // A booking that may have run is failed in the very turn, not towards its deadline.
-    core.ended(20, attempt, CloseReason::Reset, SendProgress::Started, AttemptReply::default());
-    let answer = std::iter::from_fn(|| core.command()).find(|c| matches!(c, Command::Answer { .. }));
-    assert!(matches!(answer, Some(Command::Answer { origin: 1, answer: Answer::Failed })));
+    core.ended(
+        20,
+        attempt,
+        CloseReason::Reset,
+        SendProgress::Started,
+        AttemptReply::default(),
+    );
+    let answer =
+        std::iter::from_fn(|| core.command()).find(|c| matches!(c, Command::Answer { .. }));
+    assert!(matches!(
+        answer,
+        Some(Command::Answer {
+            origin: 1,
+            answer: Answer::Failed
+        })
+    ));
 }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -95,7 +95,10 @@
     /// Counts the one final answer to a call, in all and in its class.
     pub fn answered(&mut self, class: ClassId, how: Final) {
         let mut unknown = Ends::default();
-        let ends = self.ends.get_mut(usize::from(class.0)).unwrap_or(&mut unknown);
+        let ends = self
+            .ends
+            .get_mut(usize::from(class.0))
+            .unwrap_or(&mut unknown);
         let (all, own) = match how {
             Final::Served => (&mut self.served, &mut ends.served),
             Final::Refused => (&mut self.refused, &mut ends.refused),
--- a/src/delivery/breaker.rs
+++ b/src/delivery/breaker.rs
@@ -39,7 +39,13 @@
 
 impl Default for Breaker {
     fn default() -> Breaker {
-        Breaker { state: State::Closed, failures: 0, pause: FIRST_OPEN, ramp: None, failing_since: None }
+        Breaker {
+            state: State::Closed,
+            failures: 0,
+            pause: FIRST_OPEN,
+            ramp: None,
+            failing_since: None,
+        }
     }
 }
 
@@ -70,7 +76,12 @@
             }
             // The late answer of an attempt from before it opened proves nothing of now; the trial does.
             State::Open { .. } => {}
-            State::Closed => self.ramp = self.ramp.map(|r| r.saturating_add(1)).filter(|r| *r < limit),
+            State::Closed => {
+                self.ramp = self
+                    .ramp
+                    .map(|r| r.saturating_add(1))
+                    .filter(|r| *r < limit)
+            }
         }
     }
 
@@ -82,10 +93,14 @@
         match self.state {
             State::Trial => {
                 self.pause = (self.pause * 2).min(LONGEST_OPEN);
-                self.state = State::Open { until: now + self.pause };
+                self.state = State::Open {
+                    until: now + self.pause,
+                };
             }
             State::Closed if self.failures >= FAILURES => {
-                self.state = State::Open { until: now + self.pause };
+                self.state = State::Open {
+                    until: now + self.pause,
+                };
             }
             _ => {}
         }
@@ -94,7 +109,9 @@
                 State::Open { until } => until,
                 _ => 0,
             };
-            self.state = State::Open { until: held.max(now + advice.min(LONGEST_OPEN)) };
+            self.state = State::Open {
+                until: held.max(now + advice.min(LONGEST_OPEN)),
+            };
         }
     }
 
@@ -133,7 +150,12 @@
 impl Bucket {
     /// A full bucket.
     pub fn new(per_s: f64, burst: f64, now: Micros) -> Bucket {
-        Bucket { per_s, burst, tokens: burst, at: now }
+        Bucket {
+            per_s,
+            burst,
+            tokens: burst,
+            at: now,
+        }
     }
 
     fn fill(&mut self, now: Micros) {
@@ -148,7 +170,10 @@
         if self.tokens >= 1.0 {
             return Ok(());
         }
-        Err(now + ((1.0 - self.tokens) / self.per_s * 1e6).ceil().clamp(1.0, 1e12) as Micros)
+        Err(now
+            + ((1.0 - self.tokens) / self.per_s * 1e6)
+                .ceil()
+                .clamp(1.0, 1e12) as Micros)
     }
 
     /// Takes a token.
@@ -217,7 +242,10 @@
         assert_eq!(pauses, [2, 4, 8, 16, 32, 64, 128, 256, 300]);
         assert_eq!(b.failing_since(), Some(1));
         b.succeeded(8);
-        assert!(b.room(now, 8).is_err(), "the late answer to an old attempt closes nothing");
+        assert!(
+            b.room(now, 8).is_err(),
+            "the late answer to an old attempt closes nothing"
+        );
         now = b.room(now, 8).unwrap_err();
         b.sent(now);
         b.succeeded(8);
--- a/src/delivery/egress.rs
+++ b/src/delivery/egress.rs
@@ -48,7 +48,10 @@
 impl Networks {
     /// The defaults, with these allowed and these denied besides. Of two equal prefixes the denied one counts.
     pub fn new(allow: &[IpNet], deny: &[IpNet]) -> Networks {
-        let mut networks = Networks { v4: PrefixMap::new(), v6: PrefixMap::new() };
+        let mut networks = Networks {
+            v4: PrefixMap::new(),
+            v6: PrefixMap::new(),
+        };
         let standard = DENIED.iter().filter_map(|n| n.parse::<IpNet>().ok());
         standard.for_each(|n| networks.set(n, false));
         allow.iter().for_each(|n| networks.set(*n, true));
@@ -66,8 +69,14 @@
     /// Whether a callback may go there. An IPv4 address written as IPv6 is judged as what it is.
     pub fn allows(&self, address: IpAddr) -> bool {
         match address.to_canonical() {
-            IpAddr::V4(a) => self.v4.get_lpm(&Ipv4Net::from(a)).is_none_or(|(_, allowed)| *allowed),
-            IpAddr::V6(a) => self.v6.get_lpm(&Ipv6Net::from(a)).is_none_or(|(_, allowed)| *allowed),
+            IpAddr::V4(a) => self
+                .v4
+                .get_lpm(&Ipv4Net::from(a))
+                .is_none_or(|(_, allowed)| *allowed),
+            IpAddr::V6(a) => self
+                .v6
+                .get_lpm(&Ipv6Net::from(a))
+                .is_none_or(|(_, allowed)| *allowed),
         }
     }
 }
@@ -79,10 +88,19 @@
     #[test]
     fn the_longest_prefix_decides_and_disguises_are_seen_through() {
         let net = |t: &str| t.parse::<IpNet>().unwrap();
-        let n =
-            Networks::new(&[net("10.1.0.0/16"), net("fd00::/8")], &[net("10.1.2.0/24"), net("127.0.0.0/8")]);
+        let n = Networks::new(
+            &[net("10.1.0.0/16"), net("fd00::/8")],
+            &[net("10.1.2.0/24"), net("127.0.0.0/8")],
+        );
         let allows = |a: &str| n.allows(a.parse().unwrap());
-        for good in ["10.1.0.9", "10.1.3.1", "8.8.8.8", "fd00::1", "2606::1", "::ffff:10.1.0.9"] {
+        for good in [
+            "10.1.0.9",
+            "10.1.3.1",
+            "8.8.8.8",
+            "fd00::1",
+            "2606::1",
+            "::ffff:10.1.0.9",
+        ] {
             assert!(allows(good), "{good}");
         }
         for bad in [
@@ -103,6 +121,10 @@
             assert!(!allows(bad), "{bad}");
         }
         assert!(Networks::default().allows("127.0.0.1".parse().unwrap()));
-        assert_eq!(n.v4.len() + n.v6.len(), DENIED.len() + 4, "every default was read");
+        assert_eq!(
+            n.v4.len() + n.v6.len(),
+            DENIED.len() + 4,
+            "every default was read"
+        );
     }
 }
--- a/src/delivery/fair_queue.rs
+++ b/src/delivery/fair_queue.rs
@@ -15,7 +15,10 @@
 
 impl<K> Default for Ring<K> {
     fn default() -> Ring<K> {
-        Ring { order: VecDeque::new(), saved: HashMap::new() }
+        Ring {
+            order: VecDeque::new(),
+            saved: HashMap::new(),
+        }
     }
 }
 
@@ -84,7 +87,10 @@
 
 impl<T, E> Default for FairQueue<T, E> {
     fn default() -> FairQueue<T, E> {
-        FairQueue { tenants: Ring::default(), endpoints: HashMap::new() }
+        FairQueue {
+            tenants: Ring::default(),
+            endpoints: HashMap::new(),
+        }
     }
 }
 
@@ -149,9 +155,15 @@
         turns.join(2, 2);
         assert_eq!(turns.next(|e| (e == 2).then_some(1)), Some(2));
         assert_eq!(turns.next(|_| None), None);
-        assert!(turns.tenants.is_empty() && turns.endpoints.is_empty(), "nothing is kept of who left");
+        assert!(
+            turns.tenants.is_empty() && turns.endpoints.is_empty(),
+            "nothing is kept of who left"
+        );
         turns.join(1, 1);
         turns.join(1, 1);
-        assert_eq!((turns.next(|_| Some(1)), turns.endpoints[&1].order.len()), (Some(1), 1));
+        assert_eq!(
+            (turns.next(|_| Some(1)), turns.endpoints[&1].order.len()),
+            (Some(1), 1)
+        );
     }
 }
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -116,7 +116,13 @@
 impl Default for Caps {
     fn default() -> Caps {
         let day = 86_400_000_000;
-        Caps { out: 64, ready: 64, loaded: 4096, soon: 60_000_000, disable_after: 5 * day }
+        Caps {
+            out: 64,
+            ready: 64,
+            loaded: 4096,
+            soon: 60_000_000,
+            disable_after: 5 * day,
+        }
     }
 }
 
@@ -277,7 +283,11 @@
 
     /// Messages of a shard that are known here.
     pub fn of_shard(&self, shard: u16) -> Vec<Seq> {
-        self.loaded.keys().filter(|s| s.shard() == shard).copied().collect()
+        self.loaded
+            .keys()
+            .filter(|s| s.shard() == shard)
+            .copied()
+            .collect()
     }
 
     /// Attempts that are out.
@@ -294,7 +304,11 @@
     pub fn health(&self, endpoint: EndpointId) -> Option<Health> {
         let e = self.endpoints.get(&endpoint)?;
         let failing_since = e.breaker.failing_since();
-        Some(Health { breaker: e.breaker.name(), failing_since, in_flight: e.out })
+        Some(Health {
+            breaker: e.breaker.name(),
+            failing_since,
+            in_flight: e.out,
+        })
     }
 
     /// Takes what has happened.
@@ -310,7 +324,9 @@
                 self.refill(now, id);
             }
             Input::Fetched(id, messages, next) => {
-                let Some(e) = self.endpoints.get_mut(&id) else { return };
+                let Some(e) = self.endpoints.get_mut(&id) else {
+                    return;
+                };
                 e.fetching = false;
                 let changed = std::mem::take(&mut e.changed);
                 for message in messages.into_iter().filter(|m| !changed.contains(&m.seq)) {
@@ -386,7 +402,9 @@
 
     /// Leaves what waits for an endpoint to the store.
     fn leave(&mut self, id: EndpointId) {
-        let Some(e) = self.endpoints.get(&id) else { return };
+        let Some(e) = self.endpoints.get(&id) else {
+            return;
+        };
         for seq in e.held.clone() {
             if let Some((_, Place::Out(_))) = self.loaded.get(&seq) {
                 continue;
@@ -401,7 +419,9 @@
 
     fn removed(&mut self, id: EndpointId) {
         self.leave(id);
-        let Some(e) = self.endpoints.remove(&id) else { return };
+        let Some(e) = self.endpoints.remove(&id) else {
+            return;
+        };
         if let Some((_, timer)) = e.look {
             self.wheel.cancel(timer);
         }
@@ -441,13 +461,21 @@
         let full = self.loaded.len() >= self.caps.loaded;
         let Some(e) = self.endpoints.get_mut(&message.endpoint) else {
             let state = State::Dead(Dead::Gone);
-            return self.outputs.push_back(Output::Keep { message, state, attempt: None });
+            return self.outputs.push_back(Output::Keep {
+                message,
+                state,
+                attempt: None,
+            });
         };
         let due = message.due <= now;
         // One that has always some places, however many others wait: no endpoint starves for room here.
         let room = !full || e.held.len() < 4;
-        let fits =
-            room && if due { e.ready() < self.caps.ready } else { message.due - now <= self.caps.soon };
+        let fits = room
+            && if due {
+                e.ready() < self.caps.ready
+            } else {
+                message.due - now <= self.caps.soon
+            };
         // What is due stands behind what the store holds of before.
         let behind = due && e.stored.is_some_and(|s| s <= message.due);
         if e.plan.enabled != Enabled::Yes || !fits || behind {
@@ -467,17 +495,27 @@
     }
 
     fn fell_due(&mut self, seq: Seq) {
-        let Some((message, place)) = self.loaded.get_mut(&seq) else { return };
+        let Some((message, place)) = self.loaded.get_mut(&seq) else {
+            return;
+        };
         *place = Place::Ready;
-        let Some(e) = self.endpoints.get_mut(&message.endpoint) else { return };
-        let queue = if message.tries == 0 { &mut e.fresh } else { &mut e.again };
+        let Some(e) = self.endpoints.get_mut(&message.endpoint) else {
+            return;
+        };
+        let queue = if message.tries == 0 {
+            &mut e.fresh
+        } else {
+            &mut e.again
+        };
         queue.push_back(seq);
         self.turns.join(e.plan.tenant, message.endpoint);
     }
 
     /// Has more of an endpoint's messages fetched when those known here run low.
     fn refill(&mut self, now: Micros, id: EndpointId) {
-        let Some(e) = self.endpoints.get_mut(&id) else { return };
+        let Some(e) = self.endpoints.get_mut(&id) else {
+            return;
+        };
         let Some(stored) = e.stored else { return };
         if e.fetching || e.plan.enabled != Enabled::Yes || e.ready() > self.caps.ready / 2 {
             return;
@@ -487,14 +525,17 @@
             self.look_again(id, now.max(stored) + VOID_PAUSE);
         } else if stored <= now {
             (e.fetching, e.stored) = (true, None);
-            self.outputs.push_back(Output::Fetch(id, self.caps.ready + e.held.len()));
+            self.outputs
+                .push_back(Output::Fetch(id, self.caps.ready + e.held.len()));
         } else {
             self.look_again(id, stored);
         }
     }
 
     fn look_again(&mut self, id: EndpointId, at: Micros) {
-        let Some(e) = self.endpoints.get_mut(&id) else { return };
+        let Some(e) = self.endpoints.get_mut(&id) else {
+            return;
+        };
         if let Some((old, timer)) = e.look {
             if old <= at {
                 return;
@@ -519,7 +560,9 @@
                     }
                 }
             });
-            looks.into_iter().for_each(|(id, at)| self.look_again(id, at));
+            looks
+                .into_iter()
+                .for_each(|(id, at)| self.look_again(id, at));
             let Some(id) = chosen else { return };
             self.begin(now, id);
             self.refill(now, id);
@@ -527,9 +570,13 @@
     }
 
     fn begin(&mut self, now: Micros, id: EndpointId) {
-        let Some(e) = self.endpoints.get_mut(&id) else { return };
+        let Some(e) = self.endpoints.get_mut(&id) else {
+            return;
+        };
         let Ok(seq) = next_of(e, now) else { return };
-        let Some((message, place)) = self.loaded.get_mut(&seq) else { return };
+        let Some((message, place)) = self.loaded.get_mut(&seq) else {
+            return;
+        };
         if e.fresh.front() == Some(&seq) {
             e.fresh.pop_front();
         } else {
@@ -552,14 +599,26 @@
         e.out += 1;
         self.out += 1;
         let recorded = message.effect != Effect::Idempotent;
-        self.outputs.push_back(Output::Begin { seq, endpoint: id, recorded });
+        self.outputs.push_back(Output::Begin {
+            seq,
+            endpoint: id,
+            recorded,
+        });
     }
 
     fn over(&mut self, message: Waiting, state: State, attempt: Option<Report>) {
-        if let Some(e) = self.endpoints.get_mut(&message.endpoint).filter(|e| e.fetching) {
+        if let Some(e) = self
+            .endpoints
+            .get_mut(&message.endpoint)
+            .filter(|e| e.fetching)
+        {
             e.changed.insert(message.seq);
         }
-        self.outputs.push_back(Output::Keep { message, state, attempt });
+        self.outputs.push_back(Output::Keep {
+            message,
+            state,
+            attempt,
+        });
     }
 
     /// A place at an endpoint is free again.
@@ -571,9 +630,13 @@
     }
 
     fn ended(&mut self, now: Micros, seq: Seq, report: Report) {
-        let Some((_, Place::Out(sent))) = self.loaded.get(&seq) else { return };
+        let Some((_, Place::Out(sent))) = self.loaded.get(&seq) else {
+            return;
+        };
         let sent = *sent;
-        let Some((mut message, _)) = self.take(seq) else { return };
+        let Some((mut message, _)) = self.take(seq) else {
+            return;
+        };
         let id = message.endpoint;
         let disable_after = self.caps.disable_after;
         let meaning = report.meaning();
@@ -587,7 +650,10 @@
                 ResponseClass::Gone => off = Some("gone"),
                 ResponseClass::Failed(advice) => {
                     e.breaker.failed(now, advice);
-                    if e.breaker.failing_since().is_some_and(|t| now >= t + disable_after) {
+                    if e.breaker
+                        .failing_since()
+                        .is_some_and(|t| now >= t + disable_after)
+                    {
                         off = Some("failing");
                     }
                 }
@@ -610,7 +676,11 @@
             ResponseClass::Gone => State::Dead(Dead::Gone),
             ResponseClass::Failed(advice) => match known {
                 None => State::Dead(Dead::Gone),
-                Some(e) => match e.plan.schedule.pause(message.tries + 1, self.seed ^ seq.0, advice) {
+                Some(e) => match e
+                    .plan
+                    .schedule
+                    .pause(message.tries + 1, self.seed ^ seq.0, advice)
+                {
                     Some(pause) => {
                         message.due = now + pause;
                         State::Waiting
@@ -624,7 +694,11 @@
         }
         self.over(message, state, attempt);
         if let Some(why) = off {
-            if let Some(e) = self.endpoints.get_mut(&id).filter(|e| e.plan.enabled == Enabled::Yes) {
+            if let Some(e) = self
+                .endpoints
+                .get_mut(&id)
+                .filter(|e| e.plan.enabled == Enabled::Yes)
+            {
                 e.plan.enabled = Enabled::ByFailure;
                 self.outputs.push_back(Output::Disabled(id, why));
                 self.leave(id);
--- a/src/delivery/response.rs
+++ b/src/delivery/response.rs
@@ -34,8 +34,12 @@
 
 impl Report {
     /// An attempt that never left, for a reason of this side's own.
-    pub const VOID: Report =
-        Report { ending: CloseReason::LocalLimit, left: SendProgress::Unsent, status: None, advice: None };
+    pub const VOID: Report = Report {
+        ending: CloseReason::LocalLimit,
+        left: SendProgress::Unsent,
+        status: None,
+        advice: None,
+    };
 
     /// Whether the portal may have taken it. Whatever a portal says, once its answer comes it has seen the message.
     pub fn may_have_arrived(&self) -> bool {
@@ -114,8 +118,18 @@
     #[test]
     fn every_status_has_its_meaning() {
         let of = |status, advice| {
-            let ending = if status / 100 == 2 { CloseReason::Served } else { CloseReason::Failed };
-            Report { ending, left: SendProgress::Started, status: Some(status), advice }.meaning()
+            let ending = if status / 100 == 2 {
+                CloseReason::Served
+            } else {
+                CloseReason::Failed
+            };
+            Report {
+                ending,
+                left: SendProgress::Started,
+                status: Some(status),
+                advice,
+            }
+            .meaning()
         };
         for status in [200, 201, 204, 299] {
             assert_eq!(of(status, None), ResponseClass::Delivered);
@@ -125,12 +139,26 @@
         }
         assert_eq!(
             (of(429, Some(5)), of(503, None)),
-            (ResponseClass::Failed(Some(5)), ResponseClass::Failed(Some(0)))
+            (
+                ResponseClass::Failed(Some(5)),
+                ResponseClass::Failed(Some(0))
+            )
         );
         assert_eq!(of(410, None), ResponseClass::Gone);
-        let cut = |ending, left| Report { ending, left, status: None, advice: None };
-        assert_eq!(cut(CloseReason::Shutdown, SendProgress::Unsent).meaning(), ResponseClass::Void);
-        assert_eq!(cut(CloseReason::Shutdown, SendProgress::Started).meaning(), ResponseClass::Failed(None));
+        let cut = |ending, left| Report {
+            ending,
+            left,
+            status: None,
+            advice: None,
+        };
+        assert_eq!(
+            cut(CloseReason::Shutdown, SendProgress::Unsent).meaning(),
+            ResponseClass::Void
+        );
+        assert_eq!(
+            cut(CloseReason::Shutdown, SendProgress::Started).meaning(),
+            ResponseClass::Failed(None)
+        );
         assert!(!cut(CloseReason::Refused, SendProgress::Unsent).may_have_arrived());
         assert!(cut(CloseReason::TimedOut, SendProgress::Started).may_have_arrived());
     }
--- a/src/delivery/schedule.rs
+++ b/src/delivery/schedule.rs
@@ -32,7 +32,10 @@
 
 impl fmt::Display for BadSchedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a schedule is 1 to {MOST_PAUSES} pauses of 0.001 s to 7 days")
+        write!(
+            f,
+            "a schedule is 1 to {MOST_PAUSES} pauses of 0.001 s to 7 days"
+        )
     }
 }
 
@@ -42,7 +45,10 @@
     fn default() -> Schedule {
         let hour = 3600 * SECOND;
         let hours = [2, 5, 10, 14, 20, 24].map(|h| h * hour);
-        let pauses = [5 * SECOND, 300 * SECOND, 1800 * SECOND].into_iter().chain(hours).collect();
+        let pauses = [5 * SECOND, 300 * SECOND, 1800 * SECOND]
+            .into_iter()
+            .chain(hours)
+            .collect();
         Schedule { pauses }
     }
 }
@@ -52,12 +58,16 @@
     pub fn from_seconds(pauses: &[f64]) -> Result<Schedule, BadSchedule> {
         let micros = |s: &f64| {
             let at = (s * 1e6) as Micros;
-            (s.is_finite() && (1000..=LONGEST).contains(&at)).then_some(at).ok_or(BadSchedule)
+            (s.is_finite() && (1000..=LONGEST).contains(&at))
+                .then_some(at)
+                .ok_or(BadSchedule)
         };
         if pauses.is_empty() || pauses.len() > MOST_PAUSES {
             return Err(BadSchedule);
         }
-        Ok(Schedule { pauses: pauses.iter().map(micros).collect::<Result<_, _>>()? })
+        Ok(Schedule {
+            pauses: pauses.iter().map(micros).collect::<Result<_, _>>()?,
+        })
     }
 
     /// The schedule of a gateway that keeps callbacks in memory: 0.25 s, doubling up to 8 s, for `window` in all.
@@ -99,9 +109,16 @@
     let value = value.trim();
     if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) {
         // A number too long to read is a long time.
-        return Some(value.parse::<u64>().map_or(Micros::MAX, |s| s.saturating_mul(SECOND)));
+        return Some(
+            value
+                .parse::<u64>()
+                .map_or(Micros::MAX, |s| s.saturating_mul(SECOND)),
+        );
     }
-    let at = httpdate::parse_http_date(value).ok()?.duration_since(UNIX_EPOCH).ok()?;
+    let at = httpdate::parse_http_date(value)
+        .ok()?
+        .duration_since(UNIX_EPOCH)
+        .ok()?;
     Some(at.saturating_sub(Duration::from_micros(now)).as_micros() as Micros)
 }
 
@@ -112,31 +129,60 @@
     #[test]
     fn a_schedule_is_jittered_obeys_advice_and_ends() {
         let s = Schedule::default();
-        assert_eq!(s.seconds(), [5.0, 300.0, 1800.0, 7200.0, 18e3, 36e3, 50_400.0, 72e3, 86_400.0]);
+        assert_eq!(
+            s.seconds(),
+            [5.0, 300.0, 1800.0, 7200.0, 18e3, 36e3, 50_400.0, 72e3, 86_400.0]
+        );
         for salt in 0..200 {
             let p = s.pause(1, salt, None).unwrap();
             assert!((4 * SECOND..=6 * SECOND).contains(&p), "{p}");
             assert_eq!(s.pause(1, salt, None), Some(p));
         }
-        assert!((0..20).map(|n| s.pause(1, n, None)).collect::<std::collections::BTreeSet<_>>().len() > 10);
+        assert!(
+            (0..20)
+                .map(|n| s.pause(1, n, None))
+                .collect::<std::collections::BTreeSet<_>>()
+                .len()
+                > 10
+        );
         assert_eq!(s.pause(1, 3, Some(60 * SECOND)), Some(60 * SECOND));
-        assert_eq!(s.pause(1, 3, Some(Micros::MAX)), Some(LONGEST_ADVICE), "a year is a day");
-        assert!(s.pause(1, 3, Some(1)) > Some(SECOND), "advice makes nothing shorter");
+        assert_eq!(
+            s.pause(1, 3, Some(Micros::MAX)),
+            Some(LONGEST_ADVICE),
+            "a year is a day"
+        );
+        assert!(
+            s.pause(1, 3, Some(1)) > Some(SECOND),
+            "advice makes nothing shorter"
+        );
         assert_eq!((s.pause(10, 3, None), s.pause(0, 3, None)), (None, None));
         for bad in [&[][..], &[0.0], &[f64::NAN], &[-1.0], &[1e9], &[1.0; 65]] {
             assert_eq!(Schedule::from_seconds(bad), Err(BadSchedule));
         }
         let short = Schedule::short(60 * SECOND);
-        assert!(short.whole() < 60 * SECOND && short.whole() > 50 * SECOND, "{short:?}");
+        assert!(
+            short.whole() < 60 * SECOND && short.whole() > 50 * SECOND,
+            "{short:?}"
+        );
     }
 
     #[test]
     fn advice_is_seconds_or_a_date_and_junk_is_none() {
         let now = 784_111_700 * SECOND;
         assert_eq!(retry_after("120", now), Some(120 * SECOND));
-        assert_eq!(retry_after("Sun, 06 Nov 1994 08:49:37 GMT", now), Some(77 * SECOND));
-        assert_eq!(retry_after("Sun, 06 Nov 1994 08:49:37 GMT", now + 100 * SECOND), Some(0), "past");
-        assert_eq!(retry_after("99999999999999999999999", now), Some(Micros::MAX));
+        assert_eq!(
+            retry_after("Sun, 06 Nov 1994 08:49:37 GMT", now),
+            Some(77 * SECOND)
+        );
+        assert_eq!(
+            retry_after("Sun, 06 Nov 1994 08:49:37 GMT", now + 100 * SECOND),
+            Some(0),
+            "past"
+        );
+        assert_eq!(
+            retry_after("99999999999999999999999", now),
+            Some(Micros::MAX)
+        );
         for junk in ["", "soon", "-5", "1.5", "Sun, 99 Nov"] {
             assert_eq!(retry_after(junk, now), None, "{junk}");
         }
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -31,18 +31,41 @@
 
 fn plan(tenant: u64) -> Plan {
     let schedule = Schedule::from_seconds(&[1.0, 10.0, 100.0]).unwrap();
-    Plan { tenant, enabled: Enabled::Yes, per_s: 0.0, in_flight: 3, schedule }
+    Plan {
+        tenant,
+        enabled: Enabled::Yes,
+        per_s: 0.0,
+        in_flight: 3,
+        schedule,
+    }
 }
 
 fn answer(status: u16) -> Report {
-    let ending = if status / 100 == 2 { CloseReason::Served } else { CloseReason::Failed };
-    Report { ending, left: SendProgress::Started, status: Some(status), advice: None }
+    let ending = if status / 100 == 2 {
+        CloseReason::Served
+    } else {
+        CloseReason::Failed
+    };
+    Report {
+        ending,
+        left: SendProgress::Started,
+        status: Some(status),
+        advice: None,
+    }
 }
 
-const REFUSED: Report =
-    Report { ending: CloseReason::Refused, left: SendProgress::Unsent, status: None, advice: None };
-const CUT: Report =
-    Report { ending: CloseReason::Reset, left: SendProgress::Started, status: None, advice: None };
+const REFUSED: Report = Report {
+    ending: CloseReason::Refused,
+    left: SendProgress::Unsent,
+    status: None,
+    advice: None,
+};
+const CUT: Report = Report {
+    ending: CloseReason::Reset,
+    left: SendProgress::Started,
+    status: None,
+    advice: None,
+};
 
 impl World {
     fn new(caps: Caps, endpoints: u64) -> World {
@@ -78,7 +101,15 @@
 
     fn publish(&mut self, seq: u64, endpoint: u64, effect: Effect) {
         let (seq, endpoint) = (Seq(seq), EndpointId(endpoint));
-        let message = Waiting { seq, endpoint, due: self.now, effect, ran: None, tries: 0, size: 9000 };
+        let message = Waiting {
+            seq,
+            endpoint,
+            due: self.now,
+            effect,
+            ran: None,
+            tries: 0,
+            size: 9000,
+        };
         self.keep(message, State::Waiting);
         self.input(Input::Waits(message));
     }
@@ -88,7 +119,8 @@
             self.index.remove(&(old.endpoint, old.due, old.seq));
         }
         if state == State::Waiting {
-            self.index.insert((message.endpoint, message.due, message.seq));
+            self.index
+                .insert((message.endpoint, message.due, message.seq));
         }
     }
 
@@ -96,11 +128,18 @@
     fn settle(&mut self) {
         while let Some(output) = self.delivery.output() {
             match output {
-                Output::Begin { seq, endpoint, recorded } => {
+                Output::Begin {
+                    seq,
+                    endpoint,
+                    recorded,
+                } => {
                     let (m, state) = self.store[&seq];
                     assert_eq!((m.endpoint, state), (endpoint, State::Waiting));
                     assert!(m.due <= self.now, "{seq:?} before its time");
-                    assert!(self.out.insert(seq, self.now).is_none(), "{seq:?} is out twice");
+                    assert!(
+                        self.out.insert(seq, self.now).is_none(),
+                        "{seq:?} is out twice"
+                    );
                     assert_eq!(recorded, m.effect != Effect::Idempotent);
                     assert!(
                         m.effect != Effect::NonIdempotent || !self.arrived.contains(&seq),
@@ -108,20 +147,37 @@
                     );
                     *self.begun.entry(seq).or_default() += 1;
                     self.sent.entry(endpoint).or_default().push(self.now);
-                    let at = |id| self.out.keys().filter(|s| self.store[s].0.endpoint == id).count();
+                    let at = |id| {
+                        self.out
+                            .keys()
+                            .filter(|s| self.store[s].0.endpoint == id)
+                            .count()
+                    };
                     assert!(at(endpoint) as u32 <= self.plans[&endpoint].in_flight);
                     assert_eq!(self.plans[&endpoint].enabled, Enabled::Yes);
                     assert!(self.out.len() as u32 <= self.caps.out);
                 }
                 Output::Keep { message, state, .. } => {
-                    assert!(!self.store[&message.seq].1.is_over(), "{message:?} ends twice");
+                    assert!(
+                        !self.store[&message.seq].1.is_over(),
+                        "{message:?} ends twice"
+                    );
                     self.keep(message, state);
                 }
                 Output::Fetch(id, limit) => {
-                    let mut mine = self.index.range((id, 0, Seq(0))..(EndpointId(id.0 + 1), 0, Seq(0)));
-                    let all: Vec<Waiting> = mine.by_ref().take(limit).map(|k| self.store[&k.2].0).collect();
+                    let mut mine = self
+                        .index
+                        .range((id, 0, Seq(0))..(EndpointId(id.0 + 1), 0, Seq(0)));
+                    let all: Vec<Waiting> = mine
+                        .by_ref()
+                        .take(limit)
+                        .map(|k| self.store[&k.2].0)
+                        .collect();
                     let next = mine.next().map(|k| k.1);
-                    assert!(self.fetches.iter().all(|(e, ..)| *e != id), "one fetch at a time");
+                    assert!(
+                        self.fetches.iter().all(|(e, ..)| *e != id),
+                        "one fetch at a time"
+                    );
                     self.fetches.push((id, all, next));
                 }
                 Output::Disabled(id, _) => {
@@ -129,9 +185,16 @@
                     self.disabled.push(id);
                 }
                 Output::Purge(id) => {
-                    let mine = self.store.values().filter(|(m, s)| m.endpoint == id && !s.is_over());
+                    let mine = self
+                        .store
+                        .values()
+                        .filter(|(m, s)| m.endpoint == id && !s.is_over());
                     let mine: Vec<Waiting> = mine.map(|(m, _)| *m).collect();
-                    for m in mine.into_iter().filter(|m| !self.out.contains_key(&m.seq)).collect::<Vec<_>>() {
+                    for m in mine
+                        .into_iter()
+                        .filter(|m| !self.out.contains_key(&m.seq))
+                        .collect::<Vec<_>>()
+                    {
                         self.keep(m, State::Dead(Dead::Gone));
                     }
                 }
@@ -149,7 +212,9 @@
     }
 
     fn end(&mut self, nth: usize, report: Report) {
-        let Some(&seq) = self.out.keys().nth(nth % self.out.len().max(1)) else { return };
+        let Some(&seq) = self.out.keys().nth(nth % self.out.len().max(1)) else {
+            return;
+        };
         self.out.remove(&seq);
         if report.may_have_arrived() {
             self.arrived.insert(seq);
@@ -186,7 +251,9 @@
 
     fn states(&self) -> BTreeMap<&'static str, usize> {
         let mut map = BTreeMap::new();
-        self.store.values().for_each(|(_, s)| *map.entry(s.name()).or_default() += 1);
+        self.store
+            .values()
+            .for_each(|(_, s)| *map.entry(s.name()).or_default() += 1);
         map
     }
 }
@@ -217,8 +284,14 @@
         0 => REFUSED,
         1 => CUT,
         2 => answer(500),
-        3 => Report { advice: Some(30 * SECOND), ..answer(503) },
-        4 => Report { advice: Some(Micros::MAX), ..answer(429) },
+        3 => Report {
+            advice: Some(30 * SECOND),
+            ..answer(503)
+        },
+        4 => Report {
+            advice: Some(Micros::MAX),
+            ..answer(429)
+        },
         5 => Report::VOID,
         _ => answer(204),
     }
@@ -281,17 +354,43 @@
 /// A portal that comes back after an hour with 100,000 waiting is not run over, and gets all of them.
 #[test]
 fn a_portal_back_after_an_hour_is_met_slowly_and_gets_all() {
-    let mut w = World::new(Caps { out: 64, ready: 32, loaded: 256, ..Caps::default() }, 1);
+    let mut w = World::new(
+        Caps {
+            out: 64,
+            ready: 32,
+            loaded: 256,
+            ..Caps::default()
+        },
+        1,
+    );
     let day = 86_400 * SECOND;
     let schedule = Schedule::from_seconds(&[10.0, 60.0, 600.0, 3600.0, 7200.0]).unwrap();
-    w.plan(EndpointId(0), Plan { in_flight: 8, schedule, ..plan(0) });
+    w.plan(
+        EndpointId(0),
+        Plan {
+            in_flight: 8,
+            schedule,
+            ..plan(0)
+        },
+    );
     for n in 0..100_000 {
-        w.publish(n, 0, if n % 2 == 0 { Effect::Idempotent } else { Effect::NonIdempotent });
+        w.publish(
+            n,
+            0,
+            if n % 2 == 0 {
+                Effect::Idempotent
+            } else {
+                Effect::NonIdempotent
+            },
+        );
     }
     let back = w.now + 3600 * SECOND;
     w.run_out(3600 * SECOND, |_, _| REFUSED);
     let tried: usize = w.begun.values().map(|n| *n as usize).sum();
-    assert!(tried < 60, "a dead portal costs {tried} attempts in an hour, not 100,000");
+    assert!(
+        tried < 60,
+        "a dead portal costs {tried} attempts in an hour, not 100,000"
+    );
     let before = w.sent[&EndpointId(0)].len();
     w.run_out(2 * day, |_, _| answer(204));
     assert_eq!(w.states(), BTreeMap::from([("delivered", 100_000)]));
@@ -304,9 +403,23 @@
 /// One dead and one slow tenant take nothing from the others.
 #[test]
 fn a_dead_or_slow_portal_takes_nothing_from_the_others() {
-    let mut w = World::new(Caps { out: 16, ready: 16, loaded: 4096, ..Caps::default() }, 0);
+    let mut w = World::new(
+        Caps {
+            out: 16,
+            ready: 16,
+            loaded: 4096,
+            ..Caps::default()
+        },
+        0,
+    );
     for e in 0..50 {
-        w.plan(EndpointId(e), Plan { in_flight: 4, ..plan(e) });
+        w.plan(
+            EndpointId(e),
+            Plan {
+                in_flight: 4,
+                ..plan(e)
+            },
+        );
     }
     let mut seq = 0;
     // Ten rounds of a message to each endpoint; endpoint 0 refuses, endpoint 1 never answers.
@@ -318,25 +431,49 @@
         loop {
             let other = w.out.keys().position(|s| w.store[s].0.endpoint.0 != 1);
             let Some(nth) = other else { break };
-            let report =
-                if w.store[w.out.keys().nth(nth).unwrap()].0.endpoint.0 == 0 { REFUSED } else { answer(200) };
+            let report = if w.store[w.out.keys().nth(nth).unwrap()].0.endpoint.0 == 0 {
+                REFUSED
+            } else {
+                answer(200)
+            };
             w.end(nth, report);
         }
         w.pass(SECOND / 10);
     }
-    let done = |e: u64| w.store.values().filter(|(m, s)| m.endpoint.0 == e && *s == State::Delivered).count();
-    assert!((2..50).all(|e| done(e) == 10), "each of the others has all of its ten within the round");
-    assert_eq!((done(0), done(1), w.out.len()), (0, 0, 4), "the slow one holds its own four places");
+    let done = |e: u64| {
+        w.store
+            .values()
+            .filter(|(m, s)| m.endpoint.0 == e && *s == State::Delivered)
+            .count()
+    };
+    assert!(
+        (2..50).all(|e| done(e) == 10),
+        "each of the others has all of its ten within the round"
+    );
+    assert_eq!(
+        (done(0), done(1), w.out.len()),
+        (0, 0, 4),
+        "the slow one holds its own four places"
+    );
 }
 
 #[test]
 fn an_endpoint_is_switched_off_by_410_or_long_failure_and_its_messages_wait() {
-    let mut w = World::new(Caps { disable_after: 100 * SECOND, ..Caps::default() }, 2);
+    let mut w = World::new(
+        Caps {
+            disable_after: 100 * SECOND,
+            ..Caps::default()
+        },
+        2,
+    );
     w.publish(1, 0, Effect::Idempotent);
     w.publish(2, 0, Effect::Idempotent);
     w.end(0, answer(410));
     assert_eq!(
-        (w.disabled.clone(), w.delivery.health(EndpointId(0)).unwrap().in_flight),
+        (
+            w.disabled.clone(),
+            w.delivery.health(EndpointId(0)).unwrap().in_flight
+        ),
         (vec![EndpointId(0)], 1)
     );
     w.end(0, REFUSED);
@@ -357,13 +494,23 @@
 #[test]
 fn a_rate_is_kept_and_a_repeat_that_has_become_harmful_is_not_sent() {
     let mut w = World::new(Caps::default(), 0);
-    w.plan(EndpointId(0), Plan { per_s: 5.0, in_flight: 50, ..plan(0) });
+    w.plan(
+        EndpointId(0),
+        Plan {
+            per_s: 5.0,
+            in_flight: 50,
+            ..plan(0)
+        },
+    );
     (0..100).for_each(|n| w.publish(n, 0, Effect::Idempotent));
     w.run_out(10 * SECOND, |_, _| answer(200));
     let sent = w.sent[&EndpointId(0)].len();
     assert!((50..=56).contains(&sent), "{sent}");
     w.plan(EndpointId(1), plan(1));
-    let keyed = Effect::Keyed { scope: crate::api::IdempotencyScope::All, window: SECOND / 2 };
+    let keyed = Effect::Keyed {
+        scope: crate::api::IdempotencyScope::All,
+        window: SECOND / 2,
+    };
     w.publish(1000, 1, keyed);
     w.end(w.out.len() - 1, CUT);
     w.run_out(1000 * SECOND, |_, _| answer(200));
--- a/src/delivery/timing_wheel.rs
+++ b/src/delivery/timing_wheel.rs
@@ -71,7 +71,14 @@
     /// Hangs a value up to be told at `at`; a time that has passed falls due with the next call.
     pub fn insert(&mut self, at: Micros, value: T) -> Timer {
         let place = if self.free == NONE {
-            self.nodes.push(Node { at, value: None, next: NONE, back: NONE, turn: 0, home: (0, 0) });
+            self.nodes.push(Node {
+                at,
+                value: None,
+                next: NONE,
+                back: NONE,
+                turn: 0,
+                home: (0, 0),
+            });
             (self.nodes.len() - 1) as u32
         } else {
             let place = self.free;
@@ -88,7 +95,10 @@
 
     /// Takes an entry away; its value, if it still hung.
     pub fn cancel(&mut self, timer: Timer) -> Option<T> {
-        let node = self.nodes.get(timer.place as usize).filter(|n| n.turn == timer.turn)?;
+        let node = self
+            .nodes
+            .get(timer.place as usize)
+            .filter(|n| n.turn == timer.turn)?;
         node.value.as_ref()?;
         self.unlink(timer.place);
         self.release(timer.place)
@@ -103,7 +113,11 @@
             }
             let shift = BITS * level as u32;
             let now = self.ticked >> shift;
-            let ahead = u64::from(self.used[level].rotate_right((now % 64) as u32).trailing_zeros());
+            let ahead = u64::from(
+                self.used[level]
+                    .rotate_right((now % 64) as u32)
+                    .trailing_zeros(),
+            );
             if level > 0 {
                 return Some(((now + ahead) << shift) << SHIFT);
             }
@@ -127,7 +141,10 @@
                 break;
             }
             // Nothing is left in this tick: on to the next one in which anything happens.
-            let next = self.next().map_or(target, |t| (t >> SHIFT).max(self.ticked + 1)).min(target);
+            let next = self
+                .next()
+                .map_or(target, |t| (t >> SHIFT).max(self.ticked + 1))
+                .min(target);
             let crossed = self.ticked ^ next;
             self.ticked = next;
             for level in (1..LEVELS).rev() {
@@ -168,7 +185,8 @@
     fn link(&mut self, place: u32) {
         let tick = (self.nodes[place as usize].at >> SHIFT).max(self.ticked);
         let differ = (tick ^ self.ticked) >> BITS;
-        let level = (((64 - differ.leading_zeros()) as usize).div_ceil(BITS as usize)).min(LEVELS - 1);
+        let level =
+            (((64 - differ.leading_zeros()) as usize).div_ceil(BITS as usize)).min(LEVELS - 1);
         // What is further off than the wheel reaches hangs in its last slot and sinks again and again.
         let shift = BITS * level as u32;
         let most = (self.ticked >> shift) + 63;
@@ -231,7 +249,8 @@
 
     fn step() -> impl Strategy<Value = Step> {
         // Spans of every size, from within a tick to past the wheel's reach.
-        let span = (0u32..44, 0u64..1000).prop_map(|(e, f)| (1u64 << e) + (f << e.saturating_sub(10)));
+        let span =
+            (0u32..44, 0u64..1000).prop_map(|(e, f)| (1u64 << e) + (f << e.saturating_sub(10)));
         prop_oneof![
             4 => span.clone().prop_map(Step::Insert),
             1 => any::<usize>().prop_map(Step::Cancel),
@@ -281,8 +300,12 @@
     fn places_are_used_again() {
         let mut wheel = TimingWheel::new(0);
         for round in 0..1000u64 {
-            let timers: Vec<_> = (0..10).map(|n| wheel.insert(round * 7 + n * 1_000_000, n)).collect();
-            timers.into_iter().for_each(|t| assert!(wheel.cancel(t).is_some()));
+            let timers: Vec<_> = (0..10)
+                .map(|n| wheel.insert(round * 7 + n * 1_000_000, n))
+                .collect();
+            timers
+                .into_iter()
+                .for_each(|t| assert!(wheel.cancel(t).is_some()));
         }
         assert!(wheel.is_empty() && wheel.nodes.len() == 10);
     }
