--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -31,11 +31,18 @@
 impl fmt::Display for DiscoveryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DiscoveryError::Head(what) => write!(f, "the notice board's answer cannot be used: {what}"),
-            DiscoveryError::Chunk => write!(f, "a chunk of the notice board's answer has no readable length"),
+            DiscoveryError::Head(what) => {
+                write!(f, "the notice board's answer cannot be used: {what}")
+            }
+            DiscoveryError::Chunk => write!(
+                f,
+                "a chunk of the notice board's answer has no readable length"
+            ),
             DiscoveryError::Json(e) => write!(f, "a notice is not JSON: {e}"),
             DiscoveryError::Field(name) => write!(f, "a notice lacks a usable '{name}'"),
-            DiscoveryError::Entry(what) => write!(f, "a notice names a worker that cannot be used: {what}"),
+            DiscoveryError::Entry(what) => {
+                write!(f, "a notice names a worker that cannot be used: {what}")
+            }
         }
     }
 }
@@ -75,34 +82,57 @@
 impl WatchEvent {
     /// Reads a notice's text.
     pub fn parse(text: &str, names: &Names) -> Result<WatchEvent, DiscoveryError> {
-        let value: Value = serde_json::from_str(text).map_err(|e| DiscoveryError::Json(e.to_string()))?;
+        let value: Value =
+            serde_json::from_str(text).map_err(|e| DiscoveryError::Json(e.to_string()))?;
         WatchEvent::from_value(&value, names)
     }
 
     /// Reads a notice from JSON.
     pub fn from_value(value: &Value, names: &Names) -> Result<WatchEvent, DiscoveryError> {
-        let rev = value.get("rev").and_then(Value::as_u64).ok_or(DiscoveryError::Field("rev"))?;
+        let rev = value
+            .get("rev")
+            .and_then(Value::as_u64)
+            .ok_or(DiscoveryError::Field("rev"))?;
         let pool = value.get("pool").ok_or(DiscoveryError::Field("pool"))?;
-        let snapshot =
-            pool.get("snapshot").and_then(Value::as_bool).ok_or(DiscoveryError::Field("snapshot"))?;
-        let list =
-            pool.get("endpoints").and_then(Value::as_array).ok_or(DiscoveryError::Field("endpoints"))?;
-        let endpoints = list.iter().map(|e| endpoint(e, names)).collect::<Result<_, _>>()?;
-        Ok(WatchEvent { rev, snapshot, endpoints })
+        let snapshot = pool
+            .get("snapshot")
+            .and_then(Value::as_bool)
+            .ok_or(DiscoveryError::Field("snapshot"))?;
+        let list = pool
+            .get("endpoints")
+            .and_then(Value::as_array)
+            .ok_or(DiscoveryError::Field("endpoints"))?;
+        let endpoints = list
+            .iter()
+            .map(|e| endpoint(e, names))
+            .collect::<Result<_, _>>()?;
+        Ok(WatchEvent {
+            rev,
+            snapshot,
+            endpoints,
+        })
     }
 }
 
 fn endpoint(value: &Value, names: &Names) -> Result<Endpoint, DiscoveryError> {
     let text = |field: &'static str| value.get(field).and_then(Value::as_str);
-    let name = text("name").filter(|n| !n.is_empty()).ok_or(DiscoveryError::Field("name"))?;
+    let name = text("name")
+        .filter(|n| !n.is_empty())
+        .ok_or(DiscoveryError::Field("name"))?;
     let address = text("address").ok_or(DiscoveryError::Field("address"))?;
     let status = match text("status").ok_or(DiscoveryError::Field("status"))? {
         "SERVING" => WorkerStatus::Ready,
         "DRAINING" => WorkerStatus::Draining,
         "DELETED" => WorkerStatus::Removed,
-        other => return Err(DiscoveryError::Entry(format!("{name} has the state '{other}'"))),
+        other => {
+            return Err(DiscoveryError::Entry(format!(
+                "{name} has the state '{other}'"
+            )))
+        }
     };
-    let zone = text("zone").and_then(|z| Names::place(&names.zones, z)).unwrap_or(usize::from(u8::MAX));
+    let zone = text("zone")
+        .and_then(|z| Names::place(&names.zones, z))
+        .unwrap_or(usize::from(u8::MAX));
     let since = value.get("since_ms").and_then(Value::as_f64).unwrap_or(0.0);
     Ok(Endpoint {
         name: name.to_owned(),
@@ -138,9 +168,14 @@
             return *id;
         }
         let tail = name.rsplit('-').next().unwrap_or(name);
-        let hex = (tail.len() == 8).then(|| u32::from_str_radix(tail, 16).ok()).flatten();
-        let hashed =
-            || name.bytes().fold(0x811c_9dc5u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
+        let hex = (tail.len() == 8)
+            .then(|| u32::from_str_radix(tail, 16).ok())
+            .flatten();
+        let hashed = || {
+            name.bytes().fold(0x811c_9dc5u32, |h, b| {
+                (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
+            })
+        };
         let mut id = WorkerId(hex.unwrap_or_else(hashed));
         while self.names.contains_key(&id) {
             id.0 = id.0.wrapping_add(1);
@@ -159,7 +194,11 @@
         }
         for e in &notice.endpoints {
             let worker = self.id_of(&e.name);
-            if self.addresses.insert(worker, e.address).is_some_and(|old| old != e.address) {
+            if self
+                .addresses
+                .insert(worker, e.address)
+                .is_some_and(|old| old != e.address)
+            {
                 moved.push(worker);
             }
             if e.status == WorkerStatus::Removed {
@@ -182,7 +221,9 @@
     /// Forgets the workers that have left the list, but for those still in use. Guards memory where workers
     /// keep being replaced by new ones.
     pub fn forget_removed(&mut self, in_use: impl Fn(&WorkerId) -> bool) {
-        let (kept, gone) = std::mem::take(&mut self.removed).into_iter().partition(|w| in_use(w));
+        let (kept, gone) = std::mem::take(&mut self.removed)
+            .into_iter()
+            .partition(|w| in_use(w));
         self.removed = kept;
         let gone: BTreeSet<WorkerId> = gone;
         for worker in gone {
@@ -289,13 +330,22 @@
                     };
                     match head.code {
                         Some(200) => {}
-                        code => return Err(DiscoveryError::Head(format!("status {}", code.unwrap_or(0)))),
+                        code => {
+                            return Err(DiscoveryError::Head(format!(
+                                "status {}",
+                                code.unwrap_or(0)
+                            )))
+                        }
                     }
                     let chunked = head.headers.iter().any(|h| {
                         h.name.eq_ignore_ascii_case("transfer-encoding")
                             && h.value.to_ascii_lowercase().ends_with(b"chunked")
                     });
-                    self.framing = if chunked { Framing::Chunked(0) } else { Framing::Plain };
+                    self.framing = if chunked {
+                        Framing::Chunked(0)
+                    } else {
+                        Framing::Plain
+                    };
                     input.consume(size);
                 }
                 Framing::Plain => {
@@ -354,7 +404,10 @@
         if line.is_empty() {
             let (id, data) = (self.id.take(), std::mem::take(&mut self.data));
             if !data.is_empty() {
-                events.push(EventStreamDecoder { id: id.and_then(|i| i.trim().parse().ok()), data });
+                events.push(EventStreamDecoder {
+                    id: id.and_then(|i| i.trim().parse().ok()),
+                    data,
+                });
             }
             return;
         }
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -3,7 +3,10 @@
 use super::*;
 
 fn names() -> Names {
-    Names { zones: vec!["east".into()], ..Names::default() }
+    Names {
+        zones: vec!["east".into()],
+        ..Names::default()
+    }
 }
 
 fn notice(status: &str) -> String {
@@ -32,8 +35,15 @@
     assert_eq!((events.len(), events[0].id), (1, Some(41)));
     let n = WatchEvent::parse(&events[0].data, &names()).unwrap();
     let e = &n.endpoints[0];
-    assert_eq!((n.rev, n.snapshot, e.zone, e.started), (41, false, ZoneId(0), Some(12_000)));
-    assert_eq!(EndpointList::default().id_of(&e.name), WorkerId(0x00c4_1f7a), "the same at every gateway");
+    assert_eq!(
+        (n.rev, n.snapshot, e.zone, e.started),
+        (41, false, ZoneId(0), Some(12_000))
+    );
+    assert_eq!(
+        EndpointList::default().id_of(&e.name),
+        WorkerId(0x00c4_1f7a),
+        "the same at every gateway"
+    );
 }
 
 #[test]
@@ -47,12 +57,18 @@
         roster.forget_removed(|w| *w == WorkerId(7));
     }
     assert!(roster.len() == 4 && roster.addresses.len() == 4 && roster.names.len() == 4);
-    assert!(roster.addresses.contains_key(&WorkerId(7)), "something was open to it");
+    assert!(
+        roster.addresses.contains_key(&WorkerId(7)),
+        "something was open to it"
+    );
     // A whole list names all there are.
     let whole = notice("SERVING").replace("\"snapshot\":false", "\"snapshot\":true");
     roster.apply(&WatchEvent::parse(&whole, &names()).unwrap());
     roster.forget_removed(|_| false);
-    assert_eq!(roster.addresses.keys().collect::<Vec<_>>(), [&WorkerId(0x00c4_1f7a)]);
+    assert_eq!(
+        roster.addresses.keys().collect::<Vec<_>>(),
+        [&WorkerId(0x00c4_1f7a)]
+    );
 }
 
 #[test]
@@ -60,11 +76,16 @@
     let told = |text: &str| WatchEvent::parse(text, &names()).unwrap_err().to_string();
     assert_eq!(told("{\"rev\":1}"), "a notice lacks a usable 'pool'");
     assert!(told(&notice("ASLEEP")).ends_with("s-00c41f7a has the state 'ASLEEP'"));
-    assert!(told(&notice("SERVING").replace("10.1.0.9:9090", "there")).ends_with("the address 'there'"));
+    assert!(
+        told(&notice("SERVING").replace("10.1.0.9:9090", "there")).ends_with("the address 'there'")
+    );
     assert!(told("{").starts_with("a notice is not JSON"));
     for head in ["HTTP/1.1 503 No\r\n\r\n", "nonsense\r\n\r\n"] {
         let (mut feed, mut input) = (WatchStream::default(), Buffer::default());
         input.feed(head.as_bytes());
-        assert!(matches!(feed.input(&mut input, &mut Vec::new()), Err(DiscoveryError::Head(_))));
+        assert!(matches!(
+            feed.input(&mut input, &mut Vec::new()),
+            Err(DiscoveryError::Head(_))
+        ));
     }
 }
--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -29,12 +29,20 @@
 
 /// A request whose framing is in doubt: what follows on the connection cannot be told apart.
 pub fn fatal(status: u16, why: &'static str) -> Bad {
-    Bad { status, why, fatal: true }
+    Bad {
+        status,
+        why,
+        fatal: true,
+    }
 }
 
 /// A request that is well framed and still cannot be taken.
 pub fn plain(status: u16, why: &'static str) -> Bad {
-    Bad { status, why, fatal: false }
+    Bad {
+        status,
+        why,
+        fatal: false,
+    }
 }
 
 /// One whole request.
@@ -56,7 +64,10 @@
 impl<'a> Request<'a> {
     /// The one value of a header; none if it is absent, comes twice or is not text.
     pub fn header(&self, name: &str) -> Option<&'a str> {
-        let mut found = self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
+        let mut found = self
+            .headers
+            .iter()
+            .filter(|(n, _)| n.eq_ignore_ascii_case(name));
         let (first, more) = (found.next()?, found.next());
         if more.is_some() {
             return None;
@@ -76,7 +87,11 @@
         Err(_) => return Err(fatal(400, "malformed request")),
     };
     let headers: Vec<(&str, &[u8])> = head.headers.iter().map(|h| (h.name, h.value)).collect();
-    let all = |name: &'static str| headers.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name));
+    let all = |name: &'static str| {
+        headers
+            .iter()
+            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
+    };
     if all("transfer-encoding").next().is_some() {
         return Err(fatal(411, "a body needs Content-Length"));
     }
@@ -93,13 +108,20 @@
     if length > BODY_LIMIT as u64 {
         return Err(fatal(413, "body too large"));
     }
-    let Some(body) = bytes.get(size..size + length as usize) else { return Ok(None) };
+    let Some(body) = bytes.get(size..size + length as usize) else {
+        return Ok(None);
+    };
     let says = |word: &str| {
         all("connection").any(|(_, v)| {
-            std::str::from_utf8(v).is_ok_and(|v| v.split(',').any(|p| p.trim().eq_ignore_ascii_case(word)))
+            std::str::from_utf8(v)
+                .is_ok_and(|v| v.split(',').any(|p| p.trim().eq_ignore_ascii_case(word)))
         })
     };
-    let keep = if head.version == Some(1) { !says("close") } else { says("keep-alive") };
+    let keep = if head.version == Some(1) {
+        !says("close")
+    } else {
+        says("keep-alive")
+    };
     Ok(Some(Request {
         method: head.method.unwrap_or_default(),
         path: head.path.unwrap_or_default(),
--- a/src/front/webhook/answer.rs
+++ b/src/front/webhook/answer.rs
@@ -34,16 +34,28 @@
             Ok(httparse::Status::Partial) if bytes.len() - at <= HEAD => return Progress::Waits,
             _ => return Progress::Malformed,
         };
-        let Some(status) = head.code else { return Progress::Malformed };
+        let Some(status) = head.code else {
+            return Progress::Malformed;
+        };
         at += size;
         if (100..200).contains(&status) && status != 101 {
             continue;
         }
         let all = |name: &'static str| {
-            head.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
+            head.headers
+                .iter()
+                .filter(move |h| h.name.eq_ignore_ascii_case(name))
+                .map(|h| h.value)
+        };
+        let text = |value: &[u8]| {
+            std::str::from_utf8(value)
+                .unwrap_or_default()
+                .trim()
+                .to_ascii_lowercase()
         };
-        let text = |value: &[u8]| std::str::from_utf8(value).unwrap_or_default().trim().to_ascii_lowercase();
-        let advice = all("retry-after").next().and_then(|v| retry_after(std::str::from_utf8(v).ok()?, now));
+        let advice = all("retry-after")
+            .next()
+            .and_then(|v| retry_after(std::str::from_utf8(v).ok()?, now));
         let closes = all("connection").any(|v| text(v).split(',').any(|w| w.trim() == "close"));
         let keeps = head.version == Some(1) && !closes;
         let rest = &bytes[at..];
@@ -91,7 +103,10 @@
                 }
             }
             Ok(httparse::Status::Complete((head, size))) => {
-                let next = usize::try_from(size).ok().filter(|n| *n <= BODY).map(|n| at + head + n + 2);
+                let next = usize::try_from(size)
+                    .ok()
+                    .filter(|n| *n <= BODY)
+                    .map(|n| at + head + n + 2);
                 at = next.ok_or(())?;
                 if at > bytes.len() {
                     return Ok(None);
@@ -113,18 +128,27 @@
     #[test]
     fn an_answer_is_read_to_its_end_whatever_its_framing() {
         let whole = |text: &str| match read(text.as_bytes(), 0) {
-            Progress::Whole(status, advice, size, keep) => (status, advice, size == text.len(), keep),
+            Progress::Whole(status, advice, size, keep) => {
+                (status, advice, size == text.len(), keep)
+            }
             other => panic!("{text}: {other:?}"),
         };
-        assert_eq!(whole("HTTP/1.1 204 No Content\r\n\r\n"), (204, None, true, true));
-        assert_eq!(whole("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), (200, None, true, true));
+        assert_eq!(
+            whole("HTTP/1.1 204 No Content\r\n\r\n"),
+            (204, None, true, true)
+        );
+        assert_eq!(
+            whole("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
+            (200, None, true, true)
+        );
         assert!(!whole("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok").3);
         assert!(!whole("HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n").3);
         assert_eq!(
             whole("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Busy\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n"),
             (503, Some(7_000_000), true, true)
         );
-        let chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: y\r\n\r\n";
+        let chunks =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: y\r\n\r\n";
         assert_eq!(whole(chunks), (200, None, true, true));
         // Without a length, with two, with one too long, or with a torn chunk: told, and not used again.
         for doubtful in [
@@ -133,12 +157,18 @@
             "Content-Length: 99999999999\r\n",
             "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         ] {
-            assert!(!whole(&format!("HTTP/1.1 200 OK\r\n{doubtful}\r\nabc")).3, "{doubtful}");
+            assert!(
+                !whole(&format!("HTTP/1.1 200 OK\r\n{doubtful}\r\nabc")).3,
+                "{doubtful}"
+            );
         }
         assert!(!whole("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcXX").3);
         for cut in 1..chunks.len() {
             assert!(
-                !matches!(read(&chunks.as_bytes()[..cut], 0), Progress::Whole(..) | Progress::Malformed),
+                !matches!(
+                    read(&chunks.as_bytes()[..cut], 0),
+                    Progress::Whole(..) | Progress::Malformed
+                ),
                 "{cut}"
             );
         }
--- a/src/front/webhook/inbound.rs
+++ b/src/front/webhook/inbound.rs
@@ -95,7 +95,10 @@
         names: &Names,
         now: Micros,
     ) -> Result<(Call<Job>, IdentityDigest, Micros), Bad> {
-        let name = r.path.strip_prefix("/webhooks/").ok_or(plain(404, "no such path"))?;
+        let name = r
+            .path
+            .strip_prefix("/webhooks/")
+            .ok_or(plain(404, "no such path"))?;
         if r.method != "POST" {
             return Err(plain(405, "a webhook is a POST"));
         }
@@ -130,7 +133,9 @@
             .header("webhook-id")
             .filter(|id| !id.is_empty() && id.len() <= LONGEST_ID && !id.contains('.'))
             .ok_or(refused)?;
-        let stamp = r.header("webhook-timestamp").filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
+        let stamp = r
+            .header("webhook-timestamp")
+            .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
         let stamp: u64 = stamp.and_then(|t| t.parse().ok()).ok_or(refused)?;
         let given = r.header("webhook-signature").ok_or(refused)?;
         if !signature::verify(tenant.secrets(now), id, stamp, r.body, given) {
@@ -150,9 +155,19 @@
 
     /// Checks a signed question for the state of a call, `GET /webhooks/TENANT/calls/ID`: the identity signed is
     /// the call's. Returns which tenant, and the call's identity. It changes nothing, so it may be repeated.
-    pub fn ask<'a>(&self, r: &Request<'a>, tenants: &Registry, now: Micros) -> Result<(u64, &'a str), Bad> {
-        let rest = r.path.strip_prefix("/webhooks/").ok_or(plain(404, "no such path"))?;
-        let (name, call) = rest.split_once("/calls/").ok_or(plain(404, "no such path"))?;
+    pub fn ask<'a>(
+        &self,
+        r: &Request<'a>,
+        tenants: &Registry,
+        now: Micros,
+    ) -> Result<(u64, &'a str), Bad> {
+        let rest = r
+            .path
+            .strip_prefix("/webhooks/")
+            .ok_or(plain(404, "no such path"))?;
+        let (name, call) = rest
+            .split_once("/calls/")
+            .ok_or(plain(404, "no such path"))?;
         let (tenant, id, _) = self.signed(r, name, tenants, now)?;
         if id != call || !r.body.is_empty() {
             return Err(plain(401, "signature refused"));
@@ -176,17 +191,26 @@
         let d = event.data;
         let place = Names::place(&names.classes, &d.class).ok_or(plain(422, "unknown class"))?;
         let class = self.classes.get(place).ok_or(plain(422, "unknown class"))?;
-        let function = FunctionId(hex16(&d.function).ok_or(plain(422, "a function is 16 hex digits"))?);
+        let function =
+            FunctionId(hex16(&d.function).ok_or(plain(422, "a function is 16 hex digits"))?);
         let sane = |ms: &f64| ms.is_finite() && *ms > 0.0 && *ms <= 600_000.0;
-        if ![d.deadline_ms, d.estimate_ms, d.load_ms].iter().flatten().all(sane)
+        if ![d.deadline_ms, d.estimate_ms, d.load_ms]
+            .iter()
+            .flatten()
+            .all(sane)
             || d.memory_mb.is_nan()
             || d.memory_mb < 0.0
         {
             return Err(plain(422, "a figure is out of bounds"));
         }
         let micros = |ms: f64| (ms * 1e3) as Micros;
-        let payload = BASE64_STANDARD.decode(&d.payload).map_err(|_| plain(422, "payload is not base64"))?;
-        let wait = d.deadline_ms.map_or(class.deadline, micros).min(class.deadline);
+        let payload = BASE64_STANDARD
+            .decode(&d.payload)
+            .map_err(|_| plain(422, "payload is not base64"))?;
+        let wait = d
+            .deadline_ms
+            .map_or(class.deadline, micros)
+            .min(class.deadline);
         let job = Job {
             tenant: name.to_owned(),
             serial: tenant.serial,
@@ -194,7 +218,9 @@
             class: d.class,
             effect: class.effect,
             function,
-            order: d.order_key.filter(|k| !k.is_empty() && k.len() <= LONGEST_ID),
+            order: d
+                .order_key
+                .filter(|k| !k.is_empty() && k.len() <= LONGEST_ID),
         };
         let arrival = Arrival {
             request: RequestId(0),
@@ -208,7 +234,12 @@
             load_duration: d.load_ms.map(micros),
         };
         let id = self.identity(name, webhook_id).into();
-        Ok(Call { origin: job, id, body: payload.into(), arrival })
+        Ok(Call {
+            origin: job,
+            id,
+            body: payload.into(),
+            arrival,
+        })
     }
 
     /// The identity that workers are told: 16 hex digits that follow from the call's own.
@@ -218,7 +249,11 @@
         hash.update((tenant.len() as u64).to_le_bytes());
         hash.update(tenant);
         hash.update(webhook_id);
-        hash.finalize().iter().take(8).map(|b| format!("{b:02x}")).collect()
+        hash.finalize()
+            .iter()
+            .take(8)
+            .map(|b| format!("{b:02x}"))
+            .collect()
     }
 }
 
--- a/src/front/webhook/inbound/fixture_tests.rs
+++ b/src/front/webhook/inbound/fixture_tests.rs
@@ -16,5 +16,8 @@
         seed: 0x5eed,
         classes: Vec::new(),
     };
-    check_lines("wire/worker_identity.txt", &[format!("identity {}", inbound.identity("acme", "msg_1"))]);
+    check_lines(
+        "wire/worker_identity.txt",
+        &[format!("identity {}", inbound.identity("acme", "msg_1"))],
+    );
 }
--- a/src/front/webhook/message.rs
+++ b/src/front/webhook/message.rs
@@ -37,13 +37,18 @@
 
 /// Unix microseconds as RFC 3339 has them, to the second; empty for a year past 9999.
 pub fn timestamp(at: Micros) -> String {
-    let at = i64::try_from(at / 1_000_000).ok().and_then(|s| OffsetDateTime::from_unix_timestamp(s).ok());
-    at.and_then(|at| at.format(&Rfc3339).ok()).unwrap_or_default()
+    let at = i64::try_from(at / 1_000_000)
+        .ok()
+        .and_then(|s| OffsetDateTime::from_unix_timestamp(s).ok());
+    at.and_then(|at| at.format(&Rfc3339).ok())
+        .unwrap_or_default()
 }
 
 /// The body of an event.
 pub fn event(kind: &str, now: Micros, data: &Value) -> Vec<u8> {
-    json!({ "type": kind, "timestamp": timestamp(now), "data": data }).to_string().into_bytes()
+    json!({ "type": kind, "timestamp": timestamp(now), "data": data })
+        .to_string()
+        .into_bytes()
 }
 
 /// What the event `call.completed` tells of a call.
@@ -66,7 +71,8 @@
         }
         Outcome::Answered(Answer::Failed) => {}
         Outcome::Unknown => {
-            data["reason"] = "the gateway was ended while the call was out; it is not run again".into();
+            data["reason"] =
+                "the gateway was ended while the call was out; it is not run again".into();
         }
     }
     data
--- a/src/front/webhook/replay.rs
+++ b/src/front/webhook/replay.rs
@@ -28,7 +28,9 @@
 }
 
 fn parse(line: &str) -> Option<(Micros, IdentityDigest)> {
-    let (until, hex) = line.split_once(' ').filter(|(_, h)| h.len() == 64 && h.is_ascii())?;
+    let (until, hex) = line
+        .split_once(' ')
+        .filter(|(_, h)| h.len() == 64 && h.is_ascii())?;
     let mut mark = IdentityDigest::default();
     for (i, byte) in mark.iter_mut().enumerate() {
         *byte = u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).ok()?;
@@ -68,7 +70,12 @@
 impl Replays {
     /// A store for so many.
     pub fn new(most: usize) -> Replays {
-        Replays { most, until: BTreeMap::new(), order: BTreeSet::new(), kept: None }
+        Replays {
+            most,
+            until: BTreeMap::new(),
+            order: BTreeSet::new(),
+            kept: None,
+        }
     }
 
     /// A store kept in a file, with what it holds that is still valid. A line cut off by a kill is passed over:
@@ -79,7 +86,11 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => String::new(),
             text => text?,
         };
-        for (until, mark) in text.lines().filter_map(parse).filter(|(until, _)| *until >= now) {
+        for (until, mark) in text
+            .lines()
+            .filter_map(parse)
+            .filter(|(until, _)| *until >= now)
+        {
             store.until.insert(mark, until);
             store.order.insert((until, mark));
         }
@@ -105,16 +116,26 @@
 
     fn rewrite(&mut self, path: &Path) -> io::Result<()> {
         let fresh = path.with_extension("new");
-        let text: String = self.order.iter().map(|(until, mark)| line(*until, mark)).collect();
+        let text: String = self
+            .order
+            .iter()
+            .map(|(until, mark)| line(*until, mark))
+            .collect();
         std::fs::write(&fresh, text)?;
         std::fs::rename(&fresh, path)?;
         let file = OpenOptions::new().append(true).open(path)?;
-        self.kept = Some(Kept { path: path.to_owned(), file, lines: self.order.len() });
+        self.kept = Some(Kept {
+            path: path.to_owned(),
+            file,
+            lines: self.order.len(),
+        });
         Ok(())
     }
 
     fn keep(&mut self, until: Micros, mark: &IdentityDigest) -> io::Result<()> {
-        let Some(kept) = &mut self.kept else { return Ok(()) };
+        let Some(kept) = &mut self.kept else {
+            return Ok(());
+        };
         kept.file.write_all(line(until, mark).as_bytes())?;
         kept.lines += 1;
         if kept.lines > FEWEST.max(SLACK * self.until.len()) {
@@ -158,11 +179,19 @@
     fn a_full_store_takes_nothing_until_something_has_run_out() {
         let mut r = Replays::new(2);
         assert_eq!(r.take("t", "a", 0, 10), Seen::New);
-        assert_eq!(r.take("t", "a", 10, 20), Seen::Before, "still valid at its last instant");
+        assert_eq!(
+            r.take("t", "a", 10, 20),
+            Seen::Before,
+            "still valid at its last instant"
+        );
         assert_eq!(r.take("u", "a", 1, 20), Seen::New, "another tenant's");
         assert_eq!(r.take("t", "b", 2, 20), Seen::Full);
         assert_eq!(r.take("t", "b", 11, 20), Seen::New);
-        assert_eq!(r.take("ta", "", 12, 20), Seen::Full, "and not taken for tenant t's a");
+        assert_eq!(
+            r.take("ta", "", 12, 20),
+            Seen::Full,
+            "and not taken for tenant t's a"
+        );
     }
 
     #[test]
@@ -171,13 +200,19 @@
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("seen");
         let mut r = Replays::open(&path, 3, 0).unwrap();
-        assert_eq!((r.take("t", "a", 0, 10), r.take("t", "b", 0, 20)), (Seen::New, Seen::New));
+        assert_eq!(
+            (r.take("t", "a", 0, 10), r.take("t", "b", 0, 20)),
+            (Seen::New, Seen::New)
+        );
         drop(r);
         let mut text = std::fs::read_to_string(&path).unwrap();
         text.push_str("30 0011");
         std::fs::write(&path, text).unwrap();
         let mut r = Replays::open(&path, 3, 15).unwrap();
-        assert_eq!((r.take("t", "a", 15, 30), r.take("t", "b", 15, 30)), (Seen::New, Seen::Before));
+        assert_eq!(
+            (r.take("t", "a", 15, 30), r.take("t", "b", 15, 30)),
+            (Seen::New, Seen::Before)
+        );
         // Written anew before it has grown without bound, and nothing valid is lost by it.
         for i in 0..2 * FEWEST as u64 {
             assert_eq!(r.take("t", &format!("c{i}"), 100 + i, 100 + i), Seen::New);
@@ -185,7 +220,12 @@
         assert!(std::fs::read_to_string(&path).unwrap().lines().count() <= FEWEST + 1);
         let last = format!("c{}", 2 * FEWEST - 1);
         let now = 99 + 2 * FEWEST as u64;
-        assert_eq!(Replays::open(&path, 3, now).unwrap().take("t", &last, now, now), Seen::Before);
+        assert_eq!(
+            Replays::open(&path, 3, now)
+                .unwrap()
+                .take("t", &last, now, now),
+            Seen::Before
+        );
         std::fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -67,10 +67,22 @@
 const LINE_AGAIN: Token = Token { kind: 2, number: 7 };
 const HANDOVER: Token = Token { kind: 2, number: 8 };
 const COUNCIL: Token = Token { kind: 2, number: 9 };
-const TRIALS: Token = Token { kind: 2, number: 10 };
-const LOADS: Token = Token { kind: 2, number: 11 };
-const COPIES: Token = Token { kind: 2, number: 12 };
-const TENANTS: Token = Token { kind: 2, number: 13 };
+const TRIALS: Token = Token {
+    kind: 2,
+    number: 10,
+};
+const LOADS: Token = Token {
+    kind: 2,
+    number: 11,
+};
+const COPIES: Token = Token {
+    kind: 2,
+    number: 12,
+};
+const TENANTS: Token = Token {
+    kind: 2,
+    number: 13,
+};
 
 /// A client's connection without an open request is closed after this; clients themselves close after 4 s, but
 /// for those that ask once and stay.
@@ -185,7 +197,10 @@
     /// Whether something waits to be read or accepted.
     fn busy(&self) -> bool {
         self.gossip.as_ref().is_some_and(gossip::GossipDriver::busy)
-            || self.consensus.as_ref().is_some_and(consensus::ConsensusDriver::busy)
+            || self
+                .consensus
+                .as_ref()
+                .is_some_and(consensus::ConsensusDriver::busy)
     }
 }
 
@@ -284,7 +299,11 @@
             }
             Some(socket) => {
                 let (socket, token) = node.watched(socket, |node| node.accept = true)?;
-                node.listeners.push(Listener { kind: Kind::Platform, socket, token });
+                node.listeners.push(Listener {
+                    kind: Kind::Platform,
+                    socket,
+                    token,
+                });
                 node.begin_handover(now);
                 node.core.hang(now, HANDOVER);
             }
@@ -316,14 +335,28 @@
             if notice.snapshot {
                 members.clear();
             }
-            let lines = notice.endpoints.iter().map(|e| e.name.as_str()).zip(self.endpoints.apply(notice).0);
+            let lines = notice
+                .endpoints
+                .iter()
+                .map(|e| e.name.as_str())
+                .zip(self.endpoints.apply(notice).0);
             let told = self.ops.upkeep.list(notice.snapshot, lines);
             members.extend(told.into_iter().map(|m| (m.worker, m)));
             self.last_revision = self.last_revision.max(notice.rev);
         }
-        members.values().for_each(|m| self.endpoints.set_draining(m.worker, m.status != WorkerStatus::Ready));
-        let ready = members.values().filter(|m| m.status == WorkerStatus::Ready).map(|m| m.worker).collect();
-        let listed = members.into_values().filter(|m| m.status != WorkerStatus::Removed).collect();
+        members.values().for_each(|m| {
+            self.endpoints
+                .set_draining(m.worker, m.status != WorkerStatus::Ready)
+        });
+        let ready = members
+            .values()
+            .filter(|m| m.status == WorkerStatus::Ready)
+            .map(|m| m.worker)
+            .collect();
+        let listed = members
+            .into_values()
+            .filter(|m| m.status != WorkerStatus::Removed)
+            .collect();
         self.core.members(now, ListUpdate::Cached, listed);
         ready
     }
@@ -337,7 +370,11 @@
         }
         let sockets = self.sockets();
         self.max_clients = (sockets / CLIENTS_PART).max(LEAST_CLIENTS);
-        self.max_secondary_clients = if self.has_secondary { self.max_clients / 4 } else { 0 };
+        self.max_secondary_clients = if self.has_secondary {
+            self.max_clients / 4
+        } else {
+            0
+        };
     }
 
     /// Descriptors that this process may hold.
@@ -347,7 +384,11 @@
 
     fn listen(&mut self, kind: Kind, address: SocketAddr) -> Result<(), GatewayError> {
         let (socket, token) = self.listening(address, |node| node.accept = true)?;
-        self.listeners.push(Listener { kind, socket, token });
+        self.listeners.push(Listener {
+            kind,
+            socket,
+            token,
+        });
         Ok(())
     }
 
@@ -374,19 +415,27 @@
         socket: TcpListener,
         note: fn(&mut Gateway),
     ) -> Result<(Rc<TcpListener>, RegistrationToken), GatewayError> {
-        socket.set_nonblocking(true).map_err(|e| GatewayError::Loop(e.into()))?;
+        socket
+            .set_nonblocking(true)
+            .map_err(|e| GatewayError::Loop(e.into()))?;
         let socket = Rc::new(socket);
         let source = Generic::new(Fd(socket.clone()), Interest::READ, Mode::Edge);
         let noted = move |_, _: &mut _, node: &mut Gateway| {
             note(node);
             Ok(PostAction::Continue)
         };
-        let token = self.handle.insert_source(source, noted).map_err(|e| GatewayError::Loop(e.error))?;
+        let token = self
+            .handle
+            .insert_source(source, noted)
+            .map_err(|e| GatewayError::Loop(e.error))?;
         Ok((socket, token))
     }
 
     fn address_of(&self, kind: Kind) -> Option<SocketAddr> {
-        self.listeners.iter().find(|l| l.kind == kind).and_then(|l| l.socket.local_addr().ok())
+        self.listeners
+            .iter()
+            .find(|l| l.kind == kind)
+            .and_then(|l| l.socket.local_addr().ok())
     }
 
     /// Where clients connect.
@@ -408,11 +457,18 @@
     /// counters. To be called before anything is said to be ready, as an unheeded signal ends the process, and before
     /// [`Gateway::new`]: the store's thread heeds signals as the thread does that it was begun from.
     pub fn watch_signals(handle: &LoopHandle<'static, Gateway>) -> Result<(), GatewayError> {
-        let source = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1])?;
+        let source = Signals::new(&[
+            Signal::SIGTERM,
+            Signal::SIGINT,
+            Signal::SIGHUP,
+            Signal::SIGUSR1,
+        ])?;
         let note = |event: calloop::signals::Event, _: &mut (), node: &mut Gateway| {
             node.signals.push(event.signal());
         };
-        handle.insert_source(source, note).map_err(|e| GatewayError::Loop(e.error))?;
+        handle
+            .insert_source(source, note)
+            .map_err(|e| GatewayError::Loop(e.error))?;
         Ok(())
     }
 
@@ -425,7 +481,11 @@
             }
             let now = self.clock.now();
             let wait = match self.core.next_deadline() {
-                _ if !self.ready.is_empty() || self.accept || self.ops.is_busy() || self.cluster.busy() => {
+                _ if !self.ready.is_empty()
+                    || self.accept
+                    || self.ops.is_busy()
+                    || self.cluster.busy() =>
+                {
                     Some(Duration::ZERO)
                 }
                 next => next.map(|t| Duration::from_micros(t.saturating_sub(now))),
@@ -470,7 +530,11 @@
         self.pump();
         let hooks = self.secondary.hooks.as_ref().is_none_or(|h| h.is_idle(now));
         if self.ops.life.is_ending() && self.listeners.is_empty() && self.clients == 0 && hooks {
-            let late = self.secondary.hooks.as_ref().is_some_and(|h| h.is_late(now));
+            let late = self
+                .secondary
+                .hooks
+                .as_ref()
+                .is_some_and(|h| h.is_late(now));
             self.stop = self.copies_left() || late;
         }
     }
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -28,13 +28,16 @@
     /// Accepts from one listener until its queue is empty, as many as one turn has room for.
     fn accept_from(&mut self, at: usize) -> Queue {
         for _ in 0..MOST_ACCEPTS {
-            let Some(listener) = self.listeners.get(at) else { return Queue::Empty };
+            let Some(listener) = self.listeners.get(at) else {
+                return Queue::Empty;
+            };
             let kind = listener.kind;
             // What is not accepted waits in the machine's queue until a connection has ended. The platform's
             // clients keep their room whatever comes to the other listeners.
             let room = match kind {
                 Kind::Platform => {
-                    self.clients - self.secondary_clients < self.max_clients - self.max_secondary_clients
+                    self.clients - self.secondary_clients
+                        < self.max_clients - self.max_secondary_clients
                 }
                 _ => self.secondary_clients < self.max_secondary_clients,
             };
@@ -44,14 +47,26 @@
             }
             match socket.accept() {
                 Ok((stream, _)) => {
-                    let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-                    let role = Role::Client { kind, open: None, keep: true };
-                    let Ok(key) = ready.and_then(|()| self.add(stream, true, role)) else { continue };
+                    let ready = stream
+                        .set_nonblocking(true)
+                        .and_then(|()| stream.set_nodelay(true));
+                    let role = Role::Client {
+                        kind,
+                        open: None,
+                        keep: true,
+                    };
+                    let Ok(key) = ready.and_then(|()| self.add(stream, true, role)) else {
+                        continue;
+                    };
                     self.clients += 1;
                     self.secondary_clients += usize::from(kind != Kind::Platform);
                     self.core.counters.accepted += 1;
                     let now = self.clock.now();
-                    let by = self.ops.life.first_request_by(now).unwrap_or(now + CLIENT_SLOW);
+                    let by = self
+                        .ops
+                        .life
+                        .first_request_by(now)
+                        .unwrap_or(now + CLIENT_SLOW);
                     self.set_deadline(key, Some(by));
                     self.on_ready(key);
                 }
@@ -74,15 +89,20 @@
     /// against clients that ask once and stay, or that connect and say nothing. Where none has been idle for
     /// long enough, it is tried again once one has.
     fn make_room(&mut self, kind: Kind) -> bool {
-        let idle = self.connections.iter().filter_map(|(key, (conn, role))| match role {
-            Role::Client { kind: k, open: None, .. }
-                if (*k == Kind::Platform) == (kind == Kind::Platform) =>
-            {
-                Some((conn.idle, key))
-            }
-            _ => None,
-        });
-        let Some((since, key)) = idle.min() else { return false };
+        let idle = self
+            .connections
+            .iter()
+            .filter_map(|(key, (conn, role))| match role {
+                Role::Client {
+                    kind: k,
+                    open: None,
+                    ..
+                } if (*k == Kind::Platform) == (kind == Kind::Platform) => Some((conn.idle, key)),
+                _ => None,
+            });
+        let Some((since, key)) = idle.min() else {
+            return false;
+        };
         if self.clock.now() < since + CLIENT_YIELDS {
             self.core.hang(since + CLIENT_YIELDS, ACCEPT_AGAIN);
             return false;
@@ -94,7 +114,9 @@
 
     pub(super) fn on_client(&mut self, key: ConnKey, now: Micros) {
         loop {
-            let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else { return };
+            let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else {
+                return;
+            };
             if open.is_some() || conn.closing || conn.hold_back() {
                 return;
             }
@@ -118,7 +140,8 @@
                 }
                 Err(bad) => {
                     self.core.counters.bad_requests += 1;
-                    conn.out.push(net::KEPT_FRAME, platform::turn_away(&bad, false));
+                    conn.out
+                        .push(net::KEPT_FRAME, platform::turn_away(&bad, false));
                     (conn.closing, conn.linger) = (true, true);
                     self.dirty.push(key);
                     return self.set_deadline(key, Some(now + LINGER));
@@ -128,22 +151,28 @@
             conn.idle = now;
             // A whole request came: the time for the next one begins anew.
             self.set_deadline(key, Some(now + CLIENT_IDLE));
-            let Some((conn, Role::Client { keep, .. })) = self.connections.get_mut(key) else { return };
+            let Some((conn, Role::Client { keep, .. })) = self.connections.get_mut(key) else {
+                return;
+            };
             let stays = taken.keep && self.ops.life.keeps(now);
             *keep = stays;
             match taken.ask {
                 Ok(Ask::Call(call)) if self.core.open() >= self.config.most_held => {
                     // As the platform does beyond `mostHeld`: turned away before the module.
                     self.core.turned_away(call.arrival.class);
-                    let answer = Answer::Rejected { retry_after: 1_000_000 };
-                    conn.out.push(net::KEPT_FRAME, platform::answer(&answer, stays));
+                    let answer = Answer::Rejected {
+                        retry_after: 1_000_000,
+                    };
+                    conn.out
+                        .push(net::KEPT_FRAME, platform::answer(&answer, stays));
                     conn.closing = !stays;
                     self.dirty.push(key);
                 }
                 Ok(Ask::Call(call)) if self.core.is_open(&call.id) => {
                     self.core.counters.bad_requests += 1;
                     let bad = crate::front::http::plain(409, "X-Correlation-Id of an open request");
-                    conn.out.push(net::KEPT_FRAME, platform::turn_away(&bad, stays));
+                    conn.out
+                        .push(net::KEPT_FRAME, platform::turn_away(&bad, stays));
                     conn.closing = !stays;
                     self.dirty.push(key);
                 }
@@ -157,13 +186,17 @@
                 }
                 Ok(Ask::Ping) => {
                     let status = if self.ops.life.is_emptied() { 503 } else { 200 };
-                    conn.out.push(net::KEPT_FRAME, crate::front::http::response(status, "", b"", stays));
+                    conn.out.push(
+                        net::KEPT_FRAME,
+                        crate::front::http::response(status, "", b"", stays),
+                    );
                     conn.closing = !stays;
                     self.dirty.push(key);
                 }
                 Err(bad) => {
                     self.core.counters.bad_requests += 1;
-                    conn.out.push(net::KEPT_FRAME, platform::turn_away(&bad, stays));
+                    conn.out
+                        .push(net::KEPT_FRAME, platform::turn_away(&bad, stays));
                     conn.closing = !stays;
                     self.dirty.push(key);
                 }
@@ -176,16 +209,24 @@
         let accepting = self.ops.life.keeps(now);
         if let Answer::Served(body) = answer {
             // Guards memory against clients that ask for much and read nothing.
-            let waiting = || self.connections.values().map(|(c, _)| c.out.len()).sum::<usize>();
+            let waiting = || {
+                self.connections
+                    .values()
+                    .map(|(c, _)| c.out.len())
+                    .sum::<usize>()
+            };
             if body.len() > LARGE && waiting() > MOST_WAITING {
                 return self.close(key, CloseReason::LocalLimit);
             }
         }
-        let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else { return };
+        let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else {
+            return;
+        };
         *open = None;
         conn.idle = now;
         let stays = *keep && accepting;
-        conn.out.push(net::KEPT_FRAME, platform::answer(answer, stays));
+        conn.out
+            .push(net::KEPT_FRAME, platform::answer(answer, stays));
         conn.closing = !stays;
         self.set_deadline(key, Some(now + CLIENT_IDLE));
         self.dirty.push(key);
@@ -199,7 +240,8 @@
         // Another process may have become ready since the last look.
         self.look(now);
         if self.ops.life.end(now, self.is_taken_over()) {
-            self.core.hang(self.ops.life.accepts_until().unwrap_or(now), DRAIN_OVER);
+            self.core
+                .hang(self.ops.life.accepts_until().unwrap_or(now), DRAIN_OVER);
             self.thin_out(now);
             self.write_word(now);
             self.give_duties_back(now);
@@ -245,8 +287,11 @@
         for (key, (conn, role)) in self.connections.iter_mut() {
             match role {
                 // Half a request has its own time, and its answer ends the connection.
-                Role::Client { open: None, .. } if !conn.input.bytes().is_empty() && !conn.closing => {}
-                Role::Client { open: None, .. } if conn.out.is_empty() => idle.push((conn.idle, key)),
+                Role::Client { open: None, .. }
+                    if !conn.input.bytes().is_empty() && !conn.closing => {}
+                Role::Client { open: None, .. } if conn.out.is_empty() => {
+                    idle.push((conn.idle, key))
+                }
                 Role::Client { open: None, .. } => conn.closing |= leaves,
                 _ => {}
             }
@@ -264,9 +309,14 @@
         if self.last_look(key, now) {
             return;
         }
-        let Some((conn, _)) = self.connections.get_mut(key) else { return };
+        let Some((conn, _)) = self.connections.get_mut(key) else {
+            return;
+        };
         if !conn.input.bytes().is_empty() && conn.out.is_empty() {
-            conn.out.push(net::KEPT_FRAME, platform::turn_away(&platform::too_slow(), false));
+            conn.out.push(
+                net::KEPT_FRAME,
+                platform::turn_away(&platform::too_slow(), false),
+            );
             let _ = conn.flush();
         }
         self.close(key, CloseReason::Idle);
@@ -275,7 +325,9 @@
     /// An idle connection is about to be closed: what has come on it by now still counts. Tells whether the
     /// connection stays for it.
     fn last_look(&mut self, key: ConnKey, now: Micros) -> bool {
-        let Some((conn, _)) = self.connections.get_mut(key) else { return false };
+        let Some((conn, _)) = self.connections.get_mut(key) else {
+            return false;
+        };
         // One that has had its time for the rest of a request gets no more of it.
         if conn.closing || !conn.input.bytes().is_empty() {
             return false;
@@ -284,7 +336,9 @@
             return false;
         }
         self.on_input(key, now);
-        let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else { return true };
+        let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else {
+            return true;
+        };
         if open.is_none() && !conn.closing && !conn.input.bytes().is_empty() {
             // Half a request: it may come whole yet, soon.
             self.set_deadline(key, Some(now + LAST_LOOK));
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -16,7 +16,9 @@
             } else if self.step_webhooks(now) || self.step_copies(now) || self.step_tenants(now) {
             } else if let Some(key) = self.dirty.pop() {
                 self.look_at_leases(key);
-                let Some((conn, _)) = self.connections.get_mut(key) else { continue };
+                let Some((conn, _)) = self.connections.get_mut(key) else {
+                    continue;
+                };
                 let flushed = conn.flush();
                 self.core.counters.written += conn.out.take_whole();
                 match flushed {
@@ -40,7 +42,10 @@
         match done.what {
             Exchange::Attempt(key) => {
                 self.attempts.remove(key);
-                self.guarded_ended(key, crate::policy::never_ran(done.ending.outcome(done.left)));
+                self.guarded_ended(
+                    key,
+                    crate::policy::never_ran(done.ending.outcome(done.left)),
+                );
                 let worker = self.core.worker_of(key);
                 self.tell_outcome(now, worker, done.ending, done.left);
                 self.core.ended(now, key, done.ending, done.left, done.back);
@@ -48,36 +53,63 @@
             Exchange::Order(key) => {
                 self.load_orders.remove(key);
                 self.order_given_ended(now, key, done.copies);
-                self.core.order_ended(now, key, done.ending, done.left, done.copies);
+                self.core
+                    .order_ended(now, key, done.ending, done.left, done.copies);
             }
             Exchange::Probe(key) => {
                 self.health_checks.remove(key);
                 self.trial_ended(now, key, done.ending);
-                self.core.probe_ended(now, key, done.ending, done.back.load_report);
+                self.core
+                    .probe_ended(now, key, done.ending, done.back.load_report);
             }
         }
     }
 
     pub(super) fn perform(&mut self, now: Micros, command: Command<Origin>) {
         match command {
-            Command::Answer { origin: Origin::Client(key), answer } => self.answer_client(key, &answer),
-            Command::Answer { origin: Origin::Webhook(job), answer } => {
-                self.call_back(now, job, &Outcome::Answered(answer))
-            }
+            Command::Answer {
+                origin: Origin::Client(key),
+                answer,
+            } => self.answer_client(key, &answer),
+            Command::Answer {
+                origin: Origin::Webhook(job),
+                answer,
+            } => self.call_back(now, job, &Outcome::Answered(answer)),
             command @ Command::Dispatch { .. } if self.wait_for_record(now, &command) => {}
-            Command::Dispatch { attempt, worker, id, class, function, expires_at: expires, body } => {
-                self.go(now, attempt, worker, id, class, function, expires, &body)
-            }
-            Command::Cancel { attempt, reason: why } if self.unrecorded(attempt) => {
-                self.done.push_back(Completed::plain(Exchange::Attempt(attempt), why, SendProgress::Unsent));
+            Command::Dispatch {
+                attempt,
+                worker,
+                id,
+                class,
+                function,
+                expires_at: expires,
+                body,
+            } => self.go(now, attempt, worker, id, class, function, expires, &body),
+            Command::Cancel {
+                attempt,
+                reason: why,
+            } if self.unrecorded(attempt) => {
+                self.done.push_back(Completed::plain(
+                    Exchange::Attempt(attempt),
+                    why,
+                    SendProgress::Unsent,
+                ));
             }
-            Command::Cancel { attempt, reason: why } => {
+            Command::Cancel {
+                attempt,
+                reason: why,
+            } => {
                 let left = self.attempts.get(attempt).copied();
-                let left = left
-                    .map_or(SendProgress::Started, |key| self.give_up(now, key, Exchange::Attempt(attempt)));
-                self.done.push_back(Completed::plain(Exchange::Attempt(attempt), why, left));
+                let left = left.map_or(SendProgress::Started, |key| {
+                    self.give_up(now, key, Exchange::Attempt(attempt))
+                });
+                self.done
+                    .push_back(Completed::plain(Exchange::Attempt(attempt), why, left));
             }
-            Command::Withdraw { attempt, reason: why } => {
+            Command::Withdraw {
+                attempt,
+                reason: why,
+            } => {
                 if self.unrecorded(attempt) || self.recall(attempt) {
                     self.done.push_back(Completed::plain(
                         Exchange::Attempt(attempt),
@@ -86,8 +118,18 @@
                     ));
                 }
             }
-            Command::Load { order: key, worker, function, copies } => {
-                let order = Order { key, worker, function, copies };
+            Command::Load {
+                order: key,
+                worker,
+                function,
+                copies,
+            } => {
+                let order = Order {
+                    key,
+                    worker,
+                    function,
+                    copies,
+                };
                 if !self.order_waits(now, order) {
                     self.stage(now, order);
                 }
@@ -101,20 +143,32 @@
             }
             Command::AbandonLoad { order } => {
                 let left = self.load_orders.get(order).copied();
-                let left =
-                    left.map_or(SendProgress::Started, |key| self.give_up(now, key, Exchange::Order(order)));
-                self.done.push_back(Completed::plain(Exchange::Order(order), CloseReason::TimedOut, left));
+                let left = left.map_or(SendProgress::Started, |key| {
+                    self.give_up(now, key, Exchange::Order(order))
+                });
+                self.done.push_back(Completed::plain(
+                    Exchange::Order(order),
+                    CloseReason::TimedOut,
+                    left,
+                ));
             }
             Command::Unload { worker, function } => {
                 if let Ok(key) = self.link(now, worker, "") {
-                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { return };
+                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+                        return;
+                    };
                     link.send_unload(&mut conn.out, function);
                     self.dirty.push(key);
                 }
             }
-            Command::HealthCheck { check: probe, worker } => match self.link(now, worker, "") {
+            Command::HealthCheck {
+                check: probe,
+                worker,
+            } => match self.link(now, worker, "") {
                 Ok(key) => {
-                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { return };
+                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+                        return;
+                    };
                     link.send_health_check(&mut conn.out, probe);
                     self.health_checks.insert(probe, key);
                     self.dirty.push(key);
@@ -133,13 +187,18 @@
     /// Sends an order to load.
     pub(super) fn stage(&mut self, now: Micros, order: Order) {
         if self.endpoints.is_draining(order.worker) {
-            let done =
-                Completed::plain(Exchange::Order(order.key), CloseReason::Withdrawn, SendProgress::Unsent);
+            let done = Completed::plain(
+                Exchange::Order(order.key),
+                CloseReason::Withdrawn,
+                SendProgress::Unsent,
+            );
             return self.done.push_back(done);
         }
         match self.link(now, order.worker, "") {
             Ok(key) => {
-                let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { return };
+                let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+                    return;
+                };
                 link.send_load(&mut conn.out, order.key, order.function, order.copies);
                 self.load_orders.insert(order.key, key);
                 self.dirty.push(key);
@@ -180,12 +239,27 @@
             }
         };
         let once = self.runs_once(class);
-        let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { return };
-        let class = self.config.names.classes.get(class.0 as usize).map_or("", String::as_str);
+        let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+            return;
+        };
+        let class = self
+            .config
+            .names
+            .classes
+            .get(class.0 as usize)
+            .map_or("", String::as_str);
         let wait_ms = expires.saturating_sub(now) / 1000;
         link.send_attempt(
             &mut conn.out,
-            AttemptCommand { attempt, id, class, function, wait_ms, body, once },
+            AttemptCommand {
+                attempt,
+                id,
+                class,
+                function,
+                wait_ms,
+                body,
+                once,
+            },
         );
         self.attempts.insert(attempt, key);
         self.dirty.push(key);
@@ -193,7 +267,13 @@
 
     /// Whether a call of this class must not run twice.
     fn runs_once(&self, class: ClassId) -> bool {
-        match self.config.settings.classes.get(class.0 as usize).map(|c| c.effect) {
+        match self
+            .config
+            .settings
+            .classes
+            .get(class.0 as usize)
+            .map(|c| c.effect)
+        {
             Some(Effect::Idempotent) => false,
             Some(Effect::Keyed { .. } | Effect::NonIdempotent) | None => true,
         }
@@ -201,8 +281,12 @@
 
     /// Takes an attempt back if none of its bytes have left; tells whether it has.
     fn recall(&mut self, attempt: AttemptKey) -> bool {
-        let Some(key) = self.attempts.get(attempt) else { return false };
-        let Some((conn, Role::Worker(link))) = self.connections.get_mut(*key) else { return false };
+        let Some(key) = self.attempts.get(attempt) else {
+            return false;
+        };
+        let Some((conn, Role::Worker(link))) = self.connections.get_mut(*key) else {
+            return false;
+        };
         link.withdraw(&mut conn.out, Exchange::Attempt(attempt))
     }
 
@@ -224,11 +308,18 @@
     }
 
     /// A connection to a worker that takes this, opened if need be.
-    pub(super) fn link(&mut self, now: Micros, worker: WorkerId, id: &str) -> Result<ConnKey, CloseReason> {
+    pub(super) fn link(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        id: &str,
+    ) -> Result<ConnKey, CloseReason> {
         let streams = self.config.streams;
         let keys = self.worker_connections.entry(worker).or_default();
         let fits = |key: &&ConnKey| match self.connections.get(**key) {
-            Some((conn, Role::Worker(link))) => link.accepts(id, streams) && conn.out.len() < BACKLOG,
+            Some((conn, Role::Worker(link))) => {
+                link.accepts(id, streams) && conn.out.len() < BACKLOG
+            }
             _ => false,
         };
         if let Some(key) = keys.iter().copied().find(|key| fits(&key)) {
@@ -244,14 +335,20 @@
         if self.connections.len() >= self.sockets().saturating_sub(SPARE_DESCRIPTORS) {
             return Err(CloseReason::LocalLimit);
         }
-        let address = *self.endpoints.addresses.get(&worker).ok_or(CloseReason::Withdrawn)?;
+        let address = *self
+            .endpoints
+            .addresses
+            .get(&worker)
+            .ok_or(CloseReason::Withdrawn)?;
         let stream = net::connect(address).map_err(|e| match e.kind() {
             io::ErrorKind::ConnectionRefused => CloseReason::Refused,
             _ if net::is_own_limit(&e) => CloseReason::LocalLimit,
             _ => CloseReason::ConnectTimeout,
         })?;
         let role = Role::Worker(WorkerConnection::new(worker, now));
-        let key = self.add(stream, false, role).map_err(|_| CloseReason::ConnectTimeout)?;
+        let key = self
+            .add(stream, false, role)
+            .map_err(|_| CloseReason::ConnectTimeout)?;
         self.core.counters.connects += 1;
         tracing::debug!(worker = worker.0, links = keys_held + 1, "connects");
         self.worker_connections.entry(worker).or_default().push(key);
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 impl Gateway {
-    pub(super) fn add(&mut self, stream: std::net::TcpStream, up: bool, role: Role) -> io::Result<ConnKey> {
+    pub(super) fn add(
+        &mut self,
+        stream: std::net::TcpStream,
+        up: bool,
+        role: Role,
+    ) -> io::Result<ConnKey> {
         let now = self.clock.now();
         let (handle, stream) = (&self.handle, Stream(Rc::new(stream)));
         self.connections.try_insert_with_key(|key| {
@@ -12,15 +17,21 @@
                 node.ready.push(key);
                 Ok(PostAction::Continue)
             };
-            let token =
-                handle.insert_source(source, note).map_err(|e| io::Error::other(e.error.to_string()))?;
+            let token = handle
+                .insert_source(source, note)
+                .map_err(|e| io::Error::other(e.error.to_string()))?;
             Ok((Conn::new(stream, token, up, now), role))
         })
     }
 
     pub(super) fn set_deadline(&mut self, key: ConnKey, at: Option<Micros>) {
-        let Some((conn, _)) = self.connections.get_mut(key) else { return };
-        let token = Token { kind: CONN, number: key.data().as_ffi() };
+        let Some((conn, _)) = self.connections.get_mut(key) else {
+            return;
+        };
+        let token = Token {
+            kind: CONN,
+            number: key.data().as_ffi(),
+        };
         if let Some(old) = conn.deadline.take() {
             self.core.unhang(old, token);
         }
@@ -33,7 +44,9 @@
     /// Ends a connection, and with it everything open on it.
     pub(super) fn close(&mut self, key: ConnKey, ending: CloseReason) {
         self.set_deadline(key, None);
-        let Some((conn, role)) = self.connections.remove(key) else { return };
+        let Some((conn, role)) = self.connections.remove(key) else {
+            return;
+        };
         self.handle.remove(conn.token);
         let now = self.clock.now();
         match role {
@@ -74,7 +87,9 @@
 
     pub(super) fn on_ready(&mut self, key: ConnKey) {
         let now = self.clock.now();
-        let Some((conn, role)) = self.connections.get_mut(key) else { return };
+        let Some((conn, role)) = self.connections.get_mut(key) else {
+            return;
+        };
         let was_up = conn.up;
         match conn.check_connect() {
             Ok(true) => {}
@@ -102,7 +117,9 @@
         self.dirty.push(key);
         // What came before the end still counts.
         self.on_input(key, now);
-        let Some((conn, role)) = self.connections.get(key) else { return };
+        let Some((conn, role)) = self.connections.get(key) else {
+            return;
+        };
         match read {
             Err(ending) => self.close(key, ending),
             Ok(()) if conn.ended => self.close(key, CloseReason::Closed),
@@ -115,9 +132,14 @@
     }
 
     pub(super) fn on_input(&mut self, key: ConnKey, now: Micros) {
-        let Some((conn, role)) = self.connections.get_mut(key) else { return };
+        let Some((conn, role)) = self.connections.get_mut(key) else {
+            return;
+        };
         match role {
-            Role::Client { kind: Kind::Platform, .. } => self.on_client(key, now),
+            Role::Client {
+                kind: Kind::Platform,
+                ..
+            } => self.on_client(key, now),
             Role::Client { .. } => self.on_second(key, now),
             Role::Portal(_) => self.on_portal(key, now),
             Role::Line => self.on_line(key, now),
@@ -172,7 +194,9 @@
 
     pub(super) fn on_deadline(&mut self, now: Micros, key: ConnKey) {
         let idle = self.config.conn_idle * 4 / 5;
-        let Some((conn, role)) = self.connections.get_mut(key) else { return };
+        let Some((conn, role)) = self.connections.get_mut(key) else {
+            return;
+        };
         conn.deadline = None;
         match role {
             Role::Client { open: Some(_), .. } => {}
@@ -183,7 +207,9 @@
                 self.core.counters.unreadable += 1;
                 self.close(key, CloseReason::Malformed)
             }
-            Role::Worker(link) if link.open() == 0 && (link.suspect || now >= link.heard + idle) => {
+            Role::Worker(link)
+                if link.open() == 0 && (link.suspect || now >= link.heard + idle) =>
+            {
                 self.close(key, CloseReason::Idle)
             }
             Role::Worker(link) => {
@@ -198,7 +224,11 @@
             Role::Portal(link) if link.is_idle() => self.close(key, CloseReason::Idle),
             Role::Line | Role::Peer(_) => self.close(key, CloseReason::Idle),
             Role::Board(_) | Role::Portal(_) => {
-                let ending = if conn.up { CloseReason::TimedOut } else { CloseReason::ConnectTimeout };
+                let ending = if conn.up {
+                    CloseReason::TimedOut
+                } else {
+                    CloseReason::ConnectTimeout
+                };
                 self.close(key, ending)
             }
         }
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -18,7 +18,9 @@
 use crate::consensus::config;
 use crate::consensus::kept::PersistentState;
 use crate::consensus::machine;
-use crate::consensus::member::{DisabledGuards, HistoryEvent, Input, Output, Participant, Settings};
+use crate::consensus::member::{
+    DisabledGuards, HistoryEvent, Input, Output, Participant, Settings,
+};
 use crate::consensus::wire::{self, Body, LeaseEffect, Session, MAX_FRAME_BYTES};
 use crate::lease::{LeaseName, Term};
 use crate::membership::keys::Keys;
@@ -94,12 +96,18 @@
 }
 
 fn distinct(name: &str) -> u64 {
-    let unix =
-        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
-    let parts =
-        [name.as_bytes(), &unix.to_le_bytes(), &uptime().to_le_bytes(), &std::process::id().to_le_bytes()];
+    let unix = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .map_or(0, |d| d.as_nanos() as u64);
+    let parts = [
+        name.as_bytes(),
+        &unix.to_le_bytes(),
+        &uptime().to_le_bytes(),
+        &std::process::id().to_le_bytes(),
+    ];
     let hash = blake3::derive_key("molelug process 1", &parts.concat());
-    hash.first_chunk::<8>().map_or(1, |b| u64::from_le_bytes(*b).max(1))
+    hash.first_chunk::<8>()
+        .map_or(1, |b| u64::from_le_bytes(*b).max(1))
 }
 
 /// The guards that this build can take out, for the lab's runs; a build for use has none to take out.
@@ -131,9 +139,10 @@
     }
 
     fn record(&mut self, note: &HistoryEvent) {
-        let Some(file) = &mut self.history else { return };
-        let line =
-            json!({ "at": uptime(), "name": self.member.name(), "process": self.process, "note": note });
+        let Some(file) = &mut self.history else {
+            return;
+        };
+        let line = json!({ "at": uptime(), "name": self.member.name(), "process": self.process, "note": note });
         // In one write, which a kill does not cut. A history that cannot be written is a worse check and no reason to stop.
         if let Err(e) = file.write_all(format!("{line}\n").as_bytes()) {
             tracing::warn!("the history is not written any more: {e}");
@@ -152,11 +161,16 @@
     handle: &LoopHandle<'static, Gateway>,
 ) -> Result<Option<(PersistentState, Writer)>, GatewayError> {
     let fail = |e: &dyn fmt::Display| {
-        GatewayError::Operator(ConfigError::Parse(path.to_owned(), format!("the seat's disk: {e}")))
+        GatewayError::Operator(ConfigError::Parse(
+            path.to_owned(),
+            format!("the seat's disk: {e}"),
+        ))
     };
     if !path.exists() {
         // Never made here: a disk that was lost must not come back as a founder's by itself.
-        return Err(fail(&"there is none; 'molelug council found' or 'molelug council seat' makes one"));
+        return Err(fail(
+            &"there is none; 'molelug council found' or 'molelug council seat' makes one",
+        ));
     }
     let (disk, found) = match Disk::open(path, 0, 0) {
         Err(StoreError::Held) => return Ok(None),
@@ -169,7 +183,9 @@
             node.record_kept(number, &reply);
         }
     };
-    handle.insert_source(told, note).map_err(|e| GatewayError::Loop(e.error))?;
+    handle
+        .insert_source(told, note)
+        .map_err(|e| GatewayError::Loop(e.error))?;
     let again = path.to_owned();
     let opener = move || Disk::reopen(&again, 0);
     let answered = move |number, reply: Result<_, StoreError>| {
@@ -182,7 +198,10 @@
 
 impl Gateway {
     /// Listens for other gateways; none while another process, the one before this, has the address.
-    fn listen_for_peers(&self, address: SocketAddr) -> Result<Option<Rc<TcpListener>>, GatewayError> {
+    fn listen_for_peers(
+        &self,
+        address: SocketAddr,
+    ) -> Result<Option<Rc<TcpListener>>, GatewayError> {
         let note = |node: &mut Gateway| {
             if let Some(hall) = &mut node.cluster.consensus {
                 hall.accept = true;
@@ -210,7 +229,10 @@
     ) -> Result<(), GatewayError> {
         let name = f.name.clone().unwrap_or_else(|| self.config.name.clone());
         if !crate::membership::is_name(&name) {
-            return Err(GatewayError::Operator(ConfigError::Value("council.name", name)));
+            return Err(GatewayError::Operator(ConfigError::Value(
+                "council.name",
+                name,
+            )));
         }
         let keys = f.keys(&name).map_err(GatewayError::Operator)?;
         let socket = self.listen_for_peers(f.listen)?;
@@ -227,11 +249,22 @@
         let seat_again = seat_again.or(socket.is_none().then(|| uptime() + HELD_AGAIN));
         let (kept, writer) = seat.map_or((None, None), |(kept, writer)| (Some(kept), Some(writer)));
         let process = distinct(&name);
-        let member = Participant::new(member_settings(f, &name, process, self.config.seed), kept, uptime());
-        let history =
-            f.history.as_ref().map(|p| File::options().create(true).append(true).open(p)).transpose();
+        let member = Participant::new(
+            member_settings(f, &name, process, self.config.seed),
+            kept,
+            uptime(),
+        );
+        let history = f
+            .history
+            .as_ref()
+            .map(|p| File::options().create(true).append(true).open(p))
+            .transpose();
         let history = history.map_err(|e| GatewayError::Listen(f.listen, e))?;
-        let book = f.voters.iter().map(|(n, a)| (n.as_str().into(), *a)).collect();
+        let book = f
+            .voters
+            .iter()
+            .map(|(n, a)| (n.as_str().into(), *a))
+            .collect();
         self.cluster.consensus = Some(ConsensusDriver {
             member,
             file: f.clone(),
@@ -273,13 +306,17 @@
         if let Err(e) = reply {
             return tracing::error!("a record of the council is not kept: {e}");
         }
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         hall.member.handle(uptime(), Input::Persisted(number));
     }
 
     /// The deadline fell due; what follows is done at the turn's end.
     pub(super) fn tick_council(&mut self) {
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         hall.hung = None;
         let now = uptime();
         hall.member.handle(now, Input::Tick);
@@ -290,13 +327,24 @@
 
     /// The process before this one may have let go of the address and of the seat's disk: then this one votes.
     fn try_seat(&mut self, now: Micros) {
-        let Some(hall) = &self.cluster.consensus else { return };
+        let Some(hall) = &self.cluster.consensus else {
+            return;
+        };
         let (listens, address) = (hall.socket.is_some(), hall.file.listen);
-        let wanted =
-            hall.file.seat.clone().filter(|_| hall.writer.is_none() && hall.member.voter_error().is_none());
-        let socket = if listens { None } else { self.listen_for_peers(address).ok().flatten() };
+        let wanted = hall
+            .file
+            .seat
+            .clone()
+            .filter(|_| hall.writer.is_none() && hall.member.voter_error().is_none());
+        let socket = if listens {
+            None
+        } else {
+            self.listen_for_peers(address).ok().flatten()
+        };
         let seat = wanted.map(|path| open_seat(&path, &self.handle));
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         hall.seat_again = None;
         match socket {
             Some(socket) => (hall.socket, hall.accept) = (Some(socket), true),
@@ -331,8 +379,14 @@
     /// One that has hardly a descriptor left, that finds itself cut off, or that is to end, leaves duties to others.
     fn look_at_able(&mut self) {
         let left = self.sockets().saturating_sub(self.connections.len());
-        let Some(hall) = &mut self.cluster.consensus else { return };
-        hall.room = if hall.room { left >= FEW_SOCKETS } else { left >= FEW_SOCKETS + FEW_SOCKETS / 4 };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
+        hall.room = if hall.room {
+            left >= FEW_SOCKETS
+        } else {
+            left >= FEW_SOCKETS + FEW_SOCKETS / 4
+        };
         let able = hall.able && hall.room && !hall.leaves;
         if std::mem::replace(&mut hall.told_able, able) != able {
             tracing::warn!(
@@ -354,16 +408,26 @@
         self.look_at_able();
         self.step_trials(now);
         self.step_loads(now);
-        while let Some(output) = self.cluster.consensus.as_mut().and_then(|h| h.member.output()) {
+        while let Some(output) = self
+            .cluster
+            .consensus
+            .as_mut()
+            .and_then(|h| h.member.output())
+        {
             self.carry_out(now, output);
             // What was learned may have moved a duty to something.
             self.step_trials(now);
             self.step_loads(now);
         }
         self.meet(now);
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         let up = uptime();
-        let due = hall.member.next_deadline(up).min(hall.seat_again.unwrap_or(Micros::MAX));
+        let due = hall
+            .member
+            .next_deadline(up)
+            .min(hall.seat_again.unwrap_or(Micros::MAX));
         let next = Some(now + due.saturating_sub(up));
         if hall.hung.is_none_or(|old| Some(old) > next || old <= now) {
             if let Some(old) = hall.hung.take() {
@@ -378,7 +442,9 @@
 
     /// What the log says of the shards here.
     fn know_loads(&mut self, now: Micros) {
-        let Some(hall) = &self.cluster.consensus else { return };
+        let Some(hall) = &self.cluster.consensus else {
+            return;
+        };
         let ledger = &hall.member.state().leases;
         let of = |d: &String| {
             let duty: LeaseName = d.as_str().into();
@@ -386,7 +452,8 @@
             (duty, owned)
         };
         let all: Vec<(LeaseName, bool)> = hall.file.duties.iter().map(of).collect();
-        all.into_iter().for_each(|(duty, owned)| self.loads_known(now, &duty, owned));
+        all.into_iter()
+            .for_each(|(duty, owned)| self.loads_known(now, &duty, owned));
     }
 
     fn carry_out(&mut self, now: Micros, output: Output) {
@@ -394,7 +461,12 @@
             Output::Send(to, body) => self.say(now, &to, body),
             Output::SendOwn(to, effect) => self.say_own(&to, effect),
             Output::Persist(number, record) => {
-                if let Some(writer) = self.cluster.consensus.as_ref().and_then(|h| h.writer.as_ref()) {
+                if let Some(writer) = self
+                    .cluster
+                    .consensus
+                    .as_ref()
+                    .and_then(|h| h.writer.as_ref())
+                {
                     writer.ask(number, Op::Log(record));
                 }
             }
@@ -423,7 +495,9 @@
             }
             Output::Record(note) => {
                 match &note {
-                    HistoryEvent::Agreed { duty, owner, .. } => self.loads_known(now, duty, owner.is_some()),
+                    HistoryEvent::Agreed { duty, owner, .. } => {
+                        self.loads_known(now, duty, owner.is_some())
+                    }
                     HistoryEvent::Restored { .. } => self.know_loads(now),
                     _ => {}
                 }
@@ -437,28 +511,45 @@
     /// Connections to those whom the member wants to speak with.
     fn meet(&mut self, now: Micros) {
         let copies = self.copies_peers();
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         let mut wanted: BTreeSet<Arc<str>> = hall.member.peers();
         wanted.extend(copies);
-        let over: Vec<ConnKey> =
-            hall.out.iter().filter(|(n, _)| !wanted.contains(*n)).map(|(_, k)| *k).collect();
+        let over: Vec<ConnKey> = hall
+            .out
+            .iter()
+            .filter(|(n, _)| !wanted.contains(*n))
+            .map(|(_, k)| *k)
+            .collect();
         hall.again.retain(|_, t| *t > now);
-        let missing: Vec<Arc<str>> =
-            wanted.into_iter().filter(|n| !hall.out.contains_key(n) && !hall.again.contains_key(n)).collect();
-        over.into_iter().for_each(|key| self.close(key, CloseReason::Idle));
+        let missing: Vec<Arc<str>> = wanted
+            .into_iter()
+            .filter(|n| !hall.out.contains_key(n) && !hall.again.contains_key(n))
+            .collect();
+        over.into_iter()
+            .for_each(|key| self.close(key, CloseReason::Idle));
         for name in missing {
             self.connect_peer(now, &name);
         }
     }
 
     fn connect_peer(&mut self, now: Micros, name: &Arc<str>) {
-        let Some(hall) = &mut self.cluster.consensus else { return };
-        let Some(address) = hall.book.get(name).copied() else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
+        let Some(address) = hall.book.get(name).copied() else {
+            return;
+        };
         hall.again.insert(name.clone(), now + AGAIN);
         hall.words += 1;
         let word = wire::challenge(hall.member.name(), hall.process, hall.words);
         let session = Session::connector(hall.member.name(), name, word);
-        let peer = Peer { session, to: Some(name.clone()), queued: Vec::new() };
+        let peer = Peer {
+            session,
+            to: Some(name.clone()),
+            queued: Vec::new(),
+        };
         // Descriptors are the calls' first.
         if self.connections.len() + FEW_SOCKETS / 2 >= self.sockets() {
             return;
@@ -477,14 +568,19 @@
 
     fn lost_peer(&mut self, name: &Arc<str>) {
         if let Some(hall) = &mut self.cluster.consensus {
-            hall.member.handle(uptime(), Input::Disconnected(name.clone()));
+            hall.member
+                .handle(uptime(), Input::Disconnected(name.clone()));
         }
-        self.tell_copies(crate::replication::machine::Input::Disconnected(name.clone()));
+        self.tell_copies(crate::replication::machine::Input::Disconnected(
+            name.clone(),
+        ));
     }
 
     fn accept_peers(&mut self, now: Micros) {
         for _ in 0..MOST_IN_TURN {
-            let Some(hall) = self.cluster.consensus.as_mut().filter(|h| h.accept) else { return };
+            let Some(hall) = self.cluster.consensus.as_mut().filter(|h| h.accept) else {
+                return;
+            };
             let Some(socket) = &hall.socket else {
                 hall.accept = false;
                 return;
@@ -504,21 +600,36 @@
     }
 
     fn add_peer(&mut self, now: Micros, stream: std::net::TcpStream) {
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         hall.words += 1;
         let word = wire::challenge(hall.member.name(), hall.process, hall.words);
-        let peer =
-            Peer { session: Session::acceptor(hall.member.name(), word), to: None, queued: Vec::new() };
-        let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-        let Ok(key) = ready.and_then(|()| self.add(stream, true, Role::Peer(peer))) else { return };
+        let peer = Peer {
+            session: Session::acceptor(hall.member.name(), word),
+            to: None,
+            queued: Vec::new(),
+        };
+        let ready = stream
+            .set_nonblocking(true)
+            .and_then(|()| stream.set_nodelay(true));
+        let Ok(key) = ready.and_then(|()| self.add(stream, true, Role::Peer(peer))) else {
+            return;
+        };
         self.set_deadline(key, Some(now + SILENT));
         if let Some((conn, _)) = self.connections.get_mut(key) {
             conn.out.push(net::KEPT_FRAME, word.to_vec());
         }
         self.dirty.push(key);
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         hall.strangers.push_back(key);
-        let oldest = hall.strangers.front().copied().filter(|_| hall.strangers.len() > MOST_INBOUND);
+        let oldest = hall
+            .strangers
+            .front()
+            .copied()
+            .filter(|_| hall.strangers.len() > MOST_INBOUND);
         if let Some(oldest) = oldest {
             self.close(oldest, CloseReason::LocalLimit);
         }
@@ -527,8 +638,12 @@
     /// Takes what has come from another gateway.
     pub(super) fn on_peer(&mut self, key: ConnKey, now: Micros) {
         loop {
-            let Some((conn, Role::Peer(peer))) = self.connections.get_mut(key) else { return };
-            let Some(hall) = &mut self.cluster.consensus else { return };
+            let Some((conn, Role::Peer(peer))) = self.connections.get_mut(key) else {
+                return;
+            };
+            let Some(hall) = &mut self.cluster.consensus else {
+                return;
+            };
             let taken = peer.session.take(&hall.keys, conn.input.bytes());
             let (size, body) = match taken {
                 Ok(Some(taken)) => taken,
@@ -540,7 +655,11 @@
                 }
             };
             conn.input.consume(size);
-            let queued = if peer.session.is_open() { std::mem::take(&mut peer.queued) } else { Vec::new() };
+            let queued = if peer.session.is_open() {
+                std::mem::take(&mut peer.queued)
+            } else {
+                Vec::new()
+            };
             let name: Option<Arc<str>> = peer.session.peer().map(Into::into);
             let accepted = peer.to.is_none();
             self.set_deadline(key, Some(now + SILENT));
@@ -561,7 +680,9 @@
 
     /// Who made a connection has said its name; the newest of its connections counts.
     fn know_peer(&mut self, key: ConnKey, name: &Arc<str>) {
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         if hall.inbound.get(name) == Some(&key) {
             return;
         }
@@ -576,7 +697,9 @@
 
     /// A connection between gateways has ended.
     pub(super) fn peer_closed(&mut self, now: Micros, key: ConnKey, peer: &Peer) {
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         hall.strangers.retain(|k| *k != key);
         hall.inbound.retain(|_, k| *k != key);
         if let Some(to) = &peer.to {
@@ -587,8 +710,12 @@
     }
 
     fn push(&mut self, key: ConnKey, body: &Body, tag: u64) {
-        let Some((conn, Role::Peer(peer))) = self.connections.get_mut(key) else { return };
-        let Some(hall) = &self.cluster.consensus else { return };
+        let Some((conn, Role::Peer(peer))) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Some(hall) = &self.cluster.consensus else {
+            return;
+        };
         if conn.out.len() > MOST_WAITING {
             return;
         }
@@ -601,12 +728,19 @@
     /// Who this gateway is to others, which process, and where it records.
     pub(super) fn council_identity(&self) -> Option<(Arc<str>, u64, Option<PathBuf>)> {
         let hall = self.cluster.consensus.as_ref()?;
-        Some((hall.member.name().clone(), hall.process, hall.file.history.clone()))
+        Some((
+            hall.member.name().clone(),
+            hall.process,
+            hall.file.history.clone(),
+        ))
     }
 
     /// What is agreed of shards, as far as it is known here.
     pub(super) fn agreed_sets(&self) -> Option<crate::replication::sets::ReplicaSets> {
-        self.cluster.consensus.as_ref().map(|h| h.member.state().replica_sets.clone())
+        self.cluster
+            .consensus
+            .as_ref()
+            .map(|h| h.member.state().replica_sets.clone())
     }
 
     /// Where others than voters are reached; voters stay as the council's file has them.
@@ -627,8 +761,17 @@
         {
             self.connect_peer(now, to);
         }
-        let Some(key) = self.cluster.consensus.as_ref().and_then(|h| h.connection(to)) else { return };
-        let Some((_, Role::Peer(peer))) = self.connections.get_mut(key) else { return };
+        let Some(key) = self
+            .cluster
+            .consensus
+            .as_ref()
+            .and_then(|h| h.connection(to))
+        else {
+            return;
+        };
+        let Some((_, Role::Peer(peer))) = self.connections.get_mut(key) else {
+            return;
+        };
         if peer.session.is_open() {
             return self.push(key, &body, net::KEPT_FRAME);
         }
@@ -640,12 +783,19 @@
     /// An effect of one's own: its lease is looked at once more, now that its bytes are to be queued. It does not wait for a
     /// connection to open.
     fn say_own(&mut self, to: &Arc<str>, effect: LeaseEffect) {
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         let up = uptime();
         let open = |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Peer(p))) if p.session.is_open());
         let key = hall.connection(to).filter(open);
         if !hall.member.still_holds(up, &effect.lease, effect.term) {
-            let LeaseEffect { lease: duty, term, number, .. } = effect;
+            let LeaseEffect {
+                lease: duty,
+                term,
+                number,
+                ..
+            } = effect;
             return hall.record(&HistoryEvent::TakenBack { duty, term, number });
         }
         let Some(key) = key else { return };
@@ -666,15 +816,28 @@
 
     /// Effects of an ended lease whose bytes still wait are taken back.
     fn take_back(&mut self, duty: &LeaseName, term: Term) {
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         let of = |e: &LeaseEffect| e.lease == *duty && e.term == term;
-        let tags: Vec<u64> = hall.waits.iter().filter(|(_, e)| of(e)).map(|(t, _)| *t).collect();
+        let tags: Vec<u64> = hall
+            .waits
+            .iter()
+            .filter(|(_, e)| of(e))
+            .map(|(t, _)| *t)
+            .collect();
         for tag in tags {
             let taken = self
                 .connections
                 .values_mut()
                 .any(|(conn, role)| matches!(role, Role::Peer(_)) && conn.out.withdraw(tag));
-            let Some(LeaseEffect { lease: duty, term, number, .. }) = hall.waits.remove(&tag) else {
+            let Some(LeaseEffect {
+                lease: duty,
+                term,
+                number,
+                ..
+            }) = hall.waits.remove(&tag)
+            else {
                 continue;
             };
             if taken && !hall.member.queue_guard_disabled() {
@@ -686,10 +849,13 @@
     /// Whether nothing of an ended lease is about to leave on a connection between gateways; looked at before bytes are
     /// written, as the process may have been stopped since they were queued.
     pub(super) fn look_at_leases(&mut self, key: ConnKey) {
-        if !matches!(self.connections.get(key), Some((conn, Role::Peer(_))) if !conn.out.is_empty()) {
+        if !matches!(self.connections.get(key), Some((conn, Role::Peer(_))) if !conn.out.is_empty())
+        {
             return;
         }
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         if hall.waits.is_empty() {
             return;
         }
@@ -700,7 +866,8 @@
             .filter(|e| !hall.member.still_holds(up, &e.lease, e.term))
             .map(|e| (e.lease.clone(), e.term))
             .collect();
-        over.into_iter().for_each(|(duty, term)| self.take_back(&duty, term));
+        over.into_iter()
+            .for_each(|(duty, term)| self.take_back(&duty, term));
     }
 
     /// SIGTERM: others take over what this gateway does for all.
@@ -713,7 +880,12 @@
     }
 
     /// An operator has one gateway vote, or another no more.
-    pub(super) fn exchange_voters(&mut self, now: Micros, joins: Option<String>, leaves: Option<String>) {
+    pub(super) fn exchange_voters(
+        &mut self,
+        now: Micros,
+        joins: Option<String>,
+        leaves: Option<String>,
+    ) {
         tracing::info!(?joins, ?leaves, "voters are exchanged");
         self.tell_member_of_council(Input::Exchange {
             joins: joins.map(Into::into),
@@ -724,12 +896,22 @@
 
     /// What can be seen of the council.
     pub(super) fn council_view(&self) -> serde_json::Value {
-        let Some(hall) = &self.cluster.consensus else { return serde_json::Value::Null };
+        let Some(hall) = &self.cluster.consensus else {
+            return serde_json::Value::Null;
+        };
         let (m, state) = (&hall.member, hall.member.state());
-        let voters: BTreeMap<&str, String> =
-            state.voters.iter().map(|(s, n)| (&**n, format!("{s:016x}"))).collect();
+        let voters: BTreeMap<&str, String> = state
+            .voters
+            .iter()
+            .map(|(s, n)| (&**n, format!("{s:016x}")))
+            .collect();
         let open = |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Peer(p))) if p.session.is_open());
-        let reached: Vec<&str> = hall.out.iter().filter(|(_, k)| open(k)).map(|(n, _)| &**n).collect();
+        let reached: Vec<&str> = hall
+            .out
+            .iter()
+            .filter(|(_, k)| open(k))
+            .map(|(n, _)| &**n)
+            .collect();
         json!({ "name": m.name(), "process": hall.process, "generation": state.generation, "applied": state.applied,
             "voters": voters, "votes": m.votes(), "leads": m.leads(), "leader": m.leader(), "asks": m.catch_up_source(),
             "why_not_voting": m.voter_error(), "waits_for_its_disk": hall.seat_again.is_some(),
@@ -740,17 +922,23 @@
 
     /// What can be seen of duties, and why one has no owner who acts, as far as this gateway can tell.
     pub(super) fn duties_view(&self) -> serde_json::Value {
-        let Some(hall) = &self.cluster.consensus else { return serde_json::Value::Null };
+        let Some(hall) = &self.cluster.consensus else {
+            return serde_json::Value::Null;
+        };
         let (m, now) = (&hall.member, uptime());
         let ledger = &m.state().leases;
-        let mut names: BTreeSet<LeaseName> = hall.file.duties.iter().map(|d| d.as_str().into()).collect();
+        let mut names: BTreeSet<LeaseName> =
+            hall.file.duties.iter().map(|d| d.as_str().into()).collect();
         names.extend(ledger.duties().map(|(d, _)| d.clone()));
         let mine: BTreeMap<&LeaseName, Option<Micros>> =
             m.held_leases().map(|(d, _, until)| (d, until)).collect();
         let view = |duty: &LeaseName| {
             let stands = ledger.record(duty);
             let until = mine.get(duty).copied().flatten();
-            let why = match (m.leads(), m.leader().is_some() || m.catch_up_source().is_some()) {
+            let why = match (
+                m.leads(),
+                m.leader().is_some() || m.catch_up_source().is_some(),
+            ) {
                 (true, _) => m.grant_reason(now, duty).map(|w| json!(w)),
                 (false, true) => None,
                 (false, false) => Some(json!("no_leader_known")),
@@ -766,12 +954,18 @@
 
     /// Reads the addresses of voters and the keys anew; what cannot be used leaves those held.
     pub(super) fn reload_council(&mut self) {
-        let Some(hall) = &mut self.cluster.consensus else { return };
+        let Some(hall) = &mut self.cluster.consensus else {
+            return;
+        };
         let name = hall.member.name().to_string();
         match config::File::read(&hall.file.file).and_then(|f| Ok((f.keys(&name)?, f))) {
             Ok((keys, f)) => {
                 hall.keys = keys;
-                hall.book = f.voters.iter().map(|(n, a)| (n.as_str().into(), *a)).collect();
+                hall.book = f
+                    .voters
+                    .iter()
+                    .map(|(n, a)| (n.as_str().into(), *a))
+                    .collect();
                 tracing::info!("voters' addresses and keys of the council were read anew");
             }
             Err(e) => tracing::error!("voters and keys of the council stay as they are: {e}"),
@@ -785,8 +979,13 @@
         process,
         contacts: f.voters.keys().map(|n| n.as_str().into()).collect(),
         leases: f.duties.iter().map(|d| d.as_str().into()).collect(),
-        lease: crate::lease::Settings { duration: f.lease_ms * 1_000, drift_ppm: f.drift_ppm },
-        voter: machine::Settings { tick: f.tick_ms * 1_000 },
+        lease: crate::lease::Settings {
+            duration: f.lease_ms * 1_000,
+            drift_ppm: f.drift_ppm,
+        },
+        voter: machine::Settings {
+            tick: f.tick_ms * 1_000,
+        },
         seed: seed ^ process,
         disabled_guards: guards(),
     }
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -4,16 +4,25 @@
 
 impl Gateway {
     pub(super) fn open_board(&mut self, now: Micros) {
-        let Some(address) = self.config.board else { return };
-        if self.connections.values().any(|(_, role)| matches!(role, Role::Board(_))) {
+        let Some(address) = self.config.board else {
+            return;
+        };
+        if self
+            .connections
+            .values()
+            .any(|(_, role)| matches!(role, Role::Board(_)))
+        {
             return;
         }
-        let opened =
-            net::connect(address).and_then(|s| self.add(s, false, Role::Board(WatchStream::default())));
+        let opened = net::connect(address)
+            .and_then(|s| self.add(s, false, Role::Board(WatchStream::default())));
         match opened {
             Ok(key) => {
                 if let Some((conn, _)) = self.connections.get_mut(key) {
-                    conn.out.push(net::KEPT_FRAME, WatchStream::request(address, self.last_revision));
+                    conn.out.push(
+                        net::KEPT_FRAME,
+                        WatchStream::request(address, self.last_revision),
+                    );
                 }
                 self.set_deadline(key, Some(now + 1_000_000));
             }
@@ -64,24 +73,36 @@
         }
         if notice.snapshot {
             let listed = |w: &WorkerId| members.iter().any(|m| m.worker == *w);
-            let gone: Vec<WorkerId> =
-                self.worker_connections.keys().filter(|w| !listed(w)).copied().collect();
+            let gone: Vec<WorkerId> = self
+                .worker_connections
+                .keys()
+                .filter(|w| !listed(w))
+                .copied()
+                .collect();
             for worker in gone {
                 self.endpoints.set_draining(worker, true);
                 self.retire(worker, None);
             }
         }
-        let kind = if notice.snapshot { ListUpdate::Snapshot } else { ListUpdate::Delta };
-        let told =
-            members.into_iter().filter(|m| !notice.snapshot || m.status != WorkerStatus::Removed).collect();
+        let kind = if notice.snapshot {
+            ListUpdate::Snapshot
+        } else {
+            ListUpdate::Delta
+        };
+        let told = members
+            .into_iter()
+            .filter(|m| !notice.snapshot || m.status != WorkerStatus::Removed)
+            .collect();
         self.core.members(now, kind, told);
         let links = &self.worker_connections;
-        self.endpoints.forget_removed(|worker| links.contains_key(worker));
+        self.endpoints
+            .forget_removed(|worker| links.contains_key(worker));
         true
     }
 
     pub(super) fn on_member(&mut self, m: &WorkerEntry) {
-        self.endpoints.set_draining(m.worker, m.status != WorkerStatus::Ready);
+        self.endpoints
+            .set_draining(m.worker, m.status != WorkerStatus::Ready);
         match (m.status, m.started_at) {
             (WorkerStatus::Ready, Some(started)) => self.retire(m.worker, Some(started)),
             (WorkerStatus::Ready, None) => {}
@@ -93,8 +114,15 @@
     /// taken back, what is out may still be answered.
     pub(super) fn retire(&mut self, worker: WorkerId, before: Option<Micros>) {
         let mut done = Vec::new();
-        for key in self.worker_connections.get(&worker).cloned().unwrap_or_default() {
-            let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else { continue };
+        for key in self
+            .worker_connections
+            .get(&worker)
+            .cloned()
+            .unwrap_or_default()
+        {
+            let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+                continue;
+            };
             if before.is_some_and(|t| link.opened >= t) {
                 continue;
             }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -62,7 +62,13 @@
     let all: Vec<Kept> = serde_json::from_str(&text).unwrap_or_default();
     let record = |k: Kept| {
         let seal = BASE64_STANDARD.decode(k.seal).ok()?;
-        Some(Record { name: k.name, address: k.address, incarnation: k.incarnation, leaving: false, seal })
+        Some(Record {
+            name: k.name,
+            address: k.address,
+            incarnation: k.incarnation,
+            leaving: false,
+            seal,
+        })
     };
     all.into_iter().filter_map(record).collect()
 }
@@ -92,13 +98,19 @@
     ) -> Result<(), GatewayError> {
         let name = g.name.clone().unwrap_or_else(|| self.config.name.clone());
         if !crate::membership::is_name(&name) {
-            return Err(GatewayError::Operator(ConfigError::Value("gossip.name", name)));
+            return Err(GatewayError::Operator(ConfigError::Value(
+                "gossip.name",
+                name,
+            )));
         }
         let keys = g.keys(&name).map_err(GatewayError::Operator)?;
         let fail = |e| GatewayError::Listen(g.listen, e);
         let socket = UdpSocket::bind(g.listen).map_err(fail)?;
         socket.set_nonblocking(true).map_err(fail)?;
-        let address = g.advertise.map_or_else(|| socket.local_addr(), Ok).map_err(fail)?;
+        let address = g
+            .advertise
+            .map_or_else(|| socket.local_addr(), Ok)
+            .map_err(fail)?;
         let socket = Rc::new(socket);
         let source = Generic::new(Udp(socket.clone()), Interest::READ, Mode::Edge);
         let note = |_, _: &mut _, node: &mut Gateway| {
@@ -107,7 +119,9 @@
             }
             Ok(PostAction::Continue)
         };
-        self.handle.insert_source(source, note).map_err(|e| GatewayError::Loop(e.error))?;
+        self.handle
+            .insert_source(source, note)
+            .map_err(|e| GatewayError::Loop(e.error))?;
         let settings = Settings {
             name: name.clone(),
             address,
@@ -117,7 +131,13 @@
             bounds: crate::membership::reputation::Bounds::default(),
         };
         let mut group = Group::new(settings, keys, self.config.seed ^ now, now);
-        group.handle(now, Input::Known(g.state.as_deref().map_or(Vec::new(), read_members), g.seeds.clone()));
+        group.handle(
+            now,
+            Input::Known(
+                g.state.as_deref().map_or(Vec::new(), read_members),
+                g.seeds.clone(),
+            ),
+        );
         group.handle(now, Input::Ready(ready));
         tracing::info!("{name} talks on {address}");
         self.cluster.gossip = Some(GossipDriver {
@@ -135,7 +155,9 @@
 
     /// The list of workers has changed.
     pub(super) fn tell_ready(&mut self, now: Micros, snapshot: bool, members: &[WorkerEntry]) {
-        let Some(ready) = &mut self.cluster.ready else { return };
+        let Some(ready) = &mut self.cluster.ready else {
+            return;
+        };
         if snapshot {
             ready.clear();
         }
@@ -161,7 +183,9 @@
         ending: CloseReason,
         left: SendProgress,
     ) {
-        let (Some(worker), Some(seen)) = (worker, ending.seen(left)) else { return };
+        let (Some(worker), Some(seen)) = (worker, ending.seen(left)) else {
+            return;
+        };
         self.trials_outcome(now, worker, seen);
         if let Some(talk) = &mut self.cluster.gossip {
             talk.group.handle(now, Input::Outcome(worker, seen));
@@ -170,7 +194,9 @@
 
     /// Takes what came, and does what follows.
     pub(super) fn step_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.cluster.gossip else { return };
+        let Some(talk) = &mut self.cluster.gossip else {
+            return;
+        };
         if talk.readable {
             let mut bytes = [0; MTU + 1];
             talk.readable = false;
@@ -180,7 +206,9 @@
                     break;
                 }
                 match talk.socket.recv_from(&mut bytes) {
-                    Ok((size, from)) => talk.group.handle(now, Input::Datagram(from, &bytes[..size])),
+                    Ok((size, from)) => talk
+                        .group
+                        .handle(now, Input::Datagram(from, &bytes[..size])),
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                     // Nothing more; or an error that a datagram of ours drew, which is cleared by having been read.
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
@@ -198,7 +226,11 @@
                 Output::Advice(worker, HealthAdvice::Well) => self.core.rumour(now, worker, None),
                 Output::Changed(name, standing) => {
                     self.core.counters.gossip_alive = talk.group.alive() as u64;
-                    tracing::info!(peer = name, standing = standing.name(), "a peer stands otherwise");
+                    tracing::info!(
+                        peer = name,
+                        standing = standing.name(),
+                        "a peer stands otherwise"
+                    );
                 }
                 Output::Keep => {
                     talk.keep_at.get_or_insert(now + KEEP_PAUSE);
@@ -224,7 +256,9 @@
 
     /// Gossip's deadline fell due.
     pub(super) fn tick_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.cluster.gossip else { return };
+        let Some(talk) = &mut self.cluster.gossip else {
+            return;
+        };
         talk.hung = None;
         talk.group.handle(now, Input::Tick);
         if talk.keep_at.is_some_and(|t| t <= now) {
@@ -239,7 +273,9 @@
 
     /// Reads seeds and keys anew; what cannot be used leaves those held.
     pub(super) fn reload_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.cluster.gossip else { return };
+        let Some(talk) = &mut self.cluster.gossip else {
+            return;
+        };
         match Gossip::read(&talk.file).and_then(|g| Ok((g.keys(&talk.name)?, g.seeds))) {
             Ok((keys, seeds)) => {
                 talk.group.handle(now, Input::Keys(keys));
@@ -260,7 +296,9 @@
 
     /// What can be seen of the group.
     pub(super) fn peers(&self, now: Micros) -> serde_json::Value {
-        let Some(talk) = &self.cluster.gossip else { return serde_json::Value::Null };
+        let Some(talk) = &self.cluster.gossip else {
+            return serde_json::Value::Null;
+        };
         let (refused, withheld) = talk.group.refused();
         let (rumours, held) = talk.group.sizes();
         serde_json::json!({ "name": talk.name, "peers": talk.group.peers(now), "refused": refused,
--- a/src/gateway/gossip/fixture_tests.rs
+++ b/src/gateway/gossip/fixture_tests.rs
@@ -14,7 +14,10 @@
         leaving: false,
         seal: seal.to_vec(),
     };
-    vec![member("n1", "127.0.0.1:7946", 3, &[0xa5; 33]), member("n2", "[::1]:7946", 1 << 40, b"seal")]
+    vec![
+        member("n1", "127.0.0.1:7946", 3, &[0xa5; 33]),
+        member("n2", "[::1]:7946", 1 << 40, b"seal"),
+    ]
 }
 
 #[test]
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -24,7 +24,11 @@
     pub(super) fn set_up_trials(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
         let mut trials = Trials::default();
         trials.handle(now, Input::Ready(ready));
-        self.cluster.health_checks = Some(HealthCheckDriver { trials, probes: BTreeMap::new(), hung: None });
+        self.cluster.health_checks = Some(HealthCheckDriver {
+            trials,
+            probes: BTreeMap::new(),
+            hung: None,
+        });
     }
 
     fn tell_trials(&mut self, now: Micros, input: Input) {
@@ -57,7 +61,12 @@
         let verdicts: Vec<(u32, bool)> = postcard::from_bytes(content).unwrap_or_default();
         self.tell_trials(
             now,
-            Input::Verdicts(verdicts.into_iter().map(|(w, ill)| (WorkerId(w), ill)).collect()),
+            Input::Verdicts(
+                verdicts
+                    .into_iter()
+                    .map(|(w, ill)| (WorkerId(w), ill))
+                    .collect(),
+            ),
         );
     }
 
@@ -73,7 +82,11 @@
 
     /// A probe has ended outside; whether it was a trial.
     pub(super) fn trial_ended(&mut self, now: Micros, key: ProbeKey, ending: CloseReason) {
-        let Some(worker) = self.cluster.health_checks.as_mut().and_then(|side| side.probes.remove(&key))
+        let Some(worker) = self
+            .cluster
+            .health_checks
+            .as_mut()
+            .and_then(|side| side.probes.remove(&key))
         else {
             return;
         };
@@ -82,7 +95,12 @@
 
     /// Does what follows.
     pub(super) fn step_trials(&mut self, now: Micros) {
-        while let Some(output) = self.cluster.health_checks.as_mut().and_then(|side| side.trials.output()) {
+        while let Some(output) = self
+            .cluster
+            .health_checks
+            .as_mut()
+            .and_then(|side| side.trials.output())
+        {
             match output {
                 Output::Report(worker) => {
                     let content = postcard::to_stdvec(&worker.0).unwrap_or_default();
@@ -94,12 +112,16 @@
                         side.probes.insert(probe, worker);
                     }
                 }
-                Output::Tell(verdicts) => self.tell_member_of_council(Say::Act(NAME.into(), word(verdicts))),
+                Output::Tell(verdicts) => {
+                    self.tell_member_of_council(Say::Act(NAME.into(), word(verdicts)))
+                }
                 Output::Advise(worker, until) => self.core.rumour(now, worker, until),
                 Output::Able(able) => self.set_able(able),
             }
         }
-        let Some(side) = &mut self.cluster.health_checks else { return };
+        let Some(side) = &mut self.cluster.health_checks else {
+            return;
+        };
         // A probe that the core gave up has no word of its own; the trial has its own bound.
         let core = &self.core;
         side.probes.retain(|key, _| core.has_probe(*key));
@@ -124,7 +146,9 @@
 
     /// What can be seen of the duty.
     pub(super) fn trials_view(&self) -> serde_json::Value {
-        let Some(side) = &self.cluster.health_checks else { return serde_json::Value::Null };
+        let Some(side) = &self.cluster.health_checks else {
+            return serde_json::Value::Null;
+        };
         let ill: Vec<String> = side.trials.ill().map(|w| format!("{:08x}", w.0)).collect();
         serde_json::json!({ "ill": ill, "trials": side.trials.trials })
     }
--- a/src/gateway/history.rs
+++ b/src/gateway/history.rs
@@ -23,8 +23,17 @@
         name: &Arc<str>,
         process: u64,
     ) -> std::io::Result<History> {
-        let open = |p: &Path| File::options().create(true).append(true).open(p.with_extension(what));
-        Ok(History { file: council.map(open).transpose()?, name: Some(name.clone()), process })
+        let open = |p: &Path| {
+            File::options()
+                .create(true)
+                .append(true)
+                .open(p.with_extension(what))
+        };
+        Ok(History {
+            file: council.map(open).transpose()?,
+            name: Some(name.clone()),
+            process,
+        })
     }
 
     /// Writes a note in one write, which a kill does not cut. A history that cannot be written is a worse check and no reason
--- a/src/gateway/history/fixture_tests.rs
+++ b/src/gateway/history/fixture_tests.rs
@@ -16,7 +16,10 @@
     let name: Arc<str> = "n1".into();
     let mut history = History::beside(Some(&council), "copies", &name, 9001).expect("it opens");
     history.record(&replication::history::HistoryEvent::Rested { shard: 3, epoch: 7 });
-    history.record(&replicated::history::HistoryEvent::Told { tenant: "clinic".into(), version: 4 });
+    history.record(&replicated::history::HistoryEvent::Told {
+        tenant: "clinic".into(),
+        version: 4,
+    });
     let written = std::fs::read_to_string(folder.join("council.copies")).expect("text");
     std::fs::remove_dir_all(&folder).expect("it goes");
     fixture::assert_matches(LINES, &written);
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -89,13 +89,19 @@
     }
 
     pub(super) fn look(&mut self, now: Micros) {
-        let Some(handover) = &mut self.ops.handover else { return };
-        let Some((folder, _)) = &handover.folder else { return };
+        let Some(handover) = &mut self.ops.handover else {
+            return;
+        };
+        let Some((folder, _)) = &handover.folder else {
+            return;
+        };
         let mut pids = BTreeSet::new();
         for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
             let name = entry.file_name();
-            let pid =
-                name.to_str().and_then(|n| n.split_once('.')).and_then(|(pid, _)| pid.parse::<u32>().ok());
+            let pid = name
+                .to_str()
+                .and_then(|n| n.split_once('.'))
+                .and_then(|(pid, _)| pid.parse::<u32>().ok());
             pids.extend(pid.filter(|pid| *pid != handover.pid));
         }
         let mut living = BTreeSet::new();
@@ -105,22 +111,31 @@
             // A lock that cannot be had is held by a living process; no file, or one without a lock, is left
             // by one that has died, at whatever step.
             let lock = File::open(folder.join(format!("{pid}.lock")));
-            let alive = lock.is_ok_and(|f| matches!(f.try_lock_shared(), Err(TryLockError::WouldBlock)));
+            let alive =
+                lock.is_ok_and(|f| matches!(f.try_lock_shared(), Err(TryLockError::WouldBlock)));
             if alive {
                 living.insert(pid);
             } else {
                 dead.push(pid);
             }
             let path = folder.join(format!("{pid}.word"));
-            let Ok(meta) = fs::metadata(&path) else { continue };
+            let Ok(meta) = fs::metadata(&path) else {
+                continue;
+            };
             let modified = meta.modified().unwrap_or(SystemTime::UNIX_EPOCH);
             let mark = (modified, meta.len());
             if handover.read.get(&pid) == Some(&mark) {
                 continue;
             }
             handover.read.insert(pid, mark);
-            let age = SystemTime::now().duration_since(modified).map_or(0, |d| d.as_micros() as Micros);
-            let bytes = if meta.len() > MAX_STATE_BYTES as u64 { Ok(Vec::new()) } else { fs::read(&path) };
+            let age = SystemTime::now()
+                .duration_since(modified)
+                .map_or(0, |d| d.as_micros() as Micros);
+            let bytes = if meta.len() > MAX_STATE_BYTES as u64 {
+                Ok(Vec::new())
+            } else {
+                fs::read(&path)
+            };
             let word = bytes.map(|b| SiblingState::read(&b, &self.config.name, alive, age));
             match word {
                 Ok(Ok(word)) => heard.push((pid, alive, word)),
@@ -133,7 +148,11 @@
         let mut bans = Vec::new();
         for (pid, alive, word) in heard {
             word.seen.iter().for_each(|name| self.ops.upkeep.see(name));
-            bans.extend(word.bans.iter().map(|(name, (ban, at))| (name.clone(), *ban, *at)));
+            bans.extend(
+                word.bans
+                    .iter()
+                    .map(|(name, (ban, at))| (name.clone(), *ban, *at)),
+            );
             if alive {
                 handover.others.heard(pid, word);
             }
@@ -160,8 +179,13 @@
     }
 
     fn clear_away(&self, dead: &[u32]) {
-        let Some((folder, _)) = self.ops.handover.as_ref().and_then(|h| h.folder.as_ref()) else { return };
-        for (pid, kind) in dead.iter().flat_map(|pid| ["fresh", "new", "word", "lock"].map(|k| (pid, k))) {
+        let Some((folder, _)) = self.ops.handover.as_ref().and_then(|h| h.folder.as_ref()) else {
+            return;
+        };
+        for (pid, kind) in dead
+            .iter()
+            .flat_map(|pid| ["fresh", "new", "word", "lock"].map(|k| (pid, k)))
+        {
             // Most are not there.
             let _ = fs::remove_file(folder.join(format!("{pid}.{kind}")));
         }
@@ -175,8 +199,12 @@
             (false, true) => State::Ready,
             (false, false) => State::Starting,
         };
-        let Some(handover) = &mut self.ops.handover else { return };
-        let Some((folder, _)) = &handover.folder else { return };
+        let Some(handover) = &mut self.ops.handover else {
+            return;
+        };
+        let Some((folder, _)) = &handover.folder else {
+            return;
+        };
         let upkeep = &self.ops.upkeep;
         let word = SiblingState {
             gateway: self.config.name.clone(),
@@ -190,8 +218,10 @@
         if text == handover.written.0 && now < handover.written.1 + WRITE_INTERVAL {
             return;
         }
-        let (fresh, path) =
-            (folder.join(format!("{}.new", handover.pid)), folder.join(format!("{}.word", handover.pid)));
+        let (fresh, path) = (
+            folder.join(format!("{}.new", handover.pid)),
+            folder.join(format!("{}.word", handover.pid)),
+        );
         match fs::write(&fresh, &text).and_then(|()| fs::rename(&fresh, &path)) {
             Ok(()) => handover.written = (text, now),
             Err(e) => tracing::error!("another process will not hear of this: {e}"),
@@ -208,12 +238,16 @@
 
     /// A process that was handed its socket takes connections once it knows what the others know.
     pub(super) fn check_start(&mut self, now: Micros) {
-        let Some(handover) = &self.ops.handover else { return };
+        let Some(handover) = &self.ops.handover else {
+            return;
+        };
         if self.ops.life.has_started() {
             return;
         }
         let told = self.config.board.is_none() || handover.board;
-        if told && self.last_revision >= handover.others.rev() || now >= handover.begun + BOARD_PATIENCE {
+        if told && self.last_revision >= handover.others.rev()
+            || now >= handover.begun + BOARD_PATIENCE
+        {
             self.ops.life.start();
             self.accept = true;
             tracing::info!(rev = self.last_revision, "takes connections");
@@ -223,11 +257,17 @@
 
     /// Whether another process takes the connections once this one stops.
     pub(super) fn is_taken_over(&self) -> bool {
-        self.ops.handover.as_ref().is_some_and(|h| h.others.take_over())
+        self.ops
+            .handover
+            .as_ref()
+            .is_some_and(|h| h.others.take_over())
     }
 
     /// Processes that share one gateway's limits.
     pub(super) fn processes(&self) -> usize {
-        self.ops.handover.as_ref().map_or(1, |h| h.others.processes())
+        self.ops
+            .handover
+            .as_ref()
+            .map_or(1, |h| h.others.processes())
     }
 }
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -30,11 +30,21 @@
     pub(super) fn set_up_loads(&mut self, now: Micros, loads: Loads) {
         let settings = &self.config.settings;
         if let Some(ration) = settings.load_rate_limit {
-            let longer = LoadRateLimit { window: ration.window + LONGEST, ..ration };
-            self.core.limits(now, Some(longer), settings.overload_multiple, 0.0);
+            let longer = LoadRateLimit {
+                window: ration.window + LONGEST,
+                ..ration
+            };
+            self.core
+                .limits(now, Some(longer), settings.overload_multiple, 0.0);
         }
         let (orders, numbers) = (BTreeMap::new(), BTreeMap::new());
-        self.cluster.loads = Some(LoadDriver { loads, orders, numbers, number: 0, hung: None });
+        self.cluster.loads = Some(LoadDriver {
+            loads,
+            orders,
+            numbers,
+            number: 0,
+            hung: None,
+        });
     }
 
     fn tell_loads(&mut self, now: Micros, input: Input) {
@@ -46,19 +56,26 @@
     /// The module orders copies; whether that waits for an owner's word.
     pub(super) fn order_waits(&mut self, now: Micros, order: Order) -> bool {
         // A question is no order.
-        let Some(side) = self.cluster.loads.as_mut().filter(|_| order.copies > 0) else { return false };
+        let Some(side) = self.cluster.loads.as_mut().filter(|_| order.copies > 0) else {
+            return false;
+        };
         side.number += 1;
         let number = side.number;
         side.orders.insert(number, order);
         side.numbers.insert(order.key, number);
-        side.loads.handle(now, Input::Order(number, (order.worker, order.function)));
+        side.loads
+            .handle(now, Input::Order(number, (order.worker, order.function)));
         true
     }
 
     /// The module needs an order no more; whether it had not been given yet.
     pub(super) fn order_forgotten(&mut self, now: Micros, order: OrderKey) -> bool {
-        let Some(side) = &mut self.cluster.loads else { return false };
-        let Some(number) = side.numbers.get(&order).copied() else { return false };
+        let Some(side) = &mut self.cluster.loads else {
+            return false;
+        };
+        let Some(number) = side.numbers.get(&order).copied() else {
+            return false;
+        };
         // One that was given ends by itself, and the owner hears of it.
         if self.load_orders.contains_key(order) {
             return false;
@@ -71,7 +88,9 @@
 
     /// An order has ended outside.
     pub(super) fn order_given_ended(&mut self, now: Micros, order: OrderKey, copies: u32) {
-        let Some(side) = &mut self.cluster.loads else { return };
+        let Some(side) = &mut self.cluster.loads else {
+            return;
+        };
         if let Some(number) = side.numbers.remove(&order) {
             side.orders.remove(&number);
             side.loads.handle(now, Input::Ended(number, copies));
@@ -92,7 +111,10 @@
     }
 
     pub(super) fn loads_told(&mut self, now: Micros, duty: &str, content: &[u8]) {
-        if let (true, Ok(word)) = (duty.starts_with(PREFIX), postcard::from_bytes::<Word>(content)) {
+        if let (true, Ok(word)) = (
+            duty.starts_with(PREFIX),
+            postcard::from_bytes::<Word>(content),
+        ) {
             self.tell_loads(now, Input::Told(word));
         }
     }
@@ -104,14 +126,22 @@
         from: &std::sync::Arc<str>,
         content: &[u8],
     ) {
-        if let (true, Ok(word)) = (duty.starts_with(PREFIX), postcard::from_bytes::<Word>(content)) {
+        if let (true, Ok(word)) = (
+            duty.starts_with(PREFIX),
+            postcard::from_bytes::<Word>(content),
+        ) {
             self.tell_loads(now, Input::Heard(from.clone(), word));
         }
     }
 
     /// Does what follows.
     pub(super) fn step_loads(&mut self, now: Micros) {
-        while let Some(output) = self.cluster.loads.as_mut().and_then(|side| side.loads.output()) {
+        while let Some(output) = self
+            .cluster
+            .loads
+            .as_mut()
+            .and_then(|side| side.loads.output())
+        {
             match output {
                 Output::Report(duty, word) => {
                     self.tell_member_of_council(Say::Report(
@@ -126,22 +156,36 @@
                     ));
                 }
                 Output::Give(number) => {
-                    let order =
-                        self.cluster.loads.as_ref().and_then(|side| side.orders.get(&number)).copied();
+                    let order = self
+                        .cluster
+                        .loads
+                        .as_ref()
+                        .and_then(|side| side.orders.get(&number))
+                        .copied();
                     if let Some(order) = order {
                         self.give_order(now, order);
                     }
                 }
                 Output::Stands(number, copies) => {
-                    let Some(side) = &mut self.cluster.loads else { return };
+                    let Some(side) = &mut self.cluster.loads else {
+                        return;
+                    };
                     if let Some(Order { key, .. }) = side.orders.remove(&number) {
                         side.numbers.remove(&key);
-                        self.core.order_ended(now, key, CloseReason::Served, SendProgress::Unsent, copies);
+                        self.core.order_ended(
+                            now,
+                            key,
+                            CloseReason::Served,
+                            SendProgress::Unsent,
+                            copies,
+                        );
                     }
                 }
             }
         }
-        let Some(side) = &mut self.cluster.loads else { return };
+        let Some(side) = &mut self.cluster.loads else {
+            return;
+        };
         let next = side.loads.next_deadline().map(|t| t.max(now));
         if next != side.hung {
             if let Some(old) = side.hung.take() {
@@ -156,9 +200,20 @@
 
     /// An order that waited leaves now, unless its worker has been told of as gone or draining meanwhile.
     fn give_order(&mut self, now: Micros, order: Order) {
-        if self.cluster.ready.as_ref().is_some_and(|ready| !ready.contains(&order.worker)) {
+        if self
+            .cluster
+            .ready
+            .as_ref()
+            .is_some_and(|ready| !ready.contains(&order.worker))
+        {
             self.order_given_ended(now, order.key, 0);
-            return self.core.order_ended(now, order.key, CloseReason::Withdrawn, SendProgress::Unsent, 0);
+            return self.core.order_ended(
+                now,
+                order.key,
+                CloseReason::Withdrawn,
+                SendProgress::Unsent,
+                0,
+            );
         }
         self.stage(now, order);
     }
@@ -172,7 +227,9 @@
 
     /// What can be seen of the duties.
     pub(super) fn loads_view(&self) -> serde_json::Value {
-        let Some(side) = &self.cluster.loads else { return serde_json::Value::Null };
+        let Some(side) = &self.cluster.loads else {
+            return serde_json::Value::Null;
+        };
         serde_json::json!({ "orders_waiting_or_out": side.orders.len(), "orders_spared": side.loads.spared })
     }
 }
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -41,7 +41,9 @@
     fn save_up(&mut self) {
         while self.spares.len() < SPARES {
             // Fails only while there are none to spare; tried again when a caller has gone.
-            let Ok(file) = File::open("/dev/null") else { return };
+            let Ok(file) = File::open("/dev/null") else {
+                return;
+            };
             self.spares.push(file);
         }
     }
@@ -64,13 +66,20 @@
 impl Gateway {
     /// Listens on the second address, if there is to be one.
     pub(super) fn set_up_line(&mut self) -> Result<(), GatewayError> {
-        let Some(address) = self.config.admin_addr else { return Ok(()) };
+        let Some(address) = self.config.admin_addr else {
+            return Ok(());
+        };
         let (socket, _) = self.listening(address, |node| {
             if let Some(side) = &mut node.ops.line {
                 side.accept = true;
             }
         })?;
-        let mut side = LineSide { socket, accept: true, callers: VecDeque::new(), spares: Vec::new() };
+        let mut side = LineSide {
+            socket,
+            accept: true,
+            callers: VecDeque::new(),
+            spares: Vec::new(),
+        };
         side.save_up();
         self.ops.line = Some(side);
         Ok(())
@@ -78,7 +87,10 @@
 
     /// Where the second address listens, if it does.
     pub fn line_address(&self) -> Option<SocketAddr> {
-        self.ops.line.as_ref().and_then(|side| side.socket.local_addr().ok())
+        self.ops
+            .line
+            .as_ref()
+            .and_then(|side| side.socket.local_addr().ok())
     }
 
     /// Accepts callers and answers those that have called, before anything else in a turn.
@@ -87,12 +99,16 @@
             return;
         }
         let is_line = |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Line)));
-        let (lines, others) = std::mem::take(&mut self.ready).into_iter().partition(is_line);
+        let (lines, others) = std::mem::take(&mut self.ready)
+            .into_iter()
+            .partition(is_line);
         self.ready = others;
         let lines: Vec<ConnKey> = lines;
         lines.into_iter().for_each(|key| self.on_ready(key));
         for _ in 0..MOST_IN_TURN {
-            let Some(side) = self.ops.line.as_mut().filter(|side| side.accept) else { return };
+            let Some(side) = self.ops.line.as_mut().filter(|side| side.accept) else {
+                return;
+            };
             match side.socket.accept() {
                 Ok((stream, _)) => self.add_line(stream),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => side.accept = false,
@@ -118,14 +134,24 @@
     }
 
     fn add_line(&mut self, stream: std::net::TcpStream) {
-        let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-        let Ok(key) = ready.and_then(|()| self.add(stream, true, Role::Line)) else { return };
+        let ready = stream
+            .set_nonblocking(true)
+            .and_then(|()| stream.set_nodelay(true));
+        let Ok(key) = ready.and_then(|()| self.add(stream, true, Role::Line)) else {
+            return;
+        };
         let now = self.clock.now();
         self.set_deadline(key, Some(now + LINE_SILENT));
-        let Some(side) = &mut self.ops.line else { return };
+        let Some(side) = &mut self.ops.line else {
+            return;
+        };
         side.callers.push_back(key);
         // Guards the places against callers that say nothing and linger.
-        let oldest = side.callers.front().copied().filter(|_| side.callers.len() > MOST_LINES);
+        let oldest = side
+            .callers
+            .front()
+            .copied()
+            .filter(|_| side.callers.len() > MOST_LINES);
         if let Some(oldest) = oldest {
             self.close(oldest, CloseReason::LocalLimit);
         }
@@ -133,14 +159,18 @@
     }
 
     pub(super) fn on_line(&mut self, key: ConnKey, now: Micros) {
-        let Some((conn, _)) = self.connections.get(key).filter(|(conn, _)| !conn.closing) else { return };
+        let Some((conn, _)) = self.connections.get(key).filter(|(conn, _)| !conn.closing) else {
+            return;
+        };
         let bytes = match operator_console::take(conn.input.bytes(), conn.ended) {
             Ok(None) => return,
             Ok(Some(ask)) => self.answer_line(now, ask),
             Err(e) => operator_console::answer(false, e),
         };
         self.set_deadline(key, Some(now + LINGER));
-        let Some((conn, _)) = self.connections.get_mut(key) else { return };
+        let Some((conn, _)) = self.connections.get_mut(key) else {
+            return;
+        };
         conn.out.push(net::KEPT_FRAME, bytes);
         (conn.closing, conn.linger) = (true, true);
         // At once, not when the turn's other work is done.
@@ -204,7 +234,14 @@
                     self.tell_member(now, member);
                 }
                 self.write_word(now);
-                operator_console::answer(true, if out { "gets nothing new" } else { "may be used" })
+                operator_console::answer(
+                    true,
+                    if out {
+                        "gets nothing new"
+                    } else {
+                        "may be used"
+                    },
+                )
             }
         }
     }
@@ -217,6 +254,10 @@
 
     fn gauges(&self) -> Gauges {
         let members = self.ops.upkeep.listed();
-        Gauges { pending: self.core.open(), members, unavailable: members.saturating_sub(self.core.fit()) }
+        Gauges {
+            pending: self.core.open(),
+            members,
+            unavailable: members.saturating_sub(self.core.fit()),
+        }
     }
 }
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -15,7 +15,9 @@
         self.reload_gossip(now);
         self.reload_council();
         if self.config.fixed() != fresh.fixed() {
-            tracing::warn!("only the notice board is taken from the new configuration before a restart");
+            tracing::warn!(
+                "only the notice board is taken from the new configuration before a restart"
+            );
         }
         for notice in &fresh.known {
             // One that was missed in between is asked of the board.
@@ -23,10 +25,15 @@
                 break;
             }
         }
-        let boards = self.connections.iter().filter(|(_, (_, role))| matches!(role, Role::Board(_)));
+        let boards = self
+            .connections
+            .iter()
+            .filter(|(_, (_, role))| matches!(role, Role::Board(_)));
         let boards: Vec<ConnKey> = boards.map(|(key, _)| key).collect();
         self.config.board = fresh.board;
-        boards.into_iter().for_each(|key| self.close(key, CloseReason::Shutdown));
+        boards
+            .into_iter()
+            .for_each(|key| self.close(key, CloseReason::Shutdown));
         self.open_board(now);
         let to = fresh.board.map_or("none".to_owned(), |b| b.to_string());
         tracing::info!("the configuration was read anew; notice board: {to}");
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -40,7 +40,8 @@
 /// Ends the process at a step of a call's life, if a test has asked for it; a build for use never does.
 pub(super) fn step(what: &str) {
     let asked = || std::env::var("MOLELUG_ENDS_AT").is_ok_and(|at| at == what);
-    let armed = || std::env::var("MOLELUG_ENDS_IF").is_ok_and(|file| std::path::Path::new(&file).exists());
+    let armed =
+        || std::env::var("MOLELUG_ENDS_IF").is_ok_and(|file| std::path::Path::new(&file).exists());
     if cfg!(debug_assertions) && asked() && armed() {
         std::process::abort();
     }
@@ -82,12 +83,26 @@
 
 impl Gateway {
     /// Begins to hold copies.
-    pub(super) fn set_up_copies(&mut self, now: Micros, file: &config::File) -> Result<(), GatewayError> {
+    pub(super) fn set_up_copies(
+        &mut self,
+        now: Micros,
+        file: &config::File,
+    ) -> Result<(), GatewayError> {
         let needs = |what: &'static str| {
-            Err(GatewayError::Operator(ConfigError::Value(what, "absent, and copies need it".into())))
+            Err(GatewayError::Operator(ConfigError::Value(
+                what,
+                "absent, and copies need it".into(),
+            )))
         };
-        let Some((name, process, history)) = self.council_identity() else { return needs("--council") };
-        if !self.secondary.hooks.as_ref().is_some_and(webhooks::WebhookDriver::durable) {
+        let Some((name, process, history)) = self.council_identity() else {
+            return needs("--council");
+        };
+        if !self
+            .secondary
+            .hooks
+            .as_ref()
+            .is_some_and(webhooks::WebhookDriver::durable)
+        {
             return needs("webhooks.store");
         }
         if !file.members.contains_key(&*name) {
@@ -99,8 +114,10 @@
         let machine = Replicator::new(file.settings(&name, process, guards()), consensus::uptime());
         let beside = |what| History::beside(history.as_deref(), what, &name, process);
         let fail = |e: io::Error| GatewayError::Loop(e.into());
-        let (history, tenants) =
-            (beside("copies.jsonl").map_err(fail)?, beside("tenants.jsonl").map_err(fail)?);
+        let (history, tenants) = (
+            beside("copies.jsonl").map_err(fail)?,
+            beside("tenants.jsonl").map_err(fail)?,
+        );
         let settings = machine.settings();
         let agreeing = Agreeing {
             name: name.clone(),
@@ -109,7 +126,11 @@
             ask: settings.ask,
             without_agreed: settings.without.agreed,
         };
-        self.know_addresses(file.members.iter().map(|(n, m)| (n.as_str().into(), m.address)));
+        self.know_addresses(
+            file.members
+                .iter()
+                .map(|(n, m)| (n.as_str().into(), m.address)),
+        );
         self.cluster.replication = Some(ReplicationDriver {
             machine,
             file: file.clone(),
@@ -160,20 +181,36 @@
 
     /// On how many disks a shard's promises stand.
     pub(super) fn disks_of(&self, shard: ShardId) -> u8 {
-        let set = self.cluster.replication.as_ref().and_then(|s| s.machine.shards().get(&shard));
+        let set = self
+            .cluster
+            .replication
+            .as_ref()
+            .and_then(|s| s.machine.shards().get(&shard));
         // A set has five members at most.
         set.map_or(0, |s| s.set.members.len().min(255) as u8)
     }
 
     /// Those with whom a connection is kept for copies.
     pub(super) fn copies_peers(&self) -> Vec<Name> {
-        self.cluster.replication.as_ref().map_or(Vec::new(), |s| s.machine.peers().cloned().collect())
+        self.cluster
+            .replication
+            .as_ref()
+            .map_or(Vec::new(), |s| s.machine.peers().cloned().collect())
     }
 
     /// Whether nothing is led here any more, at the end of the process: what is led is handed to others first.
     pub(super) fn copies_left(&mut self) -> bool {
-        let leads = self.cluster.replication.as_ref().is_some_and(|s| s.machine.leads_any());
-        if leads && self.cluster.replication.as_mut().is_some_and(|s| !std::mem::replace(&mut s.leaves, true))
+        let leads = self
+            .cluster
+            .replication
+            .as_ref()
+            .is_some_and(|s| s.machine.leads_any());
+        if leads
+            && self
+                .cluster
+                .replication
+                .as_mut()
+                .is_some_and(|s| !std::mem::replace(&mut s.leaves, true))
         {
             self.tell_copies(Input::GracefulShutdown);
         }
@@ -182,11 +219,24 @@
 
     /// Does what there is to do; whether there was something.
     pub(super) fn step_copies(&mut self, now: Micros) -> bool {
-        let Some(side) = &mut self.cluster.replication else { return false };
-        if let Some((ticket, shard, bytes, want)) =
-            self.secondary.hooks.as_mut().and_then(|h| h.shared.pop_front())
+        let Some(side) = &mut self.cluster.replication else {
+            return false;
+        };
+        if let Some((ticket, shard, bytes, want)) = self
+            .secondary
+            .hooks
+            .as_mut()
+            .and_then(|h| h.shared.pop_front())
         {
-            side.machine.handle(consensus::uptime(), Input::Append { shard, ticket, bytes, want });
+            side.machine.handle(
+                consensus::uptime(),
+                Input::Append {
+                    shard,
+                    ticket,
+                    bytes,
+                    want,
+                },
+            );
             return true;
         }
         if let Some(output) = side.machine.output() {
@@ -208,15 +258,20 @@
     }
 
     fn copies_output(&mut self, now: Micros, output: Output) {
-        let (Some(side), Some(hooks)) = (&mut self.cluster.replication, &mut self.secondary.hooks) else {
+        let (Some(side), Some(hooks)) = (&mut self.cluster.replication, &mut self.secondary.hooks)
+        else {
             return;
         };
         match output {
             Output::Send(to, body) => self.say(now, &to, frames::Body::Replication(body)),
             Output::Propose(entry) => {
-                self.tell_member_of_council(member::Input::Submit(SubsystemEntry::ReplicaSets(entry)));
+                self.tell_member_of_council(member::Input::Submit(SubsystemEntry::ReplicaSets(
+                    entry,
+                )));
+            }
+            Output::Store(shard, place, bytes, ticket) => {
+                hooks.keep_record(shard, place, &bytes, ticket)
             }
-            Output::Store(shard, place, bytes, ticket) => hooks.keep_record(shard, place, &bytes, ticket),
             Output::Install(shard, place, bytes) => hooks.keep_shard(shard, place, bytes),
             Output::Read(shard, to) => hooks.read_shard(shard, to),
             Output::Verify => hooks.verify_shards(),
@@ -234,7 +289,8 @@
                 side.open.remove(&shard);
                 tracing::warn!(shard, "a shard is led here no more");
                 let over = hooks.rest_shard(now, shard);
-                over.into_iter().for_each(|key| self.core.caller_gone(now, key));
+                over.into_iter()
+                    .for_each(|key| self.core.caller_gone(now, key));
             }
             Output::HandleRequest(shard, from, number, bytes) => {
                 self.asked_of_shard(now, shard, from, number, &bytes)
@@ -283,7 +339,13 @@
                     ),
                     _ => {}
                 }
-                if let HistoryEvent::Led { shard, epoch, members, .. } = &note {
+                if let HistoryEvent::Led {
+                    shard,
+                    epoch,
+                    members,
+                    ..
+                } = &note
+                {
                     tracing::info!(shard, epoch, ?members, "a shard is led here");
                 }
                 side.history.record(&note);
@@ -294,7 +356,11 @@
     /// The disk's answers.
     pub(super) fn disk_began(&mut self, reply: Result<Reply, StoreError>) {
         if let Ok(Reply::Disk(id, boot, places)) = reply {
-            self.tell_copies(Input::Disk { id, boot, places: places.into_iter().collect() });
+            self.tell_copies(Input::Disk {
+                id,
+                boot,
+                places: places.into_iter().collect(),
+            });
         }
     }
 
@@ -314,7 +380,12 @@
         self.tell_copies(Input::Persisted(shard));
     }
 
-    pub(super) fn shard_read(&mut self, shard: ShardId, to: Name, reply: Result<Reply, StoreError>) {
+    pub(super) fn shard_read(
+        &mut self,
+        shard: ShardId,
+        to: Name,
+        reply: Result<Reply, StoreError>,
+    ) {
         match reply {
             Ok(Reply::Shard(place, bytes)) => {
                 let place: LogPosition = place;
@@ -340,12 +411,19 @@
         if let Err(StoreError::Unsound(shard, ranges)) = reply {
             return self.tell_copies(Input::Corrupt(shard, ranges));
         }
-        let (Some(side), Ok(Reply::Stands(stands))) = (&mut self.cluster.replication, reply) else { return };
+        let (Some(side), Ok(Reply::Stands(stands))) = (&mut self.cluster.replication, reply) else {
+            return;
+        };
         if !side.machine.leads(shard) {
             return;
         }
-        side.open.insert(shard, Identities::new(shard, stands.marks.iter().copied(), stands.forgotten));
-        let Some(hooks) = &mut self.secondary.hooks else { return };
+        side.open.insert(
+            shard,
+            Identities::new(shard, stands.marks.iter().copied(), stands.forgotten),
+        );
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
         hooks.numbers_of(shard, epoch);
         let (calls, waits, begun) = (stands.calls.len(), stands.waits.len(), stands.begun.len());
         hooks.settle(now, stands.begun);
@@ -354,6 +432,13 @@
             // Times of another machine are not compared with this one's.
             self.go_on(now, call, true);
         }
-        tracing::info!(shard, epoch, calls, waits, begun, "went on with what stood of a shard");
+        tracing::info!(
+            shard,
+            epoch,
+            calls,
+            waits,
+            begun,
+            "went on with what stood of a shard"
+        );
     }
 }
--- a/src/gateway/replication/questions/digest_tests.rs
+++ b/src/gateway/replication/questions/digest_tests.rs
@@ -17,7 +17,10 @@
         webhook_id: "msg_1".into(),
         worker_id: "9b1f03aa5c7e2d41".into(),
         class: "checkout".into(),
-        effect: Effect::Keyed { scope: IdempotencyScope::Zone, window: 5_000_000 },
+        effect: Effect::Keyed {
+            scope: IdempotencyScope::Zone,
+            window: 5_000_000,
+        },
         function: 0x0123_4567_89ab_cdef,
         expires: 1_700_000_000_000_000,
         work: Some(20_000),
@@ -36,12 +39,22 @@
 
 #[test]
 fn questions_to_primaries_match_recorded_bytes() {
-    let take = packed(&Asked::Take(Box::new(call()), [0xcc; 32], 1_700_000_300_000_000));
+    let take = packed(&Asked::Take(
+        Box::new(call()),
+        [0xcc; 32],
+        1_700_000_300_000_000,
+    ));
     let state = packed(&Asked::State(12, "msg_1".into()));
-    check_lines("wire/primary_questions.txt", &[hex_line("take", &take), hex_line("state", &state)]);
+    check_lines(
+        "wire/primary_questions.txt",
+        &[hex_line("take", &take), hex_line("state", &state)],
+    );
     match postcard::from_bytes(&take) {
         Ok(Asked::Take(read, mark, until)) => {
-            assert_eq!((*read, mark, until), (call(), [0xcc; 32], 1_700_000_300_000_000));
+            assert_eq!(
+                (*read, mark, until),
+                (call(), [0xcc; 32], 1_700_000_300_000_000)
+            );
         }
         other => panic!("read as {other:?}"),
     }
@@ -54,13 +67,25 @@
 #[test]
 fn call_state_answer_matches_recorded_bytes() {
     let state = |outcome: Option<&str>| {
-        Some(CallState { taken: 1_700_000_000_000_000, outcome: outcome.map(str::to_owned), shard: 9 })
+        Some(CallState {
+            taken: 1_700_000_000_000_000,
+            outcome: outcome.map(str::to_owned),
+            shard: 9,
+        })
     };
-    let answers = [("open", state(None)), ("served", state(Some("served"))), ("none", None)];
-    let lines: Vec<String> = answers.iter().map(|(name, answer)| hex_line(name, &packed(answer))).collect();
+    let answers = [
+        ("open", state(None)),
+        ("served", state(Some("served"))),
+        ("none", None),
+    ];
+    let lines: Vec<String> = answers
+        .iter()
+        .map(|(name, answer)| hex_line(name, &packed(answer)))
+        .collect();
     check_lines("wire/call_states.txt", &lines);
     for (name, answer) in answers {
-        let read: Option<CallState> = postcard::from_bytes(&packed(&answer)).expect("it can be read");
+        let read: Option<CallState> =
+            postcard::from_bytes(&packed(&answer)).expect("it can be read");
         assert_eq!(read, answer, "{name}");
     }
 }
--- a/src/gateway/replication/questions/fixture_tests.rs
+++ b/src/gateway/replication/questions/fixture_tests.rs
@@ -31,11 +31,16 @@
 
 fn to_line(asked: &Asked) -> String {
     let bytes = postcard::to_stdvec(asked).expect("it encodes");
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n"
+    bytes
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect::<String>()
+        + "\n"
 }
 
 fn from_line(line: &str) -> Asked {
-    let digits = |at: usize| u8::from_str_radix(&line[at..at + 2], 16).expect("two hexadecimal digits");
+    let digits =
+        |at: usize| u8::from_str_radix(&line[at..at + 2], 16).expect("two hexadecimal digits");
     let bytes: Vec<u8> = (0..line.len()).step_by(2).map(digits).collect();
     postcard::from_bytes(&bytes).expect("it decodes")
 }
@@ -46,10 +51,16 @@
     let state = Asked::State(21, "call-1".into());
     fixture::assert_matches(QUESTIONS, &(to_line(&take) + &to_line(&state)));
 
-    let stored: Vec<Asked> = fixture::read_text(QUESTIONS).lines().map(from_line).collect();
+    let stored: Vec<Asked> = fixture::read_text(QUESTIONS)
+        .lines()
+        .map(from_line)
+        .collect();
     let [Asked::Take(stored_call, mark, until), Asked::State(serial, id)] = &stored[..] else {
         panic!("other questions: {stored:?}")
     };
-    assert_eq!((&**stored_call, *mark, *until), (&call(), [0xc3; 32], 50_000_000));
+    assert_eq!(
+        (&**stored_call, *mark, *until),
+        (&call(), [0xc3; 32], 50_000_000)
+    );
     assert_eq!((*serial, id.as_str()), (21, "call-1"));
 }
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -8,7 +8,9 @@
 use super::tenants;
 use super::webhooks::{refuse, WebhookDriver};
 use super::*;
-use crate::admin::{self, idempotency::Keys, idempotency::Known, Change, Context, Done as Handling};
+use crate::admin::{
+    self, idempotency::Keys, idempotency::Known, Change, Context, Done as Handling,
+};
 use crate::config::ConfigError;
 use crate::front::http::{self, plain, Bad};
 use crate::identity::Gate;
@@ -41,15 +43,31 @@
     /// Sets up what an operator's file asks for.
     pub(super) fn set_up(&mut self, now: Micros, operator: Operator) -> Result<(), GatewayError> {
         let shares = self.config.settings.tenants.iter().map(|t| t.quota_per_s);
-        let platform: Vec<_> = self.config.names.tenants.iter().cloned().zip(shares).collect();
-        self.secondary.tenants = operator.registry(&platform).map_err(GatewayError::Operator)?;
-        self.secondary.listed = self.secondary.tenants.iter().map(|(name, _)| name.clone()).collect();
+        let platform: Vec<_> = self
+            .config
+            .names
+            .tenants
+            .iter()
+            .cloned()
+            .zip(shares)
+            .collect();
+        self.secondary.tenants = operator
+            .registry(&platform)
+            .map_err(GatewayError::Operator)?;
+        self.secondary.listed = self
+            .secondary
+            .tenants
+            .iter()
+            .map(|(name, _)| name.clone())
+            .collect();
         self.secondary.state = operator.state;
         if let Some(path) = self.secondary.state.as_ref().filter(|p| p.exists()) {
             let text = std::fs::read_to_string(path);
-            let text = text.map_err(|e| GatewayError::Operator(ConfigError::Read(path.clone(), e)))?;
-            let bad =
-                |e: TenantError| GatewayError::Operator(ConfigError::Parse(path.clone(), e.to_string()));
+            let text =
+                text.map_err(|e| GatewayError::Operator(ConfigError::Read(path.clone(), e)))?;
+            let bad = |e: TenantError| {
+                GatewayError::Operator(ConfigError::Parse(path.clone(), e.to_string()))
+            };
             self.secondary.tenants.restore(&text).map_err(bad)?;
         }
         for (tenant, per_s) in self.secondary.tenants.shares() {
@@ -59,9 +77,15 @@
             self.set_up_webhooks(now, w)?;
         }
         if let Some(a) = operator.admin {
-            let gate = Gate::new(&a.trust_domain, &a.audience, a.roles()).map_err(GatewayError::Identity)?;
+            let gate = Gate::new(&a.trust_domain, &a.audience, a.roles())
+                .map_err(GatewayError::Identity)?;
             let refresh = a.refresh_s.max(1) * 1_000_000;
-            self.secondary.admin = Some(AdminSide { gate, bundle: a.bundle, refresh, keys: Keys::default() });
+            self.secondary.admin = Some(AdminSide {
+                gate,
+                bundle: a.bundle,
+                refresh,
+                keys: Keys::default(),
+            });
             self.listen(Kind::Admin, a.listen)?;
             self.load_bundle(now);
         }
@@ -70,7 +94,9 @@
 
     /// Reads the trust bundle, now and again: keys rotate. One that cannot be read leaves the keys held.
     pub(super) fn load_bundle(&mut self, now: Micros) {
-        let Some(admin) = &mut self.secondary.admin else { return };
+        let Some(admin) = &mut self.secondary.admin else {
+            return;
+        };
         let text = std::fs::read_to_string(&admin.bundle).map_err(|e| e.to_string());
         if let Err(e) = text.and_then(|t| admin.gate.load(&t).map_err(|e| e.to_string())) {
             tracing::warn!(bundle = %admin.bundle.display(), "the trust bundle stays as it is: {e}");
@@ -82,7 +108,8 @@
     /// Answers what has come on a webhook's or administrator's connection.
     pub(super) fn on_second(&mut self, key: ConnKey, now: Micros) {
         loop {
-            let Some((conn, Role::Client { kind, keep, open })) = self.connections.get_mut(key) else {
+            let Some((conn, Role::Client { kind, keep, open })) = self.connections.get_mut(key)
+            else {
                 return;
             };
             if open.is_some() || conn.closing || conn.hold_back() {
@@ -118,7 +145,9 @@
                 }
             };
             input.consume(size);
-            let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else { return };
+            let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else {
+                return;
+            };
             conn.input = input;
             let Some(bytes) = bytes else {
                 *open = Some(PendingResponse::Store);
@@ -127,7 +156,10 @@
             conn.out.push(KEPT_FRAME, bytes);
             (conn.closing, conn.linger) = (!stays, malformed);
             self.dirty.push(key);
-            self.set_deadline(key, Some(now + if malformed { LINGER } else { CLIENT_IDLE }));
+            self.set_deadline(
+                key,
+                Some(now + if malformed { LINGER } else { CLIENT_IDLE }),
+            );
         }
     }
 
@@ -139,14 +171,23 @@
         now: Micros,
     ) -> Option<Vec<u8>> {
         let problem = |bad: Bad| Some(admin::answer(&Err(bad), stays));
-        let admitted = self.secondary.admin.as_ref().map(|side| admin::admit(r, &side.gate, now));
+        let admitted = self
+            .secondary
+            .admin
+            .as_ref()
+            .map(|side| admin::admit(r, &side.gate, now));
         let who = match admitted.unwrap_or(Err(plain(404, "off"))) {
             Ok(who) => who,
             Err(bad) => return problem(bad),
         };
         if let Err(why) = self.knows_tenants() {
             if admin::tenant_of(r.path).is_some() {
-                return Some(admin::problem(why.status(), &why.to_string(), Some(why.remedy()), stays));
+                return Some(admin::problem(
+                    why.status(),
+                    &why.to_string(),
+                    Some(why.remedy()),
+                    stays,
+                ));
             }
         }
         let key = r.header("Idempotency-Key").filter(|_| r.method == "POST");
@@ -156,17 +197,23 @@
             if !Keys::usable(key) {
                 return problem(plain(422, "an Idempotency-Key is 1 to 128 bytes"));
             }
-            let Some(side) = &mut self.secondary.admin else { return problem(plain(404, "off")) };
+            let Some(side) = &mut self.secondary.admin else {
+                return problem(plain(404, "off"));
+            };
             match side.keys.begin(&who, key, &request, now) {
                 Known::New => {}
                 Known::Answered(bytes) => return Some(bytes),
                 Known::Conflict => {
-                    return problem(plain(409, "the Idempotency-Key is in use for another request"))
+                    return problem(plain(
+                        409,
+                        "the Idempotency-Key is in use for another request",
+                    ))
                 }
             }
         }
         // Another gateway may have answered it.
-        if let Some(answer) = digests.and_then(|(whose, what)| self.answered_before(&whose, &what)) {
+        if let Some(answer) = digests.and_then(|(whose, what)| self.answered_before(&whose, &what))
+        {
             self.end_key(key.map(|k| (who, k.to_owned())), false, &[]);
             return Some(answer.unwrap_or_else(|bad| admin::answer(&Err(bad), stays)));
         }
@@ -180,7 +227,13 @@
         let hooks = &self.secondary.hooks;
         let health = |id| hooks.as_ref().and_then(|h| h.health(id));
         let counters = &self.core.counters;
-        let mut cx = Context { tenants: &mut self.secondary.tenants, counters, health: &health, fleet, now };
+        let mut cx = Context {
+            tenants: &mut self.secondary.tenants,
+            counters,
+            health: &health,
+            fleet,
+            now,
+        };
         let handled = admin::handle(r, &who, &mut cx);
         let key = key.map(|key| (who.clone(), key.to_owned()));
         let mut handled = match handled {
@@ -191,14 +244,28 @@
             Ok(Handling::Now(handled)) => Ok(handled),
             Err(bad) => Err(bad),
         };
-        let changes = handled.as_mut().map_or(Vec::new(), |h| std::mem::take(&mut h.changes));
+        let changes = handled
+            .as_mut()
+            .map_or(Vec::new(), |h| std::mem::take(&mut h.changes));
         if self.cluster.tenants.is_some() && changes.iter().any(Change::is_kept) {
             if let (Ok(handled), Some(tenant)) = (handled, admin::tenant_of(r.path)) {
                 // As it would be; it is so once all agree.
                 let kept = self.secondary.tenants.told(tenant, now);
                 self.secondary.tenants = before;
-                let key = key.zip(digests).map(|((_, key), (whose, what))| (key, whose, what));
-                self.agree_on(tenant, kept, tenants::Asker { conn, who, key, handled, changes });
+                let key = key
+                    .zip(digests)
+                    .map(|((_, key), (whose, what))| (key, whose, what));
+                self.agree_on(
+                    tenant,
+                    kept,
+                    tenants::Asker {
+                        conn,
+                        who,
+                        key,
+                        handled,
+                        changes,
+                    },
+                );
             }
             return None;
         }
@@ -210,14 +277,27 @@
             if !changes.is_empty() {
                 tracing::info!(who, method = r.method, path = r.path, "administered");
             }
-            changes.into_iter().for_each(|change| self.follow(now, change));
+            changes
+                .into_iter()
+                .for_each(|change| self.follow(now, change));
         }
         let bytes = admin::answer(&handled, stays);
-        self.end_key(key, handled.as_ref().map_or_else(|bad| bad.status < 500, |_| true), &bytes);
+        self.end_key(
+            key,
+            handled
+                .as_ref()
+                .map_or_else(|bad| bad.status < 500, |_| true),
+            &bytes,
+        );
         Some(bytes)
     }
 
-    pub(super) fn end_key(&mut self, key: Option<(String, String)>, final_answer: bool, bytes: &[u8]) {
+    pub(super) fn end_key(
+        &mut self,
+        key: Option<(String, String)>,
+        final_answer: bool,
+        bytes: &[u8],
+    ) {
         if let (Some((who, key)), Some(side)) = (key, &mut self.secondary.admin) {
             side.keys.end(&who, &key, final_answer.then_some(bytes));
         }
@@ -233,10 +313,18 @@
         reply: Result<Reply, StoreError>,
     ) {
         let handled = admin::messages::answer(limit, reply);
-        let good = handled.as_ref().map_or_else(|bad| bad.status < 500, |_| true);
+        let good = handled
+            .as_ref()
+            .map_or_else(|bad| bad.status < 500, |_| true);
         let bytes = admin::answer(&handled, true);
         self.end_key(key, good, &bytes);
-        self.answer_second(conn, now, |stays| if stays { bytes } else { admin::answer(&handled, false) });
+        self.answer_second(conn, now, |stays| {
+            if stays {
+                bytes
+            } else {
+                admin::answer(&handled, false)
+            }
+        });
     }
 
     pub(super) fn follow(&mut self, now: Micros, change: Change) {
@@ -258,7 +346,9 @@
 
     /// Writes the tenants to their file, if they have one; `false` if that failed.
     pub(super) fn keep_tenants(&self) -> bool {
-        let Some(path) = &self.secondary.state else { return true };
+        let Some(path) = &self.secondary.state else {
+            return true;
+        };
         match keep(path, &self.secondary.tenants.state()) {
             Ok(()) => true,
             Err(e) => {
@@ -272,7 +362,12 @@
 /// Writes a file for its owner alone, whole or not at all.
 fn keep(path: &Path, text: &str) -> std::io::Result<()> {
     let fresh = path.with_extension("new");
-    let mut file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&fresh)?;
+    let mut file = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(true)
+        .mode(0o600)
+        .open(&fresh)?;
     file.write_all(text.as_bytes())?;
     file.sync_all()?;
     std::fs::rename(&fresh, path)
--- a/src/gateway/tenants/digest_tests.rs
+++ b/src/gateway/tenants/digest_tests.rs
@@ -9,5 +9,8 @@
 #[test]
 fn keyed_request_digests_match_recorded_bytes() {
     let (key, request) = digests("operator", "key-1", b"PUT /v1/tenants/acme");
-    check_lines("wire/keyed_request.txt", &[hex_line("key", &key), hex_line("request", &request)]);
+    check_lines(
+        "wire/keyed_request.txt",
+        &[hex_line("key", &key), hex_line("request", &request)],
+    );
 }
--- a/src/gateway/tenants/fixture_tests.rs
+++ b/src/gateway/tenants/fixture_tests.rs
@@ -9,7 +9,11 @@
 
 #[test]
 fn idempotency_digests_stay_as_before() {
-    let (key, request) = digests("spiffe://example.org/staff", "key-1", b"PUT /tenants/clinic");
+    let (key, request) = digests(
+        "spiffe://example.org/staff",
+        "key-1",
+        b"PUT /tenants/clinic",
+    );
     fixture::assert_matches(
         "idempotency-digests.txt",
         &format!("key: {}\nrequest: {}\n", to_hex(&key), to_hex(&request)),
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -178,7 +178,11 @@
 
 impl std::fmt::Debug for Backend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(if matches!(self, Backend::Memory(_)) { "Memory" } else { "Disk" })
+        f.write_str(if matches!(self, Backend::Memory(_)) {
+            "Memory"
+        } else {
+            "Disk"
+        })
     }
 }
 
@@ -288,8 +292,17 @@
 }
 
 fn answered(status: u16, advice: Option<Micros>) -> Report {
-    let ending = if (200..300).contains(&status) { CloseReason::Served } else { CloseReason::Failed };
-    Report { ending, left: SendProgress::Started, status: Some(status), advice }
+    let ending = if (200..300).contains(&status) {
+        CloseReason::Served
+    } else {
+        CloseReason::Failed
+    };
+    Report {
+        ending,
+        left: SendProgress::Started,
+        status: Some(status),
+        advice,
+    }
 }
 
 fn job_of(call: &CallRecord) -> Job {
@@ -344,9 +357,16 @@
 
 impl Gateway {
     /// Writes the answer that a client of the second front is owed, and reads on.
-    pub(super) fn answer_second(&mut self, key: ConnKey, now: Micros, bytes: impl FnOnce(bool) -> Vec<u8>) {
+    pub(super) fn answer_second(
+        &mut self,
+        key: ConnKey,
+        now: Micros,
+        bytes: impl FnOnce(bool) -> Vec<u8>,
+    ) {
         let accepting = self.ops.life.keeps(now);
-        let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else { return };
+        let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else {
+            return;
+        };
         *open = None;
         conn.idle = now;
         let stays = *keep && accepting;
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -13,22 +13,42 @@
     ) -> Option<Vec<u8>> {
         if let Err(why) = self.knows_tenants() {
             tracing::debug!(remedy = why.remedy(), "{why}");
-            return Some(refuse(&plain(503, "it is not known yet what is agreed of tenants"), stays));
+            return Some(refuse(
+                &plain(503, "it is not known yet what is agreed of tenants"),
+                stays,
+            ));
         }
         let tenants = &self.secondary.tenants;
-        let Some(hooks) = &mut self.secondary.hooks else { return Some(refuse(&plain(404, "off"), stays)) };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return Some(refuse(&plain(404, "off"), stays));
+        };
         if r.method == "GET" {
             return match hooks.inbound.ask(r, tenants, now) {
                 Ok((serial, id)) if self.cluster.replication.is_some() => {
-                    let tenant = r.path.strip_prefix("/webhooks/").and_then(|p| p.split_once('/'));
+                    let tenant = r
+                        .path
+                        .strip_prefix("/webhooks/")
+                        .and_then(|p| p.split_once('/'));
                     let mark = replay::mark(tenant.map_or("", |(t, _)| t), id);
-                    let (id, shard) =
-                        (id.to_owned(), self.cluster.replication.as_ref().map_or(0, |s| s.shard_of(&mark)));
-                    self.ask_primary(shard, &Asked::State(serial, id.clone()), Question::State(key, id));
+                    let (id, shard) = (
+                        id.to_owned(),
+                        self.cluster
+                            .replication
+                            .as_ref()
+                            .map_or(0, |s| s.shard_of(&mark)),
+                    );
+                    self.ask_primary(
+                        shard,
+                        &Asked::State(serial, id.clone()),
+                        Question::State(key, id),
+                    );
                     None
                 }
                 Ok((serial, id)) => {
-                    let ask = Ask::Call { conn: key, id: id.to_owned() };
+                    let ask = Ask::Call {
+                        conn: key,
+                        id: id.to_owned(),
+                    };
                     hooks.ask(ask, Op::Call(serial, id.to_owned()));
                     None
                 }
@@ -36,8 +56,9 @@
             };
         }
         // Taken only with room for what follows: what got a 202 is owed a callback.
-        let full = hooks.jobs.len() + hooks.waiting() + hooks.asked.len().saturating_sub(MOST_ASKED)
-            >= hooks.pending;
+        let full =
+            hooks.jobs.len() + hooks.waiting() + hooks.asked.len().saturating_sub(MOST_ASKED)
+                >= hooks.pending;
         let taken = if full || hooks.asked.len() >= MOST_ASKED {
             Err(plain(503, "too many calls under way"))
         } else {
@@ -70,11 +91,23 @@
                 };
                 if let Some(shard) = self.cluster.replication.as_ref().map(|s| s.shard_of(&mark)) {
                     let left = record.expires.saturating_sub(now);
-                    let asked = Asked::Take(Box::new(CallRecord { expires: left, ..record }), mark, until);
+                    let asked = Asked::Take(
+                        Box::new(CallRecord {
+                            expires: left,
+                            ..record
+                        }),
+                        mark,
+                        until,
+                    );
                     self.ask_primary(shard, &asked, Question::Take(key, mark));
                     return None;
                 }
-                let ask = Ask::Take { caller: Caller::Here(key), call: Box::new(call), seq, mark };
+                let ask = Ask::Take {
+                    caller: Caller::Here(key),
+                    call: Box::new(call),
+                    seq,
+                    mark,
+                };
                 hooks.ask(ask, Op::Take(Box::new(record), mark, until));
                 None
             }
@@ -95,14 +128,20 @@
         mark: IdentityDigest,
         kept: Result<Reply, StoreError>,
     ) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
         if let Err(e) = kept {
             return match (caller, e) {
                 (Caller::Here(conn), e) => {
                     hooks.inbound.replays.forget(&mark);
                     self.core.counters.webhooks_refused += 1;
                     let full = e == StoreError::Full;
-                    let why = if full { "the store is full" } else { "the call cannot be kept" };
+                    let why = if full {
+                        "the store is full"
+                    } else {
+                        "the call cannot be kept"
+                    };
                     self.answer_second(conn, now, |stays| refuse(&plain(503, why), stays))
                 }
                 (Caller::Gateway(to, number), e) => {
@@ -121,7 +160,12 @@
         if call.origin.effect != Effect::Idempotent && hooks.durable() {
             hooks.guards.insert(id.clone(), Guard { seq, ran: false });
         }
-        let job = hooks.jobs.insert(Held { seq, job: call.origin.clone(), id, request: None });
+        let job = hooks.jobs.insert(Held {
+            seq,
+            job: call.origin.clone(),
+            id,
+            request: None,
+        });
         match caller {
             Caller::Here(conn) => {
                 self.core.counters.webhooks_taken += 1;
@@ -140,13 +184,29 @@
     }
 
     /// An attempt of a call that must not run twice waits until it is recorded that it leaves.
-    pub(in crate::gateway) fn wait_for_record(&mut self, now: Micros, command: &Command<Origin>) -> bool {
-        let Some(hooks) = &mut self.secondary.hooks else { return false };
-        let Command::Dispatch { attempt, worker, id, class, function, expires_at: expires, body } = command
+    pub(in crate::gateway) fn wait_for_record(
+        &mut self,
+        now: Micros,
+        command: &Command<Origin>,
+    ) -> bool {
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return false;
+        };
+        let Command::Dispatch {
+            attempt,
+            worker,
+            id,
+            class,
+            function,
+            expires_at: expires,
+            body,
+        } = command
         else {
             return false;
         };
-        let Some(guard) = hooks.guards.get(id) else { return false };
+        let Some(guard) = hooks.guards.get(id) else {
+            return false;
+        };
         let seq = guard.seq;
         let waits = Waits {
             worker: *worker,
@@ -165,12 +225,19 @@
 
     /// Whether an attempt still waited for its record: then it never left.
     pub(in crate::gateway) fn unrecorded(&mut self, attempt: AttemptKey) -> bool {
-        self.secondary.hooks.as_mut().is_some_and(|h| h.unrecorded.remove(attempt).is_some())
+        self.secondary
+            .hooks
+            .as_mut()
+            .is_some_and(|h| h.unrecorded.remove(attempt).is_some())
     }
 
     pub(super) fn recorded(&mut self, now: Micros, attempt: AttemptKey, kept: bool) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
-        let Some(w) = hooks.unrecorded.remove(attempt) else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
+        let Some(w) = hooks.unrecorded.remove(attempt) else {
+            return;
+        };
         if !kept || now > w.since + STALE {
             return self.done.push_back(Completed::plain(
                 Exchange::Attempt(attempt),
@@ -179,14 +246,22 @@
             ));
         }
         step("intent promised");
-        self.go(now, attempt, w.worker, w.id, w.class, w.function, w.expires, &w.body);
+        self.go(
+            now, attempt, w.worker, w.id, w.class, w.function, w.expires, &w.body,
+        );
     }
 
     /// An attempt has ended; whether it is proved never to have run.
     pub(in crate::gateway) fn guarded_ended(&mut self, attempt: AttemptKey, never_ran: bool) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
-        let Some(id) = hooks.guarded.remove(attempt) else { return };
-        let Some(guard) = hooks.guards.get_mut(&id) else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
+        let Some(id) = hooks.guarded.remove(attempt) else {
+            return;
+        };
+        let Some(guard) = hooks.guards.get_mut(&id) else {
+            return;
+        };
         step("attempt answered");
         guard.ran |= !never_ran;
         let (seq, ran) = (guard.seq, guard.ran);
@@ -197,13 +272,24 @@
 
     /// A webhook's call has its final answer: it is kept with its messages, in place of the call.
     pub(in crate::gateway) fn call_back(&mut self, now: Micros, job: JobKey, outcome: &Outcome) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
-        let Some(held) = hooks.jobs.remove(job) else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
+        let Some(held) = hooks.jobs.remove(job) else {
+            return;
+        };
         hooks.guards.remove(&held.id);
         let body = message::event(COMPLETED, now, &message::completed(&held.job, outcome));
-        let tenant = self.secondary.tenants.same(&held.job.tenant, held.job.serial);
+        let tenant = self
+            .secondary
+            .tenants
+            .same(&held.job.tenant, held.job.serial);
         let mut messages = Vec::new();
-        for e in tenant.iter().flat_map(|t| t.endpoints.values()).filter(|e| e.wants(COMPLETED)) {
+        for e in tenant
+            .iter()
+            .flat_map(|t| t.endpoints.values())
+            .filter(|e| e.wants(COMPLETED))
+        {
             let shard = held.seq.shard();
             let mut m = new_message(hooks.seq_in(shard), e, COMPLETED, now, &body);
             m.id = format!("msg_{}", held.id);
@@ -211,13 +297,21 @@
             m.waiting.effect = held.job.effect;
             m.call = Some(held.job.webhook_id.clone());
             // Each shard has its own order of a key.
-            m.order = held.job.order.as_ref().filter(|_| e.ordered).map(|k| order(k) ^ u64::from(shard));
+            m.order = held
+                .job
+                .order
+                .as_ref()
+                .filter(|_| e.ordered)
+                .map(|k| order(k) ^ u64::from(shard));
             messages.push((m, body.clone()));
         }
         if messages.is_empty() {
             self.core.counters.callbacks_undelivered += 1;
         }
-        hooks.ask(Ask::Publish, Op::Answer(held.seq, outcome.name().into(), messages));
+        hooks.ask(
+            Ask::Publish,
+            Op::Answer(held.seq, outcome.name().into(), messages),
+        );
     }
 
     /// An operational event to those of a tenant's endpoints that want it.
@@ -229,7 +323,10 @@
         kind: &str,
         data: &serde_json::Value,
     ) {
-        let (Some(hooks), Some(t)) = (&mut self.secondary.hooks, self.secondary.tenants.get(tenant)) else {
+        let (Some(hooks), Some(t)) = (
+            &mut self.secondary.hooks,
+            self.secondary.tenants.get(tenant),
+        ) else {
             return;
         };
         let body = message::event(kind, now, data);
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -5,7 +5,9 @@
 impl Gateway {
     /// Makes an attempt at a message, on a connection that is idle or a new one.
     pub(super) fn attempt(&mut self, now: Micros, mut record: MessageRecord, body: &[u8]) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
         let (seq, id) = (record.waiting.seq, record.waiting.endpoint);
         let tenant = self.secondary.tenants.same(&record.tenant, record.serial);
         let Some((tenant, e)) = tenant.and_then(|t| t.endpoint(id).map(|(_, e)| (t, e))) else {
@@ -13,10 +15,17 @@
             return hooks.delivery.handle(now, Input::Ended(seq, Report::VOID));
         };
         let (address, secrets) = (e.portal.address, tenant.signing(e, now));
-        let failed = |ending| Report { ending, left: SendProgress::Unsent, status: None, advice: None };
+        let failed = |ending| Report {
+            ending,
+            left: SendProgress::Unsent,
+            status: None,
+            advice: None,
+        };
         if !hooks.networks.allows(address.ip()) || secrets.is_empty() {
             // Nothing is sent where the operator does not allow it, or unsigned.
-            return hooks.delivery.handle(now, Input::Ended(seq, failed(CloseReason::ConnectTimeout)));
+            return hooks
+                .delivery
+                .handle(now, Input::Ended(seq, failed(CloseReason::ConnectTimeout)));
         }
         // One that must not come twice has a connection of its own: an idle one may be at its end unseen.
         let reuse = record.waiting.effect == Effect::Idempotent;
@@ -28,13 +37,20 @@
         let key = match idle {
             Some(key) => Ok(key),
             None => {
-                let link = PortalLink { endpoint: id, address, current: None, status: None };
+                let link = PortalLink {
+                    endpoint: id,
+                    address,
+                    current: None,
+                    status: None,
+                };
                 net::connect(address).and_then(|s| self.add(s, false, Role::Portal(link)))
             }
         };
         match key {
             Ok(key) => {
-                let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else { return };
+                let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else {
+                    return;
+                };
                 (link.current, link.status) = (Some((seq, now)), None);
                 conn.out.push(seq.0, bytes);
                 self.set_deadline(key, Some(deadline));
@@ -44,11 +60,15 @@
                 let ending = match e.kind() {
                     io::ErrorKind::ConnectionRefused => CloseReason::Refused,
                     // Out of descriptors: nothing is known of the portal.
-                    _ if e.raw_os_error().is_some_and(|n| n == 24 || n == 23) => CloseReason::LocalLimit,
+                    _ if e.raw_os_error().is_some_and(|n| n == 24 || n == 23) => {
+                        CloseReason::LocalLimit
+                    }
                     _ => CloseReason::ConnectTimeout,
                 };
                 if let Some(hooks) = &mut self.secondary.hooks {
-                    hooks.delivery.handle(now, Input::Ended(seq, failed(ending)));
+                    hooks
+                        .delivery
+                        .handle(now, Input::Ended(seq, failed(ending)));
                 }
             }
         }
@@ -56,7 +76,9 @@
 
     /// Something has come from a portal.
     pub(in crate::gateway) fn on_portal(&mut self, key: ConnKey, now: Micros) {
-        let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else { return };
+        let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else {
+            return;
+        };
         let Some((seq, _)) = link.current else {
             // It says something unasked.
             if !conn.input.bytes().is_empty() {
@@ -73,12 +95,17 @@
                 (link.current, link.status) = (None, None);
                 let (id, address) = (link.endpoint, link.address);
                 // An answer ahead of the request's end: what is left of it would be read as the next request.
-                let clean = keep && conn.out.is_empty() && conn.input.bytes().is_empty() && !conn.ended;
+                let clean =
+                    keep && conn.out.is_empty() && conn.input.bytes().is_empty() && !conn.ended;
                 self.portal_ended(now, seq, answered(status, advice));
-                let Some(hooks) = &mut self.secondary.hooks else { return };
+                let Some(hooks) = &mut self.secondary.hooks else {
+                    return;
+                };
                 let tenants = &self.secondary.tenants;
                 let same = |e: &Endpoint| e.id == id && e.portal.address == address;
-                let known = tenants.iter().any(|(_, t)| t.endpoint(id).is_some_and(|(_, e)| same(e)));
+                let known = tenants
+                    .iter()
+                    .any(|(_, t)| t.endpoint(id).is_some_and(|(_, e)| same(e)));
                 let idle = hooks.idle.entry(id).or_default();
                 if clean && known && idle.len() < MOST_IDLE && hooks.stopping.is_none() {
                     idle.push(key);
@@ -115,8 +142,17 @@
             // Its head told the answer; what was missing is of no use to anybody.
             Some((status, advice)) => answered(status, advice),
             None => {
-                let left = if untouched { SendProgress::Unsent } else { SendProgress::Started };
-                Report { ending, left, status: None, advice: None }
+                let left = if untouched {
+                    SendProgress::Unsent
+                } else {
+                    SendProgress::Started
+                };
+                Report {
+                    ending,
+                    left,
+                    status: None,
+                    advice: None,
+                }
             }
         };
         self.portal_ended(now, seq, report);
@@ -132,7 +168,9 @@
     /// Nothing more is begun towards portals: what waits goes on at the next start, what is out ends now and
     /// follows its class. Without a store all of it is awaited as before.
     pub(in crate::gateway) fn stop_webhooks(&mut self, now: Micros) {
-        let Some(hooks) = self.secondary.hooks.as_mut().filter(|h| h.durable()) else { return };
+        let Some(hooks) = self.secondary.hooks.as_mut().filter(|h| h.durable()) else {
+            return;
+        };
         hooks.stopping = Some(now);
         hooks.delivery.handle(now, Input::Stop);
         let portals: Vec<ConnKey> = self
@@ -141,7 +179,9 @@
             .filter(|(_, (_, r))| matches!(r, Role::Portal(_)))
             .map(|(k, _)| k)
             .collect();
-        portals.into_iter().for_each(|key| self.close(key, CloseReason::Shutdown));
+        portals
+            .into_iter()
+            .for_each(|key| self.close(key, CloseReason::Shutdown));
     }
 
     /// Asks the store for an administrator.
@@ -151,7 +191,11 @@
         op: Op,
         key: Option<(String, String)>,
     ) -> Result<(), Bad> {
-        let hooks = self.secondary.hooks.as_mut().ok_or(plain(404, "webhooks are off"))?;
+        let hooks = self
+            .secondary
+            .hooks
+            .as_mut()
+            .ok_or(plain(404, "webhooks are off"))?;
         let limit = match &op {
             Op::Messages(filter) => Some(filter.limit),
             _ => None,
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -5,7 +5,9 @@
 impl Gateway {
     /// Does one thing that the store or delivery asks for; whether there was one.
     pub(in crate::gateway) fn step_webhooks(&mut self, now: Micros) -> bool {
-        let Some(hooks) = &mut self.secondary.hooks else { return false };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return false;
+        };
         if let Some((number, reply)) = hooks.replies.pop_front() {
             if let Some(ask) = hooks.asked.remove(&number) {
                 self.replied(now, ask, reply);
@@ -38,9 +40,16 @@
     }
 
     pub(super) fn replied(&mut self, now: Micros, ask: Ask, reply: Result<Reply, StoreError>) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
         match ask {
-            Ask::Take { caller, call, seq, mark } => self.taken(now, caller, *call, seq, mark, reply),
+            Ask::Take {
+                caller,
+                call,
+                seq,
+                mark,
+            } => self.taken(now, caller, *call, seq, mark, reply),
             Ask::Disk => self.disk_began(reply),
             Ask::Record(shard, ticket) => self.record_stored(shard, ticket, reply),
             Ask::Shard(shard, to) => self.shard_read(shard, to, reply),
@@ -66,7 +75,9 @@
                     Ok(Reply::Call(state)) => {
                         RequestOutcome::Content(postcard::to_stdvec(&state).unwrap_or_default())
                     }
-                    _ => RequestOutcome::Rejected(ReplicationError::Unknown { what: "call".into() }),
+                    _ => RequestOutcome::Rejected(ReplicationError::Unknown {
+                        what: "call".into(),
+                    }),
                 };
                 self.tell_asker(to, number, told);
             }
@@ -81,9 +92,13 @@
                 Err(_) => hooks.delivery.handle(now, Input::Ended(seq, Report::VOID)),
             },
             Ask::Fetch(id) => match reply {
-                Ok(Reply::Fetched(all, next)) => hooks.delivery.handle(now, Input::Fetched(id, all, next)),
+                Ok(Reply::Fetched(all, next)) => {
+                    hooks.delivery.handle(now, Input::Fetched(id, all, next))
+                }
                 // The disk is sick: asked again after a while, and nothing known is lost by it.
-                _ => hooks.delivery.handle(now, Input::Fetched(id, Vec::new(), Some(now + 1_000_000))),
+                _ => hooks
+                    .delivery
+                    .handle(now, Input::Fetched(id, Vec::new(), Some(now + 1_000_000))),
             },
             Ask::Purge(id) => {
                 if matches!(reply, Ok(Reply::More(true))) {
@@ -95,12 +110,15 @@
                     Ok(Reply::Retained(expired, forward, more)) => (expired, forward, more),
                     _ => (Vec::new(), Vec::new(), false),
                 };
-                forward.into_iter().for_each(|w| hooks.delivery.handle(now, Input::Waits(w)));
+                forward
+                    .into_iter()
+                    .for_each(|w| hooks.delivery.handle(now, Input::Waits(w)));
                 for seq in expired {
                     hooks.delivery.handle(now, Input::Gone(seq));
                     self.core.counters.callbacks_undelivered += 1;
                 }
-                self.core.hang(now + if more { RETAIN_SOON } else { RETAIN_LATER }, RETAIN);
+                self.core
+                    .hang(now + if more { RETAIN_SOON } else { RETAIN_LATER }, RETAIN);
             }
             Ask::Call { conn, id } => {
                 let body = match reply {
@@ -132,7 +150,12 @@
             Ok(Some(state)) => {
                 let outcome = state.outcome.as_deref().unwrap_or("open");
                 let body = serde_json::json!({ "call": id, "outcome": outcome }).to_string();
-                http::response(200, "Content-Type: application/json\r\n", body.as_bytes(), stays)
+                http::response(
+                    200,
+                    "Content-Type: application/json\r\n",
+                    body.as_bytes(),
+                    stays,
+                )
             }
             Ok(None) => refuse(&plain(404, "no such call"), stays),
             Err(bad) => refuse(&bad, stays),
@@ -140,34 +163,50 @@
     }
 
     pub(super) fn now_wait(&mut self, now: Micros, reply: Result<Reply, StoreError>) {
-        let (Some(hooks), Ok(Reply::Waits(all))) = (&mut self.secondary.hooks, reply) else { return };
-        all.into_iter().for_each(|w| hooks.delivery.handle(now, Input::Waits(w)));
+        let (Some(hooks), Ok(Reply::Waits(all))) = (&mut self.secondary.hooks, reply) else {
+            return;
+        };
+        all.into_iter()
+            .for_each(|w| hooks.delivery.handle(now, Input::Waits(w)));
     }
 
     /// A pass of retention is due.
     pub(in crate::gateway) fn retain(&mut self, now: Micros) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
         let (age, bytes) = hooks.retention;
         hooks.ask(Ask::Retain, Op::Retain(now, age, bytes, RETAINED));
     }
 
     pub(super) fn deliver(&mut self, now: Micros, output: Output) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
         match output {
-            Output::Begin { seq, recorded, .. } => hooks.ask(Ask::Begin(seq), Op::Begin(seq, recorded, now)),
+            Output::Begin { seq, recorded, .. } => {
+                hooks.ask(Ask::Begin(seq), Op::Begin(seq, recorded, now))
+            }
             Output::Fetch(id, limit) => hooks.ask(Ask::Fetch(id), Op::Fetch(id, limit)),
             Output::Purge(id) => hooks.ask(Ask::Purge(id), Op::Purge(id, RETAINED)),
-            Output::Keep { message, state, attempt } => {
+            Output::Keep {
+                message,
+                state,
+                attempt,
+            } => {
                 let record = hooks.out.remove(&message.seq);
                 let attempt = attempt.map(|report| AttemptRecord {
                     at: now,
-                    took: record.as_ref().map_or(0, |r| now.saturating_sub(r.waiting.due)),
+                    took: record
+                        .as_ref()
+                        .map_or(0, |r| now.saturating_sub(r.waiting.due)),
                     ending: report.ending.name().into(),
                     status: report.status,
                     may_have_arrived: report.may_have_arrived(),
                 });
                 if let (Some(r), Some(a)) = (&record, &attempt) {
-                    let _span = tracing::debug_span!("delivery", tenant = r.tenant, message = r.id).entered();
+                    let _span = tracing::debug_span!("delivery", tenant = r.tenant, message = r.id)
+                        .entered();
                     let (endpoint, state) = (message.endpoint.0, state.name());
                     tracing::debug!(
                         endpoint,
@@ -180,16 +219,18 @@
                 hooks.ask(Ask::Publish, Op::Ended(Box::new(message), state, attempt));
                 if state.is_over() {
                     self.count(&message, state);
-                    let record = record.filter(|r| r.kind == COMPLETED && matches!(state, State::Dead(_)));
+                    let record =
+                        record.filter(|r| r.kind == COMPLETED && matches!(state, State::Dead(_)));
                     if let Some(r) = record.filter(|_| state != State::Dead(Dead::Gone)) {
-                        let data =
-                            serde_json::json!({ "message": r.id, "call": r.call, "state": state.name() });
+                        let data = serde_json::json!({ "message": r.id, "call": r.call, "state": state.name() });
                         self.tell_tenant(now, &r.tenant, None, "message.exhausted", &data);
                     }
                 }
             }
             Output::Disabled(id, why) => {
-                let Some((tenant, name)) = self.secondary.tenants.disable(id) else { return };
+                let Some((tenant, name)) = self.secondary.tenants.disable(id) else {
+                    return;
+                };
                 tracing::warn!(tenant, endpoint = name, why, "an endpoint is switched off");
                 self.keep_tenants();
                 self.agree_on_disabled(now, &tenant, id);
