--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -28,12 +28,23 @@
         ticket: Option<u64>,
     ) {
         let op = Shared::read(bytes).map_or(Op::Publish(Vec::new()), Shared::op);
-        self.ask(Ask::Record(shard, ticket), Op::Shard(shard, place, Box::new(op)));
+        self.ask(
+            Ask::Record(shard, ticket),
+            Op::Shard(shard, place, Box::new(op)),
+        );
     }
 
     /// Another disk's content takes the place of what this one holds of a shard.
-    pub(in crate::gateway) fn keep_shard(&mut self, shard: ShardId, place: LogPosition, bytes: Vec<u8>) {
-        self.ask(Ask::Record(shard, None), Op::WriteShard(shard, place, bytes));
+    pub(in crate::gateway) fn keep_shard(
+        &mut self,
+        shard: ShardId,
+        place: LogPosition,
+        bytes: Vec<u8>,
+    ) {
+        self.ask(
+            Ask::Record(shard, None),
+            Op::WriteShard(shard, place, bytes),
+        );
     }
 
     /// What the disk holds of a shard is read for a copy.
@@ -62,7 +73,11 @@
     }
 
     /// A shard is led here no more: nothing of it is run or delivered here. Calls to be given up.
-    pub(in crate::gateway) fn rest_shard(&mut self, now: Micros, shard: ShardId) -> Vec<RequestKey> {
+    pub(in crate::gateway) fn rest_shard(
+        &mut self,
+        now: Micros,
+        shard: ShardId,
+    ) -> Vec<RequestKey> {
         self.numbers.remove(&shard);
         let mut over = Vec::new();
         self.jobs.retain(|_, held| {
@@ -85,17 +100,28 @@
     pub(in crate::gateway) fn settle(&mut self, now: Micros, begun: Vec<(Waiting, Micros)>) {
         for (mut w, at) in begun {
             let (state, attempt) = crate::store::recovery::settled(&mut w, at, now);
-            self.ask(Ask::Settled(w, state), Op::Ended(Box::new(w), state, Some(attempt)));
+            self.ask(
+                Ask::Settled(w, state),
+                Op::Ended(Box::new(w), state, Some(attempt)),
+            );
         }
     }
 
     /// Callbacks wait.
     pub(in crate::gateway) fn wait(&mut self, now: Micros, waits: Vec<Waiting>) {
-        waits.into_iter().for_each(|w| self.delivery.handle(now, Input::Waits(w)));
+        waits
+            .into_iter()
+            .for_each(|w| self.delivery.handle(now, Input::Waits(w)));
     }
 
     /// How a call stands, for another gateway.
-    pub(in crate::gateway) fn ask_state(&mut self, serial: u64, id: String, from: Name, number: u64) {
+    pub(in crate::gateway) fn ask_state(
+        &mut self,
+        serial: u64,
+        id: String,
+        from: Name,
+        number: u64,
+    ) {
         self.ask(Ask::State(from, number), Op::Call(serial, id));
     }
 
@@ -120,14 +146,29 @@
         stepped_back: bool,
     ) -> RecoveryAction {
         let fate = fate(&call, now, stepped_back);
-        let made = self.call_of(&call).filter(|_| !self.core.is_open(&call.worker_id));
-        let Some(hooks) = &mut self.secondary.hooks else { return RecoveryAction::Refuse };
+        let made = self
+            .call_of(&call)
+            .filter(|_| !self.core.is_open(&call.worker_id));
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return RecoveryAction::Refuse;
+        };
         let (job, id): (Job, Rc<str>) = (job_of(&call), call.worker_id.as_str().into());
-        let key = hooks.jobs.insert(Held { seq: call.seq, job, id: id.clone(), request: None });
+        let key = hooks.jobs.insert(Held {
+            seq: call.seq,
+            job,
+            id: id.clone(),
+            request: None,
+        });
         match (fate, made) {
             (RecoveryAction::Run, Some(made)) => {
                 if call.effect != Effect::Idempotent {
-                    hooks.guards.insert(id, Guard { seq: call.seq, ran: false });
+                    hooks.guards.insert(
+                        id,
+                        Guard {
+                            seq: call.seq,
+                            ran: false,
+                        },
+                    );
                 }
                 let request = self.core.call(now, made.with(Origin::Webhook(key)));
                 self.runs(key, request);
@@ -139,14 +180,23 @@
             }
             // Its class or tenant is gone; it never ran, or may run again.
             _ => {
-                self.call_back(now, key, &Outcome::Answered(Answer::Rejected { retry_after: 0 }));
+                self.call_back(
+                    now,
+                    key,
+                    &Outcome::Answered(Answer::Rejected { retry_after: 0 }),
+                );
                 RecoveryAction::Refuse
             }
         }
     }
 
     pub(super) fn runs(&mut self, key: JobKey, request: RequestKey) {
-        if let Some(held) = self.secondary.hooks.as_mut().and_then(|h| h.jobs.get_mut(key)) {
+        if let Some(held) = self
+            .secondary
+            .hooks
+            .as_mut()
+            .and_then(|h| h.jobs.get_mut(key))
+        {
             held.request = Some(request);
         }
     }
@@ -167,7 +217,12 @@
             load_duration: call.load_time,
         };
         let id = call.worker_id.as_str().into();
-        Some(Call { origin: job_of(call), id, body: call.body.clone().into(), arrival })
+        Some(Call {
+            origin: job_of(call),
+            id,
+            body: call.body.clone().into(),
+            arrival,
+        })
     }
 
     /// A call that another gateway, or a caller here, wants this primary to take.
@@ -199,7 +254,12 @@
         }
         let seq = hooks.seq_in(shard);
         record.seq = seq;
-        let ask = Ask::Take { caller, call: Box::new(call), seq, mark };
+        let ask = Ask::Take {
+            caller,
+            call: Box::new(call),
+            seq,
+            mark,
+        };
         hooks.ask_for(ask, Op::Take(Box::new(record), mark, until), want);
         Ok(())
     }
@@ -219,7 +279,12 @@
         mark: &IdentityDigest,
         why: &ReplicationError,
     ) {
-        if let Some(hooks) = self.secondary.hooks.as_mut().filter(|_| *why != ReplicationError::Seen) {
+        if let Some(hooks) = self
+            .secondary
+            .hooks
+            .as_mut()
+            .filter(|_| *why != ReplicationError::Seen)
+        {
             hooks.inbound.replays.forget(mark);
         }
         self.core.counters.webhooks_refused += 1;
@@ -229,9 +294,9 @@
             ReplicationError::Late { .. } => (401, "its time stamp is over where its shard is led"),
             ReplicationError::Unknown { .. } => (422, "unknown to the gateway that would take it"),
             ReplicationError::Fewer { .. } => (503, "held by fewer machines than it has to be"),
-            ReplicationError::Full | ReplicationError::Busy { .. } | ReplicationError::Behind { .. } => {
-                (503, "too many calls under way")
-            }
+            ReplicationError::Full
+            | ReplicationError::Busy { .. }
+            | ReplicationError::Behind { .. } => (503, "too many calls under way"),
             ReplicationError::Leaving => (503, "the gateway is about to end"),
             _ => (503, "nobody can promise it now"),
         };
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -25,7 +25,9 @@
                         h.reply(number, reply);
                     }
                 };
-                self.handle.insert_source(told, note).map_err(|e| GatewayError::Loop(e.error))?;
+                self.handle
+                    .insert_source(told, note)
+                    .map_err(|e| GatewayError::Loop(e.error))?;
                 let again = path.clone();
                 // What a start would settle was settled then; what was begun since ends by its own report.
                 let opener = move || Disk::reopen(&again, most_bytes);
@@ -35,7 +37,8 @@
                 };
                 let writer = Writer::start(disk, Box::new(opener), Box::new(answered));
                 Backend::Disk(
-                    writer.map_err(|e| store_error(path.clone(), &StoreError::Disk(e.to_string())))?,
+                    writer
+                        .map_err(|e| store_error(path.clone(), &StoreError::Disk(e.to_string())))?,
                 )
             }
             None => {
@@ -60,10 +63,18 @@
             (None, false) => Schedule::short(w.callback_window_ms * 1000),
         };
         // What waits in memory is bounded by what may be taken: all of it is known to delivery.
-        let all =
-            Caps { ready: usize::MAX / 2, loaded: usize::MAX / 2, soon: Micros::MAX / 2, ..Caps::default() };
+        let all = Caps {
+            ready: usize::MAX / 2,
+            loaded: usize::MAX / 2,
+            soon: Micros::MAX / 2,
+            ..Caps::default()
+        };
         let caps = if durable { Caps::default() } else { all };
-        let caps = Caps { out: w.portals, disable_after: w.disable_after_s * 1_000_000, ..caps };
+        let caps = Caps {
+            out: w.portals,
+            disable_after: w.disable_after_s * 1_000_000,
+            ..caps
+        };
         self.secondary.hooks = Some(WebhookDriver {
             inbound: Inbound {
                 tolerance_s: w.tolerance_s,
@@ -95,7 +106,12 @@
             shared: VecDeque::new(),
             numbers: HashMap::new(),
         });
-        let names: Vec<String> = self.secondary.tenants.iter().map(|(name, _)| name.clone()).collect();
+        let names: Vec<String> = self
+            .secondary
+            .tenants
+            .iter()
+            .map(|(name, _)| name.clone())
+            .collect();
         names.iter().for_each(|name| self.tell_endpoints(now, name));
         self.listen(Kind::Webhook, w.listen)?;
         self.recover(now, found);
@@ -107,7 +123,9 @@
 
     /// Goes on with what the process before left: one row of the crash table for each call.
     pub(super) fn recover(&mut self, now: Micros, found: Found) {
-        let Some(hooks) = &mut self.secondary.hooks else { return };
+        let Some(hooks) = &mut self.secondary.hooks else {
+            return;
+        };
         for (id, due) in &found.endpoints {
             if hooks.delivery.health(*id).is_some() {
                 hooks.delivery.handle(now, Input::Stored(*id, *due));
@@ -126,7 +144,13 @@
         }
         if run + refused + unknown + found.unknown > 0 {
             let callbacks = found.unknown;
-            tracing::info!(run, refused, unknown, callbacks, "went on with the calls of the process before");
+            tracing::info!(
+                run,
+                refused,
+                unknown,
+                callbacks,
+                "went on with the calls of the process before"
+            );
         }
         if found.stepped_back {
             tracing::warn!("the clock shows less than when the store was last written");
@@ -135,18 +159,26 @@
 
     /// Tells delivery of a tenant's endpoints as they are now.
     pub(in crate::gateway) fn tell_endpoints(&mut self, now: Micros, tenant: &str) {
-        let (Some(hooks), Some(t)) = (&mut self.secondary.hooks, self.secondary.tenants.get(tenant)) else {
+        let (Some(hooks), Some(t)) = (
+            &mut self.secondary.hooks,
+            self.secondary.tenants.get(tenant),
+        ) else {
             return;
         };
         for e in t.endpoints.values() {
-            hooks.delivery.handle(now, Input::Endpoint(e.id, e.plan(t.serial, &hooks.schedule)));
+            hooks.delivery.handle(
+                now,
+                Input::Endpoint(e.id, e.plan(t.serial, &hooks.schedule)),
+            );
         }
     }
 
     /// Endpoints are no more.
     pub(in crate::gateway) fn forget_endpoints(&mut self, now: Micros, ids: &[EndpointId]) {
         for id in ids {
-            let Some(hooks) = &mut self.secondary.hooks else { return };
+            let Some(hooks) = &mut self.secondary.hooks else {
+                return;
+            };
             hooks.delivery.handle(now, Input::Removed(*id));
             for key in hooks.idle.remove(id).unwrap_or_default() {
                 self.close(key, CloseReason::Shutdown);
--- a/src/health_checks.rs
+++ b/src/health_checks.rs
@@ -104,8 +104,14 @@
 
     /// When `Tick` is due, if ever.
     pub fn next_deadline(&self) -> Option<Micros> {
-        let tries = self.ill.values().map(|i| i.trying.map_or(i.next, |t| t + ANSWERS));
-        tries.chain(self.told.values().copied()).chain(self.tells).min()
+        let tries = self
+            .ill
+            .values()
+            .map(|i| i.trying.map_or(i.next, |t| t + ANSWERS));
+        tries
+            .chain(self.told.values().copied())
+            .chain(self.tells)
+            .min()
     }
 
     /// The next thing to be done, if any.
@@ -153,7 +159,8 @@
                         false => drop(self.told.remove(&worker)),
                     }
                     self.bad.remove(&worker);
-                    self.outputs.push_back(Output::Advise(worker, ill.then_some(until)));
+                    self.outputs
+                        .push_back(Output::Advise(worker, ill.then_some(until)));
                 }
             }
             Input::Tried(worker, answered) => {
@@ -185,11 +192,21 @@
     }
 
     fn falls_ill(&mut self, now: Micros, worker: WorkerId) {
-        if !self.ready.contains(&worker) || self.ill.contains_key(&worker) || self.ill.len() >= MOST_ILL {
+        if !self.ready.contains(&worker)
+            || self.ill.contains_key(&worker)
+            || self.ill.len() >= MOST_ILL
+        {
             return;
         }
         // Not told before it was tried: another's word alone may be a fault of its own.
-        self.ill.insert(worker, Ill { next: now, failed: 0, trying: None });
+        self.ill.insert(
+            worker,
+            Ill {
+                next: now,
+                failed: 0,
+                trying: None,
+            },
+        );
     }
 
     fn well(&mut self, worker: WorkerId) {
@@ -203,14 +220,19 @@
         if answered {
             return self.well(worker);
         }
-        let Some(ill) = self.ill.get_mut(&worker) else { return };
+        let Some(ill) = self.ill.get_mut(&worker) else {
+            return;
+        };
         ill.next = now + (FIRST << ill.failed.min(MOST_DOUBLED));
         ill.failed = ill.failed.saturating_add(1);
         ill.trying = None;
         if ill.failed == 1 {
             self.outputs.push_back(Output::Tell(vec![(worker, true)]));
         }
-        self.outputs.push_back(Output::Advise(worker, Some(now + VALID + (FIRST << MOST_DOUBLED))));
+        self.outputs.push_back(Output::Advise(
+            worker,
+            Some(now + VALID + (FIRST << MOST_DOUBLED)),
+        ));
     }
 
     fn tick(&mut self, now: Micros) {
@@ -229,8 +251,12 @@
             }
         }
         self.told.retain(|_, until| now < *until);
-        let ill: Vec<(WorkerId, bool)> =
-            self.ill.iter().filter(|(_, i)| i.failed > 0).map(|(w, _)| (*w, true)).collect();
+        let ill: Vec<(WorkerId, bool)> = self
+            .ill
+            .iter()
+            .filter(|(_, i)| i.failed > 0)
+            .map(|(w, _)| (*w, true))
+            .collect();
         if ill.is_empty() {
             self.tells = None;
         } else if now >= *self.tells.get_or_insert(now + TELLS) {
@@ -245,7 +271,8 @@
             self.bad.get(w).is_some_and(|(n, _)| *n >= SURELY)
                 || self.ill.get(w).is_some_and(|i| i.failed > 0)
         };
-        let able = self.ready.len() < FEW || 2 * self.ready.iter().filter(bad).count() <= self.ready.len();
+        let able =
+            self.ready.len() < FEW || 2 * self.ready.iter().filter(bad).count() <= self.ready.len();
         if self.able.replace(able) != Some(able) {
             self.outputs.push_back(Output::Able(able));
         }
@@ -259,7 +286,9 @@
     const MS: Micros = 1_000;
 
     fn drained(t: &mut Trials) -> Vec<Output> {
-        std::iter::from_fn(|| t.output()).filter(|o| !matches!(o, Output::Able(true))).collect()
+        std::iter::from_fn(|| t.output())
+            .filter(|o| !matches!(o, Output::Able(true)))
+            .collect()
     }
 
     fn begun(owns: bool, workers: u32) -> Trials {
@@ -288,7 +317,11 @@
         t.handle(0, Input::Heard(w));
         assert_eq!(drained(&mut t), [Output::Try(w)]);
         t.handle(10 * MS, Input::Tried(w, true));
-        assert_eq!(drained(&mut t), [], "it answered: another's word was its own fault");
+        assert_eq!(
+            drained(&mut t),
+            [],
+            "it answered: another's word was its own fault"
+        );
         let mut tries = Vec::new();
         t.handle(20 * MS, Input::Heard(w));
         for now in (20..20_000).map(|n| n * MS) {
@@ -296,9 +329,15 @@
             tries.extend(drained(&mut t).contains(&Output::Try(w)).then_some(now));
         }
         let pauses: Vec<Micros> = tries.windows(2).map(|t| t[1] - t[0] - ANSWERS).collect();
-        assert_eq!(pauses[..5], [250, 500, 1_000, 2_000, 4_000].map(|ms| ms * MS));
+        assert_eq!(
+            pauses[..5],
+            [250, 500, 1_000, 2_000, 4_000].map(|ms| ms * MS)
+        );
         t.handle(30_000 * MS, Input::Outcome(w, Observed::Answered));
-        assert_eq!(drained(&mut t), [Output::Tell(vec![(w, false)]), Output::Advise(w, None)]);
+        assert_eq!(
+            drained(&mut t),
+            [Output::Tell(vec![(w, false)]), Output::Advise(w, None)]
+        );
     }
 
     #[test]
@@ -310,11 +349,19 @@
             now += 10 * MS;
             t.handle(now, Input::Tick);
             told.extend(
-                drained(&mut t).into_iter().filter(|o| matches!(o, Output::Tell(_))).map(|o| (now, o)),
+                drained(&mut t)
+                    .into_iter()
+                    .filter(|o| matches!(o, Output::Tell(_)))
+                    .map(|o| (now, o)),
             );
         }
-        assert!(told.iter().all(|(_, o)| *o == Output::Tell(vec![(w, true)])));
-        assert!(told.windows(2).all(|t| t[1].0 - t[0].0 <= TELLS) && told.len() >= 9, "{told:?}");
+        assert!(told
+            .iter()
+            .all(|(_, o)| *o == Output::Tell(vec![(w, true)])));
+        assert!(
+            told.windows(2).all(|t| t[1].0 - t[0].0 <= TELLS) && told.len() >= 9,
+            "{told:?}"
+        );
         const { assert!(3 * TELLS < VALID) };
         t.handle(now, Input::Outcome(w, Observed::Answered));
         drained(&mut t);
--- a/src/identity.rs
+++ b/src/identity.rs
@@ -57,15 +57,21 @@
 /// Checks that a text is a SPIFFE ID with a path, of this trust domain.
 pub fn check_id(id: &str, trust_domain: &str) -> Result<(), IdentityError> {
     let bad = || IdentityError::Id(id.chars().take(80).collect());
-    let rest = id.strip_prefix("spiffe://").filter(|_| id.len() <= LONGEST_ID).ok_or_else(bad)?;
+    let rest = id
+        .strip_prefix("spiffe://")
+        .filter(|_| id.len() <= LONGEST_ID)
+        .ok_or_else(bad)?;
     let (domain, path) = rest.split_once('/').ok_or_else(bad)?;
     let segment = |s: &str| {
         !s.is_empty()
             && s != "."
             && s != ".."
-            && s.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_'))
+            && s.bytes()
+                .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_'))
     };
-    (domain == trust_domain && path.split('/').all(segment)).then_some(()).ok_or_else(bad)
+    (domain == trust_domain && path.split('/').all(segment))
+        .then_some(())
+        .ok_or_else(bad)
 }
 
 /// What a caller may do.
@@ -120,7 +126,11 @@
             if jwk.common.public_key_use != Some(PublicKeyUse::Other("jwt-svid".into())) {
                 continue;
             }
-            let id = jwk.common.key_id.clone().ok_or_else(|| fail(&"a JWT-SVID key without kid"))?;
+            let id = jwk
+                .common
+                .key_id
+                .clone()
+                .ok_or_else(|| fail(&"a JWT-SVID key without kid"))?;
             keys.insert(id, DecodingKey::from_jwk(jwk).map_err(|e| fail(&e))?);
         }
         self.keys = keys;
@@ -129,17 +139,26 @@
 
     /// Who presents a token, and the caller's role if it has one.
     pub fn check(&self, token: &str, now: Micros) -> Result<(String, Option<Role>), IdentityError> {
-        let header =
-            jsonwebtoken::decode_header(token).map_err(|_| IdentityError::Token("no readable header"))?;
+        let header = jsonwebtoken::decode_header(token)
+            .map_err(|_| IdentityError::Token("no readable header"))?;
         if !ALGORITHMS.contains(&header.alg) {
             return Err(IdentityError::Token("algorithm not allowed"));
         }
-        if header.typ.as_deref().is_some_and(|t| t != "JWT" && t != "JOSE") {
+        if header
+            .typ
+            .as_deref()
+            .is_some_and(|t| t != "JWT" && t != "JOSE")
+        {
             return Err(IdentityError::Token("type not allowed"));
         }
         // The specification leaves `kid` optional; without it any of the bundle's keys may be the one.
         let fits = |kid: &&String| header.kid.as_ref().is_none_or(|k| k == *kid);
-        let keys: Vec<&DecodingKey> = self.keys.iter().filter(|(kid, _)| fits(kid)).map(|(_, k)| k).collect();
+        let keys: Vec<&DecodingKey> = self
+            .keys
+            .iter()
+            .filter(|(kid, _)| fits(kid))
+            .map(|(_, k)| k)
+            .collect();
         if keys.is_empty() {
             return Err(IdentityError::Token("key not in the bundle"));
         }
@@ -150,7 +169,9 @@
         let mut claims = Err(IdentityError::Token("no key"));
         for key in keys {
             let read = jsonwebtoken::decode::<Claims>(token, key, &rules);
-            claims = read.map(|t| t.claims).map_err(|e| IdentityError::Claims(e.to_string()));
+            claims = read
+                .map(|t| t.claims)
+                .map_err(|e| IdentityError::Claims(e.to_string()));
             if claims.is_ok() {
                 break;
             }
--- a/src/lease/grantor.rs
+++ b/src/lease/grantor.rs
@@ -83,7 +83,9 @@
 fn wish(duty: &LeaseName, owner: &LeaseHolder) -> u64 {
     // FNV-1a over both names, then mixed.
     let bytes = duty.bytes().chain([0]).chain(owner.name.bytes());
-    let h = bytes.fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
+    let h = bytes.fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    });
     let h = (h ^ (h >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     h ^ (h >> 29)
 }
@@ -115,7 +117,11 @@
 
     /// Why nobody is granted a duty now; none while its owner's lease runs.
     pub fn grant_reason(&self, now: Micros, duty: &LeaseName) -> Option<GrantReason> {
-        if self.proposed.get(duty).is_some_and(|(_, again)| now < *again) {
+        if self
+            .proposed
+            .get(duty)
+            .is_some_and(|(_, again)| now < *again)
+        {
             return Some(GrantReason::Proposed);
         }
         let stands = self.leases.record(duty);
@@ -129,7 +135,10 @@
 
     /// When `Tick` is due, if ever.
     pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
-        let due = self.until.values().chain(self.proposed.values().map(|(_, t)| t));
+        let due = self
+            .until
+            .values()
+            .chain(self.proposed.values().map(|(_, t)| t));
         due.chain(self.offers.values())
             .chain([&self.gathers])
             .copied()
@@ -172,12 +181,14 @@
             Input::Confirmed(_) => {}
             Input::Applied(entry) => {
                 if self.leases.apply(&entry) {
-                    let (Entry::Grant { lease: duty, .. } | Entry::Released { lease: duty, .. }) = &entry;
+                    let (Entry::Grant { lease: duty, .. } | Entry::Released { lease: duty, .. }) =
+                        &entry;
                     self.proposed.remove(duty);
                     self.recalled.remove(duty);
                     if matches!(entry, Entry::Grant { .. }) {
                         // Time for its first question.
-                        self.until.insert(duty.clone(), now + self.settings.grant_delay());
+                        self.until
+                            .insert(duty.clone(), now + self.settings.grant_delay());
                     } else {
                         self.until.remove(duty);
                     }
@@ -201,25 +212,43 @@
     }
 
     fn asked(&mut self, now: Micros, ask: RenewRequest) {
-        let late = self.declined.get(&ask.from).is_some_and(|(stamp, _)| *stamp > ask.stamp);
+        let late = self
+            .declined
+            .get(&ask.from)
+            .is_some_and(|(stamp, _)| *stamp > ask.stamp);
         if ask.eligible && !late {
-            self.offers.insert(ask.from.clone(), now + self.settings.duration);
+            self.offers
+                .insert(ask.from.clone(), now + self.settings.duration);
             if self.offers.len() > MOST_OFFERS {
-                let oldest = self.offers.iter().min_by_key(|(_, t)| **t).map(|(o, _)| o.clone());
+                let oldest = self
+                    .offers
+                    .iter()
+                    .min_by_key(|(_, t)| **t)
+                    .map(|(o, _)| o.clone());
                 oldest.map(|o| self.offers.remove(&o));
             }
         } else {
             self.offers.remove(&ask.from);
             if !late && self.declined.len() < MOST_OFFERS {
-                self.declined.insert(ask.from.clone(), (ask.stamp, now + self.settings.duration));
+                self.declined
+                    .insert(ask.from.clone(), (ask.stamp, now + self.settings.duration));
             }
         }
         for (duty, term) in &ask.released {
             let stands = self.leases.record(duty);
             let its = stands.term == *term && stands.holder.as_ref() == Some(&ask.from);
-            if its && self.proposed.get(duty).is_none_or(|(_, again)| now >= *again) {
-                self.proposed.insert(duty.clone(), (*term, now + self.settings.renew_interval()));
-                let entry = Entry::Released { lease: duty.clone(), term: *term };
+            if its
+                && self
+                    .proposed
+                    .get(duty)
+                    .is_none_or(|(_, again)| now >= *again)
+            {
+                self.proposed
+                    .insert(duty.clone(), (*term, now + self.settings.renew_interval()));
+                let entry = Entry::Released {
+                    lease: duty.clone(),
+                    term: *term,
+                };
                 self.outputs.push_back(Output::Propose(entry));
             }
         }
@@ -249,11 +278,17 @@
                 recalled.push((duty, term));
                 continue;
             }
-            self.until.insert(duty.clone(), now + self.settings.grant_delay());
+            self.until
+                .insert(duty.clone(), now + self.settings.grant_delay());
             renewed.push((duty, term));
         }
         let (to, stamp) = (ask.from, ask.stamp);
-        self.outputs.push_back(Output::Reply(RenewReply { to, stamp, renewed, recalled }));
+        self.outputs.push_back(Output::Reply(RenewReply {
+            to,
+            stamp,
+            renewed,
+            recalled,
+        }));
     }
 
     /// Grants what nobody holds, and recalls what is to move.
@@ -263,7 +298,8 @@
         if now < self.gathers {
             return;
         }
-        let mut loads: BTreeMap<LeaseHolder, usize> = self.offers.keys().map(|o| (o.clone(), 0)).collect();
+        let mut loads: BTreeMap<LeaseHolder, usize> =
+            self.offers.keys().map(|o| (o.clone(), 0)).collect();
         for (_, s) in self.leases.duties() {
             if let Some(load) = s.holder.as_ref().and_then(|o| loads.get_mut(o)) {
                 *load += 1;
@@ -276,14 +312,23 @@
                 continue;
             }
             // Proposed, and not yet agreed: again after a while, as a proposal may be lost with its leader.
-            if self.proposed.get(duty).is_some_and(|(_, again)| now < *again) {
+            if self
+                .proposed
+                .get(duty)
+                .is_some_and(|(_, again)| now < *again)
+            {
                 continue;
             }
-            let best = loads.iter().min_by_key(|(o, load)| (**load, std::cmp::Reverse(wish(duty, o))));
-            let Some(owner) = best.map(|(o, _)| o.clone()) else { continue };
+            let best = loads
+                .iter()
+                .min_by_key(|(o, load)| (**load, std::cmp::Reverse(wish(duty, o))));
+            let Some(owner) = best.map(|(o, _)| o.clone()) else {
+                continue;
+            };
             loads.entry(owner.clone()).and_modify(|l| *l += 1);
             let term = stands.term + 1;
-            self.proposed.insert(duty.clone(), (term, now + self.settings.renew_interval()));
+            self.proposed
+                .insert(duty.clone(), (term, now + self.settings.renew_interval()));
             self.outputs.push_back(Output::Propose(Entry::Grant {
                 lease: duty.clone(),
                 holder: owner,
@@ -299,14 +344,22 @@
             return;
         }
         let load = |o: &LeaseHolder| self.leases.held_by(o);
-        let Some(least) = self.offers.keys().map(load).min() else { return };
-        let most = self.offers.keys().filter(|o| load(o) >= least + 2).max_by_key(|o| load(o));
+        let Some(least) = self.offers.keys().map(load).min() else {
+            return;
+        };
+        let most = self
+            .offers
+            .keys()
+            .filter(|o| load(o) >= least + 2)
+            .max_by_key(|o| load(o));
         let Some(owner) = most else { return };
         let theirs = self
             .leases
             .duties()
             .filter(|(d, s)| self.duties.contains(*d) && s.holder.as_ref() == Some(owner));
-        let moved = theirs.min_by_key(|(d, _)| wish(d, owner)).map(|(d, s)| (d.clone(), s.term));
+        let moved = theirs
+            .min_by_key(|(d, _)| wish(d, owner))
+            .map(|(d, s)| (d.clone(), s.term));
         self.recalled.extend(moved);
     }
 }
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -27,7 +27,9 @@
 }
 
 /// A question to whoever leads the log.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
+)]
 pub struct RenewRequest {
     /// Who asks.
     pub from: LeaseHolder,
@@ -42,7 +44,9 @@
 }
 
 /// The answer to a question.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
+)]
 pub struct RenewReply {
     /// Whom it is for.
     pub to: LeaseHolder,
@@ -130,7 +134,12 @@
 
     /// When `Tick` is due.
     pub fn next_deadline(&self) -> Micros {
-        let ends = self.held.values().filter(|h| h.acts).filter_map(|h| h.until).min();
+        let ends = self
+            .held
+            .values()
+            .filter(|h| h.acts)
+            .filter_map(|h| h.until)
+            .min();
         ends.map_or(self.next, |e| e.min(self.next))
     }
 
@@ -142,12 +151,23 @@
     /// Takes what happened.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Applied(Entry::Grant { lease: duty, holder: owner, term }) => {
+            Input::Applied(Entry::Grant {
+                lease: duty,
+                holder: owner,
+                term,
+            }) => {
                 self.back.remove(&duty);
                 self.drop_held(&duty, |held| held < term);
                 if owner == self.me {
                     // No lease runs yet: this may be heard of long after it was granted.
-                    self.held.insert(duty.clone(), Held { term, until: None, acts: false });
+                    self.held.insert(
+                        duty.clone(),
+                        Held {
+                            term,
+                            until: None,
+                            acts: false,
+                        },
+                    );
                     self.next = now;
                     // Granted on an older word of its.
                     if !self.able {
@@ -179,31 +199,51 @@
     /// What it holds by the same term runs on; all else ends, or begins without a lease.
     fn restored(&mut self, now: Micros, ledger: &LeaseTable) {
         let mine = |d: &LeaseName| {
-            Some(ledger.record(d)).filter(|s| s.holder.as_ref() == Some(&self.me)).map(|s| s.term)
+            Some(ledger.record(d))
+                .filter(|s| s.holder.as_ref() == Some(&self.me))
+                .map(|s| s.term)
         };
-        let gone: Vec<LeaseName> =
-            self.held.iter().filter(|(d, h)| mine(d) != Some(h.term)).map(|(d, _)| d.clone()).collect();
+        let gone: Vec<LeaseName> = self
+            .held
+            .iter()
+            .filter(|(d, h)| mine(d) != Some(h.term))
+            .map(|(d, _)| d.clone())
+            .collect();
         gone.iter().for_each(|d| self.drop_held(d, |_| true));
-        self.back
-            .retain(|d, t| ledger.record(d).term == *t && ledger.record(d).holder.as_ref() == Some(&self.me));
+        self.back.retain(|d, t| {
+            ledger.record(d).term == *t && ledger.record(d).holder.as_ref() == Some(&self.me)
+        });
         for (duty, stands) in ledger.duties() {
             let back = self.back.contains_key(duty);
             if stands.holder.as_ref() == Some(&self.me) && !self.held.contains_key(duty) && !back {
-                self.held.insert(duty.clone(), Held { term: stands.term, until: None, acts: false });
+                self.held.insert(
+                    duty.clone(),
+                    Held {
+                        term: stands.term,
+                        until: None,
+                        acts: false,
+                    },
+                );
                 self.next = now;
             }
         }
     }
 
     fn answered(&mut self, now: Micros, answer: RenewReply) {
-        let Some(at) = self.asked.iter().position(|(s, _)| *s == answer.stamp) else { return };
+        let Some(at) = self.asked.iter().position(|(s, _)| *s == answer.stamp) else {
+            return;
+        };
         if answer.to != self.me {
             return;
         }
         // What was asked before is answered by this one, or lost.
-        let Some((_, asked)) = self.asked.drain(..=at).next_back() else { return };
+        let Some((_, asked)) = self.asked.drain(..=at).next_back() else {
+            return;
+        };
         for (duty, term) in answer.renewed {
-            let Some(held) = self.held.get_mut(&duty).filter(|h| h.term == term) else { continue };
+            let Some(held) = self.held.get_mut(&duty).filter(|h| h.term == term) else {
+                continue;
+            };
             // From before the question left. An answer that comes late gives what is left of it, or nothing.
             let until = asked + self.settings.duration;
             held.until = Some(held.until.map_or(until, |u| u.max(until)));
@@ -220,7 +260,9 @@
 
     /// Stops acting first, and then says so.
     fn give_back(&mut self, now: Micros, duty: &LeaseName) {
-        let Some(term) = self.held.get(duty).map(|h| h.term) else { return };
+        let Some(term) = self.held.get(duty).map(|h| h.term) else {
+            return;
+        };
         self.drop_held(duty, |_| true);
         self.back.insert(duty.clone(), term);
         self.next = now;
@@ -238,7 +280,8 @@
         for (duty, held) in &mut self.held {
             if held.acts && held.until.is_none_or(|u| now >= u) {
                 held.acts = false;
-                self.outputs.push_back(Output::Ended(duty.clone(), held.term));
+                self.outputs
+                    .push_back(Output::Ended(duty.clone(), held.term));
             }
         }
         if now < self.next {
--- a/src/lease/ledger.rs
+++ b/src/lease/ledger.rs
@@ -8,7 +8,9 @@
 pub const MAX_LEASES: usize = 1024;
 
 /// An entry of the agreed log.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
+)]
 pub enum Entry {
     /// A duty is its owner's from here on.
     Grant {
@@ -48,7 +50,11 @@
     /// may both have proposed what only one of them was to decide.
     pub fn apply(&mut self, entry: &Entry) -> bool {
         match entry {
-            Entry::Grant { lease: duty, holder: owner, term } => {
+            Entry::Grant {
+                lease: duty,
+                holder: owner,
+                term,
+            } => {
                 if self.leases.len() >= MAX_LEASES && !self.leases.contains_key(duty) {
                     return false;
                 }
@@ -56,11 +62,17 @@
                 if *term != stands.term + 1 {
                     return false;
                 }
-                *stands = LeaseRecord { term: *term, holder: Some(owner.clone()) };
+                *stands = LeaseRecord {
+                    term: *term,
+                    holder: Some(owner.clone()),
+                };
                 true
             }
             Entry::Released { lease: duty, term } => {
-                let stands = self.leases.get_mut(duty).filter(|s| s.term == *term && s.holder.is_some());
+                let stands = self
+                    .leases
+                    .get_mut(duty)
+                    .filter(|s| s.term == *term && s.holder.is_some());
                 stands.map(|s| s.holder = None).is_some()
             }
         }
@@ -70,8 +82,17 @@
     /// before it can have granted, so that whoever of it wakes up late is refused.
     pub fn rebootstrapped(&self, generation: u32) -> LeaseTable {
         let first = Term::from(generation) << 32;
-        let anew = |s: &LeaseRecord| LeaseRecord { term: s.term.max(first), holder: None };
-        LeaseTable { leases: self.leases.iter().map(|(d, s)| (d.clone(), anew(s))).collect() }
+        let anew = |s: &LeaseRecord| LeaseRecord {
+            term: s.term.max(first),
+            holder: None,
+        };
+        LeaseTable {
+            leases: self
+                .leases
+                .iter()
+                .map(|(d, s)| (d.clone(), anew(s)))
+                .collect(),
+        }
     }
 
     /// One duty as it stands.
@@ -86,6 +107,9 @@
 
     /// How many duties an owner has.
     pub fn held_by(&self, owner: &LeaseHolder) -> usize {
-        self.leases.values().filter(|s| s.holder.as_ref() == Some(owner)).count()
+        self.leases
+            .values()
+            .filter(|s| s.holder.as_ref() == Some(owner))
+            .count()
     }
 }
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -38,7 +38,9 @@
 
 /// One process of an instance. A new process under the same name is another owner: it knows nothing of what the old one
 /// has under way.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
+)]
 pub struct LeaseHolder {
     /// The instance's name.
     pub name: Arc<str>,
--- a/src/lease/model.rs
+++ b/src/lease/model.rs
@@ -76,12 +76,18 @@
 }
 
 fn owner(i: usize) -> LeaseHolder {
-    LeaseHolder { name: format!("n{i}").into(), incarnation: 1 }
+    LeaseHolder {
+        name: format!("n{i}").into(),
+        incarnation: 1,
+    }
 }
 
 impl Play {
     fn guarded(times: Micros, elections: u8, lease: Micros) -> Play {
-        let settings = Settings { duration: lease, drift_ppm: 0 };
+        let settings = Settings {
+            duration: lease,
+            drift_ppm: 0,
+        };
         let (owner, grantor) = (settings, settings);
         Play {
             times,
@@ -101,7 +107,9 @@
                 match output {
                     // That somebody would take a duty is known at once: nothing rests on it.
                     holder::Output::Renew(ask) if ask.held.is_empty() => {
-                        s.grantors[s.leader].0.handle(s.now, grantor::Input::Renew(ask));
+                        s.grantors[s.leader]
+                            .0
+                            .handle(s.now, grantor::Input::Renew(ask));
                     }
                     // Of one's questions, and of the answers to them, one is on its way: the last.
                     holder::Output::Renew(ask) => {
@@ -146,7 +154,11 @@
 
     fn init_states(&self) -> Vec<State> {
         let new = |i| HolderState::new(self.owner, owner(i), 0);
-        let grant = Entry::Grant { lease: duty(), holder: owner(0), term: 1 };
+        let grant = Entry::Grant {
+            lease: duty(),
+            holder: owner(0),
+            term: 1,
+        };
         let mut first = LeaseGrantor::new(self.grantor, BTreeSet::from([duty()]));
         first.handle(0, grantor::Input::Applied(grant.clone()));
         let second = first.clone();
@@ -180,7 +192,9 @@
             if *heard < s.log.len() {
                 out.push(Step::HolderHears(i));
             }
-            if h.held_term(s.now, &duty()).is_some_and(|t| !s.effects.contains(&t)) {
+            if h.held_term(s.now, &duty())
+                .is_some_and(|t| !s.effects.contains(&t))
+            {
                 out.push(Step::Effect(i));
             }
         }
@@ -191,11 +205,17 @@
             if g != s.leader && s.elected < self.elections {
                 out.push(Step::Elect(g));
             }
-            for stays in [false, true].into_iter().take(1 + usize::from(s.doubles > 0)) {
+            for stays in [false, true]
+                .into_iter()
+                .take(1 + usize::from(s.doubles > 0))
+            {
                 out.extend(s.asks.iter().map(|a| Step::Ask(g, a.clone(), stays)));
             }
         }
-        for stays in [false, true].into_iter().take(1 + usize::from(s.doubles > 0)) {
+        for stays in [false, true]
+            .into_iter()
+            .take(1 + usize::from(s.doubles > 0))
+        {
             out.extend(s.answers.iter().map(|a| Step::Answer(a.clone(), stays)));
         }
         out.extend(s.heard.iter().map(|(g, n)| Step::Confirmed(*g, *n)));
@@ -211,7 +231,11 @@
             Step::Time => {
                 s.now += 1;
                 // Late or not, these change nothing that a guard rests on: who has nothing offers, and who leads decides.
-                for (h, _) in s.holders.iter_mut().filter(|(h, _)| h.held_leases().next().is_none()) {
+                for (h, _) in s
+                    .holders
+                    .iter_mut()
+                    .filter(|(h, _)| h.held_leases().next().is_none())
+                {
                     h.handle(s.now, holder::Input::Tick);
                 }
                 s.grantors[s.leader].0.handle(s.now, grantor::Input::Tick);
@@ -273,7 +297,11 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one at a time", |_, s: &State| {
-                s.holders.iter().filter(|(h, _)| h.held_term(s.now, &duty()).is_some()).count() <= 1
+                s.holders
+                    .iter()
+                    .filter(|(h, _)| h.held_term(s.now, &duty()).is_some())
+                    .count()
+                    <= 1
             }),
             Property::always("terms in order", |_, s: &State| !s.broken),
             Property::sometimes("handed on", |_, s: &State| s.last >= 2),
@@ -287,14 +315,23 @@
 /// Plays it through; the names of the properties that do not hold, and how many states there are.
 fn violated(play: Play) -> (Vec<&'static str>, usize) {
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(4));
-    let checker = play.checker().threads(threads).target_state_count(MOST_STATES);
-    let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let checker = play
+        .checker()
+        .threads(threads)
+        .target_state_count(MOST_STATES);
+    let checker = checker
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     let all = checker.model().properties();
     let missed = all.iter().filter(|p| {
         let found = checker.discovery(p.name).is_some();
         found != matches!(p.expectation, stateright::Expectation::Sometimes)
     });
-    (missed.map(|p| p.name).collect(), checker.unique_state_count())
+    (
+        missed.map(|p| p.name).collect(),
+        checker.unique_state_count(),
+    )
 }
 
 fn holds(play: Play) {
@@ -311,23 +348,51 @@
 
 #[test]
 fn no_two_owners_whatever_comes_twice() {
-    holds(Play { doubles: 1, ..Play::guarded(2, 0, 1) });
+    holds(Play {
+        doubles: 1,
+        ..Play::guarded(2, 0, 1)
+    });
 }
 
 #[test]
 fn an_effect_on_its_way_for_any_time_is_refused() {
-    holds(Play { late_effects: true, ..Play::guarded(3, 0, 2) });
+    holds(Play {
+        late_effects: true,
+        ..Play::guarded(3, 0, 2)
+    });
 }
 
 /// Each guard taken out: the checker must find what it guards against.
 #[test]
 fn each_guard_taken_out_is_found() {
     let guarded = Play::guarded(3, 0, 2);
-    let (found, _) = violated(Play { fences: false, late_effects: true, ..guarded.clone() });
-    assert!(found.contains(&"terms in order"), "without terms at the receiver: {found:?}");
-    let long = Settings { duration: 4, drift_ppm: 0 };
-    let (found, _) = violated(Play { owner: long, ..guarded.clone() });
-    assert!(found.contains(&"one at a time"), "without the grantor's margin: {found:?}");
-    let (found, _) = violated(Play { confirms: false, ..Play::guarded(2, 1, 1) });
-    assert!(found.contains(&"one at a time"), "without a majority's word: {found:?}");
+    let (found, _) = violated(Play {
+        fences: false,
+        late_effects: true,
+        ..guarded.clone()
+    });
+    assert!(
+        found.contains(&"terms in order"),
+        "without terms at the receiver: {found:?}"
+    );
+    let long = Settings {
+        duration: 4,
+        drift_ppm: 0,
+    };
+    let (found, _) = violated(Play {
+        owner: long,
+        ..guarded.clone()
+    });
+    assert!(
+        found.contains(&"one at a time"),
+        "without the grantor's margin: {found:?}"
+    );
+    let (found, _) = violated(Play {
+        confirms: false,
+        ..Play::guarded(2, 1, 1)
+    });
+    assert!(
+        found.contains(&"one at a time"),
+        "without a majority's word: {found:?}"
+    );
 }
--- a/src/load_coordination.rs
+++ b/src/load_coordination.rs
@@ -46,7 +46,10 @@
 
 impl Word {
     fn home(&self) -> CopyKey {
-        let (Word::Wants(w, f) | Word::Ended(w, f, _) | Word::Orders(w, f, _) | Word::Stands(w, f, _)) = self;
+        let (Word::Wants(w, f)
+        | Word::Ended(w, f, _)
+        | Word::Orders(w, f, _)
+        | Word::Stands(w, f, _)) = self;
         (WorkerId(*w), FunctionId(*f))
     }
 }
@@ -118,7 +121,11 @@
 impl Loads {
     /// One for the shards of the operator's list; none if there are none.
     pub fn new(me: Arc<str>, duties: &BTreeSet<LeaseName>) -> Option<Loads> {
-        let shards: Vec<LeaseName> = duties.iter().filter(|d| d.starts_with(PREFIX)).cloned().collect();
+        let shards: Vec<LeaseName> = duties
+            .iter()
+            .filter(|d| d.starts_with(PREFIX))
+            .cloned()
+            .collect();
         (!shards.is_empty()).then(|| Loads {
             me,
             shards,
@@ -189,7 +196,12 @@
             Input::Told(word) => self.told(now, word),
             Input::Tick => {}
         }
-        let late: Vec<CopyKey> = self.waits.iter().filter(|(_, w)| now >= w.until).map(|(h, _)| *h).collect();
+        let late: Vec<CopyKey> = self
+            .waits
+            .iter()
+            .filter(|(_, w)| now >= w.until)
+            .map(|(h, _)| *h)
+            .collect();
         for home in late {
             if self.waits.get(&home).is_some_and(|w| w.asked) {
                 // Without a majority, or with the owner cut off, orders go on as without it.
@@ -212,13 +224,21 @@
             self.spared += 1;
             return self.outputs.push_back(Output::Stands(number, *copies));
         }
-        let known = self.ordered.get(&home).filter(|(who, _)| *who != self.me).map(|(_, until)| *until);
+        let known = self
+            .ordered
+            .get(&home)
+            .filter(|(who, _)| *who != self.me)
+            .map(|(_, until)| *until);
         let first = !self.waits.contains_key(&home);
         let until = known.unwrap_or(now + WAITS);
         let asked = known.is_none();
         self.waits
             .entry(home)
-            .or_insert(Waits { numbers: BTreeSet::new(), until, asked })
+            .or_insert(Waits {
+                numbers: BTreeSet::new(),
+                until,
+                asked,
+            })
             .numbers
             .insert(number);
         if first && known.is_none() {
@@ -269,8 +289,11 @@
         self.quiet.remove(&shard);
         match word {
             Word::Orders(_, _, who) => {
-                let until =
-                    self.ordered.get(&home).filter(|(w, _)| *w == who).map_or(now + LOADS, |(_, t)| *t);
+                let until = self
+                    .ordered
+                    .get(&home)
+                    .filter(|(w, _)| *w == who)
+                    .map_or(now + LOADS, |(_, t)| *t);
                 if self.ordered.len() < MOST {
                     self.ordered.insert(home, (who.clone(), until));
                 }
@@ -315,7 +338,10 @@
     const HOME: CopyKey = (WorkerId(3), FunctionId(70));
 
     fn shards(n: usize) -> BTreeSet<LeaseName> {
-        (0..n).map(|i| format!("{PREFIX}{i}").into()).chain(["trials".into()]).collect()
+        (0..n)
+            .map(|i| format!("{PREFIX}{i}").into())
+            .chain(["trials".into()])
+            .collect()
     }
 
     fn drained(l: &mut Loads) -> Vec<Output> {
@@ -335,7 +361,8 @@
     fn talk(all: &mut [Loads], owner: usize, now: Micros) -> Vec<(usize, Output)> {
         let mut rest = Vec::new();
         loop {
-            let Some((n, output)) = (0..all.len()).find_map(|n| all[n].output().map(|o| (n, o))) else {
+            let Some((n, output)) = (0..all.len()).find_map(|n| all[n].output().map(|o| (n, o)))
+            else {
                 return rest;
             };
             match output {
@@ -361,10 +388,15 @@
         }
         let mut given = talk(&mut all, 4, 11);
         assert_eq!(given.len(), 1, "{given:?}");
-        let Some((who, Output::Give(number))) = given.pop() else { panic!("no order") };
+        let Some((who, Output::Give(number))) = given.pop() else {
+            panic!("no order")
+        };
         all[who].handle(300_000, Input::Ended(number, 1));
         let told = talk(&mut all, 4, 300_001);
-        assert!(told.len() == 19 && told.iter().all(|(_, o)| matches!(o, Output::Stands(_, 1))), "{told:?}");
+        assert!(
+            told.len() == 19 && told.iter().all(|(_, o)| matches!(o, Output::Stands(_, 1))),
+            "{told:?}"
+        );
         assert_eq!(all.iter().map(|l| l.spared).sum::<u64>(), 19);
         // One that wants it a little later needs no order either; much later it does.
         all[0].handle(400_000, Input::Order(77, HOME));
@@ -377,7 +409,10 @@
     fn without_an_owner_or_its_word_each_orders_by_itself() {
         let mut l = begun("a", false);
         l.handle(0, Input::Order(1, HOME));
-        assert!(matches!(drained(&mut l)[..], [Output::Report(_, Word::Wants(3, 70))]));
+        assert!(matches!(
+            drained(&mut l)[..],
+            [Output::Report(_, Word::Wants(3, 70))]
+        ));
         assert_eq!(l.next_deadline(), Some(WAITS));
         l.handle(WAITS, Input::Tick);
         assert_eq!(drained(&mut l), [Output::Give(1)]);
@@ -441,6 +476,9 @@
             assert_eq!(a.shard(FunctionId(f)), b.shard(FunctionId(f)));
             *count.entry(a.shard(FunctionId(f)).clone()).or_default() += 1;
         }
-        assert!(count.len() == 4 && count.values().all(|n| (700..1_300).contains(n)), "{count:?}");
+        assert!(
+            count.len() == 4 && count.values().all(|n| (700..1_300).contains(n)),
+            "{count:?}"
+        );
     }
 }
--- a/src/membership/budget.rs
+++ b/src/membership/budget.rs
@@ -18,7 +18,14 @@
     /// A ceiling with a second's worth saved up.
     pub fn new(bytes_per_s: u32, datagrams_per_s: u32, now: Micros) -> Budget {
         let (b, d) = (f64::from(bytes_per_s), f64::from(datagrams_per_s));
-        Budget { bytes_per_s: b, datagrams_per_s: d, bytes: b, datagrams: d, at: now, withheld: 0 }
+        Budget {
+            bytes_per_s: b,
+            datagrams_per_s: d,
+            bytes: b,
+            datagrams: d,
+            at: now,
+            withheld: 0,
+        }
     }
 
     fn fill(&mut self, now: Micros) {
--- a/src/membership/config.rs
+++ b/src/membership/config.rs
@@ -54,22 +54,39 @@
     pub fn read(path: &Path) -> Result<Gossip, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e))?;
         let parsed = toml::from_str(&text);
-        let mut g: Gossip = parsed.map_err(|e| ConfigError::Parse(path.into(), e.message().to_owned()))?;
+        let mut g: Gossip =
+            parsed.map_err(|e| ConfigError::Parse(path.into(), e.message().to_owned()))?;
         g.file = path.to_owned();
         let folder = path.parent().unwrap_or(Path::new(""));
-        for file in [&mut g.state, &mut g.shared_keys, &mut g.own_key, &mut g.accepted].into_iter().flatten()
+        for file in [
+            &mut g.state,
+            &mut g.shared_keys,
+            &mut g.own_key,
+            &mut g.accepted,
+        ]
+        .into_iter()
+        .flatten()
         {
             *file = folder.join(&*file);
         }
         if g.bytes_per_s < 2400 || g.datagrams_per_s < 4 {
-            return Err(ConfigError::Value("gossip.bytes_per_s", "under 2400 bytes or 4 datagrams".into()));
+            return Err(ConfigError::Value(
+                "gossip.bytes_per_s",
+                "under 2400 bytes or 4 datagrams".into(),
+            ));
         }
         Ok(g)
     }
 
     /// Reads the keys that it names, for this instance's name.
     pub fn keys(&self, name: &str) -> Result<Keys, ConfigError> {
-        read_keys("gossip", name, &self.shared_keys, &self.own_key, &self.accepted)
+        read_keys(
+            "gossip",
+            name,
+            &self.shared_keys,
+            &self.own_key,
+            &self.accepted,
+        )
     }
 }
 
@@ -81,11 +98,16 @@
     own: &Option<PathBuf>,
     accepted: &Option<PathBuf>,
 ) -> Result<Keys, ConfigError> {
-    let read = |path: &Path| std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e));
+    let read =
+        |path: &Path| std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e));
     match (shared, own, accepted) {
         (Some(path), None, None) => {
-            let lines: Vec<String> =
-                read(path)?.lines().map(str::trim).filter(|l| !l.is_empty()).map(str::to_owned).collect();
+            let lines: Vec<String> = read(path)?
+                .lines()
+                .map(str::trim)
+                .filter(|l| !l.is_empty())
+                .map(str::to_owned)
+                .collect();
             Keys::shared(&lines).map_err(|e| ConfigError::Parse(path.clone(), e.to_string()))
         }
         (None, Some(own), Some(accepted)) => {
@@ -94,6 +116,9 @@
             let keys = Keys::each(name, read(own)?.trim(), &all);
             keys.map_err(|e| ConfigError::Parse(own.clone(), e.to_string()))
         }
-        _ => Err(ConfigError::Value(what, "shared_keys, or own_key and accepted".into())),
+        _ => Err(ConfigError::Value(
+            what,
+            "shared_keys, or own_key and accepted".into(),
+        )),
     }
 }
--- a/src/membership/group.rs
+++ b/src/membership/group.rs
@@ -160,7 +160,11 @@
 
     /// Members to begin with next time.
     pub fn keep(&self) -> Vec<Record> {
-        self.swim.members().filter(|m| m.standing <= MemberState::Suspect).map(|m| m.record).collect()
+        self.swim
+            .members()
+            .filter(|m| m.standing <= MemberState::Suspect)
+            .map(|m| m.record)
+            .collect()
     }
 
     /// All members, without oneself.
@@ -178,7 +182,10 @@
 
     /// Members held for alive.
     pub fn alive(&self) -> usize {
-        self.swim.members().filter(|m| m.standing == MemberState::Alive).count()
+        self.swim
+            .members()
+            .filter(|m| m.standing == MemberState::Alive)
+            .count()
     }
 
     /// How a member stands.
@@ -216,7 +223,10 @@
                 self.ready = ready;
             }
             Input::Known(records, seeds) => {
-                let good = records.into_iter().filter(|r| wire::check_record(&self.keys, r)).collect();
+                let good = records
+                    .into_iter()
+                    .filter(|r| wire::check_record(&self.keys, r))
+                    .collect();
                 self.swim.handle(now, swim::Input::Known(good, seeds));
             }
             Input::Keys(keys) => {
@@ -238,15 +248,22 @@
     }
 
     fn renew(&mut self, incarnation: u64, leaving: bool) {
-        let own =
-            wire::seal_record(&self.keys, &self.settings.name, self.settings.address, incarnation, leaving);
+        let own = wire::seal_record(
+            &self.keys,
+            &self.settings.name,
+            self.settings.address,
+            incarnation,
+            leaving,
+        );
         self.swim.renew(own);
     }
 
     fn datagram(&mut self, now: Micros, source: SocketAddr, bytes: &[u8]) {
         let swim = &self.swim;
         let known = |r: &Record| swim.members().any(|m| m.record == *r);
-        let Ok(opened) = self.opener.open(&self.keys, now, bytes, known) else { return };
+        let Ok(opened) = self.opener.open(&self.keys, now, bytes, known) else {
+            return;
+        };
         if opened.from == self.settings.name {
             return;
         }
@@ -255,14 +272,29 @@
         }
         // Answers go where the sender's own sealed word says: a datagram sent on by another from elsewhere draws
         // none to it.
-        let sealed = opened.message.records.iter().find(|r| r.name == opened.from).map(|r| r.address);
-        let known = self.swim.members().find(|m| m.record.name == opened.from).map(|m| m.record.address);
+        let sealed = opened
+            .message
+            .records
+            .iter()
+            .find(|r| r.name == opened.from)
+            .map(|r| r.address);
+        let known = self
+            .swim
+            .members()
+            .find(|m| m.record.name == opened.from)
+            .map(|m| m.record.address);
         let address = sealed.or(known).unwrap_or(source);
-        self.swim.handle(now, swim::Input::Message(opened.from, address, opened.message));
+        self.swim.handle(
+            now,
+            swim::Input::Message(opened.from, address, opened.message),
+        );
     }
 
     fn sighting(&mut self, now: Micros, s: SealedObservation) {
-        let member = self.swim.standing(&s.origin).is_some_and(|t| t <= MemberState::Suspect);
+        let member = self
+            .swim
+            .standing(&s.origin)
+            .is_some_and(|t| t <= MemberState::Suspect);
         if s.origin == self.settings.name || !member {
             return;
         }
@@ -281,7 +313,11 @@
     fn hold(&mut self, s: SealedObservation) {
         if self.held.len() >= MOST_HELD {
             // The one that has gone out most often gives way.
-            let most = self.held.iter().max_by_key(|(_, (sent, _))| *sent).map(|(k, _)| k.clone());
+            let most = self
+                .held
+                .iter()
+                .max_by_key(|(_, (sent, _))| *sent)
+                .map(|(k, _)| k.clone());
             most.and_then(|k| self.held.remove(&k));
         }
         self.held.insert((s.origin.clone(), s.at), (0, s));
@@ -301,7 +337,10 @@
                 }
                 // Well is worth telling where it was told otherwise, by oneself or by others.
                 Says::Well => {
-                    let ill = self.rumours.about(now, worker).any(|(_, x)| x.says() == Says::Ill);
+                    let ill = self
+                        .rumours
+                        .about(now, worker)
+                        .any(|(_, x)| x.says() == Says::Ill);
                     self.told_ill.remove(&worker) || ill
                 }
                 Says::Nothing => false,
@@ -314,13 +353,21 @@
         seen.sort_by_key(|(w, o)| (o.says() != Says::Ill, *w));
         for part in seen.chunks(MAX_OBSERVATIONS).take(4) {
             let at = now
-                + self.held.keys().filter(|(o, t)| *o == self.settings.name && *t >= now).count() as Micros;
-            let part = part.iter().map(|(w, o)| (*w, Observation { at, ..*o })).collect();
+                + self
+                    .held
+                    .keys()
+                    .filter(|(o, t)| *o == self.settings.name && *t >= now)
+                    .count() as Micros;
+            let part = part
+                .iter()
+                .map(|(w, o)| (*w, Observation { at, ..*o }))
+                .collect();
             let sighting = wire::seal_sighting(&self.keys, &self.settings.name, at, part);
             self.hold(sighting);
         }
         self.rumours.expire(now);
-        self.held.retain(|(_, at), (sent, _)| *sent < SPREAD && now < at + OBSERVATION_LIFETIME);
+        self.held
+            .retain(|(_, at), (sent, _)| *sent < SPREAD && now < at + OBSERVATION_LIFETIME);
         for (worker, advice) in self.trust.advise(now, &self.rumours, &self.ready) {
             self.outputs.push_back(Output::Advice(worker, advice));
         }
@@ -344,7 +391,12 @@
                     }
                 }
                 swim::Output::Accuse(accused, incarnation) => {
-                    let a = wire::seal_accusation(&self.keys, &accused, incarnation, &self.settings.name);
+                    let a = wire::seal_accusation(
+                        &self.keys,
+                        &accused,
+                        incarnation,
+                        &self.settings.name,
+                    );
                     self.swim.accuse(now, a);
                 }
                 swim::Output::Renew(incarnation, leaving) => self.renew(incarnation, leaving),
@@ -359,17 +411,31 @@
         let mut order: Vec<((String, Micros), u32, usize)> = self
             .held
             .iter()
-            .map(|(k, (sent, s))| (k.clone(), *sent, wire::sighting_size(&s.origin, s.seen.len())))
+            .map(|(k, (sent, s))| {
+                (
+                    k.clone(),
+                    *sent,
+                    wire::sighting_size(&s.origin, s.seen.len()),
+                )
+            })
             .collect();
         order.sort_by(|a, b| a.1.cmp(&b.1).then(b.0 .1.cmp(&a.0 .1)).then(a.0.cmp(&b.0)));
         let mut order = order.into_iter();
         let held = &mut self.held;
-        let bytes = wire::pack(&self.keys, &self.settings.name, self.number, now, message, most, |left| {
-            let (key, ..) = order.by_ref().find(|(_, _, size)| *size <= left)?;
-            let (sent, s) = held.get_mut(&key)?;
-            *sent += 1;
-            Some(s.clone())
-        });
+        let bytes = wire::pack(
+            &self.keys,
+            &self.settings.name,
+            self.number,
+            now,
+            message,
+            most,
+            |left| {
+                let (key, ..) = order.by_ref().find(|(_, _, size)| *size <= left)?;
+                let (sent, s) = held.get_mut(&key)?;
+                *sent += 1;
+                Some(s.clone())
+            },
+        );
         let size = bytes.as_ref().map_or(usize::MAX, Vec::len);
         if !self.budget.take(now, size) {
             return;
--- a/src/membership/group_tests.rs
+++ b/src/membership/group_tests.rs
@@ -37,14 +37,21 @@
 impl World {
     fn new() -> World {
         let now = 1_000 * SECOND;
-        let mut groups: Vec<Group> =
-            (0..N).map(|n| Group::new(settings(n), each(n, N), u64::from(n), now)).collect();
+        let mut groups: Vec<Group> = (0..N)
+            .map(|n| Group::new(settings(n), each(n, N), u64::from(n), now))
+            .collect();
         for g in &mut groups {
             g.handle(now, Input::Known(Vec::new(), vec![address(0), address(1)]));
             g.handle(now, Input::Ready((0..12).map(WorkerId).collect()));
         }
         let n = groups.len();
-        World { now, groups, advice: vec![BTreeMap::new(); n], first_down: vec![None; n], caught: Vec::new() }
+        World {
+            now,
+            groups,
+            advice: vec![BTreeMap::new(); n],
+            first_down: vec![None; n],
+            caught: Vec::new(),
+        }
     }
 
     fn settle(&mut self) {
@@ -61,7 +68,8 @@
                             }
                             if let Some(at) = (0..N).position(|i| address(i) == to) {
                                 let now = self.now;
-                                self.groups[at].handle(now, Input::Datagram(address(n as u8), &bytes));
+                                self.groups[at]
+                                    .handle(now, Input::Datagram(address(n as u8), &bytes));
                             }
                         }
                         Output::Advice(worker, advice) => {
@@ -134,9 +142,26 @@
             w.groups[n].window.remove(&WorkerId(5));
         }
     });
-    let told = w.first_down.iter().skip(3).filter_map(|t| *t).filter(|t| *t < begun + 10 * SECOND).count();
-    assert!(told >= 6, "{:?}", w.first_down.iter().map(|t| t.map(|t| t - begun)).collect::<Vec<_>>());
-    assert!(w.advice.iter().flat_map(BTreeMap::keys).all(|worker| *worker == WorkerId(5)));
+    let told = w
+        .first_down
+        .iter()
+        .skip(3)
+        .filter_map(|t| *t)
+        .filter(|t| *t < begun + 10 * SECOND)
+        .count();
+    assert!(
+        told >= 6,
+        "{:?}",
+        w.first_down
+            .iter()
+            .map(|t| t.map(|t| t - begun))
+            .collect::<Vec<_>>()
+    );
+    assert!(w
+        .advice
+        .iter()
+        .flat_map(BTreeMap::keys)
+        .all(|worker| *worker == WorkerId(5)));
     // It answers again: nothing is left of the rumour when its life is over.
     w.run(30, |_, _| Observed::Answered, |_| {});
     w.advice.iter_mut().for_each(BTreeMap::clear);
@@ -153,7 +178,13 @@
 #[test]
 fn a_liar_moves_no_worker_and_kills_no_member() {
     let mut w = World::new();
-    let all_dead = |n: usize, _| if n == 9 { Observed::Refused } else { Observed::Answered };
+    let all_dead = |n: usize, _| {
+        if n == 9 {
+            Observed::Refused
+        } else {
+            Observed::Answered
+        }
+    };
     w.run(20, |_, _| Observed::Answered, |_| {});
     let before: Vec<u64> = w.groups.iter().map(|g| g.sent_bytes).collect();
     let keys = each(9, N);
@@ -174,15 +205,31 @@
                 wire::seal_accusation(&keys, &victim, known, "j"),
                 wire::seal_accusation(&keys, &victim, u64::MAX, "j"),
             ];
-            let records = vec![wire::seal_record(&keys, &victim, address(9), u64::MAX, true)];
-            let message = Message { say: swim::Say::Sync(true), records, accusations };
-            let ill = Observation { at: now, refused: 3, ..Observation::default() };
+            let records = vec![wire::seal_record(
+                &keys,
+                &victim,
+                address(9),
+                u64::MAX,
+                true,
+            )];
+            let message = Message {
+                say: swim::Say::Sync(true),
+                records,
+                accusations,
+            };
+            let ill = Observation {
+                at: now,
+                refused: 3,
+                ..Observation::default()
+            };
             let seen = (0..12).map(|worker| (WorkerId(worker), ill)).collect();
             let mut lie = Some(wire::seal_sighting(&keys, "j", now, seen));
             w.groups[9].number += 1;
             let number = w.groups[9].number;
-            let sealed = wire::pack(&keys, "j", number, now, &message, MTU, |_| lie.take()).unwrap();
-            let as_other = wire::pack(&keys, &victim, now + forged, now, &message, MTU, |_| None).unwrap();
+            let sealed =
+                wire::pack(&keys, "j", number, now, &message, MTU, |_| lie.take()).unwrap();
+            let as_other =
+                wire::pack(&keys, &victim, now + forged, now, &message, MTU, |_| None).unwrap();
             for bytes in [sealed, as_other, vec![7; 900], vec![0; 9000]] {
                 w.groups[to].handle(now, Input::Datagram(address(9), &bytes));
             }
@@ -193,12 +240,21 @@
         w.settle();
     });
     assert!(w.all_alive());
-    assert!(w.advice.iter().take(9).all(BTreeMap::is_empty), "no worker was moved");
+    assert!(
+        w.advice.iter().take(9).all(BTreeMap::is_empty),
+        "no worker was moved"
+    );
     for (n, g) in w.groups.iter().enumerate().take(9) {
-        assert!(g.trust.weight(w.now, "j") < 0.1, "{}", g.trust.weight(w.now, "j"));
+        assert!(
+            g.trust.weight(w.now, "j") < 0.1,
+            "{}",
+            g.trust.weight(w.now, "j")
+        );
         let (refused, _) = g.refused();
         assert!(
-            ["seal", "replayed", "garbled", "too_long", "part"].iter().all(|why| refused.contains_key(why)),
+            ["seal", "replayed", "garbled", "too_long", "part"]
+                .iter()
+                .all(|why| refused.contains_key(why)),
             "{refused:?}"
         );
         assert!((g.sent_bytes - before[n]) / 30 <= 8000, "the ceiling");
@@ -217,11 +273,22 @@
     let accepted = |a: &[u8]| -> BTreeMap<String, Vec<String>> {
         (0..N)
             .map(|n| {
-                (name(n), if n == 0 { a.iter().map(|k| public(*k)).collect() } else { vec![public(n + 1)] })
+                (
+                    name(n),
+                    if n == 0 {
+                        a.iter().map(|k| public(*k)).collect()
+                    } else {
+                        vec![public(n + 1)]
+                    },
+                )
             })
             .collect()
     };
-    for (own, accepted) in [(1, accepted(&[1, 101])), (101, accepted(&[1, 101])), (101, accepted(&[101]))] {
+    for (own, accepted) in [
+        (1, accepted(&[1, 101])),
+        (101, accepted(&[1, 101])),
+        (101, accepted(&[101])),
+    ] {
         for n in 0..N {
             let key = if n == 0 { own } else { n + 1 };
             let keys = Keys::each(&name(n), &private(key), &accepted).unwrap();
--- a/src/membership/keys.rs
+++ b/src/membership/keys.rs
@@ -44,8 +44,13 @@
 
 #[derive(Clone)]
 enum Mode {
-    Shared { keys: Vec<Zeroizing<[u8; 32]>> },
-    Each { own: Box<SigningKey>, accepted: BTreeMap<String, Vec<VerifyingKey>> },
+    Shared {
+        keys: Vec<Zeroizing<[u8; 32]>>,
+    },
+    Each {
+        own: Box<SigningKey>,
+        accepted: BTreeMap<String, Vec<VerifyingKey>>,
+    },
 }
 
 /// An instance's keys. They are never printed.
@@ -63,7 +68,9 @@
 
 fn bytes(text: &str) -> Result<Zeroizing<[u8; 32]>, KeyError> {
     let raw = Zeroizing::new(BASE64_STANDARD.decode(text).map_err(|_| KeyError::Key)?);
-    Ok(Zeroizing::new(raw.as_slice().try_into().map_err(|_| KeyError::Key)?))
+    Ok(Zeroizing::new(
+        raw.as_slice().try_into().map_err(|_| KeyError::Key)?,
+    ))
 }
 
 impl Keys {
@@ -72,11 +79,17 @@
         if texts.is_empty() || texts.len() > MOST {
             return Err(KeyError::Count);
         }
-        Ok(Keys(Mode::Shared { keys: texts.iter().map(|t| bytes(t)).collect::<Result<_, _>>()? }))
+        Ok(Keys(Mode::Shared {
+            keys: texts.iter().map(|t| bytes(t)).collect::<Result<_, _>>()?,
+        }))
     }
 
     /// A key of one's own, under one's name, and the public keys accepted for each name, one's own among them.
-    pub fn each(name: &str, own: &str, accepted: &BTreeMap<String, Vec<String>>) -> Result<Keys, KeyError> {
+    pub fn each(
+        name: &str,
+        own: &str,
+        accepted: &BTreeMap<String, Vec<String>>,
+    ) -> Result<Keys, KeyError> {
         let own = SigningKey::from_bytes(&*bytes(own)?);
         let mut all = BTreeMap::new();
         for (name, texts) in accepted {
@@ -93,17 +106,30 @@
                 }
                 Ok(key)
             };
-            all.insert(name.clone(), texts.iter().map(read).collect::<Result<Vec<_>, _>>()?);
+            all.insert(
+                name.clone(),
+                texts.iter().map(read).collect::<Result<Vec<_>, _>>()?,
+            );
         }
-        if !all.get(name).is_some_and(|keys| keys.contains(&own.verifying_key())) {
+        if !all
+            .get(name)
+            .is_some_and(|keys| keys.contains(&own.verifying_key()))
+        {
             return Err(KeyError::Own);
         }
-        Ok(Keys(Mode::Each { own: Box::new(own), accepted: all }))
+        Ok(Keys(Mode::Each {
+            own: Box::new(own),
+            accepted: all,
+        }))
     }
 
     /// The public key of a private one, in base64.
     pub fn public(own: &str) -> Result<String, KeyError> {
-        Ok(BASE64_STANDARD.encode(SigningKey::from_bytes(&*bytes(own)?).verifying_key().to_bytes()))
+        Ok(BASE64_STANDARD.encode(
+            SigningKey::from_bytes(&*bytes(own)?)
+                .verifying_key()
+                .to_bytes(),
+        ))
     }
 
     /// Whether a name may speak at all.
@@ -119,7 +145,9 @@
         let content = [&[purpose], content].concat();
         match &self.0 {
             // There is at least one, the one in use.
-            Mode::Shared { keys } => keys.first().map_or(Vec::new(), |k| mac(k, &content).to_vec()),
+            Mode::Shared { keys } => keys
+                .first()
+                .map_or(Vec::new(), |k| mac(k, &content).to_vec()),
             Mode::Each { own, .. } => own.sign(&content).to_bytes().to_vec(),
         }
     }
@@ -129,14 +157,22 @@
         let content = [&[purpose], content].concat();
         match &self.0 {
             Mode::Shared { keys } => {
-                let Ok(seal) = <[u8; 32]>::try_from(seal) else { return false };
+                let Ok(seal) = <[u8; 32]>::try_from(seal) else {
+                    return false;
+                };
                 // The comparison of two hashes takes the same time wherever they differ.
-                is_name(name) && keys.iter().any(|k| blake3::Hash::from_bytes(mac(k, &content)) == seal)
+                is_name(name)
+                    && keys
+                        .iter()
+                        .any(|k| blake3::Hash::from_bytes(mac(k, &content)) == seal)
             }
             Mode::Each { accepted, .. } => {
-                let Ok(seal) = Signature::from_slice(seal) else { return false };
+                let Ok(seal) = Signature::from_slice(seal) else {
+                    return false;
+                };
                 let keys = accepted.get(name).map_or(&[][..], Vec::as_slice);
-                keys.iter().any(|k| k.verify_strict(&content, &seal).is_ok())
+                keys.iter()
+                    .any(|k| k.verify_strict(&content, &seal).is_ok())
             }
         }
     }
@@ -157,7 +193,9 @@
     /// Keys of `a`, `b`, ... made of 1, 2, ..., as instance `n` of so many has them.
     pub fn each(n: u8, of: u8) -> Keys {
         let name = |n: u8| char::from(b'a' + n).to_string();
-        let all = (0..of).map(|n| (name(n), vec![Keys::public(&private(n + 1)).unwrap()])).collect();
+        let all = (0..of)
+            .map(|n| (name(n), vec![Keys::public(&private(n + 1)).unwrap()]))
+            .collect();
         Keys::each(&name(n), &private(n + 1), &all).unwrap()
     }
 
@@ -166,9 +204,12 @@
         let (a, b) = (each(0, 2), each(1, 2));
         let seal = a.seal(1, b"word");
         assert!(b.check("a", 1, b"word", &seal));
-        for (name, purpose, content) in
-            [("b", 1, &b"word"[..]), ("a", 2, b"word"), ("a", 1, b"worx"), ("z", 1, b"word")]
-        {
+        for (name, purpose, content) in [
+            ("b", 1, &b"word"[..]),
+            ("a", 2, b"word"),
+            ("a", 1, b"worx"),
+            ("z", 1, b"word"),
+        ] {
             assert!(!b.check(name, purpose, content, &seal));
         }
         assert!(!b.check("a", 1, b"word", &seal[1..]) && !b.check("a", 1, b"word", &[]));
@@ -191,10 +232,18 @@
         }
         assert!(!new.check("x", 1, b"w", &old.seal(1, b"w")));
         let own = |own: u8, accepted: &[u8]| {
-            let all = accepted.iter().map(|n| Keys::public(&private(*n)).unwrap()).collect();
+            let all = accepted
+                .iter()
+                .map(|n| Keys::public(&private(*n)).unwrap())
+                .collect();
             Keys::each("a", &private(own), &BTreeMap::from([("a".to_owned(), all)]))
         };
-        assert!(own(1, &[1, 2]).unwrap().check("a", 1, b"w", &own(2, &[1, 2]).unwrap().seal(1, b"w")));
+        assert!(own(1, &[1, 2]).unwrap().check(
+            "a",
+            1,
+            b"w",
+            &own(2, &[1, 2]).unwrap().seal(1, b"w")
+        ));
         assert_eq!(own(3, &[1, 2]).unwrap_err(), KeyError::Own);
         assert_eq!(Keys::shared(&[]).unwrap_err(), KeyError::Count);
         assert_eq!(Keys::shared(&["short".into()]).unwrap_err(), KeyError::Key);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -22,5 +22,7 @@
 pub fn is_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= MAX_NAME_BYTES
-        && name.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
+        && name
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
 }
--- a/src/membership/observations.rs
+++ b/src/membership/observations.rs
@@ -46,7 +46,9 @@
     }
 
     fn wrong(&self) -> u32 {
-        self.failed.saturating_add(self.silent).saturating_add(self.refused)
+        self.failed
+            .saturating_add(self.silent)
+            .saturating_add(self.refused)
     }
 
     /// What it says. A refused connection needs no more to be told; all else needs three attempts.
@@ -123,7 +125,11 @@
     }
 
     /// What is said of a worker, by origin, while it lives.
-    pub fn about(&self, now: Micros, worker: WorkerId) -> impl Iterator<Item = (&str, Observation)> {
+    pub fn about(
+        &self,
+        now: Micros,
+        worker: WorkerId,
+    ) -> impl Iterator<Item = (&str, Observation)> {
         self.by_origin.iter().filter_map(move |(origin, of)| {
             let o = of.get(&worker).filter(|o| o.lives(now))?;
             Some((origin.as_str(), *o))
@@ -132,7 +138,10 @@
 
     /// All workers of which anything is said.
     pub fn workers(&self) -> BTreeSet<WorkerId> {
-        self.by_origin.values().flat_map(|of| of.keys().copied()).collect()
+        self.by_origin
+            .values()
+            .flat_map(|of| of.keys().copied())
+            .collect()
     }
 
     /// Observations held.
@@ -154,9 +163,21 @@
     const SKEW: Micros = 2_000_000;
 
     fn one() -> impl Strategy<Value = (u8, u32, Observation)> {
-        (0u8..4, 0u32..4, 0u64..20_000_000, 0u32..5, 0u32..5, 0u32..3).prop_map(|(o, w, at, a, s, r)| {
-            (o, w, Observation { at, answered: a, failed: 0, silent: s, refused: r })
-        })
+        (0u8..4, 0u32..4, 0u64..20_000_000, 0u32..5, 0u32..5, 0u32..3).prop_map(
+            |(o, w, at, a, s, r)| {
+                (
+                    o,
+                    w,
+                    Observation {
+                        at,
+                        answered: a,
+                        failed: 0,
+                        silent: s,
+                        refused: r,
+                    },
+                )
+            },
+        )
     }
 
     fn all(now: Micros, list: &[(u8, u32, Observation)]) -> Observations {
@@ -197,10 +218,21 @@
 
     #[test]
     fn an_observation_says_what_its_evidence_bears() {
-        let o =
-            |answered, silent, refused| Observation { at: 0, answered, failed: 0, silent, refused }.says();
+        let o = |answered, silent, refused| {
+            Observation {
+                at: 0,
+                answered,
+                failed: 0,
+                silent,
+                refused,
+            }
+            .says()
+        };
         assert_eq!([o(0, 0, 1), o(0, 3, 0), o(2, 2, 0)], [Says::Ill; 3]);
-        assert_eq!([o(0, 2, 0), o(2, 0, 0), o(9, 3, 0), o(5, 0, 1)], [Says::Nothing; 4]);
+        assert_eq!(
+            [o(0, 2, 0), o(2, 0, 0), o(9, 3, 0), o(5, 0, 1)],
+            [Says::Nothing; 4]
+        );
         assert_eq!([o(3, 0, 0), o(10, 1, 0)], [Says::Well; 2]);
     }
 
@@ -208,11 +240,28 @@
     fn an_origin_that_floods_keeps_within_its_bound() {
         let mut r = Observations::default();
         for w in 0..5000 {
-            r.merge(0, SKEW, "liar", WorkerId(w), Observation { at: 1, refused: 1, ..Default::default() });
+            r.merge(
+                0,
+                SKEW,
+                "liar",
+                WorkerId(w),
+                Observation {
+                    at: 1,
+                    refused: 1,
+                    ..Default::default()
+                },
+            );
         }
         assert_eq!(r.len(), MAX_OBSERVATIONS_PER_ORIGIN);
-        let ahead = Observation { at: SKEW + 1, refused: 1, ..Default::default() };
-        assert!(!r.merge(0, SKEW, "x", WorkerId(1), ahead), "from further ahead than clocks are apart");
+        let ahead = Observation {
+            at: SKEW + 1,
+            refused: 1,
+            ..Default::default()
+        };
+        assert!(
+            !r.merge(0, SKEW, "x", WorkerId(1), ahead),
+            "from further ahead than clocks are apart"
+        );
         r.forget("liar");
         assert!(r.is_empty());
     }
--- a/src/membership/reputation.rs
+++ b/src/membership/reputation.rs
@@ -27,7 +27,12 @@
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { share: 0.25, panic: 0.5, hold: 3 * SECOND, needed: 0.9 }
+        Bounds {
+            share: 0.25,
+            panic: 0.5,
+            hold: 3 * SECOND,
+            needed: 0.9,
+        }
     }
 }
 
@@ -87,7 +92,9 @@
 
     /// An origin's weight.
     pub fn weight(&self, now: Micros, origin: &str) -> f64 {
-        let Some(w) = self.weights.get(origin) else { return FIRST };
+        let Some(w) = self.weights.get(origin) else {
+            return FIRST;
+        };
         let passed = now.saturating_sub(w.at) as f64 / 1e6;
         if w.value < FIRST {
             (w.value + REGAINED * passed).min(FIRST)
@@ -128,8 +135,10 @@
             if said == Says::Nothing {
                 continue;
             }
-            let claims: Vec<(String, Observation)> =
-                rumours.about(now, worker).map(|(o, x)| (o.to_owned(), x)).collect();
+            let claims: Vec<(String, Observation)> = rumours
+                .about(now, worker)
+                .map(|(o, x)| (o.to_owned(), x))
+                .collect();
             for (origin, claim) in claims {
                 let close = claim.at.abs_diff(mine.at) <= OWN_LIFE / 2;
                 let known = self.judged.get(&(origin.clone(), worker)) == Some(&claim.at);
@@ -142,7 +151,8 @@
                 } else {
                     (value * CONTRADICTED).max(LEAST)
                 };
-                self.weights.insert(origin.clone(), Weight { value, at: now });
+                self.weights
+                    .insert(origin.clone(), Weight { value, at: now });
                 self.judged.insert((origin, worker), claim.at);
             }
         }
@@ -177,7 +187,9 @@
             let seen_well = own.is_some_and(|o| o.says() == Says::Well);
             if against - for_it >= self.bounds.needed && origins >= 2 && !seen_well {
                 ill.push((against - for_it, *worker));
-            } else if for_it - against >= self.bounds.needed && own.is_some_and(|o| o.says() == Says::Ill) {
+            } else if for_it - against >= self.bounds.needed
+                && own.is_some_and(|o| o.says() == Says::Ill)
+            {
                 advice.push((*worker, HealthAdvice::Well));
             }
         }
@@ -211,11 +223,19 @@
     }
 
     fn ill(at: Micros) -> Observation {
-        Observation { at, silent: 5, ..Default::default() }
+        Observation {
+            at,
+            silent: 5,
+            ..Default::default()
+        }
     }
 
     fn well(at: Micros) -> Observation {
-        Observation { at, answered: 10, ..Default::default() }
+        Observation {
+            at,
+            answered: 10,
+            ..Default::default()
+        }
     }
 
     #[test]
@@ -224,18 +244,31 @@
         r.merge(10, SKEW, "a", WorkerId(1), ill(10));
         assert!(t.advise(10, &r, &ready(8)).is_empty(), "one origin alone");
         r.merge(10, SKEW, "b", WorkerId(1), ill(10));
-        assert_eq!(t.advise(10, &r, &ready(8)), [(WorkerId(1), HealthAdvice::Down(10 + 3 * SECOND))]);
-        assert!(t.advise(11, &r, &ready(8)).is_empty(), "said once while it holds");
+        assert_eq!(
+            t.advise(10, &r, &ready(8)),
+            [(WorkerId(1), HealthAdvice::Down(10 + 3 * SECOND))]
+        );
+        assert!(
+            t.advise(11, &r, &ready(8)).is_empty(),
+            "said once while it holds"
+        );
         let mut t = Reputation::new(Bounds::default());
         t.observe(WorkerId(1), well(10));
         assert!(t.advise(10, &r, &ready(8)).is_empty(), "it answers here");
         assert!(t.weight(10, "a") < FIRST && t.weight(10, "b") < FIRST);
-        assert!((t.weight(10 + 600 * SECOND, "a") - FIRST).abs() < 1e-9, "regained, slowly");
+        assert!(
+            (t.weight(10 + 600 * SECOND, "a") - FIRST).abs() < 1e-9,
+            "regained, slowly"
+        );
     }
 
     #[test]
     fn a_liar_that_calls_all_dead_moves_nobody_and_loses_its_weight() {
-        let (mut t, mut r, mut now) = (Reputation::new(Bounds::default()), Observations::default(), SECOND);
+        let (mut t, mut r, mut now) = (
+            Reputation::new(Bounds::default()),
+            Observations::default(),
+            SECOND,
+        );
         for _ in 0..10 {
             for w in 0..10 {
                 r.merge(now, SKEW, "liar", WorkerId(w), ill(now));
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -268,7 +268,11 @@
     pub fn new(settings: Settings, own: Record, seed: u64, now: Micros) -> Swim {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let first = now + random.next_u64() % settings.interval.max(1);
-        let due = BTreeSet::from([(first, Due::Probe), (now, Due::Sync), (now + SECOND, Due::Sweep)]);
+        let due = BTreeSet::from([
+            (first, Due::Probe),
+            (now, Due::Sync),
+            (now + SECOND, Due::Sweep),
+        ]);
         let own_name = own.name.clone();
         let mut swim = Swim {
             settings,
@@ -329,7 +333,10 @@
     }
 
     fn present(&self) -> usize {
-        self.members.values().filter(|m| m.standing <= MemberState::Suspect).count()
+        self.members
+            .values()
+            .filter(|m| m.standing <= MemberState::Suspect)
+            .count()
     }
 
     /// Takes what has happened.
@@ -351,7 +358,8 @@
             }
             Input::Leave => {
                 self.leaving = true;
-                self.outputs.push_back(Output::Renew(self.own.incarnation + 1, true));
+                self.outputs
+                    .push_back(Output::Renew(self.own.incarnation + 1, true));
             }
         }
     }
@@ -362,7 +370,8 @@
         let leaving = record.leaving;
         self.own = record;
         let name = self.own.name.clone();
-        self.news.retain(|(_, n)| !matches!(n, News::Record(r) if *r == name));
+        self.news
+            .retain(|(_, n)| !matches!(n, News::Record(r) if *r == name));
         self.tell(News::Record(name));
         if leaving {
             // Said at once to a few: there is no later.
@@ -387,13 +396,16 @@
         let n = self.present() as u32 + 2;
         let times = RETRANSMIT * (32 - n.leading_zeros());
         // A refutation goes before what it refutes.
-        self.news.sort_by_key(|(sent, n)| (*sent, matches!(n, News::Accusation(_))));
+        self.news
+            .sort_by_key(|(sent, n)| (*sent, matches!(n, News::Accusation(_))));
         let (mut records, mut accusations) = (Vec::new(), Vec::new());
         for (sent, news) in self.news.iter_mut().take(most) {
             *sent += 1;
             match news {
                 News::Record(name) if *name == self.own.name => records.push(self.own.clone()),
-                News::Record(name) => records.extend(self.members.get(name).map(|m| m.record.clone())),
+                News::Record(name) => {
+                    records.extend(self.members.get(name).map(|m| m.record.clone()))
+                }
                 News::Accusation(a) => accusations.push(a.clone()),
             }
         }
@@ -404,9 +416,20 @@
     fn send(&mut self, to: SocketAddr, say: Say) {
         let (records, mut accusations) = self.riders(PIGGYBACKED_PER_MESSAGE);
         // The buddy system: who is suspected or thought dead hears of it from whoever speaks with it.
-        let voice = self.members.values().find(|m| m.record.address == to).and_then(|m| m.voice.clone());
+        let voice = self
+            .members
+            .values()
+            .find(|m| m.record.address == to)
+            .and_then(|m| m.voice.clone());
         accusations.extend(voice);
-        self.outputs.push_back(Output::Send(to, Message { say, records, accusations }));
+        self.outputs.push_back(Output::Send(
+            to,
+            Message {
+                say,
+                records,
+                accusations,
+            },
+        ));
     }
 
     /// A few members that are there, at random, but for one.
@@ -426,20 +449,34 @@
     }
 
     fn set(&mut self, now: Micros, name: &str, standing: MemberState) {
-        let Some(m) = self.members.get_mut(name).filter(|m| m.standing != standing) else { return };
+        let Some(m) = self
+            .members
+            .get_mut(name)
+            .filter(|m| m.standing != standing)
+        else {
+            return;
+        };
         (m.standing, m.since) = (standing, now);
         if standing != MemberState::Suspect {
             m.suspicion = None;
         }
-        self.outputs.push_back(Output::Changed(name.to_owned(), standing));
+        self.outputs
+            .push_back(Output::Changed(name.to_owned(), standing));
         self.outputs.push_back(Output::Keep);
     }
 
     // ---- What others say ----
 
     fn message(&mut self, now: Micros, from: &str, address: SocketAddr, message: Message) {
-        let Message { say, records, accusations } = message;
-        let new = self.members.get(from).is_none_or(|m| m.standing != MemberState::Alive);
+        let Message {
+            say,
+            records,
+            accusations,
+        } = message;
+        let new = self
+            .members
+            .get(from)
+            .is_none_or(|m| m.standing != MemberState::Alive);
         for record in records {
             self.record(now, record);
         }
@@ -462,19 +499,25 @@
                 }
             }
             Say::PingFor(number, name) => {
-                let Some(to) = self.members.get(&name).map(|m| m.record.address) else { return };
+                let Some(to) = self.members.get(&name).map(|m| m.record.address) else {
+                    return;
+                };
                 if self.favours.len() >= 64 {
                     return;
                 }
                 self.next += 1;
                 let ours = self.next;
                 self.favours.insert(ours, (address, number));
-                self.due.insert((now + self.settings.timeout, Due::For(ours)));
+                self.due
+                    .insert((now + self.settings.timeout, Due::For(ours)));
                 self.send(to, Say::Ping(ours, name));
             }
             Say::Sync(wanted) => {
                 // Once a second each: who asks more often costs no more than that.
-                let often = self.members.get(from).is_some_and(|m| now < m.synced + SECOND);
+                let often = self
+                    .members
+                    .get(from)
+                    .is_some_and(|m| now < m.synced + SECOND);
                 if wanted && !often {
                     if let Some(m) = self.members.get_mut(from) {
                         m.synced = now;
@@ -489,7 +532,9 @@
 
     /// Whether an accuser has lost its voice.
     fn silenced(&self, now: Micros, by: &str) -> bool {
-        self.faults.get(by).is_some_and(|(n, at)| *n >= FAULTS && now < at + SILENCED)
+        self.faults
+            .get(by)
+            .is_some_and(|(n, at)| *n >= FAULTS && now < at + SILENCED)
     }
 
     /// An accusation was refuted.
@@ -498,14 +543,20 @@
             return;
         }
         let fault = self.faults.entry(by.to_owned()).or_insert((0, now));
-        *fault = if now < fault.1 + SILENCED { (fault.0.saturating_add(1), now) } else { (1, now) };
+        *fault = if now < fault.1 + SILENCED {
+            (fault.0.saturating_add(1), now)
+        } else {
+            (1, now)
+        };
     }
 
     fn acked(&mut self, now: Micros, from: &str, number: u64) {
         if let Some((asker, theirs)) = self.favours.remove(&number) {
             return self.send(asker, Say::Ack(theirs));
         }
-        let Some(p) = self.probes.get(&number) else { return };
+        let Some(p) = self.probes.get(&number) else {
+            return;
+        };
         // An ack of another, relayed, counts for the target: it carries the relay's name.
         let direct = p.target == from;
         if direct || p.indirect {
@@ -565,7 +616,15 @@
         });
         self.tell(News::Record(name.clone()));
         let leaving = self.members.get(&name).is_some_and(|m| m.record.leaving);
-        self.set(now, &name, if leaving { MemberState::Left } else { MemberState::Alive });
+        self.set(
+            now,
+            &name,
+            if leaving {
+                MemberState::Left
+            } else {
+                MemberState::Alive
+            },
+        );
     }
 
     fn refute(&mut self, incarnation: u64) {
@@ -592,15 +651,20 @@
             return;
         }
         // Only members have a voice, and only while most of what they say holds.
-        let known =
-            a.by == self.own.name || self.members.get(&a.by).is_some_and(|m| m.standing != MemberState::Left);
+        let known = a.by == self.own.name
+            || self
+                .members
+                .get(&a.by)
+                .is_some_and(|m| m.standing != MemberState::Left);
         if !known || self.silenced(now, &a.by) {
             return;
         }
         let n = self.present();
         let least = self.least_suspicion(n);
         let most = (least as f64 * self.settings.suspicion_most) as Micros;
-        let Some(m) = self.members.get_mut(&a.accused) else { return };
+        let Some(m) = self.members.get_mut(&a.accused) else {
+            return;
+        };
         // Of an incarnation that the accused never sealed, or has outdone: it says nothing.
         let counts = a.incarnation == m.record.incarnation && m.standing <= MemberState::Suspect;
         if !counts || m.accusers.contains(&a.by) || m.accusers.len() > CONFIRMATIONS as usize {
@@ -630,10 +694,13 @@
         match due {
             Due::Probe => {
                 self.probe(now);
-                self.due.insert((now + self.settings.interval * pace, Due::Probe));
+                self.due
+                    .insert((now + self.settings.interval * pace, Due::Probe));
             }
             Due::Direct(number) => {
-                let Some(p) = self.probes.get_mut(&number) else { return };
+                let Some(p) = self.probes.get_mut(&number) else {
+                    return;
+                };
                 p.indirect = true;
                 let target = p.target.clone();
                 let others = self.pick(self.settings.indirect, &target);
@@ -645,14 +712,20 @@
                 }
             }
             Due::End(number) => {
-                let Some(p) = self.probes.remove(&number) else { return };
+                let Some(p) = self.probes.remove(&number) else {
+                    return;
+                };
                 // Those asked would have said so if only the target were silent: what is missing of that is a sign
                 // against oneself.
                 let missing = p.asked.saturating_sub(p.nacks) as u32;
                 self.unwell = (self.unwell + missing.max(u32::from(p.asked == 0))).min(MOST_UNWELL);
-                let incarnation = self.members.get(&p.target).filter(|m| m.standing <= MemberState::Suspect);
+                let incarnation = self
+                    .members
+                    .get(&p.target)
+                    .filter(|m| m.standing <= MemberState::Suspect);
                 if let Some(incarnation) = incarnation.map(|m| m.record.incarnation) {
-                    self.outputs.push_back(Output::Accuse(p.target, incarnation));
+                    self.outputs
+                        .push_back(Output::Accuse(p.target, incarnation));
                 }
             }
             Due::For(number) => {
@@ -667,7 +740,11 @@
                     // Alone: the seeds, and those who were there before.
                     None => self.any_address(),
                 };
-                let soon = if others.is_empty() { self.settings.interval } else { self.settings.sync };
+                let soon = if others.is_empty() {
+                    self.settings.interval
+                } else {
+                    self.settings.sync
+                };
                 if let Some(to) = to {
                     self.sync(to, true);
                 }
@@ -679,10 +756,17 @@
     }
 
     fn any_address(&mut self) -> Option<SocketAddr> {
-        let mut all: Vec<SocketAddr> =
-            self.seeds.iter().copied().filter(|a| *a != self.own.address).collect();
+        let mut all: Vec<SocketAddr> = self
+            .seeds
+            .iter()
+            .copied()
+            .filter(|a| *a != self.own.address)
+            .collect();
         all.extend(
-            self.members.values().filter(|m| m.standing != MemberState::Left).map(|m| m.record.address),
+            self.members
+                .values()
+                .filter(|m| m.standing != MemberState::Left)
+                .map(|m| m.record.address),
         );
         let n = all.len() as u64;
         (n > 0).then(|| all[(self.random.next_u64() % n) as usize])
@@ -690,8 +774,12 @@
 
     fn probe(&mut self, now: Micros) {
         for _ in 0..=self.round.len() {
-            let Some(name) = self.round.pop_front() else { return };
-            let Some(m) = self.members.get(&name) else { continue };
+            let Some(name) = self.round.pop_front() else {
+                return;
+            };
+            let Some(m) = self.members.get(&name) else {
+                continue;
+            };
             let address = m.record.address;
             // Those thought dead are asked now and then, or two halves of a group would never find together again.
             let due = match m.standing {
@@ -709,9 +797,19 @@
             self.next += 1;
             let number = self.next;
             let pace = Micros::from(self.unwell + 1);
-            self.probes.insert(number, Probe { target: name.clone(), asked: 0, nacks: 0, indirect: false });
-            self.due.insert((now + self.settings.timeout * pace, Due::Direct(number)));
-            self.due.insert((now + self.settings.interval * pace, Due::End(number)));
+            self.probes.insert(
+                number,
+                Probe {
+                    target: name.clone(),
+                    asked: 0,
+                    nacks: 0,
+                    indirect: false,
+                },
+            );
+            self.due
+                .insert((now + self.settings.timeout * pace, Due::Direct(number)));
+            self.due
+                .insert((now + self.settings.interval * pace, Due::End(number)));
             return self.send(address, Say::Ping(number, name));
         }
     }
@@ -725,29 +823,51 @@
     fn sync(&mut self, to: SocketAddr, wanted: bool) {
         let mut all: Vec<Record> = vec![self.own.clone()];
         self.page = (self.page + 1) % self.pages();
-        let known = self.members.values().filter(|m| m.standing <= MemberState::Suspect);
+        let known = self
+            .members
+            .values()
+            .filter(|m| m.standing <= MemberState::Suspect);
         all.extend(
             known
                 .skip(self.page * (MEMBERS_PER_MESSAGE - 1))
                 .take(MEMBERS_PER_MESSAGE - 1)
                 .map(|m| m.record.clone()),
         );
-        let voice = self.members.values().find(|m| m.record.address == to).and_then(|m| m.voice.clone());
+        let voice = self
+            .members
+            .values()
+            .find(|m| m.record.address == to)
+            .and_then(|m| m.voice.clone());
         let accusations = voice.into_iter().collect();
-        let message = Message { say: Say::Sync(wanted), records: all, accusations };
+        let message = Message {
+            say: Say::Sync(wanted),
+            records: all,
+            accusations,
+        };
         self.outputs.push_back(Output::Send(to, message));
     }
 
     fn sweep(&mut self, now: Micros) {
         let over = |m: &&Member| m.suspicion.is_some_and(|(_, end)| end <= now);
-        let dead: Vec<String> = self.members.values().filter(over).map(|m| m.record.name.clone()).collect();
+        let dead: Vec<String> = self
+            .members
+            .values()
+            .filter(over)
+            .map(|m| m.record.name.clone())
+            .collect();
         for name in dead {
-            self.news.retain(|(_, n)| !matches!(n, News::Accusation(a) if a.accused == name));
+            self.news
+                .retain(|(_, n)| !matches!(n, News::Accusation(a) if a.accused == name));
             self.set(now, &name, MemberState::Dead);
         }
         let forget = self.settings.forget;
         let gone = |m: &&Member| m.standing >= MemberState::Dead && now >= m.since + forget;
-        let gone: Vec<String> = self.members.values().filter(gone).map(|m| m.record.name.clone()).collect();
+        let gone: Vec<String> = self
+            .members
+            .values()
+            .filter(gone)
+            .map(|m| m.record.name.clone())
+            .collect();
         for name in gone {
             self.members.remove(&name);
             self.round.retain(|n| *n != name);
@@ -755,8 +875,15 @@
             self.outputs.push_back(Output::Forgotten(name));
         }
         self.due.retain(|(_, d)| *d != Due::Sweep);
-        let next = self.members.values().filter_map(|m| m.suspicion.map(|(_, end)| end)).min();
-        self.due.insert((next.unwrap_or(now + SECOND).min(now + SECOND).max(now + 1), Due::Sweep));
+        let next = self
+            .members
+            .values()
+            .filter_map(|m| m.suspicion.map(|(_, end)| end))
+            .min();
+        self.due.insert((
+            next.unwrap_or(now + SECOND).min(now + SECOND).max(now + 1),
+            Due::Sweep,
+        ));
     }
 }
 
--- a/src/membership/swim_tests.rs
+++ b/src/membership/swim_tests.rs
@@ -29,7 +29,13 @@
 }
 
 fn record(n: u16, incarnation: u64) -> Record {
-    Record { name: name(n), address: address(n), incarnation, leaving: false, seal: Vec::new() }
+    Record {
+        name: name(n),
+        address: address(n),
+        incarnation,
+        leaving: false,
+        seal: Vec::new(),
+    }
 }
 
 impl Net {
@@ -53,7 +59,10 @@
     fn start(&mut self, n: u16, incarnation: u64) {
         let seed = self.random.next_u64();
         let mut swim = Swim::new(Settings::default(), record(n, incarnation), seed, self.now);
-        swim.handle(self.now, Input::Known(Vec::new(), vec![address(0), address(1)]));
+        swim.handle(
+            self.now,
+            Input::Known(Vec::new(), vec![address(0), address(1)]),
+        );
         self.nodes.insert(name(n), swim);
     }
 
@@ -68,18 +77,30 @@
                     self.count += 1;
                     let at = self.now + 1000 + self.random.next_u64() % 20_000;
                     self.flying.insert((at, self.count));
-                    self.letters.insert(self.count, (to, who.to_owned(), message));
+                    self.letters
+                        .insert(self.count, (to, who.to_owned(), message));
                 }
                 Output::Accuse(accused, incarnation) => {
-                    let a = Suspicion { accused, incarnation, by: who.to_owned(), seal: Vec::new() };
+                    let a = Suspicion {
+                        accused,
+                        incarnation,
+                        by: who.to_owned(),
+                        seal: Vec::new(),
+                    };
                     self.nodes.get_mut(who).unwrap().accuse(self.now, a);
                 }
                 Output::Renew(incarnation, leaving) => {
                     let node = self.nodes.get_mut(who).unwrap();
-                    let record = Record { incarnation, leaving, ..node.own().clone() };
+                    let record = Record {
+                        incarnation,
+                        leaving,
+                        ..node.own().clone()
+                    };
                     node.renew(record);
                 }
-                Output::Changed(of, MemberState::Dead) => self.deaths.push((self.now, who.to_owned(), of)),
+                Output::Changed(of, MemberState::Dead) => {
+                    self.deaths.push((self.now, who.to_owned(), of))
+                }
                 _ => {}
             }
         }
@@ -87,11 +108,23 @@
 
     fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        self.nodes.keys().cloned().collect::<Vec<_>>().iter().for_each(|n| self.settle(n));
+        self.nodes
+            .keys()
+            .cloned()
+            .collect::<Vec<_>>()
+            .iter()
+            .for_each(|n| self.settle(n));
         loop {
-            let tick = self.nodes.iter().filter_map(|(n, s)| Some((s.next_deadline()?, n.clone()))).min();
+            let tick = self
+                .nodes
+                .iter()
+                .filter_map(|(n, s)| Some((s.next_deadline()?, n.clone())))
+                .min();
             let letter = self.flying.first().copied();
-            let at = tick.as_ref().map_or(Micros::MAX, |t| t.0).min(letter.map_or(Micros::MAX, |l| l.0));
+            let at = tick
+                .as_ref()
+                .map_or(Micros::MAX, |t| t.0)
+                .min(letter.map_or(Micros::MAX, |l| l.0));
             if at > end {
                 self.now = end;
                 return;
@@ -99,20 +132,33 @@
             self.now = self.now.max(at);
             if let Some((_, number)) = letter.filter(|l| l.0 == at) {
                 self.flying.pop_first();
-                let Some((to, from, message)) = self.letters.remove(&number) else { continue };
-                let Some(who) =
-                    self.nodes.values().find(|s| s.own().address == to).map(|s| s.own().name.clone())
+                let Some((to, from, message)) = self.letters.remove(&number) else {
+                    continue;
+                };
+                let Some(who) = self
+                    .nodes
+                    .values()
+                    .find(|s| s.own().address == to)
+                    .map(|s| s.own().name.clone())
                 else {
                     continue;
                 };
                 if self.cut.contains(&(from.clone(), who.clone())) {
                     continue;
                 }
-                let Some(source) = self.nodes.get(&from).map(|s| s.own().address) else { continue };
-                self.nodes.get_mut(&who).unwrap().handle(self.now, Input::Message(from, source, message));
+                let Some(source) = self.nodes.get(&from).map(|s| s.own().address) else {
+                    continue;
+                };
+                self.nodes
+                    .get_mut(&who)
+                    .unwrap()
+                    .handle(self.now, Input::Message(from, source, message));
                 self.settle(&who);
             } else if let Some((_, who)) = tick {
-                self.nodes.get_mut(&who).unwrap().handle(self.now, Input::Tick);
+                self.nodes
+                    .get_mut(&who)
+                    .unwrap()
+                    .handle(self.now, Input::Tick);
                 self.settle(&who);
             }
         }
@@ -121,8 +167,11 @@
     /// Whether all who are there hold each other, and nobody else, for alive.
     fn agree(&self) -> bool {
         self.nodes.iter().all(|(me, s)| {
-            let alive: BTreeSet<String> =
-                s.members().filter(|m| m.standing == MemberState::Alive).map(|m| m.record.name).collect();
+            let alive: BTreeSet<String> = s
+                .members()
+                .filter(|m| m.standing == MemberState::Alive)
+                .map(|m| m.record.name)
+                .collect();
             let there: BTreeSet<String> = self.nodes.keys().filter(|n| *n != me).cloned().collect();
             alive == there
         })
@@ -139,7 +188,10 @@
     net.run(60 * SECOND);
     assert!(net.agree());
     let known: Vec<Micros> = net.deaths.iter().map(|(t, ..)| t - at).collect();
-    assert!(net.deaths.iter().all(|(_, _, of)| *of == name(7)), "nobody else was thought dead");
+    assert!(
+        net.deaths.iter().all(|(_, _, of)| *of == name(7)),
+        "nobody else was thought dead"
+    );
     assert!(known.iter().all(|t| *t < 40 * SECOND), "{known:?}");
     // The same name comes back as a new process: its incarnation is from the clock.
     net.start(7, 1_000_000);
@@ -148,7 +200,10 @@
     // Forgotten after its time, nothing is left of one that stays away.
     net.nodes.remove(&name(3));
     net.run(400 * SECOND);
-    assert!(net.nodes.values().all(|s| s.standing(&name(3)).is_none() && s.members.len() == 18));
+    assert!(net
+        .nodes
+        .values()
+        .all(|s| s.standing(&name(3)).is_none() && s.members.len() == 18));
     assert!(net
         .nodes
         .values()
@@ -165,7 +220,11 @@
     assert!(net.agree());
     let mut net = Net::new(12, 4, 10);
     net.run(200 * SECOND);
-    assert!(net.deaths.len() < 12, "false deaths at a tenth lost: {}", net.deaths.len());
+    assert!(
+        net.deaths.len() < 12,
+        "false deaths at a tenth lost: {}",
+        net.deaths.len()
+    );
 }
 
 #[test]
@@ -178,7 +237,10 @@
         }
     }
     net.run(90 * SECOND);
-    assert_eq!(net.nodes[&name(2)].standing(&name(8)), Some(MemberState::Dead));
+    assert_eq!(
+        net.nodes[&name(2)].standing(&name(8)),
+        Some(MemberState::Dead)
+    );
     net.cut.clear();
     net.run(90 * SECOND);
     assert!(net.agree());
@@ -199,13 +261,19 @@
     let mut net = Net::new(8, 7, 0);
     net.run(30 * SECOND);
     let now = net.now;
-    net.nodes.get_mut(&name(4)).unwrap().handle(now, Input::Leave);
+    net.nodes
+        .get_mut(&name(4))
+        .unwrap()
+        .handle(now, Input::Leave);
     net.settle(&name(4));
     net.run(SECOND);
     net.nodes.remove(&name(4));
     net.run(30 * SECOND);
     assert!(net.deaths.is_empty() && net.agree());
-    assert!(net.nodes.values().all(|s| s.standing(&name(4)) == Some(MemberState::Left)));
+    assert!(net
+        .nodes
+        .values()
+        .all(|s| s.standing(&name(4)) == Some(MemberState::Left)));
 }
 
 /// One that accuses everybody all the time, in their own and in huge incarnations, and brings records of others that
@@ -219,9 +287,18 @@
         for victim in 0..9 {
             let known = net.nodes[&name(victim)].own().incarnation;
             for incarnation in [known, u64::MAX] {
-                let a = Suspicion { accused: name(victim), incarnation, by: name(9), seal: Vec::new() };
+                let a = Suspicion {
+                    accused: name(victim),
+                    incarnation,
+                    by: name(9),
+                    seal: Vec::new(),
+                };
                 let say = Say::Sync(false);
-                let message = Message { say, records: vec![record(victim, 0)], accusations: vec![a] };
+                let message = Message {
+                    say,
+                    records: vec![record(victim, 0)],
+                    accusations: vec![a],
+                };
                 for to in 0..9 {
                     let (now, source) = (net.now, address(9));
                     let node = net.nodes.get_mut(&name(to)).unwrap();
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -206,9 +206,24 @@
 }
 
 /// Seals one's own record.
-pub fn seal_record(keys: &Keys, name: &str, address: SocketAddr, incarnation: u64, leaving: bool) -> Record {
-    let seal = keys.seal(RECORD, &record_content(name, &address.to_string(), incarnation, leaving));
-    Record { name: name.into(), address, incarnation, leaving, seal }
+pub fn seal_record(
+    keys: &Keys,
+    name: &str,
+    address: SocketAddr,
+    incarnation: u64,
+    leaving: bool,
+) -> Record {
+    let seal = keys.seal(
+        RECORD,
+        &record_content(name, &address.to_string(), incarnation, leaving),
+    );
+    Record {
+        name: name.into(),
+        address,
+        incarnation,
+        leaving,
+        seal,
+    }
 }
 
 /// Whether a record, such as one kept on disk, is sealed by its member.
@@ -220,7 +235,12 @@
 /// Seals an accusation of one's own.
 pub fn seal_accusation(keys: &Keys, accused: &str, incarnation: u64, by: &str) -> Suspicion {
     let seal = keys.seal(ACCUSATION, &accusation_content(accused, incarnation, by));
-    Suspicion { accused: accused.into(), incarnation, by: by.into(), seal }
+    Suspicion {
+        accused: accused.into(),
+        incarnation,
+        by: by.into(),
+        seal,
+    }
 }
 
 /// Seals what one saw.
@@ -231,7 +251,12 @@
     seen: Vec<(WorkerId, Observation)>,
 ) -> SealedObservation {
     let seal = keys.seal(SIGHTING, &sighting_content(origin, at, &seen));
-    SealedObservation { origin: origin.into(), at, seen, seal }
+    SealedObservation {
+        origin: origin.into(),
+        at,
+        seen,
+        seal,
+    }
 }
 
 fn envelope_content(e: &Envelope) -> Vec<u8> {
@@ -273,7 +298,12 @@
         Say::Sync(false) => (5, 0, String::new()),
         Say::Sync(true) => (6, 0, String::new()),
     };
-    let mut body = Body { say, number: asked, name, ..Body::default() };
+    let mut body = Body {
+        say,
+        number: asked,
+        name,
+        ..Body::default()
+    };
     // The envelope around a body: its fields, their tags and lengths, and the longest seal.
     let room = most.checked_sub(from.len() + 64 + 40)?;
     let mut left = room.checked_sub(body.encoded_len())?;
@@ -308,7 +338,12 @@
             silent: o.silent,
             refused: o.refused,
         });
-        let part = SightingPart { origin: s.origin, at_us: s.at, seen: seen.collect(), seal: s.seal };
+        let part = SightingPart {
+            origin: s.origin,
+            at_us: s.at,
+            seen: seen.collect(),
+            seal: s.seal,
+        };
         let whole = part.encoded_len() + 4;
         if whole > left {
             break;
@@ -480,7 +515,12 @@
                 by: part.by,
                 seal: part.seal,
             };
-            if keys.check(&a.by, ACCUSATION, &accusation_content(&a.accused, a.incarnation, &a.by), &a.seal) {
+            if keys.check(
+                &a.by,
+                ACCUSATION,
+                &accusation_content(&a.accused, a.incarnation, &a.by),
+                &a.seal,
+            ) {
                 accusations.push(a);
             } else {
                 refused += 1;
@@ -503,7 +543,9 @@
                 })
                 .collect();
             let content = sighting_content(&part.origin, part.at_us, &seen);
-            if seen.len() <= MAX_OBSERVATIONS && keys.check(&part.origin, SIGHTING, &content, &part.seal) {
+            if seen.len() <= MAX_OBSERVATIONS
+                && keys.check(&part.origin, SIGHTING, &content, &part.seal)
+            {
                 sightings.push(SealedObservation {
                     origin: part.origin,
                     at: part.at_us,
@@ -514,7 +556,16 @@
                 refused += 1;
             }
         }
-        Ok(Opened { from: e.from, message: Message { say, records, accusations }, sightings, refused })
+        Ok(Opened {
+            from: e.from,
+            message: Message {
+                say,
+                records,
+                accusations,
+            },
+            sightings,
+            refused,
+        })
     }
 }
 
@@ -533,11 +584,21 @@
     fn ping(keys: &Keys) -> Message {
         let records = vec![seal_record(keys, "a", address(1), 5, false)];
         let accusations = vec![seal_accusation(keys, "b", 3, "a")];
-        Message { say: Say::Ping(7, "b".into()), records, accusations }
+        Message {
+            say: Say::Ping(7, "b".into()),
+            records,
+            accusations,
+        }
     }
 
     fn sighting(keys: &Keys) -> SealedObservation {
-        let o = Observation { at: NOW, answered: 1, failed: 2, silent: 3, refused: 4 };
+        let o = Observation {
+            at: NOW,
+            answered: 1,
+            failed: 2,
+            silent: 3,
+            refused: 4,
+        };
         seal_sighting(keys, "a", NOW, vec![(WorkerId(9), o)])
     }
 
@@ -554,22 +615,40 @@
         let opened = opener.open(&b, NOW + 5, &bytes, |_| false).unwrap();
         assert_eq!((opened.from.as_str(), &opened.message), ("a", &ping(&a)));
         assert_eq!((opened.sightings, opened.refused), (vec![sighting(&a)], 0));
-        assert_eq!(opener.open(&b, NOW + 6, &bytes, |_| false).unwrap_err(), DatagramError::Replayed);
-        assert!(opener.open(&b, NOW, &packed(&a, 9), |_| false).is_ok(), "overtaken by the one before");
+        assert_eq!(
+            opener.open(&b, NOW + 6, &bytes, |_| false).unwrap_err(),
+            DatagramError::Replayed
+        );
+        assert!(
+            opener.open(&b, NOW, &packed(&a, 9), |_| false).is_ok(),
+            "overtaken by the one before"
+        );
         assert!(opener.open(&b, NOW, &packed(&a, 500), |_| false).is_ok());
         assert_eq!(
-            opener.open(&b, NOW, &packed(&a, 11), |_| false).unwrap_err(),
+            opener
+                .open(&b, NOW, &packed(&a, 11), |_| false)
+                .unwrap_err(),
             DatagramError::Replayed,
             "below the window"
         );
         for late in [NOW + SKEW + 1, NOW - SKEW - 1] {
-            assert_eq!(opener.open(&b, late, &packed(&a, 501), |_| false).unwrap_err(), DatagramError::Stale);
+            assert_eq!(
+                opener
+                    .open(&b, late, &packed(&a, 501), |_| false)
+                    .unwrap_err(),
+                DatagramError::Stale
+            );
         }
         assert_eq!(
-            opener.open(&each(0, 1), NOW, &packed(&b, 1), |_| false).unwrap_err(),
+            opener
+                .open(&each(0, 1), NOW, &packed(&b, 1), |_| false)
+                .unwrap_err(),
             DatagramError::Seal
         );
-        assert_eq!(opener.open(&b, NOW, &[0; MTU + 1], |_| false).unwrap_err(), DatagramError::TooLong);
+        assert_eq!(
+            opener.open(&b, NOW, &[0; MTU + 1], |_| false).unwrap_err(),
+            DatagramError::TooLong
+        );
         assert_eq!(opener.refused["replayed"], 2);
     }
 
@@ -577,10 +656,23 @@
     fn nobody_speaks_for_another() {
         let (a, b) = (each(0, 3), each(1, 3));
         // b forges: a's record, an accusation in a's name, a sighting of a's; and a whole datagram as a.
-        let records = vec![Record { name: "a".into(), ..seal_record(&b, "b", address(2), 99, false) }];
-        let accusations = vec![Suspicion { by: "a".into(), ..seal_accusation(&b, "c", 1, "b") }];
-        let message = Message { say: Say::Sync(false), records, accusations };
-        let mut forged = Some(SealedObservation { origin: "a".into(), ..sighting(&b) });
+        let records = vec![Record {
+            name: "a".into(),
+            ..seal_record(&b, "b", address(2), 99, false)
+        }];
+        let accusations = vec![Suspicion {
+            by: "a".into(),
+            ..seal_accusation(&b, "c", 1, "b")
+        }];
+        let message = Message {
+            say: Say::Sync(false),
+            records,
+            accusations,
+        };
+        let mut forged = Some(SealedObservation {
+            origin: "a".into(),
+            ..sighting(&b)
+        });
         let bytes = pack(&b, "b", 1, NOW, &message, MTU, |_| forged.take()).unwrap();
         let opened = Opener::default().open(&a, NOW, &bytes, |_| false).unwrap();
         assert_eq!(opened.refused, 3);
@@ -591,7 +683,9 @@
         );
         let bytes = pack(&b, "a", 1, NOW, &message, MTU, |_| None).unwrap();
         assert_eq!(
-            Opener::default().open(&each(2, 3), NOW, &bytes, |_| false).unwrap_err(),
+            Opener::default()
+                .open(&each(2, 3), NOW, &bytes, |_| false)
+                .unwrap_err(),
             DatagramError::Seal
         );
     }
@@ -603,7 +697,12 @@
         e.version = 2;
         e.seal = a.seal(ENVELOPE, &envelope_content(&e));
         let mut opener = Opener::default();
-        assert_eq!(opener.open(&b, NOW, &e.encode_to_vec(), |_| false).unwrap_err(), DatagramError::Version);
+        assert_eq!(
+            opener
+                .open(&b, NOW, &e.encode_to_vec(), |_| false)
+                .unwrap_err(),
+            DatagramError::Version
+        );
         let mut e = Envelope::decode(&packed(&a, 1)[..]).unwrap();
         // Field 99, a varint, at the end of the body.
         e.body.extend([0x98, 0x06, 0x01]);
--- a/src/net.rs
+++ b/src/net.rs
@@ -121,12 +121,22 @@
 impl Outbox {
     /// Queues a frame.
     pub fn push(&mut self, tag: u64, bytes: Vec<u8>) {
-        self.queue(Frame { tag, bytes, sent: 0, counts: false });
+        self.queue(Frame {
+            tag,
+            bytes,
+            sent: 0,
+            counts: false,
+        });
     }
 
     /// Queues a frame that is counted once its last byte has left; see [`Outbox::take_whole`].
     pub fn push_counted(&mut self, tag: u64, bytes: Vec<u8>) {
-        self.queue(Frame { tag, bytes, sent: 0, counts: true });
+        self.queue(Frame {
+            tag,
+            bytes,
+            sent: 0,
+            counts: true,
+        });
     }
 
     fn queue(&mut self, frame: Frame) {
@@ -142,7 +152,9 @@
     /// Takes a frame back whole, if not one byte of it has left. Guards against half a frame: one that has
     /// begun to leave stays and is written to its end.
     pub fn withdraw(&mut self, tag: u64) -> bool {
-        let Some(at) = self.frames.iter().position(|f| f.tag == tag && f.sent == 0) else { return false };
+        let Some(at) = self.frames.iter().position(|f| f.tag == tag && f.sent == 0) else {
+            return false;
+        };
         if let Some(frame) = self.frames.remove(at) {
             self.bytes -= frame.bytes.len();
         }
@@ -167,8 +179,12 @@
     /// Writes what the peer takes; `false` if something is left. Frames that wait go out together.
     pub fn flush(&mut self, to: &mut impl Write) -> io::Result<bool> {
         while !self.frames.is_empty() {
-            let slices: Vec<io::IoSlice<'_>> =
-                self.frames.iter().take(64).map(|f| io::IoSlice::new(&f.bytes[f.sent..])).collect();
+            let slices: Vec<io::IoSlice<'_>> = self
+                .frames
+                .iter()
+                .take(64)
+                .map(|f| io::IoSlice::new(&f.bytes[f.sent..]))
+                .collect();
             match to.write_vectored(&slices) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(mut n) => {
@@ -327,15 +343,23 @@
         if !self.up {
             return Ok(self.out.is_empty());
         }
-        self.out.flush(&mut &*self.stream.0).map_err(|_| CloseReason::Reset)
+        self.out
+            .flush(&mut &*self.stream.0)
+            .map_err(|_| CloseReason::Reset)
     }
 }
 
 /// Whether an error tells of this machine's or this process's own limits rather than of the peer.
 pub fn is_own_limit(e: &io::Error) -> bool {
     use rustix::io::Errno;
-    let own =
-        [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::ADDRINUSE];
+    let own = [
+        Errno::MFILE,
+        Errno::NFILE,
+        Errno::NOBUFS,
+        Errno::NOMEM,
+        Errno::ADDRNOTAVAIL,
+        Errno::ADDRINUSE,
+    ];
     Errno::from_io_error(e).is_some_and(|e| own.contains(&e))
 }
 
@@ -343,7 +367,11 @@
 /// stands on, makes the socket.
 pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     use rustix::net::{connect, socket_with, AddressFamily, SocketFlags, SocketType};
-    let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if to.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = socket_with(family, SocketType::STREAM, flags, None)?;
     match connect(&socket, &to) {
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -41,5 +41,9 @@
     assert_eq!(b.bytes().len(), 5_000);
     b.consume(4_000);
     while b.fill(&mut from, 5_000).unwrap() == Fill::Some {}
-    assert_eq!((b.bytes().len(), b.data.len()), (5_000, 5_000), "room was made by moving, not by growing");
+    assert_eq!(
+        (b.bytes().len(), b.data.len()),
+        (5_000, 5_000),
+        "room was made by moving, not by growing"
+    );
 }
--- a/src/operations/hot_restart.rs
+++ b/src/operations/hot_restart.rs
@@ -43,8 +43,11 @@
     Ending,
 }
 
-const STATES: [(State, &str); 3] =
-    [(State::Starting, "starting"), (State::Ready, "ready"), (State::Ending, "ending")];
+const STATES: [(State, &str); 3] = [
+    (State::Starting, "starting"),
+    (State::Ready, "ready"),
+    (State::Ending, "ending"),
+];
 
 /// What one process tells.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -83,7 +86,9 @@
 impl fmt::Display for HotRestartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HotRestartError::Version(line) => write!(f, "'{line}' is not the form that this version reads"),
+            HotRestartError::Version(line) => {
+                write!(f, "'{line}' is not the form that this version reads")
+            }
             HotRestartError::Damaged => write!(f, "its sum does not fit"),
             HotRestartError::TooLarge => write!(f, "it is too large"),
             HotRestartError::Line(line) => write!(f, "the line '{line}' has no meaning"),
@@ -100,13 +105,18 @@
 }
 
 fn usable(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(|b| (0x21..0x7f).contains(&b))
+    !name.is_empty()
+        && name.len() <= MAX_NAME_BYTES
+        && name.bytes().all(|b| (0x21..0x7f).contains(&b))
 }
 
 impl SiblingState {
     /// The text; names that cannot stand in a line of their own are left out.
     pub fn text(&self) -> String {
-        let state = STATES.iter().find(|(s, _)| *s == self.state).map_or("", |(_, word)| word);
+        let state = STATES
+            .iter()
+            .find(|(s, _)| *s == self.state)
+            .map_or("", |(_, word)| word);
         let mut text = format!(
             "molelug-handover {VERSION}\ngateway {}\nstate {state}\nrev {}\nbears {:.1}\n",
             self.gateway, self.rev, self.bears
@@ -122,7 +132,12 @@
     }
 
     /// Reads a text that another process of the gateway `name` has left `age` ago; `alive` if it still runs.
-    pub fn read(bytes: &[u8], name: &str, alive: bool, age: Micros) -> Result<SiblingState, HotRestartError> {
+    pub fn read(
+        bytes: &[u8],
+        name: &str,
+        alive: bool,
+        age: Micros,
+    ) -> Result<SiblingState, HotRestartError> {
         if bytes.len() > MAX_STATE_BYTES {
             return Err(HotRestartError::TooLarge);
         }
@@ -131,7 +146,9 @@
         if first.strip_prefix("molelug-handover ") != Some(VERSION) {
             return Err(HotRestartError::Version(first.chars().take(40).collect()));
         }
-        let body = text.strip_suffix('\n').and_then(|t| t.rsplit_once("\nsum "));
+        let body = text
+            .strip_suffix('\n')
+            .and_then(|t| t.rsplit_once("\nsum "));
         let (body, stated) = body.ok_or(HotRestartError::Damaged)?;
         let whole = format!("{body}\n");
         if sum(&whole) != stated {
@@ -139,7 +156,8 @@
         }
         let mut word = SiblingState::default();
         for line in whole.lines().skip(1) {
-            word.line(line).ok_or_else(|| HotRestartError::Line(line.chars().take(40).collect()))?;
+            word.line(line)
+                .ok_or_else(|| HotRestartError::Line(line.chars().take(40).collect()))?;
         }
         if word.gateway != name {
             return Err(HotRestartError::Foreign(word.gateway));
@@ -156,11 +174,18 @@
             "gateway" => self.gateway = rest.to_owned(),
             "state" => self.state = STATES.iter().find(|(_, word)| *word == rest)?.0,
             "rev" => self.rev = rest.parse().ok()?,
-            "bears" => self.bears = rest.parse().ok().filter(|b| (0.0..=MOST_BORNE).contains(b))?,
+            "bears" => {
+                self.bears = rest
+                    .parse()
+                    .ok()
+                    .filter(|b| (0.0..=MOST_BORNE).contains(b))?
+            }
             "ban" | "free" => {
                 let (name, at) = rest.split_once(' ')?;
-                self.bans
-                    .insert(Some(name).filter(|n| usable(n))?.to_owned(), (what == "ban", at.parse().ok()?));
+                self.bans.insert(
+                    Some(name).filter(|n| usable(n))?.to_owned(),
+                    (what == "ban", at.parse().ok()?),
+                );
             }
             "seen" => self.seen.push(Some(rest).filter(|n| usable(n))?.to_owned()),
             _ => return None,
@@ -210,7 +235,10 @@
     /// follows from calls taken is not split: each process counts its own.
     pub fn limits(&self, settings: &Settings) -> (Option<LoadRateLimit>, f64) {
         let n = self.processes() as f64;
-        let ration = settings.load_rate_limit.map(|r| LoadRateLimit { base_loads: r.base_loads / n, ..r });
+        let ration = settings.load_rate_limit.map(|r| LoadRateLimit {
+            base_loads: r.base_loads / n,
+            ..r
+        });
         (ration, settings.overload_multiple / n)
     }
 
@@ -234,7 +262,10 @@
     use proptest::prelude::*;
 
     fn word() -> SiblingState {
-        let bans = [("s-1".to_owned(), (true, 7)), ("s-2".to_owned(), (false, 9))];
+        let bans = [
+            ("s-1".to_owned(), (true, 7)),
+            ("s-2".to_owned(), (false, 9)),
+        ];
         let seen = vec!["s-1".into(), "s-2".into(), "s-3".into()];
         SiblingState {
             gateway: "n3".into(),
@@ -249,19 +280,35 @@
     #[test]
     fn what_is_written_is_read_and_every_damage_is_told() {
         let text = word().text();
-        assert_eq!(SiblingState::read(text.as_bytes(), "n3", true, 0), Ok(word()));
+        assert_eq!(
+            SiblingState::read(text.as_bytes(), "n3", true, 0),
+            Ok(word())
+        );
         for cut in 0..text.len() {
-            assert!(SiblingState::read(&text.as_bytes()[..cut], "n3", true, 0).is_err(), "cut at {cut}");
+            assert!(
+                SiblingState::read(&text.as_bytes()[..cut], "n3", true, 0).is_err(),
+                "cut at {cut}"
+            );
         }
         for at in 0..text.len() {
             let mut bad = text.clone().into_bytes();
             bad[at] ^= 1;
-            assert!(SiblingState::read(&bad, "n3", true, 0).is_err(), "changed at {at}");
+            assert!(
+                SiblingState::read(&bad, "n3", true, 0).is_err(),
+                "changed at {at}"
+            );
         }
-        let read =
-            |text: &str, name, alive, age| SiblingState::read(text.as_bytes(), name, alive, age).unwrap_err();
-        assert_eq!(read(&text, "n4", true, 0), HotRestartError::Foreign("n3".into()));
-        assert_eq!(read(&text, "n3", false, ABANDONED_AFTER + 1), HotRestartError::LongDead);
+        let read = |text: &str, name, alive, age| {
+            SiblingState::read(text.as_bytes(), name, alive, age).unwrap_err()
+        };
+        assert_eq!(
+            read(&text, "n4", true, 0),
+            HotRestartError::Foreign("n3".into())
+        );
+        assert_eq!(
+            read(&text, "n3", false, ABANDONED_AFTER + 1),
+            HotRestartError::LongDead
+        );
         assert!(
             SiblingState::read(text.as_bytes(), "n3", true, ABANDONED_AFTER + 1).is_ok(),
             "a living one's counts"
@@ -271,10 +318,16 @@
             "one just killed, too"
         );
         let newer = text.replace("handover 1", "handover 2");
-        assert!(matches!(read(&newer, "n3", true, 0), HotRestartError::Version(_)));
+        assert!(matches!(
+            read(&newer, "n3", true, 0),
+            HotRestartError::Version(_)
+        ));
         let body = "molelug-handover 1\ngateway n3\nlanes 4\n";
         let odd = format!("{body}sum {}\n", sum(body));
-        assert_eq!(read(&odd, "n3", true, 0), HotRestartError::Line("lanes 4".into()));
+        assert_eq!(
+            read(&odd, "n3", true, 0),
+            HotRestartError::Line("lanes 4".into())
+        );
         assert_eq!(
             SiblingState::read(&vec![b'a'; MAX_STATE_BYTES + 1], "n3", true, 0),
             Err(HotRestartError::TooLarge)
@@ -286,10 +339,15 @@
         let mut w = word();
         w.bans.insert("a b".into(), (true, 1));
         w.seen.push("x\ny".into());
-        assert_eq!(SiblingState::read(w.text().as_bytes(), "n3", true, 0), Ok(word()));
+        assert_eq!(
+            SiblingState::read(w.text().as_bytes(), "n3", true, 0),
+            Ok(word())
+        );
         let name = |n: usize| format!("{n:0>MAX_NAME_BYTES$}");
         w.seen = (0..MAX_WORKERS_SEEN).map(name).collect();
-        w.bans = (0..MAX_WORKERS_SEEN).map(|n| (name(n), (true, Micros::MAX))).collect();
+        w.bans = (0..MAX_WORKERS_SEEN)
+            .map(|n| (name(n), (true, Micros::MAX)))
+            .collect();
         assert!(SiblingState::read(w.text().as_bytes(), "n3", true, 0).is_ok());
     }
 
@@ -298,29 +356,68 @@
         let mut others = SiblingProcesses::default();
         let living = BTreeSet::from([8]);
         assert!(others.only(&living) && !others.only(&living));
-        assert_eq!((others.processes(), others.take_over()), (2, false), "it has told nothing yet");
-        others.heard(8, SiblingState { state: State::Starting, ..word() });
+        assert_eq!(
+            (others.processes(), others.take_over()),
+            (2, false),
+            "it has told nothing yet"
+        );
+        others.heard(
+            8,
+            SiblingState {
+                state: State::Starting,
+                ..word()
+            },
+        );
         assert!(!others.take_over());
         others.heard(8, word());
         assert!(others.take_over() && others.rev() == 41);
-        others.heard(8, SiblingState { state: State::Ending, ..word() });
+        others.heard(
+            8,
+            SiblingState {
+                state: State::Ending,
+                ..word()
+            },
+        );
         assert!(!others.take_over());
         others.heard(8, word());
         assert!(others.only(&BTreeSet::new()));
-        assert_eq!((others.processes(), others.take_over(), others.rev()), (1, false, 0));
-        assert_eq!(others.bears(), 24.5, "what workers bear does not end with who saw it");
+        assert_eq!(
+            (others.processes(), others.take_over(), others.rev()),
+            (1, false, 0)
+        );
+        assert_eq!(
+            others.bears(),
+            24.5,
+            "what workers bear does not end with who saw it"
+        );
     }
 
     /// Guards the rules on loads and cold workers, which see one gateway in two processes.
     #[test]
     fn two_processes_have_the_limits_of_one_together() {
-        let ration = LoadRateLimit { window: 10, base_loads: 3.0, loads_per_request: 0.3 };
-        let settings =
-            Settings { load_rate_limit: Some(ration), overload_multiple: 3.0, ..Settings::default() };
+        let ration = LoadRateLimit {
+            window: 10,
+            base_loads: 3.0,
+            loads_per_request: 0.3,
+        };
+        let settings = Settings {
+            load_rate_limit: Some(ration),
+            overload_multiple: 3.0,
+            ..Settings::default()
+        };
         let mut others = SiblingProcesses::default();
         assert_eq!(others.limits(&settings), (Some(ration), 3.0));
         others.only(&BTreeSet::from([8, 9]));
-        assert_eq!(others.limits(&settings), (Some(LoadRateLimit { base_loads: 1.0, ..ration }), 1.0));
+        assert_eq!(
+            others.limits(&settings),
+            (
+                Some(LoadRateLimit {
+                    base_loads: 1.0,
+                    ..ration
+                }),
+                1.0
+            )
+        );
     }
 
     proptest! {
--- a/src/operations/hot_restart/fixture_tests.rs
+++ b/src/operations/hot_restart/fixture_tests.rs
@@ -7,5 +7,8 @@
 
 #[test]
 fn handover_sum_matches_its_recorded_value() {
-    check_lines("wire/handover_sum.txt", &[format!("sum {}", sum("state ready\n"))]);
+    check_lines(
+        "wire/handover_sum.txt",
+        &[format!("sum {}", sum("state ready\n"))],
+    );
 }
--- a/src/operations/lifecycle.rs
+++ b/src/operations/lifecycle.rs
@@ -88,12 +88,20 @@
     /// Whether those who still wait to be accepted are this process's, as nobody else takes them; not for ever.
     pub fn takes_rest(&self, now: Micros) -> bool {
         self.started
-            && self.ending.is_some_and(|(since, taken_over)| !taken_over && now < since + LAST_ACCEPT + REST)
+            && self
+                .ending
+                .is_some_and(|(since, taken_over)| !taken_over && now < since + LAST_ACCEPT + REST)
     }
 
     /// When accepting ends, once that is known.
     pub fn accepts_until(&self) -> Option<Micros> {
-        self.ending.map(|(since, taken_over)| if taken_over { since } else { since + LAST_ACCEPT })
+        self.ending.map(|(since, taken_over)| {
+            if taken_over {
+                since
+            } else {
+                since + LAST_ACCEPT
+            }
+        })
     }
 
     /// Whether a connection may stay after its answer.
@@ -111,10 +119,14 @@
         let emptied = self.emptied.map(|t| (t + EMPTY_FROM, t + EMPTY_BY));
         let handed = self.ending.filter(|(_, taken_over)| *taken_over);
         let handed = handed.map(|(t, _)| (t + HAND_FROM, t + HAND_BY));
-        let span =
-            |(from, by): (Micros, Micros)| from + (by - from) * (rank as Micros + 1) / (all as Micros).max(1);
+        let span = |(from, by): (Micros, Micros)| {
+            from + (by - from) * (rank as Micros + 1) / (all as Micros).max(1)
+        };
         let at = emptied.into_iter().chain(handed).map(span).min();
-        let over = self.ending.filter(|(t, taken_over)| !taken_over && now >= t + LAST_ACCEPT).map(|_| now);
+        let over = self
+            .ending
+            .filter(|(t, taken_over)| !taken_over && now >= t + LAST_ACCEPT)
+            .map(|_| now);
         at.into_iter().chain(over).min()
     }
 
--- a/src/operations/lifecycle/tests.rs
+++ b/src/operations/lifecycle/tests.rs
@@ -11,11 +11,19 @@
     assert!(!l.is_ready() && !l.accepts(0), "not before it has started");
     l.start();
     assert!(l.is_ready() && l.accepts(0) && l.keeps(0) && l.idle_until(0, 0, 1).is_none());
-    assert!(l.evacuate(SECOND) && !l.evacuate(2 * SECOND), "the second call changes nothing");
+    assert!(
+        l.evacuate(SECOND) && !l.evacuate(2 * SECOND),
+        "the second call changes nothing"
+    );
     assert!(!l.is_ready() && l.accepts(SECOND) && !l.keeps(SECOND));
-    let ends: Vec<Micros> = (0..10).filter_map(|n| l.idle_until(SECOND, n, 10)).collect();
+    let ends: Vec<Micros> = (0..10)
+        .filter_map(|n| l.idle_until(SECOND, n, 10))
+        .collect();
     assert!(ends.windows(2).all(|w| w[0] < w[1]), "one after the other");
-    assert!(ends[0] >= SECOND + EMPTY_FROM && ends[9] <= SECOND + EMPTY_BY, "{ends:?}");
+    assert!(
+        ends[0] >= SECOND + EMPTY_FROM && ends[9] <= SECOND + EMPTY_BY,
+        "{ends:?}"
+    );
     l.activate();
     assert!(l.is_ready() && l.keeps(2 * SECOND) && l.idle_until(2 * SECOND, 0, 1).is_none());
 }
@@ -32,7 +40,10 @@
         assert_eq!(l.keeps(SECOND + 600_000), !taken_over);
         assert_eq!(l.idle_until(SECOND, 0, 1).is_some(), taken_over);
         assert!(!l.accepts(SECOND + LAST_ACCEPT) && !l.keeps(SECOND + LAST_ACCEPT));
-        assert!(l.idle_until(SECOND + LAST_ACCEPT, 0, 1).is_some(), "then no idle one stays");
+        assert!(
+            l.idle_until(SECOND + LAST_ACCEPT, 0, 1).is_some(),
+            "then no idle one stays"
+        );
     }
 }
 
--- a/src/operations/metrics.rs
+++ b/src/operations/metrics.rs
@@ -21,7 +21,11 @@
     let none = Ends::default();
     for (n, class) in classes.iter().enumerate() {
         let e = ends.get(n).unwrap_or(&none);
-        for (what, count) in [("completed", e.served), ("rejected", e.refused), ("failed", e.failed)] {
+        for (what, count) in [
+            ("completed", e.served),
+            ("rejected", e.refused),
+            ("failed", e.failed),
+        ] {
             // Writing to a string does not fail.
             let _ = writeln!(out, "app.downstream_requests.{class}.{what}:{count}|c");
         }
@@ -43,8 +47,16 @@
 
     #[test]
     fn every_class_is_there_from_the_start() {
-        let gauges = Gauges { pending: 14, members: 3, unavailable: 1 };
-        let ends = [Ends { served: 812, refused: 2, failed: 0 }];
+        let gauges = Gauges {
+            pending: 14,
+            members: 3,
+            unavailable: 1,
+        };
+        let ends = [Ends {
+            served: 812,
+            refused: 2,
+            failed: 0,
+        }];
         let text = text(&["a".into(), "b-c".into()], &ends, 9, gauges);
         let lines: Vec<&str> = text.lines().collect();
         assert_eq!(
--- a/src/operations/overrides.rs
+++ b/src/operations/overrides.rs
@@ -78,7 +78,9 @@
             if self.order.len() <= MAX_WORKERS_SEEN {
                 return;
             }
-            let Some(oldest) = self.order.pop_front() else { return };
+            let Some(oldest) = self.order.pop_front() else {
+                return;
+            };
             if self.is_banned(&oldest) || self.listed.contains_key(&oldest) {
                 self.order.push_back(oldest);
             } else {
@@ -101,20 +103,35 @@
     }
 
     /// Takes a worker out; returns what the module is to be told, if anything changes for it.
-    pub fn exclude(&mut self, name: &str, now: Micros) -> Result<Option<WorkerEntry>, OverrideError> {
+    pub fn exclude(
+        &mut self,
+        name: &str,
+        now: Micros,
+    ) -> Result<Option<WorkerEntry>, OverrideError> {
         self.call(name, true, now)
     }
 
     /// Puts a worker back, however often it was taken out.
-    pub fn include(&mut self, name: &str, now: Micros) -> Result<Option<WorkerEntry>, OverrideError> {
+    pub fn include(
+        &mut self,
+        name: &str,
+        now: Micros,
+    ) -> Result<Option<WorkerEntry>, OverrideError> {
         self.call(name, false, now)
     }
 
-    fn call(&mut self, name: &str, ban: bool, now: Micros) -> Result<Option<WorkerEntry>, OverrideError> {
+    fn call(
+        &mut self,
+        name: &str,
+        ban: bool,
+        now: Micros,
+    ) -> Result<Option<WorkerEntry>, OverrideError> {
         if !self.knows(name) {
             return Err(OverrideError::NeverListed);
         }
-        if ban && !self.is_banned(name) && self.bans.values().filter(|(b, _)| *b).count() >= MAX_WORKERS_SEEN
+        if ban
+            && !self.is_banned(name)
+            && self.bans.values().filter(|(b, _)| *b).count() >= MAX_WORKERS_SEEN
         {
             return Err(OverrideError::TooMany);
         }
@@ -127,7 +144,12 @@
     /// the same time the ban. Any order of merging leads to the same. Returns what the module is to be told.
     pub fn merge(&mut self, name: &str, ban: bool, at: Micros, now: Micros) -> Option<WorkerEntry> {
         self.see(name);
-        if !self.knows(name) || self.bans.get(name).is_some_and(|(b, t)| (*t, *b) >= (at, ban)) {
+        if !self.knows(name)
+            || self
+                .bans
+                .get(name)
+                .is_some_and(|(b, t)| (*t, *b) >= (at, ban))
+        {
             return None;
         }
         let before = self.is_banned(name);
@@ -182,7 +204,12 @@
         }
     }
 
-    fn list(u: &mut WorkerOverrides, whole: bool, name: &str, status: WorkerStatus) -> WorkerStatus {
+    fn list(
+        u: &mut WorkerOverrides,
+        whole: bool,
+        name: &str,
+        status: WorkerStatus,
+    ) -> WorkerStatus {
         u.list(whole, [(name, member(1, status))]).remove(0).status
     }
 
@@ -191,21 +218,47 @@
         let mut u = WorkerOverrides::default();
         let never = Err(OverrideError::NeverListed);
         assert!(u.exclude("s-1", 5) == never && u.include("s-1", 1) == never);
-        assert_eq!(list(&mut u, true, "s-1", WorkerStatus::Ready), WorkerStatus::Ready);
-        assert_eq!(u.exclude("s-1", 5).unwrap().unwrap().status, WorkerStatus::Draining);
-        assert!(u.exclude("s-1", 5).unwrap().is_none(), "again is harmless, and nothing new");
-        assert_eq!(list(&mut u, false, "s-1", WorkerStatus::Ready), WorkerStatus::Draining);
-        assert_eq!(list(&mut u, false, "s-1", WorkerStatus::Removed), WorkerStatus::Removed);
+        assert_eq!(
+            list(&mut u, true, "s-1", WorkerStatus::Ready),
+            WorkerStatus::Ready
+        );
+        assert_eq!(
+            u.exclude("s-1", 5).unwrap().unwrap().status,
+            WorkerStatus::Draining
+        );
+        assert!(
+            u.exclude("s-1", 5).unwrap().is_none(),
+            "again is harmless, and nothing new"
+        );
+        assert_eq!(
+            list(&mut u, false, "s-1", WorkerStatus::Ready),
+            WorkerStatus::Draining
+        );
+        assert_eq!(
+            list(&mut u, false, "s-1", WorkerStatus::Removed),
+            WorkerStatus::Removed
+        );
         assert_eq!(
             list(&mut u, true, "s-2", WorkerStatus::Ready),
             WorkerStatus::Ready,
             "a whole new list without it"
         );
-        assert_eq!(list(&mut u, false, "s-1", WorkerStatus::Ready), WorkerStatus::Draining, "listed anew");
+        assert_eq!(
+            list(&mut u, false, "s-1", WorkerStatus::Ready),
+            WorkerStatus::Draining,
+            "listed anew"
+        );
         let back = u.include("s-1", 77).unwrap().unwrap();
-        assert_eq!((back.status, back.started_at), (WorkerStatus::Ready, Some(77)), "it comes back cold");
+        assert_eq!(
+            (back.status, back.started_at),
+            (WorkerStatus::Ready, Some(77)),
+            "it comes back cold"
+        );
         assert!(u.include("s-1", 80).unwrap().is_none());
-        assert_eq!(list(&mut u, false, "s-1", WorkerStatus::Ready), WorkerStatus::Ready);
+        assert_eq!(
+            list(&mut u, false, "s-1", WorkerStatus::Ready),
+            WorkerStatus::Ready
+        );
     }
 
     #[test]
@@ -216,7 +269,10 @@
         assert!(u.exclude("s-1", 5).unwrap().is_none() && u.is_banned("s-1"));
         list(&mut u, false, "s-2", WorkerStatus::Draining);
         u.exclude("s-2", 5).unwrap();
-        assert_eq!(u.include("s-2", 9).unwrap().unwrap().status, WorkerStatus::Draining);
+        assert_eq!(
+            u.include("s-2", 9).unwrap().unwrap().status,
+            WorkerStatus::Draining
+        );
     }
 
     #[test]
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -29,7 +29,10 @@
     }
 
     fn cut(&mut self, now: Micros, floor: f64) {
-        (self.cap, self.cut_at) = ((self.cap.min(f64::from(self.inflight + 1)) * CUT).max(floor), now);
+        (self.cap, self.cut_at) = (
+            (self.cap.min(f64::from(self.inflight + 1)) * CUT).max(floor),
+            now,
+        );
     }
 }
 
@@ -43,7 +46,9 @@
     ) {
         let (worker, outcome) = (e.worker, e.outcome);
         let (usual, floor) = (self.mean_all(), (self.first_cap / 4.0).min(1.0));
-        let Some(w) = self.workers.get_mut(&worker) else { return };
+        let Some(w) = self.workers.get_mut(&worker) else {
+            return;
+        };
         w.charge(now, 0.0);
         w.inflight = w.inflight.saturating_sub(1);
         let mut reborn = false;
@@ -71,7 +76,11 @@
             Outcome::Timeout | Outcome::Cancelled | Outcome::Reset if !answered_since => {
                 // All that ends with one connection is one sign.
                 w.strikes += u32::from(outcome != Outcome::Reset || w.reset != now);
-                w.reset = if outcome == Outcome::Reset { now } else { w.reset };
+                w.reset = if outcome == Outcome::Reset {
+                    now
+                } else {
+                    w.reset
+                };
                 // Answers alone tell only of what survives: silence beyond the usual cuts too.
                 if outcome != Outcome::Reset && usual > 0.0 && e.latency as f64 > STRAINED * usual {
                     w.cut(now, floor);
@@ -100,7 +109,10 @@
         aim: f64,
     ) {
         let least_cap = (self.first_cap / 4.0).min(1.0);
-        let (latency, warm) = (e.latency as f64, e.copy_start.map_or(!a.cold, |w| w == CopyStart::Warm));
+        let (latency, warm) = (
+            e.latency as f64,
+            e.copy_start.map_or(!a.cold, |w| w == CopyStart::Warm),
+        );
         self.served.push_back(now);
         let told = e.load_report.is_some_and(|r| r.in_flight.is_some());
         let load = e
@@ -109,15 +121,21 @@
             .map_or(0.0, f64::from)
             .max(f64::from(e.function_in_flight + 1));
         let usual = self.functions.get(&of).map_or(0.0, |f| self.mean(f));
-        let Some(f) = self.functions.get_mut(&of) else { return };
+        let Some(f) = self.functions.get_mut(&of) else {
+            return;
+        };
         (f.sum, f.total, f.answers) = (f.sum + latency, f.total + latency, f.answers + 1.0);
         (self.total, self.answers) = (self.total + latency, self.answers + 1.0);
         self.inflow = (self.carried(now) + latency * 4.0 / INTERVAL as f64, now);
-        let Some(w) = self.workers.get_mut(&e.worker) else { return };
+        let Some(w) = self.workers.get_mut(&e.worker) else {
+            return;
+        };
         w.told = (load, now);
         if warm && usual > 0.0 && aim > 0.0 {
             // Slow against the function elsewhere, or too slow for the aim. Rare answers weigh more.
-            let slow = (latency / (STRAINED * usual)).max(latency / (AIM_SHARE * aim)).min(4.0);
+            let slow = (latency / (STRAINED * usual))
+                .max(latency / (AIM_SHARE * aim))
+                .min(4.0);
             let weight = ((now - w.heard_ok) as f64 / INTERVAL as f64).clamp(STRAIN_STEP, 0.5);
             w.strain += weight * (slow - w.strain);
             w.heard_ok = now;
@@ -126,7 +144,8 @@
             // Few answers come from each worker: the cap follows what one tells both ways, and soon.
             let pressure = (load.max(1.0) / FIRST_CAP * latency * 3.0 / aim.max(1.0)).sqrt();
             w.cap = (w.cap / pressure.clamp(0.6, 1.6)).clamp(least_cap, 1.0);
-        } else if w.strain > 1.0 && (!told || load > LIGHT) && now > w.cut_at + usual as Micros * 2 {
+        } else if w.strain > 1.0 && (!told || load > LIGHT) && now > w.cut_at + usual as Micros * 2
+        {
             // Slow answers alone leave few instances a call or two; one that tells of few calls has its pace.
             let few = self.calm && self.first_cap >= 2.0;
             w.cut(now, if few { 1.0 } else { least_cap });
@@ -137,11 +156,23 @@
 
     /// No answer at all for longer than its attempts take elsewhere: hung, cut off, or buried in work.
     pub(super) fn stalled(&self, now: Micros, id: WorkerId, w: &Worker) -> bool {
-        let aim = self.settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0);
+        let aim = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .min()
+            .unwrap_or(0);
         // One long request alone is no sign of a hang, nor is a wait for a load.
-        let limit = (4.0 * self.mean_all()).max(aim as f64 * 0.75) * if w.inflight > 1 { 1.0 } else { 2.0 };
-        let here = self.loading.range((id, FunctionId(0))..=(id, FunctionId(u64::MAX)));
-        let load = here.filter_map(|((_, f), _)| self.functions.get(f)).map(|f| self.load_patience(f)).max();
+        let limit =
+            (4.0 * self.mean_all()).max(aim as f64 * 0.75) * if w.inflight > 1 { 1.0 } else { 2.0 };
+        let here = self
+            .loading
+            .range((id, FunctionId(0))..=(id, FunctionId(u64::MAX)));
+        let load = here
+            .filter_map(|((_, f), _)| self.functions.get(f))
+            .map(|f| self.load_patience(f))
+            .max();
         w.inflight > 0 && now > w.quiet_since + limit as Micros + load.unwrap_or(0)
     }
 
@@ -155,11 +186,14 @@
             let Some(a) = r.out.as_mut() else { continue };
             let quiet = |w: &Worker| w.stalled && (now - a.sent) * 4 > (now - w.quiet_since) * 3;
             let ours = self.workers.get(&a.worker).is_some_and(quiet);
-            let again =
-                r.attempts < self.settings.max_attempts && allowed(r.effect, Some(a.sent), now, ROUND).resend;
+            let again = r.attempts < self.settings.max_attempts
+                && allowed(r.effect, Some(a.sent), now, ROUND).resend;
             if ours && again && !a.cancelled {
                 a.cancelled = true;
-                out.push(Action::Cancel { request: *id, attempt: (r.attempts - 1) as u8 });
+                out.push(Action::Cancel {
+                    request: *id,
+                    attempt: (r.attempts - 1) as u8,
+                });
             }
         }
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -179,32 +179,65 @@
     /// A fresh instance that knows only its settings. The seed spreads turns on cold workers over them.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let instances = f64::from(settings.instances.max(1));
-        let share = |t: &Tenant| (t.quota_per_s / instances, SLACK.max(t.quota_per_s / instances), now);
-        let (buckets, first_cap) = (settings.tenants.iter().map(share).collect(), FIRST_CAP / instances);
-        Policy { settings, seed, first_cap, buckets, rolled: now, ..Default::default() }
+        let share = |t: &Tenant| {
+            (
+                t.quota_per_s / instances,
+                SLACK.max(t.quota_per_s / instances),
+                now,
+            )
+        };
+        let (buckets, first_cap) = (
+            settings.tenants.iter().map(share).collect(),
+            FIRST_CAP / instances,
+        );
+        Policy {
+            settings,
+            seed,
+            first_cap,
+            buckets,
+            rolled: now,
+            ..Default::default()
+        }
     }
 
     /// Takes one event; [`Policy::settle`] is due once after all that come together.
     pub fn take(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::WorkerList { update: kind, workers: members } => self.on_members(now, kind, members),
+            Event::WorkerList {
+                update: kind,
+                workers: members,
+            } => self.on_members(now, kind, members),
             Event::Request(arrival) => self.on_request(now, arrival),
             Event::AttemptEnded(ended) => self.on_ended(now, &ended, out),
             // A stream that flows belongs to the client: no deadline, no call-back, no answer of ours.
-            Event::Streaming { request: id } => drop(self.requests.entry(id).and_modify(|r| r.done = true)),
-            Event::ClientGone { request } => self.on_client_gone(request, out),
-            Event::LoadEnded { worker: w, function: f, outcome: o, copies } => {
-                self.on_loaded(now, (w, f), o, copies)
+            Event::Streaming { request: id } => {
+                drop(self.requests.entry(id).and_modify(|r| r.done = true))
             }
+            Event::ClientGone { request } => self.on_client_gone(request, out),
+            Event::LoadEnded {
+                worker: w,
+                function: f,
+                outcome: o,
+                copies,
+            } => self.on_loaded(now, (w, f), o, copies),
             Event::HealthChecked { .. } => {}
-            Event::PeerHealth { worker, unhealthy_until: down } => self.on_rumour(now, worker, down),
-            Event::TenantQuota { tenant, quota_per_s } => self.on_share(now, tenant, quota_per_s),
+            Event::PeerHealth {
+                worker,
+                unhealthy_until: down,
+            } => self.on_rumour(now, worker, down),
+            Event::TenantQuota {
+                tenant,
+                quota_per_s,
+            } => self.on_share(now, tenant, quota_per_s),
             Event::InstanceLimits {
                 load_rate_limit: ration,
                 overload_multiple: fall_multiple,
                 observed_capacity,
             } => {
-                (self.settings.load_rate_limit, self.settings.overload_multiple) = (ration, fall_multiple);
+                (
+                    self.settings.load_rate_limit,
+                    self.settings.overload_multiple,
+                ) = (ration, fall_multiple);
                 self.bears = self.bears.max(observed_capacity);
             }
             Event::Wake { .. } => self.on_round(now, out),
@@ -216,8 +249,15 @@
         self.release(now, out);
         self.keep_time(now, out);
         // Woken soon only where something is held or about to run out: a hundred idle instances cost nothing.
-        let due = self.deadlines.first().is_some_and(|(t, _)| *t < now + SURVEY);
-        let after = if due || !self.held.is_empty() { self.round() } else { SURVEY };
+        let due = self
+            .deadlines
+            .first()
+            .is_some_and(|(t, _)| *t < now + SURVEY);
+        let after = if due || !self.held.is_empty() {
+            self.round()
+        } else {
+            SURVEY
+        };
         if self.wakes <= now || now + after < self.wakes {
             self.wakes = now + after;
             out.push(Action::Wake { after, token: 0 });
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -15,7 +15,14 @@
                 let r = &self.requests[id];
                 let end = now + mean.min(r.aim / 2);
                 let rank = u8::from(end > r.asked + r.aim).max(2 * u8::from(r.over_share));
-                queue.push((rank, demand, r.arrived, *id, *function, r.hopeless(now, end, &self.settings)));
+                queue.push((
+                    rank,
+                    demand,
+                    r.arrived,
+                    *id,
+                    *function,
+                    r.hopeless(now, end, &self.settings),
+                ));
             }
         }
         queue.sort_unstable();
@@ -25,7 +32,10 @@
             let waits = self.requests[&id].waits.is_some();
             if hopeless || rank > 0 && !waits && *give_up.get_or_insert_with(|| self.backlogged()) {
                 self.answer(now, id, out);
-            } else if stuck != Some((rank, function)) && !self.place(now, function, id, out) && !waits {
+            } else if stuck != Some((rank, function))
+                && !self.place(now, function, id, out)
+                && !waits
+            {
                 stuck = Some((rank, function));
             }
         }
@@ -37,7 +47,13 @@
             return true;
         }
         let held: usize = self.held.iter().map(|f| self.functions[f].held.len()).sum();
-        2 * held > self.workers.values().map(|w| w.inflight as usize).sum::<usize>() + FIRST_CAP as usize
+        2 * held
+            > self
+                .workers
+                .values()
+                .map(|w| w.inflight as usize)
+                .sum::<usize>()
+                + FIRST_CAP as usize
     }
 
     /// FCP: the larger of last interval's calls times the mean and this interval's run time.
@@ -46,7 +62,9 @@
     }
 
     pub(super) fn mean(&self, f: &Function) -> f64 {
-        Some(f.total / f.answers).filter(|m| m.is_finite()).unwrap_or_else(|| self.mean_all())
+        Some(f.total / f.answers)
+            .filter(|m| m.is_finite())
+            .unwrap_or_else(|| self.mean_all())
     }
 
     pub(super) fn mean_all(&self) -> f64 {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -35,7 +35,11 @@
                     f.copies.entry(worker).or_default().asked = now;
                     f.asked = now;
                 });
-                out.push(Action::Load { worker, function: of, copies: 0 });
+                out.push(Action::Load {
+                    worker,
+                    function: of,
+                    copies: 0,
+                });
             }
             Step::Order(w) => self.order_load(now, (w, of), id, out),
         }
@@ -43,26 +47,48 @@
     }
 
     fn choose(&self, now: Micros, function: FunctionId, id: RequestId) -> Step {
-        let (f, r, keep) = (&self.functions[&function], &self.requests[&id], self.settings.copy_idle_timeout);
+        let (f, r, keep) = (
+            &self.functions[&function],
+            &self.requests[&id],
+            self.settings.copy_idle_timeout,
+        );
         let none = Copies::default();
         let copy = |w: &WorkerId| f.copies.get(w).unwrap_or(&none);
         let past = |t: Micros| t == 0 || now >= t + keep;
         let warm = |c: &Copies| c.count > 0 && (c.own > 0 || !past(c.used));
-        let sound = |w: &WorkerId| self.workers.get(w).is_some_and(|s| s.ready && s.healthy(now));
+        let sound = |w: &WorkerId| {
+            self.workers
+                .get(w)
+                .is_some_and(|s| s.ready && s.healthy(now))
+        };
         // Credit of many instances adds up in a rush: of many only a function without two homes has any.
         let lone = f.copies.iter().filter(|(w, c)| warm(c) && sound(w)).count() < 2;
-        let calls = if self.first_cap < 1.0 { CREDIT * f64::from(lone && self.calm) } else { 1.0 };
+        let calls = if self.first_cap < 1.0 {
+            CREDIT * f64::from(lone && self.calm)
+        } else {
+            1.0
+        };
         let credit = calls * self.mean_all();
         let room = |w: &WorkerId| self.has_slot(now, *w, credit) && self.usable(now, *w, r);
         // Workers of which ill is rumoured come last, each part in the function's own order.
         let ill = |w: &WorkerId| self.workers.get(w).is_some_and(|s| now < s.rumoured);
-        let walk = || f.order.iter().filter(|w| !ill(w)).chain(f.order.iter().filter(|w| ill(w))).copied();
+        let walk = || {
+            f.order
+                .iter()
+                .filter(|w| !ill(w))
+                .chain(f.order.iter().filter(|w| ill(w)))
+                .copied()
+        };
         let rest: Vec<WorkerId> = walk().filter(room).collect();
         let usable = || rest.iter().copied();
         let untried = |c: &Copies| c.own == 0 && past(c.used) && past(c.missed);
         let (patience, many) = (self.load_patience(f), self.settings.instances > 1);
         let loads = |c: &Copies| c.loading.is_some_and(|t| now < t + patience) && c.count == 0;
-        let open = |w: &WorkerId| self.workers.get(w).is_some_and(|s| self.cold_room(now, *w, s));
+        let open = |w: &WorkerId| {
+            self.workers
+                .get(w)
+                .is_some_and(|s| self.cold_room(now, *w, s))
+        };
         let cold = |w: &WorkerId| {
             self.workers
                 .get(w)
@@ -77,28 +103,48 @@
         let blind = spare && r.waits.is_none();
         let first = |w: WorkerId| Some(w) == home && many && blind && untried(copy(&w));
         // One of many instances tries the next home with the call itself, cold ones last.
-        let tries = self.first_cap < 1.0 && !self.miss_loads() && spare && (blind || r.attempts == 1);
+        let tries =
+            self.first_cap < 1.0 && !self.miss_loads() && spare && (blind || r.attempts == 1);
         let told = |w: &WorkerId| self.workers.get(w).map_or(0, |w| self.told(now, w));
         let next = || {
             let worth = |w: &WorkerId| untried(copy(w)) && told(w) < CROWD;
-            let back = || usable().find(|w| r.attempts == 1 && Some(*w) == home && untried(copy(w)));
-            back().or_else(|| usable().filter(worth).min_by_key(cold)).filter(|_| tries)
+            let back =
+                || usable().find(|w| r.attempts == 1 && Some(*w) == home && untried(copy(w)));
+            back()
+                .or_else(|| usable().filter(worth).min_by_key(cold))
+                .filter(|_| tries)
         };
         // Rested workers first: else every instance fills the same home before it goes to the next.
-        let rested = |w: &WorkerId| self.workers.get(w).is_some_and(|s| s.cap >= 1.0 || s.owes(now) == 0.0);
+        let rested = |w: &WorkerId| {
+            self.workers
+                .get(w)
+                .is_some_and(|s| s.cap >= 1.0 || s.owes(now) == 0.0)
+        };
         let quiet = usable().find(|w| (lane(copy(w)) && rested(w) || first(*w)) && told(w) < CROWD);
-        let taken =
-            || usable().filter(|w| lane(copy(w))).min_by_key(|w| if told(w) < CROWD { 0 } else { told(w) });
+        let taken = || {
+            usable()
+                .filter(|w| lane(copy(w)))
+                .min_by_key(|w| if told(w) < CROWD { 0 } else { told(w) })
+        };
         match quiet.or_else(|| taken().map(|w| next().filter(|_| blind).unwrap_or(w))) {
-            Some(w) if !warm(copy(&w)) => return Step::Begin(w, if self.miss_loads() { 0.5 } else { 0.0 }),
+            Some(w) if !warm(copy(&w)) => {
+                return Step::Begin(w, if self.miss_loads() { 0.5 } else { 0.0 })
+            }
             Some(w) => return Step::Warm(w),
             None => {}
         }
         if let Some(w) = next().filter(|_| r.waits.is_some()) {
             return Step::Begin(w, 0.0);
         }
-        if let Some((w, from)) = r.waits.filter(|(w, _)| loads(copy(w)) && self.usable(now, *w, r)) {
-            return if now >= from && self.has_slot(now, w, credit) { Step::Wait(w) } else { Step::Hold };
+        if let Some((w, from)) = r
+            .waits
+            .filter(|(w, _)| loads(copy(w)) && self.usable(now, *w, r))
+        {
+            return if now >= from && self.has_slot(now, w, credit) {
+                Step::Wait(w)
+            } else {
+                Step::Hold
+            };
         }
         // Further homes are tried before a load evicts others' copies: by few instances with an ask, by many
         // with the call itself, as a miss costs one attempt. The last is kept for a known copy or load.
@@ -126,7 +172,9 @@
             return Step::Hold;
         }
         // 4. A second turn where the function stands: the worker starts another copy by itself, no fetch.
-        if let Some(w) = usable().find(|w| warm(copy(w)) && copy(w).own < 2 * f.lanes * copy(w).count) {
+        if let Some(w) =
+            usable().find(|w| warm(copy(w)) && copy(w).own < 2 * f.lanes * copy(w).count)
+        {
             return Step::Warm(w);
         }
         // 5. A cold worker, next in the order; loads under way are bounded, the store is shared. While all
@@ -146,14 +194,30 @@
         }
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, worker: WorkerId, cold: bool, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+    fn send(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        worker: WorkerId,
+        cold: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let function = r.function;
         r.attempts += 1;
-        r.out = Some(Attempt { worker, sent: now, cold, cancelled: false });
+        r.out = Some(Attempt {
+            worker,
+            sent: now,
+            cold,
+            cancelled: false,
+        });
         // A try elsewhere leaves the load ordered for it to come back to, and its head start.
         r.waits = r.waits.filter(|(w, _)| *w != worker);
-        let Some(f) = self.functions.get_mut(&function) else { return };
+        let Some(f) = self.functions.get_mut(&function) else {
+            return;
+        };
         let c = f.copies.entry(worker).or_default();
         (c.own, c.used) = (c.own + 1, now);
         self.unhold(function, id);
@@ -164,13 +228,22 @@
             recent(&mut w.sent, now, self.settings.overload_window);
             w.sent.push_back(now);
         }
-        out.push(Action::Send { request: id, worker, timeout: None });
+        out.push(Action::Send {
+            request: id,
+            worker,
+            timeout: None,
+        });
     }
 
     /// Whether a worker may take this request now, lanes and slots aside.
     fn usable(&self, now: Micros, id: WorkerId, r: &Request) -> bool {
-        let Some(w) = self.workers.get(&id) else { return false };
-        if !w.ready || w.gates.get(&r.class).is_some_and(|g| now < g.0) || !self.cold_room(now, id, w) {
+        let Some(w) = self.workers.get(&id) else {
+            return false;
+        };
+        if !w.ready
+            || w.gates.get(&r.class).is_some_and(|g| now < g.0)
+            || !self.cold_room(now, id, w)
+        {
             return false;
         }
         if let (Some((at, _)), Effect::Keyed { scope: group, .. }) = (r.ran, r.effect) {
--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -140,14 +140,20 @@
 }
 
 fn bad<T>(key: &str, value: impl ToString, expected: &str) -> Result<T, FileError> {
-    Err(FileError::Value { key: key.into(), value: value.to_string(), expected: expected.into() })
+    Err(FileError::Value {
+        key: key.into(),
+        value: value.to_string(),
+        expected: expected.into(),
+    })
 }
 
 impl File {
     /// Reads a file.
     pub fn read(path: &Path) -> Result<File, FileError> {
-        let text =
-            std::fs::read_to_string(path).map_err(|error| FileError::Read { path: path.into(), error })?;
+        let text = std::fs::read_to_string(path).map_err(|error| FileError::Read {
+            path: path.into(),
+            error,
+        })?;
         let mut f = File::parse(path, &text)?;
         f.file = path.to_owned();
         Ok(f)
@@ -158,7 +164,9 @@
         let parsed: Result<File, toml::de::Error> = toml::from_str(text);
         let f = parsed.map_err(|e| FileError::Parse {
             path: path.into(),
-            line: e.span().map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1),
+            line: e
+                .span()
+                .map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1),
             what: e.message().to_owned(),
         })?;
         if !(1..=MAX_REPLICAS).contains(&f.copies) {
@@ -167,8 +175,15 @@
         if !(1..=MAX_SHARDS).contains(&f.shards) {
             return bad("shards", f.shards, "1 to 1024 parts");
         }
-        let spans = [("silent_ms", f.silent_ms), ("stall_ms", f.stall_ms), ("ask_ms", f.ask_ms)];
-        if let Some((key, ms)) = spans.into_iter().find(|(_, ms)| !(50..=600_000).contains(ms)) {
+        let spans = [
+            ("silent_ms", f.silent_ms),
+            ("stall_ms", f.stall_ms),
+            ("ask_ms", f.ask_ms),
+        ];
+        if let Some((key, ms)) = spans
+            .into_iter()
+            .find(|(_, ms)| !(50..=600_000).contains(ms))
+        {
             return bad(key, ms, "50 to 600000 milliseconds");
         }
         if !(1..=64).contains(&f.repairs) {
@@ -181,14 +196,21 @@
             return bad("members", name, "names of gateways, as RELAY_NAME has them");
         }
         if f.members.len() < f.copies {
-            return bad("members", f.members.len(), "at least as many gateways as copies");
+            return bad(
+                "members",
+                f.members.len(),
+                "at least as many gateways as copies",
+            );
         }
         Ok(f)
     }
 
     /// What the machine goes by.
     pub fn settings(&self, name: &str, process: u64, without: Guards) -> Settings {
-        let host = |(n, m): (&String, &MemberLine)| Host { name: n.as_str().into(), hall: m.hall.clone() };
+        let host = |(n, m): (&String, &MemberLine)| Host {
+            name: n.as_str().into(),
+            hall: m.hall.clone(),
+        };
         Settings {
             name: name.into(),
             process,
--- a/src/replication/disks_tests.rs
+++ b/src/replication/disks_tests.rs
@@ -13,18 +13,39 @@
 #[test]
 fn a_damaged_copy_is_mended_from_the_primary() {
     for sound in [false, true] {
-        let mut w = World::new(4, 2, 21, Guards { sound, ..Guards::default() });
+        let mut w = World::new(
+            4,
+            2,
+            21,
+            Guards {
+                sound,
+                ..Guards::default()
+            },
+        );
         w.run(3_000 * MS);
         w.traffic(500 * MS);
         w.run(300 * MS);
         let primary = leader(&w, 1);
-        let copy = (0..4).find(|i| *i != primary && w.members(1).contains(&name(*i))).unwrap();
+        let copy = (0..4)
+            .find(|i| *i != primary && w.members(1).contains(&name(*i)))
+            .unwrap();
         assert!(w.gateways[copy].disk.damage(1));
         w.traffic(1_500 * MS);
         assert_eq!(w.judge().is_err(), sound, "the guard is what has it mended");
-        let mended = notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, accepted: false }));
+        let mended = notes(&w, |n| {
+            matches!(
+                n,
+                HistoryEvent::Mended {
+                    shard: 1,
+                    accepted: false
+                }
+            )
+        });
         assert_eq!(mended > 0, !sound);
-        assert!(sound || leader(&w, 1) == primary, "a copy's damage moves no lead");
+        assert!(
+            sound || leader(&w, 1) == primary,
+            "a copy's damage moves no lead"
+        );
     }
 }
 
@@ -51,7 +72,16 @@
     w.traffic(500 * MS);
     assert!(w.gateways[0].disk.damage(1));
     w.run(2_000 * MS);
-    assert_eq!(notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, accepted: true })), 1);
+    assert_eq!(
+        notes(&w, |n| matches!(
+            n,
+            HistoryEvent::Mended {
+                shard: 1,
+                accepted: true
+            }
+        )),
+        1
+    );
     let before = w.promised.len();
     w.traffic(500 * MS);
     assert!(w.promised.len() > before);
@@ -68,12 +98,28 @@
     w.kill(1 - primary);
     assert!(w.gateways[primary].disk.damage(1));
     w.run(6_000 * MS);
-    assert_eq!(notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, .. })), 0);
-    assert_eq!(notes(&w, |n| matches!(n, HistoryEvent::Waits { shard: 1, .. })), 1, "it is told once");
+    assert_eq!(
+        notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, .. })),
+        0
+    );
+    assert_eq!(
+        notes(&w, |n| matches!(n, HistoryEvent::Waits { shard: 1, .. })),
+        1,
+        "it is told once"
+    );
     w.start(1 - primary);
     w.run(4_000 * MS);
     w.judge().unwrap();
-    assert_eq!(notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, accepted: false })), 1);
+    assert_eq!(
+        notes(&w, |n| matches!(
+            n,
+            HistoryEvent::Mended {
+                shard: 1,
+                accepted: false
+            }
+        )),
+        1
+    );
 }
 
 /// A disk is full: a primary that can keep nothing is led away from, and a copy is exchanged.
@@ -85,14 +131,23 @@
         w.traffic(300 * MS);
         let primary = leader(&w, 1);
         let members: Vec<Name> = w.members(1).into_iter().collect();
-        let full = (0..4).find(|i| members.contains(&name(*i)) && (*i != primary) == copy).unwrap();
+        let full = (0..4)
+            .find(|i| members.contains(&name(*i)) && (*i != primary) == copy)
+            .unwrap();
         w.gateways[full].full = true;
         w.traffic(5_000 * MS);
-        let leads = w.gateways[full].machine.as_ref().map_or(0, |m| (1..=4).filter(|s| m.leads(*s)).count());
+        let leads = w.gateways[full]
+            .machine
+            .as_ref()
+            .map_or(0, |m| (1..=4).filter(|s| m.leads(*s)).count());
         assert_eq!(leads, 0, "copy {copy}");
         let before = w.promised.len();
         w.traffic(1_000 * MS);
-        assert!(w.promised.len() > before + 20, "copy {copy}: {} after {before}", w.promised.len());
+        assert!(
+            w.promised.len() > before + 20,
+            "copy {copy}: {} after {before}",
+            w.promised.len()
+        );
         w.judge().unwrap();
     }
 }
@@ -104,7 +159,15 @@
     for ahead in [false, true] {
         let mut lost = 0;
         for seed in 30..42 {
-            let mut w = World::new(3, 3, seed, Guards { ahead, ..Guards::default() });
+            let mut w = World::new(
+                3,
+                3,
+                seed,
+                Guards {
+                    ahead,
+                    ..Guards::default()
+                },
+            );
             w.run(4_000 * MS);
             w.traffic(600 * MS);
             w.run(300 * MS);
--- a/src/replication/error.rs
+++ b/src/replication/error.rs
@@ -4,7 +4,16 @@
 
 /// Why a record is not promised. Nothing of it may be relied on; to try again with the same identity is harmless.
 #[derive(
-    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error, serde::Serialize, serde::Deserialize,
+    Clone,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    thiserror::Error,
+    serde::Serialize,
+    serde::Deserialize,
 )]
 pub enum ReplicationError {
     /// This gateway does not lead the shard.
@@ -114,7 +123,16 @@
 
 /// Why a copy does not take what a primary sent.
 #[derive(
-    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error, serde::Serialize, serde::Deserialize,
+    Clone,
+    Debug,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    thiserror::Error,
+    serde::Serialize,
+    serde::Deserialize,
 )]
 pub enum Declined {
     /// The epoch is over.
@@ -141,7 +159,9 @@
     /// What an operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
-            Declined::Stale { .. } => "nothing: a late word of an older primary was refused, as it has to be",
+            Declined::Stale { .. } => {
+                "nothing: a late word of an older primary was refused, as it has to be"
+            }
             Declined::TooLong { .. } => "raise the number of shards, so that each holds less",
         }
     }
--- a/src/replication/history.rs
+++ b/src/replication/history.rs
@@ -105,5 +105,7 @@
 
 /// A digest as histories have it.
 pub fn short(chain: &super::ChainDigest) -> u64 {
-    chain.first_chunk::<8>().map_or(0, |b| u64::from_le_bytes(*b))
+    chain
+        .first_chunk::<8>()
+        .map_or(0, |b| u64::from_le_bytes(*b))
 }
--- a/src/replication/identities.rs
+++ b/src/replication/identities.rs
@@ -29,7 +29,11 @@
         marks: impl IntoIterator<Item = (IdentityDigest, Micros)>,
         forgotten: Micros,
     ) -> Identities {
-        Identities { shard, marks: marks.into_iter().collect(), forgotten }
+        Identities {
+            shard,
+            marks: marks.into_iter().collect(),
+            forgotten,
+        }
     }
 
     /// Whether one may be taken now, which counts until then; at most so many are remembered.
@@ -40,7 +44,11 @@
         until: Micros,
         most: usize,
     ) -> Result<(), ReplicationError> {
-        if self.marks.get(mark).is_some_and(|t| *t >= now.max(self.forgotten)) {
+        if self
+            .marks
+            .get(mark)
+            .is_some_and(|t| *t >= now.max(self.forgotten))
+        {
             return Err(ReplicationError::Seen);
         }
         if self.marks.len() >= most {
--- a/src/replication/machine.rs
+++ b/src/replication/machine.rs
@@ -153,9 +153,15 @@
 impl Replicator {
     /// Knows nothing yet.
     pub fn new(settings: Settings, now: Micros) -> Replicator {
-        let heard = settings.hosts.iter().map(|h| (h.name.clone(), now)).collect();
+        let heard = settings
+            .hosts
+            .iter()
+            .map(|h| (h.name.clone(), now))
+            .collect();
         Replicator {
-            shards: (1..=settings.shards).map(|s| (s, Shard::of(settings.process))).collect(),
+            shards: (1..=settings.shards)
+                .map(|s| (s, Shard::of(settings.process)))
+                .collect(),
             settings,
             disk: None,
             known: false,
@@ -181,7 +187,11 @@
 
     /// Those with whom it keeps a connection.
     pub fn peers(&self) -> impl Iterator<Item = &Name> {
-        self.settings.hosts.iter().map(|h| &h.name).filter(|n| **n != self.settings.name)
+        self.settings
+            .hosts
+            .iter()
+            .map(|h| &h.name)
+            .filter(|n| **n != self.settings.name)
     }
 
     /// When `Tick` is due.
@@ -221,7 +231,11 @@
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             Input::Disk { id, boot, places } => {
-                self.disk = Some(Disk { id, boot, process: self.settings.process });
+                self.disk = Some(Disk {
+                    id,
+                    boot,
+                    process: self.settings.process,
+                });
                 self.known = false;
                 for (id, place) in places {
                     if let Some(s) = self.shards.get_mut(&id) {
@@ -244,7 +258,12 @@
                     }
                 }
             }
-            Input::Append { shard, ticket, bytes, want } => self.append(now, shard, ticket, bytes, want),
+            Input::Append {
+                shard,
+                ticket,
+                bytes,
+                want,
+            } => self.append(now, shard, ticket, bytes, want),
             Input::Persisted(shard) => self.kept(now, shard),
             Input::Read(shard, to, place, bytes) => {
                 if let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) {
@@ -259,7 +278,11 @@
             Input::Verified(found) => self.verified(now, found),
             Input::Corrupt(shard, ranges) => self.unsound(shard, ranges),
             Input::Accepted(shard) => self.accepted(shard),
-            Input::Request { shard, ticket, bytes } => self.ask(now, shard, ticket, bytes),
+            Input::Request {
+                shard,
+                ticket,
+                bytes,
+            } => self.ask(now, shard, ticket, bytes),
             Input::Respond(to, number, told) => {
                 if to == self.settings.name {
                     self.told(number, told);
--- a/src/replication/machine/agreed.rs
+++ b/src/replication/machine/agreed.rs
@@ -21,7 +21,8 @@
                 if now >= self.proposed + self.settings.stall / 2 || self.proposed == 0 {
                     self.proposed = now.max(1);
                     let name = self.settings.name.clone();
-                    self.outputs.push_back(Output::Propose(Entry::Begun { name, disk }));
+                    self.outputs
+                        .push_back(Output::Propose(Entry::Begun { name, disk }));
                 }
             }
         }
@@ -33,7 +34,9 @@
         let me = self.settings.name.clone();
         for id in 1..=self.settings.shards {
             let set = self.sets.of(id);
-            let Some(s) = self.shards.get_mut(&id) else { continue };
+            let Some(s) = self.shards.get_mut(&id) else {
+                continue;
+            };
             let older = std::mem::replace(&mut s.set, set);
             let process = s.set.process == self.settings.process || self.settings.without.process;
             let mine = self.known && s.set.primary.as_ref() == Some(&me) && process;
@@ -50,10 +53,17 @@
                 (Some(l), false) => {
                     let ours = l.epoch;
                     for ticket in l.unpromised() {
-                        let why = ReplicationError::Deposed { shard: id, ours, theirs: epoch };
+                        let why = ReplicationError::Deposed {
+                            shard: id,
+                            ours,
+                            theirs: epoch,
+                        };
                         events.push(Output::Rejected(ticket, why));
                     }
-                    events.push(Output::Record(HistoryEvent::Rested { shard: id, epoch: ours }));
+                    events.push(Output::Record(HistoryEvent::Rested {
+                        shard: id,
+                        epoch: ours,
+                    }));
                     events.push(Output::StepDown(id));
                     s.leading = None;
                 }
@@ -97,7 +107,9 @@
     /// itself, and would be overwritten by what is taken here before.
     pub(super) fn open(&mut self, now: Micros, id: ShardId) {
         let (stall, silent) = (2 * self.settings.stall, self.settings.silent);
-        let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else { return };
+        let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else {
+            return;
+        };
         if !l.may_open(now, stall, |n| self.is_heard(now, n, silent)) {
             return;
         }
@@ -115,11 +127,17 @@
             self.heard.values_mut().for_each(|t| *t = now);
         }
         self.ticked = now;
-        let over: Vec<u64> = self.asked.iter().filter(|(_, q)| q.until <= now).map(|(n, _)| *n).collect();
+        let over: Vec<u64> = self
+            .asked
+            .iter()
+            .filter(|(_, q)| q.until <= now)
+            .map(|(n, _)| *n)
+            .collect();
         for number in over {
             if let Some(q) = self.asked.remove(&number) {
                 let why = ReplicationError::Unreached { shard: q.shard };
-                self.outputs.push_back(Output::Response(q.ticket, RequestOutcome::Rejected(why)));
+                self.outputs
+                    .push_back(Output::Response(q.ticket, RequestOutcome::Rejected(why)));
             }
         }
         if now >= self.beat + self.settings.silent / 5 {
@@ -141,7 +159,11 @@
     /// Proposes what each shard's set lacks.
     pub(super) fn look_at_sets(&mut self, now: Micros) {
         let me = self.settings.name.clone();
-        let mut joining = self.shards.values().filter_map(|s| s.leading.as_ref()?.joining()).count();
+        let mut joining = self
+            .shards
+            .values()
+            .filter_map(|s| s.leading.as_ref()?.joining())
+            .count();
         // What has the fewest copies comes first.
         let mut all: Vec<ShardId> = self.shards.keys().copied().collect();
         all.sort_by_key(|id| (self.shards[id].set.members.len(), *id));
@@ -159,14 +181,18 @@
                 }
             } else if set.members.is_empty() {
                 let order = placement::order(id, &self.settings.hosts);
-                let first = order.iter().find(|n| self.is_heard(now, n, self.settings.silent));
+                let first = order
+                    .iter()
+                    .find(|n| self.is_heard(now, n, self.settings.silent));
                 if first == Some(&me) {
                     self.propose(now, id, &set, [me.clone()].into());
                 }
             } else if set.members.contains(&me) {
                 let members = set.members.clone();
                 // One whose disk is damaged or stuck leaves it to the others, as long as one of them can be heard.
-                let others = members.iter().any(|m| *m != me && self.is_heard(now, m, self.settings.silent));
+                let others = members
+                    .iter()
+                    .any(|m| *m != me && self.is_heard(now, m, self.settings.silent));
                 if others && self.is_unfit(now, id) {
                     continue;
                 }
@@ -175,12 +201,17 @@
                     Some(p) if *p == me => self.propose(now, id, &set, members),
                     primary => {
                         // The others one after the other, so that the first is done before the second begins.
-                        let turn =
-                            members.iter().filter(|m| primary.as_ref() != Some(m)).position(|m| *m == me);
-                        let waits =
-                            self.settings.silent + self.settings.silent / 2 * turn.unwrap_or(0) as Micros;
+                        let turn = members
+                            .iter()
+                            .filter(|m| primary.as_ref() != Some(m))
+                            .position(|m| *m == me);
+                        let waits = self.settings.silent
+                            + self.settings.silent / 2 * turn.unwrap_or(0) as Micros;
                         // The one before stays in the set until another has come: it has all that was promised.
-                        if primary.as_ref().is_none_or(|p| !self.is_heard(now, p, waits)) {
+                        if primary
+                            .as_ref()
+                            .is_none_or(|p| !self.is_heard(now, p, waits))
+                        {
                             self.propose(now, id, &set, members);
                         }
                     }
@@ -194,16 +225,30 @@
     /// One that owes its word leaves the set by the same change by which another comes: until then it counts, as it has all
     /// that was promised before. Only where nobody else comes is the set left smaller.
     pub(super) fn lead(&mut self, now: Micros, id: ShardId, room: bool) -> bool {
-        let (me, stall, silent) = (self.settings.name.clone(), self.settings.stall, self.settings.silent);
-        let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else { return false };
-        let (mut members, again) = (l.set.clone(), l.proposed.is_none_or(|t| t + stall / 2 <= now));
+        let (me, stall, silent) = (
+            self.settings.name.clone(),
+            self.settings.stall,
+            self.settings.silent,
+        );
+        let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else {
+            return false;
+        };
+        let (mut members, again) = (
+            l.set.clone(),
+            l.proposed.is_none_or(|t| t + stall / 2 <= now),
+        );
         let set = ReplicaSet {
             epoch: l.epoch,
             primary: Some(me.clone()),
             members: members.clone(),
             ..ReplicaSet::default()
         };
-        let unheard = || l.set.iter().find(|n| !self.is_heard(now, n, silent)).cloned();
+        let unheard = || {
+            l.set
+                .iter()
+                .find(|n| !self.is_heard(now, n, silent))
+                .cloned()
+        };
         let late = l.stalled(now, &me, stall).or_else(unheard);
         let since = late.is_some().then(|| l.late.unwrap_or(now));
         if self.leaving {
@@ -216,15 +261,26 @@
         if self.is_unfit(now, id) && self.yield_lead(now, id) {
             return false;
         }
-        let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else { return false };
+        let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else {
+            return false;
+        };
         let (arrived, joining) = (l.arrived(), l.joining().cloned());
         let slow = |n: &Name| !self.is_heard(now, n, silent) || l.is_slow(now, n, GIVES_UP * stall);
-        let gone = joining.as_ref().is_some_and(|n| slow(n) && !l.maybe.contains(n));
-        let unsettled = joining.as_ref().is_some_and(|n| slow(n) && l.maybe.contains(n));
+        let gone = joining
+            .as_ref()
+            .is_some_and(|n| slow(n) && !l.maybe.contains(n));
+        let unsettled = joining
+            .as_ref()
+            .is_some_and(|n| slow(n) && l.maybe.contains(n));
         let wanted = late.is_some() || members.len() < self.settings.copies;
         let given_up = since.is_some_and(|t| t + GIVES_UP * stall <= now);
-        let next = joining.is_none().then(|| self.next_for(now, id, &members)).flatten();
-        let Some(l) = self.shards.get_mut(&id).and_then(|s| s.leading.as_mut()) else { return false };
+        let next = joining
+            .is_none()
+            .then(|| self.next_for(now, id, &members))
+            .flatten();
+        let Some(l) = self.shards.get_mut(&id).and_then(|s| s.leading.as_mut()) else {
+            return false;
+        };
         l.late = since;
         if unsettled {
             // It may have been let in and is not there: the next epoch tells, with or without it.
@@ -275,7 +331,12 @@
     }
 
     /// Who is to be brought along next, if anybody can be.
-    pub(super) fn next_for(&self, now: Micros, id: ShardId, members: &BTreeSet<Name>) -> Option<Name> {
+    pub(super) fn next_for(
+        &self,
+        now: Micros,
+        id: ShardId,
+        members: &BTreeSet<Name>,
+    ) -> Option<Name> {
         let may = |n: &Name| {
             *n != self.settings.name
                 && self.sets.disks.contains_key(n)
@@ -298,20 +359,45 @@
             l.proposed = Some(now);
         }
         let (was, by) = (set.epoch, self.settings.name.clone());
-        let entry = Move { shard, was, by, primary: to, process: 0, members, joins: None };
+        let entry = Move {
+            shard,
+            was,
+            by,
+            primary: to,
+            process: 0,
+            members,
+            joins: None,
+        };
         self.outputs.push_back(Output::Propose(Entry::Move(entry)));
     }
 
-    pub(super) fn propose(&mut self, now: Micros, shard: ShardId, set: &ReplicaSet, members: BTreeSet<Name>) {
+    pub(super) fn propose(
+        &mut self,
+        now: Micros,
+        shard: ShardId,
+        set: &ReplicaSet,
+        members: BTreeSet<Name>,
+    ) {
         if let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) {
             l.proposed = Some(now);
         }
         let (me, process) = (self.settings.name.clone(), self.settings.process);
         // Of one that comes, the disk that told that it has all; it may be lost before this is agreed on.
-        let comes = members.difference(&set.members).find(|n| **n != me).cloned();
+        let comes = members
+            .difference(&set.members)
+            .find(|n| **n != me)
+            .cloned();
         let joins = comes.and_then(|n| Some((n.clone(), self.sets.disks.get(&n)?.id)));
         let (was, by) = (set.epoch, me.clone());
-        let entry = Move { shard, was, by, primary: me, process, members, joins };
+        let entry = Move {
+            shard,
+            was,
+            by,
+            primary: me,
+            process,
+            members,
+            joins,
+        };
         self.outputs.push_back(Output::Propose(Entry::Move(entry)));
     }
 }
