--- a/src/replication/machine/integrity.rs
+++ b/src/replication/machine/integrity.rs
@@ -29,14 +29,20 @@
     pub(super) fn verified(&mut self, now: Micros, found: Option<Vec<(ShardId, Vec<u8>)>>) {
         // One that cannot be read at all owes its word for all that is written to it, too.
         self.verify = Some(now + self.settings.verify);
-        for (shard, ranges) in found.into_iter().flatten().filter(|(_, ranges)| !ranges.is_empty()) {
+        for (shard, ranges) in found
+            .into_iter()
+            .flatten()
+            .filter(|(_, ranges)| !ranges.is_empty())
+        {
             self.unsound(shard, ranges);
         }
     }
 
     pub(super) fn unsound(&mut self, shard: ShardId, ranges: Vec<u8>) {
         let without = self.settings.without.sound;
-        let Some(s) = self.shards.get_mut(&shard) else { return };
+        let Some(s) = self.shards.get_mut(&shard) else {
+            return;
+        };
         // A snapshot that is on its way to the disk mends it, whatever was found before.
         let mends = s.pending.iter().any(|p| p.whole);
         if without || mends || s.unsound.is_some() {
@@ -55,9 +61,17 @@
 
     /// Hands a shard that is led here to another of its set; whether there is one, or one is waited for.
     pub(super) fn yield_lead(&mut self, now: Micros, shard: ShardId) -> bool {
-        let (me, silent, stall) = (self.settings.name.clone(), self.settings.silent, self.settings.stall);
-        let Some(s) = self.shards.get(&shard) else { return false };
-        let (Some(l), damaged) = (s.leading.as_ref(), s.unsound.is_some()) else { return false };
+        let (me, silent, stall) = (
+            self.settings.name.clone(),
+            self.settings.silent,
+            self.settings.stall,
+        );
+        let Some(s) = self.shards.get(&shard) else {
+            return false;
+        };
+        let (Some(l), damaged) = (s.leading.as_ref(), s.unsound.is_some()) else {
+            return false;
+        };
         let again = l.proposed.is_none_or(|t| t + stall / 2 <= now);
         match l.fittest(&me, |n| self.is_heard(now, n, silent)) {
             Some(to) => {
@@ -77,7 +91,9 @@
             }
             None if damaged => {
                 // Another has it whole, and may come back; this disk would take its place as it is.
-                let Some(s) = self.shards.get_mut(&shard).filter(|s| !s.waiting) else { return true };
+                let Some(s) = self.shards.get_mut(&shard).filter(|s| !s.waiting) else {
+                    return true;
+                };
                 s.waiting = true;
                 let members = s.set.members.iter().cloned().collect();
                 self.note(HistoryEvent::Waits { shard, members });
@@ -89,7 +105,9 @@
 
     /// Another of the set is to lead.
     pub(super) fn give_to(&mut self, now: Micros, shard: ShardId, to: Name) {
-        let Some(l) = self.shards.get(&shard).and_then(|s| s.leading.as_ref()) else { return };
+        let Some(l) = self.shards.get(&shard).and_then(|s| s.leading.as_ref()) else {
+            return;
+        };
         let (epoch, members) = (l.epoch, l.set.clone());
         let set = ReplicaSet {
             epoch,
@@ -101,13 +119,18 @@
     }
 
     pub(super) fn accepted(&mut self, shard: ShardId) {
-        let Some(s) = self.shards.get_mut(&shard) else { return };
+        let Some(s) = self.shards.get_mut(&shard) else {
+            return;
+        };
         if s.unsound.take().is_none() {
             return;
         }
         s.waiting = false;
         let leads = s.leading.as_ref().map(|l| l.epoch);
-        self.note(HistoryEvent::Mended { shard, accepted: true });
+        self.note(HistoryEvent::Mended {
+            shard,
+            accepted: true,
+        });
         if let Some(epoch) = leads {
             // What stands of it is read once more.
             self.outputs.push_back(Output::BecomePrimary(shard, epoch));
--- a/src/replication/machine/records.rs
+++ b/src/replication/machine/records.rs
@@ -9,7 +9,9 @@
         match body {
             Body::Heartbeat => {}
             Body::QueryPosition(shard, epoch) => {
-                let taken = self.shard(shard).and_then(|s| s.asked(shard, &from, epoch, without.epochs));
+                let taken = self
+                    .shard(shard)
+                    .and_then(|s| s.asked(shard, &from, epoch, without.epochs));
                 self.taken(shard, &from, taken);
             }
             Body::Record(shard, epoch, before, bytes) if self.known => {
@@ -21,7 +23,16 @@
             }
             Body::SnapshotPart(shard, epoch, place, part, last, bytes) if self.known => {
                 let taken = self.shard(shard).map_or(Vec::new(), |s| {
-                    s.part(now, shard, &from, epoch, place, (part, last), &bytes, without.epochs)
+                    s.part(
+                        now,
+                        shard,
+                        &from,
+                        epoch,
+                        place,
+                        (part, last),
+                        &bytes,
+                        without.epochs,
+                    )
                 });
                 self.taken(shard, &from, taken);
             }
@@ -30,8 +41,10 @@
             Body::Position(.., process) | Body::Acknowledge(.., process)
                 if self.processes.get(&from) != Some(&process) => {}
             Body::Position(shard, epoch, place, _) => {
-                let ahead =
-                    !without.ahead && self.leading(shard, epoch).is_some_and(|l| l.is_ahead(&from, place));
+                let ahead = !without.ahead
+                    && self
+                        .leading(shard, epoch)
+                        .is_some_and(|l| l.is_ahead(&from, place));
                 if ahead {
                     // Its disk kept what this one had told kept and has not: it is to lead, and is overwritten by nobody.
                     return self.give_to(now, shard, from);
@@ -56,25 +69,36 @@
                 }
             }
             Body::Declined(shard, why) => {
-                tracing::debug!(shard, remedy = why.remedy(), "a copy does not take what was sent: {why}");
+                tracing::debug!(
+                    shard,
+                    remedy = why.remedy(),
+                    "a copy does not take what was sent: {why}"
+                );
             }
             Body::Request(shard, number, bytes) => {
                 if self.leads(shard) {
-                    self.outputs.push_back(Output::HandleRequest(shard, from, number, bytes));
+                    self.outputs
+                        .push_back(Output::HandleRequest(shard, from, number, bytes));
                 } else {
                     let primary = self.shards.get(&shard).and_then(|s| s.set.primary.clone());
                     self.say(
                         from,
                         Body::Reply(
                             number,
-                            RequestOutcome::Rejected(ReplicationError::NotPrimary { shard, primary }),
+                            RequestOutcome::Rejected(ReplicationError::NotPrimary {
+                                shard,
+                                primary,
+                            }),
                         ),
                     );
                 }
             }
             Body::Reply(number, told) => self.told(number, told),
             Body::Corrupt(shard, epoch) => {
-                if self.leading(shard, epoch).is_some_and(|l| l.unsound(now, &from)) {
+                if self
+                    .leading(shard, epoch)
+                    .is_some_and(|l| l.unsound(now, &from))
+                {
                     self.outputs.push_back(Output::Read(shard, from));
                 }
                 self.open(now, shard);
@@ -94,20 +118,36 @@
     }
 
     pub(super) fn leading(&mut self, shard: ShardId, epoch: Epoch) -> Option<&mut Primary> {
-        self.shards.get_mut(&shard)?.leading.as_mut().filter(|l| l.epoch == epoch)
+        self.shards
+            .get_mut(&shard)?
+            .leading
+            .as_mut()
+            .filter(|l| l.epoch == epoch)
     }
 
-    pub(super) fn taken(&mut self, shard: ShardId, from: &Name, taken: impl IntoIterator<Item = Taken>) {
+    pub(super) fn taken(
+        &mut self,
+        shard: ShardId,
+        from: &Name,
+        taken: impl IntoIterator<Item = Taken>,
+    ) {
         for taken in taken {
             match taken {
                 Taken::Say(body) => self.say(from.clone(), body),
                 Taken::Store(place, bytes) => {
-                    self.outputs.push_back(Output::Store(shard, place, bytes, None));
+                    self.outputs
+                        .push_back(Output::Store(shard, place, bytes, None));
+                }
+                Taken::Install(place, bytes) => {
+                    self.outputs.push_back(Output::Install(shard, place, bytes))
                 }
-                Taken::Install(place, bytes) => self.outputs.push_back(Output::Install(shard, place, bytes)),
                 Taken::Declined(why) => {
                     if let Declined::Stale { theirs, ours, .. } = why {
-                        self.note(HistoryEvent::Declined { shard, theirs, ours });
+                        self.note(HistoryEvent::Declined {
+                            shard,
+                            theirs,
+                            ours,
+                        });
                     }
                     self.say(from.clone(), Body::Declined(shard, why));
                 }
@@ -124,18 +164,28 @@
         want: usize,
     ) {
         let refuse = |why| Output::Rejected(ticket, why);
-        let Some(s) = self.shards.get_mut(&shard) else { return };
+        let Some(s) = self.shards.get_mut(&shard) else {
+            return;
+        };
         let primary = s.set.primary.clone();
         let Some(l) = s.leading.as_mut().filter(|l| l.open) else {
-            return self.outputs.push_back(refuse(ReplicationError::NotPrimary { shard, primary }));
+            return self
+                .outputs
+                .push_back(refuse(ReplicationError::NotPrimary { shard, primary }));
         };
         let have = l.disks();
         let why = if !fits(bytes.len()) {
-            Some(ReplicationError::TooLong { bytes: bytes.len(), most: MAX_RECORD_BYTES })
+            Some(ReplicationError::TooLong {
+                bytes: bytes.len(),
+                most: MAX_RECORD_BYTES,
+            })
         } else if have < want {
             Some(ReplicationError::Fewer { shard, have, want })
         } else if want > 0 && l.owed() > MOST_OWED {
-            Some(ReplicationError::Behind { shard, bytes: l.owed() })
+            Some(ReplicationError::Behind {
+                shard,
+                bytes: l.owed(),
+            })
         } else {
             None
         };
@@ -146,13 +196,24 @@
         let place = l.append(bytes.clone(), ticket, want);
         s.place = place;
         let epoch = s.set.epoch;
-        s.push(now, Pending { epoch, from: None, place, whole: false });
-        self.outputs.push_back(Output::Store(shard, place, bytes, Some(ticket)));
+        s.push(
+            now,
+            Pending {
+                epoch,
+                from: None,
+                place,
+                whole: false,
+            },
+        );
+        self.outputs
+            .push_back(Output::Store(shard, place, bytes, Some(ticket)));
     }
 
     pub(super) fn kept(&mut self, now: Micros, shard: ShardId) {
         let without = self.settings.without.epochs;
-        let Some(s) = self.shards.get_mut(&shard) else { return };
+        let Some(s) = self.shards.get_mut(&shard) else {
+            return;
+        };
         let damaged = s.unsound.is_some();
         let (done, said) = s.kept(now, shard, without);
         let mended = damaged && s.unsound.is_none();
@@ -163,12 +224,24 @@
         if let Some(done) = done {
             let (number, chain) = (done.place.number, short(&done.place.chain));
             self.note(match done.whole {
-                true => HistoryEvent::Installed { shard, number, chain },
-                false => HistoryEvent::Stored { shard, epoch: done.epoch, number, chain },
+                true => HistoryEvent::Installed {
+                    shard,
+                    number,
+                    chain,
+                },
+                false => HistoryEvent::Stored {
+                    shard,
+                    epoch: done.epoch,
+                    number,
+                    chain,
+                },
             });
         }
         if mended {
-            self.note(HistoryEvent::Mended { shard, accepted: false });
+            self.note(HistoryEvent::Mended {
+                shard,
+                accepted: false,
+            });
         }
         said.into_iter().for_each(|(to, body)| self.say(to, body));
         self.promise(shard);
@@ -176,17 +249,37 @@
 
     pub(super) fn promise(&mut self, shard: ShardId) {
         let (me, without) = (self.settings.name.clone(), self.settings.without);
-        let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) else { return };
-        let (told, epoch, disks) = (l.promise(&me, (without.all, without.want)), l.epoch, l.disks());
+        let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) else {
+            return;
+        };
+        let (told, epoch, disks) = (
+            l.promise(&me, (without.all, without.want)),
+            l.epoch,
+            l.disks(),
+        );
         for (ticket, place) in told {
             let (number, chain) = (place.number, short(&place.chain));
-            self.note(HistoryEvent::Promised { shard, epoch, number, chain, disks });
+            self.note(HistoryEvent::Promised {
+                shard,
+                epoch,
+                number,
+                chain,
+                disks,
+            });
             self.outputs.push_back(Output::Committed(ticket, disks));
         }
     }
 
-    pub(super) fn ask(&mut self, now: Micros, shard: ShardId, ticket: CommitWaiter, bytes: Vec<u8>) {
-        let Some(s) = self.shards.get(&shard) else { return };
+    pub(super) fn ask(
+        &mut self,
+        now: Micros,
+        shard: ShardId,
+        ticket: CommitWaiter,
+        bytes: Vec<u8>,
+    ) {
+        let Some(s) = self.shards.get(&shard) else {
+            return;
+        };
         let (open, until) = (self.asked.len(), now + self.settings.ask);
         let why = match &s.set.primary {
             _ if open >= MAX_FORWARDED_REQUESTS => ReplicationError::Busy { open },
@@ -194,7 +287,14 @@
                 // Also one's own question has an end, whatever becomes of its record.
                 let (primary, leads) = (primary.clone(), s.leading.is_some());
                 self.questions += 1;
-                self.asked.insert(self.questions, Question { ticket, shard, until });
+                self.asked.insert(
+                    self.questions,
+                    Question {
+                        ticket,
+                        shard,
+                        until,
+                    },
+                );
                 if leads {
                     return self.outputs.push_back(Output::HandleRequest(
                         shard,
@@ -205,9 +305,13 @@
                 }
                 return self.say(primary, Body::Request(shard, self.questions, bytes));
             }
-            primary => ReplicationError::NotPrimary { shard, primary: primary.clone() },
+            primary => ReplicationError::NotPrimary {
+                shard,
+                primary: primary.clone(),
+            },
         };
-        self.outputs.push_back(Output::Response(ticket, RequestOutcome::Rejected(why)));
+        self.outputs
+            .push_back(Output::Response(ticket, RequestOutcome::Rejected(why)));
     }
 
     /// Says to copies what is to be said.
@@ -223,7 +327,11 @@
         }
         said.into_iter().for_each(|(to, body)| self.say(to, body));
         let waits = |l: &Primary| l.promised < l.head.number || l.held > 0;
-        if !self.shards.values().any(|s| s.leading.as_ref().is_some_and(waits)) {
+        if !self
+            .shards
+            .values()
+            .any(|s| s.leading.as_ref().is_some_and(waits))
+        {
             return;
         }
         let all: Vec<ShardId> = self.shards.keys().copied().collect();
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -49,7 +49,17 @@
 
 /// How far a shard's records go, and the digest of all of them.
 #[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    serde::Serialize,
+    serde::Deserialize,
 )]
 pub struct LogPosition {
     /// The last record's number.
@@ -65,13 +75,18 @@
         hash.update(&self.chain);
         hash.update(&(self.number + 1).to_le_bytes());
         hash.update(record);
-        LogPosition { number: self.number + 1, chain: *hash.finalize().as_bytes() }
+        LogPosition {
+            number: self.number + 1,
+            chain: *hash.finalize().as_bytes(),
+        }
     }
 }
 
 /// The shard of an identity's digest.
 pub fn shard_of(mark: &[u8; 32], shards: u16) -> ShardId {
-    let word = u64::from_le_bytes([mark[0], mark[1], mark[2], mark[3], mark[4], mark[5], mark[6], mark[7]]);
+    let word = u64::from_le_bytes([
+        mark[0], mark[1], mark[2], mark[3], mark[4], mark[5], mark[6], mark[7],
+    ]);
     // The rest of a division always fits.
     (word % u64::from(shards.max(1))) as ShardId + 1
 }
--- a/src/replication/model.rs
+++ b/src/replication/model.rs
@@ -91,7 +91,9 @@
 }
 
 fn place(records: &[Vec<u8>]) -> LogPosition {
-    records.iter().fold(LogPosition::default(), |p, r| p.then(r))
+    records
+        .iter()
+        .fold(LogPosition::default(), |p, r| p.then(r))
 }
 
 impl Play {
@@ -106,7 +108,12 @@
             ask: SILENT,
             repairs: 1,
             verify: 0,
-            hosts: (0..3).map(|n| Host { name: name(n), hall: None }).collect(),
+            hosts: (0..3)
+                .map(|n| Host {
+                    name: name(n),
+                    hall: None,
+                })
+                .collect(),
             without: self.without,
         };
         Replicator::new(settings, now)
@@ -126,7 +133,9 @@
                 Output::Propose(e) => {
                     s.proposed.insert(e);
                 }
-                Output::Store(_, _, bytes, _) => s.gateways[i].writes.push_back(Write::One(bytes.to_vec())),
+                Output::Store(_, _, bytes, _) => {
+                    s.gateways[i].writes.push_back(Write::One(bytes.to_vec()))
+                }
                 Output::Install(_, _, bytes) => {
                     let all = postcard::from_bytes(&bytes).unwrap();
                     s.gateways[i].writes.push_back(Write::All(all));
@@ -153,7 +162,15 @@
                     g.disk.clear();
                     g.writes.clear();
                     let (id, boot) = (g.id, g.boot);
-                    self.give(s, i, Input::Disk { id, boot, places: BTreeMap::new() });
+                    self.give(
+                        s,
+                        i,
+                        Input::Disk {
+                            id,
+                            boot,
+                            places: BTreeMap::new(),
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -161,7 +178,9 @@
     }
 
     fn write(&self, s: &mut State, i: usize) -> bool {
-        let Some(w) = s.gateways[i].writes.pop_front() else { return false };
+        let Some(w) = s.gateways[i].writes.pop_front() else {
+            return false;
+        };
         match w {
             Write::One(r) => s.gateways[i].disk.push(r),
             Write::All(all) => s.gateways[i].disk = all,
@@ -257,7 +276,10 @@
             (0..3).for_each(|i| self.hear(&mut s, i));
         }
         let set = s.log.last().unwrap().of(1);
-        assert!(set.members.len() == 2 && s.gateways.iter().any(|g| g.machine.leads(1)), "{set:?}");
+        assert!(
+            set.members.len() == 2 && s.gateways.iter().any(|g| g.machine.leads(1)),
+            "{set:?}"
+        );
         s.first = set.epoch;
         let last = s.log.pop().unwrap();
         s.log = vec![last];
@@ -299,7 +321,10 @@
                 out.push(Step::Lose(i));
             }
         }
-        for stays in [false, true].into_iter().take(1 + usize::from(s.doubles > 0)) {
+        for stays in [false, true]
+            .into_iter()
+            .take(1 + usize::from(s.doubles > 0))
+        {
             out.extend(s.frames.iter().map(|f| Step::Frame(f.clone(), stays)));
         }
         out.extend(s.proposed.iter().cloned().map(Step::Agree));
@@ -311,7 +336,16 @@
             Step::Append(i) => {
                 s.asked += 1;
                 let (ticket, bytes) = (u64::from(s.asked), vec![s.asked]);
-                self.give(&mut s, i, Input::Append { shard: 1, ticket, bytes, want: 2 });
+                self.give(
+                    &mut s,
+                    i,
+                    Input::Append {
+                        shard: 1,
+                        ticket,
+                        bytes,
+                        want: 2,
+                    },
+                );
             }
             Step::Frame(f, stays) => {
                 if stays {
@@ -356,13 +390,18 @@
             Property::always("promises stand at all of the set", |_, s: &State| {
                 let sets = s.log.last().unwrap();
                 s.gateways.iter().enumerate().all(|(i, g)| {
-                    let known = sets.disks.get(&name(i)).is_some_and(|d: &Disk| d.id == g.id);
+                    let known = sets
+                        .disks
+                        .get(&name(i))
+                        .is_some_and(|d: &Disk| d.id == g.id);
                     let member = sets.of(1).members.contains(&name(i));
                     !known || !member || s.promised.iter().all(|p| g.disk.contains(&vec![*p]))
                 })
             }),
             Property::always("a promise outlives one loss", |_, s: &State| {
-                s.promised.iter().all(|p| s.gateways.iter().any(|g| g.disk.contains(&vec![*p])))
+                s.promised
+                    .iter()
+                    .all(|p| s.gateways.iter().any(|g| g.disk.contains(&vec![*p])))
             }),
             Property::sometimes("promised after a change", |_, s: &State| s.later),
         ]
@@ -376,17 +415,30 @@
 fn violated(play: Play, states: usize) -> (Vec<&'static str>, usize) {
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(4));
     let checker = play.checker().threads(threads).target_state_count(states);
-    let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let checker = checker
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     let all = checker.model().properties();
     let missed = all.iter().filter(|p| {
         let found = checker.discovery(p.name).is_some();
         found != matches!(p.expectation, stateright::Expectation::Sometimes)
     });
-    (missed.map(|p| p.name).collect(), checker.unique_state_count())
+    (
+        missed.map(|p| p.name).collect(),
+        checker.unique_state_count(),
+    )
 }
 
 fn play(appends: u8, silences: u8, kills: u8, losses: u8, doubles: u8) -> Play {
-    Play { appends, silences, kills, losses, doubles, without: Guards::default() }
+    Play {
+        appends,
+        silences,
+        kills,
+        losses,
+        doubles,
+        without: Guards::default(),
+    }
 }
 
 fn holds(p: Play, states: usize) {
@@ -419,8 +471,18 @@
 #[test]
 fn each_guard_taken_out_is_found() {
     let g = Guards::default();
-    let all = Play { without: Guards { all: true, ..g }, ..play(1, 1, 0, 0, 0) };
-    assert!(violated(all, MOST_STATES).0.contains(&"promises stand at all of the set"));
-    let want = Play { without: Guards { want: true, ..g }, ..play(1, 1, 0, 1, 0) };
-    assert!(violated(want, MOST_STATES).0.contains(&"a promise outlives one loss"));
+    let all = Play {
+        without: Guards { all: true, ..g },
+        ..play(1, 1, 0, 0, 0)
+    };
+    assert!(violated(all, MOST_STATES)
+        .0
+        .contains(&"promises stand at all of the set"));
+    let want = Play {
+        without: Guards { want: true, ..g },
+        ..play(1, 1, 0, 1, 0)
+    };
+    assert!(violated(want, MOST_STATES)
+        .0
+        .contains(&"a promise outlives one loss"));
 }
--- a/src/replication/placement.rs
+++ b/src/replication/placement.rs
@@ -19,7 +19,10 @@
     hash.update(&shard.to_le_bytes());
     hash.update(name.as_bytes());
     let bytes = hash.finalize();
-    bytes.as_bytes().first_chunk::<8>().map_or(0, |b| u64::from_le_bytes(*b))
+    bytes
+        .as_bytes()
+        .first_chunk::<8>()
+        .map_or(0, |b| u64::from_le_bytes(*b))
 }
 
 /// All of them in the order in which they are asked to hold a shard: the first ones in different halls.
@@ -27,8 +30,13 @@
     let mut by_weight: Vec<&Host> = hosts.iter().collect();
     by_weight.sort_by_key(|h| std::cmp::Reverse((weight(shard, &h.name), h.name.clone())));
     let mut halls = BTreeSet::new();
-    let (first, rest): (Vec<&Host>, Vec<&Host>) = by_weight.into_iter().partition(|h| halls.insert(&h.hall));
-    first.into_iter().chain(rest).map(|h| h.name.clone()).collect()
+    let (first, rest): (Vec<&Host>, Vec<&Host>) =
+        by_weight.into_iter().partition(|h| halls.insert(&h.hall));
+    first
+        .into_iter()
+        .chain(rest)
+        .map(|h| h.name.clone())
+        .collect()
 }
 
 /// The next that is asked to hold a shard besides those that do: one in a hall of its own if there is any.
@@ -38,11 +46,22 @@
     have: &BTreeSet<Name>,
     may: impl Fn(&Name) -> bool,
 ) -> Option<Name> {
-    let hall = |name: &Name| hosts.iter().find(|h| h.name == *name).and_then(|h| h.hall.as_ref());
+    let hall = |name: &Name| {
+        hosts
+            .iter()
+            .find(|h| h.name == *name)
+            .and_then(|h| h.hall.as_ref())
+    };
     let taken: BTreeSet<Option<&String>> = have.iter().map(hall).collect();
     let order = order(shard, hosts);
-    let free: Vec<&Name> = order.iter().filter(|n| !have.contains(*n) && may(n)).collect();
-    free.iter().find(|n| !taken.contains(&hall(n))).or(free.first()).map(|n| (*n).clone())
+    let free: Vec<&Name> = order
+        .iter()
+        .filter(|n| !have.contains(*n) && may(n))
+        .collect();
+    free.iter()
+        .find(|n| !taken.contains(&hall(n)))
+        .or(free.first())
+        .map(|n| (*n).clone())
 }
 
 #[cfg(test)]
@@ -50,8 +69,10 @@
     use super::*;
 
     fn hosts(n: usize, halls: usize) -> Vec<Host> {
-        let host =
-            |i| Host { name: format!("g{i}").into(), hall: (halls > 0).then(|| format!("h{}", i % halls)) };
+        let host = |i| Host {
+            name: format!("g{i}").into(),
+            hall: (halls > 0).then(|| format!("h{}", i % halls)),
+        };
         (0..n).map(host).collect()
     }
 
@@ -61,7 +82,10 @@
         let (mut moved, mut first) = (0, [0; 9]);
         for shard in 1..=300 {
             let o = order(shard, &all);
-            let halls: BTreeSet<_> = o[..3].iter().map(|n| n[1..].parse::<usize>().unwrap() % 3).collect();
+            let halls: BTreeSet<_> = o[..3]
+                .iter()
+                .map(|n| n[1..].parse::<usize>().unwrap() % 3)
+                .collect();
             assert_eq!(halls.len(), 3, "shard {shard}");
             first[o[0][1..].parse::<usize>().unwrap()] += 1;
             let fewer = order(shard, &all[..8]);
--- a/src/replication/primary.rs
+++ b/src/replication/primary.rs
@@ -151,7 +151,12 @@
         self.head = before.then(&bytes);
         self.bytes += bytes.len();
         self.owed += bytes.len();
-        self.tail.push_back(Record { before, bytes, ticket: Some(ticket), want });
+        self.tail.push_back(Record {
+            before,
+            bytes,
+            ticket: Some(ticket),
+            want,
+        });
         self.head
     }
 
@@ -162,7 +167,10 @@
 
     /// Those whose word a promise waits for, this process apart.
     fn needed<'a>(&'a self, me: &'a Name) -> impl Iterator<Item = &'a Name> {
-        self.set.iter().chain(self.maybe.difference(&self.set)).filter(move |n| *n != me)
+        self.set
+            .iter()
+            .chain(self.maybe.difference(&self.set))
+            .filter(move |n| *n != me)
     }
 
     /// What can be promised now: tickets with their places, in order. A set may have become smaller since a record was taken:
@@ -174,13 +182,25 @@
     ) -> Vec<(CommitWaiter, LogPosition)> {
         let disks = self.disks();
         let has = |n: &Name| self.peers.get(n).map_or(0, |p| p.has);
-        let all = self.needed(me).map(has).min().unwrap_or(SequenceNumber::MAX);
-        let upto = if without_all { self.stored } else { self.stored.min(all) };
+        let all = self
+            .needed(me)
+            .map(has)
+            .min()
+            .unwrap_or(SequenceNumber::MAX);
+        let upto = if without_all {
+            self.stored
+        } else {
+            self.stored.min(all)
+        };
         let mut told = Vec::new();
         if upto > self.promised || self.held > 0 {
             self.promised = self.promised.max(upto);
             self.held = 0;
-            for r in self.tail.iter_mut().filter(|r| r.before.number < upto && r.ticket.is_some()) {
+            for r in self
+                .tail
+                .iter_mut()
+                .filter(|r| r.before.number < upto && r.ticket.is_some())
+            {
                 if r.want > disks && !without_want {
                     self.held += 1;
                 } else if let Some(ticket) = r.ticket.take() {
@@ -206,7 +226,12 @@
 
     /// Begins to bring somebody along.
     pub fn meet(&mut self, name: &Name) {
-        let peer = Peer { step: Step::Asked, has: 0, owes: None, again: 0 };
+        let peer = Peer {
+            step: Step::Asked,
+            has: 0,
+            owes: None,
+            again: 0,
+        };
         self.peers.entry(name.clone()).or_insert(peer);
     }
 
@@ -234,12 +259,20 @@
     }
 
     /// A copy tells how far it has come; whether the disk here has to be read for it.
-    pub fn at(&mut self, now: Micros, name: &Name, place: LogPosition, without_chain: bool) -> bool {
+    pub fn at(
+        &mut self,
+        now: Micros,
+        name: &Name,
+        place: LogPosition,
+        without_chain: bool,
+    ) -> bool {
         let same = match without_chain {
             true => self.chain_at(place.number).is_some(),
             false => self.chain_at(place.number) == Some(place.chain),
         };
-        let Some(peer) = self.peers.get_mut(name) else { return false };
+        let Some(peer) = self.peers.get_mut(name) else {
+            return false;
+        };
         if matches!(peer.step, Step::Reads | Step::Sends(..)) && !same {
             return false;
         }
@@ -265,7 +298,9 @@
     /// A copy's disk is damaged: it counts for nothing until it has a snapshot. Whether the disk here has to be read for it.
     pub fn unsound(&mut self, now: Micros, name: &Name) -> bool {
         self.untold.remove(name);
-        let Some(peer) = self.peers.get_mut(name) else { return false };
+        let Some(peer) = self.peers.get_mut(name) else {
+            return false;
+        };
         peer.has = 0;
         peer.owes.get_or_insert(now);
         if matches!(peer.step, Step::Reads | Step::Sends(..)) {
@@ -284,7 +319,9 @@
 
     /// A copy has taken a part of a snapshot.
     pub fn took(&mut self, now: Micros, name: &Name, part: u32) {
-        let Some(peer) = self.peers.get_mut(name) else { return };
+        let Some(peer) = self.peers.get_mut(name) else {
+            return;
+        };
         if let Step::Sends(.., taken) = &mut peer.step {
             *taken = (*taken).max(part + 1);
             peer.again = now;
@@ -294,7 +331,9 @@
 
     /// A copy has all up to a record on its disk.
     pub fn has(&mut self, now: Micros, name: &Name, number: SequenceNumber) {
-        let Some(peer) = self.peers.get_mut(name) else { return };
+        let Some(peer) = self.peers.get_mut(name) else {
+            return;
+        };
         if let Step::Sends(place, ..) = &peer.step {
             if number != place.number {
                 return;
@@ -311,7 +350,10 @@
     /// What is to be said to copies now.
     pub fn say(&mut self, now: Micros, retry: Micros) -> Vec<(Name, Body)> {
         let (mut said, shard, epoch) = (Vec::new(), self.shard, self.epoch);
-        let first = self.tail.front().map_or(self.head.number, |r| r.before.number);
+        let first = self
+            .tail
+            .front()
+            .map_or(self.head.number, |r| r.before.number);
         for (name, peer) in &mut self.peers {
             if peer.has < self.head.number && peer.owes.is_none() {
                 peer.owes = Some(now);
@@ -331,13 +373,18 @@
                 }
                 Step::Tail(sent) => {
                     while *sent < self.head.number && *sent < peer.has + WINDOW {
-                        let at = sent.checked_sub(first).and_then(|at| usize::try_from(at).ok());
+                        let at = sent
+                            .checked_sub(first)
+                            .and_then(|at| usize::try_from(at).ok());
                         let Some(r) = at.and_then(|at| self.tail.get(at)) else {
                             // Its next record is not kept any more.
                             (peer.step, peer.again) = (Step::Asked, 0);
                             break;
                         };
-                        said.push((name.clone(), Body::Record(shard, epoch, r.before, r.bytes.to_vec())));
+                        said.push((
+                            name.clone(),
+                            Body::Record(shard, epoch, r.before, r.bytes.to_vec()),
+                        ));
                         *sent += 1;
                         peer.again = now;
                     }
@@ -350,8 +397,16 @@
                     let parts = bytes.len().div_ceil(SNAPSHOT_PART_BYTES).max(1) as u32;
                     while *next < parts && *next < *taken + PARTS {
                         let from = *next as usize * SNAPSHOT_PART_BYTES;
-                        let part = bytes[from..bytes.len().min(from + SNAPSHOT_PART_BYTES)].to_vec();
-                        let body = Body::SnapshotPart(shard, epoch, *place, *next, *next + 1 == parts, part);
+                        let part =
+                            bytes[from..bytes.len().min(from + SNAPSHOT_PART_BYTES)].to_vec();
+                        let body = Body::SnapshotPart(
+                            shard,
+                            epoch,
+                            *place,
+                            *next,
+                            *next + 1 == parts,
+                            part,
+                        );
                         said.push((name.clone(), body));
                         *next += 1;
                     }
@@ -363,28 +418,55 @@
 
     /// A member of the set that has owed its word for too long.
     pub fn stalled(&self, now: Micros, me: &Name, stall: Micros) -> Option<Name> {
-        let owes = |n: &&Name| self.peers.get(*n).and_then(|p| p.owes).is_some_and(|t| t + stall <= now);
+        let owes = |n: &&Name| {
+            self.peers
+                .get(*n)
+                .and_then(|p| p.owes)
+                .is_some_and(|t| t + stall <= now)
+        };
         self.set.iter().filter(|n| *n != me).find(owes).cloned()
     }
 
     /// Somebody outside the set who has all that was promised, and may be let in.
     pub fn arrived(&self) -> Option<Name> {
-        let all = |p: &Peer| matches!(p.step, Step::Tail(_)) && p.has >= self.promised.max(self.stored);
-        self.peers.iter().find(|(n, p)| !self.set.contains(*n) && all(p)).map(|(n, _)| n.clone())
+        let all =
+            |p: &Peer| matches!(p.step, Step::Tail(_)) && p.has >= self.promised.max(self.stored);
+        self.peers
+            .iter()
+            .find(|(n, p)| !self.set.contains(*n) && all(p))
+            .map(|(n, _)| n.clone())
     }
 
     /// A member of the set that has all there is, once all of it is promised.
     pub fn heir(&self, me: &Name) -> Option<Name> {
-        let has = |n: &&Name| self.peers.get(*n).is_some_and(|p| p.has >= self.head.number);
+        let has = |n: &&Name| {
+            self.peers
+                .get(*n)
+                .is_some_and(|p| p.has >= self.head.number)
+        };
         let all = self.promised >= self.head.number;
-        self.set.iter().filter(|n| *n != me && all).find(has).cloned()
+        self.set
+            .iter()
+            .filter(|n| *n != me && all)
+            .find(has)
+            .cloned()
     }
 
     /// The member of the set that has the most, of those who have all that was promised and may lead.
     pub fn fittest(&self, me: &Name, may: impl Fn(&Name) -> bool) -> Option<Name> {
-        let has = |n: &Name| self.peers.get(n).map(|p| p.has).filter(|has| *has >= self.promised);
-        let all = self.set.iter().filter(|n| *n != me && may(n)).filter_map(|n| Some((has(n)?, n)));
-        all.max_by_key(|(has, n)| (*has, std::cmp::Reverse(*n))).map(|(_, n)| n.clone())
+        let has = |n: &Name| {
+            self.peers
+                .get(n)
+                .map(|p| p.has)
+                .filter(|has| *has >= self.promised)
+        };
+        let all = self
+            .set
+            .iter()
+            .filter(|n| *n != me && may(n))
+            .filter_map(|n| Some((has(n)?, n)));
+        all.max_by_key(|(has, n)| (*has, std::cmp::Reverse(*n)))
+            .map(|(_, n)| n.clone())
     }
 
     /// Whether a member of the set has come further than all that there was here when the lead began.
@@ -394,7 +476,10 @@
 
     /// One outside the set that has owed its word for so long.
     pub fn is_slow(&self, now: Micros, name: &Name, stall: Micros) -> bool {
-        self.peers.get(name).and_then(|p| p.owes).is_some_and(|t| t + stall <= now)
+        self.peers
+            .get(name)
+            .and_then(|p| p.owes)
+            .is_some_and(|t| t + stall <= now)
     }
 
     /// Whether somebody outside the set is being brought along.
--- a/src/replication/sets.rs
+++ b/src/replication/sets.rs
@@ -46,13 +46,17 @@
     /// Those of whom one may lead after all members were lost: who was left out last has the most.
     pub fn heirs(&self) -> impl Iterator<Item = &Name> {
         let last = self.former.values().max().copied();
-        self.former.iter().filter(move |(_, e)| Some(**e) == last).map(|(n, _)| n)
+        self.former
+            .iter()
+            .filter(move |(_, e)| Some(**e) == last)
+            .map(|(n, _)| n)
     }
 
     fn left(mut self, epoch: Epoch, members: &BTreeSet<Name>) -> (BTreeMap<Name, Epoch>, usize) {
         if members.len() < self.members.len() {
             self.whole = self.whole.max(self.members.len());
-            self.former.extend(self.members.difference(members).map(|n| (n.clone(), epoch)));
+            self.former
+                .extend(self.members.difference(members).map(|n| (n.clone(), epoch)));
         }
         if members.len() >= self.whole {
             // As many disks as before have all again.
@@ -73,9 +77,21 @@
 impl From<Earlier> for ReplicaSets {
     fn from(e: Earlier) -> ReplicaSets {
         let set = |(shard, (epoch, primary, process, members))| {
-            (shard, ReplicaSet { epoch, primary, process, members, ..ReplicaSet::default() })
+            (
+                shard,
+                ReplicaSet {
+                    epoch,
+                    primary,
+                    process,
+                    members,
+                    ..ReplicaSet::default()
+                },
+            )
         };
-        ReplicaSets { disks: e.disks, shards: e.shards.into_iter().map(set).collect() }
+        ReplicaSets {
+            disks: e.disks,
+            shards: e.shards.into_iter().map(set).collect(),
+        }
     }
 }
 
@@ -158,7 +174,14 @@
     pub fn apply(&mut self, entry: &Entry) -> bool {
         match entry {
             Entry::Begun { name, disk } => self.begun(name, *disk),
-            Entry::Change { shard, was, by, primary, process, members } => {
+            Entry::Change {
+                shard,
+                was,
+                by,
+                primary,
+                process,
+                members,
+            } => {
                 let Some(set) = self.after(*shard, *was, by, primary, *process, members) else {
                     return false;
                 };
@@ -166,7 +189,9 @@
                 true
             }
             Entry::Move(m) => {
-                let Some(set) = self.moved(m) else { return false };
+                let Some(set) = self.moved(m) else {
+                    return false;
+                };
                 self.shards.insert(m.shard, set);
                 true
             }
@@ -205,7 +230,11 @@
             for set in self.shards.values_mut() {
                 set.former.remove(name);
             }
-            for set in self.shards.values_mut().filter(|s| s.members.contains(name)) {
+            for set in self
+                .shards
+                .values_mut()
+                .filter(|s| s.members.contains(name))
+            {
                 set.epoch += 1;
                 set.members.remove(name);
                 if set.primary.as_ref() == Some(name) {
@@ -246,7 +275,13 @@
             return None;
         }
         let (primary, members) = (Some(primary.clone()), members.clone());
-        Some(ReplicaSet { epoch: was + 1, primary, process, members, ..now })
+        Some(ReplicaSet {
+            epoch: was + 1,
+            primary,
+            process,
+            members,
+            ..now
+        })
     }
 }
 
@@ -260,13 +295,28 @@
 
     fn change(was: Epoch, by: &str, primary: &str, members: &[&str]) -> Entry {
         let members = members.iter().map(|m| n(m)).collect();
-        Entry::Change { shard: 1, was, by: n(by), primary: n(primary), process: 9, members }
+        Entry::Change {
+            shard: 1,
+            was,
+            by: n(by),
+            primary: n(primary),
+            process: 9,
+            members,
+        }
     }
 
     fn step(was: Epoch, by: &str, members: &[&str], joins: Option<(&str, u64)>) -> Entry {
         let members = members.iter().map(|m| n(m)).collect();
         let joins = joins.map(|(name, disk)| (n(name), disk));
-        Entry::Move(Move { shard: 1, was, by: n(by), primary: n(by), process: 9, members, joins })
+        Entry::Move(Move {
+            shard: 1,
+            was,
+            by: n(by),
+            primary: n(by),
+            process: 9,
+            members,
+            joins,
+        })
     }
 
     /// The word by which somebody is let in comes late; its machine was lost since, and it has begun on an empty disk.
@@ -274,7 +324,10 @@
     fn one_that_lost_its_disk_before_it_was_let_in_is_not() {
         let mut s = three();
         assert!(s.apply(&step(0, "a", &["a"], None)));
-        assert!(!s.clone().apply(&step(1, "a", &["a", "b"], None)), "nobody says which disk has all");
+        assert!(
+            !s.clone().apply(&step(1, "a", &["a", "b"], None)),
+            "nobody says which disk has all"
+        );
         assert!(s.clone().apply(&step(1, "a", &["a", "b"], Some(("b", 2)))));
         assert!(s.apply(&begun("b", 77, 1)));
         assert!(!s.apply(&step(1, "a", &["a", "b"], Some(("b", 2)))));
@@ -282,7 +335,14 @@
     }
 
     fn begun(name: &str, id: u64, boot: u64) -> Entry {
-        Entry::Begun { name: n(name), disk: Disk { id, boot, process: id * 100 + boot } }
+        Entry::Begun {
+            name: n(name),
+            disk: Disk {
+                id,
+                boot,
+                process: id * 100 + boot,
+            },
+        }
     }
 
     fn three() -> ReplicaSets {
@@ -296,16 +356,28 @@
     #[test]
     fn only_one_that_has_all_takes_over_and_one_change_follows_an_epoch() {
         let mut s = three();
-        assert!(!s.apply(&change(0, "a", "a", &["a", "b"])), "nobody has anything to begin with");
+        assert!(
+            !s.apply(&change(0, "a", "a", &["a", "b"])),
+            "nobody has anything to begin with"
+        );
         assert!(s.apply(&change(0, "a", "a", &["a"])));
         assert!(!s.apply(&change(0, "b", "b", &["b"])), "founded already");
         assert!(!s.apply(&change(1, "b", "b", &["b"])), "b has nothing");
-        assert!(!s.apply(&change(1, "b", "a", &["a", "b"])), "only the primary lets in");
+        assert!(
+            !s.apply(&change(1, "b", "a", &["a", "b"])),
+            "only the primary lets in"
+        );
         assert!(s.apply(&change(1, "a", "a", &["a", "b"])));
-        assert!(!s.apply(&change(2, "b", "b", &["b", "c"])), "who takes over lets nobody in");
+        assert!(
+            !s.apply(&change(2, "b", "b", &["b", "c"])),
+            "who takes over lets nobody in"
+        );
         assert!(s.clone().apply(&change(2, "b", "b", &["b", "a"])));
         assert!(!s.apply(&change(2, "a", "a", &["a", "d"])), "d has no disk");
-        assert!(s.clone().apply(&change(2, "a", "b", &["a", "b"])), "handed over");
+        assert!(
+            s.clone().apply(&change(2, "a", "b", &["a", "b"])),
+            "handed over"
+        );
         assert!(s.apply(&change(2, "b", "b", &["b"])));
         assert!(!s.apply(&change(2, "a", "a", &["a"])), "too late");
         assert_eq!((s.of(1).epoch, s.of(1).primary), (3, Some(n("b"))));
@@ -328,17 +400,26 @@
         }
         assert!(s.apply(&begun("a", 70, 1)), "its disk is lost");
         assert_eq!((s.of(1).epoch, s.of(1).members.len()), (6, 0));
-        assert!(!s.clone().apply(&step(6, "a", &["a"], None)), "it has nothing");
-        assert!(!s.clone().apply(&step(6, "c", &["c"], None)), "b was left out after c");
+        assert!(
+            !s.clone().apply(&step(6, "a", &["a"], None)),
+            "it has nothing"
+        );
+        assert!(
+            !s.clone().apply(&step(6, "c", &["c"], None)),
+            "b was left out after c"
+        );
         assert!(s.clone().apply(&step(6, "b", &["b"], None)));
         assert!(s.apply(&begun("b", 71, 1)), "that disk is lost, too");
         assert!(s.apply(&step(6, "c", &["c"], None)));
         assert_eq!(s.of(1).former, BTreeMap::new());
         // A set that is whole again needs nobody who was left out.
         let (a, b) = (Some(("a", 70)), Some(("b", 71)));
-        for (was, members, joins) in
-            [(7, &["c", "a"][..], a), (8, &["c"], None), (9, &["c", "b"], b), (10, &["c", "b", "a"], a)]
-        {
+        for (was, members, joins) in [
+            (7, &["c", "a"][..], a),
+            (8, &["c"], None),
+            (9, &["c", "b"], b),
+            (10, &["c", "b", "a"], a),
+        ] {
             assert!(s.apply(&step(was, "c", members, joins)), "{was}");
         }
         assert_eq!((s.of(1).former.len(), s.of(1).whole), (0, 0));
@@ -355,7 +436,10 @@
         assert!(!s.apply(&begun("b", 2, 1)));
         assert!(s.apply(&begun("b", 77, 1)), "an empty disk");
         assert_eq!((s.of(1).epoch, s.of(1).members.len()), (3, 1));
-        assert!(s.apply(&begun("b", 2, 3)), "the old disk again counts as another");
+        assert!(
+            s.apply(&begun("b", 2, 3)),
+            "the old disk again counts as another"
+        );
         assert!(!s.of(1).members.contains("b"));
         assert!(s.apply(&begun("a", 78, 1)));
         assert_eq!((s.of(1).primary, s.of(1).members.len()), (None, 0));
--- a/src/replication/shard.rs
+++ b/src/replication/shard.rs
@@ -72,13 +72,22 @@
 impl Shard {
     /// One that is not known of yet, at a process.
     pub fn of(process: u64) -> Shard {
-        Shard { process, ..Shard::default() }
+        Shard {
+            process,
+            ..Shard::default()
+        }
     }
 
     /// How far the disk has come.
     pub fn stored(&self) -> u64 {
         self.pending.front().map_or(self.place.number, |_| {
-            self.pending.front().map_or(0, |p| if p.whole { 0 } else { p.place.number.saturating_sub(1) })
+            self.pending.front().map_or(0, |p| {
+                if p.whole {
+                    0
+                } else {
+                    p.place.number.saturating_sub(1)
+                }
+            })
         })
     }
 
@@ -93,26 +102,45 @@
         self.since.is_some_and(|t| t + stall <= now)
     }
 
-    fn epoch_of(&self, shard: ShardId, from: &Name, epoch: Epoch, without: bool) -> Result<bool, Declined> {
+    fn epoch_of(
+        &self,
+        shard: ShardId,
+        from: &Name,
+        epoch: Epoch,
+        without: bool,
+    ) -> Result<bool, Declined> {
         if without {
             return Ok(true);
         }
         if epoch < self.set.epoch {
-            return Err(Declined::Stale { shard, theirs: epoch, ours: self.set.epoch });
+            return Err(Declined::Stale {
+                shard,
+                theirs: epoch,
+                ours: self.set.epoch,
+            });
         }
         // Of an epoch that was not heard of here yet: said again until it is.
         Ok(epoch == self.set.epoch && self.set.primary.as_ref() == Some(from))
     }
 
     /// The primary asks how far this copy has come.
-    pub fn asked(&mut self, shard: ShardId, from: &Name, epoch: Epoch, without: bool) -> Option<Taken> {
+    pub fn asked(
+        &mut self,
+        shard: ShardId,
+        from: &Name,
+        epoch: Epoch,
+        without: bool,
+    ) -> Option<Taken> {
         match self.epoch_of(shard, from, epoch, without) {
             Err(e) => Some(Taken::Declined(e)),
             Ok(false) => None,
             Ok(true) if self.unsound.is_some() => Some(Taken::Say(Body::Corrupt(shard, epoch))),
-            Ok(true) if self.pending.is_empty() => {
-                Some(Taken::Say(Body::Position(shard, epoch, self.place, self.process)))
-            }
+            Ok(true) if self.pending.is_empty() => Some(Taken::Say(Body::Position(
+                shard,
+                epoch,
+                self.place,
+                self.process,
+            ))),
             Ok(true) => {
                 self.waits = Some((from.clone(), epoch));
                 None
@@ -138,12 +166,22 @@
         }
         let fits = before == self.place || without.1 && before.number == self.place.number;
         if self.leading.is_some() || !fits {
-            return self.asked(shard, from, epoch, without.0).filter(|_| self.leading.is_none());
+            return self
+                .asked(shard, from, epoch, without.0)
+                .filter(|_| self.leading.is_none());
         }
         self.coming = None;
         self.place = before.then(&bytes);
         let (from, place) = (Some(from.clone()), self.place);
-        self.push(now, Pending { epoch, from, place, whole: false });
+        self.push(
+            now,
+            Pending {
+                epoch,
+                from,
+                place,
+                whole: false,
+            },
+        );
         Some(Taken::Store(self.place, bytes.into()))
     }
 
@@ -167,10 +205,17 @@
             Ok(true) => {}
         }
         if part == 0 {
-            self.coming = Some(Coming { epoch, place, next: 0, bytes: Vec::new() });
+            self.coming = Some(Coming {
+                epoch,
+                place,
+                next: 0,
+                bytes: Vec::new(),
+            });
         }
         let of = |c: &&mut Coming| c.epoch == epoch && c.place == place;
-        let Some(coming) = self.coming.as_mut().filter(of) else { return Vec::new() };
+        let Some(coming) = self.coming.as_mut().filter(of) else {
+            return Vec::new();
+        };
         if part > coming.next {
             return Vec::new();
         }
@@ -180,7 +225,10 @@
         }
         if coming.bytes.len() + bytes.len() > MAX_SNAPSHOT_BYTES {
             self.coming = None;
-            return vec![Taken::Declined(Declined::TooLong { shard, most: MAX_SNAPSHOT_BYTES })];
+            return vec![Taken::Declined(Declined::TooLong {
+                shard,
+                most: MAX_SNAPSHOT_BYTES,
+            })];
         }
         coming.bytes.extend(bytes);
         coming.next += 1;
@@ -190,7 +238,15 @@
         let bytes = std::mem::take(&mut coming.bytes);
         self.coming = None;
         self.place = place;
-        self.push(now, Pending { epoch, from: Some(from.clone()), place, whole: true });
+        self.push(
+            now,
+            Pending {
+                epoch,
+                from: Some(from.clone()),
+                place,
+                whole: true,
+            },
+        );
         vec![took, Taken::Install(place, bytes)]
     }
 
@@ -201,7 +257,9 @@
         shard: ShardId,
         without: bool,
     ) -> (Option<Pending>, Vec<(Name, Body)>) {
-        let Some(done) = self.pending.pop_front() else { return (None, Vec::new()) };
+        let Some(done) = self.pending.pop_front() else {
+            return (None, Vec::new());
+        };
         self.since = (!self.pending.is_empty()).then_some(now);
         if done.whole {
             // All of it was written anew.
@@ -209,10 +267,14 @@
         }
         let mut said = Vec::new();
         // What came under an older epoch is told by its place only, which whoever leads now compares.
-        let counts =
-            self.leading.is_none() && self.unsound.is_none() && (without || done.epoch == self.set.epoch);
+        let counts = self.leading.is_none()
+            && self.unsound.is_none()
+            && (without || done.epoch == self.set.epoch);
         if let Some(from) = done.from.clone().filter(|_| counts) {
-            said.push((from, Body::Acknowledge(shard, done.epoch, done.place.number, self.process)));
+            said.push((
+                from,
+                Body::Acknowledge(shard, done.epoch, done.place.number, self.process),
+            ));
         }
         if self.pending.is_empty() {
             if let Some((to, epoch)) = self.waits.take() {
--- a/src/replication/tests.rs
+++ b/src/replication/tests.rs
@@ -31,14 +31,18 @@
 impl DiskImage {
     /// A record changes by itself. How far the shard has come is written elsewhere, and stays.
     pub(super) fn damage(&mut self, shard: ShardId) -> bool {
-        let Some(record) = self.shards.get_mut(&shard).and_then(|all| all.first_mut()) else { return false };
+        let Some(record) = self.shards.get_mut(&shard).and_then(|all| all.first_mut()) else {
+            return false;
+        };
         record[0] ^= 0x80;
         self.damaged.insert(shard)
     }
 }
 
 fn place(records: &[Vec<u8>]) -> LogPosition {
-    records.iter().fold(LogPosition::default(), |p, r| p.then(r))
+    records
+        .iter()
+        .fold(LogPosition::default(), |p, r| p.then(r))
 }
 
 enum Write {
@@ -142,7 +146,10 @@
 
     fn settings(&mut self, i: usize) -> Settings {
         self.processes += 1;
-        let host = |n| Host { name: name(n), hall: Some(format!("h{}", n % 3)) };
+        let host = |n| Host {
+            name: name(n),
+            hall: Some(format!("h{}", n % 3)),
+        };
         Settings {
             name: name(i),
             process: self.processes,
@@ -191,7 +198,10 @@
     pub(super) fn lose(&mut self, i: usize) {
         self.kill(i);
         let id = self.random.next_u64();
-        self.gateways[i].disk = DiskImage { id, ..DiskImage::default() };
+        self.gateways[i].disk = DiskImage {
+            id,
+            ..DiskImage::default()
+        };
     }
 
     fn hear(&mut self, i: usize) {
@@ -204,7 +214,9 @@
     }
 
     fn write(&mut self, i: usize, told: bool) {
-        let Some((_, write)) = self.gateways[i].writes.pop_front() else { return };
+        let Some((_, write)) = self.gateways[i].writes.pop_front() else {
+            return;
+        };
         let shards = &mut self.gateways[i].disk.shards;
         let shard = match write {
             Write::One(s, r) => {
@@ -224,7 +236,9 @@
 
     fn give(&mut self, i: usize, input: Input) {
         let now = self.now;
-        let Some(m) = &mut self.gateways[i].machine else { return };
+        let Some(m) = &mut self.gateways[i].machine else {
+            return;
+        };
         m.handle(now, input);
         let outputs: Vec<Output> = std::iter::from_fn(|| m.output()).collect();
         outputs.into_iter().for_each(|o| self.carry_out(i, o));
@@ -256,16 +270,28 @@
             }
             Output::Store(shard, _, bytes, _) => {
                 let at = self.now + 1 + self.below(3 * MS);
-                self.gateways[i].writes.push_back((at, Write::One(shard, bytes.to_vec())));
+                self.gateways[i]
+                    .writes
+                    .push_back((at, Write::One(shard, bytes.to_vec())));
             }
             Output::Install(shard, p, bytes) => {
                 let all: Vec<Vec<u8>> = postcard::from_bytes(&bytes).unwrap();
-                assert!(place(&all) == p || self.without.sound, "a damaged disk was handed on");
-                self.gateways[i].writes.push_back((self.now + 1, Write::All(shard, all)));
+                assert!(
+                    place(&all) == p || self.without.sound,
+                    "a damaged disk was handed on"
+                );
+                self.gateways[i]
+                    .writes
+                    .push_back((self.now + 1, Write::All(shard, all)));
             }
             Output::Read(shard, to) => {
                 // What is on its way is written first, as a store's thread does it.
-                let mut all = self.gateways[i].disk.shards.get(&shard).cloned().unwrap_or_default();
+                let mut all = self.gateways[i]
+                    .disk
+                    .shards
+                    .get(&shard)
+                    .cloned()
+                    .unwrap_or_default();
                 for (_, w) in &self.gateways[i].writes {
                     match w {
                         Write::One(s, r) if *s == shard => all.push(r.clone()),
@@ -295,13 +321,26 @@
             Output::Rejected(_, why) => self.refused.push(why),
             Output::DiskRefused => {
                 let id = self.random.next_u64();
-                self.gateways[i].disk = DiskImage { id, boot: 1, ..DiskImage::default() };
+                self.gateways[i].disk = DiskImage {
+                    id,
+                    boot: 1,
+                    ..DiskImage::default()
+                };
                 self.gateways[i].writes.clear();
-                self.give(i, Input::Disk { id, boot: 1, places: BTreeMap::new() });
+                self.give(
+                    i,
+                    Input::Disk {
+                        id,
+                        boot: 1,
+                        places: BTreeMap::new(),
+                    },
+                );
             }
             Output::Record(note) => self.notes.push((i, note)),
             Output::Response(ticket, told) => self.told.push((i, ticket, told)),
-            Output::HandleRequest(_, from, number, _) => self.heard_questions.push((i, from, number)),
+            Output::HandleRequest(_, from, number, _) => {
+                self.heard_questions.push((i, from, number))
+            }
             Output::BecomePrimary(shard, _)
                 if self.gateways[i].disk.damaged.contains(&shard) && !self.without.sound =>
             {
@@ -323,7 +362,9 @@
                         self.give(to, Input::Frame(name(from), body));
                     }
                     // Held by the machine, and read once it goes on.
-                    Event::Frame(from, to, body) => self.later(50 * MS, Event::Frame(from, to, body)),
+                    Event::Frame(from, to, body) => {
+                        self.later(50 * MS, Event::Frame(from, to, body))
+                    }
                     Event::Entry(entry) => {
                         let mut sets = (**self.log.last().unwrap()).clone();
                         sets.apply(&entry);
@@ -336,7 +377,10 @@
                     continue;
                 }
                 while !self.gateways[i].full
-                    && self.gateways[i].writes.front().is_some_and(|(at, _)| *at <= self.now)
+                    && self.gateways[i]
+                        .writes
+                        .front()
+                        .is_some_and(|(at, _)| *at <= self.now)
                 {
                     self.write(i, true);
                 }
@@ -344,7 +388,10 @@
                 if self.below(4) == 0 && !self.gateways[i].deaf {
                     self.hear(i);
                 }
-                let due = self.gateways[i].machine.as_ref().map(Replicator::next_deadline);
+                let due = self.gateways[i]
+                    .machine
+                    .as_ref()
+                    .map(Replicator::next_deadline);
                 if due.is_some_and(|t| t <= self.now) {
                     self.give(i, Input::Tick);
                 }
@@ -356,12 +403,23 @@
     fn append(&mut self, want: usize) {
         let shard = 1 + self.below(u64::from(SHARDS)) as ShardId;
         for i in 0..self.gateways.len() {
-            let leads = self.gateways[i].machine.as_ref().is_some_and(|m| m.leads(shard));
+            let leads = self.gateways[i]
+                .machine
+                .as_ref()
+                .is_some_and(|m| m.leads(shard));
             if leads && !self.gateways[i].stopped {
                 self.tickets += 1;
                 let (ticket, bytes) = (self.tickets, self.tickets.to_le_bytes().to_vec());
                 self.asked.insert(ticket, (shard, bytes.clone()));
-                self.give(i, Input::Append { shard, ticket, bytes, want });
+                self.give(
+                    i,
+                    Input::Append {
+                        shard,
+                        ticket,
+                        bytes,
+                        want,
+                    },
+                );
             }
         }
     }
@@ -394,7 +452,12 @@
             let mut chains = BTreeSet::new();
             for m in &set.members {
                 let i = m[1..].parse::<usize>().unwrap();
-                let records = self.gateways[i].disk.shards.get(&shard).cloned().unwrap_or_default();
+                let records = self.gateways[i]
+                    .disk
+                    .shards
+                    .get(&shard)
+                    .cloned()
+                    .unwrap_or_default();
                 chains.insert(place(&records));
                 for ticket in &self.promised {
                     let (s, bytes) = &self.asked[ticket];
@@ -411,10 +474,15 @@
         let mut led: BTreeMap<(ShardId, u64), usize> = BTreeMap::new();
         for (i, note) in &self.notes {
             match note {
-                HistoryEvent::Promised { shard, number, chain, .. }
-                    if *seen.entry((*shard, *number)).or_insert(*chain) != *chain =>
-                {
-                    return Err(format!("record {number} of shard {shard} was promised twice"));
+                HistoryEvent::Promised {
+                    shard,
+                    number,
+                    chain,
+                    ..
+                } if *seen.entry((*shard, *number)).or_insert(*chain) != *chain => {
+                    return Err(format!(
+                        "record {number} of shard {shard} was promised twice"
+                    ));
                 }
                 HistoryEvent::Led { shard, epoch, .. }
                     if *led.entry((*shard, *epoch)).or_insert(*i) != *i =>
@@ -539,8 +607,20 @@
 #[test]
 fn each_guard_taken_out_is_found() {
     let guards = [
-        ("all", Guards { all: true, ..Guards::default() }),
-        ("chain", Guards { chain: true, ..Guards::default() }),
+        (
+            "all",
+            Guards {
+                all: true,
+                ..Guards::default()
+            },
+        ),
+        (
+            "chain",
+            Guards {
+                chain: true,
+                ..Guards::default()
+            },
+        ),
     ];
     for (what, without) in guards {
         let found = (0..120).any(|seed| {
@@ -556,9 +636,21 @@
 #[test]
 fn a_late_primary_is_refused_by_a_copy_of_the_one_after_the_next() {
     for epochs in [false, true] {
-        let mut w = World::new(3, 2, 4, Guards { epochs, ..Guards::default() });
+        let mut w = World::new(
+            3,
+            2,
+            4,
+            Guards {
+                epochs,
+                ..Guards::default()
+            },
+        );
         w.run(3_000 * MS);
-        let leader = |w: &World| w.log.last().unwrap().of(1).primary.unwrap()[1..].parse::<usize>().unwrap();
+        let leader = |w: &World| {
+            w.log.last().unwrap().of(1).primary.unwrap()[1..]
+                .parse::<usize>()
+                .unwrap()
+        };
         let first = leader(&w);
         (w.gateways[first].stopped, w.gateways[first].deaf) = (true, true);
         w.run(3_000 * MS);
@@ -568,16 +660,30 @@
         w.gateways[second].stopped = false;
         w.run(3_000 * MS);
         let set = w.log.last().unwrap().of(1);
-        assert!(set.members.contains(&name(second)) && leader(&w) != second && set.members.len() == 2);
+        assert!(
+            set.members.contains(&name(second)) && leader(&w) != second && set.members.len() == 2
+        );
         w.gateways[first].stopped = false;
         w.tickets += 1;
         let ticket = w.tickets;
         w.asked.insert(ticket, (1, vec![1]));
-        w.give(first, Input::Append { shard: 1, ticket, bytes: vec![1], want: 0 });
+        w.give(
+            first,
+            Input::Append {
+                shard: 1,
+                ticket,
+                bytes: vec![1],
+                want: 0,
+            },
+        );
         w.run(1_000 * MS);
         w.gateways[first].deaf = false;
         w.traffic(500 * MS);
-        assert_eq!(w.promised.contains(&ticket), epochs, "the guard is what held it off");
+        assert_eq!(
+            w.promised.contains(&ticket),
+            epochs,
+            "the guard is what held it off"
+        );
         assert_eq!(w.judge().is_err(), epochs);
     }
 }
@@ -586,12 +692,24 @@
 #[test]
 fn a_process_does_not_go_on_under_the_epoch_of_the_one_before_it() {
     for process in [false, true] {
-        let mut w = World::new(2, 2, 6, Guards { process, ..Guards::default() });
+        let mut w = World::new(
+            2,
+            2,
+            6,
+            Guards {
+                process,
+                ..Guards::default()
+            },
+        );
         w.run(3_000 * MS);
         w.traffic(300 * MS);
         w.run(200 * MS);
         let set = w.log.last().unwrap().of(1);
-        let (first, second) = if set.primary == Some(name(0)) { (0, 1) } else { (1, 0) };
+        let (first, second) = if set.primary == Some(name(0)) {
+            (0, 1)
+        } else {
+            (1, 0)
+        };
         w.cut.insert((first, second));
         w.kill(first);
         w.start(first);
@@ -604,9 +722,20 @@
         w.tickets += 1;
         let ticket = w.tickets;
         w.asked.insert(ticket, (1, vec![1]));
-        w.give(first, Input::Append { shard: 1, ticket, bytes: vec![1], want: 0 });
+        w.give(
+            first,
+            Input::Append {
+                shard: 1,
+                ticket,
+                bytes: vec![1],
+                want: 0,
+            },
+        );
         w.run(10 * MS);
-        w.give(first, Input::Frame(name(second), Body::Acknowledge(1, set.epoch, number, told)));
+        w.give(
+            first,
+            Input::Frame(name(second), Body::Acknowledge(1, set.epoch, number, told)),
+        );
         assert_eq!(w.promised.contains(&ticket), process);
     }
 }
@@ -625,15 +754,28 @@
     w.gateways[old].stopped = false;
     w.tickets += 1;
     w.asked.insert(w.tickets, (1, vec![1]));
-    w.give(old, Input::Append { shard: 1, ticket: w.tickets, bytes: vec![1], want: 0 });
+    w.give(
+        old,
+        Input::Append {
+            shard: 1,
+            ticket: w.tickets,
+            bytes: vec![1],
+            want: 0,
+        },
+    );
     w.run(2_000 * MS);
     assert!(!w.promised.contains(&w.tickets));
     assert!(
-        w.refused.iter().any(|r| matches!(r, ReplicationError::Deposed { shard: 1, .. })),
+        w.refused
+            .iter()
+            .any(|r| matches!(r, ReplicationError::Deposed { shard: 1, .. })),
         "{:?}",
         w.refused
     );
-    assert!(w.notes.iter().any(|(_, n)| matches!(n, HistoryEvent::Declined { shard: 1, .. })));
+    assert!(w
+        .notes
+        .iter()
+        .any(|(_, n)| matches!(n, HistoryEvent::Declined { shard: 1, .. })));
     w.judge().unwrap();
 }
 
@@ -650,7 +792,14 @@
     w.run(500 * MS);
     assert_eq!(w.promised.len(), 1);
     assert!(
-        w.refused.iter().all(|r| matches!(r, ReplicationError::Fewer { have: 2, want: 3, .. })),
+        w.refused.iter().all(|r| matches!(
+            r,
+            ReplicationError::Fewer {
+                have: 2,
+                want: 3,
+                ..
+            }
+        )),
         "{:?}",
         w.refused
     );
@@ -673,7 +822,11 @@
     w.run(2_000 * MS);
     let held = w.promised.len();
     w.traffic(1_000 * MS);
-    assert_eq!(w.promised.len(), held, "the last one of a set promised something alone");
+    assert_eq!(
+        w.promised.len(),
+        held,
+        "the last one of a set promised something alone"
+    );
     w.judge().unwrap();
 }
 
@@ -682,9 +835,18 @@
 fn a_question_is_given_up_on_and_its_late_answer_counts_for_nothing() {
     let mut w = World::new(3, 2, 7, Guards::default());
     w.run(3_000 * MS);
-    let primary = w.log.last().unwrap().of(1).primary.unwrap()[1..].parse::<usize>().unwrap();
+    let primary = w.log.last().unwrap().of(1).primary.unwrap()[1..]
+        .parse::<usize>()
+        .unwrap();
     let asks = |w: &mut World, at: usize, ticket| {
-        w.give(at, Input::Request { shard: 1, ticket, bytes: vec![1] });
+        w.give(
+            at,
+            Input::Request {
+                shard: 1,
+                ticket,
+                bytes: vec![1],
+            },
+        );
         w.told.clear();
         w.run(700 * MS);
         w.told.clone()
@@ -693,12 +855,19 @@
         let told = asks(&mut w, at, 70 + at as u64);
         assert_eq!(
             told,
-            [(at, 70 + at as u64, RequestOutcome::Rejected(ReplicationError::Unreached { shard: 1 }))]
+            [(
+                at,
+                70 + at as u64,
+                RequestOutcome::Rejected(ReplicationError::Unreached { shard: 1 })
+            )]
         );
     }
     let (_, from, number) = w.heard_questions.last().cloned().unwrap();
     w.told.clear();
-    w.give(primary, Input::Respond(from, number, RequestOutcome::Committed(2)));
+    w.give(
+        primary,
+        Input::Respond(from, number, RequestOutcome::Committed(2)),
+    );
     w.run(50 * MS);
     assert_eq!(w.told, []);
 }
@@ -709,15 +878,22 @@
     w.run(3_000 * MS);
     w.traffic(300 * MS);
     let led = |w: &World, i: usize| {
-        (1..=SHARDS).filter(|s| w.gateways[i].machine.as_ref().unwrap().leads(*s)).count()
+        (1..=SHARDS)
+            .filter(|s| w.gateways[i].machine.as_ref().unwrap().leads(*s))
+            .count()
     };
     let leaves = (0..4).find(|i| led(&w, *i) > 0).unwrap();
-    let epochs: Vec<u64> = (1..=SHARDS).map(|s| w.log.last().unwrap().of(s).epoch).collect();
+    let epochs: Vec<u64> = (1..=SHARDS)
+        .map(|s| w.log.last().unwrap().of(s).epoch)
+        .collect();
     w.give(leaves, Input::GracefulShutdown);
     // Well within the silence after which others would take over by themselves.
     w.run(250 * MS);
     assert_eq!(led(&w, leaves), 0, "{epochs:?}");
-    assert_eq!((0..4).map(|i| led(&w, i)).sum::<usize>(), usize::from(SHARDS));
+    assert_eq!(
+        (0..4).map(|i| led(&w, i)).sum::<usize>(),
+        usize::from(SHARDS)
+    );
     w.kill(leaves);
     w.traffic(1_000 * MS);
     w.judge().unwrap();
@@ -726,17 +902,39 @@
 #[test]
 fn every_refusal_says_what_an_operator_can_do() {
     let all = [
-        ReplicationError::NotPrimary { shard: 3, primary: Some("g1".into()) },
-        ReplicationError::NotPrimary { shard: 3, primary: None },
-        ReplicationError::Deposed { shard: 3, ours: 4, theirs: 6 },
-        ReplicationError::Fewer { shard: 3, have: 1, want: 2 },
+        ReplicationError::NotPrimary {
+            shard: 3,
+            primary: Some("g1".into()),
+        },
+        ReplicationError::NotPrimary {
+            shard: 3,
+            primary: None,
+        },
+        ReplicationError::Deposed {
+            shard: 3,
+            ours: 4,
+            theirs: 6,
+        },
+        ReplicationError::Fewer {
+            shard: 3,
+            have: 1,
+            want: 2,
+        },
         ReplicationError::Unreached { shard: 3 },
         ReplicationError::Busy { open: 4096 },
-        ReplicationError::Behind { shard: 3, bytes: 5_000_000 },
-        ReplicationError::TooLong { bytes: 600_000, most: 524_288 },
+        ReplicationError::Behind {
+            shard: 3,
+            bytes: 5_000_000,
+        },
+        ReplicationError::TooLong {
+            bytes: 600_000,
+            most: 524_288,
+        },
         ReplicationError::Seen,
         ReplicationError::Late { shard: 3 },
-        ReplicationError::Unknown { what: "class".into() },
+        ReplicationError::Unknown {
+            what: "class".into(),
+        },
         ReplicationError::Full,
         ReplicationError::Leaving,
     ];
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -121,22 +121,30 @@
 
 fn optional(facts: &SettingsMap, key: &str, kind: Kind) -> Result<(), SettingsError> {
     match facts.get(key) {
-        Some(value) if value != "null" && !kind.fits(value) => {
-            Err(SettingsError::Value { key: key.to_owned(), value: value.clone(), expected: kind.expected() })
-        }
+        Some(value) if value != "null" && !kind.fits(value) => Err(SettingsError::Value {
+            key: key.to_owned(),
+            value: value.clone(),
+            expected: kind.expected(),
+        }),
         _ => Ok(()),
     }
 }
 
 fn required(facts: &SettingsMap, key: &str, kind: Kind) -> Result<(), SettingsError> {
     if facts.get(key).is_none_or(|v| v == "null") {
-        return Err(SettingsError::Missing { key: key.to_owned(), expected: kind.expected() });
+        return Err(SettingsError::Missing {
+            key: key.to_owned(),
+            expected: kind.expected(),
+        });
     }
     optional(facts, key, kind)
 }
 
 fn count(facts: &SettingsMap, list: &str) -> usize {
-    facts.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0)
+    facts
+        .get(&format!("{list}.count"))
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 /// The names of a list; each is there, and none twice.
@@ -146,7 +154,10 @@
         let key = format!("{list}.{i}.name");
         required(facts, &key, Kind::Name)?;
         if let Some(value) = facts.get(&key).filter(|value| !seen.insert(*value)) {
-            return Err(SettingsError::Twice { key, value: value.clone() });
+            return Err(SettingsError::Twice {
+                key,
+                value: value.clone(),
+            });
         }
     }
     Ok(())
@@ -160,7 +171,10 @@
     required(facts, &key("repeat"), Kind::Word(effects))?;
     optional(facts, &key("worth"), COUNT)?;
     optional(facts, &key("lateWorth"), SHARE)?;
-    if facts.get(&key("repeat")).is_some_and(|effect| effect == "idempotency_key") {
+    if facts
+        .get(&key("repeat"))
+        .is_some_and(|effect| effect == "idempotency_key")
+    {
         required(facts, &key("dedupWindowMs"), Kind::Above0)?;
         required(facts, &key("group"), Kind::Word(&["all", "zone", "cell"]))?;
     }
@@ -173,10 +187,15 @@
         let key = format!("orgs.{i}.fraction");
         optional(facts, &key, SHARE)?;
         optional(facts, &format!("orgs.{i}.quotaPerS"), COUNT)?;
-        sum += facts.get(&key).and_then(|v| v.parse::<f64>().ok()).unwrap_or(0.0);
+        sum += facts
+            .get(&key)
+            .and_then(|v| v.parse::<f64>().ok())
+            .unwrap_or(0.0);
     }
     if sum > 1.0 + SHARES_SLACK {
-        return Err(SettingsError::Shares { sum: format!("{sum:.3}") });
+        return Err(SettingsError::Shares {
+            sum: format!("{sum:.3}"),
+        });
     }
     Ok(())
 }
@@ -185,7 +204,10 @@
 pub fn check(facts: &SettingsMap) -> Result<(), SettingsError> {
     if count(facts, "services") == 0 {
         let expected = "a list of classes".to_owned();
-        return Err(SettingsError::Missing { key: "services".to_owned(), expected });
+        return Err(SettingsError::Missing {
+            key: "services".to_owned(),
+            expected,
+        });
     }
     for (key, kind) in OPTIONAL {
         optional(facts, key, *kind)?;
@@ -194,7 +216,12 @@
     names(facts, "orgs")?;
     (0..count(facts, "services")).try_for_each(|i| class(facts, i))?;
     shares(facts)?;
-    let above_0 = |key: &str| facts.get(key).and_then(|v| v.parse::<f64>().ok()).is_some_and(|n| n > 0.0);
+    let above_0 = |key: &str| {
+        facts
+            .get(key)
+            .and_then(|v| v.parse::<f64>().ok())
+            .is_some_and(|n| n > 0.0)
+    };
     if above_0("obligations.fallMultiple") {
         required(facts, "obligations.fallMs", Kind::Above0)?;
     }
--- a/src/settings/check/tests.rs
+++ b/src/settings/check/tests.rs
@@ -29,17 +29,36 @@
 #[test]
 fn what_is_absent_has_its_default() {
     assert_eq!(told(|_| {}), Ok(()));
-    for list in ["orgs", "caps", "familyInfo", "obligations", "tickMs", "groupSize", "overShareWorth"] {
-        assert_eq!(told(|s| drop(s.as_object_mut().unwrap().remove(list))), Ok(()), "{list}");
+    for list in [
+        "orgs",
+        "caps",
+        "familyInfo",
+        "obligations",
+        "tickMs",
+        "groupSize",
+        "overShareWorth",
+    ] {
+        assert_eq!(
+            told(|s| drop(s.as_object_mut().unwrap().remove(list))),
+            Ok(()),
+            "{list}"
+        );
     }
-    assert_eq!(told(|s| s["orgs"] = json!([])), Ok(()), "a deployment without tenants");
+    assert_eq!(
+        told(|s| s["orgs"] = json!([])),
+        Ok(()),
+        "a deployment without tenants"
+    );
 }
 
 #[test]
 fn each_error_names_key_value_and_what_is_expected() {
     type Damage = (fn(&mut Value), &'static [&'static str]);
     let cases: [Damage; 12] = [
-        (|s| s["services"] = json!([]), &["services is missing", "a list of classes"]),
+        (
+            |s| s["services"] = json!([]),
+            &["services is missing", "a list of classes"],
+        ),
         (
             |s| s["services"][0]["repeat"] = json!("sometimes"),
             &["services.0.repeat = 'sometimes'", "read_like"],
@@ -52,14 +71,38 @@
             |s| s["services"][0]["aimMs"] = json!("soon"),
             &["services.0.aimMs = 'soon'", "a number of at least 0"],
         ),
-        (|s| s["services"][1]["dedupWindowMs"] = json!(0), &["services.1.dedupWindowMs = '0'", "above 0"]),
-        (|s| s["services"][1]["group"] = json!("row"), &["services.1.group = 'row'", "all, zone, cell"]),
-        (|s| s["services"][1]["name"] = json!("one"), &["services.1.name = 'one' stands twice", "rename"]),
-        (|s| s["orgs"][1]["fraction"] = json!(1.4), &["orgs.1.fraction = '1.4'", "from 0 to 1"]),
-        (|s| s["orgs"][1]["fraction"] = json!(0.5), &["add up to 1.100", "lower them"]),
-        (|s| s["caps"]["cancel"] = json!("perhaps"), &["caps.cancel = 'perhaps'", "true or false"]),
-        (|s| s["familyInfo"]["onMiss"] = json!("wait"), &["familyInfo.onMiss = 'wait'", "miss, load"]),
-        (|s| s["obligations"]["fallMs"] = json!(null), &["obligations.fallMs is missing"]),
+        (
+            |s| s["services"][1]["dedupWindowMs"] = json!(0),
+            &["services.1.dedupWindowMs = '0'", "above 0"],
+        ),
+        (
+            |s| s["services"][1]["group"] = json!("row"),
+            &["services.1.group = 'row'", "all, zone, cell"],
+        ),
+        (
+            |s| s["services"][1]["name"] = json!("one"),
+            &["services.1.name = 'one' stands twice", "rename"],
+        ),
+        (
+            |s| s["orgs"][1]["fraction"] = json!(1.4),
+            &["orgs.1.fraction = '1.4'", "from 0 to 1"],
+        ),
+        (
+            |s| s["orgs"][1]["fraction"] = json!(0.5),
+            &["add up to 1.100", "lower them"],
+        ),
+        (
+            |s| s["caps"]["cancel"] = json!("perhaps"),
+            &["caps.cancel = 'perhaps'", "true or false"],
+        ),
+        (
+            |s| s["familyInfo"]["onMiss"] = json!("wait"),
+            &["familyInfo.onMiss = 'wait'", "miss, load"],
+        ),
+        (
+            |s| s["obligations"]["fallMs"] = json!(null),
+            &["obligations.fallMs is missing"],
+        ),
     ];
     for (change, parts) in cases {
         let error = told(change).expect_err("it cannot be used");
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -35,7 +35,10 @@
 
 /// Facts from lines of `path=value`; a line without a value is passed over.
 pub fn lines(text: &str) -> SettingsMap {
-    text.lines().filter_map(|l| l.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
+    text.lines()
+        .filter_map(|l| l.split_once('='))
+        .map(|(k, v)| (k.into(), v.into()))
+        .collect()
 }
 
 /// Facts from nested JSON: a list of simple values is joined by commas, a list of objects is counted.
@@ -46,16 +49,28 @@
 }
 
 fn plain(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_owned)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_owned)
 }
 
 fn flatten(path: String, value: &Value, facts: &mut SettingsMap) {
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let under = |name: &str| {
+        if path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
-        Value::Object(map) => map.iter().for_each(|(name, v)| flatten(under(name), v, facts)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(name, v)| flatten(under(name), v, facts)),
         Value::Array(list) if list.iter().any(Value::is_object) => {
             facts.insert(under("count"), list.len().to_string());
-            list.iter().enumerate().for_each(|(i, v)| flatten(under(&i.to_string()), v, facts));
+            list.iter()
+                .enumerate()
+                .for_each(|(i, v)| flatten(under(&i.to_string()), v, facts));
         }
         Value::Array(list) => {
             facts.insert(path, list.iter().map(plain).collect::<Vec<_>>().join(","));
@@ -69,7 +84,11 @@
 /// Reads the settings from facts, and the names of a load report's values in their order.
 pub fn from_facts(facts: &SettingsMap) -> (Settings, Vec<Field>) {
     let get = |key: &str| facts.get(key).map(String::as_str);
-    let number = |key: &str| get(key).and_then(|v| v.trim().parse::<f64>().ok()).filter(|v| v.is_finite());
+    let number = |key: &str| {
+        get(key)
+            .and_then(|v| v.trim().parse::<f64>().ok())
+            .filter(|v| v.is_finite())
+    };
     let time = |key: &str| micros(number(key).unwrap_or(0.0));
     let yes = |key: &str| get(key).is_some_and(|v| v.eq_ignore_ascii_case("true"));
     let count = |key: &str| number(key).unwrap_or(0.0).clamp(0.0, 4096.0) as usize;
@@ -94,14 +113,17 @@
             },
         }
     };
-    let fields = get("report.fields").unwrap_or("").split(',').map(|name| match name.trim() {
-        "q" => Field::Queue,
-        "rif" => Field::Inflight,
-        "busy" => Field::Busy,
-        "x0" => Field::Pinned,
-        "x1" => Field::Loads,
-        _ => Field::Other,
-    });
+    let fields = get("report.fields")
+        .unwrap_or("")
+        .split(',')
+        .map(|name| match name.trim() {
+            "q" => Field::Queue,
+            "rif" => Field::Inflight,
+            "busy" => Field::Busy,
+            "x0" => Field::Pinned,
+            "x1" => Field::Loads,
+            _ => Field::Other,
+        });
     let window = time("familyInfo.loadWindowMs");
     let settings = Settings {
         instances: count("groupSize").max(1) as u32,
@@ -109,7 +131,9 @@
         tick: time("tickMs"),
         classes: (0..count("services.count")).map(class).collect(),
         tenants: (0..count("orgs.count"))
-            .map(|i| Tenant { quota_per_s: number(&format!("orgs.{i}.quotaPerS")).unwrap_or(0.0) })
+            .map(|i| Tenant {
+                quota_per_s: number(&format!("orgs.{i}.quotaPerS")).unwrap_or(0.0),
+            })
             .collect(),
         over_quota_weight: number("overShareWorth").unwrap_or(1.0),
         answer_grace: time("obligations.graceToAnswerMs"),
@@ -126,13 +150,21 @@
             loads_per_request: number("familyInfo.loadRatio").unwrap_or(0.0),
         }),
         load_order_timeout: time("familyInfo.orderLimitMs"),
-        on_miss: if get("familyInfo.onMiss") == Some("miss") { OnMiss::Reject } else { OnMiss::Load },
+        on_miss: if get("familyInfo.onMiss") == Some("miss") {
+            OnMiss::Reject
+        } else {
+            OnMiss::Load
+        },
         reports_copy_start: yes("familyInfo.marksCold"),
         max_attempts: number("caps.mostTries").unwrap_or(1.0).max(1.0) as u32,
         may_cancel: yes("caps.cancel"),
         may_health_check: yes("caps.probes"),
         reports_inline: get("report.via") == Some("inline"),
-        max_retry_after: if yes("caps.retryAfter") { time("caps.maxRetryAfterMs") } else { 0 },
+        max_retry_after: if yes("caps.retryAfter") {
+            time("caps.maxRetryAfterMs")
+        } else {
+            0
+        },
         must_subscribe: get("registryMode") == Some("on_request"),
     };
     (settings, fields.collect())
--- a/src/store/checksums.rs
+++ b/src/store/checksums.rs
@@ -43,7 +43,10 @@
     hash.update(&(k.len() as u64).to_le_bytes());
     hash.update(k);
     hash.update(value);
-    hash.finalize().as_bytes().first_chunk::<16>().map_or(0, |b| u128::from_le_bytes(*b))
+    hash.finalize()
+        .as_bytes()
+        .first_chunk::<16>()
+        .map_or(0, |b| u128::from_le_bytes(*b))
 }
 
 /// Sums of rows that are looked at one by one.
@@ -61,9 +64,15 @@
 
     /// The ranges of a shard that are not what was kept.
     pub(super) fn unlike(&self, look: &dyn Look, shard: ShardId) -> Result<Vec<u8>, StoreError> {
-        let (counted, kept) = (self.0.get(&shard).copied().unwrap_or_default(), kept(look, shard)?);
+        let (counted, kept) = (
+            self.0.get(&shard).copied().unwrap_or_default(),
+            kept(look, shard)?,
+        );
         // Sixteen ranges.
-        Ok((0..RANGES).filter(|at| counted[*at] != kept[*at]).map(|at| at as u8).collect())
+        Ok((0..RANGES)
+            .filter(|at| counted[*at] != kept[*at])
+            .map(|at| at as u8)
+            .collect())
     }
 }
 
@@ -89,7 +98,9 @@
         loop {
             let page: Vec<Pair> = look.scan(table, &from, &TOP, PAGE, false)?;
             page.iter().for_each(|(k, v)| count.row(table, k, v));
-            let Some((last, _)) = page.last().filter(|_| page.len() == PAGE) else { break };
+            let Some((last, _)) = page.last().filter(|_| page.len() == PAGE) else {
+                break;
+            };
             // The next key after it.
             from.clone_from(last);
             from.push(0);
@@ -120,7 +131,11 @@
 impl<'a> Summed<'a> {
     /// Round a space.
     pub(super) fn new(space: &'a mut dyn Space) -> Summed<'a> {
-        Summed { space, changed: BTreeMap::new(), anew: BTreeSet::new() }
+        Summed {
+            space,
+            changed: BTreeMap::new(),
+            anew: BTreeSet::new(),
+        }
     }
 
     /// All of a shard was written anew: its sums are counted, whatever was kept before.
@@ -131,10 +146,16 @@
     /// Keeps the sums; the last step of a commit but for the store's own.
     pub(super) fn flush(&mut self) -> Result<(), StoreError> {
         let changed = std::mem::take(&mut self.changed);
-        for ((shard, at), by) in changed.into_iter().filter(|((s, _), by)| !self.anew.contains(s) && *by != 0)
+        for ((shard, at), by) in changed
+            .into_iter()
+            .filter(|((s, _), by)| !self.anew.contains(s) && *by != 0)
         {
             let sum = kept_at(self.space, shard, at)?.wrapping_add(by);
-            self.space.put(Table::Sums, &key(&[u64::from(shard), at as u64]), &sum.to_le_bytes())?;
+            self.space.put(
+                Table::Sums,
+                &key(&[u64::from(shard), at as u64]),
+                &sum.to_le_bytes(),
+            )?;
         }
         let anew = std::mem::take(&mut self.anew);
         if anew.is_empty() {
@@ -144,7 +165,11 @@
         for shard in anew {
             let sums = count.0.get(&shard).copied().unwrap_or_default();
             for (at, sum) in sums.iter().enumerate() {
-                self.space.put(Table::Sums, &key(&[u64::from(shard), at as u64]), &sum.to_le_bytes())?;
+                self.space.put(
+                    Table::Sums,
+                    &key(&[u64::from(shard), at as u64]),
+                    &sum.to_le_bytes(),
+                )?;
             }
         }
         Ok(())
@@ -157,7 +182,11 @@
             };
             let by = digest(table, k, value);
             let sum = self.changed.entry(place).or_default();
-            *sum = if comes { sum.wrapping_add(by) } else { sum.wrapping_sub(by) };
+            *sum = if comes {
+                sum.wrapping_add(by)
+            } else {
+                sum.wrapping_sub(by)
+            };
         }
     }
 
@@ -184,7 +213,12 @@
 }
 
 impl Space for Summed<'_> {
-    fn put(&mut self, table: Table, key: &[u8], value: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
+    fn put(
+        &mut self,
+        table: Table,
+        key: &[u8],
+        value: &[u8],
+    ) -> Result<Option<Vec<u8>>, StoreError> {
         let old = self.space.put(table, key, value)?;
         if Summed::is_summed(table) {
             self.moved(table, key, old.as_deref(), Some(value));
--- a/src/store/checksums/fixture_tests.rs
+++ b/src/store/checksums/fixture_tests.rs
@@ -8,7 +8,11 @@
 
 #[test]
 fn row_digests_match_their_recorded_bytes() {
-    let line =
-        |table: Table| hex_line(table.name(), &digest(table, &9_u64.to_be_bytes(), b"a row").to_le_bytes());
+    let line = |table: Table| {
+        hex_line(
+            table.name(),
+            &digest(table, &9_u64.to_be_bytes(), b"a row").to_le_bytes(),
+        )
+    };
     check_lines("wire/row_digests.txt", &Table::ALL.map(line));
 }
--- a/src/store/checksums_tests.rs
+++ b/src/store/checksums_tests.rs
@@ -30,16 +30,26 @@
     fn new() -> Store {
         let mut space = Memory::default();
         let (tables, _) = Tables::open(&mut space, true, BYTES, 0).unwrap();
-        let mut s = Store { space, tables, place: LogPosition::default() };
+        let mut s = Store {
+            space,
+            tables,
+            place: LogPosition::default(),
+        };
         s.ask(Op::BeginDisk(7, false)).unwrap();
         s
     }
 
     fn ask(&mut self, op: Op) -> Result<Reply, StoreError> {
-        let anew = if let Op::WriteShard(shard, ..) = &op { Some(*shard) } else { None };
+        let anew = if let Op::WriteShard(shard, ..) = &op {
+            Some(*shard)
+        } else {
+            None
+        };
         let mut summed = Summed::new(&mut self.space);
         let reply = self.tables.apply(&mut summed, op);
-        anew.into_iter().chain(self.tables.unsummed()).for_each(|s| summed.anew(s));
+        anew.into_iter()
+            .chain(self.tables.unsummed())
+            .for_each(|s| summed.anew(s));
         summed.flush().unwrap();
         self.tables.finish(&mut self.space, 0).unwrap();
         reply
@@ -48,7 +58,8 @@
     fn record(&mut self, op: Op) {
         let shard = op.shard().unwrap();
         self.place = self.place.then(b"r");
-        self.ask(Op::Shard(shard, self.place, Box::new(op))).unwrap();
+        self.ask(Op::Shard(shard, self.place, Box::new(op)))
+            .unwrap();
     }
 
     /// A call is taken, and has its answer; another stays open.
@@ -58,8 +69,12 @@
             self.record(Op::Take(c, mark(seq(shard, n).0), 50 * SECOND));
             self.record(Op::Sent(seq(shard, n), 3));
             if n % 2 == 0 {
-                let (m, body) =
-                    message(seq(shard, 100 + n).0, 4, Effect::NonIdempotent, (n % 4 == 0).then_some(1));
+                let (m, body) = message(
+                    seq(shard, 100 + n).0,
+                    4,
+                    Effect::NonIdempotent,
+                    (n % 4 == 0).then_some(1),
+                );
                 self.record(Op::Answer(seq(shard, n), "served".into(), vec![(m, body)]));
                 self.record(Op::Begin(seq(shard, 100 + n), true, 5));
             }
@@ -68,12 +83,18 @@
 
     fn unsound(&self) -> Vec<ShardId> {
         let found = verify(&self.space).unwrap();
-        found.into_iter().filter(|(_, ranges)| !ranges.is_empty()).map(|(s, _)| s).collect()
+        found
+            .into_iter()
+            .filter(|(_, ranges)| !ranges.is_empty())
+            .map(|(s, _)| s)
+            .collect()
     }
 
     /// Rows of shards' tables, for the test to change.
     fn rows(&self) -> Vec<(Table, Vec<u8>, Vec<u8>)> {
-        let tables = shards::BY_NUMBER.into_iter().chain([Table::Replays, Table::ByCall]);
+        let tables = shards::BY_NUMBER
+            .into_iter()
+            .chain([Table::Replays, Table::ByCall]);
         tables
             .flat_map(|t| {
                 let all = self.space.scan(t, &[], &TOP, usize::MAX, false).unwrap();
@@ -160,12 +181,17 @@
 fn what_is_left_of_the_only_disk_counts() {
     let mut s = Store::new();
     s.fill(2, 0);
-    let calls = s.space.scan(Table::Calls, &[], &TOP, usize::MAX, false).unwrap();
+    let calls = s
+        .space
+        .scan(Table::Calls, &[], &TOP, usize::MAX, false)
+        .unwrap();
     s.space.put(Table::Calls, &calls[0].0, b"\xff").unwrap();
     assert!(matches!(s.ask(Op::Lead(2)), Err(StoreError::Unsound(2, _))));
     s.ask(Op::Accept(2)).unwrap();
     assert!(s.unsound().is_empty());
-    let Reply::Stands(stands) = s.ask(Op::Lead(2)).unwrap() else { panic!() };
+    let Reply::Stands(stands) = s.ask(Op::Lead(2)).unwrap() else {
+        panic!()
+    };
     assert_eq!(stands.calls.len(), calls.len() - 1);
 }
 
@@ -174,12 +200,17 @@
 fn what_may_have_been_forgotten_goes_with_a_shard() {
     let mut s = Store::new();
     s.fill(2, 0);
-    s.ask(Op::Retain(70 * SECOND, 600 * SECOND, u64::MAX, 1000)).unwrap();
-    let Reply::Shard(place, bytes) = s.ask(Op::ReadShard(2)).unwrap() else { panic!() };
+    s.ask(Op::Retain(70 * SECOND, 600 * SECOND, u64::MAX, 1000))
+        .unwrap();
+    let Reply::Shard(place, bytes) = s.ask(Op::ReadShard(2)).unwrap() else {
+        panic!()
+    };
     // Its clock has not come so far.
     let mut other = Store::new();
     other.ask(Op::WriteShard(2, place, bytes)).unwrap();
-    let Reply::Stands(stands) = other.ask(Op::Lead(2)).unwrap() else { panic!() };
+    let Reply::Stands(stands) = other.ask(Op::Lead(2)).unwrap() else {
+        panic!()
+    };
     assert_eq!((stands.marks.len(), stands.forgotten), (0, 50 * SECOND));
 }
 
@@ -191,21 +222,42 @@
     disk.commit([Op::BeginDisk(7, false)], 0).unwrap();
     let c = call(seq(2, 1).0, Effect::Idempotent);
     let take = Op::Take(c, mark(1), 50 * SECOND);
-    disk.commit([Op::Shard(2, LogPosition::default().then(b"r"), Box::new(take))], 0).unwrap();
+    disk.commit(
+        [Op::Shard(
+            2,
+            LogPosition::default().then(b"r"),
+            Box::new(take),
+        )],
+        0,
+    )
+    .unwrap();
     assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
 
     let mut s = Store::new();
     s.fill(2, 0);
-    for (k, _) in s.space.scan(Table::Sums, &[], &TOP, usize::MAX, false).unwrap() {
+    for (k, _) in s
+        .space
+        .scan(Table::Sums, &[], &TOP, usize::MAX, false)
+        .unwrap()
+    {
         s.space.remove(Table::Sums, &k).unwrap();
     }
     // Its head as the version before wrote it, and its format.
-    s.space.put(Table::Shards, &key(&[2]), &pack(&(s.place, false)).unwrap()).unwrap();
+    s.space
+        .put(Table::Shards, &key(&[2]), &pack(&(s.place, false)).unwrap())
+        .unwrap();
     let head = s.space.get(Table::Meta, b"head").unwrap().unwrap();
     assert_eq!(u32::from(head[0]), FORMAT);
-    s.space.put(Table::Meta, b"head", &[&[2], &head[1..]].concat()).unwrap();
+    s.space
+        .put(Table::Meta, b"head", &[&[2], &head[1..]].concat())
+        .unwrap();
     assert_eq!(s.unsound(), [2]);
     s.tables = Tables::resume(&mut s.space, true, BYTES).unwrap();
-    let Reply::Disk(_, _, places) = s.ask(Op::BeginDisk(7, false)).unwrap() else { panic!() };
-    assert_eq!((places, s.unsound()), (vec![(2, s.place)], Vec::<ShardId>::new()));
+    let Reply::Disk(_, _, places) = s.ask(Op::BeginDisk(7, false)).unwrap() else {
+        panic!()
+    };
+    assert_eq!(
+        (places, s.unsound()),
+        (vec![(2, s.place)], Vec::<ShardId>::new())
+    );
 }
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use redb::{
-    Database, DatabaseError, Durability, ReadOnlyTable, ReadTransaction, ReadableDatabase, ReadableTable,
-    StorageBackend, TableDefinition, TableError, WriteTransaction,
+    Database, DatabaseError, Durability, ReadOnlyTable, ReadTransaction, ReadableDatabase,
+    ReadableTable, StorageBackend, TableDefinition, TableError, WriteTransaction,
 };
 
 use super::checksums::{self, Summed};
@@ -43,7 +43,11 @@
     let mut range = table.range(from..to).map_err(disk)?;
     let mut found = Vec::new();
     while found.len() < limit {
-        let next = if backwards { range.next_back() } else { range.next() };
+        let next = if backwards {
+            range.next_back()
+        } else {
+            range.next()
+        };
         let Some(pair) = next else { break };
         let (k, v) = pair.map_err(disk)?;
         found.push((k.value().to_vec(), v.value().to_vec()));
@@ -72,7 +76,12 @@
 }
 
 impl Space for Transaction<'_> {
-    fn put(&mut self, table: Table, key: &[u8], value: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
+    fn put(
+        &mut self,
+        table: Table,
+        key: &[u8],
+        value: &[u8],
+    ) -> Result<Option<Vec<u8>>, StoreError> {
         let mut table = self.0.open_table(definition(table)).map_err(disk)?;
         let old = table.insert(key, value).map_err(disk)?;
         Ok(old.map(|v| v.value().to_vec()))
@@ -105,7 +114,9 @@
 
 impl Look for Reading {
     fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
-        let Some(table) = self.table(table)? else { return Ok(None) };
+        let Some(table) = self.table(table)? else {
+            return Ok(None);
+        };
         let value = table.get(key).map_err(disk)?;
         Ok(value.map(|v| v.value().to_vec()))
     }
@@ -118,7 +129,9 @@
         limit: usize,
         backwards: bool,
     ) -> Result<Vec<Pair>, StoreError> {
-        let Some(table) = self.table(table)? else { return Ok(Vec::new()) };
+        let Some(table) = self.table(table)? else {
+            return Ok(Vec::new());
+        };
         scanned(&table, from, to, limit, backwards)
     }
 }
@@ -141,7 +154,9 @@
     match e {
         DatabaseError::DatabaseAlreadyOpen => StoreError::Held,
         DatabaseError::UpgradeRequired(v) => StoreError::Foreign(format!("file format {v}")),
-        DatabaseError::Storage(redb::StorageError::Io(e)) if e.kind() == std::io::ErrorKind::InvalidData => {
+        DatabaseError::Storage(redb::StorageError::Io(e))
+            if e.kind() == std::io::ErrorKind::InvalidData =>
+        {
             StoreError::Foreign(e.to_string())
         }
         DatabaseError::Storage(redb::StorageError::Corrupted(e)) => StoreError::Foreign(e),
@@ -154,24 +169,37 @@
     pub fn open(path: &Path, most_bytes: u64, now: Micros) -> Result<(Disk, Found), StoreError> {
         // The file holds what tenants send: it is made for its owner alone.
         use std::os::unix::fs::OpenOptionsExt;
-        let made = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(path);
+        let made = std::fs::OpenOptions::new()
+            .write(true)
+            .create_new(true)
+            .mode(0o600)
+            .open(path);
         if let Err(e) = made {
             if e.kind() != std::io::ErrorKind::AlreadyExists {
                 return Err(disk(e));
             }
         }
-        let database = Database::builder().set_cache_size(CACHE).create(path).map_err(opened)?;
+        let database = Database::builder()
+            .set_cache_size(CACHE)
+            .create(path)
+            .map_err(opened)?;
         Disk::with(database, most_bytes, now)
     }
 
     /// Opens a file again after an error within one process: attempts that had begun are still out, and nothing is
     /// settled.
     pub fn reopen(path: &Path, most_bytes: u64) -> Result<Disk, StoreError> {
-        let database = Database::builder().set_cache_size(CACHE).create(path).map_err(opened)?;
+        let database = Database::builder()
+            .set_cache_size(CACHE)
+            .create(path)
+            .map_err(opened)?;
         let write = database.begin_write().map_err(disk)?;
         let tables = Tables::resume(&mut Transaction(&write), true, most_bytes);
         write.abort().map_err(disk)?;
-        Ok(Disk { database: Arc::new(database), tables: tables? })
+        Ok(Disk {
+            database: Arc::new(database),
+            tables: tables?,
+        })
     }
 
     /// Opens a store on a backend of the caller's, such as one that fails.
@@ -180,8 +208,10 @@
         most_bytes: u64,
         now: Micros,
     ) -> Result<(Disk, Found), StoreError> {
-        let database =
-            Database::builder().set_cache_size(CACHE).create_with_backend(backend).map_err(opened)?;
+        let database = Database::builder()
+            .set_cache_size(CACHE)
+            .create_with_backend(backend)
+            .map_err(opened)?;
         Disk::with(database, most_bytes, now)
     }
 
@@ -197,7 +227,13 @@
             }
         };
         write.commit().map_err(disk)?;
-        Ok((Disk { database: Arc::new(database), tables }, found))
+        Ok((
+            Disk {
+                database: Arc::new(database),
+                tables,
+            },
+            found,
+        ))
     }
 
     /// Does all of these in one synced commit, or none of them. An operation that the store itself refuses, such
@@ -223,7 +259,9 @@
                     Err(e @ (StoreError::Disk(_) | StoreError::Damaged(_))) => return Err(e),
                     reply => replies.push(reply),
                 }
-                anew.into_iter().chain(tables.unsummed()).for_each(|shard| summed.anew(shard));
+                anew.into_iter()
+                    .chain(tables.unsummed())
+                    .for_each(|shard| summed.anew(shard));
             }
             summed.flush()?;
             tables.finish(&mut space, now)?;
@@ -235,12 +273,18 @@
 
     /// Gives space that is free in the file back to the disk; tells whether there was any.
     pub fn compact(&mut self) -> Result<bool, StoreError> {
-        Arc::get_mut(&mut self.database).ok_or(StoreError::Held)?.compact().map_err(disk)
+        Arc::get_mut(&mut self.database)
+            .ok_or(StoreError::Held)?
+            .compact()
+            .map_err(disk)
     }
 
     /// Checks the file from end to end; tells whether it was sound as it stood.
     pub fn check(&mut self) -> Result<bool, StoreError> {
-        Arc::get_mut(&mut self.database).ok_or(StoreError::Held)?.check_integrity().map_err(disk)
+        Arc::get_mut(&mut self.database)
+            .ok_or(StoreError::Held)?
+            .check_integrity()
+            .map_err(disk)
     }
 
     /// Reads beside the thread that writes.
--- a/src/store/keyspace.rs
+++ b/src/store/keyspace.rs
@@ -94,7 +94,12 @@
 /// Ordered tables of bytes.
 pub trait Space: Look {
     /// Sets a value and returns the one before it.
-    fn put(&mut self, table: Table, key: &[u8], value: &[u8]) -> Result<Option<Vec<u8>>, StoreError>;
+    fn put(
+        &mut self,
+        table: Table,
+        key: &[u8],
+        value: &[u8],
+    ) -> Result<Option<Vec<u8>>, StoreError>;
     /// Removes a value and returns it.
     fn remove(&mut self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError>;
 }
@@ -129,7 +134,12 @@
 }
 
 impl Space for Memory {
-    fn put(&mut self, table: Table, key: &[u8], value: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
+    fn put(
+        &mut self,
+        table: Table,
+        key: &[u8],
+        value: &[u8],
+    ) -> Result<Option<Vec<u8>>, StoreError> {
         Ok(self.0.insert((table, key.to_vec()), value.to_vec()))
     }
 
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -36,7 +36,10 @@
 
 /// What is kept. An entry under another's index cannot be read.
 pub fn read(space: &dyn Space) -> Result<(Option<Head>, Vec<LogLine>), StoreError> {
-    let head = space.get(Table::Meta, SEAT)?.map(|b| unpack(&b, "a seat")).transpose()?;
+    let head = space
+        .get(Table::Meta, SEAT)?
+        .map(|b| unpack(&b, "a seat"))
+        .transpose()?;
     let mut lines = Vec::new();
     for (k, v) in space.scan(Table::Log, &[], &TOP, usize::MAX, false)? {
         let line: LogLine = unpack(&v, "an entry of the log")?;
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -40,12 +40,18 @@
         match self {
             StoreError::Held => f.write_str("the store is held by another process"),
             StoreError::Foreign(e) => write!(f, "the file is not a store of this program: {e}"),
-            StoreError::Newer(v) => write!(f, "the store has format {v}, which is newer than this program"),
+            StoreError::Newer(v) => write!(
+                f,
+                "the store has format {v}, which is newer than this program"
+            ),
             StoreError::Damaged(what) => write!(f, "the store holds {what} that cannot be read"),
             StoreError::Disk(e) => write!(f, "the store cannot be written or read: {e}"),
             StoreError::Full => f.write_str("the store holds as much as it may"),
             StoreError::Unsound(shard, ranges) => {
-                write!(f, "ranges {ranges:?} of shard {shard} are not what was written")
+                write!(
+                    f,
+                    "ranges {ranges:?} of shard {shard} are not what was written"
+                )
             }
             StoreError::NotPromised(why) => write!(f, "{why}"),
         }
@@ -227,7 +233,9 @@
     pub fn shard(&self) -> Option<ShardId> {
         let seq = match self {
             Op::Take(call, ..) => call.seq,
-            Op::Begin(seq, true, _) | Op::Sent(seq, _) | Op::Unsent(seq) | Op::Answer(seq, ..) => *seq,
+            Op::Begin(seq, true, _) | Op::Sent(seq, _) | Op::Unsent(seq) | Op::Answer(seq, ..) => {
+                *seq
+            }
             Op::Untake(seq, _) => *seq,
             Op::Ended(waiting, ..) => waiting.seq,
             _ => return None,
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -25,7 +25,11 @@
     let safe = call.effect == Effect::Idempotent;
     if call.sent.is_some() && !safe {
         let refuse = allowed(call.effect, call.sent, now, 0).refuse && !stepped_back;
-        return if refuse { RecoveryAction::Refuse } else { RecoveryAction::Unknown };
+        return if refuse {
+            RecoveryAction::Refuse
+        } else {
+            RecoveryAction::Unknown
+        };
     }
     if now < call.expires {
         RecoveryAction::Run
@@ -45,9 +49,22 @@
     w.ran.get_or_insert(begun);
     let keyed = matches!(w.effect, Effect::Keyed { .. });
     let again = allowed(w.effect, w.ran, now, 0).resend && !(stepped_back && keyed);
-    let state = if again { State::Waiting } else { State::Dead(Dead::Unknown) };
+    let state = if again {
+        State::Waiting
+    } else {
+        State::Dead(Dead::Unknown)
+    };
     w.tries += 1;
-    (state, AttemptRecord { at: now, took: 0, ending: "killed".into(), status: None, may_have_arrived: true })
+    (
+        state,
+        AttemptRecord {
+            at: now,
+            took: 0,
+            ending: "killed".into(),
+            status: None,
+            may_have_arrived: true,
+        },
+    )
 }
 
 /// The same where another machine's clock said when it had begun: a keyed one is not sent again, as clocks of two machines
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -35,8 +35,13 @@
 }
 
 /// Tables whose keys begin with a call's or message's number.
-pub(super) const BY_NUMBER: [Table; 5] =
-    [Table::Calls, Table::Messages, Table::Bodies, Table::Begun, Table::Attempts];
+pub(super) const BY_NUMBER: [Table; 5] = [
+    Table::Calls,
+    Table::Messages,
+    Table::Bodies,
+    Table::Begun,
+    Table::Attempts,
+];
 
 fn head(space: &dyn Space, shard: ShardId) -> Result<Head, StoreError> {
     let bytes = space.get(Table::Shards, &key(&[u64::from(shard)]))?;
@@ -47,12 +52,18 @@
 fn read_head(bytes: &[u8]) -> Result<Head, StoreError> {
     unpack(bytes, "a shard").or_else(|e| {
         let (place, led) = unpack(bytes, "a shard").map_err(|_: StoreError| e)?;
-        Ok(Head { place, led, forgotten: 0 })
+        Ok(Head {
+            place,
+            led,
+            forgotten: 0,
+        })
     })
 }
 
 fn put(space: &mut dyn Space, shard: ShardId, head: &Head) -> Result<(), StoreError> {
-    space.put(Table::Shards, &key(&[u64::from(shard)]), &pack(head)?).map(drop)
+    space
+        .put(Table::Shards, &key(&[u64::from(shard)]), &pack(head)?)
+        .map(drop)
 }
 
 /// Whether deliveries of a number are found here: it is this gateway's alone, or its shard is led here.
@@ -61,7 +72,11 @@
 }
 
 /// A record of a shard leads to a place.
-pub(super) fn keep(space: &mut dyn Space, shard: ShardId, place: LogPosition) -> Result<(), StoreError> {
+pub(super) fn keep(
+    space: &mut dyn Space,
+    shard: ShardId,
+    place: LogPosition,
+) -> Result<(), StoreError> {
     let head = head(space, shard)?;
     put(space, shard, &Head { place, ..head })
 }
@@ -70,7 +85,9 @@
 pub(super) fn places(space: &dyn Space) -> Result<Vec<(ShardId, LogPosition)>, StoreError> {
     let rows = space.scan(Table::Shards, &[], &TOP, usize::MAX, false)?;
     // Keys are written from numbers of shards.
-    rows.iter().map(|(k, v)| Ok((number(k, 0) as ShardId, read_head(v)?.place))).collect()
+    rows.iter()
+        .map(|(k, v)| Ok((number(k, 0) as ShardId, read_head(v)?.place)))
+        .collect()
 }
 
 /// A process begins: it leads nothing.
@@ -82,7 +99,10 @@
 }
 
 fn range(shard: ShardId) -> (Vec<u8>, Vec<u8>) {
-    (key(&[Seq::of_shard(shard, 0, 0).0]), key(&[Seq::of_shard(shard + 1, 0, 0).0]))
+    (
+        key(&[Seq::of_shard(shard, 0, 0).0]),
+        key(&[Seq::of_shard(shard + 1, 0, 0).0]),
+    )
 }
 
 fn of(space: &dyn Space, table: Table, shard: ShardId) -> Result<Vec<Pair>, StoreError> {
@@ -91,9 +111,14 @@
 }
 
 fn waiting(space: &dyn Space, shard: ShardId) -> Result<Vec<MessageRecord>, StoreError> {
-    let all: Result<Vec<MessageRecord>, _> =
-        of(space, Table::Messages, shard)?.iter().map(|(_, v)| unpack(v, "a message")).collect();
-    Ok(all?.into_iter().filter(|m| m.state == State::Waiting).collect())
+    let all: Result<Vec<MessageRecord>, _> = of(space, Table::Messages, shard)?
+        .iter()
+        .map(|(_, v)| unpack(v, "a message"))
+        .collect();
+    Ok(all?
+        .into_iter()
+        .filter(|m| m.state == State::Waiting)
+        .collect())
 }
 
 /// Nothing of a shard waits here any more.
@@ -102,7 +127,9 @@
     if !h.led {
         return Ok(());
     }
-    sweep(space, Table::Waiting, |k, _| Seq(number(k, 2)).shard() == shard)?;
+    sweep(space, Table::Waiting, |k, _| {
+        Seq(number(k, 2)).shard() == shard
+    })?;
     put(space, shard, &Head { led: false, ..h })
 }
 
@@ -127,9 +154,13 @@
     shard: ShardId,
     shard_of: impl Fn(&[u8]) -> Result<ShardId, StoreError>,
 ) -> Result<(), StoreError> {
-    let gone = sweep(space, table, |_, v| shard_of(v).map_or(true, |of| of == shard))?;
+    let gone = sweep(space, table, |_, v| {
+        shard_of(v).map_or(true, |of| of == shard)
+    })?;
     let gone: std::collections::BTreeSet<Vec<u8>> = gone.into_iter().map(|(k, _)| k).collect();
-    sweep(space, ages, |k, _| k.get(8..).is_some_and(|of| gone.contains(of)))?;
+    sweep(space, ages, |k, _| {
+        k.get(8..).is_some_and(|of| gone.contains(of))
+    })?;
     Ok(())
 }
 
@@ -151,8 +182,15 @@
     }
     // Of those by identity only what is nobody's.
     let nobody = ShardId::MAX;
-    sweep_aged(space, (Table::Replays, Table::ReplayAges), nobody, shard_of_mark)?;
-    sweep_aged(space, (Table::ByCall, Table::CallAges), nobody, |v| Ok(state(v)?.shard))
+    sweep_aged(
+        space,
+        (Table::Replays, Table::ReplayAges),
+        nobody,
+        shard_of_mark,
+    )?;
+    sweep_aged(space, (Table::ByCall, Table::CallAges), nobody, |v| {
+        Ok(state(v)?.shard)
+    })
 }
 
 /// All of a shard goes, damaged or not.
@@ -161,25 +199,40 @@
     for (table, part) in [(Table::ByTenant, 1), (Table::Behind, 2)] {
         sweep(space, table, |k, _| Seq(number(k, part)).shard() == shard)?;
     }
-    sweep(space, Table::Heads, |_, v| Seq(number(v, 0)).shard() == shard)?;
+    sweep(space, Table::Heads, |_, v| {
+        Seq(number(v, 0)).shard() == shard
+    })?;
     for table in BY_NUMBER {
         for (k, _) in of(space, table, shard)? {
             space.remove(table, &k)?;
         }
     }
-    sweep_aged(space, (Table::Replays, Table::ReplayAges), shard, shard_of_mark)?;
-    sweep_aged(space, (Table::ByCall, Table::CallAges), shard, |v| Ok(state(v)?.shard))
+    sweep_aged(
+        space,
+        (Table::Replays, Table::ReplayAges),
+        shard,
+        shard_of_mark,
+    )?;
+    sweep_aged(space, (Table::ByCall, Table::CallAges), shard, |v| {
+        Ok(state(v)?.shard)
+    })
 }
 
 /// A shard is led here: what stands of it.
-pub(super) fn lead(space: &mut dyn Space, shard: ShardId, forgotten: Micros) -> Result<Reply, StoreError> {
+pub(super) fn lead(
+    space: &mut dyn Space,
+    shard: ShardId,
+    forgotten: Micros,
+) -> Result<Reply, StoreError> {
     // Not on what is damaged: whoever has it whole is to lead.
     sound(space, shard)?;
     let mut stands = Stands::default();
     for m in waiting(space, shard)? {
         space.put(Table::Waiting, &waiting_key(&m.waiting), &pack(&m.waiting)?)?;
         match space.get(Table::Begun, &key(&[m.waiting.seq.0]))? {
-            Some(at) => stands.begun.push((m.waiting, unpack(&at, "an attempt's beginning")?)),
+            Some(at) => stands
+                .begun
+                .push((m.waiting, unpack(&at, "an attempt's beginning")?)),
             None => stands.waits.push(m.waiting),
         }
     }
@@ -210,10 +263,15 @@
 fn sound(space: &dyn Space, shard: ShardId) -> Result<(), StoreError> {
     let mut count = Count::default();
     for table in BY_NUMBER {
-        of(space, table, shard)?.iter().for_each(|(k, v)| count.row(table, k, v));
+        of(space, table, shard)?
+            .iter()
+            .for_each(|(k, v)| count.row(table, k, v));
     }
     for table in [Table::Replays, Table::ByCall] {
-        space.scan(table, &[], &TOP, usize::MAX, false)?.iter().for_each(|(k, v)| count.row(table, k, v));
+        space
+            .scan(table, &[], &TOP, usize::MAX, false)?
+            .iter()
+            .for_each(|(k, v)| count.row(table, k, v));
     }
     match count.unlike(space, shard)? {
         unlike if unlike.is_empty() => Ok(()),
@@ -222,15 +280,25 @@
 }
 
 /// All that the disk holds of a shard, if it is what was written: nothing damaged is handed on.
-pub(super) fn read(space: &dyn Space, shard: ShardId, forgotten: Micros) -> Result<Reply, StoreError> {
+pub(super) fn read(
+    space: &dyn Space,
+    shard: ShardId,
+    forgotten: Micros,
+) -> Result<Reply, StoreError> {
     sound(space, shard)?;
     let h = head(space, shard)?;
     let forgotten = h.forgotten.max(forgotten);
-    let mut content = Content { place: h.place, forgotten, ..Content::default() };
+    let mut content = Content {
+        place: h.place,
+        forgotten,
+        ..Content::default()
+    };
     for (n, table) in BY_NUMBER.into_iter().enumerate() {
         // Five tables.
         let n = n as u8;
-        content.rows.extend(of(space, table, shard)?.into_iter().map(|(k, v)| (n, k, v)));
+        content
+            .rows
+            .extend(of(space, table, shard)?.into_iter().map(|(k, v)| (n, k, v)));
     }
     content.marks = marks(space, shard)?;
     for (k, v) in space.scan(Table::ByCall, &[], &TOP, usize::MAX, false)? {
@@ -253,7 +321,10 @@
     let gone = figures(space, shard)?;
     let_go(space, shard)?;
     for (n, k, v) in &content.rows {
-        let table = BY_NUMBER.get(usize::from(*n)).copied().ok_or(StoreError::Damaged("a shard's table"))?;
+        let table = BY_NUMBER
+            .get(usize::from(*n))
+            .copied()
+            .ok_or(StoreError::Damaged("a shard's table"))?;
         if Seq(number(k, 0)).shard() != shard {
             return Err(StoreError::Damaged("a row of another shard"));
         }
@@ -275,27 +346,49 @@
     }
     for (mark, until) in &content.marks {
         space.put(Table::Replays, mark, &pack(&(*until, shard))?)?;
-        space.put(Table::ReplayAges, &[&key(&[*until])[..], mark].concat(), &[])?;
+        space.put(
+            Table::ReplayAges,
+            &[&key(&[*until])[..], mark].concat(),
+            &[],
+        )?;
     }
     for (k, state) in &content.states {
         space.put(Table::ByCall, k, &pack(state)?)?;
-        space.put(Table::CallAges, &[&key(&[state.taken])[..], k].concat(), &[])?;
+        space.put(
+            Table::CallAges,
+            &[&key(&[state.taken])[..], k].concat(),
+            &[],
+        )?;
     }
     let forgotten = head(space, shard)?.forgotten.max(content.forgotten);
-    put(space, shard, &Head { place, led: false, forgotten })?;
+    put(
+        space,
+        shard,
+        &Head {
+            place,
+            led: false,
+            forgotten,
+        },
+    )?;
     Ok((gone, figures(space, shard)?))
 }
 
 /// Figures of what the disk holds of a shard; what cannot be read is left out.
 fn figures(space: &dyn Space, shard: ShardId) -> Result<Stat, StoreError> {
     let calls = of(space, Table::Calls, shard)?;
-    let mut stat = Stat { calls: calls.len() as u64, ..Stat::default() };
+    let mut stat = Stat {
+        calls: calls.len() as u64,
+        ..Stat::default()
+    };
     for (_, v) in of(space, Table::Messages, shard)? {
         stat.messages += 1;
         let waits = unpack(&v, "a message").is_ok_and(|m: MessageRecord| !m.state.is_over());
         stat.waiting += u64::from(waits);
     }
-    stat.bytes = of(space, Table::Bodies, shard)?.iter().map(|(_, v)| v.len() as u64).sum();
+    stat.bytes = of(space, Table::Bodies, shard)?
+        .iter()
+        .map(|(_, v)| v.len() as u64)
+        .sum();
     for (_, v) in calls {
         stat.bytes += unpack::<CallRecord>(&v, "a call").map_or(0, |c| c.body.len() as u64);
     }
@@ -306,7 +399,11 @@
 pub(super) fn state(bytes: &[u8]) -> Result<CallState, StoreError> {
     unpack(bytes, "a call's state").or_else(|e| {
         let (taken, outcome) = unpack(bytes, "a call's state").map_err(|_: StoreError| e)?;
-        Ok(CallState { taken, outcome, shard: 0 })
+        Ok(CallState {
+            taken,
+            outcome,
+            shard: 0,
+        })
     })
 }
 
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -91,7 +91,10 @@
     postcard::to_stdvec(value).map_err(|_| StoreError::Damaged("a record"))
 }
 
-pub(super) fn unpack<T: DeserializeOwned>(bytes: &[u8], what: &'static str) -> Result<T, StoreError> {
+pub(super) fn unpack<T: DeserializeOwned>(
+    bytes: &[u8],
+    what: &'static str,
+) -> Result<T, StoreError> {
     postcard::from_bytes(bytes).map_err(|_| StoreError::Damaged(what))
 }
 
@@ -100,7 +103,9 @@
 }
 
 pub(super) fn number(bytes: &[u8], part: usize) -> u64 {
-    let word = bytes.get(part * 8..part * 8 + 8).and_then(|b| b.try_into().ok());
+    let word = bytes
+        .get(part * 8..part * 8 + 8)
+        .and_then(|b| b.try_into().ok());
     word.map_or(0, u64::from_be_bytes)
 }
 
@@ -124,15 +129,20 @@
         let mut tables = Tables::resume(space, history, most_bytes)?;
         let head = tables.head;
         let stepped_back = now < head.latest;
-        let mut found =
-            Found { next: head.next, forgotten: head.forgotten, stepped_back, ..Found::default() };
+        let mut found = Found {
+            next: head.next,
+            forgotten: head.forgotten,
+            stepped_back,
+            ..Found::default()
+        };
         for (k, v) in space.scan(Table::Begun, &[], &TOP, usize::MAX, false)? {
             if Seq(number(&k, 0)).shard() > 0 {
                 // Whoever leads its shard settles it.
                 continue;
             }
             let begun: Micros = unpack(&v, "an attempt's beginning")?;
-            found.unknown += u64::from(tables.settle(space, Seq(number(&k, 0)), begun, now, stepped_back)?);
+            found.unknown +=
+                u64::from(tables.settle(space, Seq(number(&k, 0)), begun, now, stepped_back)?);
         }
         // What is damaged of shards is mended from another disk, and no reason not to begin.
         let alone = space.scan(Table::Shards, &[], &TOP, 1, false)?.is_empty();
@@ -143,8 +153,12 @@
         }
         let mut from = key(&[0]);
         while let Some((k, _)) = space.scan(Table::Waiting, &from, &TOP, 1, false)?.pop() {
-            found.endpoints.push((EndpointId(number(&k, 0)), number(&k, 1)));
-            let Some(next) = number(&k, 0).checked_add(1) else { break };
+            found
+                .endpoints
+                .push((EndpointId(number(&k, 0)), number(&k, 1)));
+            let Some(next) = number(&k, 0).checked_add(1) else {
+                break;
+            };
             from = key(&[next]);
         }
         for (k, v) in space.scan(Table::Replays, &[], &TOP, usize::MAX, false)? {
@@ -162,18 +176,29 @@
     }
 
     /// The logic over a space that this process has had open before.
-    pub fn resume(space: &mut dyn Space, history: bool, most_bytes: u64) -> Result<Tables, StoreError> {
+    pub fn resume(
+        space: &mut dyn Space,
+        history: bool,
+        most_bytes: u64,
+    ) -> Result<Tables, StoreError> {
         let head = match space.get(Table::Meta, b"head")? {
             Some(bytes) => unpack::<Head>(&bytes, "a head")?,
-            None if space.scan(Table::Messages, &[], &TOP, 1, false)?.is_empty() => {
-                Head { format: ALONE, ..Head::default() }
-            }
+            None if space.scan(Table::Messages, &[], &TOP, 1, false)?.is_empty() => Head {
+                format: ALONE,
+                ..Head::default()
+            },
             None => return Err(StoreError::Foreign("it has messages and no head".into())),
         };
         if head.format > FORMAT {
             return Err(StoreError::Newer(head.format));
         }
-        Ok(Tables { head, history, most_bytes, cursor: 0, unsummed: Vec::new() })
+        Ok(Tables {
+            head,
+            history,
+            most_bytes,
+            cursor: 0,
+            unsummed: Vec::new(),
+        })
     }
 
     /// A kill came while an attempt was out: by its class it waits again, or nobody can tell.
@@ -186,7 +211,9 @@
         stepped_back: bool,
     ) -> Result<bool, StoreError> {
         space.remove(Table::Begun, &key(&[seq.0]))?;
-        let Some(message) = self.message(space, seq)? else { return Ok(false) };
+        let Some(message) = self.message(space, seq)? else {
+            return Ok(false);
+        };
         if message.state != State::Waiting {
             return Ok(false);
         }
@@ -209,7 +236,9 @@
     /// Keeps what lives beside the tables; the last step of a commit.
     pub fn finish(&mut self, space: &mut dyn Space, now: Micros) -> Result<(), StoreError> {
         self.head.latest = self.head.latest.max(now);
-        space.put(Table::Meta, b"head", &pack(&self.head)?).map(drop)
+        space
+            .put(Table::Meta, b"head", &pack(&self.head)?)
+            .map(drop)
     }
 
     fn message(&self, space: &dyn Space, seq: Seq) -> Result<Option<MessageRecord>, StoreError> {
@@ -226,7 +255,9 @@
     pub fn apply(&mut self, space: &mut dyn Space, op: Op) -> Result<Reply, StoreError> {
         match op {
             Op::Take(call, mark, until) => {
-                if call.seq.shard() == 0 && self.head.stat.bytes + call.body.len() as u64 > self.most_bytes {
+                if call.seq.shard() == 0
+                    && self.head.stat.bytes + call.body.len() as u64 > self.most_bytes
+                {
                     return Err(StoreError::Full);
                 }
                 self.given(call.seq);
@@ -234,14 +265,22 @@
                 self.head.stat.bytes += call.body.len() as u64;
                 space.put(Table::Calls, &key(&[call.seq.0]), &pack(&*call)?)?;
                 space.put(Table::Replays, &mark, &pack(&(until, call.seq.shard()))?)?;
-                space.put(Table::ReplayAges, &[&key(&[until])[..], &mark].concat(), &[])?;
+                space.put(
+                    Table::ReplayAges,
+                    &[&key(&[until])[..], &mark].concat(),
+                    &[],
+                )?;
                 let taken = call.expires;
                 let name = call_key(call.serial, &call.webhook_id);
                 space.put(Table::CallAges, &[&key(&[taken])[..], &name].concat(), &[])?;
                 space.put(
                     Table::ByCall,
                     &name,
-                    &pack(&CallState { taken, outcome: None, shard: call.seq.shard() })?,
+                    &pack(&CallState {
+                        taken,
+                        outcome: None,
+                        shard: call.seq.shard(),
+                    })?,
                 )?;
                 Ok(Reply::Done)
             }
@@ -269,36 +308,48 @@
                 if let Some(bytes) = space.get(Table::ByCall, &name)? {
                     let state = shards::state(&bytes)?;
                     if self.history {
-                        let state = CallState { outcome: Some(outcome), ..state };
+                        let state = CallState {
+                            outcome: Some(outcome),
+                            ..state
+                        };
                         space.put(Table::ByCall, &name, &pack(&state)?)?;
                     } else {
                         space.remove(Table::ByCall, &name)?;
-                        space.remove(Table::CallAges, &[&key(&[state.taken])[..], &name].concat())?;
+                        space
+                            .remove(Table::CallAges, &[&key(&[state.taken])[..], &name].concat())?;
                     }
                 }
                 self.publish(space, messages)
             }
             Op::Publish(messages) => self.publish(space, messages),
             Op::Begin(seq, recorded, at) => {
-                let message = self.message(space, seq)?.filter(|m| m.state == State::Waiting);
-                let Some(message) = message.filter(|_| recorded || shards::is_led(space, seq)) else {
+                let message = self
+                    .message(space, seq)?
+                    .filter(|m| m.state == State::Waiting);
+                let Some(message) = message.filter(|_| recorded || shards::is_led(space, seq))
+                else {
                     return Ok(Reply::Begun(None));
                 };
                 if recorded {
                     space.put(Table::Begun, &key(&[seq.0]), &pack(&at)?)?;
                 }
-                let body = space.get(Table::Bodies, &key(&[seq.0]))?.unwrap_or_default();
+                let body = space
+                    .get(Table::Bodies, &key(&[seq.0]))?
+                    .unwrap_or_default();
                 Ok(Reply::Begun(Some(Box::new((message, body)))))
             }
-            Op::Ended(waiting, state, attempt) => {
-                self.ended(space, *waiting, state, attempt).map(Reply::Waits)
-            }
+            Op::Ended(waiting, state, attempt) => self
+                .ended(space, *waiting, state, attempt)
+                .map(Reply::Waits),
             Op::Fetch(endpoint, limit) => {
                 let (from, to) = (key(&[endpoint.0]), key(&[endpoint.0, u64::MAX, u64::MAX]));
                 let mut pairs = space.scan(Table::Waiting, &from, &to, limit + 1, false)?;
                 let next = pairs.get(limit).map(|(k, _)| number(k, 1));
                 pairs.truncate(limit);
-                let all = pairs.iter().map(|(_, v)| unpack(v, "what waits")).collect::<Result<_, _>>()?;
+                let all = pairs
+                    .iter()
+                    .map(|(_, v)| unpack(v, "what waits"))
+                    .collect::<Result<_, _>>()?;
                 Ok(Reply::Fetched(all, next))
             }
             Op::Purge(endpoint, limit) => self.purge(space, endpoint, limit),
@@ -326,10 +377,18 @@
                 };
                 let (from, to) = (key(&[seq.0]), key(&[seq.0, u64::MAX]));
                 let pairs = space.scan(Table::Attempts, &from, &to, MOST_ATTEMPTS, false)?;
-                let attempts =
-                    pairs.iter().map(|(_, v)| unpack(v, "an attempt")).collect::<Result<_, _>>()?;
-                let body = space.get(Table::Bodies, &key(&[seq.0]))?.unwrap_or_default();
-                Ok(Reply::Message(Some(Box::new(Shown { record, attempts, body }))))
+                let attempts = pairs
+                    .iter()
+                    .map(|(_, v)| unpack(v, "an attempt"))
+                    .collect::<Result<_, _>>()?;
+                let body = space
+                    .get(Table::Bodies, &key(&[seq.0]))?
+                    .unwrap_or_default();
+                Ok(Reply::Message(Some(Box::new(Shown {
+                    record,
+                    attempts,
+                    body,
+                }))))
             }
             Op::Call(serial, id) => {
                 let bytes = space.get(Table::ByCall, &call_key(serial, &id))?;
@@ -356,7 +415,10 @@
             Op::Export(after, limit) => {
                 let from = key(&[after.map_or(0, |s| s.0 + 1)]);
                 let page = space.scan(Table::Messages, &from, &TOP, limit, false)?;
-                let all = page.iter().map(|(_, v)| unpack(v, "a message")).collect::<Result<_, _>>()?;
+                let all = page
+                    .iter()
+                    .map(|(_, v)| unpack(v, "a message"))
+                    .collect::<Result<_, _>>()?;
                 Ok(Reply::Messages(all))
             }
         }
@@ -369,10 +431,19 @@
         }
     }
 
-    fn begin_disk(&mut self, space: &mut dyn Space, id: u64, anew: bool) -> Result<Reply, StoreError> {
-        let known =
-            space.get(Table::Meta, b"disk")?.map(|b| unpack::<(u64, u64)>(&b, "a disk")).transpose()?;
-        let (id, boot) = known.filter(|_| !anew).map_or((id, 1), |(id, boot)| (id, boot + 1));
+    fn begin_disk(
+        &mut self,
+        space: &mut dyn Space,
+        id: u64,
+        anew: bool,
+    ) -> Result<Reply, StoreError> {
+        let known = space
+            .get(Table::Meta, b"disk")?
+            .map(|b| unpack::<(u64, u64)>(&b, "a disk"))
+            .transpose()?;
+        let (id, boot) = known
+            .filter(|_| !anew)
+            .map_or((id, 1), |(id, boot)| (id, boot + 1));
         space.put(Table::Meta, b"disk", &pack(&(id, boot))?)?;
         let mut places = shards::places(space)?;
         if anew || self.head.format < FORMAT {
@@ -381,7 +452,12 @@
         self.head.format = FORMAT;
         if anew {
             for (shard, _) in places.drain(..) {
-                self.write_shard(space, shard, Default::default(), &pack(&shards::Content::default())?)?;
+                self.write_shard(
+                    space,
+                    shard,
+                    Default::default(),
+                    &pack(&shards::Content::default())?,
+                )?;
                 space.remove(Table::Shards, &key(&[u64::from(shard)]))?;
             }
         }
@@ -413,7 +489,12 @@
         self.head.stat.bytes = self.head.stat.bytes.saturating_sub(call.body.len() as u64);
     }
 
-    fn sent(&mut self, space: &mut dyn Space, seq: Seq, at: Option<Micros>) -> Result<Reply, StoreError> {
+    fn sent(
+        &mut self,
+        space: &mut dyn Space,
+        seq: Seq,
+        at: Option<Micros>,
+    ) -> Result<Reply, StoreError> {
         if let Some(mut call) = self.call(space, seq)? {
             call.sent = at.map(|at| call.sent.unwrap_or(at));
             space.put(Table::Calls, &key(&[seq.0]), &pack(&call)?)?;
@@ -464,7 +545,9 @@
         let seq = waiting.seq;
         space.remove(Table::Begun, &key(&[seq.0]))?;
         // It may have been let go, or be over by another way, such as its endpoint's removal.
-        let Some(mut m) = self.message(space, seq)? else { return Ok(Vec::new()) };
+        let Some(mut m) = self.message(space, seq)? else {
+            return Ok(Vec::new());
+        };
         if m.state.is_over() && state != State::Delivered {
             return Ok(Vec::new());
         }
@@ -503,23 +586,35 @@
         space: &mut dyn Space,
         m: &MessageRecord,
     ) -> Result<Vec<Waiting>, StoreError> {
-        let Some(order) = m.order else { return Ok(Vec::new()) };
+        let Some(order) = m.order else {
+            return Ok(Vec::new());
+        };
         let head = key(&[m.waiting.endpoint.0, order]);
         if space.get(Table::Heads, &head)?.map(|s| number(&s, 0)) != Some(m.waiting.seq.0) {
-            space.remove(Table::Behind, &key(&[m.waiting.endpoint.0, order, m.waiting.seq.0]))?;
+            space.remove(
+                Table::Behind,
+                &key(&[m.waiting.endpoint.0, order, m.waiting.seq.0]),
+            )?;
             return Ok(Vec::new());
         }
         let to = key(&[m.waiting.endpoint.0, order, u64::MAX]);
         while let Some((k, _)) = space.scan(Table::Behind, &head, &to, 1, false)?.pop() {
             space.remove(Table::Behind, &k)?;
             let seq = Seq(number(&k, 2));
-            let Some(mut next) = self.message(space, seq)?.filter(|n| n.state == State::Behind) else {
+            let Some(mut next) = self
+                .message(space, seq)?
+                .filter(|n| n.state == State::Behind)
+            else {
                 continue;
             };
             next.state = State::Waiting;
             space.put(Table::Heads, &head, &key(&[seq.0]))?;
             if shards::is_led(space, seq) {
-                space.put(Table::Waiting, &waiting_key(&next.waiting), &pack(&next.waiting)?)?;
+                space.put(
+                    Table::Waiting,
+                    &waiting_key(&next.waiting),
+                    &pack(&next.waiting)?,
+                )?;
             }
             space.put(Table::Messages, &key(&[seq.0]), &pack(&next)?)?;
             return Ok(vec![next.waiting]);
@@ -569,7 +664,9 @@
         let arrived = m.state == State::Delivered || m.waiting.ran.is_some();
         if m.waiting.effect != Effect::Idempotent && arrived {
             if by.is_none() {
-                return Ok(Reply::NotAgain("it may have arrived, and its class forbids to send it twice"));
+                return Ok(Reply::NotAgain(
+                    "it may have arrived, and its class forbids to send it twice",
+                ));
             }
             m.acknowledged = by;
             m.waiting.ran = None;
@@ -595,7 +692,9 @@
             let Some((last, _)) = page.last() else { break };
             to = last.clone();
             for (k, _) in &page {
-                let Some(m) = self.message(space, Seq(number(k, 1)))? else { continue };
+                let Some(m) = self.message(space, Seq(number(k, 1)))? else {
+                    continue;
+                };
                 if f.since.is_some_and(|t| m.created < t) {
                     return Ok(found);
                 }
@@ -611,13 +710,24 @@
         Ok(found)
     }
 
-    fn delete(&mut self, space: &mut dyn Space, seq: Seq, m: &MessageRecord) -> Result<(), StoreError> {
-        let body = space.remove(Table::Bodies, &key(&[seq.0]))?.map_or(0, |b| b.len() as u64);
+    fn delete(
+        &mut self,
+        space: &mut dyn Space,
+        seq: Seq,
+        m: &MessageRecord,
+    ) -> Result<(), StoreError> {
+        let body = space
+            .remove(Table::Bodies, &key(&[seq.0]))?
+            .map_or(0, |b| b.len() as u64);
         space.remove(Table::Messages, &key(&[seq.0]))?;
         space.remove(Table::ByTenant, &key(&[m.serial, seq.0]))?;
-        for (k, _) in
-            space.scan(Table::Attempts, &key(&[seq.0]), &key(&[seq.0, u64::MAX]), usize::MAX, false)?
-        {
+        for (k, _) in space.scan(
+            Table::Attempts,
+            &key(&[seq.0]),
+            &key(&[seq.0, u64::MAX]),
+            usize::MAX,
+            false,
+        )? {
             space.remove(Table::Attempts, &k)?;
         }
         self.head.stat.messages = self.head.stat.messages.saturating_sub(1);
@@ -637,12 +747,18 @@
     ) -> Result<Reply, StoreError> {
         let page = space.scan(Table::Messages, &key(&[self.cursor]), &TOP, limit, false)?;
         let whole = page.len() < limit;
-        self.cursor = if whole { 0 } else { page.last().map_or(0, |(k, _)| number(k, 0) + 1) };
+        self.cursor = if whole {
+            0
+        } else {
+            page.last().map_or(0, |(k, _)| number(k, 0) + 1)
+        };
         let (mut expired, mut forward) = (Vec::new(), Vec::new());
         for (k, _) in page {
             let seq = Seq(number(&k, 0));
             // As it stands now: the one before it in the page may have brought it forward.
-            let Some(m) = self.message(space, seq)? else { continue };
+            let Some(m) = self.message(space, seq)? else {
+                continue;
+            };
             let old = m.created.saturating_add(age) < now;
             let out = space.get(Table::Begun, &k)?.is_some() || !shards::is_led(space, seq);
             if m.state.is_over() && (old || self.head.stat.bytes > bytes) {
@@ -652,8 +768,13 @@
                 expired.push(seq);
             }
         }
-        let calls: Vec<Pair> =
-            space.scan(Table::CallAges, &[], &key(&[now.saturating_sub(age)]), limit, false)?;
+        let calls: Vec<Pair> = space.scan(
+            Table::CallAges,
+            &[],
+            &key(&[now.saturating_sub(age)]),
+            limit,
+            false,
+        )?;
         for (k, _) in &calls {
             space.remove(Table::CallAges, k)?;
             space.remove(Table::ByCall, &k[8..])?;
@@ -665,6 +786,10 @@
             space.remove(Table::Replays, &k[8..])?;
         }
         forward.retain(|w| !expired.contains(&w.seq));
-        Ok(Reply::Retained(expired, forward, !whole || calls.len() == limit || marks.len() == limit))
+        Ok(Reply::Retained(
+            expired,
+            forward,
+            !whole || calls.len() == limit || marks.len() == limit,
+        ))
     }
 }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -79,7 +79,10 @@
 
 #[test]
 fn each_stage_and_class_has_its_fate_after_a_kill() {
-    let keyed = |group| Effect::Keyed { scope: group, window: 5 * SECOND };
+    let keyed = |group| Effect::Keyed {
+        scope: group,
+        window: 5 * SECOND,
+    };
     let rows = [
         (Effect::NonIdempotent, None, 10, RecoveryAction::Run),
         (Effect::NonIdempotent, None, 200, RecoveryAction::Refuse),
@@ -87,17 +90,51 @@
         (Effect::Idempotent, Some(5), 200, RecoveryAction::Refuse),
         (Effect::NonIdempotent, Some(5), 10, RecoveryAction::Unknown),
         (Effect::NonIdempotent, Some(5), 200, RecoveryAction::Unknown),
-        (keyed(IdempotencyScope::All), Some(7), 10, RecoveryAction::Refuse),
-        (keyed(IdempotencyScope::All), Some(4), 10, RecoveryAction::Unknown),
-        (keyed(IdempotencyScope::Zone), Some(99), 101, RecoveryAction::Unknown),
-        (keyed(IdempotencyScope::All), Some(99), 101, RecoveryAction::Refuse),
+        (
+            keyed(IdempotencyScope::All),
+            Some(7),
+            10,
+            RecoveryAction::Refuse,
+        ),
+        (
+            keyed(IdempotencyScope::All),
+            Some(4),
+            10,
+            RecoveryAction::Unknown,
+        ),
+        (
+            keyed(IdempotencyScope::Zone),
+            Some(99),
+            101,
+            RecoveryAction::Unknown,
+        ),
+        (
+            keyed(IdempotencyScope::All),
+            Some(99),
+            101,
+            RecoveryAction::Refuse,
+        ),
     ];
     for (effect, sent, now, expected) in rows {
-        let c = CallRecord { sent: sent.map(|s| s * SECOND), ..*call(1, effect) };
-        assert_eq!(fate(&c, now * SECOND, false), expected, "{effect:?} {sent:?} {now}");
+        let c = CallRecord {
+            sent: sent.map(|s| s * SECOND),
+            ..*call(1, effect)
+        };
+        assert_eq!(
+            fate(&c, now * SECOND, false),
+            expected,
+            "{effect:?} {sent:?} {now}"
+        );
     }
-    let c = CallRecord { sent: Some(7 * SECOND), ..*call(1, keyed(IdempotencyScope::All)) };
-    assert_eq!(fate(&c, 6 * SECOND, true), RecoveryAction::Unknown, "the clock has stepped back");
+    let c = CallRecord {
+        sent: Some(7 * SECOND),
+        ..*call(1, keyed(IdempotencyScope::All))
+    };
+    assert_eq!(
+        fate(&c, 6 * SECOND, true),
+        RecoveryAction::Unknown,
+        "the clock has stepped back"
+    );
 }
 
 #[derive(Clone, Debug)]
@@ -224,14 +261,18 @@
         m
     });
     t.apply(&mut space, Op::Publish(all.collect())).unwrap();
-    let Reply::Retained(expired, forward, _) = t.apply(&mut space, Op::Retain(350, 100, BYTES, 10)).unwrap()
+    let Reply::Retained(expired, forward, _) = t
+        .apply(&mut space, Op::Retain(350, 100, BYTES, 10))
+        .unwrap()
     else {
         panic!()
     };
     assert_eq!(expired, [Seq(1), Seq(2)]);
     assert_eq!(forward.iter().map(|w| w.seq).collect::<Vec<_>>(), [Seq(3)]);
     t.apply(&mut space, Op::Purge(EndpointId(0), 10)).unwrap();
-    let Reply::Stat(stat) = t.apply(&mut space, Op::Stat).unwrap() else { panic!() };
+    let Reply::Stat(stat) = t.apply(&mut space, Op::Stat).unwrap() else {
+        panic!()
+    };
     assert_eq!((stat.waiting, stat.messages), (0, 4));
 }
 
@@ -239,30 +280,51 @@
 fn a_callback_killed_on_its_way_follows_its_class_and_sending_again_needs_an_acknowledgement() {
     let mut space = Memory::default();
     let (mut t, _) = Tables::open(&mut space, true, BYTES, 0).unwrap();
-    let all = vec![message(1, 0, Effect::NonIdempotent, None), message(2, 0, Effect::Idempotent, None)];
+    let all = vec![
+        message(1, 0, Effect::NonIdempotent, None),
+        message(2, 0, Effect::Idempotent, None),
+    ];
     t.apply(&mut space, Op::Publish(all)).unwrap();
     for seq in [1, 2] {
-        t.apply(&mut space, Op::Begin(Seq(seq), seq == 1, 50)).unwrap();
+        t.apply(&mut space, Op::Begin(Seq(seq), seq == 1, 50))
+            .unwrap();
     }
     let (mut t, found) = Tables::open(&mut space, true, BYTES, 60).unwrap();
-    assert_eq!((found.unknown, found.endpoints), (1, vec![(EndpointId(0), 2)]));
-    let state =
-        |t: &mut Tables, space: &mut Memory, seq| match t.apply(space, Op::Message(Seq(seq), 1)).unwrap() {
-            Reply::Message(Some(m)) => (m.record.state, m.attempts.len()),
-            other => panic!("{other:?}"),
-        };
-    assert_eq!(state(&mut t, &mut space, 1), (State::Dead(Dead::Unknown), 1));
+    assert_eq!(
+        (found.unknown, found.endpoints),
+        (1, vec![(EndpointId(0), 2)])
+    );
+    let state = |t: &mut Tables, space: &mut Memory, seq| match t
+        .apply(space, Op::Message(Seq(seq), 1))
+        .unwrap()
+    {
+        Reply::Message(Some(m)) => (m.record.state, m.attempts.len()),
+        other => panic!("{other:?}"),
+    };
+    assert_eq!(
+        state(&mut t, &mut space, 1),
+        (State::Dead(Dead::Unknown), 1)
+    );
     assert_eq!(state(&mut t, &mut space, 2), (State::Waiting, 0));
     let again = |t: &mut Tables, space: &mut Memory, by: Option<&str>| {
-        t.apply(space, Op::Again(Seq(1), 1, 70, by.map(str::to_owned))).unwrap()
+        t.apply(space, Op::Again(Seq(1), 1, 70, by.map(str::to_owned)))
+            .unwrap()
     };
-    assert!(matches!(again(&mut t, &mut space, None), Reply::NotAgain(_)));
+    assert!(matches!(
+        again(&mut t, &mut space, None),
+        Reply::NotAgain(_)
+    ));
     assert!(
         matches!(t.apply(&mut space, Op::Recover(EndpointId(0), 1, 0, 70, 10)).unwrap(), Reply::Waits(w) if w.is_empty())
     );
     assert!(matches!(again(&mut t, &mut space, Some("ops")), Reply::Waits(w) if w.len() == 1));
-    let Reply::Message(Some(m)) = t.apply(&mut space, Op::Message(Seq(1), 1)).unwrap() else { panic!() };
-    assert_eq!((m.record.state, m.record.acknowledged.as_deref()), (State::Waiting, Some("ops")));
+    let Reply::Message(Some(m)) = t.apply(&mut space, Op::Message(Seq(1), 1)).unwrap() else {
+        panic!()
+    };
+    assert_eq!(
+        (m.record.state, m.record.acknowledged.as_deref()),
+        (State::Waiting, Some("ops"))
+    );
     assert_eq!(
         t.apply(&mut space, Op::Message(Seq(1), 2)).unwrap(),
         Reply::Message(None),
@@ -357,7 +419,9 @@
         let mut points = 0;
         for left in 1..2000 {
             let sick = Sick::new(left, torn);
-            let Ok((mut disk, _)) = Disk::open_backend(sick.clone(), BYTES, 1) else { continue };
+            let Ok((mut disk, _)) = Disk::open_backend(sick.clone(), BYTES, 1) else {
+                continue;
+            };
             let mut done = Vec::new();
             for seq in 1..=6 {
                 let op = Op::Take(call(seq, Effect::NonIdempotent), mark(seq), 300);
@@ -371,15 +435,25 @@
             }
             let failed = sick.failed.load(Ordering::SeqCst);
             points += usize::from(failed);
-            assert!(failed || done.len() == 6, "an error that the disk did not give");
+            assert!(
+                failed || done.len() == 6,
+                "an error that the disk did not give"
+            );
             drop(disk);
             let (mut disk, found) =
                 Disk::open_backend(sick.after(), BYTES, 9).expect("it opens after the crash");
             let seen: Vec<u64> = found.calls.iter().map(|c| c.seq.0).collect();
-            assert!(seen.starts_with(&done) && seen.len() <= done.len() + 1, "{left}: {done:?} {seen:?}");
-            assert!(found.calls.iter().all(|c| c.sent == Some(5)), "one commit is kept whole");
+            assert!(
+                seen.starts_with(&done) && seen.len() <= done.len() + 1,
+                "{left}: {done:?} {seen:?}"
+            );
+            assert!(
+                found.calls.iter().all(|c| c.sent == Some(5)),
+                "one commit is kept whole"
+            );
             let next = done.len() as u64 + 1;
-            disk.commit([Op::Untake(Seq(next), mark(next))], 10).unwrap();
+            disk.commit([Op::Untake(Seq(next), mark(next))], 10)
+                .unwrap();
             assert_eq!(disk.commit([Op::Stat], 10).unwrap().len(), 1);
             if !failed {
                 break;
@@ -405,21 +479,40 @@
     };
     let answered = move |number, reply| tell.send((number, reply)).unwrap();
     let writer = Writer::start(disk, Box::new(opener), Box::new(answered)).unwrap();
-    let next = || told.recv_timeout(std::time::Duration::from_secs(30)).unwrap();
+    let next = || {
+        told.recv_timeout(std::time::Duration::from_secs(30))
+            .unwrap()
+    };
     writer.ask(1, Op::Take(call(1, Effect::NonIdempotent), mark(1), 300));
     assert_eq!(next(), (1, Ok(Reply::Done)));
     sick.left.store(0, Ordering::SeqCst);
     writer.ask(2, Op::Take(call(2, Effect::Idempotent), mark(2), 300));
     assert!(matches!(next(), (2, Err(StoreError::Disk(_)))));
-    writer.ask(3, Op::Answer(Seq(1), "served".into(), vec![message(7, 0, Effect::NonIdempotent, None)]));
+    writer.ask(
+        3,
+        Op::Answer(
+            Seq(1),
+            "served".into(),
+            vec![message(7, 0, Effect::NonIdempotent, None)],
+        ),
+    );
     writer.ask(4, Op::Take(call(3, Effect::Idempotent), mark(3), 300));
-    assert!(matches!(next(), (4, Err(StoreError::Disk(_)))), "nothing new is taken; the answer waits");
+    assert!(
+        matches!(next(), (4, Err(StoreError::Disk(_)))),
+        "nothing new is taken; the answer waits"
+    );
     well.store(true, Ordering::SeqCst);
     let (number, reply) = next();
     assert!(number == 3 && matches!(reply, Ok(Reply::Waits(w)) if w.len() == 1));
     writer.ask(5, Op::Stat);
-    let (_, Ok(Reply::Stat(stat))) = next() else { panic!() };
-    assert_eq!((stat.calls, stat.messages, stat.waiting), (0, 1, 1), "2 and 3 are undone, 1 is answered");
+    let (_, Ok(Reply::Stat(stat))) = next() else {
+        panic!()
+    };
+    assert_eq!(
+        (stat.calls, stat.messages, stat.waiting),
+        (0, 1, 1),
+        "2 and 3 are undone, 1 is answered"
+    );
 }
 
 /// A clock that steps back over a restart is noticed, and identities that may have been forgotten are told.
@@ -427,13 +520,22 @@
 fn a_clock_that_steps_back_is_noticed() {
     let mut space = Memory::default();
     let (mut t, _) = Tables::open(&mut space, true, BYTES, 1000).unwrap();
-    t.apply(&mut space, Op::Take(call(1, Effect::Idempotent), mark(1), 1300)).unwrap();
-    t.apply(&mut space, Op::Answer(Seq(1), "served".into(), vec![])).unwrap();
-    t.apply(&mut space, Op::Retain(2000, 1 << 40, BYTES, 10)).unwrap();
+    t.apply(
+        &mut space,
+        Op::Take(call(1, Effect::Idempotent), mark(1), 1300),
+    )
+    .unwrap();
+    t.apply(&mut space, Op::Answer(Seq(1), "served".into(), vec![]))
+        .unwrap();
+    t.apply(&mut space, Op::Retain(2000, 1 << 40, BYTES, 10))
+        .unwrap();
     t.finish(&mut space, 2000).unwrap();
     let (_, found) = Tables::open(&mut space, true, BYTES, 900).unwrap();
     assert!(found.stepped_back && found.replays.is_empty());
-    assert_eq!(found.forgotten, 1300, "a stamp that was good until then may have been taken");
+    assert_eq!(
+        found.forgotten, 1300,
+        "a stamp that was good until then may have been taken"
+    );
 }
 
 #[test]
@@ -442,7 +544,10 @@
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("store");
     std::fs::write(&path, "a letter, not a store").unwrap();
-    assert!(matches!(Disk::open(&path, BYTES, 0), Err(StoreError::Foreign(_))));
+    assert!(matches!(
+        Disk::open(&path, BYTES, 0),
+        Err(StoreError::Foreign(_))
+    ));
     assert_eq!(std::fs::read(&path).unwrap(), b"a letter, not a store");
     std::fs::remove_file(&path).unwrap();
     let (held, _) = Disk::open(&path, BYTES, 0).unwrap();
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -49,8 +49,13 @@
             clock: Clock::system(),
             jobs: jobs.clone(),
         };
-        let thread = std::thread::Builder::new().name("store".into()).spawn(move || room.run(&waits))?;
-        Ok(Writer { jobs, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("store".into())
+            .spawn(move || room.run(&waits))?;
+        Ok(Writer {
+            jobs,
+            thread: Some(thread),
+        })
     }
 
     /// Asks for something; the answer comes under the number.
@@ -144,7 +149,10 @@
             // The thread is gone only at the end of the process.
             let _ = jobs.send(Job::Read(number, reader.verify().map(Reply::Verified)));
         };
-        if let Err(e) = std::thread::Builder::new().name("verify".into()).spawn(read) {
+        if let Err(e) = std::thread::Builder::new()
+            .name("verify".into())
+            .spawn(read)
+        {
             (self.answered)(number, Err(StoreError::Disk(e.to_string())));
         }
     }
@@ -165,7 +173,9 @@
         if batch.is_empty() {
             return;
         }
-        let Some(disk) = &mut self.disk else { return self.fail(batch, &StoreError::Disk("closed".into())) };
+        let Some(disk) = &mut self.disk else {
+            return self.fail(batch, &StoreError::Disk("closed".into()));
+        };
         let now = self.clock.now();
         match disk.commit(batch.iter().map(|(_, op)| op.clone()), now) {
             Ok(replies) => {
@@ -176,7 +186,9 @@
                 }
             }
             Err(e) => {
-                tracing::error!("the store has failed; nothing new is taken until it is open again: {e}");
+                tracing::error!(
+                    "the store has failed; nothing new is taken until it is open again: {e}"
+                );
                 self.disk = None;
                 self.fail(batch, &e);
             }
@@ -191,7 +203,9 @@
                     self.kept.push_back((number, op.clone()));
                     continue;
                 }
-                Op::Take(call, mark, _) => self.kept.push_back((NOBODY, Op::Untake(call.seq, *mark))),
+                Op::Take(call, mark, _) => {
+                    self.kept.push_back((NOBODY, Op::Untake(call.seq, *mark)))
+                }
                 // That an attempt began and did not errs on the safe side; the attempt's end corrects it.
                 Op::Sent(seq, _) => self.kept.push_back((NOBODY, Op::Unsent(*seq))),
                 _ => {}
--- a/src/tenancy/endpoint.rs
+++ b/src/tenancy/endpoint.rs
@@ -33,8 +33,15 @@
         let rest = url.strip_prefix("http://").ok_or(TenantError::Portal)?;
         let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
         let clean = path.len() <= 1024 && path.bytes().all(|b| b.is_ascii_graphic() && b != b'#');
-        let address = host.parse::<SocketAddr>().ok().filter(|_| clean).ok_or(TenantError::Portal)?;
-        Ok(Portal { address, path: format!("/{path}") })
+        let address = host
+            .parse::<SocketAddr>()
+            .ok()
+            .filter(|_| clean)
+            .ok_or(TenantError::Portal)?;
+        Ok(Portal {
+            address,
+            path: format!("/{path}"),
+        })
     }
 }
 
@@ -124,7 +131,9 @@
                 let name = t.strip_suffix(".*").unwrap_or(t);
                 !name.is_empty()
                     && name.len() <= 64
-                    && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b))
+                    && name
+                        .bytes()
+                        .all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b))
             };
             if types.len() > MOST_TYPES || !types.iter().all(clean) {
                 return Err(TenantError::Types);
@@ -146,7 +155,9 @@
             return Err(TenantError::Limits);
         }
         if let Some(pauses) = &spec.schedule_s {
-            let read = (!pauses.is_empty()).then(|| Schedule::from_seconds(pauses)).transpose();
+            let read = (!pauses.is_empty())
+                .then(|| Schedule::from_seconds(pauses))
+                .transpose();
             new.schedule = read.map_err(|_| TenantError::Schedule)?;
         }
         new.ordered = spec.ordered.unwrap_or(new.ordered);
@@ -154,7 +165,10 @@
             if secrets.len() > MOST_SECRETS {
                 return Err(TenantError::TooMany);
             }
-            new.secrets = secrets.iter().map(|s| Secret::parse(s)).collect::<Result<_, _>>()?;
+            new.secrets = secrets
+                .iter()
+                .map(|s| Secret::parse(s))
+                .collect::<Result<_, _>>()?;
         }
         new.version += 1;
         *self = new;
@@ -277,5 +291,7 @@
 }
 
 pub(super) fn read_secrets(kept: &[(String, Option<Micros>)]) -> Result<Vec<Secret>, TenantError> {
-    kept.iter().map(|(text, until)| Ok(Secret::parse(text)?.until(*until))).collect()
+    kept.iter()
+        .map(|(text, until)| Ok(Secret::parse(text)?.until(*until)))
+        .collect()
 }
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -76,7 +76,11 @@
         hash.update((part.len() as u64).to_le_bytes());
         hash.update(part);
     }
-    hash.finalize().iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b)) >> 1
+    hash.finalize()
+        .iter()
+        .take(8)
+        .fold(0, |n, b| n << 8 | u64::from(*b))
+        >> 1
 }
 
 impl Tenant {
@@ -87,7 +91,10 @@
 
     /// An endpoint with its name.
     pub fn endpoint(&self, id: EndpointId) -> Option<(&str, &Endpoint)> {
-        self.endpoints.iter().find(|(_, e)| e.id == id).map(|(name, e)| (name.as_str(), e))
+        self.endpoints
+            .iter()
+            .find(|(_, e)| e.id == id)
+            .map(|(name, e)| (name.as_str(), e))
     }
 
     /// The secrets that sign for an endpoint: its own, or else the tenant's.
@@ -115,7 +122,8 @@
         }
         let (serial, removed) = (self.serial.to_le_bytes(), self.removed.to_le_bytes());
         let id = EndpointId(identity(&[&serial, name.as_bytes(), &removed]));
-        self.endpoints.insert(name.to_owned(), Endpoint::new(id, spec)?);
+        self.endpoints
+            .insert(name.to_owned(), Endpoint::new(id, spec)?);
         Ok(true)
     }
 }
@@ -153,10 +161,15 @@
 impl Registry {
     /// A registry in which the platform's tenants keep their numbers.
     pub fn new(platform: &[(String, f64)]) -> Registry {
-        let number =
-            |(i, (name, share)): (usize, &(String, f64))| (name.clone(), (TenantId(i as u32), *share));
+        let number = |(i, (name, share)): (usize, &(String, f64))| {
+            (name.clone(), (TenantId(i as u32), *share))
+        };
         let reserved = platform.iter().enumerate().map(number).collect();
-        Registry { reserved, next: platform.len() as u32, ..Registry::default() }
+        Registry {
+            reserved,
+            next: platform.len() as u32,
+            ..Registry::default()
+        }
     }
 
     /// A tenant.
@@ -179,7 +192,11 @@
         if spec.secrets.len() > MOST_SECRETS {
             return Err(TenantError::TooMany);
         }
-        let secrets = spec.secrets.iter().map(|s| Secret::parse(s)).collect::<Result<Vec<_>, _>>()?;
+        let secrets = spec
+            .secrets
+            .iter()
+            .map(|s| Secret::parse(s))
+            .collect::<Result<Vec<_>, _>>()?;
         let known = self.tenants.get(name);
         let new = known.is_none();
         if new && self.tenants.len() >= MOST {
@@ -197,7 +214,13 @@
         });
         t.share_per_s = spec.share_per_s.unwrap_or(t.share_per_s);
         if let Some(url) = &spec.portal {
-            t.set_endpoint(PORTAL, &EndpointSpec { url: Some(url.clone()), ..EndpointSpec::default() })?;
+            t.set_endpoint(
+                PORTAL,
+                &EndpointSpec {
+                    url: Some(url.clone()),
+                    ..EndpointSpec::default()
+                },
+            )?;
         }
         for endpoint in &spec.endpoints {
             t.set_endpoint(&endpoint.name, endpoint)?;
@@ -233,14 +256,20 @@
     /// Removes an endpoint.
     pub fn remove_endpoint(&mut self, tenant: &str, name: &str) -> Result<EndpointId, TenantError> {
         let t = self.tenants.get_mut(tenant).ok_or(TenantError::Unknown)?;
-        let e = t.endpoints.remove(name).ok_or(TenantError::UnknownEndpoint)?;
+        let e = t
+            .endpoints
+            .remove(name)
+            .ok_or(TenantError::UnknownEndpoint)?;
         (t.removed, t.version) = (t.removed + 1, t.version + 1);
         Ok(e.id)
     }
 
     /// An endpoint failed for so long, or said 410, that it is switched off.
     pub fn disable(&mut self, id: EndpointId) -> Option<(String, String)> {
-        let (tenant, t) = self.tenants.iter_mut().find(|(_, t)| t.endpoint(id).is_some())?;
+        let (tenant, t) = self
+            .tenants
+            .iter_mut()
+            .find(|(_, t)| t.endpoint(id).is_some())?;
         let (name, e) = t.endpoints.iter_mut().find(|(_, e)| e.id == id)?;
         (e.enabled, e.version) = (Enabled::ByFailure, e.version + 1);
         Some((tenant.clone(), name.clone()))
@@ -257,7 +286,10 @@
     ) -> Result<(), TenantError> {
         let fresh = Secret::parse(secret)?;
         let t = self.tenants.get_mut(tenant).ok_or(TenantError::Unknown)?;
-        let e = t.endpoints.get_mut(name).ok_or(TenantError::UnknownEndpoint)?;
+        let e = t
+            .endpoints
+            .get_mut(name)
+            .ok_or(TenantError::UnknownEndpoint)?;
         e.secrets = secret::rotated(e.secrets.clone(), fresh, now, until, MOST_SECRETS)?;
         e.version += 1;
         Ok(())
@@ -292,7 +324,10 @@
 
     /// The numbers and shares of all tenants.
     pub fn shares(&self) -> Vec<(TenantId, f64)> {
-        self.tenants.values().map(|t| (t.id, t.share_per_s)).collect()
+        self.tenants
+            .values()
+            .map(|t| (t.id, t.share_per_s))
+            .collect()
     }
 
     /// What may be shown of one tenant.
@@ -315,6 +350,9 @@
 
     /// What may be shown of all.
     pub fn views(&self, now: Micros) -> Vec<View<'_>> {
-        self.tenants.keys().filter_map(|name| self.view(name, now)).collect()
+        self.tenants
+            .keys()
+            .filter_map(|name| self.view(name, now))
+            .collect()
     }
 }
--- a/src/tenancy/persistence.rs
+++ b/src/tenancy/persistence.rs
@@ -63,13 +63,21 @@
             serial: Some(t.serial),
             version: t.version,
             removed: t.removed,
-            endpoints: Some(t.endpoints.iter().map(|(name, e)| KeptEndpoint::of(name, e)).collect()),
+            endpoints: Some(
+                t.endpoints
+                    .iter()
+                    .map(|(name, e)| KeptEndpoint::of(name, e))
+                    .collect(),
+            ),
         }
     }
 
     fn shifted(mut self, by: impl Fn(Micros) -> Option<Micros>) -> Kept {
         shift(&mut self.secrets, &by);
-        self.endpoints.iter_mut().flatten().for_each(|e| shift(&mut e.secrets, &by));
+        self.endpoints
+            .iter_mut()
+            .flatten()
+            .for_each(|e| shift(&mut e.secrets, &by));
         self
     }
 }
@@ -77,7 +85,8 @@
 impl Registry {
     /// A tenant as other gateways are told of it, secrets and all; none if there is no such tenant.
     pub fn told(&self, name: &str, now: Micros) -> Option<Vec<u8>> {
-        let kept = Kept::of(name, self.get(name)?).shifted(|until| until.checked_sub(now).filter(|s| *s > 0));
+        let kept = Kept::of(name, self.get(name)?)
+            .shifted(|until| until.checked_sub(now).filter(|s| *s > 0));
         // Strings and numbers only: there is nothing that could not be written.
         Some(serde_json::to_vec(&kept).unwrap_or_default())
     }
@@ -112,7 +121,10 @@
         *self = fresh;
         let t = self.get(name).ok_or(TenantError::Unknown)?;
         gone.retain(|id| t.endpoint(*id).is_none());
-        Ok(Some(Adopted { share: (t.id, t.share_per_s), gone }))
+        Ok(Some(Adopted {
+            share: (t.id, t.share_per_s),
+            gone,
+        }))
     }
 
     /// How many tenants all gateways have removed: one that is made from here on is none of these.
@@ -121,9 +133,16 @@
     }
 
     fn read(&mut self, kept: Kept) -> Result<(), TenantError> {
-        let spec = Spec { share_per_s: Some(kept.share_per_s), portal: kept.portal, ..Spec::default() };
+        let spec = Spec {
+            share_per_s: Some(kept.share_per_s),
+            portal: kept.portal,
+            ..Spec::default()
+        };
         self.put(&kept.name, &spec)?;
-        let t = self.tenants.get_mut(&kept.name).ok_or(TenantError::Unknown)?;
+        let t = self
+            .tenants
+            .get_mut(&kept.name)
+            .ok_or(TenantError::Unknown)?;
         t.secrets = read_secrets(&kept.secrets)?;
         (t.serial, t.removed) = (kept.serial.unwrap_or(t.serial), kept.removed);
         t.version = kept.version.max(1);
@@ -136,9 +155,17 @@
 
     /// All tenants as text for the state file. It holds the secrets: it is written for its owner alone.
     pub fn state(&self) -> String {
-        let tenants = self.tenants.iter().map(|(name, t)| Kept::of(name, t)).collect();
+        let tenants = self
+            .tenants
+            .iter()
+            .map(|(name, t)| Kept::of(name, t))
+            .collect();
         // Strings and numbers only: there is nothing that could not be written.
-        serde_json::to_string(&KeptAll::All { serials: self.serials, tenants }).unwrap_or_default()
+        serde_json::to_string(&KeptAll::All {
+            serials: self.serials,
+            tenants,
+        })
+        .unwrap_or_default()
     }
 
     /// Takes the tenants of a state file in place of its own. On an error nothing changes.
@@ -148,10 +175,16 @@
             KeptAll::All { serials, tenants } => (serials, tenants),
             KeptAll::List(tenants) => (0, tenants),
         };
-        let mut fresh = Registry { tenants: BTreeMap::new(), ..self.clone() };
-        fresh
-            .free
-            .extend(self.tenants.iter().filter(|(n, _)| !self.reserved.contains_key(*n)).map(|(_, t)| t.id));
+        let mut fresh = Registry {
+            tenants: BTreeMap::new(),
+            ..self.clone()
+        };
+        fresh.free.extend(
+            self.tenants
+                .iter()
+                .filter(|(n, _)| !self.reserved.contains_key(*n))
+                .map(|(_, t)| t.id),
+        );
         fresh.serials = serials;
         for kept in list {
             fresh.read(kept)?;
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -142,38 +142,68 @@
         self.tick(now);
     }
 
-    fn change(&mut self, now: Micros, ticket: Ticket, wanted: ChangeRequest) -> Result<(), Refusal> {
+    fn change(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        wanted: ChangeRequest,
+    ) -> Result<(), Refusal> {
         // An agreed change stands on the disks of a majority.
-        let have = if self.voters == 0 { 0 } else { self.voters / 2 + 1 };
+        let have = if self.voters == 0 {
+            0
+        } else {
+            self.voters / 2 + 1
+        };
         let want = self.settings.copies;
         if have < want {
             return Err(Refusal::Fewer { have, want });
         }
         if self.open.len() >= MOST_OPEN {
-            return Err(Refusal::Busy { open: self.open.len() });
+            return Err(Refusal::Busy {
+                open: self.open.len(),
+            });
         }
         self.agreed.room(&wanted.tenant, wanted.kept.as_deref())?;
         self.number += 1;
-        let ChangeRequest { tenant, kept, listed, answer } = wanted;
+        let ChangeRequest {
+            tenant,
+            kept,
+            listed,
+            answer,
+        } = wanted;
         let entry = Entry {
             follows: self.agreed.follows(&tenant),
             tenant,
             by: self.settings.name.clone(),
-            origin: Origin { process: self.settings.process, number: self.number },
+            origin: Origin {
+                process: self.settings.process,
+                number: self.number,
+            },
             kept,
             listed,
             answer,
         };
         if self.settings.without_agreed {
             let version = self.agreed.changes + 1;
-            self.outputs
-                .push_back(Output::Noted(HistoryEvent::Told { tenant: entry.tenant.clone(), version }));
+            self.outputs.push_back(Output::Noted(HistoryEvent::Told {
+                tenant: entry.tenant.clone(),
+                version,
+            }));
             self.outputs.push_back(Output::Propose(entry));
             self.outputs.push_back(Output::Done(ticket));
             return Ok(());
         }
         let (changes, until) = (self.agreed.changes, now + self.settings.ask);
-        self.open.insert(self.number, Open { ticket, entry, changes, until, again: now });
+        self.open.insert(
+            self.number,
+            Open {
+                ticket,
+                entry,
+                changes,
+                until,
+                again: now,
+            },
+        );
         Ok(())
     }
 
@@ -185,21 +215,32 @@
             self.outputs.push_back(Output::Removals(agreed.removals));
         }
         let version = |t: &Tenants, name: &str| t.lines.get(name).map(|l| l.version);
-        let names = before.lines.keys().filter(|n| !agreed.lines.contains_key(*n)).chain(agreed.lines.keys());
+        let names = before
+            .lines
+            .keys()
+            .filter(|n| !agreed.lines.contains_key(*n))
+            .chain(agreed.lines.keys());
         for name in names.filter(|n| version(&before, n) != version(&agreed, n)) {
             let kept = agreed.lines.get(name).and_then(|l| l.kept.clone());
             let (tenant, digest) = (name.clone(), kept.as_deref().map(digest));
             let version = version(&agreed, name).unwrap_or(agreed.changes);
             self.outputs.push_back(Output::Adopt(name.clone(), kept));
-            self.outputs.push_back(Output::Noted(HistoryEvent::Adopted { tenant, version, digest }));
+            self.outputs.push_back(Output::Noted(HistoryEvent::Adopted {
+                tenant,
+                version,
+                digest,
+            }));
         }
         let open: Vec<u64> = self.open.keys().copied().collect();
         for number in open {
-            let Some(o) = self.open.get_mut(&number) else { continue };
+            let Some(o) = self.open.get_mut(&number) else {
+                continue;
+            };
             let tenant = o.entry.tenant.clone();
             let since = agreed.changes.saturating_sub(o.changes);
             let told = if let Some(version) = agreed.held(o.entry.origin) {
-                self.outputs.push_back(Output::Noted(HistoryEvent::Told { tenant, version }));
+                self.outputs
+                    .push_back(Output::Noted(HistoryEvent::Told { tenant, version }));
                 Output::Done(o.ticket)
             } else if since > super::MOST_RECENT as u64 {
                 Output::Refused(o.ticket, Refusal::Unknown { tenant, since })
@@ -232,7 +273,9 @@
             }
         }
         for o in over.into_iter().filter_map(|n| self.open.remove(&n)) {
-            let why = Refusal::Unreached { tenant: o.entry.tenant };
+            let why = Refusal::Unreached {
+                tenant: o.entry.tenant,
+            };
             self.outputs.push_back(Output::Refused(o.ticket, why));
         }
     }
--- a/src/tenancy/replicated/history.rs
+++ b/src/tenancy/replicated/history.rs
@@ -28,5 +28,8 @@
 
 /// What stands for a tenant in notes.
 pub fn digest(kept: &[u8]) -> u64 {
-    blake3::hash(kept).as_bytes().first_chunk::<8>().map_or(0, |b| u64::from_le_bytes(*b))
+    blake3::hash(kept)
+        .as_bytes()
+        .first_chunk::<8>()
+        .map_or(0, |b| u64::from_le_bytes(*b))
 }
--- a/src/tenancy/replicated/mod.rs
+++ b/src/tenancy/replicated/mod.rs
@@ -31,7 +31,17 @@
 
 /// Which change: of which process, and its number there.
 #[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    serde::Serialize,
+    serde::Deserialize,
 )]
 pub struct Origin {
     /// Whose.
--- a/src/tenancy/replicated/state.rs
+++ b/src/tenancy/replicated/state.rs
@@ -77,19 +77,27 @@
 impl Tenants {
     /// What a change of a tenant follows now.
     pub fn follows(&self, tenant: &str) -> Follows {
-        self.lines.get(tenant).map_or(Follows::Nothing(self.removals), |l| Follows::At(l.version))
+        self.lines
+            .get(tenant)
+            .map_or(Follows::Nothing(self.removals), |l| Follows::At(l.version))
     }
 
     /// Bytes of all tenants.
     pub fn bytes(&self) -> usize {
-        self.lines.iter().map(|(name, l)| name.len() + l.kept.as_ref().map_or(0, Vec::len)).sum()
+        self.lines
+            .iter()
+            .map(|(name, l)| name.len() + l.kept.as_ref().map_or(0, Vec::len))
+            .sum()
     }
 
     /// Whether there is room for a tenant as it would be.
     pub fn room(&self, tenant: &str, kept: Option<&[u8]>) -> Result<(), Refusal> {
         let own = kept.map_or(0, <[u8]>::len);
         if own > LONGEST {
-            return Err(Refusal::TooLong { tenant: tenant.to_owned(), bytes: own });
+            return Err(Refusal::TooLong {
+                tenant: tenant.to_owned(),
+                bytes: own,
+            });
         }
         let known = self.lines.get(tenant);
         let old = known.map_or(0, |l| tenant.len() + l.kept.as_ref().map_or(0, Vec::len));
@@ -99,7 +107,9 @@
             return Err(Refusal::TooMuch { bytes });
         }
         if known.is_none() && self.lines.len() >= MOST_LINES {
-            return Err(Refusal::TooMany { lines: self.lines.len() });
+            return Err(Refusal::TooMany {
+                lines: self.lines.len(),
+            });
         }
         Ok(())
     }
@@ -111,7 +121,10 @@
 
     /// The version that a change made, if it took hold, as far as is remembered.
     pub fn held(&self, origin: Origin) -> Option<u64> {
-        self.recent.iter().find(|(o, _)| *o == origin).map(|(_, version)| *version)
+        self.recent
+            .iter()
+            .find(|(o, _)| *o == origin)
+            .map(|(_, version)| *version)
     }
 
     /// Applies an entry; tells whether it took hold.
@@ -134,11 +147,19 @@
         if e.kept.is_none() && !listed {
             self.lines.remove(&e.tenant);
         } else {
-            let line = Line { version: self.changes, kept: e.kept.clone(), listed };
+            let line = Line {
+                version: self.changes,
+                kept: e.kept.clone(),
+                listed,
+            };
             self.lines.insert(e.tenant.clone(), line);
         }
         remember(&mut self.recent, (e.origin, self.changes), MOST_RECENT);
-        if let Some(answer) = e.answer.as_ref().filter(|a| a.bytes.len() <= LONGEST_ANSWER) {
+        if let Some(answer) = e
+            .answer
+            .as_ref()
+            .filter(|a| a.bytes.len() <= LONGEST_ANSWER)
+        {
             remember(&mut self.answers, answer.clone(), MOST_ANSWERS);
         }
         true
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -76,17 +76,27 @@
 
     fn want(&mut self, now: Micros, n: usize, ticket: u64, tenant: &str, kept: Option<&str>) {
         let kept = kept.map(|k| k.as_bytes().to_vec());
-        let wanted = ChangeRequest { tenant: tenant.into(), kept, listed: false, answer: None };
+        let wanted = ChangeRequest {
+            tenant: tenant.into(),
+            kept,
+            listed: false,
+            answer: None,
+        };
         self.handle(now, n, Input::Change(ticket, wanted));
     }
 
     /// The log takes what was proposed, in this order.
     fn agree(&mut self) -> Vec<bool> {
-        std::mem::take(&mut self.proposed).iter().map(|e| self.agreed.apply(e)).collect()
+        std::mem::take(&mut self.proposed)
+            .iter()
+            .map(|e| self.agreed.apply(e))
+            .collect()
     }
 
     fn told(&mut self, n: usize) -> Vec<Output> {
-        let (own, rest) = std::mem::take(&mut self.told).into_iter().partition(|(who, _)| *who == n);
+        let (own, rest) = std::mem::take(&mut self.told)
+            .into_iter()
+            .partition(|(who, _)| *who == n);
         self.told = rest;
         own.into_iter().map(|(_, o): (usize, Output)| o).collect()
     }
@@ -101,11 +111,22 @@
     for n in 0..2 {
         t.hear(1, n, 3);
         let adopt = Output::Adopt("clinic".into(), Some(b"one".to_vec()));
-        let expected = if n == 0 { vec![adopt, Output::Done(7)] } else { vec![adopt] };
+        let expected = if n == 0 {
+            vec![adopt, Output::Done(7)]
+        } else {
+            vec![adopt]
+        };
         assert_eq!(t.told(n), expected);
     }
-    let adopted = HistoryEvent::Adopted { tenant: "clinic".into(), version: 1, digest: Some(digest(b"one")) };
-    let told = HistoryEvent::Told { tenant: "clinic".into(), version: 1 };
+    let adopted = HistoryEvent::Adopted {
+        tenant: "clinic".into(),
+        version: 1,
+        digest: Some(digest(b"one")),
+    };
+    let told = HistoryEvent::Told {
+        tenant: "clinic".into(),
+        version: 1,
+    };
     assert_eq!(t.notes, [adopted.clone(), told, adopted]);
 }
 
@@ -117,8 +138,19 @@
     assert_eq!(t.agree(), [true, false]);
     (0..2).for_each(|n| t.hear(1, n, 3));
     assert!(t.told(0).contains(&Output::Done(1)));
-    let refused = Output::Refused(2, Refusal::Changed { tenant: "clinic".into() });
-    assert_eq!(t.told(1), [Output::Adopt("clinic".into(), Some(b"one".to_vec())), refused]);
+    let refused = Output::Refused(
+        2,
+        Refusal::Changed {
+            tenant: "clinic".into(),
+        },
+    );
+    assert_eq!(
+        t.told(1),
+        [
+            Output::Adopt("clinic".into(), Some(b"one".to_vec())),
+            refused
+        ]
+    );
 }
 
 /// A proposal that is said again, or comes late, after its tenant was changed or removed since, has no effect.
@@ -130,9 +162,15 @@
     let removed = entry("t", s.follows("t"), 2, None);
     assert!(s.apply(&removed) && !s.apply(&removed));
     assert!(!s.lines.contains_key("t"));
-    assert!(!s.apply(&made), "made anew by a word from before its removal");
+    assert!(
+        !s.apply(&made),
+        "made anew by a word from before its removal"
+    );
     assert!(s.apply(&entry("t", s.follows("t"), 3, Some("two"))));
-    assert!(!s.apply(&removed), "removed by a word from before it was made anew");
+    assert!(
+        !s.apply(&removed),
+        "removed by a word from before it was made anew"
+    );
     assert_eq!((s.changes, s.removals), (3, 1));
 }
 
@@ -140,12 +178,19 @@
 #[test]
 fn a_removed_tenant_of_the_file_stays_removed() {
     let mut t = Table::new(2, 1, 1);
-    let e = Entry { listed: true, ..entry("filed", t.agreed.follows("filed"), 1, None) };
+    let e = Entry {
+        listed: true,
+        ..entry("filed", t.agreed.follows("filed"), 1, None)
+    };
     assert!(t.agreed.apply(&e));
     t.hear(0, 1, 1);
-    assert_eq!(t.told(1), [Output::Removals(1), Output::Adopt("filed".into(), None)]);
+    assert_eq!(
+        t.told(1),
+        [Output::Removals(1), Output::Adopt("filed".into(), None)]
+    );
     assert!(
-        !t.agreed.apply(&entry("never", t.agreed.follows("never"), 2, None)),
+        !t.agreed
+            .apply(&entry("never", t.agreed.follows("never"), 2, None)),
         "there is nothing to remove"
     );
 }
@@ -154,7 +199,9 @@
 #[test]
 fn a_new_tenant_waits_out_the_removal_of_another() {
     let mut t = Table::new(2, 1, 1);
-    assert!(t.agreed.apply(&entry("other", Follows::Nothing(0), 1, Some("x"))));
+    assert!(t
+        .agreed
+        .apply(&entry("other", Follows::Nothing(0), 1, Some("x"))));
     (0..2).for_each(|n| t.hear(0, n, 1));
     t.want(1, 0, 5, "fresh", Some("one"));
     let late = std::mem::take(&mut t.proposed);
@@ -177,22 +224,41 @@
         now = at;
         t.handle(now, 0, Input::Tick);
     }
-    assert!(now == ASK && t.proposed.len() == 8, "{now} {}", t.proposed.len());
-    assert_eq!(t.told(0), [Output::Refused(9, Refusal::Unreached { tenant: "t".into() })]);
+    assert!(
+        now == ASK && t.proposed.len() == 8,
+        "{now} {}",
+        t.proposed.len()
+    );
+    assert_eq!(
+        t.told(0),
+        [Output::Refused(
+            9,
+            Refusal::Unreached { tenant: "t".into() }
+        )]
+    );
     // It was agreed on after all: it is taken over like anybody's.
     assert_eq!(t.agree().iter().filter(|held| **held).count(), 1);
     t.hear(now + 1, 0, 1);
-    assert_eq!(t.told(0), [Output::Adopt("t".into(), Some(b"one".to_vec()))]);
+    assert_eq!(
+        t.told(0),
+        [Output::Adopt("t".into(), Some(b"one".to_vec()))]
+    );
 }
 
 #[test]
 fn what_there_is_no_room_for_is_refused_by_name_before_it_is_proposed() {
     let mut t = Table::new(1, 3, 3);
     t.want(0, 0, 1, "t", Some("one"));
-    assert_eq!(t.told(0), [Output::Refused(1, Refusal::Fewer { have: 2, want: 3 })]);
+    assert_eq!(
+        t.told(0),
+        [Output::Refused(1, Refusal::Fewer { have: 2, want: 3 })]
+    );
     t.hear(0, 0, 5);
     t.want(0, 0, 2, "t", Some(&"x".repeat(LONGEST + 1)));
-    let long = Refusal::TooLong { tenant: "t".into(), bytes: LONGEST + 1 };
+    let long = Refusal::TooLong {
+        tenant: "t".into(),
+        bytes: LONGEST + 1,
+    };
     assert_eq!(t.told(0), [Output::Refused(2, long)]);
     let full = "x".repeat(LONGEST);
     for n in 0.. {
@@ -205,14 +271,22 @@
     t.hear(1, 0, 5);
     t.told.clear();
     t.want(1, 0, 3, "one-more", Some(&full));
-    assert!(matches!(t.told(0)[..], [Output::Refused(3, Refusal::TooMuch { .. })]));
+    assert!(matches!(
+        t.told(0)[..],
+        [Output::Refused(3, Refusal::TooMuch { .. })]
+    ));
     t.want(1, 0, 4, "t0", None);
     assert_eq!(t.agree(), [true], "a removal has room");
     for n in 0..=changes::MOST_OPEN as u64 {
         t.want(2, 0, 10 + n, &format!("s{n}"), Some("x"));
     }
-    let busy = Refusal::Busy { open: changes::MOST_OPEN };
-    assert_eq!(t.told(0).last(), Some(&Output::Refused(10 + changes::MOST_OPEN as u64, busy)));
+    let busy = Refusal::Busy {
+        open: changes::MOST_OPEN,
+    };
+    assert_eq!(
+        t.told(0).last(),
+        Some(&Output::Refused(10 + changes::MOST_OPEN as u64, busy))
+    );
 }
 
 /// One that was away while more was agreed than is remembered says that it does not know.
@@ -222,10 +296,15 @@
     t.want(0, 0, 1, "t", Some("one"));
     assert_eq!(t.agree(), [true]);
     for n in 0..=MOST_RECENT as u64 {
-        assert!(t.agreed.apply(&entry("busy", t.agreed.follows("busy"), 50 + n, Some("x"))));
+        assert!(t
+            .agreed
+            .apply(&entry("busy", t.agreed.follows("busy"), 50 + n, Some("x"))));
     }
     t.hear(1, 0, 1);
-    let unknown = Refusal::Unknown { tenant: "t".into(), since: MOST_RECENT as u64 + 2 };
+    let unknown = Refusal::Unknown {
+        tenant: "t".into(),
+        since: MOST_RECENT as u64 + 2,
+    };
     assert_eq!(t.told(0).last(), Some(&Output::Refused(1, unknown)));
     assert!(t.agreed.recent.len() == MOST_RECENT);
 }
@@ -236,11 +315,18 @@
     for n in 0..MOST_ANSWERS as u64 + 5 {
         let mut e = entry("t", s.follows("t"), n, Some("x"));
         let bytes = vec![n as u8; if n == 0 { LONGEST_ANSWER + 1 } else { 4 }];
-        e.answer = Some(Answer { key: [n as u8; 32], request: [1; 32], bytes });
+        e.answer = Some(Answer {
+            key: [n as u8; 32],
+            request: [1; 32],
+            bytes,
+        });
         assert!(s.apply(&e));
     }
     assert!(s.answer(&[0; 32]).is_none() && s.answer(&[1; 32]).is_none());
-    assert_eq!(s.answer(&[132; 32]).map(|a| a.bytes.clone()), Some(vec![132; 4]));
+    assert_eq!(
+        s.answer(&[132; 32]).map(|a| a.bytes.clone()),
+        Some(vec![132; 4])
+    );
     assert_eq!(s.answers.len(), MOST_ANSWERS);
     // All of it, at its fullest, fits into the frame that carries it.
     let most = MOST_BYTES + MOST_ANSWERS * (LONGEST_ANSWER + 64) + MOST_RECENT * 20;
@@ -254,15 +340,27 @@
     let all = [
         Refusal::Changed { tenant: t() },
         Refusal::Unreached { tenant: t() },
-        Refusal::Unknown { tenant: t(), since: 300 },
+        Refusal::Unknown {
+            tenant: t(),
+            since: 300,
+        },
         Refusal::Fewer { have: 2, want: 3 },
         Refusal::TooMuch { bytes: 400_000 },
         Refusal::TooMany { lines: 4096 },
-        Refusal::TooLong { tenant: t(), bytes: 30_000 },
+        Refusal::TooLong {
+            tenant: t(),
+            bytes: 30_000,
+        },
         Refusal::Busy { open: 64 },
         Refusal::Unheard,
-        Refusal::Unreadable { tenant: t(), why: "the tenants' state cannot be read".into() },
+        Refusal::Unreadable {
+            tenant: t(),
+            why: "the tenants' state cannot be read".into(),
+        },
     ];
-    let lines: Vec<String> = all.iter().map(|r| format!("{} {r}: {}", r.status(), r.remedy())).collect();
+    let lines: Vec<String> = all
+        .iter()
+        .map(|r| format!("{} {r}: {}", r.status(), r.remedy()))
+        .collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/src/tenancy/secret.rs
+++ b/src/tenancy/secret.rs
@@ -49,21 +49,33 @@
     /// public key), or `whpk_` and that of 32.
     pub fn parse(text: &str) -> Result<Secret, TenantError> {
         let (prefix, rest) = text.split_once('_').ok_or(TenantError::Secret)?;
-        let bytes = Zeroizing::new(BASE64_STANDARD.decode(rest).map_err(|_| TenantError::Secret)?);
+        let bytes = Zeroizing::new(
+            BASE64_STANDARD
+                .decode(rest)
+                .map_err(|_| TenantError::Secret)?,
+        );
         let half = |at: usize| <[u8; 32]>::try_from(bytes.get(at..at + 32)?).ok();
         let key = match (prefix, bytes.len()) {
             ("whsec", 24..=64) => Some(Key::Hmac(bytes.clone())),
-            ("whsk", 32 | 64) => half(0).map(|seed| SigningKey::from_bytes(&seed)).and_then(|key| {
-                let fits = bytes.len() == 32 || half(32) == Some(key.verifying_key().to_bytes());
-                fits.then(|| Key::Sign(Box::new(key)))
-            }),
+            ("whsk", 32 | 64) => {
+                half(0)
+                    .map(|seed| SigningKey::from_bytes(&seed))
+                    .and_then(|key| {
+                        let fits =
+                            bytes.len() == 32 || half(32) == Some(key.verifying_key().to_bytes());
+                        fits.then(|| Key::Sign(Box::new(key)))
+                    })
+            }
             ("whpk", 32) => half(0)
                 .and_then(|b| VerifyingKey::from_bytes(&b).ok())
                 .filter(|k| !k.is_weak())
                 .map(|k| Key::Check(Box::new(k))),
             _ => None,
         };
-        Ok(Secret { key: key.ok_or(TenantError::Secret)?, until: None })
+        Ok(Secret {
+            key: key.ok_or(TenantError::Secret)?,
+            until: None,
+        })
     }
 
     /// As it was given; for the state file alone.
@@ -122,7 +134,10 @@
                 let mac = Secret::mac(key, content)?.finalize().into_bytes();
                 Some(format!("v1,{}", BASE64_STANDARD.encode(mac)))
             }
-            Key::Sign(key) => Some(format!("v1a,{}", BASE64_STANDARD.encode(key.sign(content).to_bytes()))),
+            Key::Sign(key) => Some(format!(
+                "v1a,{}",
+                BASE64_STANDARD.encode(key.sign(content).to_bytes())
+            )),
             Key::Check(_) => None,
         }
     }
@@ -130,8 +145,11 @@
     /// Whether a signature, as it stands in the header, is this key's for a content. Those of other versions are
     /// not. The comparison takes the same time wherever they differ.
     pub fn verify(&self, content: &[u8], signature: &str) -> bool {
-        let bytes =
-            |prefix: &str| signature.strip_prefix(prefix).and_then(|s| BASE64_STANDARD.decode(s).ok());
+        let bytes = |prefix: &str| {
+            signature
+                .strip_prefix(prefix)
+                .and_then(|s| BASE64_STANDARD.decode(s).ok())
+        };
         let ed25519 = |key: &VerifyingKey| {
             let signature = bytes("v1a,").and_then(|b| Signature::from_slice(&b).ok());
             signature.is_some_and(|s| key.verify_strict(content, &s).is_ok())
--- a/src/tenancy/secret/fixture_tests.rs
+++ b/src/tenancy/secret/fixture_tests.rs
@@ -12,7 +12,11 @@
     let text = |prefix: &str, byte: u8| format!("{prefix}_{}", BASE64_STANDARD.encode([byte; 32]));
     let signing = Secret::parse(&text("whsk", 2)).expect("a seed");
     let public = signing.public().expect("an Ed25519 key has a public half");
-    let secrets = [Secret::parse(&text("whsec", 1)), Ok(signing), Secret::parse(&public)];
+    let secrets = [
+        Secret::parse(&text("whsec", 1)),
+        Ok(signing),
+        Secret::parse(&public),
+    ];
     let secrets = secrets.map(|secret| secret.expect("a secret"));
     check_lines("wire/secrets.txt", &secrets.each_ref().map(Secret::text));
     for secret in secrets {
