--- a/src/tenancy/tests.rs
+++ b/src/tenancy/tests.rs
@@ -26,11 +26,20 @@
     r.restore(&old).unwrap();
     let t = r.get("clinic").unwrap();
     let e = &t.endpoints[PORTAL];
-    assert_eq!((e.portal.to_string().as_str(), e.wants(COMPLETED)), ("http://127.0.0.1:9/in", true));
-    assert_eq!((t.share_per_s, t.secrets(19).count(), t.signing(e, 20).len()), (3.0, 2, 1));
+    assert_eq!(
+        (e.portal.to_string().as_str(), e.wants(COMPLETED)),
+        ("http://127.0.0.1:9/in", true)
+    );
+    assert_eq!(
+        (t.share_per_s, t.secrets(19).count(), t.signing(e, 20).len()),
+        (3.0, 2, 1)
+    );
     let mut again = Registry::new(&[]);
     again.restore(&r.state()).unwrap();
-    assert_eq!((again.state(), again.get("clinic").unwrap().serial), (r.state(), t.serial));
+    assert_eq!(
+        (again.state(), again.get("clinic").unwrap().serial),
+        (r.state(), t.serial)
+    );
 }
 
 #[test]
@@ -45,22 +54,66 @@
     };
     assert_eq!(r.put_endpoint("t", "all", &all), Ok(true));
     let first = r.get("t").unwrap().endpoints["all"].clone();
-    assert!(first.wants("endpoint.disabled") && first.wants(COMPLETED) && !first.wants("message.exhausted"));
+    assert!(
+        first.wants("endpoint.disabled")
+            && first.wants(COMPLETED)
+            && !first.wants("message.exhausted")
+    );
     assert!(r.get("t").unwrap().signing(&first, 0)[0] == Secret::parse(B).unwrap());
     r.rotate_endpoint("t", "all", A, 10, 20).unwrap();
-    assert_eq!(r.get("t").unwrap().signing(&r.get("t").unwrap().endpoints["all"], 15).len(), 2);
+    assert_eq!(
+        r.get("t")
+            .unwrap()
+            .signing(&r.get("t").unwrap().endpoints["all"], 15)
+            .len(),
+        2
+    );
     assert_eq!(r.disable(first.id), Some(("t".into(), "all".into())));
-    assert_eq!(r.get("t").unwrap().endpoints["all"].enabled, Enabled::ByFailure);
+    assert_eq!(
+        r.get("t").unwrap().endpoints["all"].enabled,
+        Enabled::ByFailure
+    );
     assert_eq!(r.remove_endpoint("t", "all"), Ok(first.id));
     r.put_endpoint("t", "all", &all).unwrap();
-    assert_ne!(r.get("t").unwrap().endpoints["all"].id, first.id, "another of the same name");
-    let bad = |s: EndpointSpec| EndpointSpec { url: Some("http://127.0.0.1:9/".into()), ..s };
+    assert_ne!(
+        r.get("t").unwrap().endpoints["all"].id,
+        first.id,
+        "another of the same name"
+    );
+    let bad = |s: EndpointSpec| EndpointSpec {
+        url: Some("http://127.0.0.1:9/".into()),
+        ..s
+    };
     for (spec, error) in [
         (EndpointSpec::default(), TenantError::Portal),
-        (bad(EndpointSpec { in_flight: Some(0), ..Default::default() }), TenantError::Limits),
-        (bad(EndpointSpec { rate_per_s: Some(f64::NAN), ..Default::default() }), TenantError::Limits),
-        (bad(EndpointSpec { schedule_s: Some(vec![-1.0]), ..Default::default() }), TenantError::Schedule),
-        (bad(EndpointSpec { types: Some(vec!["*".into()]), ..Default::default() }), TenantError::Types),
+        (
+            bad(EndpointSpec {
+                in_flight: Some(0),
+                ..Default::default()
+            }),
+            TenantError::Limits,
+        ),
+        (
+            bad(EndpointSpec {
+                rate_per_s: Some(f64::NAN),
+                ..Default::default()
+            }),
+            TenantError::Limits,
+        ),
+        (
+            bad(EndpointSpec {
+                schedule_s: Some(vec![-1.0]),
+                ..Default::default()
+            }),
+            TenantError::Schedule,
+        ),
+        (
+            bad(EndpointSpec {
+                types: Some(vec!["*".into()]),
+                ..Default::default()
+            }),
+            TenantError::Types,
+        ),
     ] {
         assert_eq!(r.put_endpoint("t", "x", &spec), Err(error));
     }
@@ -71,18 +124,32 @@
 fn a_rotated_secret_counts_until_its_time_and_is_never_shown() {
     let mut r = Registry::new(&[("org".into(), 5.0)]);
     assert_eq!(r.put("other", &spec()), Ok(true));
-    assert_eq!((r.get("other").unwrap().id, r.put("org", &spec())), (TenantId(1), Ok(true)));
+    assert_eq!(
+        (r.get("other").unwrap().id, r.put("org", &spec())),
+        (TenantId(1), Ok(true))
+    );
     r.rotate("other", B, 10, 20).unwrap();
     assert_eq!(r.get("other").unwrap().secrets(19).count(), 2);
     let left: Vec<_> = r.get("other").unwrap().secrets(20).cloned().collect();
     assert_eq!(left, vec![Secret::parse(B).unwrap()]);
-    let shown = format!("{:?} {}", r.get("other"), serde_json::to_string(&r.views(0)).unwrap());
+    let shown = format!(
+        "{:?} {}",
+        r.get("other"),
+        serde_json::to_string(&r.views(0)).unwrap()
+    );
     assert!(!shown.contains("whsec") && !shown.contains("97"), "{shown}");
-    assert_eq!(r.remove("org"), Ok((TenantId(0), 5.0)), "the platform's share stands again");
+    assert_eq!(
+        r.remove("org"),
+        Ok((TenantId(0), 5.0)),
+        "the platform's share stands again"
+    );
     let serial = r.get("other").unwrap().serial;
     assert_eq!(r.remove("other"), Ok((TenantId(1), 0.0)));
     assert_eq!(r.put("other", &spec()), Ok(true));
-    assert!(r.get("other").is_some() && r.same("other", serial).is_none(), "the name is another's now");
+    assert!(
+        r.get("other").is_some() && r.same("other", serial).is_none(),
+        "the name is another's now"
+    );
 }
 
 #[test]
@@ -97,7 +164,10 @@
     back.restore(&r.state()).unwrap();
     assert!(back.get("first").is_none(), "the state is all there is");
     let t = back.get("other").unwrap();
-    assert_eq!((t.secrets(19).count(), t.secrets(20).count(), t.share_per_s), (2, 1, 9.0));
+    assert_eq!(
+        (t.secrets(19).count(), t.secrets(20).count(), t.share_per_s),
+        (2, 1, 9.0)
+    );
     assert_eq!((back.state(), t.id), (r.state(), TenantId(1)));
     assert_eq!(back.restore("[{}]"), Err(TenantError::State));
     assert!(back.get("other").is_some());
@@ -109,11 +179,41 @@
     for (name, change) in [
         ("", spec()),
         ("a/b", spec()),
-        ("a", Spec { share_per_s: Some(f64::NAN), ..spec() }),
-        ("a", Spec { portal: Some("https://127.0.0.1:9/".into()), ..spec() }),
-        ("a", Spec { portal: Some("http://portal.example/".into()), ..spec() }),
-        ("a", Spec { portal: Some("http://127.0.0.1:9/a b".into()), ..spec() }),
-        ("a", Spec { secrets: vec!["whsec_short".into()], ..spec() }),
+        (
+            "a",
+            Spec {
+                share_per_s: Some(f64::NAN),
+                ..spec()
+            },
+        ),
+        (
+            "a",
+            Spec {
+                portal: Some("https://127.0.0.1:9/".into()),
+                ..spec()
+            },
+        ),
+        (
+            "a",
+            Spec {
+                portal: Some("http://portal.example/".into()),
+                ..spec()
+            },
+        ),
+        (
+            "a",
+            Spec {
+                portal: Some("http://127.0.0.1:9/a b".into()),
+                ..spec()
+            },
+        ),
+        (
+            "a",
+            Spec {
+                secrets: vec!["whsec_short".into()],
+                ..spec()
+            },
+        ),
     ] {
         assert!(r.put(name, &change).is_err(), "{name} {change:?}");
     }
@@ -132,17 +232,46 @@
     // The clock here is another one, and the tenant has other endpoints and a number of its own.
     let mut here = Registry::new(&[("org".into(), 5.0)]);
     here.put("t", &spec()).unwrap();
-    let old = EndpointSpec { url: Some("http://127.0.0.1:9/old".into()), ..EndpointSpec::default() };
+    let old = EndpointSpec {
+        url: Some("http://127.0.0.1:9/old".into()),
+        ..EndpointSpec::default()
+    };
     here.put_endpoint("t", "old", &old).unwrap();
-    let (id, gone) = (here.get("t").unwrap().id, here.get("t").unwrap().endpoints["old"].id);
+    let (id, gone) = (
+        here.get("t").unwrap().id,
+        here.get("t").unwrap().endpoints["old"].id,
+    );
     let adopted = here.adopt(7, "t", Some(&told)).unwrap().unwrap();
-    assert_eq!(adopted, Adopted { share: (id, 9.0), gone: vec![gone] });
+    assert_eq!(
+        adopted,
+        Adopted {
+            share: (id, 9.0),
+            gone: vec![gone]
+        }
+    );
     let t = here.get("t").unwrap();
-    assert_eq!((t.serial, t.version), (there.get("t").unwrap().serial, there.get("t").unwrap().version));
-    assert_eq!((t.secrets(7).count(), t.secrets(56).count(), t.secrets(57).count()), (2, 2, 1));
+    assert_eq!(
+        (t.serial, t.version),
+        (
+            there.get("t").unwrap().serial,
+            there.get("t").unwrap().version
+        )
+    );
+    assert_eq!(
+        (
+            t.secrets(7).count(),
+            t.secrets(56).count(),
+            t.secrets(57).count()
+        ),
+        (2, 2, 1)
+    );
     let later = there.told("t", 1_300).unwrap();
     here.adopt(9, "t", Some(&later)).unwrap();
-    assert_eq!(here.get("t").unwrap().secrets(9).count(), 1, "what is over is not told");
+    assert_eq!(
+        here.get("t").unwrap().secrets(9).count(),
+        1,
+        "what is over is not told"
+    );
     // What cannot be read, or is of another, changes nothing.
     assert_eq!(here.adopt(9, "t", Some(b"{")), Err(TenantError::State));
     assert_eq!(here.adopt(9, "u", Some(&told)), Err(TenantError::Name));
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -63,18 +63,30 @@
         None => return Ok(None),
         Some(b) if *b == sign => {}
         Some(_) => {
-            return Err(RespError::Unexpected(if sign == b'*' { "an array" } else { "a bulk string" }))
+            return Err(RespError::Unexpected(if sign == b'*' {
+                "an array"
+            } else {
+                "a bulk string"
+            }))
         }
     }
     let Some(end) = bytes.iter().take(24).position(|b| *b == b'\n') else {
         let text = || String::from_utf8_lossy(&bytes[..bytes.len().min(24)]).into_owned();
-        return if bytes.len() < 24 { Ok(None) } else { Err(RespError::Length(text())) };
+        return if bytes.len() < 24 {
+            Ok(None)
+        } else {
+            Err(RespError::Length(text()))
+        };
     };
     let text = bytes.get(1..end.max(2) - 1).unwrap_or_default();
-    let number = std::str::from_utf8(text).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
+    let number = std::str::from_utf8(text)
+        .ok()
+        .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
     match number.and_then(|t| t.parse::<usize>().ok()) {
         Some(n) if n <= most && bytes[end - 1] == b'\r' => Ok(Some((n, end + 1))),
-        _ => Err(RespError::Length(String::from_utf8_lossy(text).into_owned())),
+        _ => Err(RespError::Length(
+            String::from_utf8_lossy(text).into_owned(),
+        )),
     }
 }
 
@@ -83,12 +95,18 @@
 
 /// The words of the first array in `bytes` and its length; `None` while it is not whole.
 pub fn parse(bytes: &[u8]) -> Result<Option<CompleteArray<'_>>, RespError> {
-    let Some((count, mut at)) = length(bytes, b'*', MOST_WORDS)? else { return Ok(None) };
+    let Some((count, mut at)) = length(bytes, b'*', MOST_WORDS)? else {
+        return Ok(None);
+    };
     let mut words = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((size, head)) = length(&bytes[at..], b'$', LONGEST_WORD)? else { return Ok(None) };
+        let Some((size, head)) = length(&bytes[at..], b'$', LONGEST_WORD)? else {
+            return Ok(None);
+        };
         let start = at + head;
-        let Some(rest) = bytes.get(start..start + size + 2) else { return Ok(None) };
+        let Some(rest) = bytes.get(start..start + size + 2) else {
+            return Ok(None);
+        };
         if &rest[size..] != b"\r\n" {
             return Err(RespError::Unexpected("the end of a bulk string"));
         }
@@ -116,7 +134,9 @@
 }
 
 fn fields(text: &str) -> impl Iterator<Item = (&str, &str)> {
-    text.split(',').filter(move |_| text != "-").filter_map(|p| p.split_once('='))
+    text.split(',')
+        .filter(move |_| text != "-")
+        .filter_map(|p| p.split_once('='))
 }
 
 /// What something open on a connection is.
@@ -148,7 +168,13 @@
 impl Completed {
     /// An end without an answer.
     pub fn plain(what: Exchange, ending: CloseReason, left: SendProgress) -> Completed {
-        Completed { what, ending, left, back: AttemptReply::default(), copies: 0 }
+        Completed {
+            what,
+            ending,
+            left,
+            back: AttemptReply::default(),
+            copies: 0,
+        }
     }
 }
 
@@ -239,7 +265,10 @@
     /// each. Guards calls that must not run twice: taken for the answer to the next attempt, it would say that this one
     /// never ran. If it is that one's own after all, the call ends with its time.
     fn is_heard_again(&mut self, now: Micros, id: &[u8]) -> bool {
-        let at = self.turned_away.iter().position(|(i, until)| i.as_bytes() == id && now < *until);
+        let at = self
+            .turned_away
+            .iter()
+            .position(|(i, until)| i.as_bytes() == id && now < *until);
         at.and_then(|at| self.turned_away.remove(at)).is_some()
     }
 
@@ -262,7 +291,13 @@
     }
 
     /// Sends an order to load.
-    pub fn send_load(&mut self, out: &mut Outbox, order: OrderKey, function: FunctionId, copies: u8) {
+    pub fn send_load(
+        &mut self,
+        out: &mut Outbox,
+        order: OrderKey,
+        function: FunctionId,
+        copies: u8,
+    ) {
         let tag: Rc<str> = format!("o{:x}", order.data().as_ffi()).into();
         let fields = format!("thing={:016x},copies={copies}", function.0);
         let bytes = array(&[b"stage", tag.as_bytes(), fields.as_bytes()]);
@@ -278,15 +313,31 @@
 
     /// Orders idle copies to be unloaded.
     pub fn send_unload(&mut self, out: &mut Outbox, function: FunctionId) {
-        out.push(KEPT_FRAME, array(&[b"purge", format!("{:016x}", function.0).as_bytes()]));
+        out.push(
+            KEPT_FRAME,
+            array(&[b"purge", format!("{:016x}", function.0).as_bytes()]),
+        );
     }
 
     /// Gives something up: takes it back unsent, or tells the worker.
-    pub fn cancel(&mut self, out: &mut Outbox, what: Exchange, now: Micros, until: Micros) -> SendProgress {
-        let Some(id) = self.open.iter().find(|(_, e)| e.what == what).map(|(id, _)| id.clone()) else {
+    pub fn cancel(
+        &mut self,
+        out: &mut Outbox,
+        what: Exchange,
+        now: Micros,
+        until: Micros,
+    ) -> SendProgress {
+        let Some(id) = self
+            .open
+            .iter()
+            .find(|(_, e)| e.what == what)
+            .map(|(id, _)| id.clone())
+        else {
+            return SendProgress::Started;
+        };
+        let Some(Entry { tag, .. }) = self.open.remove(&id) else {
             return SendProgress::Started;
         };
-        let Some(Entry { tag, .. }) = self.open.remove(&id) else { return SendProgress::Started };
         if out.withdraw(tag) {
             return SendProgress::Unsent;
         }
@@ -303,7 +354,9 @@
     /// Takes something back if none of its bytes have left; tells whether it has.
     pub fn withdraw(&mut self, out: &mut Outbox, what: Exchange) -> bool {
         let found = self.open.iter().find(|(_, e)| e.what == what);
-        let Some((id, tag)) = found.map(|(id, e)| (id.clone(), e.tag)) else { return false };
+        let Some((id, tag)) = found.map(|(id, e)| (id.clone(), e.tag)) else {
+            return false;
+        };
         let unsent = out.withdraw(tag);
         if unsent {
             self.open.remove(&id);
@@ -317,7 +370,11 @@
         self.open.retain(|_, Entry { what, tag, .. }| {
             let unsent = out.withdraw(*tag);
             if unsent {
-                done.push(Completed::plain(*what, CloseReason::Withdrawn, SendProgress::Unsent));
+                done.push(Completed::plain(
+                    *what,
+                    CloseReason::Withdrawn,
+                    SendProgress::Unsent,
+                ));
             }
             !unsent
         });
@@ -326,7 +383,11 @@
     /// The connection has ended, and with it everything open on it.
     pub fn end(&mut self, out: &Outbox, ending: CloseReason, done: &mut Vec<Completed>) {
         for (_, Entry { what, tag, .. }) in std::mem::take(&mut self.open) {
-            let left = if out.untouched(tag) { SendProgress::Unsent } else { SendProgress::Started };
+            let left = if out.untouched(tag) {
+                SendProgress::Unsent
+            } else {
+                SendProgress::Started
+            };
             done.push(Completed::plain(what, ending, left));
         }
     }
@@ -350,15 +411,25 @@
         Ok(unmatched)
     }
 
-    fn answer(&mut self, now: Micros, words: &[&[u8]], done: &mut Vec<Completed>) -> Result<bool, RespError> {
+    fn answer(
+        &mut self,
+        now: Micros,
+        words: &[&[u8]],
+        done: &mut Vec<Completed>,
+    ) -> Result<bool, RespError> {
         let (id, word, rest) = match words {
             [id, word, rest @ ..] if rest.len() <= 2 => (*id, *word, rest),
             _ => return Err(RespError::Words(words.len())),
         };
         let text = |b: &[u8]| String::from_utf8_lossy(&b[..b.len().min(64)]).into_owned();
         let of = rest.first().copied().unwrap_or(b"-");
-        let Ok(of) = std::str::from_utf8(of) else { return Err(RespError::Answer(text(of))) };
-        let open = std::str::from_utf8(id).ok().and_then(|id| self.open.get(id)).copied();
+        let Ok(of) = std::str::from_utf8(of) else {
+            return Err(RespError::Answer(text(of)));
+        };
+        let open = std::str::from_utf8(id)
+            .ok()
+            .and_then(|id| self.open.get(id))
+            .copied();
         let Some(Entry { what, once, .. }) = open else {
             self.given_up.retain(|(i, _)| i.as_bytes() != id);
             return Ok(false);
@@ -371,8 +442,10 @@
             (b"504", _) => CloseReason::Expired,
             _ => return Err(RespError::Answer(text(word))),
         };
-        let turned_away =
-            matches!(ending, CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired);
+        let turned_away = matches!(
+            ending,
+            CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired
+        );
         if once && turned_away && self.is_heard_again(now, id) {
             return Ok(false);
         }
@@ -402,7 +475,11 @@
             }
             !answered
         });
-        while self.turned_away.front().is_some_and(|(_, until)| *until <= now) {
+        while self
+            .turned_away
+            .front()
+            .is_some_and(|(_, until)| *until <= now)
+        {
             self.turned_away.pop_front();
         }
         done.push(d);
--- a/src/worker/tests.rs
+++ b/src/worker/tests.rs
@@ -17,7 +17,13 @@
     fn new() -> Rig {
         let link = WorkerConnection::new(WorkerId(1), 0);
         let keys = SlotMap::with_key();
-        Rig { link, out: Outbox::default(), input: Buffer::default(), done: Vec::new(), keys }
+        Rig {
+            link,
+            out: Outbox::default(),
+            input: Buffer::default(),
+            done: Vec::new(),
+            keys,
+        }
     }
 
     fn go(&mut self, id: &str) -> AttemptKey {
@@ -50,24 +56,46 @@
     let mut r = Rig::new();
     let first = r.go(ID);
     r.out.drain();
-    assert_eq!(r.link.cancel(&mut r.out, Exchange::Attempt(first), 5, 100), SendProgress::Started);
+    assert_eq!(
+        r.link.cancel(&mut r.out, Exchange::Attempt(first), 5, 100),
+        SendProgress::Started
+    );
     assert_eq!(r.out.drain(), array(&[b"halt", ID.as_bytes()]));
-    assert!(!r.link.accepts(ID, 100), "a resend goes on another connection");
+    assert!(
+        !r.link.accepts(ID, 100),
+        "a resend goes on another connection"
+    );
     assert!(r.link.accepts("9b1f03aa5c7e2d42", 100));
-    assert_eq!(r.hear(&array(&[ID.as_bytes(), b"200", b"-", b"old"])), Ok(1));
-    assert!(r.done.is_empty() && r.link.accepts(ID, 100), "it has come, so the identity is free again");
+    assert_eq!(
+        r.hear(&array(&[ID.as_bytes(), b"200", b"-", b"old"])),
+        Ok(1)
+    );
+    assert!(
+        r.done.is_empty() && r.link.accepts(ID, 100),
+        "it has come, so the identity is free again"
+    );
 }
 
 #[test]
 fn what_has_not_left_is_taken_back_whole_and_without_a_word() {
     let mut r = Rig::new();
     let (first, _) = (r.go(ID), r.go("9b1f03aa5c7e2d42"));
-    assert_eq!(r.link.cancel(&mut r.out, Exchange::Attempt(first), 5, 100), SendProgress::Unsent);
+    assert_eq!(
+        r.link.cancel(&mut r.out, Exchange::Attempt(first), 5, 100),
+        SendProgress::Unsent
+    );
     assert!(r.link.accepts(ID, 100));
     let mut done = Vec::new();
     r.link.withdraw_unsent(&mut r.out, &mut done);
-    assert_eq!((done.len(), done[0].ending, done[0].left), (1, CloseReason::Withdrawn, SendProgress::Unsent));
-    assert_eq!((r.out.drain(), r.link.open()), (vec![], 0), "a drained worker hears nothing more");
+    assert_eq!(
+        (done.len(), done[0].ending, done[0].left),
+        (1, CloseReason::Withdrawn, SendProgress::Unsent)
+    );
+    assert_eq!(
+        (r.out.drain(), r.link.open()),
+        (vec![], 0),
+        "a drained worker hears nothing more"
+    );
 }
 
 #[test]
@@ -79,7 +107,10 @@
     r.link.end(&r.out, CloseReason::Reset, &mut r.done);
     assert_eq!(
         r.ends(),
-        vec![(CloseReason::Reset, SendProgress::Started), (CloseReason::Reset, SendProgress::Unsent)]
+        vec![
+            (CloseReason::Reset, SendProgress::Started),
+            (CloseReason::Reset, SendProgress::Unsent)
+        ]
     );
 }
 
@@ -111,15 +142,23 @@
         (&b"+OK\r\n"[..], "expected an array"),
         (b"*2\r\n:1\r\n", "expected a bulk string"),
         (b"*99\r\n", "length '99' is not a number within bounds"),
-        (b"*2\r\n$-1\r\n", "length '-1' is not a number within bounds"),
+        (
+            b"*2\r\n$-1\r\n",
+            "length '-1' is not a number within bounds",
+        ),
         (b"*2\r\n$2\r\nabXX", "expected the end of a bulk string"),
         (b"*1\r\n$1\r\na\r\n", "an answer of 1 words"),
     ] {
-        assert_eq!(Rig::new().hear(bytes).map_err(|e| e.to_string()), Err(error.into()));
+        assert_eq!(
+            Rig::new().hear(bytes).map_err(|e| e.to_string()),
+            Err(error.into())
+        );
     }
     let mut r = Rig::new();
     r.go(ID);
-    assert!(r.hear(&array(&[ID.as_bytes(), b"teapot", b"-", b""])).is_err());
+    assert!(r
+        .hear(&array(&[ID.as_bytes(), b"teapot", b"-", b""]))
+        .is_err());
     // Every damage of one byte to a good answer is read, waited on or refused.
     let good = array(&[ID.as_bytes(), b"200", b"remark=w,queue_fn=1", b"body"]);
     for at in 0..good.len() {
@@ -142,8 +181,16 @@
     r.go(ID);
     assert_eq!((r.hear(&missed), r.done.len()), (Ok(0), 1));
     r.go(ID);
-    assert_eq!((r.hear(&missed), r.done.len()), (Ok(1), 1), "it may be the first one's");
-    assert_eq!((r.hear(&missed), r.done.len()), (Ok(0), 2), "a third is its own");
+    assert_eq!(
+        (r.hear(&missed), r.done.len()),
+        (Ok(1), 1),
+        "it may be the first one's"
+    );
+    assert_eq!(
+        (r.hear(&missed), r.done.len()),
+        (Ok(0), 2),
+        "a third is its own"
+    );
     r.go(ID);
     assert_eq!(r.hear(&array(&[ID.as_bytes(), b"200", b"-", b""])), Ok(0));
     assert_eq!(
@@ -156,7 +203,13 @@
     assert_eq!(later.hear(&missed), Ok(0));
     later.go(ID);
     later.input.feed(&missed);
-    assert_eq!(later.link.input(1 + SECOND_ANSWER, &mut later.input, &mut later.done), Ok(0), "not for ever");
+    assert_eq!(
+        later
+            .link
+            .input(1 + SECOND_ANSWER, &mut later.input, &mut later.done),
+        Ok(0),
+        "not for ever"
+    );
 }
 
 #[test]
@@ -164,8 +217,15 @@
     let mut r = Rig::new();
     let (first, second) = (r.go(ID), r.go("9b1f03aa5c7e2d42"));
     assert!(r.link.withdraw(&mut r.out, Exchange::Attempt(first)));
-    assert!(!r.link.withdraw(&mut r.out, Exchange::Attempt(first)), "it is not there any more");
+    assert!(
+        !r.link.withdraw(&mut r.out, Exchange::Attempt(first)),
+        "it is not there any more"
+    );
     r.out.drain();
     assert!(!r.link.withdraw(&mut r.out, Exchange::Attempt(second)));
-    assert_eq!((r.link.open(), r.out.len()), (1, 0), "it goes on, and the worker hears nothing");
+    assert_eq!(
+        (r.link.open(), r.out.len()),
+        (1, 0),
+        "it goes on, and the worker hears nothing"
+    );
 }
--- a/testbed/src/bench.rs
+++ b/testbed/src/bench.rs
@@ -29,7 +29,11 @@
         };
         let mut w = TimingWheel::new(0);
         let begun = Instant::now();
-        let timers: Vec<_> = times.iter().enumerate().map(|(i, t)| w.insert(*t, i as u64)).collect();
+        let timers: Vec<_> = times
+            .iter()
+            .enumerate()
+            .map(|(i, t)| w.insert(*t, i as u64))
+            .collect();
         let insert = each(begun, n);
         let bytes = w.bytes() as f64 / n as f64;
         let begun = Instant::now();
@@ -43,7 +47,13 @@
             w.expire(second * 1_000_000, &mut out);
             told += out.drain(..).count();
         }
-        row("wheel", insert, cancel, each(begun, n / 2), format!("{bytes:.0}"));
+        row(
+            "wheel",
+            insert,
+            cancel,
+            each(begun, n / 2),
+            format!("{bytes:.0}"),
+        );
         assert_eq!(told, n / 2);
 
         let mut set = BTreeSet::new();
@@ -64,12 +74,21 @@
                 told += usize::from(black_box(set.pop_first()).is_some());
             }
         }
-        row("BTreeSet", insert, cancel, each(begun, n / 2), "16 and nodes".into());
+        row(
+            "BTreeSet",
+            insert,
+            cancel,
+            each(begun, n / 2),
+            "16 and nodes".into(),
+        );
         assert_eq!(told, n / 2);
 
         let (mut heap, mut gone) = (BinaryHeap::new(), HashSet::new());
         let begun = Instant::now();
-        times.iter().enumerate().for_each(|(i, t)| heap.push(Reverse((*t, i as u64))));
+        times
+            .iter()
+            .enumerate()
+            .for_each(|(i, t)| heap.push(Reverse((*t, i as u64))));
         let insert = each(begun, n);
         let begun = Instant::now();
         // A heap cannot cancel: what is cancelled is marked and passed over when its time comes.
@@ -80,12 +99,23 @@
         let begun = Instant::now();
         let mut told = 0;
         for second in 1..=3600u64 {
-            while heap.peek().is_some_and(|Reverse((t, _))| *t <= second * 1_000_000) {
-                let Some(Reverse((_, i))) = heap.pop() else { break };
+            while heap
+                .peek()
+                .is_some_and(|Reverse((t, _))| *t <= second * 1_000_000)
+            {
+                let Some(Reverse((_, i))) = heap.pop() else {
+                    break;
+                };
                 told += usize::from(!gone.remove(&i));
             }
         }
-        row("BinaryHeap", insert, cancel, each(begun, n / 2), "16 and marks".into());
+        row(
+            "BinaryHeap",
+            insert,
+            cancel,
+            each(begun, n / 2),
+            "16 and marks".into(),
+        );
         assert_eq!(told, n / 2);
     }
     Ok(true)
--- a/testbed/src/cli.rs
+++ b/testbed/src/cli.rs
@@ -4,7 +4,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use crate::{bench, conformance, crash, demo, emulator, fault_injection, gossip, lease_trials, load, rate};
+use crate::{
+    bench, conformance, crash, demo, emulator, fault_injection, gossip, lease_trials, load, rate,
+};
 use bpaf::Bpaf;
 
 /// Tools and stand-ins around the molelug gateway; all of it on loopback
@@ -269,21 +271,47 @@
     let result = match command().run() {
         Command::Demo => demo::run(),
         Command::Crash { seed, rounds } => crash::run(seed, rounds),
-        Command::Gossip { instances, liars, seconds } => gossip::run(instances, liars, seconds),
-        Command::Load(Load::Webhooks { portals, dead, slow, rate, seconds, json }) => {
-            load::webhooks(portals, dead, slow, rate, seconds, json.as_deref())
-        }
-        Command::Load(Load::Accept { callers, seconds, before }) => {
-            load::accept(callers, seconds, before.as_deref())
-        }
+        Command::Gossip {
+            instances,
+            liars,
+            seconds,
+        } => gossip::run(instances, liars, seconds),
+        Command::Load(Load::Webhooks {
+            portals,
+            dead,
+            slow,
+            rate,
+            seconds,
+            json,
+        }) => load::webhooks(portals, dead, slow, rate, seconds, json.as_deref()),
+        Command::Load(Load::Accept {
+            callers,
+            seconds,
+            before,
+        }) => load::accept(callers, seconds, before.as_deref()),
         Command::Load(Load::Waiting { messages }) => load::waiting(messages),
-        Command::Conformance(Conformance::Receiver { own, target, path, secret, body }) => {
-            conformance::receiver(own, target, &path, secret.as_deref(), &body)
-        }
-        Command::Conformance(Conformance::Sender { own, listen, secret }) => {
-            conformance::sender(own, listen, secret.as_deref())
-        }
-        Command::Owners { instances, voters, rounds, seed, faults, lease_ms, history, without } => {
+        Command::Conformance(Conformance::Receiver {
+            own,
+            target,
+            path,
+            secret,
+            body,
+        }) => conformance::receiver(own, target, &path, secret.as_deref(), &body),
+        Command::Conformance(Conformance::Sender {
+            own,
+            listen,
+            secret,
+        }) => conformance::sender(own, listen, secret.as_deref()),
+        Command::Owners {
+            instances,
+            voters,
+            rounds,
+            seed,
+            faults,
+            lease_ms,
+            history,
+            without,
+        } => {
             let shape = lease_trials::Shape {
                 instances,
                 voters: voters.min(instances),
@@ -293,9 +321,15 @@
             };
             lease_trials::run(&shape, rounds, seed, faults, history.as_deref())
         }
-        Command::Rounds { instances, copies, rounds, seed, faults, without, subject } => match subject
-            .as_str()
-        {
+        Command::Rounds {
+            instances,
+            copies,
+            rounds,
+            seed,
+            faults,
+            without,
+            subject,
+        } => match subject.as_str() {
             "copies" => {
                 let shape = fault_injection::fleet::Shape {
                     instances,
@@ -306,18 +340,44 @@
                 fault_injection::copies::run(&shape, rounds, seed, faults)
             }
             "cost" => fault_injection::copies::cost(instances, rounds),
-            other => Err(std::io::Error::other(format!("no subject '{other}': there are copies and cost"))),
+            other => Err(std::io::Error::other(format!(
+                "no subject '{other}': there are copies and cost"
+            ))),
         },
         Command::Calls { seconds, turns } => lease_trials::calls(seconds, turns),
         Command::Gain { instances, seconds } => lease_trials::gain(instances, seconds),
-        Command::Emulate { seeds, seed, instances, json, plot, scenario } => {
-            emulator::run(&scenario, seeds, seed, &instances, json.as_deref(), plot.as_deref())
-        }
+        Command::Emulate {
+            seeds,
+            seed,
+            instances,
+            json,
+            plot,
+            scenario,
+        } => emulator::run(
+            &scenario,
+            seeds,
+            seed,
+            &instances,
+            json.as_deref(),
+            plot.as_deref(),
+        ),
         Command::Check { folder } => crate::history::run(&folder),
         Command::Bench(Bench::Wheel) => bench::wheel(),
-        Command::Bench(Bench::Rate { callers, rate, seconds, cores, before }) => {
-            rate::run(rate::Load { callers, rate, seconds, cores }, before.as_deref())
-        }
+        Command::Bench(Bench::Rate {
+            callers,
+            rate,
+            seconds,
+            cores,
+            before,
+        }) => rate::run(
+            rate::Load {
+                callers,
+                rate,
+                seconds,
+                cores,
+            },
+            before.as_deref(),
+        ),
     };
     match result {
         Ok(true) => ExitCode::SUCCESS,
--- a/testbed/src/conformance.rs
+++ b/testbed/src/conformance.rs
@@ -10,7 +10,8 @@
 
 use crate::fakes::gateway::{Folder, SAFE, UNSAFE};
 use crate::fakes::{
-    body, call_body, header, now_s, read_http, secret, secret_text, status, Caller, Gateway, Worker, PATIENCE,
+    body, call_body, header, now_s, read_http, secret, secret_text, status, Caller, Gateway,
+    Worker, PATIENCE,
 };
 
 #[derive(Debug, Deserialize)]
@@ -57,7 +58,8 @@
 }
 
 fn cases() -> Result<Vec<Case>> {
-    let cases: Cases = toml::from_str(include_str!("../cases/receiver.toml")).map_err(Error::other)?;
+    let cases: Cases =
+        toml::from_str(include_str!("../cases/receiver.toml")).map_err(Error::other)?;
     Ok(cases.case)
 }
 
@@ -76,23 +78,45 @@
     if let Some(more) = &case.prepend {
         signed = format!("{more} {signed}");
     }
-    let id = if case.change_id { format!("{id}x") } else { id.to_owned() };
+    let id = if case.change_id {
+        format!("{id}x")
+    } else {
+        id.to_owned()
+    };
     let stamp = if case.change_stamp { stamp + 1 } else { stamp };
-    let stamp = if case.junk_stamp { "soon".to_owned() } else { stamp.to_string() };
+    let stamp = if case.junk_stamp {
+        "soon".to_owned()
+    } else {
+        stamp.to_string()
+    };
     let mut head = format!("POST {path} HTTP/1.1\r\nHost: conformance\r\nConnection: close\r\n");
-    for (name, value) in [("webhook-id", &id), ("webhook-timestamp", &stamp), ("webhook-signature", &signed)]
-    {
+    for (name, value) in [
+        ("webhook-id", &id),
+        ("webhook-timestamp", &stamp),
+        ("webhook-signature", &signed),
+    ] {
         if case.drop.as_deref() == Some(name) {
             continue;
         }
-        let shown = if case.upper { name.to_ascii_uppercase() } else { name.to_owned() };
+        let shown = if case.upper {
+            name.to_ascii_uppercase()
+        } else {
+            name.to_owned()
+        };
         head.push_str(&format!("{shown}: {value}\r\n"));
         if case.double.as_deref() == Some(name) {
             head.push_str(&format!("{shown}: 1{value}\r\n"));
         }
     }
-    let text = if case.change_body { text.replacen('{', "{ ", 1) } else { text.to_owned() };
-    head.push_str(&format!("Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{text}", text.len()));
+    let text = if case.change_body {
+        text.replacen('{', "{ ", 1)
+    } else {
+        text.to_owned()
+    };
+    head.push_str(&format!(
+        "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{text}",
+        text.len()
+    ));
     head.into_bytes()
 }
 
@@ -118,7 +142,9 @@
 ) -> Result<bool> {
     if !own {
         let (Some(target), Some(key)) = (target, key) else {
-            return Err(Error::other("--target and --secret tell the receiver, or --self starts one"));
+            return Err(Error::other(
+                "--target and --secret tell the receiver, or --self starts one",
+            ));
         };
         let key = Secret::parse(key).map_err(Error::other)?;
         return receive(target, path, &key, text);
@@ -173,14 +199,24 @@
 /// then 204, and looks at what came.
 pub fn sender(own: bool, listen: Option<SocketAddr>, key: Option<&str>) -> Result<bool> {
     let listener = TcpListener::bind(listen.unwrap_or_else(|| ([127, 0, 0, 1], 0).into()))?;
-    let key = key.map_or_else(|| Ok(secret(1)), Secret::parse).map_err(Error::other)?;
+    let key = key
+        .map_or_else(|| Ok(secret(1)), Secret::parse)
+        .map_err(Error::other)?;
     if !own {
-        println!("point the sender at http://{}/ and have it send one message", listener.local_addr()?);
+        println!(
+            "point the sender at http://{}/ and have it send one message",
+            listener.local_addr()?
+        );
         return send(&listener, &key, None);
     }
     let folder = Folder::new("sender")?;
     let workers = [Worker::start(Duration::ZERO, 0)?];
-    let mut g = Gateway::start(&folder.0, &workers, &operator(listener.local_addr()?), 900.0)?;
+    let mut g = Gateway::start(
+        &folder.0,
+        &workers,
+        &operator(listener.local_addr()?),
+        900.0,
+    )?;
     let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
     for class in [SAFE, UNSAFE] {
         Caller::new(to).call("t", &secret(1), class, &call_body(class, 1, None))?;
@@ -212,18 +248,25 @@
     }
     let id = |g: &Got| header(&g.bytes, "webhook-id");
     let Some(last) = got.iter().find(|g| g.told == 204).map(id) else {
-        return Err(Error::other("no message was sent a third time after 500 and 301"));
+        return Err(Error::other(
+            "no message was sent a third time after 500 and 301",
+        ));
     };
     let mine: Vec<&Got> = got.iter().filter(|g| id(g) == last).collect();
     let stamp = |g: &Got| header(&g.bytes, "webhook-timestamp").parse::<u64>().ok();
     let holds = |g: &Got| {
         let signed = header(&g.bytes, "webhook-signature");
-        stamp(g)
-            .is_some_and(|at| signature::verify(std::iter::once(key), &id(g), at, body(&g.bytes), &signed))
+        stamp(g).is_some_and(|at| {
+            signature::verify(std::iter::once(key), &id(g), at, body(&g.bytes), &signed)
+        })
     };
     let text: serde_json::Value = serde_json::from_slice(body(&mine[0].bytes)).unwrap_or_default();
     let case = |name: &str, section: &str, good: bool| {
-        (name.to_owned(), section.to_owned(), good.then_some(()).ok_or("it does not hold".to_owned()))
+        (
+            name.to_owned(),
+            section.to_owned(),
+            good.then_some(()).ok_or("it does not hold".to_owned()),
+        )
     };
     let mut rows = vec![
         case(
@@ -237,13 +280,21 @@
             "Payload structure",
             text["type"].is_string() && text["timestamp"].is_string() && text["data"].is_object(),
         ),
-        case("every delivery is signed", "Signature scheme", got.iter().all(holds)),
+        case(
+            "every delivery is signed",
+            "Signature scheme",
+            got.iter().all(holds),
+        ),
         case(
             "the identity stays over repeats",
             "Webhook headers: webhook-id",
             mine.len() == 3 && !last.is_empty(),
         ),
-        case("the identity has no full stop", "Webhook headers: webhook-id", !last.contains('.')),
+        case(
+            "the identity has no full stop",
+            "Webhook headers: webhook-id",
+            !last.contains('.'),
+        ),
         case(
             "the body stays over repeats",
             "Payload structure",
@@ -260,7 +311,11 @@
             "Deliverability and reliability",
             mine.windows(2).all(|w| w[1].at > w[0].at) && mine.len() == 3,
         ),
-        case("a redirect is not followed", "Webhook security: SSRF", elsewhere.accept().is_err()),
+        case(
+            "a redirect is not followed",
+            "Webhook security: SSRF",
+            elsewhere.accept().is_err(),
+        ),
         case(
             "nothing follows a 2xx",
             "Deliverability and reliability",
@@ -270,7 +325,9 @@
     if let Some(once) = once {
         let count = got
             .iter()
-            .filter(|g| String::from_utf8_lossy(body(&g.bytes)).contains(&format!("\"call\":\"{once}\"")))
+            .filter(|g| {
+                String::from_utf8_lossy(body(&g.bytes)).contains(&format!("\"call\":\"{once}\""))
+            })
             .count();
         rows.push(case(
             "what must not come twice comes once, whatever it is answered",
@@ -284,9 +341,15 @@
 fn serve(mut stream: TcpStream, before: &[Got], elsewhere: SocketAddr) -> Result<Option<Got>> {
     stream.set_nonblocking(false)?;
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
-    let Some(bytes) = read_http(&mut stream, &mut Vec::new()).unwrap_or(None) else { return Ok(None) };
+    let Some(bytes) = read_http(&mut stream, &mut Vec::new()).unwrap_or(None) else {
+        return Ok(None);
+    };
     let id = header(&bytes, "webhook-id");
-    let told = match before.iter().filter(|g| header(&g.bytes, "webhook-id") == id).count() {
+    let told = match before
+        .iter()
+        .filter(|g| header(&g.bytes, "webhook-id") == id)
+        .count()
+    {
         0 => 500,
         1 => 301,
         _ => 204,
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -12,7 +12,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fakes::gateway::{Folder, KEYED, SAFE, UNSAFE};
-use crate::fakes::{call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker};
+use crate::fakes::{
+    call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
+};
 
 /// What one round did, for its report.
 #[derive(Debug, Default)]
@@ -56,10 +58,19 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let folder = Folder::new(&format!("crash-{seed}"))?;
     let delay = |r: &mut ChaCha8Rng| Duration::from_millis(below(r, 12));
-    let workers: Vec<Worker> =
-        (0..3).map(|n| Worker::start(delay(&mut random), [0, 9, 14][n])).collect::<Result<_>>()?;
-    let manners = [Manner::Good, Manner::Cuts(5), Manner::Fails(4), Manner::Slow(15)];
-    let portals: Vec<Portal> = manners.iter().map(|m| Portal::start(secret(1), *m)).collect::<Result<_>>()?;
+    let workers: Vec<Worker> = (0..3)
+        .map(|n| Worker::start(delay(&mut random), [0, 9, 14][n]))
+        .collect::<Result<_>>()?;
+    let manners = [
+        Manner::Good,
+        Manner::Cuts(5),
+        Manner::Fails(4),
+        Manner::Slow(15),
+    ];
+    let portals: Vec<Portal> = manners
+        .iter()
+        .map(|m| Portal::start(secret(1), *m))
+        .collect::<Result<_>>()?;
     let mut operator = String::from(
         "[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\ncallback_answer_ms = 2000\n\
          schedule_s = [0.05, 0.1, 0.2, 0.4, 0.8, 1, 1, 1, 2, 2, 2, 2]\n",
@@ -114,7 +125,10 @@
             settle(&folder, g)?;
         }
     }
-    let taken = taken.lock().map_err(|_| Error::other("a caller failed"))?.clone();
+    let taken = taken
+        .lock()
+        .map_err(|_| Error::other("a caller failed"))?
+        .clone();
     round.taken = taken.len();
     balance(&folder, &taken, &workers, &portals, &mut round)?;
     Ok(round)
@@ -128,7 +142,9 @@
         std::thread::sleep(Duration::from_millis(1500));
         g.stop()?;
         let (mut disk, found) = open(folder)?;
-        let Some(Ok(Reply::Stat(stat))) = disk.commit([Op::Stat], now()).map_err(Error::other)?.pop() else {
+        let Some(Ok(Reply::Stat(stat))) =
+            disk.commit([Op::Stat], now()).map_err(Error::other)?.pop()
+        else {
             return Err(Error::other("the store has no figures"));
         };
         drop(disk);
@@ -148,7 +164,8 @@
 }
 
 fn open(folder: &Folder) -> Result<(Disk, usize)> {
-    let (disk, found) = Disk::open(&folder.0.join("store"), u64::MAX, now()).map_err(Error::other)?;
+    let (disk, found) =
+        Disk::open(&folder.0.join("store"), u64::MAX, now()).map_err(Error::other)?;
     Ok((disk, found.calls.len()))
 }
 
@@ -185,19 +202,32 @@
     let (mut disk, _) = open(folder)?;
     let mut answered = BTreeSet::new();
     for serial in tenants(folder)? {
-        let filter = Filter { serial, limit: usize::MAX / 2, ..Filter::default() };
-        let reply = disk.commit([Op::Messages(filter)], now()).map_err(Error::other)?.pop();
-        let Some(Ok(Reply::Messages(all))) = reply else { return wrong("the store has no list".into()) };
+        let filter = Filter {
+            serial,
+            limit: usize::MAX / 2,
+            ..Filter::default()
+        };
+        let reply = disk
+            .commit([Op::Messages(filter)], now())
+            .map_err(Error::other)?
+            .pop();
+        let Some(Ok(Reply::Messages(all))) = reply else {
+            return wrong("the store has no list".into());
+        };
         for m in all {
             let call = m.call.clone().unwrap_or_default();
             let (came, confirmed) = seen.get(&call).copied().unwrap_or_default();
             if !answered.insert(call.clone()) {
                 return wrong(format!("{call} has two callbacks"));
             }
-            let (effect, unsafe_one) =
-                (m.waiting.effect, m.waiting.effect == molelug::api::Effect::NonIdempotent);
+            let (effect, unsafe_one) = (
+                m.waiting.effect,
+                m.waiting.effect == molelug::api::Effect::NonIdempotent,
+            );
             match m.state {
-                State::Delivered if confirmed == 0 => return wrong(format!("{call} was never confirmed")),
+                State::Delivered if confirmed == 0 => {
+                    return wrong(format!("{call} was never confirmed"))
+                }
                 State::Delivered => round.delivered += 1,
                 State::Dead(Dead::Unknown) if effect != molelug::api::Effect::Idempotent => {
                     round.unknown_callbacks += 1
@@ -217,7 +247,8 @@
 
 /// The tenants' numbers, as the gateway gives them to those of an operator's file.
 fn tenants(folder: &Folder) -> Result<Vec<u64>> {
-    let operator = molelug::config::Operator::read(&folder.0.join("operator.toml")).map_err(Error::other)?;
+    let operator =
+        molelug::config::Operator::read(&folder.0.join("operator.toml")).map_err(Error::other)?;
     let registry = operator.registry(&[]).map_err(Error::other)?;
     Ok(registry.iter().map(|(_, t)| t.serial).collect())
 }
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -13,7 +13,10 @@
 /// were answered.
 pub fn run() -> Result<bool> {
     let folder = Folder::new("demo")?;
-    let workers = [Worker::start(Duration::from_millis(5), 0)?, Worker::start(Duration::from_millis(5), 0)?];
+    let workers = [
+        Worker::start(Duration::from_millis(5), 0)?,
+        Worker::start(Duration::from_millis(5), 0)?,
+    ];
     let portal = Portal::start(secret(1), Manner::Good)?;
     let operator = format!(
         "[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\n[[tenants]]\nname = \"clinic\"\n\
@@ -38,7 +41,11 @@
         );
         let answer = caller.exchange(request.as_bytes())?;
         good &= status(&answer) == 200;
-        println!("  {class:<20} {} {}", status(&answer), String::from_utf8_lossy(body(&answer)));
+        println!(
+            "  {class:<20} {} {}",
+            status(&answer),
+            String::from_utf8_lossy(body(&answer))
+        );
     }
     println!("\nsigned webhooks: 202 once the call is kept, and its answer as a signed callback");
     let mut caller = Caller::new(to);
@@ -56,12 +63,25 @@
     }
     for s in portal.all() {
         let signed = if s.signed { "signed" } else { "NOT SIGNED" };
-        println!("  {} came back: {}, {signed}, under {}", s.call, s.outcome, s.id);
+        println!(
+            "  {} came back: {}, {signed}, under {}",
+            s.call, s.outcome, s.id
+        );
         good &= s.signed && s.outcome == "served" && sent.remove(&s.call).is_some();
     }
     good &= sent.is_empty();
     let counters = g.stop()?;
-    println!("\nthe gateway ended in order: {} taken, {} served", counters["taken"], counters["served"]);
-    println!("{}", if good { "all were answered" } else { "NOT all were answered" });
+    println!(
+        "\nthe gateway ended in order: {} taken, {} served",
+        counters["taken"], counters["served"]
+    );
+    println!(
+        "{}",
+        if good {
+            "all were answered"
+        } else {
+            "NOT all were answered"
+        }
+    );
     Ok(good)
 }
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -178,13 +178,37 @@
 }
 
 enum Event {
-    Frame { to: usize, from: usize, body: Body },
+    Frame {
+        to: usize,
+        from: usize,
+        body: Body,
+    },
     Deadline(usize),
-    Kept { who: usize, process: u64, number: u64, record: Box<Record> },
+    Kept {
+        who: usize,
+        process: u64,
+        number: u64,
+        record: Box<Record>,
+    },
     Call(usize),
-    Back { who: usize, process: u64, attempt: AttemptKey, ending: CloseReason, left: SendProgress },
-    Loaded { who: usize, process: u64, order: OrderKey, copies: u32 },
-    Pinged { who: usize, process: u64, probe: ProbeKey },
+    Back {
+        who: usize,
+        process: u64,
+        attempt: AttemptKey,
+        ending: CloseReason,
+        left: SendProgress,
+    },
+    Loaded {
+        who: usize,
+        process: u64,
+        order: OrderKey,
+        copies: u32,
+    },
+    Pinged {
+        who: usize,
+        process: u64,
+        probe: ProbeKey,
+    },
     At(usize),
     Turn,
 }
@@ -258,7 +282,11 @@
         on_miss: OnMiss::Reject,
         max_attempts: 3,
         load_order_timeout: 10 * SECOND,
-        load_rate_limit: Some(LoadRateLimit { base_loads: 3.0, loads_per_request: 0.3, window: 10 * SECOND }),
+        load_rate_limit: Some(LoadRateLimit {
+            base_loads: 3.0,
+            loads_per_request: 0.3,
+            window: 10 * SECOND,
+        }),
         ..Settings::default()
     }
 }
@@ -267,16 +295,23 @@
     /// Reads one; unknown keys are errors.
     pub fn read(path: &Path) -> Result<Scenario> {
         let text = std::fs::read_to_string(path)?;
-        let s: Scenario = toml::from_str(&text).map_err(|e| Error::other(e.message().to_owned()))?;
+        let s: Scenario =
+            toml::from_str(&text).map_err(|e| Error::other(e.message().to_owned()))?;
         if s.voters == 0 || s.voters > s.instances.min(7) || s.workers == 0 || s.functions == 0 {
-            return Err(Error::other("voters are 1 to 7 of the instances; there are workers and functions"));
+            return Err(Error::other(
+                "voters are 1 to 7 of the instances; there are workers and functions",
+            ));
         }
         Ok(s)
     }
 
     /// The same with another number of gateways and the same calls of all together.
     pub fn sized(&self, instances: usize) -> Scenario {
-        Scenario { instances, voters: self.voters.min(instances), ..self.clone() }
+        Scenario {
+            instances,
+            voters: self.voters.min(instances),
+            ..self.clone()
+        }
     }
 }
 
@@ -321,7 +356,11 @@
             events: BTreeMap::new(),
             instances,
             workers: (0..scenario.workers).map(|_| Worker::default()).collect(),
-            ran: Ran { seed, instances: scenario.instances, ..Ran::default() },
+            ran: Ran {
+                seed,
+                instances: scenario.instances,
+                ..Ran::default()
+            },
             processes: 0,
             gone: None,
             first_effect: BTreeMap::new(),
@@ -362,8 +401,13 @@
             process: self.processes,
             contacts: (0..s.voters).map(name).collect(),
             leases: duties(s.shards),
-            lease: molelug::lease::Settings { duration: s.lease_ms * MS, drift_ppm: 1_000 },
-            voter: machine::Settings { tick: s.tick_ms * MS },
+            lease: molelug::lease::Settings {
+                duration: s.lease_ms * MS,
+                drift_ppm: 1_000,
+            },
+            voter: machine::Settings {
+                tick: s.tick_ms * MS,
+            },
             seed: self.ran.seed ^ ((n as u64) << 20),
             disabled_guards: DisabledGuards::default(),
         };
@@ -374,10 +418,19 @@
         (i.process, i.up, i.stopped) = (self.processes, true, false);
         i.core = Core::new(self::settings(count), seed, now);
         let member = |w: u32| Member_(w).into();
-        i.core.members(now, ListUpdate::Snapshot, (0..all as u32).map(member).collect());
+        i.core.members(
+            now,
+            ListUpdate::Snapshot,
+            (0..all as u32).map(member).collect(),
+        );
         i.trials = Trials::default();
-        i.trials.handle(now, health_checks::Input::Ready((0..all as u32).map(WorkerId).collect()));
-        i.loads = council.then(|| Loads::new(name(n), &duties(shards))).flatten();
+        i.trials.handle(
+            now,
+            health_checks::Input::Ready((0..all as u32).map(WorkerId).collect()),
+        );
+        i.loads = council
+            .then(|| Loads::new(name(n), &duties(shards)))
+            .flatten();
         i.orders.clear();
         i.numbers.clear();
         i.given.clear();
@@ -398,7 +451,11 @@
                 .and_then(|m| m.held_term(self.now, &duty))
                 .map(|t| (n, t))
         };
-        self.instances.iter().enumerate().filter_map(of).max_by_key(|(_, t)| *t)
+        self.instances
+            .iter()
+            .enumerate()
+            .filter_map(of)
+            .max_by_key(|(_, t)| *t)
     }
 
     fn who(&self, who: &str) -> Vec<usize> {
@@ -406,15 +463,26 @@
             "all" => (0..self.instances.len()).collect(),
             "owner" => self.owner().map(|(n, _)| n).into_iter().collect(),
             "leader" => {
-                let leads = |n: &usize| self.instances[*n].member.as_ref().is_some_and(Participant::leads);
+                let leads = |n: &usize| {
+                    self.instances[*n]
+                        .member
+                        .as_ref()
+                        .is_some_and(Participant::leads)
+                };
                 (0..self.instances.len()).filter(leads).collect()
             }
-            _ => (0..self.instances.len()).filter(|n| *self.instances[*n].name == *who).collect(),
+            _ => (0..self.instances.len())
+                .filter(|n| *self.instances[*n].name == *who)
+                .collect(),
         }
     }
 
     fn happen(&mut self, at: &At) {
-        if let Some(w) = at.who.strip_prefix("worker-").and_then(|w| w.parse::<usize>().ok()) {
+        if let Some(w) = at
+            .who
+            .strip_prefix("worker-")
+            .and_then(|w| w.parse::<usize>().ok())
+        {
             if let Some(w) = self.workers.get_mut(w) {
                 w.silent = at.what == What::Silent;
             }
@@ -422,7 +490,10 @@
         }
         let owner = self.owner();
         for n in self.who(&at.who) {
-            let takes = matches!(at.what, What::Stop | What::Kill | What::CutOut | What::CutIn);
+            let takes = matches!(
+                at.what,
+                What::Stop | What::Kill | What::CutOut | What::CutIn
+            );
             if let Some((_, term)) = owner.filter(|(o, _)| *o == n && takes) {
                 self.gone = Some((self.now, term));
             }
@@ -449,7 +520,9 @@
     }
 
     fn send(&mut self, from: usize, to: &str, body: Body) {
-        let Some(to) = to.strip_prefix("gw-").and_then(|n| n.parse::<usize>().ok()) else { return };
+        let Some(to) = to.strip_prefix("gw-").and_then(|n| n.parse::<usize>().ok()) else {
+            return;
+        };
         self.instances[from].bytes += wire::size(&name(from), &name(to), &body) as u64;
         self.ran.frames += 1;
         let net = self.scenario.network;
@@ -459,7 +532,14 @@
         let times = 1 + usize::from(self.random.next_u32() % 100 < net.doubled);
         for _ in 0..times {
             let at = self.now + net.delay_ms * MS + self.below(net.jitter_ms * MS + 1) + 50;
-            self.post(at, Event::Frame { to, from, body: body.clone() });
+            self.post(
+                at,
+                Event::Frame {
+                    to,
+                    from,
+                    body: body.clone(),
+                },
+            );
         }
     }
 
@@ -470,7 +550,9 @@
                 break;
             }
             self.now = self.now.max(at);
-            let Some(event) = self.events.remove(&slot) else { continue };
+            let Some(event) = self.events.remove(&slot) else {
+                continue;
+            };
             self.take(event);
         }
     }
@@ -480,7 +562,9 @@
         let who = match &event {
             Event::Frame { to, .. } => Some(*to),
             Event::Deadline(n) | Event::Call(n) => Some(*n),
-            Event::Back { who, .. } | Event::Loaded { who, .. } | Event::Pinged { who, .. } => Some(*who),
+            Event::Back { who, .. } | Event::Loaded { who, .. } | Event::Pinged { who, .. } => {
+                Some(*who)
+            }
             Event::Kept { .. } | Event::At(_) | Event::Turn => None,
         };
         if let Some(n) = who.filter(|n| self.instances[*n].stopped) {
@@ -524,7 +608,12 @@
                     self.drive(n);
                 }
             }
-            Event::Kept { who, process, number, record } => {
+            Event::Kept {
+                who,
+                process,
+                number,
+                record,
+            } => {
                 let i = &mut self.instances[who];
                 // A write that had begun when its process ended is there or not; here it is not.
                 if i.process != process || !i.up {
@@ -533,7 +622,12 @@
                 i.disk.apply(&record);
                 self.ran.writes += 1;
                 if i.stopped {
-                    return i.waits.push(Event::Kept { who, process, number, record: Box::default() });
+                    return i.waits.push(Event::Kept {
+                        who,
+                        process,
+                        number,
+                        record: Box::default(),
+                    });
                 }
                 if let Some(m) = i.member.as_mut() {
                     m.handle(now, member::Input::Persisted(number));
@@ -549,13 +643,24 @@
                     self.drive(n);
                 }
             }
-            Event::Back { who, process, attempt, ending, left } => {
+            Event::Back {
+                who,
+                process,
+                attempt,
+                ending,
+                left,
+            } => {
                 if self.instances[who].process == process && self.instances[who].up {
                     self.ended(who, attempt, ending, left);
                     self.drive(who);
                 }
             }
-            Event::Loaded { who, process, order, copies } => {
+            Event::Loaded {
+                who,
+                process,
+                order,
+                copies,
+            } => {
                 let i = &mut self.instances[who];
                 if i.process == process && i.up {
                     if let (Some(l), Some(number)) = (i.loads.as_mut(), i.numbers.remove(&order)) {
@@ -563,11 +668,21 @@
                         l.handle(now, load_coordination::Input::Ended(number, copies));
                     }
                     i.given.remove(&order);
-                    i.core.order_ended(now, order, CloseReason::Served, SendProgress::Started, copies);
+                    i.core.order_ended(
+                        now,
+                        order,
+                        CloseReason::Served,
+                        SendProgress::Started,
+                        copies,
+                    );
                     self.drive(who);
                 }
             }
-            Event::Pinged { who, process, probe } => {
+            Event::Pinged {
+                who,
+                process,
+                probe,
+            } => {
                 let i = &mut self.instances[who];
                 if i.process == process && i.up {
                     if let Some(w) = i.probes.remove(&probe) {
@@ -593,7 +708,9 @@
         self.ran.calls += 1;
         let id = self.ran.calls;
         // A few functions are called often, most seldom.
-        let f = self.below(self.scenario.functions * self.scenario.functions).isqrt();
+        let f = self
+            .below(self.scenario.functions * self.scenario.functions)
+            .isqrt();
         let function = FunctionId(self.scenario.functions - 1 - f.min(self.scenario.functions - 1));
         let arrival = Arrival {
             request: RequestId(0),
@@ -606,7 +723,12 @@
             concurrency_per_copy: 4,
             load_duration: Some(workers::LOAD),
         };
-        let call = Call { origin: id, id: format!("{id:016x}").into(), body: Rc::from(&b""[..]), arrival };
+        let call = Call {
+            origin: id,
+            id: format!("{id:016x}").into(),
+            body: Rc::from(&b""[..]),
+            arrival,
+        };
         self.instances[n].core.call(self.now, call);
     }
 
@@ -618,7 +740,8 @@
                 i.trials.handle(now, health_checks::Input::Outcome(w, seen));
             }
         }
-        i.core.ended(now, attempt, ending, left, AttemptReply::default());
+        i.core
+            .ended(now, attempt, ending, left, AttemptReply::default());
     }
 
     /// Carries out all that an instance's values have to have done.
@@ -631,7 +754,11 @@
                 self.of_trials(n, output);
             } else if let Some(output) = self.instances[n].loads.as_mut().and_then(Loads::output) {
                 self.of_loads(n, output);
-            } else if let Some(output) = self.instances[n].member.as_mut().and_then(Participant::output) {
+            } else if let Some(output) = self.instances[n]
+                .member
+                .as_mut()
+                .and_then(Participant::output)
+            {
                 self.of_member(n, output);
             } else {
                 break;
@@ -640,8 +767,15 @@
         let i = &mut self.instances[n];
         let member = i.member.as_ref().map(|m| m.next_deadline(now));
         let loads = i.loads.as_ref().and_then(Loads::next_deadline);
-        let next =
-            [i.core.next_deadline(), i.trials.next_deadline(), loads, member].into_iter().flatten().min();
+        let next = [
+            i.core.next_deadline(),
+            i.trials.next_deadline(),
+            loads,
+            member,
+        ]
+        .into_iter()
+        .flatten()
+        .min();
         if let Some(at) = next.map(|t| t.max(now + 1)).filter(|t| *t < i.hung) {
             i.hung = at;
             self.post(at, Event::Deadline(n));
@@ -652,9 +786,16 @@
         let now = self.now;
         let process = self.instances[n].process;
         match command {
-            Command::Dispatch { attempt, worker, function, .. } => {
+            Command::Dispatch {
+                attempt,
+                worker,
+                function,
+                ..
+            } => {
                 self.instances[n].out.insert(attempt, worker);
-                let Some(w) = self.workers.get_mut(worker.0 as usize) else { return };
+                let Some(w) = self.workers.get_mut(worker.0 as usize) else {
+                    return;
+                };
                 let (after, ending) = match w.meet(now, function) {
                     Met::Silent => {
                         self.ran.lost_attempts += 1;
@@ -665,27 +806,59 @@
                 };
                 self.post(
                     now + after + MS,
-                    Event::Back { who: n, process, attempt, ending, left: SendProgress::Started },
+                    Event::Back {
+                        who: n,
+                        process,
+                        attempt,
+                        ending,
+                        left: SendProgress::Started,
+                    },
                 );
             }
-            Command::Cancel { attempt, reason: why } => self.ended(n, attempt, why, SendProgress::Started),
+            Command::Cancel {
+                attempt,
+                reason: why,
+            } => self.ended(n, attempt, why, SendProgress::Started),
             // Nothing waits in a buffer here: what was sent has begun.
             Command::Withdraw { .. } => {}
-            Command::Load { order, worker, function, copies } => {
+            Command::Load {
+                order,
+                worker,
+                function,
+                copies,
+            } => {
                 let i = &mut self.instances[n];
                 if let Some(l) = i.loads.as_mut().filter(|_| copies > 0) {
                     self.number += 1;
-                    i.orders.insert(self.number, (order, worker, function, copies));
+                    i.orders
+                        .insert(self.number, (order, worker, function, copies));
                     i.numbers.insert(order, self.number);
-                    l.handle(now, load_coordination::Input::Order(self.number, (worker, function)));
+                    l.handle(
+                        now,
+                        load_coordination::Input::Order(self.number, (worker, function)),
+                    );
                 } else {
                     self.stage(n, order, worker, function, copies);
                 }
             }
-            Command::HealthCheck { check: probe, worker } => {
+            Command::HealthCheck {
+                check: probe,
+                worker,
+            } => {
                 self.ran.pings += 1;
-                if self.workers.get(worker.0 as usize).is_some_and(|w| !w.silent) {
-                    self.post(now + 2 * MS, Event::Pinged { who: n, process, probe });
+                if self
+                    .workers
+                    .get(worker.0 as usize)
+                    .is_some_and(|w| !w.silent)
+                {
+                    self.post(
+                        now + 2 * MS,
+                        Event::Pinged {
+                            who: n,
+                            process,
+                            probe,
+                        },
+                    );
                 }
             }
             Command::AbandonLoad { order } => {
@@ -700,7 +873,8 @@
                     };
                     l.handle(now, input);
                 }
-                i.core.order_ended(now, order, CloseReason::TimedOut, SendProgress::Started, 0);
+                i.core
+                    .order_ended(now, order, CloseReason::TimedOut, SendProgress::Started, 0);
             }
             Command::Unload { .. } => {}
             Command::Answer { answer, .. } => {
@@ -709,13 +883,34 @@
         }
     }
 
-    fn stage(&mut self, n: usize, order: OrderKey, worker: WorkerId, function: FunctionId, copies: u8) {
+    fn stage(
+        &mut self,
+        n: usize,
+        order: OrderKey,
+        worker: WorkerId,
+        function: FunctionId,
+        copies: u8,
+    ) {
         let (now, process) = (self.now, self.instances[n].process);
         self.ran.orders += u64::from(copies > 0);
         self.instances[n].given.insert(order);
-        let Some(w) = self.workers.get_mut(worker.0 as usize).filter(|w| !w.silent) else { return };
+        let Some(w) = self
+            .workers
+            .get_mut(worker.0 as usize)
+            .filter(|w| !w.silent)
+        else {
+            return;
+        };
         let (after, stands) = w.order(now, function, copies > 0, &mut self.ran.fetches);
-        self.post(now + after + MS, Event::Loaded { who: n, process, order, copies: stands });
+        self.post(
+            now + after + MS,
+            Event::Loaded {
+                who: n,
+                process,
+                order,
+                copies: stands,
+            },
+        );
     }
 
     fn of_loads(&mut self, n: usize, output: load_coordination::Output) {
@@ -742,7 +937,13 @@
                 if let Some((order, ..)) = i.orders.remove(&number) {
                     i.numbers.remove(&order);
                     self.ran.spared += 1;
-                    i.core.order_ended(now, order, CloseReason::Served, SendProgress::Unsent, copies);
+                    i.core.order_ended(
+                        now,
+                        order,
+                        CloseReason::Served,
+                        SendProgress::Unsent,
+                        copies,
+                    );
                 }
             }
         }
@@ -760,7 +961,10 @@
         if !duty.starts_with(load_coordination::PREFIX) {
             return false;
         }
-        if let (Some(l), Ok(word)) = (self.instances[n].loads.as_mut(), serde_json::from_slice(content)) {
+        if let (Some(l), Ok(word)) = (
+            self.instances[n].loads.as_mut(),
+            serde_json::from_slice(content),
+        ) {
             l.handle(now, input(word));
         }
         true
@@ -770,9 +974,12 @@
     fn know_loads(&mut self, n: usize) {
         let now = self.now;
         let i = &mut self.instances[n];
-        let (Some(l), Some(m)) = (i.loads.as_mut(), i.member.as_ref()) else { return };
-        for duty in
-            duties(self.scenario.shards).into_iter().filter(|d| d.starts_with(load_coordination::PREFIX))
+        let (Some(l), Some(m)) = (i.loads.as_mut(), i.member.as_ref()) else {
+            return;
+        };
+        for duty in duties(self.scenario.shards)
+            .into_iter()
+            .filter(|d| d.starts_with(load_coordination::PREFIX))
         {
             let owned = m.state().leases.record(&duty).holder.is_some();
             l.handle(now, load_coordination::Input::Owned(duty, owned));
@@ -784,9 +991,13 @@
         let i = &mut self.instances[n];
         let duty = || health_checks::NAME.into();
         let input = match output {
-            health_checks::Output::Report(w) => member::Input::Report(duty(), w.0.to_le_bytes().to_vec()),
+            health_checks::Output::Report(w) => {
+                member::Input::Report(duty(), w.0.to_le_bytes().to_vec())
+            }
             health_checks::Output::Tell(verdicts) => {
-                let plain = verdicts.into_iter().flat_map(|(w, ill)| [w.0, u32::from(ill)]);
+                let plain = verdicts
+                    .into_iter()
+                    .flat_map(|(w, ill)| [w.0, u32::from(ill)]);
                 member::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
             }
             health_checks::Output::Able(able) => member::Input::SetEligible(able),
@@ -825,12 +1036,25 @@
             Output::Persist(number, record) => {
                 let process = self.instances[n].process;
                 let at = now + MS + self.below(4 * MS);
-                self.post(at, Event::Kept { who: n, process, number, record });
+                self.post(
+                    at,
+                    Event::Kept {
+                        who: n,
+                        process,
+                        number,
+                        record,
+                    },
+                );
             }
             Output::LeaseBegan(duty, _) => self.owns(n, duty, true),
             Output::LeaseEnded(duty, _) => self.owns(n, duty, false),
             Output::EffectReceived(effect) => {
-                if self.tell_loads(n, &effect.lease, load_coordination::Input::Told, &effect.content) {
+                if self.tell_loads(
+                    n,
+                    &effect.lease,
+                    load_coordination::Input::Told,
+                    &effect.content,
+                ) {
                     return;
                 }
                 self.first_effect.entry(effect.term).or_insert(now);
@@ -843,11 +1067,21 @@
                     .chunks_exact(4)
                     .map(|c| c.iter().rev().fold(0, |w, b| w << 8 | u32::from(*b)))
                     .collect();
-                let verdicts = words.chunks_exact(2).map(|p| (WorkerId(p[0]), p[1] == 1)).collect();
-                self.instances[n].trials.handle(now, health_checks::Input::Verdicts(verdicts));
+                let verdicts = words
+                    .chunks_exact(2)
+                    .map(|p| (WorkerId(p[0]), p[1] == 1))
+                    .collect();
+                self.instances[n]
+                    .trials
+                    .handle(now, health_checks::Input::Verdicts(verdicts));
             }
             Output::ReportReceived(duty, from, content) => {
-                if self.tell_loads(n, &duty, |word| load_coordination::Input::Heard(from, word), &content) {
+                if self.tell_loads(
+                    n,
+                    &duty,
+                    |word| load_coordination::Input::Heard(from, word),
+                    &content,
+                ) {
                     return;
                 }
                 if let Some(w) = content.first_chunk::<4>() {
@@ -857,14 +1091,15 @@
             }
             Output::SubsystemChanged => {}
             Output::Record(note) => {
-                if matches!(note, member::HistoryEvent::Agreed { .. } | member::HistoryEvent::Restored { .. })
-                {
+                if matches!(
+                    note,
+                    member::HistoryEvent::Agreed { .. } | member::HistoryEvent::Restored { .. }
+                ) {
                     self.know_loads(n);
                 }
                 let i = &mut self.instances[n];
                 // As a real process writes it, so that one checker reads both.
-                let line =
-                    serde_json::json!({ "at": now, "name": i.name, "process": i.process, "note": note });
+                let line = serde_json::json!({ "at": now, "name": i.name, "process": i.process, "note": note });
                 if let Ok(line) = serde_json::from_value(line) {
                     i.history.push(line);
                 }
@@ -894,8 +1129,14 @@
     world.play();
     let mut ran = std::mem::take(&mut world.ran);
     let per_s = |i: &Instance| i.bytes as f64 / scenario.seconds;
-    let most =
-        |votes: bool| world.instances.iter().filter(|i| i.votes == votes).map(per_s).fold(0.0, f64::max);
+    let most = |votes: bool| {
+        world
+            .instances
+            .iter()
+            .filter(|i| i.votes == votes)
+            .map(per_s)
+            .fold(0.0, f64::max)
+    };
     (ran.voter_bytes_per_s, ran.member_bytes_per_s) = (most(true), most(false));
     let files: Vec<Vec<Line>> = world.instances.into_iter().map(|i| i.history).collect();
     let (held, wrong) = history::check(&files);
@@ -914,7 +1155,11 @@
     svg: Option<&Path>,
 ) -> Result<bool> {
     let scenario = Scenario::read(path)?;
-    let sizes = if sizes.is_empty() { vec![scenario.instances] } else { sizes.to_vec() };
+    let sizes = if sizes.is_empty() {
+        vec![scenario.instances]
+    } else {
+        sizes.to_vec()
+    };
     let (mut all, mut wrong) = (Vec::new(), 0);
     for size in sizes {
         for seed in first..first + seeds {
@@ -940,12 +1185,17 @@
                 ran.gaps_ms.iter().map(|g| g.round()).collect::<Vec<_>>(),
                 begun.elapsed().as_secs_f64()
             );
-            ran.wrong.iter().for_each(|w| println!("WRONG, seed {seed}: {w}"));
+            ran.wrong
+                .iter()
+                .for_each(|w| println!("WRONG, seed {seed}: {w}"));
             all.push(ran);
         }
     }
     if let Some(json) = json {
-        std::fs::write(json, serde_json::to_string_pretty(&all).map_err(Error::other)?)?;
+        std::fs::write(
+            json,
+            serde_json::to_string_pretty(&all).map_err(Error::other)?,
+        )?;
     }
     if let Some(svg) = svg {
         std::fs::write(svg, plot::by_size(&all))?;
--- a/testbed/src/emulator/plot.rs
+++ b/testbed/src/emulator/plot.rs
@@ -8,7 +8,9 @@
 const WIDE: f64 = 640.0;
 const HIGH: f64 = 400.0;
 const EDGE: f64 = 60.0;
-const COLOURS: [&str; 6] = ["#1b6ca8", "#c0392b", "#2e7d32", "#8e44ad", "#b9770e", "#555555"];
+const COLOURS: [&str; 6] = [
+    "#1b6ca8", "#c0392b", "#2e7d32", "#8e44ad", "#b9770e", "#555555",
+];
 
 /// A figure of a run, by its name.
 type Figure = (&'static str, fn(&Ran) -> f64);
@@ -29,11 +31,17 @@
 /// The means of all runs of a size, a line a figure.
 pub fn by_size(runs: &[Ran]) -> String {
     let mut sizes: BTreeMap<usize, Vec<&Ran>> = BTreeMap::new();
-    runs.iter().for_each(|r| sizes.entry(r.instances).or_default().push(r));
-    let mean =
-        |of: fn(&Ran) -> f64, runs: &[&Ran]| runs.iter().map(|r| of(r)).sum::<f64>() / runs.len() as f64;
+    runs.iter()
+        .for_each(|r| sizes.entry(r.instances).or_default().push(r));
+    let mean = |of: fn(&Ran) -> f64, runs: &[&Ran]| {
+        runs.iter().map(|r| of(r)).sum::<f64>() / runs.len() as f64
+    };
     let least = sizes.keys().next().map_or(0.0, |s| log(*s as f64));
-    let most = sizes.keys().next_back().map_or(1.0, |s| log(*s as f64)).max(least + 0.1);
+    let most = sizes
+        .keys()
+        .next_back()
+        .map_or(1.0, |s| log(*s as f64))
+        .max(least + 0.1);
     let top = FIGURES
         .iter()
         .flat_map(|(_, of)| sizes.values().map(|r| log(mean(*of, r))))
@@ -59,12 +67,26 @@
     }
     for size in sizes.keys() {
         let (at, low) = (x(*size), HIGH - EDGE + 16.0);
-        let _ = write!(out, "<text x=\"{at:.1}\" y=\"{low}\" text-anchor=\"middle\">{size}</text>");
+        let _ = write!(
+            out,
+            "<text x=\"{at:.1}\" y=\"{low}\" text-anchor=\"middle\">{size}</text>"
+        );
     }
-    let _ = write!(out, "<text x=\"{}\" y=\"{}\">gateways</text>", WIDE / 2.0 - EDGE, HIGH - 14.0);
+    let _ = write!(
+        out,
+        "<text x=\"{}\" y=\"{}\">gateways</text>",
+        WIDE / 2.0 - EDGE,
+        HIGH - 14.0
+    );
     for ((name, of), colour) in FIGURES.iter().zip(COLOURS) {
-        let points: Vec<(f64, f64)> = sizes.iter().map(|(s, r)| (x(*s), y(mean(*of, r)))).collect();
-        let line: Vec<String> = points.iter().map(|(x, y)| format!("{x:.1},{y:.1}")).collect();
+        let points: Vec<(f64, f64)> = sizes
+            .iter()
+            .map(|(s, r)| (x(*s), y(mean(*of, r))))
+            .collect();
+        let line: Vec<String> = points
+            .iter()
+            .map(|(x, y)| format!("{x:.1},{y:.1}"))
+            .collect();
         let _ = write!(
             out,
             "<polyline fill=\"none\" stroke=\"{colour}\" stroke-width=\"2\" points=\"{}\"/>",
--- a/testbed/src/emulator/workers.rs
+++ b/testbed/src/emulator/workers.rs
@@ -41,7 +41,12 @@
 impl Worker {
     /// Loads that are done stand.
     pub fn settle(&mut self, now: Micros) {
-        let done: Vec<FunctionId> = self.loads.iter().filter(|(_, t)| **t <= now).map(|(f, _)| *f).collect();
+        let done: Vec<FunctionId> = self
+            .loads
+            .iter()
+            .filter(|(_, t)| **t <= now)
+            .map(|(f, _)| *f)
+            .collect();
         for f in done {
             self.loads.remove(&f);
             self.copies.insert(f, now);
@@ -61,8 +66,8 @@
         self.settle(now);
         if let Some(used) = self.copies.get_mut(&function) {
             *used = now;
-            let span =
-                SERVES + SERVES * self.runs.len().saturating_sub(AT_ONCE) as Micros / AT_ONCE as Micros;
+            let span = SERVES
+                + SERVES * self.runs.len().saturating_sub(AT_ONCE) as Micros / AT_ONCE as Micros;
             self.runs.push(now + span);
             return Met::Runs(span);
         }
--- a/testbed/src/fakes/admin.rs
+++ b/testbed/src/fakes/admin.rs
@@ -14,9 +14,9 @@
 /// A P-256 key in PKCS #8, made of its 32 bytes.
 fn key() -> EncodingKey {
     let head: [u8; 35] = [
-        0x30, 0x41, 0x02, 0x01, 0x00, 0x30, 0x13, 0x06, 0x07, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x02, 0x01, 0x06,
-        0x08, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x03, 0x01, 0x07, 0x04, 0x27, 0x30, 0x25, 0x02, 0x01, 0x01, 0x04,
-        0x20,
+        0x30, 0x41, 0x02, 0x01, 0x00, 0x30, 0x13, 0x06, 0x07, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x02,
+        0x01, 0x06, 0x08, 0x2a, 0x86, 0x48, 0xce, 0x3d, 0x03, 0x01, 0x07, 0x04, 0x27, 0x30, 0x25,
+        0x02, 0x01, 0x01, 0x04, 0x20,
     ];
     EncodingKey::from_ec_der(&[&head[..], &[7; 32]].concat())
 }
@@ -26,8 +26,14 @@
     let mut jwk = Jwk::from_encoding_key(&key(), Algorithm::ES256).map_err(Error::other)?;
     jwk.common.key_id = Some("k1".into());
     jwk.common.public_key_use = Some(PublicKeyUse::Other("jwt-svid".into()));
-    std::fs::write(folder.join("bundle.json"), json!({ "keys": [jwk], "spiffe_sequence": 1 }).to_string())?;
-    let header = Header { kid: Some("k1".into()), ..Header::new(Algorithm::ES256) };
+    std::fs::write(
+        folder.join("bundle.json"),
+        json!({ "keys": [jwk], "spiffe_sequence": 1 }).to_string(),
+    )?;
+    let header = Header {
+        kid: Some("k1".into()),
+        ..Header::new(Algorithm::ES256)
+    };
     let claims = json!({ "sub": WHO, "aud": "molelug", "exp": now_s() + 3600 });
     let token = jsonwebtoken::encode(&header, &claims, &key()).map_err(Error::other)?;
     std::fs::write(folder.join("svid"), token)?;
--- a/testbed/src/fakes/gateway.rs
+++ b/testbed/src/fakes/gateway.rs
@@ -109,7 +109,12 @@
 
 impl Gateway {
     /// Starts one in a folder, which keeps its files over restarts.
-    pub fn start(folder: &Path, workers: &[Worker], operator: &str, deadline_ms: f64) -> Result<Gateway> {
+    pub fn start(
+        folder: &Path,
+        workers: &[Worker],
+        operator: &str,
+        deadline_ms: f64,
+    ) -> Result<Gateway> {
         Gateway::with(None, folder, workers, operator, deadline_ms)
     }
 
@@ -121,14 +126,20 @@
         operator: &str,
         deadline_ms: f64,
     ) -> Result<Gateway> {
-        std::fs::write(folder.join("config.json"), config(workers, deadline_ms, SOCKETS).to_string())?;
+        std::fs::write(
+            folder.join("config.json"),
+            config(workers, deadline_ms, SOCKETS).to_string(),
+        )?;
         std::fs::write(folder.join("operator.toml"), operator)?;
         Gateway::run(program, folder, operator)
     }
 
     /// Starts one without webhooks, with a gossip file if one is given.
     pub fn talking(folder: &Path, workers: &[Worker], gossip: Option<&Path>) -> Result<Gateway> {
-        std::fs::write(folder.join("config.json"), config(workers, 900.0, SOCKETS).to_string())?;
+        std::fs::write(
+            folder.join("config.json"),
+            config(workers, 900.0, SOCKETS).to_string(),
+        )?;
         std::fs::write(folder.join("operator.toml"), "")?;
         Gateway::run_with(None, folder, "", gossip, None)
     }
@@ -142,7 +153,10 @@
         operator: &str,
         sockets: usize,
     ) -> Result<Gateway> {
-        std::fs::write(folder.join("config.json"), config(workers, 900.0, sockets).to_string())?;
+        std::fs::write(
+            folder.join("config.json"),
+            config(workers, 900.0, sockets).to_string(),
+        )?;
         std::fs::write(folder.join("operator.toml"), operator)?;
         Gateway::run_with(None, folder, operator, None, Some((council, without)))
     }
@@ -160,13 +174,18 @@
         most_kib: Option<u64>,
         operator: &str,
     ) -> Result<Gateway> {
-        std::fs::write(folder.join("config.json"), config(workers, 3_000.0, SOCKETS).to_string())?;
+        std::fs::write(
+            folder.join("config.json"),
+            config(workers, 3_000.0, SOCKETS).to_string(),
+        )?;
         std::fs::write(folder.join("operator.toml"), operator)?;
         let mut command = Gateway::command(None, folder, None, Some((council, without)))?;
         if let Some(kib) = most_kib {
             // The system refuses to let any of its files grow beyond that, as on a full disk.
             let mut limited = Command::new("sh");
-            limited.args(["-c", "trap '' XFSZ; ulimit -f $0; exec \"$@\""]).arg((2 * kib).to_string());
+            limited
+                .args(["-c", "trap '' XFSZ; ulimit -f $0; exec \"$@\""])
+                .arg((2 * kib).to_string());
             limited.arg(command.get_program()).args(command.get_args());
             for (name, value) in command.get_envs() {
                 match value {
@@ -180,7 +199,9 @@
             command.arg("--copies").arg(copies);
         }
         if let Some(step) = ends_at {
-            command.env("MOLELUG_ENDS_AT", step).env("MOLELUG_ENDS_IF", folder.join("armed"));
+            command
+                .env("MOLELUG_ENDS_AT", step)
+                .env("MOLELUG_ENDS_IF", folder.join("armed"));
         }
         Gateway::spawn(command, operator)
     }
@@ -201,7 +222,10 @@
         gossip: Option<&Path>,
         council: Option<(&Path, Option<&str>)>,
     ) -> Result<Gateway> {
-        Gateway::spawn(Gateway::command(program, folder, gossip, council)?, operator)
+        Gateway::spawn(
+            Gateway::command(program, folder, gossip, council)?,
+            operator,
+        )
     }
 
     fn command(
@@ -211,12 +235,17 @@
         council: Option<(&Path, Option<&str>)>,
     ) -> Result<Command> {
         let mut command = command(program)?;
-        command.args(["serve", "--operator"]).arg(folder.join("operator.toml"));
+        command
+            .args(["serve", "--operator"])
+            .arg(folder.join("operator.toml"));
         if let Some(gossip) = gossip {
             command.arg("--gossip").arg(gossip);
         }
         if let Some((council, without)) = council {
-            command.arg("--council").arg(council).env("MOLELUG_WITHOUT", without.unwrap_or_default());
+            command
+                .arg("--council")
+                .arg(council)
+                .env("MOLELUG_WITHOUT", without.unwrap_or_default());
         }
         command
             .env("RELAY_CONFIG", folder.join("config.json"))
@@ -226,14 +255,27 @@
     }
 
     fn spawn(mut command: Command, operator: &str) -> Result<Gateway> {
-        let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
+        let mut child = command
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()?;
         let errors = child.stderr.take().ok_or_else(|| Error::other("no log"))?;
         let (tell, lines) = mpsc::channel();
         std::thread::spawn(move || {
-            BufReader::new(errors).lines().map_while(Result::ok).all(|l| tell.send(l).is_ok())
+            BufReader::new(errors)
+                .lines()
+                .map_while(Result::ok)
+                .all(|l| tell.send(l).is_ok())
         });
         let platform = ([0, 0, 0, 0], 0).into();
-        let mut g = Gateway { child, lines, log: Vec::new(), platform, webhooks: None, admin: None };
+        let mut g = Gateway {
+            child,
+            lines,
+            log: Vec::new(),
+            platform,
+            webhooks: None,
+            admin: None,
+        };
         g.platform = g.listener("listens on ")?;
         if operator.contains("[webhooks]") {
             g.webhooks = Some(g.listener("takes webhooks on ")?);
@@ -254,7 +296,10 @@
     pub fn line(&mut self, what: &str) -> Result<String> {
         loop {
             let line = self.lines.recv_timeout(PATIENCE).map_err(|_| {
-                Error::other(format!("the gateway's log lacks '{what}': {}", self.log.join(" | ")))
+                Error::other(format!(
+                    "the gateway's log lacks '{what}': {}",
+                    self.log.join(" | ")
+                ))
             })?;
             self.log.push(line.clone());
             if line.contains(what) {
@@ -275,22 +320,34 @@
 
     /// SIGSTOP: it forgets nothing and does nothing.
     pub fn freeze(&self) -> Result<()> {
-        Ok(rustix::process::kill_process(self.pid(), rustix::process::Signal::STOP)?)
+        Ok(rustix::process::kill_process(
+            self.pid(),
+            rustix::process::Signal::STOP,
+        )?)
     }
 
     /// SIGCONT: it goes on as if nothing had been.
     pub fn thaw(&self) -> Result<()> {
-        Ok(rustix::process::kill_process(self.pid(), rustix::process::Signal::CONT)?)
+        Ok(rustix::process::kill_process(
+            self.pid(),
+            rustix::process::Signal::CONT,
+        )?)
     }
 
     /// SIGHUP: it reads its files anew.
     pub fn reload(&self) -> Result<()> {
-        Ok(rustix::process::kill_process(self.pid(), rustix::process::Signal::HUP)?)
+        Ok(rustix::process::kill_process(
+            self.pid(),
+            rustix::process::Signal::HUP,
+        )?)
     }
 
     /// SIGTERM, without waiting for its end.
     pub fn end(&self) -> Result<()> {
-        Ok(rustix::process::kill_process(self.pid(), rustix::process::Signal::TERM)?)
+        Ok(rustix::process::kill_process(
+            self.pid(),
+            rustix::process::Signal::TERM,
+        )?)
     }
 
     /// Waits until it has ended.
@@ -333,9 +390,11 @@
 
     /// Its resident memory, in KiB.
     pub fn memory_kib(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-        line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse().ok()).unwrap_or(0)
+        line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse().ok())
+            .unwrap_or(0)
     }
 }
 
--- a/testbed/src/fakes/mod.rs
+++ b/testbed/src/fakes/mod.rs
@@ -22,7 +22,9 @@
 
 /// Seconds since 1970.
 pub fn now_s() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_secs())
 }
 
 /// The secret that stand-ins share: `whsec_` and base64.
@@ -41,7 +43,9 @@
     loop {
         if let Some(head) = held.windows(4).position(|w| w == b"\r\n\r\n") {
             let text = String::from_utf8_lossy(&held[..head]).to_ascii_lowercase();
-            let length = text.lines().find_map(|l| l.strip_prefix("content-length:")?.trim().parse().ok());
+            let length = text
+                .lines()
+                .find_map(|l| l.strip_prefix("content-length:")?.trim().parse().ok());
             let whole = head + 4 + length.unwrap_or(0usize);
             if held.len() >= whole {
                 return Ok(Some(held.drain(..whole).collect()));
@@ -59,19 +63,29 @@
 pub fn header(message: &[u8], name: &str) -> String {
     let text = String::from_utf8_lossy(message);
     let head = text.split("\r\n\r\n").next().unwrap_or_default();
-    let line = head.lines().find(|l| l.to_ascii_lowercase().starts_with(&format!("{name}:")));
-    line.and_then(|l| l.split_once(':')).map_or(String::new(), |(_, v)| v.trim().to_owned())
+    let line = head
+        .lines()
+        .find(|l| l.to_ascii_lowercase().starts_with(&format!("{name}:")));
+    line.and_then(|l| l.split_once(':'))
+        .map_or(String::new(), |(_, v)| v.trim().to_owned())
 }
 
 /// A message's body.
 pub fn body(message: &[u8]) -> &[u8] {
-    let at = message.windows(4).position(|w| w == b"\r\n\r\n").map_or(message.len(), |p| p + 4);
+    let at = message
+        .windows(4)
+        .position(|w| w == b"\r\n\r\n")
+        .map_or(message.len(), |p| p + 4);
     &message[at..]
 }
 
 /// An answer's status.
 pub fn status(message: &[u8]) -> u16 {
-    String::from_utf8_lossy(message).split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+    String::from_utf8_lossy(message)
+        .split(' ')
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(0)
 }
 
 /// A connection on which signed calls are sent, one after the other.
@@ -86,22 +100,38 @@
 pub fn call_body(class: &str, function: u64, order: Option<&str>) -> Vec<u8> {
     let data = serde_json::json!({ "class": class, "function": format!("{function:016x}"), "lanes": 4,
                                    "payload": BASE64_STANDARD.encode("trip"), "order_key": order });
-    serde_json::json!({ "type": "call.requested", "data": data }).to_string().into_bytes()
+    serde_json::json!({ "type": "call.requested", "data": data })
+        .to_string()
+        .into_bytes()
 }
 
 impl Caller {
     /// A caller of one address.
     pub fn new(to: SocketAddr) -> Caller {
-        Caller { to, patience: PATIENCE, stream: None }
+        Caller {
+            to,
+            patience: PATIENCE,
+            stream: None,
+        }
     }
 
     /// One that waits so many seconds for an answer.
     pub fn patient(to: SocketAddr, seconds: u64) -> Caller {
-        Caller { to, patience: Duration::from_secs(seconds), stream: None }
+        Caller {
+            to,
+            patience: Duration::from_secs(seconds),
+            stream: None,
+        }
     }
 
     /// Sends a signed call and returns the whole answer. After an error the connection is made anew.
-    pub fn call(&mut self, tenant: &str, secret: &Secret, id: &str, text: &[u8]) -> std::io::Result<Vec<u8>> {
+    pub fn call(
+        &mut self,
+        tenant: &str,
+        secret: &Secret,
+        id: &str,
+        text: &[u8],
+    ) -> std::io::Result<Vec<u8>> {
         let stamp = now_s();
         let signed = signature::sign(std::iter::once(secret), id, stamp, text);
         let head = format!(
@@ -125,7 +155,8 @@
         };
         stream.write_all(bytes)?;
         let answer = read_http(&mut stream, &mut held)?;
-        let answer = answer.ok_or_else(|| std::io::Error::from(std::io::ErrorKind::UnexpectedEof))?;
+        let answer =
+            answer.ok_or_else(|| std::io::Error::from(std::io::ErrorKind::UnexpectedEof))?;
         if header(&answer, "connection") != "close" {
             self.stream = Some((stream, held));
         }
--- a/testbed/src/fakes/portal.rs
+++ b/testbed/src/fakes/portal.rs
@@ -64,7 +64,12 @@
     pub fn start(secret: Secret, manner: Manner) -> std::io::Result<Portal> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let manner = Arc::new(Mutex::new(manner));
-        let portal = Portal { address: listener.local_addr()?, seen: Arc::default(), manner, secret };
+        let portal = Portal {
+            address: listener.local_addr()?,
+            seen: Arc::default(),
+            manner,
+            secret,
+        };
         let me = portal.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -94,15 +99,26 @@
             let manner = *self.manner.lock().ok()?;
             let text: serde_json::Value = serde_json::from_slice(body(&message)).ok()?;
             let word = |v: &serde_json::Value| v.as_str().unwrap_or_default().to_owned();
-            let (id, stamp) = (header(&message, "webhook-id"), header(&message, "webhook-timestamp"));
+            let (id, stamp) = (
+                header(&message, "webhook-id"),
+                header(&message, "webhook-timestamp"),
+            );
             let given = header(&message, "webhook-signature");
             let stamp = stamp.parse().unwrap_or(0);
-            let signed = signature::verify(std::iter::once(&self.secret), &id, stamp, body(&message), &given);
+            let signed = signature::verify(
+                std::iter::once(&self.secret),
+                &id,
+                stamp,
+                body(&message),
+                &given,
+            );
             let nth = {
                 let mut seen = self.seen.lock().ok()?;
                 let confirmed = match manner {
                     Manner::Good | Manner::Slow(_) | Manner::Drips(_) => true,
-                    Manner::Cuts(n) | Manner::Fails(n) => !(seen.len() as u32 + 1).is_multiple_of(n),
+                    Manner::Cuts(n) | Manner::Fails(n) => {
+                        !(seen.len() as u32 + 1).is_multiple_of(n)
+                    }
                     Manner::Says(status, _) => status / 100 == 2,
                     Manner::Silent => false,
                 };
@@ -122,7 +138,9 @@
                 Manner::Slow(ms) => std::thread::sleep(Duration::from_millis(ms)),
                 Manner::Cuts(_) if !nth => return None,
                 Manner::Fails(_) if !nth => {
-                    stream.write_all(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n").ok()?;
+                    stream
+                        .write_all(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
+                        .ok()?;
                     continue;
                 }
                 Manner::Says(status, line) => {
--- a/testbed/src/fakes/worker.rs
+++ b/testbed/src/fakes/worker.rs
@@ -73,15 +73,22 @@
         let mut seen = 0u32;
         loop {
             while let Ok(Some((words, size))) = parse(&held) {
-                let words: Vec<String> =
-                    words.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect();
+                let words: Vec<String> = words
+                    .iter()
+                    .map(|w| String::from_utf8_lossy(w).into_owned())
+                    .collect();
                 held.drain(..size);
                 let tag = words.get(1)?.as_bytes();
                 let what = words.first()?.as_str();
-                self.pings.fetch_add(u64::from(matches!(what, "ping" | "stat")), Ordering::Relaxed);
-                self.orders.fetch_add(u64::from(what == "stage"), Ordering::Relaxed);
+                self.pings.fetch_add(
+                    u64::from(matches!(what, "ping" | "stat")),
+                    Ordering::Relaxed,
+                );
+                self.orders
+                    .fetch_add(u64::from(what == "stage"), Ordering::Relaxed);
                 if self.silent.load(Ordering::Relaxed) {
-                    self.lost.fetch_add(u64::from(what == "go"), Ordering::Relaxed);
+                    self.lost
+                        .fetch_add(u64::from(what == "go"), Ordering::Relaxed);
                     continue;
                 }
                 match what {
@@ -95,7 +102,9 @@
                         if self.cuts > 0 && seen.is_multiple_of(self.cuts) {
                             return None;
                         }
-                        stream.write_all(&array(&[tag, b"200", b"remark=w", b"done"])).ok()?;
+                        stream
+                            .write_all(&array(&[tag, b"200", b"remark=w", b"done"]))
+                            .ok()?;
                     }
                     "stage" => stream.write_all(&array(&[tag, b"200", b"copies=1"])).ok()?,
                     "ping" | "stat" => stream.write_all(&array(&[tag, b"alive"])).ok()?,
--- a/testbed/src/fault_injection/copies.rs
+++ b/testbed/src/fault_injection/copies.rs
@@ -52,16 +52,23 @@
     let n = below(random, shape.instances as u64) as usize;
     let led = fleet.led();
     let shards: Vec<&(u64, usize, Vec<String>)> = led.values().collect();
-    let primary = shards.get(below(random, shards.len().max(1) as u64) as usize).map_or(n, |s| s.1);
+    let primary = shards
+        .get(below(random, shards.len().max(1) as u64) as usize)
+        .map_or(n, |s| s.1);
     round.faults.push(what);
     match what {
         "a primary's machine lost" => {
-            let mine: Vec<u16> = led.iter().filter(|(_, s)| s.1 == primary).map(|(id, _)| *id).collect();
+            let mine: Vec<u16> = led
+                .iter()
+                .filter(|(_, s)| s.1 == primary)
+                .map(|(id, _)| *id)
+                .collect();
             fleet.lose(primary)?;
             let from = Instant::now();
             fleet.await_that("another primary", || {
                 let led = fleet.led();
-                mine.iter().all(|id| led.get(id).is_some_and(|s| s.1 != primary))
+                mine.iter()
+                    .all(|id| led.get(id).is_some_and(|s| s.1 != primary))
             })?;
             round.gaps_ms.push(from.elapsed().as_secs_f64() * 1e3);
             fleet.promised_more(10)?;
@@ -85,17 +92,30 @@
         "a process stopped and woken" => {
             fleet.gateway(primary)?.freeze()?;
             fleet.await_that("another primary", || {
-                fleet.led().values().filter(|s| s.2.len() == shape.copies).all(|s| s.1 != primary)
+                fleet
+                    .led()
+                    .values()
+                    .filter(|s| s.2.len() == shape.copies)
+                    .all(|s| s.1 != primary)
             })?;
             fleet.gateway(primary)?.thaw()?;
             fleet.promised_more(10)?;
         }
         "cut off from all" | "cut off one way" | "replies two seconds slow" => {
-            let cut = Faults { cut: true, ..Faults::default() };
+            let cut = Faults {
+                cut: true,
+                ..Faults::default()
+            };
             let (leaves, comes) = match what {
                 "cut off from all" => (cut, cut),
                 "cut off one way" => (cut, Faults::default()),
-                _ => (Faults { delay_ms: 2_000, ..Faults::default() }, Faults::default()),
+                _ => (
+                    Faults {
+                        delay_ms: 2_000,
+                        ..Faults::default()
+                    },
+                    Faults::default(),
+                ),
             };
             fleet.around(primary, leaves, comes);
             fleet.promised_more(30)?;
@@ -103,7 +123,12 @@
             fleet.around(primary, Faults::default(), Faults::default());
         }
         "a third of all frames lost" => {
-            fleet.everywhere(Faults { lost: 30, doubled: 3, jitter_ms: 20, ..Faults::default() });
+            fleet.everywhere(Faults {
+                lost: 30,
+                doubled: 3,
+                jitter_ms: 20,
+                ..Faults::default()
+            });
             std::thread::sleep(Duration::from_millis(2_500));
             fleet.everywhere(Faults::default());
         }
@@ -172,8 +197,17 @@
     }
     let (held, wrong) = fleet.judge()?;
     if !wrong.is_empty() {
-        let shown = wrong.iter().take(6).map(ToString::to_string).collect::<Vec<_>>().join("; ");
-        return Err(Error::other(format!("{:?}: {} wrong: {shown}", round.faults, wrong.len())));
+        let shown = wrong
+            .iter()
+            .take(6)
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
+            .join("; ");
+        return Err(Error::other(format!(
+            "{:?}: {} wrong: {shown}",
+            round.faults,
+            wrong.len()
+        )));
     }
     round.held = held;
     Ok(round)
@@ -184,7 +218,12 @@
 pub fn cost(instances: usize, seconds: u64) -> Result<bool> {
     for callers in [1usize, 16, 128] {
         for copies in [0usize, 1, 2, 3] {
-            let shape = Shape { instances, copies: copies.max(1), on: copies > 0, ..Shape::default() };
+            let shape = Shape {
+                instances,
+                copies: copies.max(1),
+                on: copies > 0,
+                ..Shape::default()
+            };
             let fleet = Fleet::start(shape, 900)?;
             if copies > 0 {
                 fleet.whole()?;
@@ -193,7 +232,9 @@
             let threads: Vec<_> = (0..callers)
                 .map(|c| {
                     let desk = fleet.desk();
-                    std::thread::spawn(move || desk.send_until(c % instances, &format!("c{c}"), end))
+                    std::thread::spawn(move || {
+                        desk.send_until(c % instances, &format!("c{c}"), end)
+                    })
                 })
                 .collect();
             let mut all = hdrhistogram::Histogram::<u64>::new(3).map_err(Error::other)?;
--- a/testbed/src/fault_injection/fleet.rs
+++ b/testbed/src/fault_injection/fleet.rs
@@ -14,7 +14,8 @@
 
 use crate::fakes::gateway::{Folder, KEYED, SAFE, UNSAFE};
 use crate::fakes::{
-    call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker, PATIENCE,
+    call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
+    PATIENCE,
 };
 use crate::fault_proxy::{Faults, Link, Way};
 use crate::history::promises::{self, CopyNote, Promised, Wrong};
@@ -96,7 +97,9 @@
             let id = format!("{prefix}-{}", micros.len() as u64 + refused);
             let from = Instant::now();
             match caller.call(TENANT, &secret, &id, &call_body(SAFE, 7, None)) {
-                Ok(answer) if status(&answer) == 202 => micros.push(from.elapsed().as_micros() as u64),
+                Ok(answer) if status(&answer) == 202 => {
+                    micros.push(from.elapsed().as_micros() as u64)
+                }
                 _ => refused += 1,
             }
         }
@@ -135,10 +138,19 @@
     pub fn start(shape: Shape, seed: u64) -> Result<Fleet> {
         let folder = Folder::new(&format!("copies-{seed}"))?;
         std::fs::create_dir_all(folder.0.join("history"))?;
-        std::fs::write(folder.0.join("shared.keys"), BASE64_STANDARD.encode([7u8; 32]))?;
-        let workers: Vec<Worker> = (0..4).map(|_| Worker::start(shape.work, 0)).collect::<Result<_>>()?;
+        std::fs::write(
+            folder.0.join("shared.keys"),
+            BASE64_STANDARD.encode([7u8; 32]),
+        )?;
+        let workers: Vec<Worker> = (0..4)
+            .map(|_| Worker::start(shape.work, 0))
+            .collect::<Result<_>>()?;
         let portal = Portal::start(secret(1), Manner::Good)?;
-        let admin = if shape.administered { crate::fakes::admin::write(&folder.0)? } else { String::new() };
+        let admin = if shape.administered {
+            crate::fakes::admin::write(&folder.0)?
+        } else {
+            String::new()
+        };
         let operator = format!(
             "{admin}[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\ncallback_answer_ms = 2000\npending = 4096\n\
              schedule_s = [0.05, 0.1, 0.2, 0.4, 0.8, 1, 1, 1, 2, 2, 2, 2]\n\
@@ -146,11 +158,16 @@
             portal.address,
             secret_text(1)
         );
-        let ports: Vec<SocketAddr> = (0..shape.instances).map(|_| free()).collect::<Result<_>>()?;
+        let ports: Vec<SocketAddr> = (0..shape.instances)
+            .map(|_| free())
+            .collect::<Result<_>>()?;
         let mut links = BTreeMap::new();
         for from in 0..shape.instances {
             for (to, port) in ports.iter().enumerate().filter(|(to, _)| *to != from) {
-                links.insert((from, to), Link::stream(*port, seed ^ ((from as u64) << 8 | to as u64))?);
+                links.insert(
+                    (from, to),
+                    Link::stream(*port, seed ^ ((from as u64) << 8 | to as u64))?,
+                );
             }
         }
         let voters = shape.instances.min(5);
@@ -159,7 +176,9 @@
             let home = folder.0.join(name(n));
             std::fs::create_dir_all(&home)?;
             let at = |to: usize| links.get(&(n, to)).map_or(*port, |l: &Link| l.address);
-            let all: String = (0..voters).map(|to| format!("{} = \"{}\"\n", name(to), at(to))).collect();
+            let all: String = (0..voters)
+                .map(|to| format!("{} = \"{}\"\n", name(to), at(to)))
+                .collect();
             let seat = if n < voters { "seat = \"seat\"\n" } else { "" };
             let council = format!(
                 "listen = \"{}\"\nname = \"{}\"\n{seat}lease_ms = 600\ntick_ms = 20\nhistory = \"../history/{}.jsonl\"\n\
@@ -172,11 +191,18 @@
             let members: String = (0..shape.instances)
                 .map(|to| {
                     let hall = to % shape.halls.max(1);
-                    format!("{} = {{ address = \"{}\", hall = \"hall-{hall}\" }}\n", name(to), at(to))
+                    format!(
+                        "{} = {{ address = \"{}\", hall = \"hall-{hall}\" }}\n",
+                        name(to),
+                        at(to)
+                    )
                 })
                 .collect();
-            let fewer =
-                if shape.fewer { format!("[when_fewer]\n{SAFE} = \"fewer\"\n") } else { String::new() };
+            let fewer = if shape.fewer {
+                format!("[when_fewer]\n{SAFE} = \"fewer\"\n")
+            } else {
+                String::new()
+            };
             let copies = format!(
                 "copies = {}\nshards = 8\nsilent_ms = 700\nstall_ms = 400\nask_ms = 1500\nrepairs = 4\n{fewer}[members]\n{members}",
                 shape.copies
@@ -236,10 +262,15 @@
             copies.as_deref(),
             without,
             self.shape.ends_at,
-            self.shape.full.filter(|(full, _)| *full == n).map(|(_, kib)| kib),
+            self.shape
+                .full
+                .filter(|(full, _)| *full == n)
+                .map(|(_, kib)| kib),
             &self.operator,
         )?;
-        let door = gateway.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+        let door = gateway
+            .webhooks
+            .ok_or_else(|| Error::other("no webhooks"))?;
         self.doors[n].store(u64::from(door.port()), Ordering::Relaxed);
         self.gateways[n] = Some(gateway);
         Ok(())
@@ -260,8 +291,11 @@
                 self.bereft.insert(shard, epoch);
             }
         }
-        let files: &[&str] =
-            if std::mem::replace(&mut self.seat_lost, true) { &["store"] } else { &["store", "seat"] };
+        let files: &[&str] = if std::mem::replace(&mut self.seat_lost, true) {
+            &["store"]
+        } else {
+            &["store", "seat"]
+        };
         for file in files {
             match std::fs::remove_file(self.home(n).join(file)) {
                 Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(e),
@@ -289,7 +323,10 @@
     /// How often an instance found its disk to hold something else than was written.
     pub fn damages(&self, n: usize) -> usize {
         let found = |x: &CopyNote| matches!(x, CopyNote::Damaged { .. });
-        self.notes().iter().filter(|(who, _, x)| *who == name(n) && found(x)).count()
+        self.notes()
+            .iter()
+            .filter(|(who, _, x)| *who == name(n) && found(x))
+            .count()
     }
 
     /// Whether what an instance's disk was found to hold wrongly was mended, but for shards that others hold by now.
@@ -302,7 +339,8 @@
                 _ => {}
             }
         }
-        open.iter().all(|shard| led.get(shard).is_some_and(|s| !s.2.contains(&me)))
+        open.iter()
+            .all(|shard| led.get(shard).is_some_and(|s| !s.2.contains(&me)))
     }
 
     /// Its disk tells kept what it loses when the process ends: the store as it is now, to be put back then.
@@ -339,9 +377,15 @@
     pub fn ends(&mut self, n: usize) -> Result<()> {
         std::fs::write(self.home(n).join("armed"), "")?;
         let end = Instant::now() + PATIENCE;
-        while !self.gateways[n].as_mut().map_or(Ok(true), Gateway::has_ended)? {
+        while !self.gateways[n]
+            .as_mut()
+            .map_or(Ok(true), Gateway::has_ended)?
+        {
             if Instant::now() > end {
-                return Err(Error::other(format!("{} did not come to the step", name(n))));
+                return Err(Error::other(format!(
+                    "{} did not come to the step",
+                    name(n)
+                )));
             }
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -350,7 +394,9 @@
 
     /// One instance's process.
     pub fn gateway(&self, n: usize) -> Result<&Gateway> {
-        self.gateways[n].as_ref().ok_or_else(|| Error::other(format!("{} is down", name(n))))
+        self.gateways[n]
+            .as_ref()
+            .ok_or_else(|| Error::other(format!("{} is down", name(n))))
     }
 
     /// What all links from and to an instance do; `leaves` is what leaves it.
@@ -373,7 +419,10 @@
 
     /// Where single calls are sent from; may be taken to other threads.
     pub fn desk(&self) -> Desk {
-        Desk { doors: self.doors.clone(), told: self.told.clone() }
+        Desk {
+            doors: self.doors.clone(),
+            told: self.told.clone(),
+        }
     }
 
     /// Sends one signed call to an instance; its status, 0 for none.
@@ -400,10 +449,11 @@
                     let n = calls.fetch_add(1, Ordering::Relaxed);
                     let class = [SAFE, UNSAFE, KEYED][n as usize % 3];
                     let id = format!("call-{n}");
-                    let to = open
-                        .entry(port)
-                        .or_insert_with(|| Caller::patient(([127, 0, 0, 1], port as u16).into(), 4));
-                    let status = match to.call(TENANT, &secret, &id, &call_body(class, n % 7, None)) {
+                    let to = open.entry(port).or_insert_with(|| {
+                        Caller::patient(([127, 0, 0, 1], port as u16).into(), 4)
+                    });
+                    let status = match to.call(TENANT, &secret, &id, &call_body(class, n % 7, None))
+                    {
                         Ok(answer) => status(&answer),
                         Err(_) => {
                             open.remove(&port);
@@ -419,7 +469,9 @@
 
     /// How many calls were promised so far.
     pub fn promised(&self) -> usize {
-        self.told.lock().map_or(0, |t| t.values().filter(|(_, s)| *s == 202).count())
+        self.told
+            .lock()
+            .map_or(0, |t| t.values().filter(|(_, s)| *s == 202).count())
     }
 
     /// Waits until so many more calls were promised.
@@ -434,7 +486,11 @@
         while !holds() {
             if Instant::now() > end {
                 let log = |g: &Gateway| g.log.last().cloned();
-                let logs: Vec<_> = self.gateways.iter().map(|g| g.as_ref().and_then(log)).collect();
+                let logs: Vec<_> = self
+                    .gateways
+                    .iter()
+                    .map(|g| g.as_ref().and_then(log))
+                    .collect();
                 return Err(Error::other(format!(
                     "{what} did not come; logged last: {logs:?}; {:?}",
                     self.led()
@@ -454,8 +510,18 @@
     pub fn led(&self) -> BTreeMap<u16, (u64, usize, Vec<String>)> {
         let mut led: BTreeMap<u16, (u64, usize, Vec<String>)> = BTreeMap::new();
         for (who, _, note) in self.notes() {
-            if let CopyNote::Led { shard, epoch, members, .. } = note {
-                let n = who.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+            if let CopyNote::Led {
+                shard,
+                epoch,
+                members,
+                ..
+            } = note
+            {
+                let n = who
+                    .rsplit('-')
+                    .next()
+                    .and_then(|n| n.parse().ok())
+                    .unwrap_or(0);
                 let known = led.entry(shard).or_default();
                 if epoch >= known.0 {
                     *known = (epoch, n, members);
@@ -476,7 +542,8 @@
                     .and_then(|n| n.parse().ok())
                     .is_some_and(|n: usize| self.gateways.get(n).is_some_and(Option::is_some))
             };
-            let newer = |shard: &u16, epoch: u64| self.bereft.get(shard).is_none_or(|old| epoch > *old);
+            let newer =
+                |shard: &u16, epoch: u64| self.bereft.get(shard).is_none_or(|old| epoch > *old);
             led.len() == 8
                 && led.iter().all(|(id, (e, _, members))| {
                     members.len() == copies && members.iter().all(up) && newer(id, *e)
@@ -505,17 +572,27 @@
              webhook-signature: {signed}\r\n\r\n"
         );
         let answer = Caller::new(([127, 0, 0, 1], port).into()).exchange(head.as_bytes())?;
-        let body: serde_json::Value = serde_json::from_slice(crate::fakes::body(&answer)).unwrap_or_default();
+        let body: serde_json::Value =
+            serde_json::from_slice(crate::fakes::body(&answer)).unwrap_or_default();
         Ok(body["outcome"].as_str().unwrap_or("").to_owned())
     }
 
     /// Ends the callers, waits until every call that was promised has its end, and judges what all recorded.
     pub fn judge(mut self) -> Result<(Promised, Vec<Wrong>)> {
         self.hang_up()?;
-        let told = self.told.lock().map_err(|_| Error::other("a caller failed"))?.clone();
-        let mut open: BTreeSet<String> =
-            told.iter().filter(|(_, (_, s))| *s == 202).map(|(id, _)| id.clone()).collect();
-        let at = (0..self.shape.instances).find(|n| self.gateways[*n].is_some()).unwrap_or(0);
+        let told = self
+            .told
+            .lock()
+            .map_err(|_| Error::other("a caller failed"))?
+            .clone();
+        let mut open: BTreeSet<String> = told
+            .iter()
+            .filter(|(_, (_, s))| *s == 202)
+            .map(|(id, _)| id.clone())
+            .collect();
+        let at = (0..self.shape.instances)
+            .find(|n| self.gateways[*n].is_some())
+            .unwrap_or(0);
         let end = Instant::now() + 2 * PATIENCE;
         let mut outcomes: BTreeMap<String, String> = BTreeMap::new();
         while !open.is_empty() && Instant::now() < end {
@@ -532,8 +609,13 @@
         }
         // Safe calls' callbacks come; those of the others may be ones of which nobody can tell.
         let safe: BTreeSet<&String> = outcomes.keys().filter(|id| told[*id].0 == SAFE).collect();
-        let came =
-            |p: &Portal| p.all().into_iter().filter(|s| s.confirmed).map(|s| s.call).collect::<BTreeSet<_>>();
+        let came = |p: &Portal| {
+            p.all()
+                .into_iter()
+                .filter(|s| s.confirmed)
+                .map(|s| s.call)
+                .collect::<BTreeSet<_>>()
+        };
         let all_came = |p: &Portal| {
             let came = came(p);
             safe.iter().all(|id| came.contains(*id))
@@ -546,20 +628,37 @@
         }
         let mut runs: BTreeMap<(String, String), u32> = BTreeMap::new();
         for w in &self.workers {
-            for (id, n) in w.runs.lock().map_err(|_| Error::other("a worker failed"))?.iter() {
+            for (id, n) in w
+                .runs
+                .lock()
+                .map_err(|_| Error::other("a worker failed"))?
+                .iter()
+            {
                 *runs.entry(id.clone()).or_default() += n;
             }
         }
-        let portal: Vec<(String, bool)> =
-            self.portal.all().into_iter().map(|s| (s.call, s.confirmed)).collect();
-        Ok(promises::check(&self.notes(), &told, &outcomes, &runs, &portal))
+        let portal: Vec<(String, bool)> = self
+            .portal
+            .all()
+            .into_iter()
+            .map(|s| (s.call, s.confirmed))
+            .collect();
+        Ok(promises::check(
+            &self.notes(),
+            &told,
+            &outcomes,
+            &runs,
+            &portal,
+        ))
     }
 }
 
 fn note(told: &Told, id: &str, class: &str, status: u16) {
     if let Ok(mut told) = told.lock() {
         // A promise counts, whatever another gateway says of the same identity.
-        let known = told.entry(id.to_owned()).or_insert((class.to_owned(), status));
+        let known = told
+            .entry(id.to_owned())
+            .or_insert((class.to_owned(), status));
         if known.1 != 202 {
             known.1 = status;
         }
--- a/testbed/src/fault_injection/tenants.rs
+++ b/testbed/src/fault_injection/tenants.rs
@@ -32,7 +32,10 @@
 impl Administrator {
     /// One at an address, with a token.
     pub fn new(at: SocketAddr, token: String) -> Administrator {
-        Administrator { to: Caller::new(at), token }
+        Administrator {
+            to: Caller::new(at),
+            token,
+        }
     }
 
     /// Asks for something; with further header lines.
@@ -48,7 +51,11 @@
                 body: serde_json::from_slice(body(&answer)).unwrap_or(Value::Null),
                 tag: header(&answer, "etag"),
             },
-            Err(_) => Answered { status: 0, body: Value::Null, tag: String::new() },
+            Err(_) => Answered {
+                status: 0,
+                body: Value::Null,
+                tag: String::new(),
+            },
         }
     }
 
@@ -66,7 +73,10 @@
 impl Fleet {
     /// An administrator at one instance.
     pub fn administrator(&self, n: usize) -> Result<Administrator> {
-        let at = self.gateway(n)?.admin.ok_or_else(|| Error::other("it is not administered"))?;
+        let at = self
+            .gateway(n)?
+            .admin
+            .ok_or_else(|| Error::other("it is not administered"))?;
         let token = std::fs::read_to_string(self.folder().join("svid"))?;
         Ok(Administrator::new(at, token))
     }
@@ -79,14 +89,22 @@
         secret: &molelug::tenancy::Secret,
         id: &str,
     ) -> Result<u16> {
-        let at = self.gateway(n)?.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+        let at = self
+            .gateway(n)?
+            .webhooks
+            .ok_or_else(|| Error::other("no webhooks"))?;
         let text = call_body(crate::fakes::gateway::SAFE, 7, None);
-        Ok(Caller::new(at).call(tenant, secret, id, &text).map_or(0, |a| status(&a)))
+        Ok(Caller::new(at)
+            .call(tenant, secret, id, &text)
+            .map_or(0, |a| status(&a)))
     }
 
     /// The instances that run.
     pub fn running(&self) -> BTreeSet<String> {
-        (0..self.gateways.len()).filter(|n| self.gateways[*n].is_some()).map(name).collect()
+        (0..self.gateways.len())
+            .filter(|n| self.gateways[*n].is_some())
+            .map(name)
+            .collect()
     }
 
     /// Waits until all that run have taken over the newest version of each tenant that any of them has.
@@ -102,9 +120,10 @@
                         last.retain(|(_, name), _| *name != l.name);
                         continue;
                     }
-                    TenantNote::Adopted { tenant, version, .. } | TenantNote::Told { tenant, version } => {
-                        (tenant, version)
+                    TenantNote::Adopted {
+                        tenant, version, ..
                     }
+                    | TenantNote::Told { tenant, version } => (tenant, version),
                 };
                 let most = newest.entry(tenant.clone()).or_insert(0);
                 *most = (*most).max(*version);
@@ -112,7 +131,11 @@
                     last.insert((tenant.clone(), l.name.clone()), *version);
                 }
             }
-            newest.iter().all(|(t, v)| running.iter().all(|n| last.get(&(t.clone(), n.clone())) >= Some(v)))
+            newest.iter().all(|(t, v)| {
+                running
+                    .iter()
+                    .all(|n| last.get(&(t.clone(), n.clone())) >= Some(v))
+            })
         })
     }
 
--- a/testbed/src/fault_proxy/mod.rs
+++ b/testbed/src/fault_proxy/mod.rs
@@ -84,7 +84,10 @@
     /// A relay for streams.
     pub fn stream(to: SocketAddr, seed: u64) -> Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let link = Link { address: listener.local_addr()?, shared: Link::shared() };
+        let link = Link {
+            address: listener.local_addr()?,
+            shared: Link::shared(),
+        };
         let shared = link.shared.clone();
         listener.set_nonblocking(true)?;
         std::thread::spawn(move || {
@@ -94,7 +97,8 @@
                     Ok((near, _)) if !shared.refuses.load(Ordering::Relaxed) => {
                         number = number.wrapping_add(1);
                         // One that cannot be reached is one whose connection ends.
-                        if let Ok(far) = TcpStream::connect_timeout(&to, Duration::from_millis(500)) {
+                        if let Ok(far) = TcpStream::connect_timeout(&to, Duration::from_millis(500))
+                        {
                             let _ = join(near, far, number, &shared);
                         }
                     }
@@ -108,10 +112,19 @@
 
     /// A relay for datagrams; answers go back to who sent last.
     pub fn datagram(to: SocketAddr, seed: u64) -> Result<Link> {
-        let (near, far) = (UdpSocket::bind("127.0.0.1:0")?, UdpSocket::bind("127.0.0.1:0")?);
-        let link = Link { address: near.local_addr()?, shared: Link::shared() };
+        let (near, far) = (
+            UdpSocket::bind("127.0.0.1:0")?,
+            UdpSocket::bind("127.0.0.1:0")?,
+        );
+        let link = Link {
+            address: near.local_addr()?,
+            shared: Link::shared(),
+        };
         let last: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
-        for (way, from, out) in [(Way::There, near.try_clone()?, far.try_clone()?), (Way::Back, far, near)] {
+        for (way, from, out) in [
+            (Way::There, near.try_clone()?, far.try_clone()?),
+            (Way::Back, far, near),
+        ] {
             from.set_read_timeout(Some(LOOK))?;
             let (shared, last) = (link.shared.clone(), last.clone());
             std::thread::spawn(move || {
@@ -180,7 +193,13 @@
 impl Queue {
     fn new(seed: u64, way: Way, shared: Arc<Shared>) -> Queue {
         let random = ChaCha8Rng::seed_from_u64(seed);
-        Queue { way, shared, random, waits: VecDeque::new(), free: Instant::now() }
+        Queue {
+            way,
+            shared,
+            random,
+            waits: VecDeque::new(),
+            free: Instant::now(),
+        }
     }
 
     fn chance(&mut self, of_hundred: u32) -> bool {
@@ -215,7 +234,8 @@
         }
         let (_, bytes) = self.waits.pop_front()?;
         if f.bytes_per_s > 0 {
-            self.free = now + Duration::from_secs_f64(bytes.len() as f64 / f64::from(f.bytes_per_s));
+            self.free =
+                now + Duration::from_secs_f64(bytes.len() as f64 / f64::from(f.bytes_per_s));
         }
         self.shared.passed.fetch_add(1, Ordering::Relaxed);
         Some(bytes)
@@ -228,7 +248,10 @@
         s.set_nodelay(true)?;
         s.set_read_timeout(Some(LOOK))?;
     }
-    let pairs = [(Way::There, near.try_clone()?, far.try_clone()?), (Way::Back, far, near)];
+    let pairs = [
+        (Way::There, near.try_clone()?, far.try_clone()?),
+        (Way::Back, far, near),
+    ];
     for (way, from, to) in pairs {
         let shared = shared.clone();
         std::thread::spawn(move || pump(way, from, to, seed ^ way as u64, &shared, born));
@@ -236,7 +259,14 @@
     Ok(())
 }
 
-fn pump(way: Way, mut from: TcpStream, mut to: TcpStream, seed: u64, shared: &Arc<Shared>, born: u64) {
+fn pump(
+    way: Way,
+    mut from: TcpStream,
+    mut to: TcpStream,
+    seed: u64,
+    shared: &Arc<Shared>,
+    born: u64,
+) {
     let mut queue = Queue::new(seed, way, shared.clone());
     let (mut held, mut chunk) = (Vec::new(), [0; 16 * 1024]);
     // Who accepts says a word before its frames.
@@ -330,17 +360,36 @@
         let mut s = connect(&link);
         s.write_all(&frame(1)).unwrap();
         assert_eq!(read(&mut s), 1);
-        link.set(Way::There, Faults { lost: 100, ..Faults::default() });
+        link.set(
+            Way::There,
+            Faults {
+                lost: 100,
+                ..Faults::default()
+            },
+        );
         s.write_all(&frame(2)).unwrap();
         std::thread::sleep(Duration::from_millis(50));
-        link.set(Way::There, Faults { doubled: 100, ..Faults::default() });
+        link.set(
+            Way::There,
+            Faults {
+                doubled: 100,
+                ..Faults::default()
+            },
+        );
         s.write_all(&frame(3)).unwrap();
         assert_eq!((read(&mut s), read(&mut s)), (3, 3));
         // Held on the way back: it left, and comes once the cut ends.
         link.set_both(Faults::default());
-        link.set(Way::Back, Faults { cut: true, ..Faults::default() });
+        link.set(
+            Way::Back,
+            Faults {
+                cut: true,
+                ..Faults::default()
+            },
+        );
         s.write_all(&frame(4)).unwrap();
-        s.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
+        s.set_read_timeout(Some(Duration::from_millis(100)))
+            .unwrap();
         assert!(s.read(&mut [0; 8]).is_err());
         link.set(Way::Back, Faults::default());
         s.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -354,14 +403,27 @@
 
     #[test]
     fn datagrams_come_behind_the_next() {
-        let (a, b) = (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
+        let (a, b) = (
+            UdpSocket::bind("127.0.0.1:0").unwrap(),
+            UdpSocket::bind("127.0.0.1:0").unwrap(),
+        );
         b.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         let link = Link::datagram(b.local_addr().unwrap(), 1).unwrap();
-        link.set(Way::There, Faults { behind: 100, delay_ms: 100, ..Faults::default() });
+        link.set(
+            Way::There,
+            Faults {
+                behind: 100,
+                delay_ms: 100,
+                ..Faults::default()
+            },
+        );
         a.send_to(b"1", link.address).unwrap();
         a.send_to(b"2", link.address).unwrap();
         let mut got = [0; 2];
-        assert_eq!(b.recv(&mut got[..1]).unwrap() + b.recv(&mut got[1..]).unwrap(), 2);
+        assert_eq!(
+            b.recv(&mut got[..1]).unwrap() + b.recv(&mut got[1..]).unwrap(),
+            2
+        );
         assert_eq!(&got, b"21");
         assert_eq!(link.passed(), 2);
     }
--- a/testbed/src/gossip.rs
+++ b/testbed/src/gossip.rs
@@ -29,7 +29,9 @@
 }
 
 fn now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// A free port for datagrams.
@@ -73,16 +75,33 @@
         }
         for (n, peer) in peers.iter().enumerate() {
             let victim = name((n + 1) % peers.len());
-            let ill = Observation { at, refused: 9, ..Observation::default() };
+            let ill = Observation {
+                at,
+                refused: 9,
+                ..Observation::default()
+            };
             let seen = workers.iter().map(|w| (WorkerId(*w), ill)).collect();
             let mut sighting = Some(wire::seal_sighting(keys, me, at, seen));
             let accusations = vec![wire::seal_accusation(keys, &victim, u64::MAX, me)];
-            let records = vec![own.clone(), wire::seal_record(keys, &victim, *peer, u64::MAX, true)];
-            let message = Message { say: Say::Sync(true), records, accusations };
+            let records = vec![
+                own.clone(),
+                wire::seal_record(keys, &victim, *peer, u64::MAX, true),
+            ];
+            let message = Message {
+                say: Say::Sync(true),
+                records,
+                accusations,
+            };
             number += 1;
-            let sealed = wire::pack(keys, me, number, at, &message, wire::MTU, |_| sighting.take());
+            let sealed = wire::pack(keys, me, number, at, &message, wire::MTU, |_| {
+                sighting.take()
+            });
             let forged = wire::pack(keys, &victim, number, at, &message, wire::MTU, |_| None);
-            for bytes in sealed.into_iter().chain(forged).chain([vec![7; 600], vec![0; 4000]]) {
+            for bytes in sealed
+                .into_iter()
+                .chain(forged)
+                .chain([vec![7; 600], vec![0; 4000]])
+            {
                 // A peer whose queue is full loses it.
                 let _ = socket.send_to(&bytes, peer);
             }
@@ -101,13 +120,22 @@
         return Err(Error::other("some instances must be honest"));
     }
     let folder = Folder::new("gossip")?;
-    let workers: Vec<Worker> =
-        (0..6).map(|_| Worker::start(Duration::from_millis(2), 0)).collect::<Result<_>>()?;
+    let workers: Vec<Worker> = (0..6)
+        .map(|_| Worker::start(Duration::from_millis(2), 0))
+        .collect::<Result<_>>()?;
     let ports: Vec<SocketAddr> = (0..instances).map(|_| free()).collect::<Result<_>>()?;
     let accepted: BTreeMap<String, Vec<String>> = (0..instances)
-        .map(|n| Ok((name(n), vec![Keys::public(&private(n)).map_err(Error::other)?])))
+        .map(|n| {
+            Ok((
+                name(n),
+                vec![Keys::public(&private(n)).map_err(Error::other)?],
+            ))
+        })
         .collect::<Result<_>>()?;
-    let accepted_text: String = accepted.iter().map(|(n, k)| format!("{n} = {k:?}\n")).collect();
+    let accepted_text: String = accepted
+        .iter()
+        .map(|(n, k)| format!("{n} = {k:?}\n"))
+        .collect();
     let honest = instances - liars;
     let begun = Instant::now();
     let mut gateways = Vec::new();
@@ -173,12 +201,15 @@
         ran.agreeing = 0;
         for gateway in &mut gateways {
             let counters = gateway.counters()?;
-            ran.agreeing += usize::from(counters["gossip_alive"].as_u64() >= Some(honest as u64 - 1));
+            ran.agreeing +=
+                usize::from(counters["gossip_alive"].as_u64() >= Some(honest as u64 - 1));
         }
     }
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
-        let (calls, served) = caller.join().map_err(|_| Error::other("a caller failed"))??;
+        let (calls, served) = caller
+            .join()
+            .map_err(|_| Error::other("a caller failed"))??;
         (ran.calls, ran.served) = (ran.calls + calls, ran.served + served);
     }
     for liar in liars {
@@ -204,10 +235,24 @@
     let with = play(instances, liars, seconds, true)?;
     let honest = instances - liars;
     println!("{instances} instances, {liars} of them lying, for {seconds} s");
-    println!("without gossip: {} calls, {:.2}% served", without.calls, share(&without));
-    println!("with gossip:    {} calls, {:.2}% served", with.calls, share(&with));
-    println!("most sent by one: {:.0} bytes/s of {BYTES_PER_S}", with.most_bytes_per_s);
-    println!("{} of {honest} hold all the others for alive", with.agreeing);
+    println!(
+        "without gossip: {} calls, {:.2}% served",
+        without.calls,
+        share(&without)
+    );
+    println!(
+        "with gossip:    {} calls, {:.2}% served",
+        with.calls,
+        share(&with)
+    );
+    println!(
+        "most sent by one: {:.0} bytes/s of {BYTES_PER_S}",
+        with.most_bytes_per_s
+    );
+    println!(
+        "{} of {honest} hold all the others for alive",
+        with.agreeing
+    );
     let good = share(&with) >= share(&without) - 3.0
         && with.most_bytes_per_s <= f64::from(BYTES_PER_S)
         && with.agreeing == honest;
--- a/testbed/src/history/mod.rs
+++ b/testbed/src/history/mod.rs
@@ -51,18 +51,58 @@
 #[serde(tag = "what", rename_all = "snake_case")]
 #[allow(missing_docs)]
 pub enum Note {
-    Agreed { index: u64, duty: String, term: u64, owner: Option<Owner> },
-    Restored { index: u64 },
-    Began { duty: String, term: u64 },
-    Ended { duty: String, term: u64 },
-    Acted { duty: String, term: u64, number: u64 },
-    Sent { duty: String, term: u64, number: u64 },
-    TakenBack { duty: String, term: u64, number: u64 },
-    Accepted { duty: String, term: u64, owner: String, number: u64 },
-    Refused { duty: String, term: u64, owner: String, number: u64, why: String },
-    Leads { term: u64 },
+    Agreed {
+        index: u64,
+        duty: String,
+        term: u64,
+        owner: Option<Owner>,
+    },
+    Restored {
+        index: u64,
+    },
+    Began {
+        duty: String,
+        term: u64,
+    },
+    Ended {
+        duty: String,
+        term: u64,
+    },
+    Acted {
+        duty: String,
+        term: u64,
+        number: u64,
+    },
+    Sent {
+        duty: String,
+        term: u64,
+        number: u64,
+    },
+    TakenBack {
+        duty: String,
+        term: u64,
+        number: u64,
+    },
+    Accepted {
+        duty: String,
+        term: u64,
+        owner: String,
+        number: u64,
+    },
+    Refused {
+        duty: String,
+        term: u64,
+        owner: String,
+        number: u64,
+        why: String,
+    },
+    Leads {
+        term: u64,
+    },
     Follows,
-    Retired { why: String },
+    Retired {
+        why: String,
+    },
 }
 
 /// What is wrong with a history.
@@ -70,7 +110,12 @@
 #[allow(missing_docs)]
 pub enum Wrong {
     /// A receiver took an effect under a term below one that it had taken before.
-    Stale { receiver: String, duty: String, term: u64, after: u64 },
+    Stale {
+        receiver: String,
+        duty: String,
+        term: u64,
+        after: u64,
+    },
     /// Two entries at one place of the log, or two owners of one term.
     TwoOwners { duty: String, term: u64 },
     /// Two entries of duties at one place of the log.
@@ -78,9 +123,19 @@
     /// A term that does not follow the one before.
     Gap { duty: String, term: u64 },
     /// An owner acted without a lease that ran, or let bytes go after it had ended.
-    NoLease { owner: String, duty: String, term: u64, number: u64 },
+    NoLease {
+        owner: String,
+        duty: String,
+        term: u64,
+        number: u64,
+    },
     /// A receiver took what no owner had done.
-    Forged { receiver: String, duty: String, term: u64, number: u64 },
+    Forged {
+        receiver: String,
+        duty: String,
+        term: u64,
+        number: u64,
+    },
     /// Two led the log in one of its terms.
     TwoLeaders { term: u64 },
     /// A call has two final answers.
@@ -92,17 +147,43 @@
 impl fmt::Display for Wrong {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wrong::Stale { receiver, duty, term, after } => {
-                write!(f, "{receiver} took an effect of {duty} under term {term} after one under {after}")
+            Wrong::Stale {
+                receiver,
+                duty,
+                term,
+                after,
+            } => {
+                write!(
+                    f,
+                    "{receiver} took an effect of {duty} under term {term} after one under {after}"
+                )
             }
             Wrong::TwoOwners { duty, term } => write!(f, "two owners of {duty} under term {term}"),
             Wrong::TwoEntries { index } => write!(f, "two entries at {index}"),
-            Wrong::Gap { duty, term } => write!(f, "term {term} of {duty} does not follow the one before"),
-            Wrong::NoLease { owner, duty, term, number } => {
-                write!(f, "{owner} did effect {number} of {duty} under term {term} without a lease")
+            Wrong::Gap { duty, term } => {
+                write!(f, "term {term} of {duty} does not follow the one before")
             }
-            Wrong::Forged { receiver, duty, term, number } => {
-                write!(f, "{receiver} took effect {number} of {duty} under term {term}, which nobody did")
+            Wrong::NoLease {
+                owner,
+                duty,
+                term,
+                number,
+            } => {
+                write!(
+                    f,
+                    "{owner} did effect {number} of {duty} under term {term} without a lease"
+                )
+            }
+            Wrong::Forged {
+                receiver,
+                duty,
+                term,
+                number,
+            } => {
+                write!(
+                    f,
+                    "{receiver} took effect {number} of {duty} under term {term}, which nobody did"
+                )
             }
             Wrong::TwoLeaders { term } => write!(f, "two led in term {term} of the log"),
             Wrong::TwoAnswers { call } => write!(f, "call {call:016x} has two answers"),
@@ -135,7 +216,10 @@
     let mut files: Vec<_> = std::fs::read_dir(folder)?.collect::<Result<Vec<_>>>()?;
     files.sort_by_key(std::fs::DirEntry::path);
     let mut all = Vec::new();
-    for file in files.into_iter().filter(|f| f.path().extension().is_some_and(|e| e == "jsonl")) {
+    for file in files
+        .into_iter()
+        .filter(|f| f.path().extension().is_some_and(|e| e == "jsonl"))
+    {
         all.push(parse(&std::fs::read_to_string(file.path())?)?);
     }
     Ok(all)
@@ -162,7 +246,12 @@
     // First what all said together.
     for line in files.iter().flatten() {
         let (name, process, note) = match line {
-            Line::Noted { name, process, note, .. } => (name.as_str(), *process, note),
+            Line::Noted {
+                name,
+                process,
+                note,
+                ..
+            } => (name.as_str(), *process, note),
             Line::Answered { call, status } => {
                 if *status > 0 && !answers.insert(*call) {
                     wrong.push(Wrong::TwoAnswers { call: *call });
@@ -172,14 +261,22 @@
         };
         processes.insert(process);
         match note {
-            Note::Agreed { index, duty, term, owner } => {
+            Note::Agreed {
+                index,
+                duty,
+                term,
+                owner,
+            } => {
                 let entry = (duty.as_str(), *term, owner);
                 if *entries.entry(*index).or_insert(entry) != entry {
                     wrong.push(Wrong::TwoEntries { index: *index });
                 }
                 if let Some(owner) = owner {
                     if *owners.entry((duty, *term)).or_insert(owner) != owner {
-                        wrong.push(Wrong::TwoOwners { duty: duty.clone(), term: *term });
+                        wrong.push(Wrong::TwoOwners {
+                            duty: duty.clone(),
+                            term: *term,
+                        });
                     }
                 }
             }
@@ -188,7 +285,10 @@
                 held.acted += 1;
                 let me = (name, process);
                 if *actors.entry((duty, *term)).or_insert(me) != me {
-                    wrong.push(Wrong::TwoOwners { duty: duty.clone(), term: *term });
+                    wrong.push(Wrong::TwoOwners {
+                        duty: duty.clone(),
+                        term: *term,
+                    });
                 }
             }
             Note::Leads { term } => {
@@ -203,7 +303,10 @@
     for ((duty, term), (name, process)) in &actors {
         let granted = owners.get(&(*duty, *term));
         if granted.is_some_and(|o| o.name != *name || o.incarnation != *process) {
-            wrong.push(Wrong::TwoOwners { duty: (*duty).into(), term: *term });
+            wrong.push(Wrong::TwoOwners {
+                duty: (*duty).into(),
+                term: *term,
+            });
         }
     }
     check_terms(&entries, &mut wrong);
@@ -220,10 +323,16 @@
 fn check_terms(entries: &BTreeMap<u64, (&str, u64, &Option<Owner>)>, wrong: &mut Vec<Wrong>) {
     let mut last: BTreeMap<&str, u64> = BTreeMap::new();
     for (duty, term, owner) in entries.values() {
-        let before = last.get(duty).copied().unwrap_or(*term - u64::from(owner.is_some()));
+        let before = last
+            .get(duty)
+            .copied()
+            .unwrap_or(*term - u64::from(owner.is_some()));
         let follows = if owner.is_some() { before + 1 } else { before };
         if *term != follows {
-            wrong.push(Wrong::Gap { duty: (*duty).into(), term: *term });
+            wrong.push(Wrong::Gap {
+                duty: (*duty).into(),
+                term: *term,
+            });
         }
         last.insert(duty, *term);
     }
@@ -239,7 +348,15 @@
     let mut seen: BTreeMap<(u64, &str), u64> = BTreeMap::new();
     let mut runs: BTreeSet<(u64, &str, u64)> = BTreeSet::new();
     for line in file {
-        let Line::Noted { name, process, note, .. } = line else { continue };
+        let Line::Noted {
+            name,
+            process,
+            note,
+            ..
+        } = line
+        else {
+            continue;
+        };
         match note {
             Note::Began { duty, term } => drop(runs.insert((*process, duty, *term))),
             Note::Ended { duty, term } => drop(runs.remove(&(*process, duty.as_str(), *term))),
@@ -247,21 +364,41 @@
                 if !runs.contains(&(*process, duty.as_str(), *term)) =>
             {
                 let (owner, duty) = (name.clone(), duty.clone());
-                wrong.push(Wrong::NoLease { owner, duty, term: *term, number: *number });
+                wrong.push(Wrong::NoLease {
+                    owner,
+                    duty,
+                    term: *term,
+                    number: *number,
+                });
             }
             Note::TakenBack { .. } => held.taken_back += 1,
             Note::Refused { .. } => held.refused += 1,
-            Note::Accepted { duty, term, owner, number } => {
+            Note::Accepted {
+                duty,
+                term,
+                owner,
+                number,
+            } => {
                 held.accepted += 1;
                 let highest = seen.entry((*process, duty)).or_default();
                 if *term < *highest {
                     let (receiver, duty) = (name.clone(), duty.clone());
-                    wrong.push(Wrong::Stale { receiver, duty, term: *term, after: *highest });
+                    wrong.push(Wrong::Stale {
+                        receiver,
+                        duty,
+                        term: *term,
+                        after: *highest,
+                    });
                 }
                 *highest = (*highest).max(*term);
                 if !acted.contains(&(duty.as_str(), *term, owner.as_str(), *number)) {
                     let (receiver, duty) = (name.clone(), duty.clone());
-                    wrong.push(Wrong::Forged { receiver, duty, term: *term, number: *number });
+                    wrong.push(Wrong::Forged {
+                        receiver,
+                        duty,
+                        term: *term,
+                        number: *number,
+                    });
                 }
             }
             _ => {}
@@ -280,7 +417,14 @@
         held.processes, held.terms, held.acted, held.accepted, held.refused, held.taken_back, held.answers
     );
     wrong.iter().for_each(|w| println!("WRONG: {w}"));
-    println!("{}", if wrong.is_empty() { "sound" } else { "NOT sound" });
+    println!(
+        "{}",
+        if wrong.is_empty() {
+            "sound"
+        } else {
+            "NOT sound"
+        }
+    );
     Ok(wrong.is_empty())
 }
 
@@ -340,26 +484,46 @@
         let stale = lines("c", &[took(2, "b"), took(1, "a")]);
         assert!(matches!(
             judge(&[a.clone(), b.clone(), stale])[..],
-            [Wrong::Stale { term: 1, after: 2, .. }]
+            [Wrong::Stale {
+                term: 1,
+                after: 2,
+                ..
+            }]
         ));
         let forged = lines("c", &[took(2, "a")]);
-        assert!(matches!(judge(&[a.clone(), b.clone(), forged])[..], [Wrong::Forged { .. }]));
+        assert!(matches!(
+            judge(&[a.clone(), b.clone(), forged])[..],
+            [Wrong::Forged { .. }]
+        ));
         // Two owners under one term, by the log and by what they did.
         let other = lines("b", &[agreed(6, 1, "b")]);
-        assert!(judge(&[a.clone(), other]).contains(&Wrong::TwoOwners { duty: "d".into(), term: 1 }));
+        assert!(judge(&[a.clone(), other]).contains(&Wrong::TwoOwners {
+            duty: "d".into(),
+            term: 1
+        }));
         let other = lines("b", &[of("began", 1), of("acted", 1)]);
-        assert!(judge(&[a.clone(), other]).contains(&Wrong::TwoOwners { duty: "d".into(), term: 1 }));
+        assert!(judge(&[a.clone(), other]).contains(&Wrong::TwoOwners {
+            duty: "d".into(),
+            term: 1
+        }));
         let other = lines("c", &[agreed(5, 1, "b")]);
         assert!(judge(&[a.clone(), other]).contains(&Wrong::TwoEntries { index: 5 }));
         let gap = owner("b", 6, 3);
-        assert!(judge(&[a.clone(), gap]).contains(&Wrong::Gap { duty: "d".into(), term: 3 }));
+        assert!(judge(&[a.clone(), gap]).contains(&Wrong::Gap {
+            duty: "d".into(),
+            term: 3
+        }));
         for late in ["acted", "sent"] {
             let late = owner("a", 5, 1) + &lines("a", &[of(late, 1)]);
             assert!(matches!(judge(&[late])[..], [Wrong::NoLease { .. }]));
         }
         let leads = |n: &str| lines(n, &[r#"{"what":"leads","term":4}"#.into()]);
-        assert_eq!(judge(&[leads("a"), leads("b")]), [Wrong::TwoLeaders { term: 4 }]);
-        let answers = "{\"call\":9,\"status\":200}\n{\"call\":9,\"status\":503}\n{\"call\":8,\"status\":0}\n";
+        assert_eq!(
+            judge(&[leads("a"), leads("b")]),
+            [Wrong::TwoLeaders { term: 4 }]
+        );
+        let answers =
+            "{\"call\":9,\"status\":200}\n{\"call\":9,\"status\":503}\n{\"call\":8,\"status\":0}\n";
         assert_eq!(judge(&[answers.into()]), [Wrong::TwoAnswers { call: 9 }]);
         assert!(parse("not json\n").is_err());
     }
--- a/testbed/src/history/promises.rs
+++ b/testbed/src/history/promises.rs
@@ -15,17 +15,58 @@
 #[serde(tag = "copies", rename_all = "snake_case")]
 #[allow(missing_docs)]
 pub enum CopyNote {
-    Led { shard: u16, epoch: u64, number: u64, chain: u64, members: Vec<String> },
-    Rested { shard: u16, epoch: u64 },
-    Promised { shard: u16, epoch: u64, number: u64, chain: u64, disks: usize },
-    Stored { shard: u16, epoch: u64, number: u64, chain: u64 },
-    Installed { shard: u16, number: u64, chain: u64 },
-    Declined { shard: u16, theirs: u64, ours: u64 },
-    Damaged { shard: u16, ranges: Vec<u8> },
-    Mended { shard: u16, accepted: bool },
-    Recalled { shard: u16 },
-    Waits { shard: u16, members: Vec<String> },
-    Lost { shard: u16 },
+    Led {
+        shard: u16,
+        epoch: u64,
+        number: u64,
+        chain: u64,
+        members: Vec<String>,
+    },
+    Rested {
+        shard: u16,
+        epoch: u64,
+    },
+    Promised {
+        shard: u16,
+        epoch: u64,
+        number: u64,
+        chain: u64,
+        disks: usize,
+    },
+    Stored {
+        shard: u16,
+        epoch: u64,
+        number: u64,
+        chain: u64,
+    },
+    Installed {
+        shard: u16,
+        number: u64,
+        chain: u64,
+    },
+    Declined {
+        shard: u16,
+        theirs: u64,
+        ours: u64,
+    },
+    Damaged {
+        shard: u16,
+        ranges: Vec<u8>,
+    },
+    Mended {
+        shard: u16,
+        accepted: bool,
+    },
+    Recalled {
+        shard: u16,
+    },
+    Waits {
+        shard: u16,
+        members: Vec<String>,
+    },
+    Lost {
+        shard: u16,
+    },
 }
 
 #[derive(Debug, Deserialize)]
@@ -46,7 +87,8 @@
         let text = std::fs::read_to_string(&path)?;
         let whole = text.rfind('\n').map_or(0, |end| end + 1);
         for line in text[..whole].lines() {
-            let line: Line = serde_json::from_str(line).map_err(|e| Error::other(format!("{e}: {line}")))?;
+            let line: Line =
+                serde_json::from_str(line).map_err(|e| Error::other(format!("{e}: {line}")))?;
             all.push((line.name, line.process, line.note));
         }
     }
@@ -117,25 +159,46 @@
     let mut begun: Vec<(u16, u64, u64)> = Vec::new();
     for (_, process, note) in notes {
         match note {
-            CopyNote::Led { shard, epoch, number, .. } => {
+            CopyNote::Led {
+                shard,
+                epoch,
+                number,
+                ..
+            } => {
                 held.epochs += 1;
                 begun.push((*shard, *epoch, *number));
                 if *leaders.entry((*shard, *epoch)).or_insert(*process) != *process {
-                    wrong.push(Wrong::TwoLed { shard: *shard, epoch: *epoch });
+                    wrong.push(Wrong::TwoLed {
+                        shard: *shard,
+                        epoch: *epoch,
+                    });
                 }
             }
-            CopyNote::Promised { shard, number, chain, epoch, .. } => {
+            CopyNote::Promised {
+                shard,
+                number,
+                chain,
+                epoch,
+                ..
+            } => {
                 held.records += 1;
-                let known = promised.entry((*shard, *number)).or_insert((*chain, *epoch));
+                let known = promised
+                    .entry((*shard, *number))
+                    .or_insert((*chain, *epoch));
                 if known.0 != *chain {
-                    wrong.push(Wrong::TwoPromised { shard: *shard, number: *number });
+                    wrong.push(Wrong::TwoPromised {
+                        shard: *shard,
+                        number: *number,
+                    });
                 }
                 known.1 = known.1.min(*epoch);
             }
             CopyNote::Declined { .. } => held.declined += 1,
             CopyNote::Installed { .. } => held.installed += 1,
             CopyNote::Lost { shard } => wrong.push(Wrong::Lost { shard: *shard }),
-            CopyNote::Mended { accepted: false, .. } => held.mended += 1,
+            CopyNote::Mended {
+                accepted: false, ..
+            } => held.mended += 1,
             CopyNote::Mended { shard, .. } => wrong.push(Wrong::Lost { shard: *shard }),
             CopyNote::Recalled { .. }
             | CopyNote::Rested { .. }
@@ -148,16 +211,28 @@
     for (shard, epoch, number) in begun {
         let of = promised.range((shard, number + 1)..=(shard, u64::MAX));
         if let Some(((_, gone), _)) = of.into_iter().find(|(_, (_, under))| *under < epoch) {
-            wrong.push(Wrong::Gone { shard, number: *gone, epoch });
+            wrong.push(Wrong::Gone {
+                shard,
+                number: *gone,
+                epoch,
+            });
         }
     }
     let mut came: BTreeMap<&str, usize> = BTreeMap::new();
-    portal.iter().for_each(|(call, _)| *came.entry(call).or_default() += 1);
-    let confirmed: BTreeSet<&str> =
-        portal.iter().filter(|(_, c)| *c).map(|(call, _)| call.as_str()).collect();
+    portal
+        .iter()
+        .for_each(|(call, _)| *came.entry(call).or_default() += 1);
+    let confirmed: BTreeSet<&str> = portal
+        .iter()
+        .filter(|(_, c)| *c)
+        .map(|(call, _)| call.as_str())
+        .collect();
     for (call, (class, status)) in told {
         if class == UNSAFE && came.get(call.as_str()).is_some_and(|n| *n > 1) {
-            wrong.push(Wrong::CallbackTwice { call: call.clone(), times: came[call.as_str()] });
+            wrong.push(Wrong::CallbackTwice {
+                call: call.clone(),
+                times: came[call.as_str()],
+            });
         }
         if *status != 202 {
             held.refused += 1;
@@ -173,8 +248,14 @@
             wrong.push(Wrong::NoCallback { call: call.clone() });
         }
     }
-    for ((id, class), n) in runs.iter().filter(|((_, class), n)| class == UNSAFE && **n > 1) {
-        wrong.push(Wrong::RanTwice { call: format!("{class} {id}"), times: *n });
+    for ((id, class), n) in runs
+        .iter()
+        .filter(|((_, class), n)| class == UNSAFE && **n > 1)
+    {
+        wrong.push(Wrong::RanTwice {
+            call: format!("{class} {id}"),
+            times: *n,
+        });
     }
     (held, wrong)
 }
@@ -184,29 +265,79 @@
     use super::*;
 
     fn led(process: u64, epoch: u64, number: u64) -> (String, u64, CopyNote) {
-        ("g".into(), process, CopyNote::Led { shard: 1, epoch, number, chain: 0, members: Vec::new() })
+        (
+            "g".into(),
+            process,
+            CopyNote::Led {
+                shard: 1,
+                epoch,
+                number,
+                chain: 0,
+                members: Vec::new(),
+            },
+        )
     }
 
     fn promised(epoch: u64, number: u64, chain: u64) -> (String, u64, CopyNote) {
-        ("g".into(), 1, CopyNote::Promised { shard: 1, epoch, number, chain, disks: 2 })
+        (
+            "g".into(),
+            1,
+            CopyNote::Promised {
+                shard: 1,
+                epoch,
+                number,
+                chain,
+                disks: 2,
+            },
+        )
     }
 
     fn judged(notes: &[(String, u64, CopyNote)]) -> Vec<Wrong> {
-        check(notes, &BTreeMap::new(), &BTreeMap::new(), &BTreeMap::new(), &[]).1
+        check(
+            notes,
+            &BTreeMap::new(),
+            &BTreeMap::new(),
+            &BTreeMap::new(),
+            &[],
+        )
+        .1
     }
 
     #[test]
     fn each_kind_of_wrong_is_found() {
-        assert_eq!(judged(&[led(1, 1, 0), promised(1, 1, 7), led(2, 2, 1), promised(2, 1, 7)]), []);
-        assert_eq!(judged(&[led(1, 1, 0), led(2, 1, 0)]), [Wrong::TwoLed { shard: 1, epoch: 1 }]);
+        assert_eq!(
+            judged(&[
+                led(1, 1, 0),
+                promised(1, 1, 7),
+                led(2, 2, 1),
+                promised(2, 1, 7)
+            ]),
+            []
+        );
+        assert_eq!(
+            judged(&[led(1, 1, 0), led(2, 1, 0)]),
+            [Wrong::TwoLed { shard: 1, epoch: 1 }]
+        );
         assert_eq!(
             judged(&[promised(1, 1, 7), promised(2, 1, 8)]),
-            [Wrong::TwoPromised { shard: 1, number: 1 }]
+            [Wrong::TwoPromised {
+                shard: 1,
+                number: 1
+            }]
+        );
+        let gone = Wrong::Gone {
+            shard: 1,
+            number: 2,
+            epoch: 2,
+        };
+        assert_eq!(
+            judged(&[promised(1, 1, 7), promised(1, 2, 8), led(2, 2, 1)]),
+            [gone]
         );
-        let gone = Wrong::Gone { shard: 1, number: 2, epoch: 2 };
-        assert_eq!(judged(&[promised(1, 1, 7), promised(1, 2, 8), led(2, 2, 1)]), [gone]);
         let told = [("a", SAFE, 202), ("b", UNSAFE, 202), ("c", UNSAFE, 503)];
-        let told = told.map(|(id, class, status)| (id.to_owned(), (class.to_owned(), status))).into();
+        let told = told
+            .map(|(id, class, status)| (id.to_owned(), (class.to_owned(), status)))
+            .into();
         let outcomes = [("a".to_owned(), "served".to_owned())].into();
         let runs = [(("x".to_owned(), UNSAFE.to_owned()), 2)].into();
         let portal = [("c".to_owned(), true), ("c".to_owned(), true)];
@@ -217,8 +348,14 @@
             [
                 Wrong::NoCallback { call: "a".into() },
                 Wrong::NoEnd { call: "b".into() },
-                Wrong::CallbackTwice { call: "c".into(), times: 2 },
-                Wrong::RanTwice { call: format!("{UNSAFE} x"), times: 2 },
+                Wrong::CallbackTwice {
+                    call: "c".into(),
+                    times: 2
+                },
+                Wrong::RanTwice {
+                    call: format!("{UNSAFE} x"),
+                    times: 2
+                },
             ]
         );
     }
--- a/testbed/src/history/tenants.rs
+++ b/testbed/src/history/tenants.rs
@@ -12,8 +12,15 @@
 #[allow(missing_docs)]
 pub enum TenantNote {
     Begun,
-    Adopted { tenant: String, version: u64, digest: Option<u64> },
-    Told { tenant: String, version: u64 },
+    Adopted {
+        tenant: String,
+        version: u64,
+        digest: Option<u64>,
+    },
+    Told {
+        tenant: String,
+        version: u64,
+    },
 }
 
 /// A note, with the name and the number of its process; in order for each process.
@@ -49,11 +56,20 @@
     /// One version of a tenant was taken over with two contents.
     TwoContents { tenant: String, version: u64 },
     /// A process went back to an older version.
-    Back { tenant: String, process: u64, from: u64, to: u64 },
+    Back {
+        tenant: String,
+        process: u64,
+        from: u64,
+        to: u64,
+    },
     /// Two were told that the same change is theirs.
     TwoTold { tenant: String, version: u64 },
     /// A change that somebody was told is done is not known to one that runs.
-    Gone { tenant: String, version: u64, at: String },
+    Gone {
+        tenant: String,
+        version: u64,
+        at: String,
+    },
 }
 
 /// Judges: `running` are the gateways that ran at the end, which were awaited to know all.
@@ -67,30 +83,54 @@
         match &l.note {
             // What it knew before it has to learn anew.
             TenantNote::Begun => last.retain(|(_, name), _| *name != l.name),
-            TenantNote::Adopted { tenant, version, digest } => {
+            TenantNote::Adopted {
+                tenant,
+                version,
+                digest,
+            } => {
                 // Of a tenant that is forgotten the version is only a bound.
-                if digest.is_some() && *contents.entry((tenant, *version)).or_insert(*digest) != *digest {
-                    wrong.push(Wrong::TwoContents { tenant: tenant.clone(), version: *version });
+                if digest.is_some()
+                    && *contents.entry((tenant, *version)).or_insert(*digest) != *digest
+                {
+                    wrong.push(Wrong::TwoContents {
+                        tenant: tenant.clone(),
+                        version: *version,
+                    });
                 }
                 let before = at.insert((tenant, l.process), *version).unwrap_or(0);
                 if before > *version {
                     let (tenant, process) = (tenant.clone(), l.process);
-                    wrong.push(Wrong::Back { tenant, process, from: before, to: *version });
+                    wrong.push(Wrong::Back {
+                        tenant,
+                        process,
+                        from: before,
+                        to: *version,
+                    });
                 }
                 last.insert((tenant, &l.name), *version);
             }
             TenantNote::Told { tenant, version } => {
                 if !told.insert((tenant, *version)) {
-                    wrong.push(Wrong::TwoTold { tenant: tenant.clone(), version: *version });
+                    wrong.push(Wrong::TwoTold {
+                        tenant: tenant.clone(),
+                        version: *version,
+                    });
                 }
             }
         }
     }
     for (tenant, version) in &told {
         for name in running {
-            if last.get(&(*tenant, name.as_str())).is_none_or(|known| known < version) {
+            if last
+                .get(&(*tenant, name.as_str()))
+                .is_none_or(|known| known < version)
+            {
                 let (tenant, at) = ((*tenant).to_owned(), name.clone());
-                wrong.push(Wrong::Gone { tenant, version: *version, at });
+                wrong.push(Wrong::Gone {
+                    tenant,
+                    version: *version,
+                    at,
+                });
             }
         }
     }
@@ -102,29 +142,75 @@
     use super::*;
 
     fn adopted(name: &str, process: u64, version: u64, digest: u64) -> TenantLine {
-        let note = TenantNote::Adopted { tenant: "t".into(), version, digest: Some(digest) };
-        TenantLine { name: name.into(), process, note }
+        let note = TenantNote::Adopted {
+            tenant: "t".into(),
+            version,
+            digest: Some(digest),
+        };
+        TenantLine {
+            name: name.into(),
+            process,
+            note,
+        }
     }
 
     fn told(version: u64) -> TenantLine {
-        let note = TenantNote::Told { tenant: "t".into(), version };
-        TenantLine { name: "a".into(), process: 1, note }
+        let note = TenantNote::Told {
+            tenant: "t".into(),
+            version,
+        };
+        TenantLine {
+            name: "a".into(),
+            process: 1,
+            note,
+        }
     }
 
     #[test]
     fn each_kind_of_wrong_is_found() {
         let running: BTreeSet<String> = ["a".to_owned(), "b".to_owned()].into();
-        let good = [adopted("a", 1, 1, 7), told(1), adopted("b", 2, 1, 7), adopted("b", 3, 1, 7)];
+        let good = [
+            adopted("a", 1, 1, 7),
+            told(1),
+            adopted("b", 2, 1, 7),
+            adopted("b", 3, 1, 7),
+        ];
         assert_eq!(check(&good, &running), (1, vec![]));
         let two = [adopted("a", 1, 1, 7), adopted("b", 2, 1, 8)];
-        assert_eq!(check(&two, &running).1, [Wrong::TwoContents { tenant: "t".into(), version: 1 }]);
+        assert_eq!(
+            check(&two, &running).1,
+            [Wrong::TwoContents {
+                tenant: "t".into(),
+                version: 1
+            }]
+        );
         let back = [adopted("a", 1, 2, 7), adopted("a", 1, 1, 6)];
-        let wrong = Wrong::Back { tenant: "t".into(), process: 1, from: 2, to: 1 };
+        let wrong = Wrong::Back {
+            tenant: "t".into(),
+            process: 1,
+            from: 2,
+            to: 1,
+        };
         assert_eq!(check(&back, &running).1, [wrong]);
-        let twice = [adopted("a", 1, 1, 7), adopted("b", 2, 1, 7), told(1), told(1)];
-        assert_eq!(check(&twice, &running).1, [Wrong::TwoTold { tenant: "t".into(), version: 1 }]);
+        let twice = [
+            adopted("a", 1, 1, 7),
+            adopted("b", 2, 1, 7),
+            told(1),
+            told(1),
+        ];
+        assert_eq!(
+            check(&twice, &running).1,
+            [Wrong::TwoTold {
+                tenant: "t".into(),
+                version: 1
+            }]
+        );
         let gone = [adopted("a", 1, 1, 7), told(1)];
-        let wrong = Wrong::Gone { tenant: "t".into(), version: 1, at: "b".into() };
+        let wrong = Wrong::Gone {
+            tenant: "t".into(),
+            version: 1,
+            at: "b".into(),
+        };
         assert_eq!(check(&gone, &running).1, [wrong]);
     }
 }
--- a/testbed/src/lease_trials.rs
+++ b/testbed/src/lease_trials.rs
@@ -123,16 +123,30 @@
     pub fn start(shape: Shape, seed: u64) -> Result<Fleet> {
         let folder = Folder::new(&format!("owners-{seed}"))?;
         std::fs::create_dir_all(folder.0.join("history"))?;
-        std::fs::write(folder.0.join("shared.keys"), BASE64_STANDARD.encode([7u8; 32]))?;
+        std::fs::write(
+            folder.0.join("shared.keys"),
+            BASE64_STANDARD.encode([7u8; 32]),
+        )?;
         let operator = crate::fakes::admin::write(&folder.0)?;
         let listed = shape.voters + shape.seats;
-        let workers: Vec<Worker> =
-            (0..6).map(|_| Worker::start(Duration::from_millis(2), 0)).collect::<Result<_>>()?;
-        let ports: Vec<SocketAddr> = (0..shape.instances).map(|_| free()).collect::<Result<_>>()?;
+        let workers: Vec<Worker> = (0..6)
+            .map(|_| Worker::start(Duration::from_millis(2), 0))
+            .collect::<Result<_>>()?;
+        let ports: Vec<SocketAddr> = (0..shape.instances)
+            .map(|_| free())
+            .collect::<Result<_>>()?;
         let mut links = BTreeMap::new();
         for from in 0..shape.instances {
-            for (to, port) in ports.iter().enumerate().take(listed).filter(|(to, _)| *to != from) {
-                links.insert((from, to), Link::stream(*port, seed ^ ((from as u64) << 8 | to as u64))?);
+            for (to, port) in ports
+                .iter()
+                .enumerate()
+                .take(listed)
+                .filter(|(to, _)| *to != from)
+            {
+                links.insert(
+                    (from, to),
+                    Link::stream(*port, seed ^ ((from as u64) << 8 | to as u64))?,
+                );
             }
         }
         let names: Vec<String> = (0..shape.voters).map(name).collect();
@@ -207,20 +221,40 @@
             return Gateway::talking(&home, &self.workers, None);
         }
         let (file, without) = (home.join("council.toml"), self.shape.without.as_deref());
-        Gateway::meeting(&home, &self.workers, &file, without, &self.operator, self.shape.sockets)
+        Gateway::meeting(
+            &home,
+            &self.workers,
+            &file,
+            without,
+            &self.operator,
+            self.shape.sockets,
+        )
     }
 
     /// Asks an instance by the operators' commands, such as `council show`.
     pub fn ask(&self, n: usize, what: &[&str]) -> Result<String> {
-        let admin = self.gateway(n)?.admin.ok_or_else(|| Error::other("no administration"))?.to_string();
+        let admin = self
+            .gateway(n)?
+            .admin
+            .ok_or_else(|| Error::other("no administration"))?
+            .to_string();
         let token = self.folder.0.join("svid").display().to_string();
         let at = ["--admin", &admin, "--token", &token];
-        molelug(&what.iter().chain(&at).map(|s| (*s).to_owned()).collect::<Vec<_>>())
+        molelug(
+            &what
+                .iter()
+                .chain(&at)
+                .map(|s| (*s).to_owned())
+                .collect::<Vec<_>>(),
+        )
     }
 
     /// Writes other keys, which all share, and has everybody read them; in an order that a step apart are understood.
     pub fn rotate(&mut self, keys: &[u8]) -> Result<()> {
-        let lines: Vec<String> = keys.iter().map(|k| BASE64_STANDARD.encode([*k; 32])).collect();
+        let lines: Vec<String> = keys
+            .iter()
+            .map(|k| BASE64_STANDARD.encode([*k; 32]))
+            .collect();
         std::fs::write(self.folder.0.join("shared.keys"), lines.join("\n"))?;
         for gateway in self.gateways.iter_mut().flatten() {
             gateway.reload()?;
@@ -237,7 +271,9 @@
 
     /// One instance's process.
     pub fn gateway(&self, n: usize) -> Result<&Gateway> {
-        self.gateways[n].as_ref().ok_or_else(|| Error::other(format!("{} is down", name(n))))
+        self.gateways[n]
+            .as_ref()
+            .ok_or_else(|| Error::other(format!("{} is down", name(n))))
     }
 
     /// What all links from and to an instance do; `there` is what leaves it.
@@ -275,8 +311,11 @@
             }
             Ok(())
         }));
-        let each =
-            self.doors.iter().enumerate().flat_map(|(n, door)| (0..CALLERS).map(move |c| (n, c, door)));
+        let each = self
+            .doors
+            .iter()
+            .enumerate()
+            .flat_map(|(n, door)| (0..CALLERS).map(move |c| (n, c, door)));
         for (n, c, door) in each {
             let path = self.histories().join(format!("calls-{n}-{c}.jsonl"));
             let mut file = File::options().create(true).append(true).open(path)?;
@@ -293,11 +332,15 @@
                     if caller.as_ref().is_none_or(|(p, _)| *p != port) {
                         caller = Some((port, Caller::new(([127, 0, 0, 1], port as u16).into())));
                     }
-                    let Some((_, caller)) = &mut caller else { continue };
+                    let Some((_, caller)) = &mut caller else {
+                        continue;
+                    };
                     let id = ((n as u64 + 1) << 56) | (c << 48) | calls;
                     let request = call(id, calls % 24);
                     calls += 1;
-                    let status = caller.exchange(request.as_bytes()).map_or(0, |a| status(&a));
+                    let status = caller
+                        .exchange(request.as_bytes())
+                        .map_or(0, |a| status(&a));
                     writeln!(file, "{{\"call\":{id},\"status\":{status}}}")?;
                 }
                 Ok(())
@@ -309,7 +352,8 @@
     /// Reads what was noted since.
     pub fn look(&mut self) -> Result<()> {
         for n in 0..self.shape.instances {
-            let Ok(mut file) = File::open(self.histories().join(format!("{}.jsonl", name(n)))) else {
+            let Ok(mut file) = File::open(self.histories().join(format!("{}.jsonl", name(n))))
+            else {
                 continue;
             };
             file.seek(SeekFrom::Start(self.read[n]))?;
@@ -318,8 +362,16 @@
             let whole = text.rfind('\n').map_or(0, |end| end + 1);
             self.read[n] += whole as u64;
             for line in history::parse(&text[..whole])? {
-                if let Line::Noted { at, process, note, .. } = line {
-                    self.seen.push(Seen { instance: n, at, process, note });
+                if let Line::Noted {
+                    at, process, note, ..
+                } = line
+                {
+                    self.seen.push(Seen {
+                        instance: n,
+                        at,
+                        process,
+                        note,
+                    });
                 }
             }
         }
@@ -336,9 +388,18 @@
                 return Ok(at);
             }
             if Instant::now() > end {
-                let last = |n: usize| self.seen.iter().rfind(|s| s.instance == n).map(|s| (s.at, &s.note));
-                let all: Vec<_> = (0..self.shape.instances).map(|n| (name(n), last(n))).collect();
-                return Err(Error::other(format!("{what} did not come; noted last: {all:?}")));
+                let last = |n: usize| {
+                    self.seen
+                        .iter()
+                        .rfind(|s| s.instance == n)
+                        .map(|s| (s.at, &s.note))
+                };
+                let all: Vec<_> = (0..self.shape.instances)
+                    .map(|n| (name(n), last(n)))
+                    .collect();
+                return Err(Error::other(format!(
+                    "{what} did not come; noted last: {all:?}"
+                )));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -350,21 +411,25 @@
             Note::Began { duty, term } if duty == DUTY => Some((s.instance, *term)),
             _ => None,
         };
-        self.seen.iter().filter_map(began).max_by_key(|(_, term)| *term)
+        self.seen
+            .iter()
+            .filter_map(began)
+            .max_by_key(|(_, term)| *term)
     }
 
     /// Waits for an owner under a term above this one.
     pub fn owned_after(&mut self, term: u64) -> Result<(usize, u64, usize)> {
         let is = |s: &Seen| matches!(&s.note, Note::Began { duty, term: t } if duty == DUTY && *t > term);
         let at = self.until(0, "the next owner", is)?;
-        let Note::Began { term, .. } = self.seen[at].note else { return Err(Error::other("no owner")) };
+        let Note::Began { term, .. } = self.seen[at].note else {
+            return Err(Error::other("no owner"));
+        };
         Ok((self.seen[at].instance, term, at))
     }
 
     /// Waits until another than the owner took one of its effects under this term, or a later one's.
     pub fn effect_of(&mut self, term: u64) -> Result<usize> {
-        let is =
-            |s: &Seen| matches!(&s.note, Note::Accepted { duty, term: t, .. } if duty == DUTY && *t >= term);
+        let is = |s: &Seen| matches!(&s.note, Note::Accepted { duty, term: t, .. } if duty == DUTY && *t >= term);
         self.until(0, "an effect", is)
     }
 
@@ -372,7 +437,9 @@
     pub fn judge(mut self) -> Result<(history::Held, Vec<history::Wrong>)> {
         self.stop.store(true, Ordering::Relaxed);
         for caller in std::mem::take(&mut self.callers) {
-            caller.join().map_err(|_| Error::other("a caller failed"))??;
+            caller
+                .join()
+                .map_err(|_| Error::other("a caller failed"))??;
         }
         for gateway in self.gateways.iter_mut().flatten() {
             gateway.kill()?;
@@ -395,7 +462,11 @@
 pub(crate) fn make_seat(home: &Path, founders: &[String]) -> Result<()> {
     let file = home.join("council.toml").display().to_string();
     let what = if founders.is_empty() { "seat" } else { "found" };
-    let args = [&["council".to_owned(), what.into(), "--council".into(), file], founders].concat();
+    let args = [
+        &["council".to_owned(), what.into(), "--council".into(), file],
+        founders,
+    ]
+    .concat();
     molelug(&args).map(|_| ())
 }
 
@@ -405,7 +476,10 @@
     if output.status.success() {
         return Ok(String::from_utf8_lossy(&output.stdout).into_owned());
     }
-    Err(Error::other(format!("{args:?}: {}", String::from_utf8_lossy(&output.stderr))))
+    Err(Error::other(format!(
+        "{args:?}: {}",
+        String::from_utf8_lossy(&output.stderr)
+    )))
 }
 
 /// What one round did, for its report.
@@ -419,8 +493,15 @@
     pub held: history::Held,
 }
 
-const CUT: Faults =
-    Faults { cut: true, lost: 0, doubled: 0, behind: 0, delay_ms: 0, jitter_ms: 0, bytes_per_s: 0 };
+const CUT: Faults = Faults {
+    cut: true,
+    lost: 0,
+    doubled: 0,
+    behind: 0,
+    delay_ms: 0,
+    jitter_ms: 0,
+    bytes_per_s: 0,
+};
 
 /// The machine's time since its start, as histories have it.
 fn uptime() -> u64 {
@@ -444,7 +525,11 @@
     round.held = held;
     copy?;
     if let Some(first) = wrong.first() {
-        return Err(Error::other(format!("{first} ({} in all); faults {:?}", wrong.len(), round.faults)));
+        return Err(Error::other(format!(
+            "{first} ({} in all); faults {:?}",
+            wrong.len(),
+            round.faults
+        )));
     }
     // A round in which nothing was done has shown nothing.
     if round.held.accepted == 0 || round.held.answers == 0 {
@@ -453,7 +538,13 @@
     Ok(round)
 }
 
-fn faults_of(fleet: &mut Fleet, shape: &Shape, seed: u64, faults: usize, round: &mut Round) -> Result<()> {
+fn faults_of(
+    fleet: &mut Fleet,
+    shape: &Shape,
+    seed: u64,
+    faults: usize,
+    round: &mut Round,
+) -> Result<()> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     fleet.call()?;
     let (mut owner, mut term, _) = fleet.owned_after(0)?;
@@ -488,7 +579,12 @@
                 "ended in order"
             }
             7 => {
-                let faults = Faults { lost: 30, doubled: 0, jitter_ms: 30, ..Faults::default() };
+                let faults = Faults {
+                    lost: 30,
+                    doubled: 0,
+                    jitter_ms: 30,
+                    ..Faults::default()
+                };
                 fleet.everywhere(faults);
                 fleet.gateway(owner)?.freeze()?;
                 "stopped, with 30% of frames lost"
@@ -505,7 +601,9 @@
         };
         round.faults.push(what);
         let (next, next_term, at) = fleet.owned_after(term)?;
-        round.gaps_ms.push((what, (fleet.seen[at].at.saturating_sub(begun)) as f64 / 1e3));
+        round
+            .gaps_ms
+            .push((what, (fleet.seen[at].at.saturating_sub(begun)) as f64 / 1e3));
         fleet.effect_of(next_term)?;
         // The old one wakes up, is heard again, or comes back.
         match kind {
@@ -514,7 +612,8 @@
                 fleet.gateway(owner)?.thaw()?;
                 let old = owner;
                 let is = |s: &Seen| {
-                    s.instance == old && matches!(&s.note, Note::Ended { term: t, .. } if *t == term)
+                    s.instance == old
+                        && matches!(&s.note, Note::Ended { term: t, .. } if *t == term)
                 };
                 // It may have ended by itself before it was stopped.
                 if !fleet.seen[..from].iter().any(is) {
@@ -564,18 +663,31 @@
 fn calls_at(fleet: &Fleet, gateways: &[usize], seconds: u64) -> Result<Calls> {
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = Vec::new();
-    for (n, c) in gateways.iter().flat_map(|n| (0..4u64).map(move |c| (*n, c))) {
+    for (n, c) in gateways
+        .iter()
+        .flat_map(|n| (0..4u64).map(move |c| (*n, c)))
+    {
         let (to, stop) = (fleet.gateway(n)?.platform, stop.clone());
         callers.push(std::thread::spawn(move || -> Result<Calls> {
             let micros = hdrhistogram::Histogram::new(3).map_err(Error::other)?;
-            let (mut caller, mut all) = (Caller::new(to), Calls { served: 0, all: 0, micros });
+            let (mut caller, mut all) = (
+                Caller::new(to),
+                Calls {
+                    served: 0,
+                    all: 0,
+                    micros,
+                },
+            );
             while !stop.load(Ordering::Relaxed) {
-                let id = (n as u64 + 1) << 52 | c << 48 | all.all | u64::from(std::process::id()) << 24;
+                let id =
+                    (n as u64 + 1) << 52 | c << 48 | all.all | u64::from(std::process::id()) << 24;
                 let begun = Instant::now();
                 let answer = caller.exchange(call(id, (all.all * 7 + c) % 24).as_bytes());
                 all.all += 1;
                 all.served += u64::from(answer.is_ok_and(|a| status(&a) == 200));
-                all.micros.record(begun.elapsed().as_micros() as u64).map_err(Error::other)?;
+                all.micros
+                    .record(begun.elapsed().as_micros() as u64)
+                    .map_err(Error::other)?;
                 std::thread::sleep(Duration::from_millis(4));
             }
             Ok(all)
@@ -584,9 +696,15 @@
     std::thread::sleep(Duration::from_secs(seconds));
     stop.store(true, Ordering::Relaxed);
     let micros = hdrhistogram::Histogram::new(3).map_err(Error::other)?;
-    let mut sum = Calls { served: 0, all: 0, micros };
+    let mut sum = Calls {
+        served: 0,
+        all: 0,
+        micros,
+    };
     for caller in callers {
-        let one = caller.join().map_err(|_| Error::other("a caller failed"))??;
+        let one = caller
+            .join()
+            .map_err(|_| Error::other("a caller failed"))??;
         (sum.served, sum.all) = (sum.served + one.served, sum.all + one.all);
         sum.micros.add(one.micros).map_err(Error::other)?;
     }
@@ -595,7 +713,13 @@
 
 /// `calls`: what calls meet with the council off, on and without a majority, in turns, at the same two gateways.
 pub fn calls(seconds: u64, turns: u64) -> Result<bool> {
-    let off = Fleet::start(Shape { council: false, ..Shape::default() }, 1)?;
+    let off = Fleet::start(
+        Shape {
+            council: false,
+            ..Shape::default()
+        },
+        1,
+    )?;
     let mut on = Fleet::start(Shape::default(), 2)?;
     let mut lost = Fleet::start(Shape::default(), 3)?;
     on.owned_after(0)?;
@@ -607,7 +731,9 @@
     let mut sums: BTreeMap<&str, Vec<Calls>> = BTreeMap::new();
     for _ in 0..turns {
         for (what, fleet) in [("off", &off), ("on", &on), ("without a majority", &lost)] {
-            sums.entry(what).or_default().push(calls_at(fleet, &at, seconds)?);
+            sums.entry(what)
+                .or_default()
+                .push(calls_at(fleet, &at, seconds)?);
         }
     }
     for (what, turns) in &sums {
@@ -632,7 +758,15 @@
 pub fn gain(instances: usize, seconds: u64) -> Result<bool> {
     for council in [false, true] {
         let voters = instances.min(5);
-        let mut fleet = Fleet::start(Shape { council, instances, voters, ..Shape::default() }, 4)?;
+        let mut fleet = Fleet::start(
+            Shape {
+                council,
+                instances,
+                voters,
+                ..Shape::default()
+            },
+            4,
+        )?;
         if council {
             fleet.owned_after(0)?;
         }
@@ -665,7 +799,13 @@
 }
 
 /// `owners`: rounds from a seed on, and what came of them.
-pub fn run(shape: &Shape, rounds: u64, seed: u64, faults: usize, keep: Option<&Path>) -> Result<bool> {
+pub fn run(
+    shape: &Shape,
+    rounds: u64,
+    seed: u64,
+    faults: usize,
+    keep: Option<&Path>,
+) -> Result<bool> {
     let (mut passed, mut failed) = (0, 0);
     let mut gaps: BTreeMap<&'static str, Vec<f64>> = BTreeMap::new();
     for seed in seed..seed + rounds {
@@ -677,7 +817,10 @@
                     "seed {seed}: {:?}; {} terms, {} effects done, {} taken, {} refused, {} taken back, {} calls",
                     round.faults, h.terms, h.acted, h.accepted, h.refused, h.taken_back, h.answers
                 );
-                round.gaps_ms.into_iter().for_each(|(what, ms)| gaps.entry(what).or_default().push(ms));
+                round
+                    .gaps_ms
+                    .into_iter()
+                    .for_each(|(what, ms)| gaps.entry(what).or_default().push(ms));
             }
             Err(e) => {
                 failed += 1;
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -17,7 +17,9 @@
 use serde_json::json;
 
 use crate::fakes::gateway::{Folder, SAFE};
-use crate::fakes::{call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker};
+use crate::fakes::{
+    call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
+};
 
 fn histogram() -> Result<Histogram<u64>> {
     Histogram::new_with_bounds(1, 600_000_000, 3).map_err(Error::other)
@@ -48,7 +50,9 @@
     to_file: Option<&Path>,
 ) -> Result<bool> {
     if dead + slow >= portals || rate == 0 {
-        return Err(Error::other("some portals must be well, and some calls sent"));
+        return Err(Error::other(
+            "some portals must be well, and some calls sent",
+        ));
     }
     let folder = Folder::new("load")?;
     let workers = workers(4)?;
@@ -56,14 +60,19 @@
         String::from("[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\npending = 4096\n");
     let mut all = Vec::new();
     // A port that was free a moment ago refuses.
-    let closed: Vec<TcpListener> =
-        (0..dead).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_>>()?;
+    let closed: Vec<TcpListener> = (0..dead)
+        .map(|_| TcpListener::bind("127.0.0.1:0"))
+        .collect::<Result<_>>()?;
     for n in 0..portals {
         if let Some(closed) = closed.get(n) {
             operator.push_str(&tenant(&format!("t{n}"), closed.local_addr()?));
             continue;
         }
-        let manner = if n < dead + slow { Manner::Slow(2000) } else { Manner::Good };
+        let manner = if n < dead + slow {
+            Manner::Slow(2000)
+        } else {
+            Manner::Good
+        };
         let portal = Portal::start(secret(1), manner)?;
         operator.push_str(&tenant(&format!("t{n}"), portal.address));
         all.push((n, portal));
@@ -101,9 +110,8 @@
         }
         match came.get(id) {
             // A callback may come before the caller has read its 202.
-            Some(seen) => {
-                others.saturating_record(seen.saturating_duration_since(*at).as_micros().max(1) as u64)
-            }
+            Some(seen) => others
+                .saturating_record(seen.saturating_duration_since(*at).as_micros().max(1) as u64),
             None => missing += 1,
         }
     }
@@ -131,7 +139,10 @@
 
 /// Calls as fast as they are taken, and how long each 202 took.
 pub fn accept(callers: usize, seconds: u64, before: Option<&Path>) -> Result<bool> {
-    println!("{:<34} {:>9} {:>9} {:>9} {:>9}", "way", "calls/s", "p50 ms", "p99 ms", "refused");
+    println!(
+        "{:<34} {:>9} {:>9} {:>9} {:>9}",
+        "way", "calls/s", "p50 ms", "p99 ms", "refused"
+    );
     let store = "store = \"store\"\n";
     // One caller never has two calls in a commit: one sync for each call.
     for (name, kept, at_once, program) in [
@@ -154,7 +165,10 @@
         // Without a store nothing signed in the first second is taken.
         std::thread::sleep(Duration::from_millis(1100));
         let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
-        let (stop, refused) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let (stop, refused) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicU64::new(0)),
+        );
         let threads: Vec<_> = (0..at_once)
             .map(|c| {
                 let (stop, refused) = (stop.clone(), refused.clone());
@@ -210,10 +224,15 @@
     let empty = g.memory_kib();
     g.kill()?;
     drop(g);
-    let read = molelug::config::Operator::read(&folder.0.join("operator.toml")).map_err(Error::other)?;
+    let read =
+        molelug::config::Operator::read(&folder.0.join("operator.toml")).map_err(Error::other)?;
     let registry = read.registry(&[]).map_err(Error::other)?;
     let t = registry.get("t").ok_or_else(|| Error::other("no tenant"))?;
-    let e = t.endpoints.values().next().ok_or_else(|| Error::other("no endpoint"))?;
+    let e = t
+        .endpoints
+        .values()
+        .next()
+        .ok_or_else(|| Error::other("no endpoint"))?;
     let now = now_s() * 1_000_000;
     let (mut disk, _) = Disk::open(&folder.0.join("store"), u64::MAX, now).map_err(Error::other)?;
     let text = vec![b'x'; 300];
@@ -242,7 +261,8 @@
             };
             (record, text.clone())
         });
-        disk.commit([Op::Publish(batch.collect())], now).map_err(Error::other)?;
+        disk.commit([Op::Publish(batch.collect())], now)
+            .map_err(Error::other)?;
     }
     drop(disk);
     let begun = Instant::now();
--- a/testbed/src/rate.rs
+++ b/testbed/src/rate.rs
@@ -88,7 +88,9 @@
 
 fn one(load: Load, program: Option<&Path>) -> Result<Borne> {
     let folder = Folder::new("rate")?;
-    let workers: Vec<Worker> = (0..WORKERS).map(|_| Worker::start(RUN, 0)).collect::<Result<_>>()?;
+    let workers: Vec<Worker> = (0..WORKERS)
+        .map(|_| Worker::start(RUN, 0))
+        .collect::<Result<_>>()?;
     let g = Gateway::with(program, &folder.0, &workers, "", DEADLINE_MS as f64)?;
     let (to, begun) = (g.platform, Instant::now());
     let end = begun + Duration::from_secs(load.seconds);
@@ -98,7 +100,8 @@
         .map(|c| {
             let (served, other) = (served.clone(), other.clone());
             std::thread::spawn(move || -> Result<Histogram<u64>> {
-                let mut answers = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(Error::other)?;
+                let mut answers =
+                    Histogram::new_with_bounds(1, 60_000_000, 3).map_err(Error::other)?;
                 let mut caller = Caller::new(to);
                 // Spread over the first turn, so that the callers do not come at once.
                 let mut due = begun + every.mul_f64(c as f64 / load.callers as f64);
@@ -109,7 +112,11 @@
                         break;
                     }
                     let answer = caller.exchange(&ask(n * load.callers + c))?;
-                    let count = if status(&answer) == 200 { &served } else { &other };
+                    let count = if status(&answer) == 200 {
+                        &served
+                    } else {
+                        &other
+                    };
                     count.fetch_add(1, Ordering::Relaxed);
                     answers.saturating_record(sent.elapsed().as_micros().max(1) as u64);
                     due = (due + every).max(sent);
@@ -125,14 +132,25 @@
     };
     let mut answers = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(Error::other)?;
     for caller in callers {
-        let h = caller.join().map_err(|_| Error::other("a caller failed"))??;
+        let h = caller
+            .join()
+            .map_err(|_| Error::other("a caller failed"))??;
         answers.add(h).map_err(Error::other)?;
     }
     over.store(true, Ordering::Relaxed);
-    let (most, stopped) = governor.join().map_err(|_| Error::other("the governor failed"))??;
+    let (most, stopped) = governor
+        .join()
+        .map_err(|_| Error::other("the governor failed"))??;
     let processor = g.processor()?.saturating_sub(used);
     let count = |c: &AtomicU64| c.load(Ordering::Relaxed);
-    Ok(Borne { answers, served: count(&served), other: count(&other), processor, most, stopped })
+    Ok(Borne {
+        answers,
+        served: count(&served),
+        other: count(&other),
+        processor,
+        most,
+        stopped,
+    })
 }
 
 /// Stops a process once it has used its part of a window, and lets it go on with the next one. Returns the most that it
@@ -166,5 +184,6 @@
     // The first figure is the time on a processor in nanoseconds, of the first thread: the gateway has one.
     let text = std::fs::read_to_string(format!("/proc/{}/schedstat", pid.as_raw_nonzero()))?;
     let ns = text.split_whitespace().next().and_then(|n| n.parse().ok());
-    ns.map(Duration::from_nanos).ok_or_else(|| Error::other("no schedstat"))
+    ns.map(Duration::from_nanos)
+        .ok_or_else(|| Error::other("no schedstat"))
 }
