--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -36,11 +36,26 @@
 const KINDS: [Kind; 4] = [
     Kind {
         name: "operator.toml",
-        tables: &["", "[webhooks]", "[admin]", "[[admin.callers]]", "[[tenants]]", "[[tenants.endpoints]]"],
+        tables: &[
+            "",
+            "[webhooks]",
+            "[admin]",
+            "[[admin.callers]]",
+            "[[tenants]]",
+            "[[tenants.endpoints]]",
+        ],
         error: |path| error_of(Operator::read(path)),
     },
-    Kind { name: "gossip.toml", tables: &[""], error: |path| error_of(GossipFile::read(path)) },
-    Kind { name: "council.toml", tables: &[""], error: |path| error_of(CouncilFile::read(path)) },
+    Kind {
+        name: "gossip.toml",
+        tables: &[""],
+        error: |path| error_of(GossipFile::read(path)),
+    },
+    Kind {
+        name: "council.toml",
+        tables: &[""],
+        error: |path| error_of(CouncilFile::read(path)),
+    },
     Kind {
         name: "copies.toml",
         tables: &["", "[members.n1]"],
@@ -61,14 +76,24 @@
 
 /// The keys that a parser names after it has refused one.
 fn accepted_keys(error: &str) -> Vec<String> {
-    let (_, list) = error.split_once(", expected ").unwrap_or_else(|| panic!("no list in: {error}"));
-    list.split('`').skip(1).step_by(2).map(str::to_owned).collect()
+    let (_, list) = error
+        .split_once(", expected ")
+        .unwrap_or_else(|| panic!("no list in: {error}"));
+    list.split('`')
+        .skip(1)
+        .step_by(2)
+        .map(str::to_owned)
+        .collect()
 }
 
 /// The first table of a header.
 fn table<'a>(file: &'a toml::Table, header: &str) -> &'a toml::Table {
     let mut at = file;
-    for key in header.trim_matches(['[', ']']).split('.').filter(|key| !key.is_empty()) {
+    for key in header
+        .trim_matches(['[', ']'])
+        .split('.')
+        .filter(|key| !key.is_empty())
+    {
         let value = &at[key];
         let value = value.as_array().map_or(value, |list| &list[0]);
         at = value.as_table().expect("a table");
@@ -78,7 +103,8 @@
 
 #[test]
 fn unknown_keys_are_refused_with_accepted_ones() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("files-{}", std::process::id()));
+    let folder =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("files-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let mut all = String::new();
     for kind in KINDS {
@@ -88,11 +114,16 @@
         for header in kind.tables {
             let path = folder.join(kind.name);
             std::fs::write(&path, with_unknown_key(&text, header)).expect("a file");
-            let error = (kind.error)(&path).unwrap_or_else(|| panic!("{} {header}: accepted", kind.name));
+            let error =
+                (kind.error)(&path).unwrap_or_else(|| panic!("{} {header}: accepted", kind.name));
             assert!(error.contains("unknown field `unknown_key`"), "{error}");
             let keys = accepted_keys(&error);
             for key in &keys {
-                assert!(table(&parsed, header).contains_key(key), "{} {header} lacks {key}", kind.name);
+                assert!(
+                    table(&parsed, header).contains_key(key),
+                    "{} {header} lacks {key}",
+                    kind.name
+                );
             }
             all += &format!("{} {header}\n    {}\n", kind.name, keys.join("\n    "));
         }
@@ -144,11 +175,19 @@
     out.add("webhooks.disable_after_s", webhooks.disable_after_s);
     out.add(
         "webhooks.allow_networks",
-        webhooks.allow_networks.iter().map(ToString::to_string).collect::<Vec<_>>(),
+        webhooks
+            .allow_networks
+            .iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>(),
     );
     out.add(
         "webhooks.deny_networks",
-        webhooks.deny_networks.iter().map(ToString::to_string).collect::<Vec<_>>(),
+        webhooks
+            .deny_networks
+            .iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>(),
     );
     out.add("webhooks.portals", webhooks.portals);
     out.add("webhooks.pending", webhooks.pending);
@@ -253,7 +292,10 @@
 fn deployed_files_keep_values_and_defaults() {
     let deploy = Path::new("deploy");
     let all = [
-        ("webhooks.toml", operator_values(&deploy.join("webhooks.toml"))),
+        (
+            "webhooks.toml",
+            operator_values(&deploy.join("webhooks.toml")),
+        ),
         ("gossip.toml", gossip_values(&deploy.join("gossip.toml"))),
         ("council.toml", council_values(&deploy.join("council.toml"))),
         ("copies.toml", copies_values(&deploy.join("copies.toml"))),
@@ -270,10 +312,22 @@
     let mut keys: Vec<&str> = file.keys().map(String::as_str).collect();
     keys.sort_unstable();
     assert_eq!(keys, ["build", "node", "packages", "policy", "run", "sim"]);
-    assert_eq!(file["build"].as_str(), Some("cargo build --release --locked"));
-    assert_eq!(file["run"].as_str(), Some("exec target/release/molelug serve"));
-    assert_eq!(file["sim"].as_str(), Some("exec target/release/molelug-simhost"));
-    for path in ["policy", "node"].iter().flat_map(|key| file[*key].as_array().expect("a list")) {
+    assert_eq!(
+        file["build"].as_str(),
+        Some("cargo build --release --locked")
+    );
+    assert_eq!(
+        file["run"].as_str(),
+        Some("exec target/release/molelug serve")
+    );
+    assert_eq!(
+        file["sim"].as_str(),
+        Some("exec target/release/molelug-simhost")
+    );
+    for path in ["policy", "node"]
+        .iter()
+        .flat_map(|key| file[*key].as_array().expect("a list"))
+    {
         let path = path.as_str().expect("a path");
         assert!(Path::new(path).exists(), "{path} is named and not there");
     }
@@ -281,7 +335,8 @@
 
 #[test]
 fn unknown_words_in_files_are_refused() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("words-{}", std::process::id()));
+    let folder =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("words-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let refusal = |name: &str, known: &str, error: fn(&Path) -> Option<String>| {
         let text = read_fixture(name);
@@ -290,9 +345,13 @@
         std::fs::write(&path, text.replacen(known, "\"unknown\"", 1)).expect("a file");
         accepted_keys(&error(&path).unwrap_or_else(|| panic!("{name}: accepted")))
     };
-    let roles = refusal("operator.toml", "\"viewer\"", |path| error_of(Operator::read(path)));
+    let roles = refusal("operator.toml", "\"viewer\"", |path| {
+        error_of(Operator::read(path))
+    });
     assert_eq!(roles, ["viewer", "operator"]);
-    let actions = refusal("copies.toml", "\"fewer\"", |path| error_of(CopiesFile::read(path)));
+    let actions = refusal("copies.toml", "\"fewer\"", |path| {
+        error_of(CopiesFile::read(path))
+    });
     assert_eq!(actions, ["refuse", "fewer"]);
     std::fs::remove_dir_all(&folder).expect("it is there");
 }
--- a/tests/operator_surface.rs
+++ b/tests/operator_surface.rs
@@ -20,11 +20,22 @@
 /// Runs the program with these variables in place of all that operators can set.
 fn run(arguments: &[&str], variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_molelug"));
-    command.current_dir(env!("CARGO_MANIFEST_DIR")).args(arguments);
-    for name in ["RELAY_CONFIG", "RELAY_NAME", "RELAY_LISTEN", "RELAY_ADMIN_ADDR", "RELAY_FD"] {
+    command
+        .current_dir(env!("CARGO_MANIFEST_DIR"))
+        .args(arguments);
+    for name in [
+        "RELAY_CONFIG",
+        "RELAY_NAME",
+        "RELAY_LISTEN",
+        "RELAY_ADMIN_ADDR",
+        "RELAY_FD",
+    ] {
         command.env_remove(name);
     }
-    command.envs(variables.iter().copied()).output().expect("the program runs")
+    command
+        .envs(variables.iter().copied())
+        .output()
+        .expect("the program runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -32,26 +43,42 @@
 }
 
 fn help_of(commands: &[String]) -> String {
-    let arguments: Vec<&str> = commands.iter().map(String::as_str).chain(["--help"]).collect();
+    let arguments: Vec<&str> = commands
+        .iter()
+        .map(String::as_str)
+        .chain(["--help"])
+        .collect();
     let output = run(&arguments, &[]);
-    assert!(output.status.success() && output.stderr.is_empty(), "{arguments:?}: {output:?}");
+    assert!(
+        output.status.success() && output.stderr.is_empty(),
+        "{arguments:?}: {output:?}"
+    );
     text(&output.stdout)
 }
 
 /// The commands that a help text lists; positional items are in capitals and options begin with a dash.
 fn listed_commands(help: &str) -> Vec<String> {
-    if !help.lines().any(|line| line.starts_with("Usage: ") && line.ends_with(" COMMAND ...")) {
+    if !help
+        .lines()
+        .any(|line| line.starts_with("Usage: ") && line.ends_with(" COMMAND ..."))
+    {
         return Vec::new();
     }
     let listed = help.lines().filter_map(|line| line.strip_prefix("    "));
     let names = listed.filter(|line| line.starts_with(|c: char| c.is_ascii_lowercase()));
-    names.filter_map(|line| line.split_whitespace().next()).map(str::to_owned).collect()
+    names
+        .filter_map(|line| line.split_whitespace().next())
+        .map(str::to_owned)
+        .collect()
 }
 
 /// Appends the help of a command and of all commands under it.
 fn append_help(commands: &[String], all: &mut String) {
     let help = help_of(commands);
-    *all += &format!("$ molelug {}\n{help}[end]\n\n", [commands, &["--help".into()]].concat().join(" "));
+    *all += &format!(
+        "$ molelug {}\n{help}[end]\n\n",
+        [commands, &["--help".into()]].concat().join(" ")
+    );
     for name in listed_commands(&help) {
         append_help(&[commands, &[name]].concat(), all);
     }
@@ -61,7 +88,11 @@
 fn help_of_every_command_stays_byte_identical() {
     let mut all = String::new();
     append_help(&[], &mut all);
-    assert_eq!(all.matches("\n[end]\n").count(), 20, "the program, seven commands and twelve under them");
+    assert_eq!(
+        all.matches("\n[end]\n").count(),
+        20,
+        "the program, seven commands and twelve under them"
+    );
     insta::assert_snapshot!("help", all);
 }
 
@@ -81,8 +112,12 @@
 /// The keys of an object and of the objects in it, as paths.
 fn key_paths(prefix: &str, value: &Value, out: &mut Vec<String>) {
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, v)| key_paths(&format!("{prefix}.{key}"), v, out)),
-        Value::Array(list) => list.iter().for_each(|v| key_paths(&format!("{prefix}[]"), v, out)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(key, v)| key_paths(&format!("{prefix}.{key}"), v, out)),
+        Value::Array(list) => list
+            .iter()
+            .for_each(|v| key_paths(&format!("{prefix}[]"), v, out)),
         _ => out.push(prefix.to_owned()),
     }
 }
@@ -94,7 +129,11 @@
                 X-Org: franq-bajio\r\nX-Correlation-Id: 0000000000000001\r\nX-Deadline-Ms: 2400\r\nContent-Length: 0\r\n\r\n";
     client.write_all(call.as_bytes()).expect("it reads");
     let answer = read_message(&mut client, &mut Vec::new(), http_length).expect("an answer");
-    assert!(text(&answer).starts_with("HTTP/1.1 200 "), "{}", text(&answer));
+    assert!(
+        text(&answer).starts_with("HTTP/1.1 200 "),
+        "{}",
+        text(&answer)
+    );
 }
 
 #[test]
@@ -108,7 +147,11 @@
     insta::assert_snapshot!("counters", without_numbers(&line));
     let (_, on_request) = line.split_once("counters ").expect("the counters");
     let (mut during, mut at_exit) = (Vec::new(), Vec::new());
-    key_paths("", &serde_json::from_str(on_request).expect("JSON"), &mut during);
+    key_paths(
+        "",
+        &serde_json::from_str(on_request).expect("JSON"),
+        &mut during,
+    );
     key_paths("", &gateway.stop(), &mut at_exit);
     assert_eq!(during, at_exit);
 }
@@ -165,11 +208,24 @@
     let gateway = Gateway::start_daily(&settings(2500.0), &workers, None);
     serve_one_call(&gateway);
     let mut all = String::new();
-    for line in ["readyz", "telemetry", "exclude s-00000001", "telemetry", "include s-00000001", "evacuate"] {
-        all += &format!("> {line}\n{}\n", gateway.ask(format!("{line}\n").as_bytes()));
+    for line in [
+        "readyz",
+        "telemetry",
+        "exclude s-00000001",
+        "telemetry",
+        "include s-00000001",
+        "evacuate",
+    ] {
+        all += &format!(
+            "> {line}\n{}\n",
+            gateway.ask(format!("{line}\n").as_bytes())
+        );
     }
     for line in ["readyz", "activate", "readyz", "metrics"] {
-        all += &format!("> {line}\n{}\n", gateway.ask(format!("{line}\n").as_bytes()));
+        all += &format!(
+            "> {line}\n{}\n",
+            gateway.ask(format!("{line}\n").as_bytes())
+        );
     }
     insta::assert_snapshot!("second_address", all);
 }
@@ -180,7 +236,8 @@
         Role::Viewer => "viewer",
         Role::Operator => "operator",
     };
-    let lines = admin::ROUTES.map(|(method, path, needed)| format!("{method} {path} {}", role(needed)));
+    let lines =
+        admin::ROUTES.map(|(method, path, needed)| format!("{method} {path} {}", role(needed)));
     insta::assert_snapshot!("admin_routes", lines.join("\n"));
 }
 
@@ -199,14 +256,21 @@
         admin::problem(409, "a detail", Some("a remedy"), true),
         admin::problem(503, "a detail", Some("a remedy"), false),
     ];
-    let shown: Vec<String> = problems.iter().map(|bytes| text(bytes).replace("\r\n", "\\r\\n\n")).collect();
+    let shown: Vec<String> = problems
+        .iter()
+        .map(|bytes| text(bytes).replace("\r\n", "\\r\\n\n"))
+        .collect();
     insta::assert_snapshot!("problem_details", shown.join("\n\n"));
 }
 
 /// The first line that `check-config` prints under these variables.
 fn checked(variables: &[(&str, &str)]) -> String {
     let output = run(&["check-config"], variables);
-    assert!(output.status.success(), "{variables:?}: {}", text(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{variables:?}: {}",
+        text(&output.stderr)
+    );
     text(&output.stdout)
 }
 
@@ -214,7 +278,10 @@
 fn configuration_variables_take_effect() {
     const CONFIG: (&str, &str) = ("RELAY_CONFIG", "examples/gateway.json");
     let rest = "2 classes, 1 tenants, 1 notices known\n";
-    assert_eq!(checked(&[CONFIG]), format!("example listens on 127.0.0.1:7000: {rest}"));
+    assert_eq!(
+        checked(&[CONFIG]),
+        format!("example listens on 127.0.0.1:7000: {rest}")
+    );
     assert_eq!(
         checked(&[CONFIG, ("RELAY_NAME", "other")]),
         format!("other listens on 127.0.0.1:7000: {rest}")
@@ -223,8 +290,17 @@
         checked(&[CONFIG, ("RELAY_LISTEN", "127.0.0.1:7999")]),
         format!("example listens on 127.0.0.1:7999: {rest}")
     );
-    let empty = [CONFIG, ("RELAY_NAME", ""), ("RELAY_LISTEN", ""), ("RELAY_ADMIN_ADDR", "")];
-    assert_eq!(checked(&empty), checked(&[CONFIG]), "an empty variable counts as none");
+    let empty = [
+        CONFIG,
+        ("RELAY_NAME", ""),
+        ("RELAY_LISTEN", ""),
+        ("RELAY_ADMIN_ADDR", ""),
+    ];
+    assert_eq!(
+        checked(&empty),
+        checked(&[CONFIG]),
+        "an empty variable counts as none"
+    );
 }
 
 #[test]
@@ -245,15 +321,31 @@
             "RELAY_ADMIN_ADDR = 'nowhere' cannot be used",
         ),
         // The descriptor is looked at first; if it were not, a configuration that is not there would end the program.
-        ("serve", "no-such-file", Some(("RELAY_FD", "2")), "RELAY_FD = '2' is no descriptor from 3 on"),
-        ("serve", "no-such-file", Some(("RELAY_FD", "77")), "RELAY_FD names descriptor 77"),
+        (
+            "serve",
+            "no-such-file",
+            Some(("RELAY_FD", "2")),
+            "RELAY_FD = '2' is no descriptor from 3 on",
+        ),
+        (
+            "serve",
+            "no-such-file",
+            Some(("RELAY_FD", "77")),
+            "RELAY_FD names descriptor 77",
+        ),
     ];
     for (command, config, variable, expected) in cases {
-        let variables: Vec<(&str, &str)> = [("RELAY_CONFIG", config)].into_iter().chain(variable).collect();
+        let variables: Vec<(&str, &str)> = [("RELAY_CONFIG", config)]
+            .into_iter()
+            .chain(variable)
+            .collect();
         let output = run(&[command], &variables);
         let error = text(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{command} {variables:?}");
-        assert!(error.starts_with("molelug: ") && error.contains(expected), "{expected}: {error}");
+        assert!(
+            error.starts_with("molelug: ") && error.contains(expected),
+            "{expected}: {error}"
+        );
     }
 }
 
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -23,7 +23,10 @@
 use crate::pins::Pins;
 
 fn owner(name: &str) -> LeaseHolder {
-    LeaseHolder { name: name.into(), incarnation: 77 }
+    LeaseHolder {
+        name: name.into(),
+        incarnation: 77,
+    }
 }
 
 fn duty() -> LeaseName {
@@ -39,34 +42,67 @@
 }
 
 fn disk() -> Disk {
-    Disk { id: 501, boot: 2, process: 9001 }
+    Disk {
+        id: 501,
+        boot: 2,
+        process: 9001,
+    }
 }
 
 fn grant() -> ledger::Entry {
-    ledger::Entry::Grant { lease: duty(), holder: owner("n2"), term: 1 }
+    ledger::Entry::Grant {
+        lease: duty(),
+        holder: owner("n2"),
+        term: 1,
+    }
 }
 
 fn given_back() -> ledger::Entry {
-    ledger::Entry::Released { lease: duty(), term: 1 }
+    ledger::Entry::Released {
+        lease: duty(),
+        term: 1,
+    }
 }
 
 fn begun() -> sets::Entry {
-    sets::Entry::Begun { name: "n1".into(), disk: disk() }
+    sets::Entry::Begun {
+        name: "n1".into(),
+        disk: disk(),
+    }
 }
 
 fn change() -> sets::Entry {
     let members = names(&["n1", "n2"]);
-    sets::Entry::Change { shard: 3, was: 0, by: "n4".into(), primary: "n1".into(), process: 9001, members }
+    sets::Entry::Change {
+        shard: 3,
+        was: 0,
+        by: "n4".into(),
+        primary: "n1".into(),
+        process: 9001,
+        members,
+    }
 }
 
 fn moved(joins: Option<(Name, u64)>) -> sets::Entry {
     let (by, primary) = ("n4".into(), "n1".into());
     let members = names(&["n1", "n2", "n5"]);
-    sets::Entry::Move(Move { shard: 3, was: 6, by, primary, process: 9001, members, joins })
+    sets::Entry::Move(Move {
+        shard: 3,
+        was: 6,
+        by,
+        primary,
+        process: 9001,
+        members,
+        joins,
+    })
 }
 
 fn tenant_answer() -> tenants::Answer {
-    tenants::Answer { key: [0xa1; 32], request: [0xb2; 32], bytes: b"201".to_vec() }
+    tenants::Answer {
+        key: [0xa1; 32],
+        request: [0xb2; 32],
+        bytes: b"201".to_vec(),
+    }
 }
 
 fn tenant(kept: Option<&[u8]>, follows: tenants::Follows) -> tenants::Entry {
@@ -74,7 +110,10 @@
         tenant: "clinic".into(),
         follows,
         by: "n2".into(),
-        origin: Origin { process: 9002, number: 3 },
+        origin: Origin {
+            process: 9002,
+            number: 3,
+        },
         kept: kept.map(<[u8]>::to_vec),
         listed: true,
         answer: kept.map(|_| tenant_answer()),
@@ -88,8 +127,15 @@
 fn ledger() -> LeaseTable {
     let mut ledger = LeaseTable::default();
     assert!(ledger.apply(&grant()));
-    assert!(ledger.apply(&ledger::Entry::Grant { lease: "loads-4".into(), holder: owner("n1"), term: 1 }));
-    assert!(ledger.apply(&ledger::Entry::Released { lease: "loads-4".into(), term: 1 }));
+    assert!(ledger.apply(&ledger::Entry::Grant {
+        lease: "loads-4".into(),
+        holder: owner("n1"),
+        term: 1
+    }));
+    assert!(ledger.apply(&ledger::Entry::Released {
+        lease: "loads-4".into(),
+        term: 1
+    }));
     ledger
 }
 
@@ -115,13 +161,25 @@
         applied: 256,
         voters: voters(),
         leases: ledger(),
-        replica_sets: ReplicaSets { disks: [("n1".into(), disk())].into(), shards: [(3, set())].into() },
+        replica_sets: ReplicaSets {
+            disks: [("n1".into(), disk())].into(),
+            shards: [(3, set())].into(),
+        },
         tenants: tenants::Tenants {
             changes: 5,
             removals: 1,
-            lines: [("clinic".into(), line(4, Some(b"{}"), false)), ("gone".into(), line(5, None, true))]
-                .into(),
-            recent: VecDeque::from([(Origin { process: 9002, number: 3 }, 4)]),
+            lines: [
+                ("clinic".into(), line(4, Some(b"{}"), false)),
+                ("gone".into(), line(5, None, true)),
+            ]
+            .into(),
+            recent: VecDeque::from([(
+                Origin {
+                    process: 9002,
+                    number: 3,
+                },
+                4,
+            )]),
             answers: VecDeque::from([tenant_answer()]),
         },
     }
@@ -137,12 +195,18 @@
     pins.postcard("disk begun", &Entry::ReplicaSets(begun()));
     pins.postcard("shard changed", &Entry::ReplicaSets(change()));
     pins.postcard("shard moved", &Entry::ReplicaSets(moved(None)));
-    pins.postcard("shard moved to a further disk", &Entry::ReplicaSets(moved(Some(("n5".into(), 502)))));
+    pins.postcard(
+        "shard moved to a further disk",
+        &Entry::ReplicaSets(moved(Some(("n5".into(), 502)))),
+    );
     pins.postcard("tenant put", &Entry::Tenants(Box::new(tenant_put())));
     let removed = tenant(None, tenants::Follows::At(4));
     pins.postcard("tenant removed", &Entry::Tenants(Box::new(removed.clone())));
     pins.postcard("brought by shards", &SubsystemEntry::ReplicaSets(begun()));
-    pins.postcard("brought by tenants", &SubsystemEntry::Tenants(Box::new(removed)));
+    pins.postcard(
+        "brought by tenants",
+        &SubsystemEntry::Tenants(Box::new(removed)),
+    );
     pins.finish();
 }
 
@@ -158,7 +222,15 @@
     };
     pins.postcard("ask", &ask);
     let (renewed, recalled) = (vec![(duty(), 5)], vec![("loads-4".into(), 6)]);
-    pins.postcard("answer", &RenewReply { to: owner("n2"), stamp: 31, renewed, recalled });
+    pins.postcard(
+        "answer",
+        &RenewReply {
+            to: owner("n2"),
+            stamp: 31,
+            renewed,
+            recalled,
+        },
+    );
     let mut fence = Fence::default();
     assert_eq!(fence.admit(&duty(), 5), Ok(true));
     pins.postcard("fence", &fence);
@@ -167,9 +239,33 @@
     pins.postcard("load ordered", &Word::Orders(7, 1001, "n2".into()));
     pins.postcard("load stands", &Word::Stands(7, 1001, 3));
     let (from, content) = (Arc::from("n2"), b"content".to_vec());
-    pins.postcard("report", &LeaseReport { lease: duty(), from, content: content.clone() });
-    pins.postcard("effect", &LeaseEffect { lease: duty(), term: 5, holder: "n2".into(), number: 9, content });
-    pins.postcard("poll", &Poll { generation: 2, applied: 256, passed: (9001, 8), seat: Some(13) });
+    pins.postcard(
+        "report",
+        &LeaseReport {
+            lease: duty(),
+            from,
+            content: content.clone(),
+        },
+    );
+    pins.postcard(
+        "effect",
+        &LeaseEffect {
+            lease: duty(),
+            term: 5,
+            holder: "n2".into(),
+            number: 9,
+            content,
+        },
+    );
+    pins.postcard(
+        "poll",
+        &Poll {
+            generation: 2,
+            applied: 256,
+            passed: (9001, 8),
+            seat: Some(13),
+        },
+    );
     pins.postcard("poll without seat", &Poll::default());
     pins.finish();
 }
@@ -177,39 +273,73 @@
 /// The state as it was written before there were shards, and before there were tenants.
 type StateWithoutShards = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, LeaseTable);
 type ShardsWithoutFormer = BTreeMap<ShardId, (Epoch, Option<Name>, u64, BTreeSet<Name>)>;
-type StateWithoutTenants =
-    (u32, u64, BTreeMap<ReplicaId, Arc<str>>, LeaseTable, (BTreeMap<Name, Disk>, ShardsWithoutFormer));
+type StateWithoutTenants = (
+    u32,
+    u64,
+    BTreeMap<ReplicaId, Arc<str>>,
+    LeaseTable,
+    (BTreeMap<Name, Disk>, ShardsWithoutFormer),
+);
 
 #[test]
 fn snapshots_of_all_versions_are_read() {
     let now = state();
     let mut pins = Pins::of("agreed-state.txt");
     pins.postcard("state", &now);
-    let head = (now.generation, now.applied, now.voters.clone(), now.leases.clone());
+    let head = (
+        now.generation,
+        now.applied,
+        now.voters.clone(),
+        now.leases.clone(),
+    );
     let first: StateWithoutShards = head.clone();
     pins.postcard("state without shards", &first);
     let shards = [(3, (6, Some("n1".into()), 9001, names(&["n1", "n2"])))].into();
-    let second: StateWithoutTenants =
-        (head.0, head.1, head.2, head.3, (now.replica_sets.disks.clone(), shards));
+    let second: StateWithoutTenants = (
+        head.0,
+        head.1,
+        head.2,
+        head.3,
+        (now.replica_sets.disks.clone(), shards),
+    );
     pins.postcard("state without tenants", &second);
     pins.finish();
 
     let encoded = |bytes: Result<Vec<u8>, _>| State::read(&bytes.expect("it encodes"));
     assert_eq!(encoded(postcard::to_stdvec(&now)), Ok(now.clone()));
-    let without_tenants = State { tenants: tenants::Tenants::default(), ..now.clone() };
-    let set = ReplicaSet { former: BTreeMap::new(), whole: 0, ..set() };
-    let sets = ReplicaSets { shards: [(3, set)].into(), ..now.replica_sets.clone() };
+    let without_tenants = State {
+        tenants: tenants::Tenants::default(),
+        ..now.clone()
+    };
+    let set = ReplicaSet {
+        former: BTreeMap::new(),
+        whole: 0,
+        ..set()
+    };
+    let sets = ReplicaSets {
+        shards: [(3, set)].into(),
+        ..now.replica_sets.clone()
+    };
     assert_eq!(
         encoded(postcard::to_stdvec(&second)),
-        Ok(State { replica_sets: sets, ..without_tenants.clone() })
+        Ok(State {
+            replica_sets: sets,
+            ..without_tenants.clone()
+        })
     );
-    let without_shards = State { replica_sets: ReplicaSets::default(), ..without_tenants };
+    let without_shards = State {
+        replica_sets: ReplicaSets::default(),
+        ..without_tenants
+    };
     assert_eq!(encoded(postcard::to_stdvec(&first)), Ok(without_shards));
 }
 
 /// A voter alone, so that it leads and applies all by itself.
 fn head() -> Head {
-    let alone = State { voters: [(11, "n1".into())].into(), ..state() };
+    let alone = State {
+        voters: [(11, "n1".into())].into(),
+        ..state()
+    };
     let snapshot = postcard::to_stdvec(&alone).expect("it encodes");
     Head {
         seat: 11,
@@ -230,12 +360,20 @@
         context: Vec::new(),
     };
     let removed = tenant(None, tenants::Follows::At(4));
-    vec![line(257, &Entry::Lease(given_back())), line(258, &Entry::Tenants(Box::new(removed)))]
+    vec![
+        line(257, &Entry::Lease(given_back())),
+        line(258, &Entry::Tenants(Box::new(removed))),
+    ]
 }
 
 /// A voter's disk with a snapshot and entries behind it.
 pub fn voter_record() -> Record {
-    Record { head: Some(head()), entries: lines(), from: None, anew: false }
+    Record {
+        head: Some(head()),
+        entries: lines(),
+        from: None,
+        anew: false,
+    }
 }
 
 #[test]
@@ -247,10 +385,31 @@
     let context = postcard::to_stdvec(&Entry::Voters(voters())).expect("it encodes");
     pins.postcard(
         "change of voters",
-        &LogLine { index: 9, term: 3, voters: true, data: vec![1, 2], context },
+        &LogLine {
+            index: 9,
+            term: 3,
+            voters: true,
+            data: vec![1, 2],
+            context,
+        },
+    );
+    pins.postcard(
+        "record that drops",
+        &Record {
+            from: Some(200),
+            anew: true,
+            ..Record::default()
+        },
+    );
+    pins.postcard(
+        "known",
+        &KnownState {
+            boots: 4,
+            process: 9001,
+            term: 8,
+            kept: (8, 258),
+        },
     );
-    pins.postcard("record that drops", &Record { from: Some(200), anew: true, ..Record::default() });
-    pins.postcard("known", &KnownState { boots: 4, process: 9001, term: 8, kept: (8, 258) });
     pins.finish();
 }
 
@@ -258,20 +417,43 @@
 #[test]
 fn stored_log_brings_voter_to_its_state() {
     let bytes = crate::fixture::read_text("voter-records.txt");
-    let hex = bytes.lines().find_map(|line| line.strip_prefix("record: ")).expect("the record");
+    let hex = bytes
+        .lines()
+        .find_map(|line| line.strip_prefix("record: "))
+        .expect("the record");
     let record: Record = postcard::from_bytes(&crate::pins::from_hex(hex)).expect("it decodes");
     let cut = PersistentState::found(record.head.clone(), record.entries[..1].to_vec());
-    assert_eq!(cut, Err(DamagedState::Cut { last: 257, agreed: 258 }));
+    assert_eq!(
+        cut,
+        Err(DamagedState::Cut {
+            last: 257,
+            agreed: 258
+        })
+    );
     let kept = PersistentState::found(record.head, record.entries).expect("the log is whole");
     assert_eq!((kept.last(), kept.len()), (258, 2));
 
-    let voter =
-        Voter::new(Settings::default(), kept, 9001, 1, 0, DisabledVoterGuards::default()).expect("it begins");
+    let voter = Voter::new(
+        Settings::default(),
+        kept,
+        9001,
+        1,
+        0,
+        DisabledVoterGuards::default(),
+    )
+    .expect("it begins");
     assert_eq!((voter.seat(), voter.boots(), voter.term()), (11, 5, 8));
     let state = voter.state();
     assert_eq!((state.applied, state.generation), (258, 2));
-    assert_eq!(state.leases.record(&duty()).holder, None, "entry 257 gave it back");
-    assert_eq!(state.tenants.lines["clinic"].kept, None, "entry 258 removed it");
+    assert_eq!(
+        state.leases.record(&duty()).holder,
+        None,
+        "entry 257 gave it back"
+    );
+    assert_eq!(
+        state.tenants.lines["clinic"].kept, None,
+        "entry 258 removed it"
+    );
     assert_eq!(state.replica_sets.of(3), set());
 }
 
@@ -286,10 +468,16 @@
     let mark = molelug::front::webhook::replay::mark("clinic", "call-1");
     pins.bytes("mark of a call", &mark);
     pins.line("shard of a mark", &shard_of(&mark, 64).to_string());
-    let host = |at: u32| Host { name: format!("n{at}").into(), hall: Some(format!("hall-{}", at % 3)) };
+    let host = |at: u32| Host {
+        name: format!("n{at}").into(),
+        hall: Some(format!("hall-{}", at % 3)),
+    };
     let hosts: Vec<Host> = (1..=7).map(host).collect();
     for shard in [1, 2, 3, 64] {
-        pins.line(&format!("hosts of shard {shard}"), &order(shard, &hosts).join(" "));
+        pins.line(
+            &format!("hosts of shard {shard}"),
+            &order(shard, &hosts).join(" "),
+        );
     }
     pins.finish();
 }
--- a/tests/stored_data/histories.rs
+++ b/tests/stored_data/histories.rs
@@ -13,29 +13,86 @@
 fn council_notes_are_written_as_before() {
     use member::HistoryEvent;
     let duty: Arc<str> = "loads-3".into();
-    let owner = LeaseHolder { name: "n2".into(), incarnation: 77 };
+    let owner = LeaseHolder {
+        name: "n2".into(),
+        incarnation: 77,
+    };
     let mut pins = Pins::of("history-council.txt");
-    let agreed = |owner| HistoryEvent::Agreed { index: 12, duty: duty.clone(), term: 5, owner };
+    let agreed = |owner| HistoryEvent::Agreed {
+        index: 12,
+        duty: duty.clone(),
+        term: 5,
+        owner,
+    };
     pins.json("agreed", &agreed(Some(owner)));
     pins.json("agreed without owner", &agreed(None));
     pins.json("restored", &HistoryEvent::Restored { index: 256 });
-    pins.json("began", &HistoryEvent::Began { duty: duty.clone(), term: 5 });
-    pins.json("ended", &HistoryEvent::Ended { duty: duty.clone(), term: 6 });
-    pins.json("acted", &HistoryEvent::Acted { duty: duty.clone(), term: 5, number: 9 });
-    pins.json("sent", &HistoryEvent::Sent { duty: duty.clone(), term: 5, number: 10 });
+    pins.json(
+        "began",
+        &HistoryEvent::Began {
+            duty: duty.clone(),
+            term: 5,
+        },
+    );
+    pins.json(
+        "ended",
+        &HistoryEvent::Ended {
+            duty: duty.clone(),
+            term: 6,
+        },
+    );
+    pins.json(
+        "acted",
+        &HistoryEvent::Acted {
+            duty: duty.clone(),
+            term: 5,
+            number: 9,
+        },
+    );
+    pins.json(
+        "sent",
+        &HistoryEvent::Sent {
+            duty: duty.clone(),
+            term: 5,
+            number: 10,
+        },
+    );
     pins.json(
         "accepted",
-        &HistoryEvent::Accepted { duty: duty.clone(), term: 5, owner: "n2".into(), number: 11 },
+        &HistoryEvent::Accepted {
+            duty: duty.clone(),
+            term: 5,
+            owner: "n2".into(),
+            number: 11,
+        },
     );
     let why = "term 4 is over".to_owned();
     pins.json(
         "refused",
-        &HistoryEvent::Refused { duty: duty.clone(), term: 4, owner: "n1".into(), number: 3, why },
+        &HistoryEvent::Refused {
+            duty: duty.clone(),
+            term: 4,
+            owner: "n1".into(),
+            number: 3,
+            why,
+        },
+    );
+    pins.json(
+        "taken back",
+        &HistoryEvent::TakenBack {
+            duty,
+            term: 5,
+            number: 12,
+        },
     );
-    pins.json("taken back", &HistoryEvent::TakenBack { duty, term: 5, number: 12 });
     pins.json("leads", &HistoryEvent::Leads { term: 8 });
     pins.json("follows", &HistoryEvent::Follows);
-    pins.json("retired", &HistoryEvent::Retired { why: "its disk is an older one".into() });
+    pins.json(
+        "retired",
+        &HistoryEvent::Retired {
+            why: "its disk is an older one".into(),
+        },
+    );
     pins.finish();
 }
 
@@ -44,15 +101,73 @@
     use replication::history::{short, HistoryEvent};
     let members = || vec!["n1".into(), "n2".into(), "n3".into()];
     let mut pins = Pins::of("history-replication.txt");
-    pins.json("led", &HistoryEvent::Led { shard: 3, epoch: 7, number: 41, chain: 900, members: members() });
+    pins.json(
+        "led",
+        &HistoryEvent::Led {
+            shard: 3,
+            epoch: 7,
+            number: 41,
+            chain: 900,
+            members: members(),
+        },
+    );
     pins.json("rested", &HistoryEvent::Rested { shard: 3, epoch: 7 });
-    pins.json("promised", &HistoryEvent::Promised { shard: 3, epoch: 7, number: 42, chain: 901, disks: 2 });
-    pins.json("stored", &HistoryEvent::Stored { shard: 3, epoch: 7, number: 43, chain: 902 });
-    pins.json("installed", &HistoryEvent::Installed { shard: 3, number: 44, chain: 903 });
-    pins.json("damaged", &HistoryEvent::Damaged { shard: 3, ranges: vec![0, 15] });
-    pins.json("waits", &HistoryEvent::Waits { shard: 3, members: members() });
-    pins.json("mended", &HistoryEvent::Mended { shard: 3, accepted: true });
-    pins.json("declined", &HistoryEvent::Declined { shard: 3, theirs: 6, ours: 7 });
+    pins.json(
+        "promised",
+        &HistoryEvent::Promised {
+            shard: 3,
+            epoch: 7,
+            number: 42,
+            chain: 901,
+            disks: 2,
+        },
+    );
+    pins.json(
+        "stored",
+        &HistoryEvent::Stored {
+            shard: 3,
+            epoch: 7,
+            number: 43,
+            chain: 902,
+        },
+    );
+    pins.json(
+        "installed",
+        &HistoryEvent::Installed {
+            shard: 3,
+            number: 44,
+            chain: 903,
+        },
+    );
+    pins.json(
+        "damaged",
+        &HistoryEvent::Damaged {
+            shard: 3,
+            ranges: vec![0, 15],
+        },
+    );
+    pins.json(
+        "waits",
+        &HistoryEvent::Waits {
+            shard: 3,
+            members: members(),
+        },
+    );
+    pins.json(
+        "mended",
+        &HistoryEvent::Mended {
+            shard: 3,
+            accepted: true,
+        },
+    );
+    pins.json(
+        "declined",
+        &HistoryEvent::Declined {
+            shard: 3,
+            theirs: 6,
+            ours: 7,
+        },
+    );
     pins.json("recalled", &HistoryEvent::Recalled { shard: 3 });
     pins.json("lost", &HistoryEvent::Lost { shard: 4 });
     let chain: replication::ChainDigest = std::array::from_fn(|at| at as u8);
@@ -63,11 +178,21 @@
 #[test]
 fn tenancy_notes_are_written_as_before() {
     use replicated::history::{digest, HistoryEvent};
-    let adopted = |digest| HistoryEvent::Adopted { tenant: "clinic".into(), version: 4, digest };
+    let adopted = |digest| HistoryEvent::Adopted {
+        tenant: "clinic".into(),
+        version: 4,
+        digest,
+    };
     let mut pins = Pins::of("history-tenancy.txt");
     pins.json("begun", &HistoryEvent::Begun);
     pins.json("adopted", &adopted(Some(digest(b"a tenant"))));
     pins.json("adopted as removed", &adopted(None));
-    pins.json("told", &HistoryEvent::Told { tenant: "clinic".into(), version: 4 });
+    pins.json(
+        "told",
+        &HistoryEvent::Told {
+            tenant: "clinic".into(),
+            version: 4,
+        },
+    );
     pins.finish();
 }
--- a/tests/stored_data/pins.rs
+++ b/tests/stored_data/pins.rs
@@ -20,21 +20,44 @@
 }
 
 pub fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| text.get(at..at + 2).and_then(|pair| u8::from_str_radix(pair, 16).ok());
-    (0..text.len()).step_by(2).map(|at| digits(at).expect("two hexadecimal digits")).collect()
+    let digits = |at: usize| {
+        text.get(at..at + 2)
+            .and_then(|pair| u8::from_str_radix(pair, 16).ok())
+    };
+    (0..text.len())
+        .step_by(2)
+        .map(|at| digits(at).expect("two hexadecimal digits"))
+        .collect()
 }
 
 impl Pins {
     /// The lines of a fixture.
     pub fn of(file: &'static str) -> Pins {
-        let text = if fixture::is_updating() { String::new() } else { fixture::read_text(file) };
-        let line = |line: &str| line.split_once(": ").map(|(name, rest)| (name.to_owned(), rest.to_owned()));
-        Pins { file, kept: text.lines().filter_map(line).collect(), written: String::new() }
+        let text = if fixture::is_updating() {
+            String::new()
+        } else {
+            fixture::read_text(file)
+        };
+        let line = |line: &str| {
+            line.split_once(": ")
+                .map(|(name, rest)| (name.to_owned(), rest.to_owned()))
+        };
+        Pins {
+            file,
+            kept: text.lines().filter_map(line).collect(),
+            written: String::new(),
+        }
     }
 
     /// A line whose content is compared and never decoded.
     pub fn line(&mut self, name: &str, content: &str) {
-        assert!(!self.written.lines().any(|line| line.starts_with(&format!("{name}: "))), "{name} twice");
+        assert!(
+            !self
+                .written
+                .lines()
+                .any(|line| line.starts_with(&format!("{name}: "))),
+            "{name} twice"
+        );
         self.written += &format!("{name}: {content}\n");
     }
 
@@ -50,9 +73,17 @@
     {
         if let Some(kept) = self.kept.get(name) {
             let decoded: Result<T, _> = postcard::from_bytes(&from_hex(kept));
-            assert_eq!(decoded.as_ref(), Ok(value), "{}: {name} decodes as something else", self.file);
+            assert_eq!(
+                decoded.as_ref(),
+                Ok(value),
+                "{}: {name} decodes as something else",
+                self.file
+            );
         }
-        self.line(name, &to_hex(&postcard::to_stdvec(value).expect("it encodes")));
+        self.line(
+            name,
+            &to_hex(&postcard::to_stdvec(value).expect("it encodes")),
+        );
     }
 
     /// A value that is stored as JSON; the stored text must decode to it.
@@ -61,8 +92,13 @@
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
         if let Some(kept) = self.kept.get(name) {
-            let decoded: T = serde_json::from_str(kept).unwrap_or_else(|error| panic!("{name}: {error}"));
-            assert_eq!(&decoded, value, "{}: {name} decodes as something else", self.file);
+            let decoded: T =
+                serde_json::from_str(kept).unwrap_or_else(|error| panic!("{name}: {error}"));
+            assert_eq!(
+                &decoded, value,
+                "{}: {name} decodes as something else",
+                self.file
+            );
         }
         // By way of a JSON value, as histories write it: keys are in the order of the alphabet.
         let written = serde_json::to_value(value).expect("it encodes").to_string();
--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -27,11 +27,17 @@
 
 const MAX_BYTES: u64 = 1 << 30;
 const SHARDS: [ShardId; 2] = [2, 3];
-const KEYED: Effect = Effect::Keyed { scope: IdempotencyScope::Zone, window: 5 * SECOND };
+const KEYED: Effect = Effect::Keyed {
+    scope: IdempotencyScope::Zone,
+    window: 5 * SECOND,
+};
 
 fn commit(disk: &mut Disk, ops: Vec<Op>) -> Vec<Reply> {
     let replies = disk.commit(ops, 30 * SECOND).expect("it is kept");
-    replies.into_iter().map(|reply| reply.expect("it is done")).collect()
+    replies
+        .into_iter()
+        .map(|reply| reply.expect("it is done"))
+        .collect()
 }
 
 fn ask(disk: &mut Disk, op: Op) -> Reply {
@@ -82,7 +88,11 @@
 
 /// An order key that no other shard has.
 fn ordered(shard: ShardId, n: u32) -> (MessageRecord, Vec<u8>) {
-    message(number(shard, n), Effect::NonIdempotent, Some(u64::from(shard)))
+    message(
+        number(shard, n),
+        Effect::NonIdempotent,
+        Some(u64::from(shard)),
+    )
 }
 
 fn shard_mark(shard: ShardId, of: u8) -> u8 {
@@ -91,15 +101,25 @@
 
 /// The records of a shard: an open call, two that have answers, an attempt that has begun, one that has ended.
 fn shard_records(shard: ShardId) -> Vec<Op> {
-    let taken =
-        |of: u8| take(number(shard, of.into()), Effect::NonIdempotent, shard_mark(shard, of), 100 * SECOND);
+    let taken = |of: u8| {
+        take(
+            number(shard, of.into()),
+            Effect::NonIdempotent,
+            shard_mark(shard, of),
+            100 * SECOND,
+        )
+    };
     let (unordered, body) = message(number(shard, 103), KEYED, None);
     let waiting = Box::new(unordered.waiting);
     vec![
         taken(1),
         taken(2),
         Op::Sent(number(shard, 1), 3 * SECOND),
-        Op::Answer(number(shard, 2), "served".into(), vec![ordered(shard, 101), ordered(shard, 102)]),
+        Op::Answer(
+            number(shard, 2),
+            "served".into(),
+            vec![ordered(shard, 101), ordered(shard, 102)],
+        ),
         Op::Begin(number(shard, 101), true, 6 * SECOND),
         taken(3),
         Op::Answer(number(shard, 3), "failed".into(), vec![(unordered, body)]),
@@ -108,7 +128,9 @@
 }
 
 fn last_place() -> LogPosition {
-    shard_records(2).iter().fold(LogPosition::default(), |place, _| place.then(b"record"))
+    shard_records(2)
+        .iter()
+        .fold(LogPosition::default(), |place, _| place.then(b"record"))
 }
 
 fn fill_shard(disk: &mut Disk, shard: ShardId) {
@@ -124,7 +146,9 @@
     let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("it is made");
     fill_own(&mut disk);
     ask(&mut disk, Op::BeginDisk(7001, false));
-    SHARDS.into_iter().for_each(|shard| fill_shard(&mut disk, shard));
+    SHARDS
+        .into_iter()
+        .for_each(|shard| fill_shard(&mut disk, shard));
     ask(&mut disk, Op::Lead(3));
     ask(&mut disk, Op::Log(Box::new(voter_record())));
     disk.compact().expect("it shrinks");
@@ -187,7 +211,10 @@
 }
 
 fn sent(seq: Seq) -> CallRecord {
-    CallRecord { sent: Some(3 * SECOND), ..call(seq, Effect::NonIdempotent) }
+    CallRecord {
+        sent: Some(3 * SECOND),
+        ..call(seq, Effect::NonIdempotent)
+    }
 }
 
 fn marks(of: &[u8]) -> Vec<(IdentityDigest, u64)> {
@@ -212,9 +239,22 @@
     let (mut record, body) = message(Seq(14), Effect::Idempotent, None);
     (record.waiting.due, record.waiting.tries) = (9 * SECOND, 1);
     record.waiting.ran = Some(7 * SECOND);
-    assert_eq!(shown(disk, Seq(14)), Shown { record, attempts: vec![attempt()], body });
+    assert_eq!(
+        shown(disk, Seq(14)),
+        Shown {
+            record,
+            attempts: vec![attempt()],
+            body
+        }
+    );
     let (record, _) = message(Seq(11), Effect::NonIdempotent, Some(7));
-    assert_eq!(shown(disk, Seq(11)).record, MessageRecord { state: State::Behind, ..record });
+    assert_eq!(
+        shown(disk, Seq(11)).record,
+        MessageRecord {
+            state: State::Behind,
+            ..record
+        }
+    );
     for (seq, state) in [
         (10, State::Waiting),
         (12, State::Delivered),
@@ -223,9 +263,20 @@
     ] {
         assert_eq!(shown(disk, Seq(seq)).record.state, state, "{seq}");
     }
-    let answered = Some(CallState { taken: 100 * SECOND, outcome: Some("served".into()), shard: 0 });
-    assert_eq!(ask(disk, Op::Call(21, "call-3".into())), Reply::Call(answered));
-    let open = Some(CallState { taken: 100 * SECOND, outcome: None, shard: 0 });
+    let answered = Some(CallState {
+        taken: 100 * SECOND,
+        outcome: Some("served".into()),
+        shard: 0,
+    });
+    assert_eq!(
+        ask(disk, Op::Call(21, "call-3".into())),
+        Reply::Call(answered)
+    );
+    let open = Some(CallState {
+        taken: 100 * SECOND,
+        outcome: None,
+        shard: 0,
+    });
     assert_eq!(ask(disk, Op::Call(21, "call-2".into())), Reply::Call(open));
 }
 
@@ -235,22 +286,45 @@
     let Reply::Fetched(waiting, None) = ask(disk, Op::Fetch(EndpointId(4004), 10)) else {
         panic!("more waits")
     };
-    let own: Vec<Seq> = waiting.iter().map(|waiting| waiting.seq).filter(|seq| seq.shard() == 0).collect();
+    let own: Vec<Seq> = waiting
+        .iter()
+        .map(|waiting| waiting.seq)
+        .filter(|seq| seq.shard() == 0)
+        .collect();
     assert_eq!(own, [Seq(10), Seq(14)]);
     let delivered = Op::Ended(Box::new(first.waiting), State::Delivered, None);
     let (next, _) = message(Seq(11), Effect::NonIdempotent, Some(7));
     assert_eq!(ask(disk, delivered), Reply::Waits(vec![next.waiting]));
-    let filter = Filter { serial: 21, state: Some("unknown".into()), limit: 1, ..Filter::default() };
-    let Reply::Messages(listed) = ask(disk, Op::Messages(Filter { before: Some(Seq(100)), ..filter })) else {
+    let filter = Filter {
+        serial: 21,
+        state: Some("unknown".into()),
+        limit: 1,
+        ..Filter::default()
+    };
+    let Reply::Messages(listed) = ask(
+        disk,
+        Op::Messages(Filter {
+            before: Some(Seq(100)),
+            ..filter
+        }),
+    ) else {
         panic!("no list")
     };
-    assert_eq!(listed.iter().map(|message| message.waiting.seq).collect::<Vec<_>>(), [Seq(15)]);
+    assert_eq!(
+        listed
+            .iter()
+            .map(|message| message.waiting.seq)
+            .collect::<Vec<_>>(),
+        [Seq(15)]
+    );
 }
 
 fn assert_shards_are_found(found: &Found) {
     let record = voter_record();
     assert_eq!(found.log, (record.head, record.entries));
-    let of_shards = SHARDS.iter().flat_map(|shard| (1..4).map(|of| shard_mark(*shard, of)));
+    let of_shards = SHARDS
+        .iter()
+        .flat_map(|shard| (1..4).map(|of| shard_mark(*shard, of)));
     let expected: Vec<u8> = [1, 2].into_iter().chain(of_shards).collect();
     assert_eq!(found.replays, marks(&expected));
 }
@@ -259,7 +333,12 @@
 fn assert_shards_are_kept(disk: &mut Disk) {
     let sound = SHARDS.map(|shard| (shard, Vec::new())).to_vec();
     assert_eq!(disk.reader().verify(), Ok(sound));
-    let figures = Stat { calls: 4, messages: 12, waiting: 7, bytes: 4 * 13 + 12 * 16 };
+    let figures = Stat {
+        calls: 4,
+        messages: 12,
+        waiting: 7,
+        bytes: 4 * 13 + 12 * 16,
+    };
     assert_eq!(ask(disk, Op::Stat), Reply::Stat(figures));
     for shard in SHARDS {
         let begun = ordered(shard, 101).0.waiting;
@@ -272,14 +351,20 @@
         };
         assert_eq!(ask(disk, Op::Lead(shard)), Reply::Stands(Box::new(stands)));
         let (record, _) = ordered(shard, 102);
-        let behind = MessageRecord { state: State::Behind, ..record };
+        let behind = MessageRecord {
+            state: State::Behind,
+            ..record
+        };
         assert_eq!(shown(disk, number(shard, 102)).record, behind);
     }
 }
 
 fn begin(disk: &mut Disk) {
     let places = SHARDS.map(|shard| (shard, last_place())).to_vec();
-    assert_eq!(ask(disk, Op::BeginDisk(1, false)), Reply::Disk(7001, 2, places));
+    assert_eq!(
+        ask(disk, Op::BeginDisk(1, false)),
+        Reply::Disk(7001, 2, places)
+    );
 }
 
 #[test]
@@ -311,7 +396,10 @@
     assert_shards_are_found(&found);
     assert_own_is_kept(&mut disk);
     let unsound = disk.reader().verify().expect("it is read");
-    assert!(unsound.iter().all(|(_, ranges)| !ranges.is_empty()), "nothing is summed yet: {unsound:?}");
+    assert!(
+        unsound.iter().all(|(_, ranges)| !ranges.is_empty()),
+        "nothing is summed yet: {unsound:?}"
+    );
     begin(&mut disk);
     assert_shards_are_kept(&mut disk);
     assert_waiting_goes_on(&mut disk);
@@ -324,7 +412,10 @@
     assert_eq!(found.replays, marks(&[1, 2]));
     assert_eq!(found.log, (None, Vec::new()));
     assert_own_is_kept(&mut disk);
-    assert_eq!(ask(&mut disk, Op::BeginDisk(7001, false)), Reply::Disk(7001, 1, Vec::new()));
+    assert_eq!(
+        ask(&mut disk, Op::BeginDisk(7001, false)),
+        Reply::Disk(7001, 1, Vec::new())
+    );
     assert_own_is_kept(&mut disk);
     assert_waiting_goes_on(&mut disk);
 }
@@ -332,7 +423,9 @@
 #[test]
 fn shard_content_is_handed_on_as_before() {
     let (_file, mut disk, _) = open_fixture(FORMAT_3);
-    let Reply::Shard(place, content) = ask(&mut disk, Op::ReadShard(2)) else { panic!("no content") };
+    let Reply::Shard(place, content) = ask(&mut disk, Op::ReadShard(2)) else {
+        panic!("no content")
+    };
     assert_eq!(place, last_place());
     fixture::assert_matches(SHARD_CONTENT, &format!("{}\n", pins::to_hex(&content)));
 
@@ -342,5 +435,8 @@
     ask(&mut disk, Op::BeginDisk(7002, false));
     ask(&mut disk, Op::WriteShard(2, place, stored.clone()));
     assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
-    assert_eq!(ask(&mut disk, Op::ReadShard(2)), Reply::Shard(place, stored));
+    assert_eq!(
+        ask(&mut disk, Op::ReadShard(2)),
+        Reply::Shard(place, stored)
+    );
 }
--- a/tests/stored_data/store_records.rs
+++ b/tests/stored_data/store_records.rs
@@ -69,7 +69,13 @@
 /// How an attempt ended.
 pub fn attempt() -> AttemptRecord {
     let ending = "status".into();
-    AttemptRecord { at: 7 * SECOND, took: 30_000, ending, status: Some(503), may_have_arrived: true }
+    AttemptRecord {
+        at: 7 * SECOND,
+        took: 30_000,
+        ending,
+        status: Some(503),
+        may_have_arrived: true,
+    }
 }
 
 fn states() -> [(&'static str, State); 7] {
@@ -87,32 +93,81 @@
 #[test]
 fn store_records_encode_as_before() {
     let mut pins = Pins::of("store-records.txt");
-    let keyed = |group| Effect::Keyed { scope: group, window: 5 * SECOND };
+    let keyed = |group| Effect::Keyed {
+        scope: group,
+        window: 5 * SECOND,
+    };
     pins.postcard("call, safe", &call(Seq(1), Effect::Idempotent));
     pins.postcard(
         "call, unsafe",
-        &CallRecord { sent: Some(3 * SECOND), ..call(Seq(1), Effect::NonIdempotent) },
+        &CallRecord {
+            sent: Some(3 * SECOND),
+            ..call(Seq(1), Effect::NonIdempotent)
+        },
+    );
+    pins.postcard(
+        "call, keyed for all",
+        &call(Seq(1), keyed(IdempotencyScope::All)),
+    );
+    pins.postcard(
+        "call, keyed in a zone",
+        &call(Seq(1), keyed(IdempotencyScope::Zone)),
+    );
+    pins.postcard(
+        "call, keyed in a cell",
+        &call(Seq(1), keyed(IdempotencyScope::Cell)),
     );
-    pins.postcard("call, keyed for all", &call(Seq(1), keyed(IdempotencyScope::All)));
-    pins.postcard("call, keyed in a zone", &call(Seq(1), keyed(IdempotencyScope::Zone)));
-    pins.postcard("call, keyed in a cell", &call(Seq(1), keyed(IdempotencyScope::Cell)));
-    let bare = CallRecord { work: None, load_time: None, order: None, ..call(Seq(1), Effect::Idempotent) };
+    let bare = CallRecord {
+        work: None,
+        load_time: None,
+        order: None,
+        ..call(Seq(1), Effect::Idempotent)
+    };
     pins.postcard("call without hints", &bare);
     for (name, state) in states() {
         let (message, _) = message(Seq(10), Effect::Idempotent, Some(7));
-        pins.postcard(&format!("message, {name}"), &MessageRecord { state, ..message });
+        pins.postcard(
+            &format!("message, {name}"),
+            &MessageRecord { state, ..message },
+        );
     }
     let (mut sent, _) = message(Seq(10), Effect::NonIdempotent, None);
     (sent.waiting.ran, sent.waiting.tries) = (Some(4 * SECOND), 2);
     (sent.call, sent.acknowledged) = (None, Some("ops".into()));
     pins.postcard("message sent again", &sent);
     pins.postcard("attempt", &attempt());
-    let failed = AttemptRecord { status: None, may_have_arrived: false, ..attempt() };
+    let failed = AttemptRecord {
+        status: None,
+        may_have_arrived: false,
+        ..attempt()
+    };
     pins.postcard("attempt without status", &failed);
     let outcome = Some("served".to_owned());
-    pins.postcard("call's state", &CallState { taken: 100 * SECOND, outcome, shard: 3 });
-    pins.postcard("open call's state", &CallState { taken: 100 * SECOND, outcome: None, shard: 0 });
-    pins.postcard("figures", &Stat { calls: 1, messages: 2, waiting: 3, bytes: 4 });
+    pins.postcard(
+        "call's state",
+        &CallState {
+            taken: 100 * SECOND,
+            outcome,
+            shard: 3,
+        },
+    );
+    pins.postcard(
+        "open call's state",
+        &CallState {
+            taken: 100 * SECOND,
+            outcome: None,
+            shard: 0,
+        },
+    );
+    pins.postcard(
+        "figures",
+        &Stat {
+            calls: 1,
+            messages: 2,
+            waiting: 3,
+            bytes: 4,
+        },
+    );
     pins.postcard("number of a shard", &Seq::of_shard(3, 7, 41));
     pins.finish();
 }
@@ -123,13 +178,26 @@
     let (record, body) = message(Seq::of_shard(3, 7, 141), Effect::NonIdempotent, Some(7));
     let waiting = Box::new(record.waiting);
     let records = [
-        ("take", Shared::Take(Box::new(call(seq, Effect::NonIdempotent)), mark(1), 50 * SECOND)),
+        (
+            "take",
+            Shared::Take(
+                Box::new(call(seq, Effect::NonIdempotent)),
+                mark(1),
+                50 * SECOND,
+            ),
+        ),
         ("untake", Shared::Untake(seq, mark(1))),
         ("sent", Shared::Sent(seq, 3 * SECOND)),
         ("unsent", Shared::Unsent(seq)),
-        ("answer", Shared::Answer(seq, "served".into(), vec![(record, body)])),
+        (
+            "answer",
+            Shared::Answer(seq, "served".into(), vec![(record, body)]),
+        ),
         ("begin", Shared::Begin(seq, 6 * SECOND)),
-        ("ended", Shared::Ended(waiting, State::Dead(Dead::Unknown), Some(attempt()))),
+        (
+            "ended",
+            Shared::Ended(waiting, State::Dead(Dead::Unknown), Some(attempt())),
+        ),
     ];
     let mut pins = Pins::of("shard-records.txt");
     for (name, record) in &records {
--- a/tests/stored_data/store_rows.rs
+++ b/tests/stored_data/store_rows.rs
@@ -25,7 +25,9 @@
     pub fn new() -> Scratch {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        Scratch(std::env::temp_dir().join(format!("molelug-stored-{}-{number}", std::process::id())))
+        Scratch(
+            std::env::temp_dir().join(format!("molelug-stored-{}-{number}", std::process::id())),
+        )
     }
 
     /// Where it is.
@@ -44,15 +46,24 @@
 pub fn rows(path: &Path) -> Vec<Row> {
     let database = Database::open(path).expect("the file opens");
     let read = database.begin_read().expect("it can be read");
-    let mut names: Vec<String> =
-        read.list_tables().expect("it has tables").map(|table| table.name().to_owned()).collect();
+    let mut names: Vec<String> = read
+        .list_tables()
+        .expect("it has tables")
+        .map(|table| table.name().to_owned())
+        .collect();
     names.sort();
     let mut rows = Vec::new();
     for name in names {
-        let table = read.open_table(Definition::new(&name)).expect("a table of bytes");
+        let table = read
+            .open_table(Definition::new(&name))
+            .expect("a table of bytes");
         for pair in table.iter().expect("a table's rows") {
             let (key, value) = pair.expect("a row");
-            rows.push(Row { table: name.clone(), key: key.value().to_vec(), value: value.value().to_vec() });
+            rows.push(Row {
+                table: name.clone(),
+                key: key.value().to_vec(),
+                value: value.value().to_vec(),
+            });
         }
     }
     rows
@@ -64,7 +75,9 @@
     let database = Database::create(file.path()).expect("the file is made");
     let write = database.begin_write().expect("it can be written");
     for row in rows {
-        let mut table = write.open_table(Definition::new(&row.table)).expect("a table of bytes");
+        let mut table = write
+            .open_table(Definition::new(&row.table))
+            .expect("a table of bytes");
         table.insert(&row.key[..], &row.value[..]).expect("a row");
     }
     write.commit().expect("it is kept");
@@ -73,7 +86,16 @@
 
 /// Rows as text.
 pub fn to_text(rows: &[Row]) -> String {
-    rows.iter().map(|row| format!("{} {} {}\n", row.table, to_hex(&row.key), to_hex(&row.value))).collect()
+    rows.iter()
+        .map(|row| {
+            format!(
+                "{} {} {}\n",
+                row.table,
+                to_hex(&row.key),
+                to_hex(&row.value)
+            )
+        })
+        .collect()
 }
 
 /// Rows from text.
@@ -81,7 +103,11 @@
     let row = |line: &str| {
         let mut parts = line.split(' ');
         let mut next = || parts.next().expect("a table, a key and a value");
-        Row { table: next().to_owned(), key: from_hex(next()), value: from_hex(next()) }
+        Row {
+            table: next().to_owned(),
+            key: from_hex(next()),
+            value: from_hex(next()),
+        }
     };
     text.lines().map(row).collect()
 }
--- a/tests/stored_data/texts.rs
+++ b/tests/stored_data/texts.rs
@@ -28,10 +28,16 @@
         secrets: vec![SECRET.into()],
         endpoints: Vec::new(),
     };
-    registry.put("gone", &spec("http://127.0.0.1:9/gone")).expect("a tenant");
+    registry
+        .put("gone", &spec("http://127.0.0.1:9/gone"))
+        .expect("a tenant");
     registry.remove("gone").expect("it goes");
-    registry.put("clinic", &spec("http://127.0.0.1:9/in")).expect("a tenant");
-    registry.rotate("clinic", ROTATED, 10, 2_000_000).expect("a secret");
+    registry
+        .put("clinic", &spec("http://127.0.0.1:9/in"))
+        .expect("a tenant");
+    registry
+        .rotate("clinic", ROTATED, 10, 2_000_000)
+        .expect("a secret");
     let all = EndpointSpec {
         url: Some("http://127.0.0.1:9/all".into()),
         types: Some(vec!["endpoint.*".into(), "call.completed".into()]),
@@ -43,27 +49,48 @@
         secrets: Some(vec![SIGNING.into()]),
         ..EndpointSpec::default()
     };
-    registry.put_endpoint("clinic", "all", &all).expect("an endpoint");
-    let failed = EndpointSpec { url: Some("http://127.0.0.1:9/failed".into()), ..EndpointSpec::default() };
-    registry.put_endpoint("clinic", "failed", &failed).expect("an endpoint");
+    registry
+        .put_endpoint("clinic", "all", &all)
+        .expect("an endpoint");
+    let failed = EndpointSpec {
+        url: Some("http://127.0.0.1:9/failed".into()),
+        ..EndpointSpec::default()
+    };
+    registry
+        .put_endpoint("clinic", "failed", &failed)
+        .expect("an endpoint");
     let id = registry.get("clinic").expect("a tenant").endpoints["failed"].id;
     registry.disable(id).expect("it is known");
-    registry.put_endpoint("clinic", "removed", &failed).expect("an endpoint");
-    registry.remove_endpoint("clinic", "removed").expect("it goes");
+    registry
+        .put_endpoint("clinic", "removed", &failed)
+        .expect("an endpoint");
+    registry
+        .remove_endpoint("clinic", "removed")
+        .expect("it goes");
     registry
 }
 
 fn assert_tenant_is_whole(registry: &Registry, until: u64) {
     let (clinic, expected) = (registry.get("clinic").expect("a tenant"), self::registry());
     let expected = expected.get("clinic").expect("a tenant");
-    assert_eq!((clinic.serial, clinic.version), (expected.serial, expected.version));
+    assert_eq!(
+        (clinic.serial, clinic.version),
+        (expected.serial, expected.version)
+    );
     assert_eq!((clinic.share_per_s, clinic.endpoints.len()), (9.5, 3));
     let secrets: Vec<&Secret> = clinic.secrets(until).collect();
     assert_eq!(secrets, [&Secret::parse(ROTATED).expect("a secret")]);
     assert_eq!(clinic.secrets(until - 1).count(), 2);
     for (name, endpoint) in &clinic.endpoints {
-        assert_eq!(format!("{endpoint:?}"), format!("{:?}", expected.endpoints[name]), "{name}");
-        assert_eq!(clinic.signing(endpoint, until), expected.signing(&expected.endpoints[name], 2_000_000));
+        assert_eq!(
+            format!("{endpoint:?}"),
+            format!("{:?}", expected.endpoints[name]),
+            "{name}"
+        );
+        assert_eq!(
+            clinic.signing(endpoint, until),
+            expected.signing(&expected.endpoints[name], 2_000_000)
+        );
     }
     assert_eq!(clinic.endpoints["portal"].enabled, Enabled::Yes);
     assert_eq!(clinic.endpoints["all"].enabled, Enabled::ByHand);
@@ -74,7 +101,9 @@
 fn tenants_state_is_written_and_read_as_before() {
     fixture::assert_matches(TENANTS, &registry().state());
     let mut registry = Registry::new(&[]);
-    registry.restore(&fixture::read_text(TENANTS)).expect("it is read");
+    registry
+        .restore(&fixture::read_text(TENANTS))
+        .expect("it is read");
     assert_tenant_is_whole(&registry, 2_000_000);
     assert_eq!(registry.state(), fixture::read_text(TENANTS));
 }
@@ -87,10 +116,18 @@
     );
     fixture::assert_matches(TENANTS_WITHOUT_ENDPOINTS, &list);
     let mut registry = Registry::new(&[]);
-    registry.restore(&fixture::read_text(TENANTS_WITHOUT_ENDPOINTS)).expect("it is read");
+    registry
+        .restore(&fixture::read_text(TENANTS_WITHOUT_ENDPOINTS))
+        .expect("it is read");
     let clinic = registry.get("clinic").expect("a tenant");
-    assert_eq!(clinic.endpoints["portal"].portal.to_string(), "http://127.0.0.1:9/in");
-    assert_eq!((clinic.secrets(19).count(), clinic.secrets(20).count()), (2, 1));
+    assert_eq!(
+        clinic.endpoints["portal"].portal.to_string(),
+        "http://127.0.0.1:9/in"
+    );
+    assert_eq!(
+        (clinic.secrets(19).count(), clinic.secrets(20).count()),
+        (2, 1)
+    );
 }
 
 /// What the agreed log holds of a tenant.
@@ -100,14 +137,27 @@
     fixture::assert_matches(TENANT_TOLD, std::str::from_utf8(&told).expect("text"));
     let mut other = Registry::new(&[]);
     let stored = fixture::read(TENANT_TOLD);
-    assert!(other.adopt(500, "clinic", Some(&stored)).expect("it is read").is_some());
+    assert!(other
+        .adopt(500, "clinic", Some(&stored))
+        .expect("it is read")
+        .is_some());
     assert_tenant_is_whole(&other, 1_000_500);
 }
 
 fn word(state: State) -> SiblingState {
-    let bans = [("s-1".to_owned(), (true, 1_764_620_000_000_000)), ("s-2".to_owned(), (false, 9))];
+    let bans = [
+        ("s-1".to_owned(), (true, 1_764_620_000_000_000)),
+        ("s-2".to_owned(), (false, 9)),
+    ];
     let seen = vec!["s-1".into(), "s-2".into(), "s-3".into()];
-    SiblingState { gateway: "n3".into(), state, rev: 41, bears: 24.5, bans: bans.into(), seen }
+    SiblingState {
+        gateway: "n3".into(),
+        state,
+        rev: 41,
+        bears: 24.5,
+        bans: bans.into(),
+        seen,
+    }
 }
 
 #[test]
@@ -118,7 +168,10 @@
     let stored = fixture::read_text(HANDOVER);
     for (text, state) in stored.split("\n\n").zip(states) {
         let text = format!("{}\n", text.trim_end());
-        assert_eq!(SiblingState::read(text.as_bytes(), "n3", true, 0), Ok(word(state)));
+        assert_eq!(
+            SiblingState::read(text.as_bytes(), "n3", true, 0),
+            Ok(word(state))
+        );
     }
     assert_eq!(stored.split("\n\n").count(), states.len());
 }
@@ -130,7 +183,10 @@
     for (id, until) in [("call-1", 5_000), ("call-2", 4_000)] {
         assert_eq!(replays.take("clinic", id, 1_000, until), Seen::New);
     }
-    fixture::assert_matches(REPLAYS, &std::fs::read_to_string(file.path()).expect("text"));
+    fixture::assert_matches(
+        REPLAYS,
+        &std::fs::read_to_string(file.path()).expect("text"),
+    );
 
     let copy = Scratch::new();
     std::fs::write(copy.path(), fixture::read(REPLAYS)).expect("a copy");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -43,7 +43,12 @@
         endpoint("s-00000002", worker.address, "SERVING"),
     ];
     let at = socket.local_addr().unwrap();
-    Site { socket, worker, workers, at }
+    Site {
+        socket,
+        worker,
+        workers,
+        at,
+    }
 }
 
 impl Site {
@@ -84,21 +89,37 @@
     until("the old one knows", || {
         old.ask(b"readyz\n") == "200 ready\n" && new.ask(b"readyz\n") == "200 ready\n"
     });
-    until("both know of two", || old.others() == 1 && new.others() == 1);
+    until("both know of two", || {
+        old.others() == 1 && new.others() == 1
+    });
     old.signal(Signal::TERM);
     until("it has heard", || old.ask(b"readyz\n").starts_with("400 "));
-    assert!((200..240).all(|id| served(s.at, id)), "whoever connects now is served, by the new one");
+    assert!(
+        (200..240).all(|id| served(s.at, id)),
+        "whoever connects now is served, by the new one"
+    );
     let mut rest = Vec::new();
     for c in &mut kept {
         c.set_read_timeout(Some(PATIENCE)).unwrap();
-        assert_eq!(c.read(&mut [0; 64]).unwrap(), 0, "an idle connection is let go");
+        assert_eq!(
+            c.read(&mut [0; 64]).unwrap(),
+            0,
+            "an idle connection is let go"
+        );
     }
     waits.set_read_timeout(Some(PATIENCE)).unwrap();
     let _ = waits.read_to_end(&mut rest);
     let last = String::from_utf8_lossy(&rest);
-    assert!(last.starts_with("HTTP/1.1 ") && last.contains("Connection: close"), "{last}");
+    assert!(
+        last.starts_with("HTTP/1.1 ") && last.contains("Connection: close"),
+        "{last}"
+    );
     let counters = old.end();
-    assert_eq!(counters["taken"].as_u64(), Some(7), "it took none after SIGTERM");
+    assert_eq!(
+        counters["taken"].as_u64(),
+        Some(7),
+        "it took none after SIGTERM"
+    );
     assert!(served(s.at, 300) && new.figure("members_unavailable") == 1);
     new.stop();
 }
@@ -111,9 +132,13 @@
     let new = s.beside(&old);
     for (asked, other) in [(&old, &new), (&new, &old)] {
         assert!(asked.ask(b"exclude s-00000001\n").starts_with("200 "));
-        until("the other one knows", || other.figure("members_unavailable") == 1);
+        until("the other one knows", || {
+            other.figure("members_unavailable") == 1
+        });
         assert!(other.ask(b"include s-00000001\n").starts_with("200 "));
-        until("the first one knows", || asked.figure("members_unavailable") == 0);
+        until("the first one knows", || {
+            asked.figure("members_unavailable") == 0
+        });
     }
 }
 
@@ -133,7 +158,9 @@
         } else {
             std::mem::swap(&mut old, &mut new);
             new.kill();
-            until("the survivor is ready", || old.ask(b"readyz\n") == "200 ready\n");
+            until("the survivor is ready", || {
+                old.ask(b"readyz\n") == "200 ready\n"
+            });
         }
         assert!(served(s.at, 1000 + seed), "seed {seed}");
         assert_eq!(old.figure("members_unavailable"), 1, "seed {seed}");
@@ -166,7 +193,10 @@
     for (text, why) in [
         (word[..word.len() / 2].to_owned(), "its sum does not fit"),
         (word.replace("ban ", "bon "), "its sum does not fit"),
-        (word.replace("handover 1", "handover 7"), "is not the form that this version reads"),
+        (
+            word.replace("handover 1", "handover 7"),
+            "is not the form that this version reads",
+        ),
         (String::new(), "its sum does not fit"),
     ] {
         std::fs::remove_dir_all(&folder).unwrap();
@@ -196,15 +226,27 @@
         ("7", "does not listen"),
     ] {
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", "exec 7<&0 </dev/null && exec \"$0\" serve", env!("CARGO_BIN_EXE_molelug")]);
+        command.args([
+            "-c",
+            "exec 7<&0 </dev/null && exec \"$0\" serve",
+            env!("CARGO_BIN_EXE_molelug"),
+        ]);
         command
             .env("RELAY_FD", value)
             .env("RELAY_CONFIG", "examples/gateway.json")
             .env("RELAY_LISTEN", "127.0.0.1:0");
-        command.stdin(std::os::fd::OwnedFd::from(connected.try_clone().unwrap())).stderr(Stdio::piped());
-        let out = command.current_dir(env!("CARGO_MANIFEST_DIR")).output().unwrap();
+        command
+            .stdin(std::os::fd::OwnedFd::from(connected.try_clone().unwrap()))
+            .stderr(Stdio::piped());
+        let out = command
+            .current_dir(env!("CARGO_MANIFEST_DIR"))
+            .output()
+            .unwrap();
         let error = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(1), "{value}: {error}");
-        assert!(error.starts_with("molelug: ") && error.contains(why), "{value}: {error}");
+        assert!(
+            error.starts_with("molelug: ") && error.contains(why),
+            "{value}: {error}"
+        );
     }
 }
--- a/tests/webhooks.rs
+++ b/tests/webhooks.rs
@@ -25,13 +25,18 @@
 }
 
 fn now_s() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_secs()
 }
 
 fn event(class: &str, function: u64) -> Vec<u8> {
     let data = json!({ "class": class, "function": format!("{function:016x}"), "lanes": 4,
                        "payload": BASE64_STANDARD.encode("trip") });
-    json!({ "type": "call.requested", "data": data }).to_string().into_bytes()
+    json!({ "type": "call.requested", "data": data })
+        .to_string()
+        .into_bytes()
 }
 
 /// Sends a call; returns the status.
@@ -46,7 +51,12 @@
 
 /// A gateway that is past its first second: without a file it takes nothing signed in or before that.
 fn start(workers: &[Worker], portal: SocketAddr) -> Gateway {
-    let g = Gateway::start(&settings(900.0), &endpoints(workers), None, Some(&operator(portal)));
+    let g = Gateway::start(
+        &settings(900.0),
+        &endpoints(workers),
+        None,
+        Some(&operator(portal)),
+    );
     let first = now_s();
     until("its first second is over", || now_s() > first);
     g
@@ -74,30 +84,50 @@
             70 => workers[1].set(Does::Answer),
             _ => {}
         }
-        let class = if i % 2 == 0 { "confirmar-traslado" } else { "disponibilidad" };
+        let class = if i % 2 == 0 {
+            "confirmar-traslado"
+        } else {
+            "disponibilidad"
+        };
         let id = format!("call-{i}");
         assert_eq!(call(&g, KEY, &id, now_s(), &event(class, i % 12)), 202);
         sent.insert(id, class);
     }
-    until("every call has its callback", || portal.by_call().len() == sent.len());
+    until("every call has its callback", || {
+        portal.by_call().len() == sent.len()
+    });
     let counters = g.stop();
     let seen = portal.by_call();
-    assert!(seen.keys().eq(sent.keys()), "no callback for what was not called");
+    assert!(
+        seen.keys().eq(sent.keys()),
+        "no callback for what was not called"
+    );
     for (id, deliveries) in &seen {
         assert_eq!(deliveries.len(), 1, "{id}: {deliveries:?}");
         assert!(deliveries[0].signed, "{id}");
     }
     let ids: BTreeSet<_> = seen.values().flatten().map(|d| d.id.clone()).collect();
-    assert_eq!(ids.len(), sent.len(), "each callback has an identity of its own");
+    assert_eq!(
+        ids.len(),
+        sent.len(),
+        "each callback has an identity of its own"
+    );
     // No booking reached a worker twice, whatever became of the first.
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for (id, fields) in workers.iter().flat_map(|w| w.gos.lock().unwrap().clone()) {
         *runs.entry(id).or_default() += usize::from(fields.contains("confirmar-traslado"));
     }
     assert!(runs.values().all(|n| *n <= 1), "{runs:?}");
-    assert!(workers[1].gos.lock().unwrap().len() > 1 && counters["served"].as_u64() > Some(60), "{counters}");
+    assert!(
+        workers[1].gos.lock().unwrap().len() > 1 && counters["served"].as_u64() > Some(60),
+        "{counters}"
+    );
     assert_eq!(counters["callbacks_delivered"], 90, "{counters}");
-    assert_eq!((&counters["taken"], &counters["overdue"]), (&json!(90), &json!(0)), "{counters}");
+    assert_eq!(
+        (&counters["taken"], &counters["overdue"]),
+        (&json!(90), &json!(0)),
+        "{counters}"
+    );
 }
 
 #[test]
@@ -106,18 +136,39 @@
     let portal = Portal::start(KEY);
     let g = start(&workers, portal.address);
     portal.drops.store(1, Ordering::SeqCst);
-    assert_eq!(call(&g, KEY, "booking", now_s(), &event("confirmar-traslado", 1)), 202);
+    assert_eq!(
+        call(&g, KEY, "booking", now_s(), &event("confirmar-traslado", 1)),
+        202
+    );
     until("the portal has seen it", || portal.count() == 1);
-    until("and dropped it", || portal.drops.load(Ordering::SeqCst) == 0);
+    until("and dropped it", || {
+        portal.drops.load(Ordering::SeqCst) == 0
+    });
     portal.drops.store(1, Ordering::SeqCst);
-    assert_eq!(call(&g, KEY, "question", now_s(), &event("disponibilidad", 1)), 202);
+    assert_eq!(
+        call(&g, KEY, "question", now_s(), &event("disponibilidad", 1)),
+        202
+    );
     until("the question is sent again", || portal.count() == 3);
     let counters = g.stop();
     let seen = portal.by_call();
-    assert_eq!(seen["booking"].len(), 1, "a booking's callback is never sent twice");
+    assert_eq!(
+        seen["booking"].len(),
+        1,
+        "a booking's callback is never sent twice"
+    );
     assert_eq!(seen["question"].len(), 2);
-    assert_eq!(seen["question"][0].id, seen["question"][1].id, "by which the portal can tell");
-    assert_eq!((&counters["callbacks_unknown"], &counters["callbacks_delivered"]), (&json!(1), &json!(1)));
+    assert_eq!(
+        seen["question"][0].id, seen["question"][1].id,
+        "by which the portal can tell"
+    );
+    assert_eq!(
+        (
+            &counters["callbacks_unknown"],
+            &counters["callbacks_delivered"]
+        ),
+        (&json!(1), &json!(1))
+    );
 }
 
 #[test]
@@ -128,12 +179,21 @@
     let address = closed.local_addr().unwrap();
     drop(closed);
     let g = start(&workers, address);
-    assert_eq!(call(&g, KEY, "booking", now_s(), &event("confirmar-traslado", 1)), 202);
+    assert_eq!(
+        call(&g, KEY, "booking", now_s(), &event("confirmar-traslado", 1)),
+        202
+    );
     until("it has run", || workers[0].gos.lock().unwrap().len() == 1);
-    let portal = Portal::on(TcpListener::bind(address).expect("the port is still free"), KEY);
+    let portal = Portal::on(
+        TcpListener::bind(address).expect("the port is still free"),
+        KEY,
+    );
     until("the callback comes", || portal.count() == 1);
     let counters = g.stop();
-    assert_eq!((portal.count(), &counters["callbacks_delivered"]), (1, &json!(1)));
+    assert_eq!(
+        (portal.count(), &counters["callbacks_delivered"]),
+        (1, &json!(1))
+    );
     assert_eq!(portal.by_call()["booking"][0].outcome, "served");
 }
 
@@ -145,24 +205,44 @@
     let body = event("confirmar-traslado", 1);
     assert_eq!(call(&g, OTHER, "a", now_s(), &body), 401, "forged");
     assert_eq!(call(&g, KEY, "a", now_s() - 301, &body), 401, "stale");
-    assert_eq!(call(&g, KEY, "a", now_s() + 400, &body), 401, "from the future");
-    assert_eq!(call(&g, KEY, "a", now_s(), b"{\"type\":\"call.requested\"}"), 400);
+    assert_eq!(
+        call(&g, KEY, "a", now_s() + 400, &body),
+        401,
+        "from the future"
+    );
+    assert_eq!(
+        call(&g, KEY, "a", now_s(), b"{\"type\":\"call.requested\"}"),
+        400
+    );
     assert_eq!(call(&g, KEY, "a", now_s(), &event("none", 1)), 422);
     let at = now_s();
     assert_eq!(call(&g, KEY, "a", at, &body), 202);
     assert_eq!(call(&g, KEY, "a", at, &body), 409, "replayed");
-    assert_eq!(call(&g, KEY, "a", at + 1, &body), 409, "signed anew, the same call");
+    assert_eq!(
+        call(&g, KEY, "a", at + 1, &body),
+        409,
+        "signed anew, the same call"
+    );
     let to = g.webhooks.unwrap();
     let (id, stamp) = ("b", now_s().to_string());
     let signed = signature(KEY, id, &stamp, &body);
-    let unsigned = format!("POST /webhooks/clinic HTTP/1.1\r\nwebhook-id: b\r\nwebhook-timestamp: {stamp}");
+    let unsigned =
+        format!("POST /webhooks/clinic HTTP/1.1\r\nwebhook-id: b\r\nwebhook-timestamp: {stamp}");
     assert_eq!(http(to, &unsigned, &body).0, 401);
-    let elsewhere = unsigned.replace("clinic", "nobody") + &format!("\r\nwebhook-signature: {signed}");
+    let elsewhere =
+        unsigned.replace("clinic", "nobody") + &format!("\r\nwebhook-signature: {signed}");
     assert_eq!(http(to, &elsewhere, &body).0, 401, "another tenant's path");
     until("the callback comes", || portal.count() == 1);
     let counters = g.stop();
-    assert_eq!((&counters["taken"], &counters["webhooks_taken"]), (&json!(1), &json!(1)), "{counters}");
-    assert_eq!((workers[0].gos.lock().unwrap().len(), portal.count()), (1, 1));
+    assert_eq!(
+        (&counters["taken"], &counters["webhooks_taken"]),
+        (&json!(1), &json!(1)),
+        "{counters}"
+    );
+    assert_eq!(
+        (workers[0].gos.lock().unwrap().len(), portal.count()),
+        (1, 1)
+    );
 }
 
 /// Guards a restart: what was taken before it is known after it, and without a file nothing signed before is taken.
@@ -170,10 +250,16 @@
 fn a_call_taken_before_a_restart_is_not_taken_again() {
     let workers = [Worker::start()];
     let portal = Portal::start(KEY);
-    let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("seen-{}", std::process::id()));
-    let line = format!("[webhooks]\nreplay_file = {:?}\n", file.display().to_string());
+    let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("seen-{}", std::process::id()));
+    let line = format!(
+        "[webhooks]\nreplay_file = {:?}\n",
+        file.display().to_string()
+    );
     let kept = operator(portal.address).replace("[webhooks]\n", &line);
-    let begin = |operator: &str| Gateway::start(&settings(900.0), &endpoints(&workers), None, Some(operator));
+    let begin = |operator: &str| {
+        Gateway::start(&settings(900.0), &endpoints(&workers), None, Some(operator))
+    };
     let (body, at) = (event("confirmar-traslado", 1), now_s());
     let g = begin(&kept);
     assert_eq!(call(&g, KEY, "a", at, &body), 202);
@@ -184,7 +270,11 @@
     assert_eq!(call(&g, KEY, "a", now_s(), &body), 409, "signed anew");
     g.stop();
     let g = start(&workers, portal.address);
-    assert_eq!(call(&g, KEY, "a", at, &body), 401, "without a file: signed before the start");
+    assert_eq!(
+        call(&g, KEY, "a", at, &body),
+        401,
+        "without a file: signed before the start"
+    );
     let counters = g.stop();
     assert_eq!((portal.count(), &counters["taken"]), (1, &json!(0)));
     std::fs::remove_file(&file).unwrap();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -41,14 +41,27 @@
 familyInfo.keepMs=9000.0\ngroupSize=1\ntickMs=4.0\nnonsense.key=1\nbroken line\n";
 
 fn start() -> Vec<u8> {
-    let entry: Vec<u8> =
-        [&[7, 0x4a, 0x12, 3, 0, 0, 0, 0, 2][..], &1f32.to_le_bytes()[..], &0f64.to_le_bytes()[..]].concat();
+    let entry: Vec<u8> = [
+        &[7, 0x4a, 0x12, 3, 0, 0, 0, 0, 2][..],
+        &1f32.to_le_bytes()[..],
+        &0f64.to_le_bytes()[..],
+    ]
+    .concat();
     let mut tail = FACTS.as_bytes().to_vec();
     let at = tail.len() as u32;
     tail.extend(entry);
     let size = (FACTS.len() as u32).to_le_bytes();
     let enlist = record(8, 3, &[&9u64.to_le_bytes(), &0u32.to_le_bytes(), &size]);
-    let list = record(3, 3, &[&[2], &1u32.to_le_bytes(), &at.to_le_bytes(), &1u32.to_le_bytes()]);
+    let list = record(
+        3,
+        3,
+        &[
+            &[2],
+            &1u32.to_le_bytes(),
+            &at.to_le_bytes(),
+            &1u32.to_le_bytes(),
+        ],
+    );
     frame(&[enlist, list], &tail, 58_225.0)
 }
 
@@ -81,9 +94,17 @@
 #[test]
 fn a_request_is_sent_as_the_byte_example_shows() {
     let mut input = start();
-    input.extend(frame(&[accept(3, 0x5d3a_91c4), accept(9, 1), record(5, 9, &[])], &[], 58_226.0));
+    input.extend(frame(
+        &[accept(3, 0x5d3a_91c4), accept(9, 1), record(5, 9, &[])],
+        &[],
+        58_226.0,
+    ));
     let out = play(&input);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let first = u32::from_le_bytes(out.stdout[..4].try_into().unwrap()) as usize + 8;
     let reply = &out.stdout[first..];
     assert_eq!(reply[4], 1, "one action: instance 9 is not known");
@@ -104,10 +125,18 @@
 fn malformed_frames_end_with_a_plain_message() {
     let full = start();
     let mut cases = vec![full[..9].to_vec(), full[..40].to_vec()];
-    for (code, rest) in [(99, vec![]), (3, vec![9]), (7, [vec![0; 10], vec![77, 0]].concat())] {
+    for (code, rest) in [
+        (99, vec![]),
+        (3, vec![9]),
+        (7, [vec![0; 10], vec![77, 0]].concat()),
+    ] {
         cases.push(frame(&[record(code, 3, &[&rest])], &[], 1.0));
     }
-    cases.push(frame(&[record(8, 3, &[&[0; 8], &[255; 4], &[1, 0, 0, 0]])], &[], 1.0));
+    cases.push(frame(
+        &[record(8, 3, &[&[0; 8], &[255; 4], &[1, 0, 0, 0]])],
+        &[],
+        1.0,
+    ));
     let mut long = frame(&[], &[], 1.0);
     long[4] = 200;
     cases.push(long);
@@ -115,6 +144,9 @@
         let out = play(&input);
         let said = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(1), "{said}");
-        assert!(said.starts_with("molelug-simhost: ") && !said.contains("panicked"), "{said}");
+        assert!(
+            said.starts_with("molelug-simhost: ") && !said.contains("panicked"),
+            "{said}"
+        );
     }
 }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -41,6 +41,9 @@
 fn own_keys(name: &str) -> Keys {
     let private = BTreeMap::from([(ALPHA, encoded_key(1)), (BETA, encoded_key(2))]);
     let public = |key: &String| vec![Keys::public(key).expect("a key of 32 bytes")];
-    let accepted = private.iter().map(|(name, key)| ((*name).to_owned(), public(key))).collect();
+    let accepted = private
+        .iter()
+        .map(|(name, key)| ((*name).to_owned(), public(key)))
+        .collect();
     Keys::each(name, &private[name], &accepted).expect("its own key is accepted")
 }
--- a/tests/wire_formats/board.rs
+++ b/tests/wire_formats/board.rs
@@ -12,17 +12,22 @@
 const DELTA: &str = include_str!("../fixtures/wire/board_delta.json");
 
 fn names() -> Names {
-    Names { zones: vec!["east".into(), "west".into()], ..Names::default() }
+    Names {
+        zones: vec!["east".into(), "west".into()],
+        ..Names::default()
+    }
 }
 
 /// The events of a board that sends one text as one event.
 fn events(id: u64, json: &str) -> Vec<EventStreamDecoder> {
     let data: String = json.lines().map(|line| format!("data: {line}\n")).collect();
-    let stream =
-        format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\nid: {id}\n{data}\n");
+    let stream = format!(
+        "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\nid: {id}\n{data}\n"
+    );
     let (mut feed, mut input, mut events) = (WatchStream::default(), Buffer::default(), Vec::new());
     input.feed(stream.as_bytes());
-    feed.input(&mut input, &mut events).expect("the stream can be read");
+    feed.input(&mut input, &mut events)
+        .expect("the stream can be read");
     events
 }
 
@@ -94,5 +99,9 @@
     assert_eq!((numbers.len(), moved.len()), (2, 0));
     let number = format!("plain {:08x}", numbers[1].0);
     check_lines("wire/worker_numbers.txt", &[number]);
-    assert_eq!(roster.apply(&notice(42, DELTA)).1, [WorkerId(0x00c4_1f7a)], "it has another address");
+    assert_eq!(
+        roster.apply(&notice(42, DELTA)).1,
+        [WorkerId(0x00c4_1f7a)],
+        "it has another address"
+    );
 }
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -29,21 +29,36 @@
 use crate::{own_keys, shared_keys, ALPHA, BETA};
 
 fn owner(name: &str) -> LeaseHolder {
-    LeaseHolder { name: name.into(), incarnation: 0x0102_0304 }
+    LeaseHolder {
+        name: name.into(),
+        incarnation: 0x0102_0304,
+    }
 }
 
 fn known() -> KnownState {
-    KnownState { boots: 3, process: 0x1122_3344_5566, term: 9, kept: (8, 1234) }
+    KnownState {
+        boots: 3,
+        process: 0x1122_3344_5566,
+        term: 9,
+        kept: (8, 1234),
+    }
 }
 
 fn place() -> LogPosition {
     let mut chain = [0; 32];
-    chain.iter_mut().zip(1..).for_each(|(byte, value)| *byte = value);
+    chain
+        .iter_mut()
+        .zip(1..)
+        .for_each(|(byte, value)| *byte = value);
     LogPosition { number: 300, chain }
 }
 
 fn disk() -> Disk {
-    Disk { id: 0xd15c, boot: 4, process: 77 }
+    Disk {
+        id: 0xd15c,
+        boot: 4,
+        process: 77,
+    }
 }
 
 fn names(list: &[&str]) -> BTreeSet<Arc<str>> {
@@ -55,7 +70,11 @@
 }
 
 fn kept_answer() -> KeptAnswer {
-    KeptAnswer { key: [0xaa; 32], request: [0xbb; 32], bytes: b"{\"name\":\"acme\"}".to_vec() }
+    KeptAnswer {
+        key: [0xaa; 32],
+        request: [0xbb; 32],
+        bytes: b"{\"name\":\"acme\"}".to_vec(),
+    }
 }
 
 fn tenant_change() -> TenantEntry {
@@ -63,7 +82,10 @@
         tenant: "acme".into(),
         follows: Follows::At(6),
         by: ALPHA.into(),
-        origin: Origin { process: 77, number: 5 },
+        origin: Origin {
+            process: 77,
+            number: 5,
+        },
         kept: Some(b"kept tenant".to_vec()),
         listed: true,
         answer: Some(kept_answer()),
@@ -71,7 +93,13 @@
 }
 
 fn tenant_removal() -> TenantEntry {
-    TenantEntry { follows: Follows::Nothing(2), kept: None, listed: false, answer: None, ..tenant_change() }
+    TenantEntry {
+        follows: Follows::Nothing(2),
+        kept: None,
+        listed: false,
+        answer: None,
+        ..tenant_change()
+    }
 }
 
 fn set_move(joins: Option<(Arc<str>, u64)>) -> SetEntry {
@@ -87,16 +115,32 @@
 }
 
 fn grant(duty: &str, term: u64) -> DutyEntry {
-    DutyEntry::Grant { lease: duty.into(), holder: owner(ALPHA), term }
+    DutyEntry::Grant {
+        lease: duty.into(),
+        holder: owner(ALPHA),
+        term,
+    }
 }
 
 fn entries() -> Vec<(&'static str, Entry)> {
     vec![
         ("nothing", Entry::Noop),
         ("duty-grant", Entry::Lease(grant("trials", 1))),
-        ("duty-given-back", Entry::Lease(DutyEntry::Released { lease: "trials".into(), term: 1 })),
+        (
+            "duty-given-back",
+            Entry::Lease(DutyEntry::Released {
+                lease: "trials".into(),
+                term: 1,
+            }),
+        ),
         ("voters", Entry::Voters(voters())),
-        ("sets-begun", Entry::ReplicaSets(SetEntry::Begun { name: ALPHA.into(), disk: disk() })),
+        (
+            "sets-begun",
+            Entry::ReplicaSets(SetEntry::Begun {
+                name: ALPHA.into(),
+                disk: disk(),
+            }),
+        ),
         (
             "sets-change",
             Entry::ReplicaSets(SetEntry::Change {
@@ -109,9 +153,15 @@
             }),
         ),
         ("sets-move", Entry::ReplicaSets(set_move(None))),
-        ("sets-move-joins", Entry::ReplicaSets(set_move(Some((BETA.into(), 0xd15c))))),
+        (
+            "sets-move-joins",
+            Entry::ReplicaSets(set_move(Some((BETA.into(), 0xd15c)))),
+        ),
         ("tenants-change", Entry::Tenants(Box::new(tenant_change()))),
-        ("tenants-removal", Entry::Tenants(Box::new(tenant_removal()))),
+        (
+            "tenants-removal",
+            Entry::Tenants(Box::new(tenant_removal())),
+        ),
     ]
 }
 
@@ -119,7 +169,10 @@
     let mut ledger = LeaseTable::default();
     assert!(ledger.apply(&grant("loads-0", 1)));
     assert!(ledger.apply(&grant("trials", 1)));
-    assert!(ledger.apply(&DutyEntry::Released { lease: "trials".into(), term: 1 }));
+    assert!(ledger.apply(&DutyEntry::Released {
+        lease: "trials".into(),
+        term: 1
+    }));
     let set = ReplicaSet {
         epoch: 5,
         primary: Some(ALPHA.into()),
@@ -136,17 +189,50 @@
         changes: 7,
         removals: 2,
         lines: BTreeMap::from([
-            ("acme".into(), Line { version: 6, kept: Some(b"kept tenant".to_vec()), listed: true }),
-            ("gone".into(), Line { version: 7, kept: None, listed: false }),
+            (
+                "acme".into(),
+                Line {
+                    version: 6,
+                    kept: Some(b"kept tenant".to_vec()),
+                    listed: true,
+                },
+            ),
+            (
+                "gone".into(),
+                Line {
+                    version: 7,
+                    kept: None,
+                    listed: false,
+                },
+            ),
         ]),
-        recent: VecDeque::from([(Origin { process: 77, number: 5 }, 6)]),
+        recent: VecDeque::from([(
+            Origin {
+                process: 77,
+                number: 5,
+            },
+            6,
+        )]),
         answers: VecDeque::from([kept_answer()]),
     };
-    State { generation: 2, applied: 41, voters: voters(), leases: ledger, replica_sets: sets, tenants }
+    State {
+        generation: 2,
+        applied: 41,
+        voters: voters(),
+        leases: ledger,
+        replica_sets: sets,
+        tenants,
+    }
 }
 
 fn effect() -> LeaseEffect {
-    LeaseEffect { lease: "loads-0".into(), term: 3, holder: ALPHA.into(), number: 12, content: vec![1, 2, 3] }
+    LeaseEffect {
+        lease: "loads-0".into(),
+        term: 3,
+        holder: ALPHA.into(),
+        number: 12,
+        content: vec![1, 2, 3],
+    }
 }
 
 fn raft_message() -> Vec<u8> {
@@ -164,21 +250,60 @@
     message.set_index(1233);
     message.set_commit(1230);
     message.set_entries(vec![entry].into());
-    message.write_to_bytes().expect("a message of raft's can be written")
+    message
+        .write_to_bytes()
+        .expect("a message of raft's can be written")
 }
 
 fn refusals() -> Vec<(&'static str, ReplicationError)> {
     vec![
-        ("not-primary", ReplicationError::NotPrimary { shard: 9, primary: Some(BETA.into()) }),
-        ("deposed", ReplicationError::Deposed { shard: 9, ours: 4, theirs: 5 }),
-        ("fewer", ReplicationError::Fewer { shard: 9, have: 1, want: 2 }),
+        (
+            "not-primary",
+            ReplicationError::NotPrimary {
+                shard: 9,
+                primary: Some(BETA.into()),
+            },
+        ),
+        (
+            "deposed",
+            ReplicationError::Deposed {
+                shard: 9,
+                ours: 4,
+                theirs: 5,
+            },
+        ),
+        (
+            "fewer",
+            ReplicationError::Fewer {
+                shard: 9,
+                have: 1,
+                want: 2,
+            },
+        ),
         ("unreached", ReplicationError::Unreached { shard: 9 }),
         ("busy", ReplicationError::Busy { open: 4096 }),
-        ("behind", ReplicationError::Behind { shard: 9, bytes: 70_000 }),
-        ("too-long", ReplicationError::TooLong { bytes: 600_000, most: 524_288 }),
+        (
+            "behind",
+            ReplicationError::Behind {
+                shard: 9,
+                bytes: 70_000,
+            },
+        ),
+        (
+            "too-long",
+            ReplicationError::TooLong {
+                bytes: 600_000,
+                most: 524_288,
+            },
+        ),
         ("seen", ReplicationError::Seen),
         ("late", ReplicationError::Late { shard: 9 }),
-        ("unknown", ReplicationError::Unknown { what: "class".into() }),
+        (
+            "unknown",
+            ReplicationError::Unknown {
+                what: "class".into(),
+            },
+        ),
         ("full", ReplicationError::Full),
         ("leaving", ReplicationError::Leaving),
     ]
@@ -189,25 +314,59 @@
         ("here".into(), ReplicationBody::Heartbeat),
         ("where".into(), ReplicationBody::QueryPosition(9, 5)),
         ("at".into(), ReplicationBody::Position(9, 5, place(), 77)),
-        ("record".into(), ReplicationBody::Record(9, 5, place(), b"a record".to_vec())),
+        (
+            "record".into(),
+            ReplicationBody::Record(9, 5, place(), b"a record".to_vec()),
+        ),
         ("has".into(), ReplicationBody::Acknowledge(9, 5, 301, 77)),
-        ("part".into(), ReplicationBody::SnapshotPart(9, 5, place(), 2, true, b"a part".to_vec())),
-        ("took".into(), ReplicationBody::SnapshotPartReceived(9, 5, 2)),
+        (
+            "part".into(),
+            ReplicationBody::SnapshotPart(9, 5, place(), 2, true, b"a part".to_vec()),
+        ),
+        (
+            "took".into(),
+            ReplicationBody::SnapshotPartReceived(9, 5, 2),
+        ),
         (
             "declined-stale".into(),
-            ReplicationBody::Declined(9, Declined::Stale { shard: 9, theirs: 4, ours: 5 }),
+            ReplicationBody::Declined(
+                9,
+                Declined::Stale {
+                    shard: 9,
+                    theirs: 4,
+                    ours: 5,
+                },
+            ),
         ),
         (
             "declined-too-long".into(),
-            ReplicationBody::Declined(9, Declined::TooLong { shard: 9, most: 64 << 20 }),
+            ReplicationBody::Declined(
+                9,
+                Declined::TooLong {
+                    shard: 9,
+                    most: 64 << 20,
+                },
+            ),
+        ),
+        (
+            "ask".into(),
+            ReplicationBody::Request(9, 15, b"a question".to_vec()),
+        ),
+        (
+            "told-promised".into(),
+            ReplicationBody::Reply(15, RequestOutcome::Committed(2)),
+        ),
+        (
+            "told-content".into(),
+            ReplicationBody::Reply(15, RequestOutcome::Content(b"content".to_vec())),
         ),
-        ("ask".into(), ReplicationBody::Request(9, 15, b"a question".to_vec())),
-        ("told-promised".into(), ReplicationBody::Reply(15, RequestOutcome::Committed(2))),
-        ("told-content".into(), ReplicationBody::Reply(15, RequestOutcome::Content(b"content".to_vec()))),
         ("unsound".into(), ReplicationBody::Corrupt(9, 5)),
     ];
     let refused = |(name, refusal)| {
-        (format!("told-refused-{name}"), ReplicationBody::Reply(15, RequestOutcome::Rejected(refusal)))
+        (
+            format!("told-refused-{name}"),
+            ReplicationBody::Reply(15, RequestOutcome::Rejected(refusal)),
+        )
     };
     bodies.extend(refusals().into_iter().map(refused));
     bodies
@@ -229,15 +388,29 @@
         renewed: vec![("loads-0".into(), 3)],
         recalled: vec![("trials".into(), 1)],
     };
-    let report = LeaseReport { lease: "trials".into(), from: BETA.into(), content: vec![9, 8, 7] };
-    let poll = Poll { generation: 2, applied: 40, passed: (77, 12), seat: Some(22) };
-    let numbered = (40..).zip(entries().into_iter().map(|(_, entry)| entry)).collect();
+    let report = LeaseReport {
+        lease: "trials".into(),
+        from: BETA.into(),
+        content: vec![9, 8, 7],
+    };
+    let poll = Poll {
+        generation: 2,
+        applied: 40,
+        passed: (77, 12),
+        seat: Some(22),
+    };
+    let numbered = (40..)
+        .zip(entries().into_iter().map(|(_, entry)| entry))
+        .collect();
     let mut bodies: Vec<(String, Body)> = vec![
         ("raft".into(), Body::Raft(2, 11, 3, 77, raft_message())),
         ("recall".into(), Body::RecallRequest(2, 11, known())),
         ("recalled".into(), Body::RecallReply(2, 11, known(), 22)),
         ("ask".into(), Body::RenewLeases(ask.clone(), None)),
-        ("ask-through-voter".into(), Body::RenewLeases(ask, Some("gamma".into()))),
+        (
+            "ask-through-voter".into(),
+            Body::RenewLeases(ask, Some("gamma".into())),
+        ),
         ("answer".into(), Body::RenewReply(answer)),
         ("poll".into(), Body::Poll(poll)),
         ("poll-without-seat".into(), Body::Poll(Poll::default())),
@@ -246,8 +419,14 @@
         ("effect".into(), Body::Effect(effect())),
         ("report".into(), Body::Report(report.clone(), false)),
         ("report-through-voter".into(), Body::Report(report, true)),
-        ("brought-sets".into(), Body::Submit(SubsystemEntry::ReplicaSets(set_move(None)), false)),
-        ("brought-tenants".into(), Body::Submit(SubsystemEntry::Tenants(Box::new(tenant_change())), true)),
+        (
+            "brought-sets".into(),
+            Body::Submit(SubsystemEntry::ReplicaSets(set_move(None)), false),
+        ),
+        (
+            "brought-tenants".into(),
+            Body::Submit(SubsystemEntry::Tenants(Box::new(tenant_change())), true),
+        ),
     ];
     let copies = |(name, body)| (format!("copies-{name}"), Body::Replication(body));
     bodies.extend(replication_bodies().into_iter().map(copies));
@@ -263,7 +442,10 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let lines: Vec<String> = values.iter().map(|(name, value)| hex_line(name, &packed(value))).collect();
+    let lines: Vec<String> = values
+        .iter()
+        .map(|(name, value)| hex_line(name, &packed(value)))
+        .collect();
     check_lines(file, &lines);
     for (name, value) in values {
         let read: T = postcard::from_bytes(&packed(value)).expect("recorded bytes can be read");
@@ -272,14 +454,19 @@
 }
 
 fn named<T>(values: Vec<(&str, T)>) -> Vec<(String, T)> {
-    values.into_iter().map(|(name, value)| (name.to_owned(), value)).collect()
+    values
+        .into_iter()
+        .map(|(name, value)| (name.to_owned(), value))
+        .collect()
 }
 
 /// Two ends of one connection, `alpha` the one that connects.
 fn open_sessions() -> (Session, Session) {
     let accepted = challenge(BETA, 0x0b0b, 5);
     let mut connector = Session::connector(ALPHA, BETA, challenge(ALPHA, 0x0a0a, 4));
-    let taken = connector.take(&shared_keys(), &accepted).expect("a word is taken");
+    let taken = connector
+        .take(&shared_keys(), &accepted)
+        .expect("a word is taken");
     assert_eq!(taken, Some((accepted.len(), None)));
     (connector, Session::acceptor(BETA, accepted))
 }
@@ -297,7 +484,10 @@
 #[test]
 fn state_snapshot_matches_its_recorded_bytes() {
     check_packed("wire/state_snapshot.txt", &[("state".to_owned(), state())]);
-    assert_eq!(State::read(&packed(&state())).expect("a snapshot can be read"), state());
+    assert_eq!(
+        State::read(&packed(&state())).expect("a snapshot can be read"),
+        state()
+    );
 }
 
 #[test]
@@ -305,7 +495,10 @@
     let words = vec![
         ("wants", LoadWord::Wants(7, 0x0123_4567_89ab_cdef)),
         ("ended", LoadWord::Ended(7, 0x0123_4567_89ab_cdef, 2)),
-        ("orders", LoadWord::Orders(7, 0x0123_4567_89ab_cdef, BETA.into())),
+        (
+            "orders",
+            LoadWord::Orders(7, 0x0123_4567_89ab_cdef, BETA.into()),
+        ),
         ("stands", LoadWord::Stands(7, 0x0123_4567_89ab_cdef, 3)),
     ];
     check_packed("wire/load_duty_words.txt", &named(words));
@@ -319,10 +512,18 @@
     for (name, body) in bodies() {
         let frame = connector.pack(&keys, &body).expect("the session is open");
         lines.push(hex_line(&name, &frame));
-        assert_eq!(acceptor.take(&keys, &frame), Ok(Some((frame.len(), Some(body.clone())))), "{name}");
+        assert_eq!(
+            acceptor.take(&keys, &frame),
+            Ok(Some((frame.len(), Some(body.clone())))),
+            "{name}"
+        );
         let reply = acceptor.pack(&keys, &body).expect("the session is open");
         lines.push(hex_line(&format!("{name}-back"), &reply));
-        assert_eq!(connector.take(&keys, &reply), Ok(Some((reply.len(), Some(body)))), "{name}");
+        assert_eq!(
+            connector.take(&keys, &reply),
+            Ok(Some((reply.len(), Some(body)))),
+            "{name}"
+        );
     }
     check_lines("wire/council_frames.txt", &lines);
 }
@@ -331,7 +532,15 @@
 fn signed_frame_matches_its_recorded_bytes() {
     let (mut connector, mut acceptor) = open_sessions();
     let body = Body::Effect(effect());
-    let frame = connector.pack(&own_keys(ALPHA), &body).expect("the session is open");
-    check_lines("wire/council_frame_signed.txt", &[hex_line("effect", &frame)]);
-    assert_eq!(acceptor.take(&own_keys(BETA), &frame), Ok(Some((frame.len(), Some(body)))));
+    let frame = connector
+        .pack(&own_keys(ALPHA), &body)
+        .expect("the session is open");
+    check_lines(
+        "wire/council_frame_signed.txt",
+        &[hex_line("effect", &frame)],
+    );
+    assert_eq!(
+        acceptor.take(&own_keys(BETA), &frame),
+        Ok(Some((frame.len(), Some(body))))
+    );
 }
--- a/tests/wire_formats/digests.rs
+++ b/tests/wire_formats/digests.rs
@@ -27,13 +27,23 @@
         name: format!("gateway-{number}").into(),
         hall: hall.map(str::to_owned),
     };
-    let halls = [Some("north"), Some("north"), Some("south"), Some("south"), None, None, Some("west")];
+    let halls = [
+        Some("north"),
+        Some("north"),
+        Some("south"),
+        Some("south"),
+        None,
+        None,
+        Some("west"),
+    ];
     (0..).zip(halls).map(host).collect()
 }
 
 #[test]
 fn digests_match_their_recorded_bytes() {
-    let place = LogPosition::default().then(b"first record").then(b"second record");
+    let place = LogPosition::default()
+        .then(b"first record")
+        .then(b"second record");
     let identity = mark("acme", MESSAGE_ID);
     let lines = [
         hex_line("session-word", &challenge("alpha", 0x0a0a, 4)),
@@ -65,17 +75,31 @@
     let (hmac, signing) = (secret("whsec", 1), secret("whsk", 2));
     let public = signing.public().expect("an Ed25519 key has a public half");
     let header = sign([&hmac, &signing].into_iter(), MESSAGE_ID, TIMESTAMP, BODY);
-    check_lines("wire/webhook_signatures.txt", &[format!("header {header}"), format!("public {public}")]);
+    check_lines(
+        "wire/webhook_signatures.txt",
+        &[format!("header {header}"), format!("public {public}")],
+    );
     let checking = Secret::parse(&public).expect("a public key");
     for secret in [&hmac, &signing, &checking] {
-        assert!(verify(std::iter::once(secret), MESSAGE_ID, TIMESTAMP, BODY, &header));
+        assert!(verify(
+            std::iter::once(secret),
+            MESSAGE_ID,
+            TIMESTAMP,
+            BODY,
+            &header
+        ));
     }
 }
 
 #[test]
 fn secret_prefixes_name_their_kinds() {
-    let public = secret("whsk", 2).public().expect("an Ed25519 key has a public half");
+    let public = secret("whsk", 2)
+        .public()
+        .expect("an Ed25519 key has a public half");
     assert_eq!(secret("whsec", 1).kind(), "hmac");
     assert_eq!(secret("whsk", 2).kind(), "ed25519");
-    assert_eq!(Secret::parse(&public).expect("a public key").kind(), "ed25519-public");
+    assert_eq!(
+        Secret::parse(&public).expect("a public key").kind(),
+        "ed25519-public"
+    );
 }
--- a/tests/wire_formats/membership.rs
+++ b/tests/wire_formats/membership.rs
@@ -32,12 +32,30 @@
         seal_record(keys, ALPHA, address, 5, false),
         seal_record(keys, ALPHA, ([192, 0, 2, 1], 7946).into(), 6, true),
     ];
-    Message { say, records, accusations: vec![seal_accusation(keys, BETA, 3, ALPHA)] }
+    Message {
+        say,
+        records,
+        accusations: vec![seal_accusation(keys, BETA, 3, ALPHA)],
+    }
 }
 
 fn sighting(keys: &Keys) -> SealedObservation {
-    let seen = |answered| Observation { at: NOW, answered, failed: 2, silent: 300, refused: 4 };
-    seal_sighting(keys, ALPHA, NOW, vec![(WorkerId(9), seen(1)), (WorkerId(0x00c4_1f7a), seen(70_000))])
+    let seen = |answered| Observation {
+        at: NOW,
+        answered,
+        failed: 2,
+        silent: 300,
+        refused: 4,
+    };
+    seal_sighting(
+        keys,
+        ALPHA,
+        NOW,
+        vec![
+            (WorkerId(9), seen(1)),
+            (WorkerId(0x00c4_1f7a), seen(70_000)),
+        ],
+    )
 }
 
 fn check_datagrams(file: &str, sender: &Keys, receiver: &Keys) {
@@ -46,10 +64,14 @@
     for (number, (name, say)) in (1..).zip(says()) {
         let message = message(sender, say);
         let mut sightings = vec![sighting(sender)];
-        let datagram = pack(sender, ALPHA, number, NOW, &message, MTU, |_| sightings.pop());
+        let datagram = pack(sender, ALPHA, number, NOW, &message, MTU, |_| {
+            sightings.pop()
+        });
         let datagram = datagram.expect("it fits one datagram");
         lines.push(hex_line(name, &datagram));
-        let opened = opener.open(receiver, NOW, &datagram, |_| false).expect("it can be opened");
+        let opened = opener
+            .open(receiver, NOW, &datagram, |_| false)
+            .expect("it can be opened");
         assert_eq!(opened.from, ALPHA);
         assert_eq!((opened.message, opened.refused), (message, 0), "{name}");
         assert_eq!(opened.sightings, [sighting(sender)], "{name}");
@@ -59,12 +81,20 @@
 
 #[test]
 fn datagrams_match_their_recorded_bytes() {
-    check_datagrams("wire/datagrams_shared_keys.txt", &shared_keys(), &shared_keys());
+    check_datagrams(
+        "wire/datagrams_shared_keys.txt",
+        &shared_keys(),
+        &shared_keys(),
+    );
 }
 
 #[test]
 fn signed_datagrams_match_their_recorded_bytes() {
-    check_datagrams("wire/datagrams_own_keys.txt", &own_keys(ALPHA), &own_keys(BETA));
+    check_datagrams(
+        "wire/datagrams_own_keys.txt",
+        &own_keys(ALPHA),
+        &own_keys(BETA),
+    );
 }
 
 #[test]
--- a/tests/wire_formats/worker.rs
+++ b/tests/wire_formats/worker.rs
@@ -39,7 +39,15 @@
     let probe = outbox.drain();
     link.send_unload(&mut outbox, FUNCTION);
     let unload = outbox.drain();
-    (link, vec![("call", call), ("load", load), ("probe", probe), ("unload", unload)])
+    (
+        link,
+        vec![
+            ("call", call),
+            ("load", load),
+            ("probe", probe),
+            ("unload", unload),
+        ],
+    )
 }
 
 /// Whole words of an array, read by the gateway's own reader.
@@ -62,12 +70,22 @@
     let mut outbox = Outbox::default();
     let attempt = Exchange::Attempt(key::<AttemptKey>(ATTEMPT));
     // Its bytes have left already, so that the worker is told.
-    assert_eq!(link.cancel(&mut outbox, attempt, 5, 100), SendProgress::Started);
+    assert_eq!(
+        link.cancel(&mut outbox, attempt, 5, 100),
+        SendProgress::Started
+    );
     commands.push(("cancel", outbox.drain()));
     for (name, bytes) in &commands {
-        assert_eq!(array(&words(bytes).iter().map(Vec::as_slice).collect::<Vec<_>>()), *bytes, "{name}");
+        assert_eq!(
+            array(&words(bytes).iter().map(Vec::as_slice).collect::<Vec<_>>()),
+            *bytes,
+            "{name}"
+        );
     }
-    let lines: Vec<String> = commands.iter().map(|(name, bytes)| hex_line(name, bytes)).collect();
+    let lines: Vec<String> = commands
+        .iter()
+        .map(|(name, bytes)| hex_line(name, bytes))
+        .collect();
     check_lines("wire/worker_commands.txt", &lines);
 }
 
@@ -76,11 +94,24 @@
     let (_, commands) = busy_link();
     let text = |bytes: &Vec<u8>| {
         let words = words(bytes);
-        words.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect::<Vec<_>>()
+        words
+            .iter()
+            .map(|w| String::from_utf8_lossy(w).into_owned())
+            .collect::<Vec<_>>()
     };
     let all: Vec<Vec<String>> = commands.iter().map(|(_, bytes)| text(bytes)).collect();
-    assert_eq!(all[0][..3], ["go", IDENTITY, "profile=checkout,thing=00abcdef01234567,max=2500"]);
-    assert_eq!(all[1], ["stage", "o300000007", "thing=00abcdef01234567,copies=2"]);
+    assert_eq!(
+        all[0][..3],
+        [
+            "go",
+            IDENTITY,
+            "profile=checkout,thing=00abcdef01234567,max=2500"
+        ]
+    );
+    assert_eq!(
+        all[1],
+        ["stage", "o300000007", "thing=00abcdef01234567,copies=2"]
+    );
     assert_eq!(all[2], ["stat", "p500000009"]);
     assert_eq!(all[3], ["purge", "00abcdef01234567"]);
 }
@@ -91,8 +122,14 @@
     let fields = b"remark=w,queue_fn=3,report=q:1.5;rif:2;busy:0.25;x0:0.5;x1:4";
     let done = answered(&mut link, &[IDENTITY.as_bytes(), b"200", fields, b"body"]);
     assert_eq!(done.what, Exchange::Attempt(key::<AttemptKey>(ATTEMPT)));
-    assert_eq!((done.ending, done.left, done.copies), (CloseReason::Served, SendProgress::Started, 0));
-    assert_eq!((done.back.copy_start, done.back.function_in_flight), (Some(CopyStart::Warm), 3));
+    assert_eq!(
+        (done.ending, done.left, done.copies),
+        (CloseReason::Served, SendProgress::Started, 0)
+    );
+    assert_eq!(
+        (done.back.copy_start, done.back.function_in_flight),
+        (Some(CopyStart::Warm), 3)
+    );
     assert_eq!(done.back.body, b"body");
     let report = LoadReport {
         queued: Some(1.5),
@@ -115,10 +152,19 @@
     ];
     for (word, ending) in expected {
         let (mut link, _) = busy_link();
-        assert_eq!(answered(&mut link, &[IDENTITY.as_bytes(), word]).ending, ending);
-        assert_eq!(answered(&mut link, &[b"o300000007", word, b"copies=2"]).copies, 2);
+        assert_eq!(
+            answered(&mut link, &[IDENTITY.as_bytes(), word]).ending,
+            ending
+        );
+        assert_eq!(
+            answered(&mut link, &[b"o300000007", word, b"copies=2"]).copies,
+            2
+        );
     }
-    for (word, ending) in [(&b"alive"[..], CloseReason::Served), (b"dead", CloseReason::Failed)] {
+    for (word, ending) in [
+        (&b"alive"[..], CloseReason::Served),
+        (b"dead", CloseReason::Failed),
+    ] {
         let (mut link, _) = busy_link();
         assert_eq!(answered(&mut link, &[b"p500000009", word]).ending, ending);
     }
@@ -133,7 +179,9 @@
         let (mut link, _) = busy_link();
         let fields = format!("remark={remark}");
         assert_eq!(
-            answered(&mut link, &[IDENTITY.as_bytes(), b"200", fields.as_bytes()]).back.copy_start,
+            answered(&mut link, &[IDENTITY.as_bytes(), b"200", fields.as_bytes()])
+                .back
+                .copy_start,
             warmth
         );
     }
