--- a/src/consensus/follow.rs
+++ b/src/consensus/follow.rs
@@ -48,7 +48,7 @@
         let name: Arc<str> = name.into();
         match poll.seat {
             Some(seat) if self.seats.len() < MAX_LEARNERS => {
-                drop(self.seats.insert(name.clone(), seat))
+                self.seats.insert(name.clone(), seat);
             }
             _ => drop(self.seats.remove(&name)),
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -157,7 +157,7 @@
 
     /// Workers that the module would send to now.
     pub fn fit(&self) -> usize {
-        self.policy.fit
+        self.policy.healthy_workers()
     }
 
     /// Whether a request under this identity has no answer yet, or an attempt out. Another call under it is not to
@@ -282,7 +282,7 @@
 
     /// The most that a worker served for this gateway, answers a microsecond, as the module has seen it.
     pub fn bears(&self) -> f64 {
-        self.policy.bears
+        self.policy.observed_capacity()
     }
 
     /// Tells the module what others saw of a worker; see [`Event::Rumour`].
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::{Effect, Micros};
-use crate::policy::allowed;
+use crate::policy::permitted_after;
 
 pub mod breaker;
 pub mod egress;
@@ -582,7 +582,7 @@
         } else {
             e.again.pop_front();
         }
-        if !allowed(message.effect, message.ran, now, 0).resend {
+        if !permitted_after(message.effect, message.ran, now, 0).retry {
             // The time within which a repeat is harmless passed while it waited.
             let message = *message;
             self.take(seq);
@@ -672,7 +672,9 @@
                 message.due = now + VOID_PAUSE;
                 State::Waiting
             }
-            _ if !allowed(message.effect, message.ran, now, 0).resend => State::Dead(Dead::Unknown),
+            _ if !permitted_after(message.effect, message.ran, now, 0).retry => {
+                State::Dead(Dead::Unknown)
+            }
             ResponseClass::Gone => State::Dead(Dead::Gone),
             ResponseClass::Failed(advice) => match known {
                 None => State::Dead(Dead::Gone),
--- /dev/null
+++ b/src/policy/dispatch.rs
@@ -0,0 +1,150 @@
+//! Carries out what selection decided for a queued request.
+
+use super::loads::{CopyKey, LOAD_CERTAIN};
+use super::request::AttemptState;
+use super::selection::{Decision, Selection};
+use super::Policy;
+use crate::api::{Action, FunctionId, Micros, RequestId, WorkerId};
+
+/// Whether a request has left the queue.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Placement {
+    /// An attempt was sent.
+    Sent,
+    /// It still waits.
+    Queued,
+}
+
+/// Whether an attempt may have to wait for a load at its worker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum LoadWait {
+    None,
+    Possible,
+}
+
+impl Policy {
+    /// Sends a queued request if some worker may take it now, or does what has to come first.
+    pub(super) fn place(
+        &mut self,
+        now: Micros,
+        function: FunctionId,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> Placement {
+        self.refresh_candidates(function);
+        let decision = Selection::new(self, now, function, id).decide();
+        match decision {
+            Decision::Hold => return Placement::Queued,
+            Decision::QueryCopies(worker) => {
+                self.query_copies(now, CopyKey { worker, function }, actions);
+                return Placement::Queued;
+            }
+            Decision::OrderLoad(worker) => {
+                self.order_load(now, CopyKey { worker, function }, id, actions);
+                return Placement::Queued;
+            }
+            Decision::SendToCopy(worker) => self.send(now, id, worker, LoadWait::None, actions),
+            Decision::SendToLoading(worker) => {
+                self.send(now, id, worker, LoadWait::Possible, actions)
+            }
+            Decision::SendToLoad {
+                worker,
+                load_probability,
+            } => {
+                self.begin_load(now, CopyKey { worker, function }, load_probability);
+                self.send(now, id, worker, LoadWait::Possible, actions);
+            }
+        }
+        Placement::Sent
+    }
+
+    /// Asks a worker for the function's copies without having one loaded.
+    fn query_copies(&mut self, now: Micros, key: CopyKey, actions: &mut Vec<Action>) {
+        if let Some(function) = self.functions.get_mut(&key.function) {
+            function.copies.entry(key.worker).or_default().queried_at = now;
+            function.last_query_at = now;
+        }
+        actions.push(Action::Load {
+            worker: key.worker,
+            function: key.function,
+            copies: 0,
+        });
+    }
+
+    /// Has a worker load a copy, with one order for a worker and function at a time, and has the
+    /// request wait for it.
+    pub(super) fn order_load(
+        &mut self,
+        now: Micros,
+        key: CopyKey,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.load_orders.contains(&key) {
+            if !self.may_order_load(now, key, id) {
+                return;
+            }
+            self.recent_load_orders.record(now);
+            self.load_orders.insert(key);
+            self.begin_load(now, key, LOAD_CERTAIN);
+            actions.push(Action::Load {
+                worker: key.worker,
+                function: key.function,
+                copies: 1,
+            });
+        }
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.await_load(now, key.worker, self.settings.tick);
+        }
+    }
+
+    fn may_order_load(&mut self, now: Micros, key: CopyKey, id: RequestId) -> bool {
+        let ready = self
+            .workers
+            .get(&key.worker)
+            .is_some_and(|worker| worker.ready);
+        let has_further_attempt = self
+            .requests
+            .get(&id)
+            .is_some_and(|request| request.attempts + 1 < self.settings.max_attempts);
+        self.settings.may_load && ready && self.within_load_rate(now, has_further_attempt)
+    }
+
+    fn send(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        worker: WorkerId,
+        load_wait: LoadWait,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let function_id = request.function;
+        request.attempts += 1;
+        request.in_flight = Some(AttemptState {
+            worker,
+            sent_at: now,
+            may_wait_for_load: load_wait == LoadWait::Possible,
+            cancelled: false,
+        });
+        // An attempt elsewhere leaves the load that was ordered for the request to come back to.
+        request.awaited_load = request.awaited_load.filter(|load| load.worker != worker);
+        let Some(function) = self.functions.get_mut(&function_id) else {
+            return;
+        };
+        let copy = function.copies.entry(worker).or_default();
+        copy.own_in_flight += 1;
+        copy.last_used_at = now;
+        self.remove_from_queue(function_id, id);
+        if let Some(state) = self.workers.get_mut(&worker) {
+            state.record_send(now, self.settings.overload_window);
+        }
+        actions.push(Action::Send {
+            request: id,
+            worker,
+            timeout: None,
+        });
+    }
+}
--- /dev/null
+++ b/src/policy/endpoints.rs
@@ -0,0 +1,123 @@
+//! The endpoint list: which workers are new, restarted or removed, and the order in which instances
+//! try them.
+
+use std::collections::BTreeSet;
+
+use super::worker::WorkerState;
+use super::Policy;
+use crate::api::{FunctionId, ListUpdate, Micros, WorkerEntry, WorkerId, WorkerStatus};
+
+/// Workers that a function tries at most, in a fleet of any size.
+const MAX_CANDIDATES: usize = 24;
+
+/// A worker's rank among a function's candidates. It is the same at every instance.
+pub(super) fn rendezvous_hash(function: FunctionId, worker: WorkerId) -> u64 {
+    let mixed_worker = u64::from(worker.0).wrapping_mul(0xd6e8_feb8_6659_fd93);
+    let mut hash = function.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ mixed_worker;
+    for _ in 0..2 {
+        hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    }
+    hash ^ (hash >> 31)
+}
+
+impl Policy {
+    /// Applies an update of the endpoint list.
+    pub(super) fn on_worker_list(
+        &mut self,
+        now: Micros,
+        update: ListUpdate,
+        entries: Vec<WorkerEntry>,
+    ) {
+        if update == ListUpdate::Failed {
+            self.subscribed_at = 0;
+            return;
+        }
+        self.list_version += 1;
+        if update != ListUpdate::Delta {
+            self.retire_unlisted(&entries);
+        }
+        for entry in &entries {
+            self.apply_entry(now, entry);
+        }
+        self.scan_workers(now);
+    }
+
+    /// A complete list no longer names some workers: nothing new goes there.
+    fn retire_unlisted(&mut self, entries: &[WorkerEntry]) {
+        let listed: BTreeSet<WorkerId> = entries.iter().map(|entry| entry.worker).collect();
+        for (id, worker) in &mut self.workers {
+            if !listed.contains(id) {
+                worker.ready = false;
+                self.loads_in_progress.retain(|key, _| key.worker != *id);
+            }
+        }
+    }
+
+    fn apply_entry(&mut self, now: Micros, entry: &WorkerEntry) {
+        let worker = self.workers.entry(entry.worker).or_default();
+        let first_listed = worker.concurrency_limit == 0.0;
+        let restarted = entry.started_at.is_some() && entry.started_at > worker.started_at;
+        if first_listed || restarted {
+            let in_flight = worker.in_flight;
+            let limit = self.initial_concurrency_limit;
+            *worker = WorkerState::new_process(now, entry.started_at, limit, in_flight);
+        }
+        worker.zone = Some(entry.zone);
+        worker.cell = Some(entry.cell);
+        worker.ready = entry.status == WorkerStatus::Ready;
+        if first_listed || restarted || entry.status == WorkerStatus::Removed {
+            self.forget_copies(entry.worker);
+        }
+    }
+
+    /// Forgets which copies stand on a worker whose process has ended.
+    pub(super) fn forget_copies(&mut self, worker: WorkerId) {
+        for function in self.functions.values_mut() {
+            if let Some(copy) = function.copies.get_mut(&worker) {
+                copy.forget();
+            }
+        }
+        self.loads_in_progress.retain(|key, _| key.worker != worker);
+    }
+
+    /// Peers' observations move a worker to the end of every candidate list for a while, or end its
+    /// ejection so that one trial tells.
+    pub(super) fn on_peer_health(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        unhealthy_until: Option<Micros>,
+    ) {
+        let Some(state) = self.workers.get_mut(&worker) else {
+            return;
+        };
+        if let Some(until) = unhealthy_until {
+            state.peer_unhealthy_until = until;
+        } else {
+            state.peer_unhealthy_until = 0;
+            state.ejected_until = state.ejected_until.min(now);
+        }
+    }
+
+    /// Brings a function's candidates up to date with the endpoint list.
+    pub(super) fn refresh_candidates(&mut self, id: FunctionId) {
+        let Some(function) = self.functions.get_mut(&id) else {
+            return;
+        };
+        if function.candidates_version == self.list_version {
+            return;
+        }
+        function.candidates_version = self.list_version;
+        function.candidates = self
+            .workers
+            .iter()
+            .filter(|(_, worker)| worker.ready)
+            .map(|(worker, _)| *worker)
+            .collect();
+        function
+            .candidates
+            .sort_by_key(|worker| rendezvous_hash(id, *worker));
+        function.candidates.truncate(MAX_CANDIDATES);
+    }
+}
--- a/src/policy/loads.rs
+++ b/src/policy/loads.rs
@@ -1,111 +1,124 @@
-//! Copies of functions: where they stand, which are being loaded, and orders to load.
+//! Copies of functions: where they stand and which are being loaded.
 
-use super::*;
+use super::function::FunctionState;
+use super::worker::{BASE_EJECTION_TIME, MAX_CONSECUTIVE_FAILURES};
+use super::Policy;
+use crate::api::{AttemptEnd, CopyStart, FunctionId, Micros, Outcome, WorkerId};
+
+/// The probability of a load that was ordered.
+pub(super) const LOAD_CERTAIN: f64 = 1.0;
+/// The probability that a request begins a load at a worker where the function's copies are
+/// unknown.
+pub(super) const LOAD_LIKELY: f64 = 0.5;
+/// The probability that a request begins a load at a worker that answers a miss instead of loading.
+pub(super) const LOAD_EXCLUDED: f64 = 0.0;
+
+/// One function's copies on one worker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct CopyKey {
+    pub(super) worker: WorkerId,
+    pub(super) function: FunctionId,
+}
+
+/// A load that is believed to be in progress.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct LoadInProgress {
+    pub(super) since: Micros,
+    pub(super) probability: f64,
+}
 
 impl Policy {
-    /// How long a load is taken to be under way when nothing is heard of it.
-    pub(super) fn load_patience(&self, f: &Function) -> Micros {
-        let aim = self
+    /// How long a load of which nothing is heard is taken to be in progress, in microseconds.
+    pub(super) fn load_patience(&self, function: &FunctionState) -> Micros {
+        let objective = self
             .settings
             .classes
             .iter()
-            .map(|c| c.latency_objective)
+            .map(|class| class.latency_objective)
             .max()
             .unwrap_or(0);
-        f.load_time.unwrap_or(aim) * 3 / 2
+        function.load_duration.unwrap_or(objective) * 3 / 2
     }
 
-    pub(super) fn begin_load(&mut self, now: Micros, (worker, function): Home, sure: f64) {
-        let Some(f) = self.functions.get_mut(&function) else {
+    /// Records that a load begins, with the probability that it does.
+    pub(super) fn begin_load(&mut self, now: Micros, key: CopyKey, probability: f64) {
+        let Some(function) = self.functions.get_mut(&key.function) else {
             return;
         };
-        if sure == 1.0 {
-            f.copies.entry(worker).or_default().loading = Some(now);
-        }
-        self.loading.insert((worker, function), (now, sure));
-    }
-
-    /// Orders a copy, one order for a worker and function at a time, and has the request wait for it.
-    pub(super) fn order_load(
-        &mut self,
-        now: Micros,
-        (w, f): Home,
-        id: RequestId,
-        out: &mut Vec<Action>,
-    ) {
-        if !self.orders.contains(&(w, f)) {
-            let ready = self.workers.get(&w).is_some_and(|w| w.ready);
-            let spare = self
-                .requests
-                .get(&id)
-                .is_some_and(|r| r.attempts + 1 < self.settings.max_attempts);
-            if !self.settings.may_load || !ready || !self.within_ration(now, spare) {
-                return;
-            }
-            self.ordered.push_back(now);
-            self.orders.insert((w, f));
-            self.begin_load(now, (w, f), 1.0);
-            out.push(Action::Load {
-                worker: w,
-                function: f,
-                copies: 1,
-            });
+        if probability == LOAD_CERTAIN {
+            function.copies.entry(key.worker).or_default().loading_since = Some(now);
         }
-        // A SEND can overtake its LOAD, and a miss there costs an attempt: leave the order a head start.
-        let from = now + (2 * self.settings.tick).max(ROUND / 2);
-        self.requests
-            .entry(id)
-            .and_modify(|r| (r.waits, r.avoid) = (Some((w, from)), None));
+        self.loads_in_progress.insert(
+            key,
+            LoadInProgress {
+                since: now,
+                probability,
+            },
+        );
     }
 
-    pub(super) fn on_loaded(
+    /// Records the end of a load order.
+    pub(super) fn on_load_ended(
         &mut self,
         now: Micros,
-        (worker, function): Home,
+        key: CopyKey,
         outcome: Outcome,
         copies: u32,
     ) {
-        // A refused connect tells of the worker whatever it was for; few instances see enough of others.
-        let refused = outcome == Outcome::ConnectFailed && self.first_cap < 1.0;
-        if let Some(w) = self.workers.get_mut(&worker).filter(|_| refused) {
-            if w.strikes < STRIKES {
-                (w.strikes, w.down, w.benched) = (STRIKES, Some(now), now + BENCH);
-            }
+        if outcome == Outcome::ConnectFailed && self.shares_workers_with_many() {
+            self.eject_unreachable(now, key.worker);
         }
-        self.orders.remove(&(worker, function));
-        self.loading.remove(&(worker, function));
-        let Some(f) = self.functions.get_mut(&function) else {
+        self.load_orders.remove(&key);
+        self.loads_in_progress.remove(&key);
+        let Some(function) = self.functions.get_mut(&key.function) else {
             return;
         };
-        let c = f.copies.entry(worker).or_default();
-        c.loading = None;
+        let copy = function.copies.entry(key.worker).or_default();
+        copy.loading_since = None;
         if copies > 0 {
-            (c.count, c.used, c.missed) = (copies, now, 0);
+            copy.confirm(now, copies);
         } else if outcome != Outcome::Timeout {
-            (c.count, c.missed) = (0, now);
+            copy.record_miss(now);
+        }
+    }
+
+    /// A connect that fails tells of the worker whatever it was for. Few instances need this, as
+    /// they send each worker enough requests.
+    fn eject_unreachable(&mut self, now: Micros, worker: WorkerId) {
+        let Some(state) = self.workers.get_mut(&worker) else {
+            return;
+        };
+        if state.consecutive_failures < MAX_CONSECUTIVE_FAILURES {
+            state.consecutive_failures = MAX_CONSECUTIVE_FAILURES;
+            state.unreachable_since = Some(now);
+            state.ejected_until = now + BASE_EJECTION_TIME;
         }
     }
 
-    pub(super) fn learn_copies(&mut self, now: Micros, function: FunctionId, e: &AttemptEnd) {
-        let worker = e.worker;
-        let Some(f) = self.functions.get_mut(&function) else {
+    /// Records what the end of an attempt tells of the function's copies on its worker.
+    pub(super) fn record_copies(&mut self, now: Micros, id: FunctionId, end: &AttemptEnd) {
+        let Some(function) = self.functions.get_mut(&id) else {
             return;
         };
-        let c = f.copies.entry(worker).or_default();
-        c.own = c.own.saturating_sub(1);
-        match e.outcome {
+        let concurrency_per_copy = function.concurrency_per_copy;
+        let copy = function.copies.entry(end.worker).or_default();
+        copy.own_in_flight = copy.own_in_flight.saturating_sub(1);
+        match end.outcome {
             Outcome::Ok => {
-                // More held than the lanes believed: the worker has begun, or others have ordered, one more.
-                let needed = (e.function_in_flight + 1).div_ceil(f.lanes);
-                c.count = c.count.max(1).max(needed.min(c.count + 1));
-                (c.used, c.missed) = (now, 0);
+                // More requests than the known copies can run: the worker has begun one more, or
+                // others ordered it.
+                let needed = (end.function_in_flight + 1).div_ceil(concurrency_per_copy);
+                copy.confirm(now, copy.count.max(1).max(needed.min(copy.count + 1)));
             }
-            Outcome::Miss => (c.count, c.missed) = (0, now),
-            Outcome::Error if e.copy_start != Some(CopyStart::LoadFailed) => return,
-            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => return,
-            _ => {}
+            Outcome::Miss => copy.record_miss(now),
+            Outcome::Error if end.copy_start == Some(CopyStart::LoadFailed) => {}
+            Outcome::Error | Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => return,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::Reset => {}
         }
-        c.loading = None;
-        self.loading.remove(&(worker, function));
+        copy.loading_since = None;
+        self.loads_in_progress.remove(&CopyKey {
+            worker: end.worker,
+            function: id,
+        });
     }
 }
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,77 +1,149 @@
-//! Fair Choice on total processing time: which of the held requests leave next, and which are given up.
+//! Fair Choice on total processing time (FCP): which queued requests leave next, and which are
+//! given up.
 
-use super::*;
+use super::dispatch::Placement;
+use super::function::FunctionState;
+use super::request::RequestState;
+use super::{Policy, INITIAL_CONCURRENCY_LIMIT};
+use crate::api::{Action, FunctionId, Micros, RequestId};
+
+/// How urgent a queued request is; the first goes first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Urgency {
+    /// It can meet its latency objective.
+    InTime,
+    /// It will miss its latency objective.
+    Late,
+    /// It exceeds its tenant's quota.
+    OverQuota,
+}
+
+/// A queued request, ordered by the fields in their order.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedRequest {
+    urgency: Urgency,
+    /// The function's demand as bits. No demand is negative, so the bits have the order of the
+    /// numbers.
+    demand_bits: u64,
+    arrived_at: Micros,
+    id: RequestId,
+    function: FunctionId,
+    cannot_complete: bool,
+}
 
 impl Policy {
-    /// Sends what may leave: lowest demand first, earliest arrival on ties. On-time requests go before those
-    /// past their aim, those before what is over a tenant's share.
-    pub(super) fn release(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let mut queue = Vec::new();
-        for function in &self.held {
-            let f = &self.functions[function];
-            // No demand is negative, so that its bits are in its order.
-            let (demand, mean) = (self.demand(f).to_bits(), self.mean(f) as Micros);
-            for id in &f.held {
-                let r = &self.requests[id];
-                let end = now + mean.min(r.aim / 2);
-                let rank = u8::from(end > r.asked + r.aim).max(2 * u8::from(r.over_share));
-                queue.push((
-                    rank,
-                    demand,
-                    r.arrived,
-                    *id,
-                    *function,
-                    r.hopeless(now, end, &self.settings),
-                ));
+    /// Sends the queued requests that may leave, by urgency, then lowest demand, then earliest
+    /// arrival.
+    pub(super) fn dispatch_queued(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        // A request that finds no worker blocks those of its function and urgency behind it.
+        let mut blocked: Option<(Urgency, FunctionId)> = None;
+        // Determined when first needed, as the queues change along the way.
+        let mut sheds_late: Option<bool> = None;
+        for queued in self.queued_in_order(now) {
+            let QueuedRequest {
+                urgency,
+                id,
+                function,
+                ..
+            } = queued;
+            let awaits_load = self.requests[&id].awaited_load.is_some();
+            // What earns least is given up early: served late it takes capacity from requests in
+            // time.
+            let may_shed = urgency > Urgency::InTime && !awaits_load;
+            if queued.cannot_complete
+                || may_shed && *sheds_late.get_or_insert_with(|| self.has_backlog())
+            {
+                self.answer(now, id, actions);
+                continue;
+            }
+            if blocked == Some((urgency, function)) {
+                continue;
+            }
+            if self.place(now, function, id, actions) == Placement::Queued && !awaits_load {
+                blocked = Some((urgency, function));
             }
         }
-        queue.sort_unstable();
-        let (mut stuck, mut give_up) = (None, None);
-        for (rank, _, _, id, function, hopeless) in queue {
-            // What earns least is given up early: late it takes cores from what is in time elsewhere too.
-            let waits = self.requests[&id].waits.is_some();
-            if hopeless || rank > 0 && !waits && *give_up.get_or_insert_with(|| self.backlogged()) {
-                self.answer(now, id, out);
-            } else if stuck != Some((rank, function))
-                && !self.place(now, function, id, out)
-                && !waits
-            {
-                stuck = Some((rank, function));
+    }
+
+    fn queued_in_order(&self, now: Micros) -> Vec<QueuedRequest> {
+        let mut queued = Vec::new();
+        for id in &self.queued_functions {
+            let function = &self.functions[id];
+            let demand_bits = self.demand(function).to_bits();
+            let run_time = self.mean_run_time(function) as Micros;
+            for request_id in &function.queue {
+                let request = &self.requests[request_id];
+                let attempt_end = now + run_time.min(request.latency_objective / 2);
+                queued.push(QueuedRequest {
+                    urgency: urgency(request, attempt_end),
+                    demand_bits,
+                    arrived_at: request.arrived_at,
+                    id: *request_id,
+                    function: *id,
+                    cannot_complete: request.cannot_complete(now, attempt_end, &self.settings),
+                });
             }
         }
+        queued.sort_unstable();
+        queued
     }
 
-    /// More is held than half of what all workers have in flight from here; at many instances: pressed.
-    fn backlogged(&self) -> bool {
-        if self.first_cap < 1.0 && self.pressed {
+    /// Whether late requests are to be shed: more is queued than half of what is in flight at all
+    /// workers, or, with many instances, the workers are overloaded.
+    fn has_backlog(&self) -> bool {
+        if self.shares_workers_with_many() && self.is_overloaded {
             return true;
         }
-        let held: usize = self.held.iter().map(|f| self.functions[f].held.len()).sum();
-        2 * held
-            > self
-                .workers
-                .values()
-                .map(|w| w.inflight as usize)
-                .sum::<usize>()
-                + FIRST_CAP as usize
+        let queued: usize = self
+            .queued_functions
+            .iter()
+            .map(|id| self.functions[id].queue.len())
+            .sum();
+        let in_flight: usize = self
+            .workers
+            .values()
+            .map(|worker| worker.in_flight as usize)
+            .sum();
+        2 * queued > in_flight + INITIAL_CONCURRENCY_LIMIT as usize
     }
 
-    /// FCP: the larger of last interval's calls times the mean and this interval's run time.
-    fn demand(&self, f: &Function) -> f64 {
-        (f.last_calls * self.mean(f)).max(f.sum)
+    /// A function's FCP demand: the larger of the last interval's requests times the mean run time,
+    /// and the current interval's run time, in microseconds.
+    fn demand(&self, function: &FunctionState) -> f64 {
+        let expected = function.last_interval_requests * self.mean_run_time(function);
+        expected.max(function.interval_run_time)
     }
 
-    pub(super) fn mean(&self, f: &Function) -> f64 {
-        Some(f.total / f.answers)
-            .filter(|m| m.is_finite())
-            .unwrap_or_else(|| self.mean_all())
+    /// A function's mean run time in microseconds; that of all functions before its first answer.
+    pub(super) fn mean_run_time(&self, function: &FunctionState) -> f64 {
+        function
+            .mean_run_time()
+            .unwrap_or_else(|| self.mean_run_time_of_all())
     }
 
-    pub(super) fn mean_all(&self) -> f64 {
-        self.total / self.answers.max(1.0)
+    /// The mean run time of all answers in microseconds; 0 before the first.
+    pub(super) fn mean_run_time_of_all(&self) -> f64 {
+        self.total_run_time / self.answers.max(1.0)
     }
 
-    pub(super) fn carried(&self, now: Micros) -> f64 {
-        self.inflow.0 * (-((now - self.inflow.1) as f64) * 4.0 / INTERVAL as f64).exp()
+    /// Takes a request out of its function's queue.
+    pub(super) fn remove_from_queue(&mut self, function: FunctionId, id: RequestId) {
+        let Some(state) = self.functions.get_mut(&function) else {
+            return;
+        };
+        state.queue.retain(|queued| *queued != id);
+        if state.queue.is_empty() {
+            self.queued_functions.remove(&function);
+        }
+    }
+}
+
+fn urgency(request: &RequestState, attempt_end: Micros) -> Urgency {
+    if request.over_quota {
+        Urgency::OverQuota
+    } else if attempt_end > request.first_sent_at + request.latency_objective {
+        Urgency::Late
+    } else {
+        Urgency::InTime
     }
 }
--- /dev/null
+++ b/src/policy/request.rs
@@ -0,0 +1,290 @@
+//! A request from its arrival until it is forgotten.
+
+use super::function::FunctionState;
+use super::idempotency::{never_ran, permitted_after};
+use super::loads::CopyKey;
+use super::{Policy, TICK_INTERVAL};
+use crate::api::{
+    Action, Arrival, AttemptEnd, CopyStart, Effect, FunctionId, Micros, Outcome, RequestId,
+    Settings, WorkerId,
+};
+
+/// One request.
+#[derive(Debug, Default)]
+pub(super) struct RequestState {
+    pub(super) function: FunctionId,
+    pub(super) class: usize,
+    pub(super) effect: Effect,
+    pub(super) latency_objective: Micros,
+    pub(super) arrived_at: Micros,
+    /// When the client first sent it; earlier than its arrival if it is a client's retry.
+    pub(super) first_sent_at: Micros,
+    /// When the client stops waiting.
+    pub(super) expires_at: Micros,
+    /// Attempts sent.
+    pub(super) attempts: u32,
+    /// The attempt in flight.
+    pub(super) in_flight: Option<AttemptState>,
+    /// The first attempt that may have run.
+    pub(super) first_possible_run: Option<PossibleRun>,
+    /// A load ordered for this request.
+    pub(super) awaited_load: Option<AwaitedLoad>,
+    /// The worker whose attempt failed last; another is tried first.
+    pub(super) avoided: Option<WorkerId>,
+    pub(super) over_quota: bool,
+    pub(super) tenant: usize,
+    /// Whether its final answer is given, or nobody waits for one.
+    pub(super) done: bool,
+}
+
+/// An attempt in flight.
+#[derive(Debug)]
+pub(super) struct AttemptState {
+    pub(super) worker: WorkerId,
+    pub(super) sent_at: Micros,
+    /// Whether it may have waited for a load.
+    pub(super) may_wait_for_load: bool,
+    pub(super) cancelled: bool,
+}
+
+/// An attempt that may have run.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PossibleRun {
+    pub(super) worker: WorkerId,
+    pub(super) sent_at: Micros,
+}
+
+/// A load for which a request waits.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct AwaitedLoad {
+    pub(super) worker: WorkerId,
+    /// The request may be sent there from this instant on.
+    pub(super) send_from: Micros,
+}
+
+impl RequestState {
+    /// When the first attempt that may have run was sent.
+    pub(super) fn possible_run_at(&self) -> Option<Micros> {
+        self.first_possible_run.map(|run| run.sent_at)
+    }
+
+    /// Waits for a load at a worker. A request can overtake its load order, and a miss there costs
+    /// an attempt: the order gets a head start.
+    pub(super) fn await_load(&mut self, now: Micros, worker: WorkerId, tick: Micros) {
+        let head_start = (2 * tick).max(TICK_INTERVAL / 2);
+        self.awaited_load = Some(AwaitedLoad {
+            worker,
+            send_from: now + head_start,
+        });
+        self.avoided = None;
+    }
+
+    /// Whether another attempt would still be safe.
+    pub(super) fn may_retry(&self, now: Micros) -> bool {
+        permitted_after(self.effect, self.possible_run_at(), now, TICK_INTERVAL).retry
+    }
+
+    /// Whether a queued request cannot be served any more: an attempt would end too late, or none
+    /// is permitted.
+    pub(super) fn cannot_complete(
+        &self,
+        now: Micros,
+        attempt_end: Micros,
+        settings: &Settings,
+    ) -> bool {
+        attempt_end > self.expires_at
+            || !self.may_retry(now)
+            || self.attempts >= settings.max_attempts.max(1)
+    }
+}
+
+impl Policy {
+    /// Queues a request that arrives.
+    pub(super) fn on_request(&mut self, now: Micros, arrival: &Arrival) {
+        if self.settings.load_rate_limit.is_some() {
+            self.recent_requests.record(now);
+        }
+        let over_quota = self.exceeds_quota(now, arrival.tenant);
+        let function = self
+            .functions
+            .entry(arrival.function)
+            .or_insert_with(FunctionState::first_seen);
+        function.concurrency_per_copy = arrival.concurrency_per_copy.max(1);
+        function.load_duration = arrival.load_duration.or(function.load_duration);
+        function.interval_requests += 1.0;
+        function.queue.push_back(arrival.request);
+        self.queued_functions.insert(arrival.function);
+        self.deadlines.insert((arrival.expires_at, arrival.request));
+        let request = self.new_request(now, arrival, over_quota);
+        self.requests.insert(arrival.request, request);
+    }
+
+    fn new_request(&mut self, now: Micros, arrival: &Arrival, over_quota: bool) -> RequestState {
+        let class = arrival.class.0 as usize;
+        let remaining = arrival.expires_at.saturating_sub(now);
+        let longest = self
+            .longest_client_timeout
+            .entry(class)
+            .or_insert(remaining);
+        *longest = remaining.max(*longest);
+        // A request with less time than others of its class is a client's retry: its latency
+        // objective counts from the client's first attempt.
+        let is_client_retry = remaining + self.settings.tick < *longest;
+        let mut request = RequestState {
+            function: arrival.function,
+            class,
+            arrived_at: now,
+            first_sent_at: now,
+            expires_at: arrival.expires_at,
+            over_quota,
+            tenant: arrival.tenant.0 as usize,
+            ..Default::default()
+        };
+        let mut client_deadline = 0;
+        if let Some(settings) = self.settings.classes.get(class) {
+            request.latency_objective = settings.latency_objective;
+            request.effect = settings.effect;
+            client_deadline = settings.deadline;
+        }
+        if is_client_retry {
+            request.first_sent_at = now.min(arrival.expires_at.saturating_sub(client_deadline));
+        }
+        request
+    }
+
+    /// A stream that flows belongs to the client: no deadline, no cancellation and no answer of
+    /// this instance.
+    pub(super) fn on_streaming(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.done = true;
+        }
+    }
+
+    /// Ends a request whose client has left.
+    pub(super) fn on_client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.done = true;
+        let attempt = request.attempts.saturating_sub(1) as u8;
+        if request.in_flight.is_none() {
+            self.forget_request(id);
+        } else if self.settings.may_cancel {
+            actions.push(Action::Cancel {
+                request: id,
+                attempt,
+            });
+        }
+    }
+
+    /// Learns from the end of an attempt, and answers or requeues its request.
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Micros,
+        end: &AttemptEnd,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&end.request) else {
+            return;
+        };
+        let Some(mut attempt) = request.in_flight.take() else {
+            return;
+        };
+        request.done |= end.terminal;
+        if !never_ran(end.outcome) {
+            let run = PossibleRun {
+                worker: end.worker,
+                sent_at: attempt.sent_at,
+            };
+            request.first_possible_run.get_or_insert(run);
+        }
+        if end.outcome != Outcome::Ok {
+            request.avoided = Some(end.worker);
+        }
+        let function = request.function;
+        let class = request.class;
+        let latency_objective = request.latency_objective as f64;
+        let done = request.done;
+        if attempt.may_wait_for_load && end.outcome == Outcome::Ok {
+            attempt.may_wait_for_load = self.waited_for_load(function, end);
+        }
+        self.record_copies(now, function, end);
+        self.record_outcome(now, end, &attempt, class, latency_objective);
+        if end.outcome == Outcome::Ok {
+            self.record_latency(now, function, end, &attempt, latency_objective);
+        }
+        if done {
+            self.forget_request(end.request);
+        } else {
+            self.retry_or_answer(now, end, actions);
+        }
+    }
+
+    /// Whether a served attempt waited for a load; where the answer does not tell, judged by its
+    /// latency.
+    fn waited_for_load(&self, function: FunctionId, end: &AttemptEnd) -> bool {
+        if let Some(copy_start) = end.copy_start {
+            return copy_start != CopyStart::Warm;
+        }
+        let usual = self.functions.get(&function).map_or(0.0, |function| {
+            self.mean_run_time(function) + self.load_patience(function) as f64 / 3.0
+        });
+        end.latency as f64 > usual
+    }
+
+    /// Queues a request again after an attempt that did not serve it, or answers it if no retry is
+    /// left.
+    fn retry_or_answer(&mut self, now: Micros, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let id = end.request;
+        let request = &self.requests[&id];
+        let function = request.function;
+        let client_time_is_over = request.expires_at <= now + self.settings.tick;
+        if !request.may_retry(now)
+            || client_time_is_over
+            || request.attempts >= self.settings.max_attempts
+        {
+            self.answer(now, id, actions);
+            return;
+        }
+        if end.outcome == Outcome::Miss && self.miss_calls_for_load(now, end.worker, request) {
+            self.order_load(
+                now,
+                CopyKey {
+                    worker: end.worker,
+                    function,
+                },
+                id,
+                actions,
+            );
+        }
+        if let Some(state) = self.functions.get_mut(&function) {
+            state.queue.push_front(id);
+            self.queued_functions.insert(function);
+        }
+    }
+
+    /// Whether the worker that missed should load the function: it is the function's first
+    /// candidate, or the copies that are known are saturated.
+    fn miss_calls_for_load(&self, now: Micros, worker: WorkerId, request: &RequestState) -> bool {
+        let Some(function) = self.functions.get(&request.function) else {
+            return false;
+        };
+        let is_first_candidate = function.candidates.first() == Some(&worker);
+        let copies_saturated = request.attempts == 1
+            && function
+                .copies
+                .iter()
+                .filter(|(_, copy)| copy.count > 0)
+                .any(|(worker, _)| self.is_saturated(now, *worker));
+        is_first_candidate || copies_saturated
+    }
+
+    /// Forgets a request that needs nothing more.
+    pub(super) fn forget_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(&id) else {
+            return;
+        };
+        self.deadlines.remove(&(request.expires_at, id));
+        self.remove_from_queue(request.function, id);
+    }
+}
--- /dev/null
+++ b/src/policy/scan.rs
@@ -0,0 +1,136 @@
+//! Periodic work: intervals of FCP, the scan of all workers, and loads that are overdue.
+
+use std::collections::BTreeSet;
+
+use super::worker::WorkerState;
+use super::{Policy, FCP_INTERVAL, HEALTH_SCAN_INTERVAL};
+use crate::api::{Action, FunctionId, Micros, WorkerId};
+
+use super::loads::CopyKey;
+
+/// Share of all concurrency limits that may be in use before requests stop spreading to workers
+/// without a copy.
+const SPREAD_UTILIZATION: f64 = 0.75;
+/// Share of all concurrency limits, or of the initial ones if those are more, that may be in use
+/// before late requests yield.
+const OVERLOAD_UTILIZATION: f64 = 0.5;
+
+impl Policy {
+    /// Does the periodic work if it is due.
+    pub(super) fn on_wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if now < self.last_scan_at + HEALTH_SCAN_INTERVAL {
+            return;
+        }
+        self.last_scan_at = now;
+        if now >= self.interval_started_at + FCP_INTERVAL {
+            self.begin_interval(now);
+        }
+        self.scan_workers(now);
+        self.forget_overdue_loads(now);
+        self.cancel_stalled(now, actions);
+    }
+
+    fn begin_interval(&mut self, now: Micros) {
+        self.interval_started_at = now;
+        // Without this, memory would grow with every function ever called.
+        self.functions.retain(|_, function| function.is_in_use());
+        for function in self.functions.values_mut() {
+            function.begin_interval();
+            function
+                .copies
+                .retain(|worker, copy| copy.own_in_flight > 0 || self.workers.contains_key(worker));
+        }
+    }
+
+    /// Nobody tells the end of a load whose requests have left. Past its usual time it is taken to
+    /// have ended.
+    fn forget_overdue_loads(&mut self, now: Micros) {
+        let mut loads = std::mem::take(&mut self.loads_in_progress);
+        loads.retain(|key, load| {
+            let function = self.functions.get(&key.function);
+            function.is_some_and(|function| now <= load.since + self.load_patience(function))
+        });
+        self.loads_in_progress = loads;
+    }
+
+    /// Looks at all workers: which stall, how many are healthy, and how much of their capacity is
+    /// in use.
+    pub(super) fn scan_workers(&mut self, now: Micros) {
+        let stalled: BTreeSet<WorkerId> = self
+            .workers
+            .iter()
+            .filter(|(id, worker)| self.is_stalled(now, **id, worker))
+            .map(|(id, _)| *id)
+            .collect();
+        for (id, worker) in &mut self.workers {
+            worker.stalled = stalled.contains(id);
+        }
+        self.workers
+            .retain(|_, worker| worker.ready || worker.in_flight > 0);
+        self.ready_workers = self.workers.values().filter(|worker| worker.ready).count();
+        self.healthy_workers = self
+            .workers
+            .values()
+            .filter(|worker| worker.ready && worker.is_healthy(now))
+            .count();
+        self.measure_capacity(now);
+    }
+
+    fn measure_capacity(&mut self, now: Micros) {
+        let ready = self.ready_workers.max(1) as f64;
+        let answers = self.recent_answers.count(now, FCP_INTERVAL);
+        // The maximum is kept: a budget cut by the very loss that it should mend would never
+        // recover.
+        self.observed_capacity = self
+            .observed_capacity
+            .max(answers / FCP_INTERVAL as f64 / ready);
+        let limits: f64 = self
+            .workers
+            .values()
+            .filter(|worker| worker.ready)
+            .map(|worker| worker.concurrency_limit)
+            .sum();
+        let in_flight = self.in_flight_average.value(now);
+        let initial_limits = self.initial_concurrency_limit * ready;
+        self.has_spare_capacity = in_flight < SPREAD_UTILIZATION * limits;
+        self.is_overloaded = in_flight > OVERLOAD_UTILIZATION * limits.max(initial_limits);
+    }
+
+    /// Whether a worker has answered nothing for longer than its attempts take elsewhere: it hangs,
+    /// is partitioned, or is overloaded.
+    fn is_stalled(&self, now: Micros, id: WorkerId, worker: &WorkerState) -> bool {
+        if worker.in_flight == 0 {
+            return false;
+        }
+        let objective = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .min()
+            .unwrap_or(0);
+        let usual = (4.0 * self.mean_run_time_of_all()).max(objective as f64 * 0.75);
+        // One long request alone is no sign of a hang, nor is the wait for a load.
+        let patience = usual * if worker.in_flight > 1 { 1.0 } else { 2.0 };
+        now > worker.last_answer_at + patience as Micros + self.longest_load_at(id)
+    }
+
+    /// The longest load patience of the functions that a worker is believed to be loading, in
+    /// microseconds.
+    fn longest_load_at(&self, worker: WorkerId) -> Micros {
+        let first = CopyKey {
+            worker,
+            function: FunctionId(0),
+        };
+        let last = CopyKey {
+            worker,
+            function: FunctionId(u64::MAX),
+        };
+        self.loads_in_progress
+            .range(first..=last)
+            .filter_map(|(key, _)| self.functions.get(&key.function))
+            .map(|function| self.load_patience(function))
+            .max()
+            .unwrap_or(0)
+    }
+}
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,279 +1,284 @@
-//! Which worker a request goes to, or what is done there first.
+//! Which worker a queued request goes to, or what has to be done there first.
+//!
+//! The rules are tried in the order of [`Selection::decide`]; the first that applies decides.
 
-use super::*;
+use std::cell::OnceCell;
 
-/// Homes without a copy that are found by asking within a keep time, before asking stops.
-const ASKS: usize = 3;
-/// Mean calls that a worker may be owed by a function without another home, while calm.
-const CREDIT: f64 = 6.0;
+use super::function::FunctionState;
+use super::loads::{LOAD_CERTAIN, LOAD_EXCLUDED, LOAD_LIKELY};
+use super::request::RequestState;
+use super::{Policy, TICK_INTERVAL};
+use crate::api::{FunctionId, Micros, RequestId, WorkerId};
 
-/// What is done next for a held request. `Begin` tells how surely a load begins.
-#[rustfmt::skip]
-enum Step { Hold, Warm(WorkerId), Wait(WorkerId), Begin(WorkerId, f64), Ask(WorkerId), Order(WorkerId) }
+/// Workers without a copy that are found by querying within a copy's idle timeout, before querying
+/// stops.
+const MAX_MISSES: usize = 3;
+/// How many rounds of requests may be in flight at a copy: one that runs and one that waits.
+const ROUNDS_PER_COPY: u32 = 2;
 
-impl Policy {
-    /// Sends one held request if some worker may take it now; tells whether it left.
-    pub(super) fn place(
-        &mut self,
+/// What is done next for a queued request.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) enum Decision {
+    /// It stays queued.
+    Hold,
+    /// It is sent to a loaded copy.
+    SendToCopy(WorkerId),
+    /// It is sent to wait for a load in progress.
+    SendToLoading(WorkerId),
+    /// It is sent to a worker where it may begin a load.
+    SendToLoad {
+        /// The worker.
+        worker: WorkerId,
+        /// How likely a load begins.
+        load_probability: f64,
+    },
+    /// The worker is asked for its copies.
+    QueryCopies(WorkerId),
+    /// The worker is ordered to load a copy.
+    OrderLoad(WorkerId),
+}
+
+/// The view of one queued request on its function's copies and candidates.
+pub(super) struct Selection<'a> {
+    pub(super) policy: &'a Policy,
+    pub(super) now: Micros,
+    pub(super) function: &'a FunctionState,
+    pub(super) request: &'a RequestState,
+    /// How long a load may be in progress, in microseconds.
+    pub(super) load_patience: Micros,
+    /// Whether more than one instance shares the work.
+    pub(super) is_shared: bool,
+    /// Whether another attempt would be left after one that is sent now.
+    pub(super) has_further_attempt: bool,
+    /// Whether an attempt may go to a worker where it may miss: not the last attempt, nor one of a
+    /// request for which a load was ordered, as three misses are a rejection.
+    pub(super) may_risk_miss: bool,
+    /// The candidates that may take the request now, in the order in which they are tried.
+    pub(super) usable: Vec<WorkerId>,
+    /// The first candidate that is healthy: where all instances expect the function's copies.
+    pub(super) preferred: Option<WorkerId>,
+    /// The next worker to try without a known copy, once it is determined.
+    pub(super) next_untried: OnceCell<Option<WorkerId>>,
+}
+
+impl<'a> Selection<'a> {
+    /// The view of a request that is queued for a function.
+    pub(super) fn new(
+        policy: &'a Policy,
         now: Micros,
-        of: FunctionId,
+        function: FunctionId,
         id: RequestId,
-        out: &mut Vec<Action>,
-    ) -> bool {
-        self.refresh_order(of);
-        let step = self.choose(now, of, id);
-        match step {
-            Step::Hold => {}
-            Step::Warm(w) => self.send(now, id, w, false, out),
-            Step::Wait(w) => self.send(now, id, w, true, out),
-            Step::Begin(w, sure) => {
-                self.begin_load(now, (w, of), sure);
-                self.send(now, id, w, true, out);
-            }
-            Step::Ask(worker) => {
-                self.functions.entry(of).and_modify(|f| {
-                    f.copies.entry(worker).or_default().asked = now;
-                    f.asked = now;
-                });
-                out.push(Action::Load {
-                    worker,
-                    function: of,
-                    copies: 0,
-                });
-            }
-            Step::Order(w) => self.order_load(now, (w, of), id, out),
-        }
-        matches!(step, Step::Warm(_) | Step::Wait(_) | Step::Begin(..))
+    ) -> Self {
+        let function = &policy.functions[&function];
+        let request = &policy.requests[&id];
+        let has_further_attempt = request.attempts + 1 < policy.settings.max_attempts;
+        let mut selection = Selection {
+            policy,
+            now,
+            function,
+            request,
+            load_patience: policy.load_patience(function),
+            is_shared: policy.settings.instances > 1,
+            has_further_attempt,
+            may_risk_miss: has_further_attempt && request.awaited_load.is_none(),
+            usable: Vec::new(),
+            preferred: None,
+            next_untried: OnceCell::new(),
+        };
+        let candidates = selection.candidates_by_peer_health();
+        selection.usable = selection.usable_of(&candidates);
+        selection.preferred = candidates
+            .into_iter()
+            .find(|worker| selection.is_preferred(*worker));
+        selection
     }
 
-    fn choose(&self, now: Micros, function: FunctionId, id: RequestId) -> Step {
-        let (f, r, keep) = (
-            &self.functions[&function],
-            &self.requests[&id],
-            self.settings.copy_idle_timeout,
-        );
-        let none = Copies::default();
-        let copy = |w: &WorkerId| f.copies.get(w).unwrap_or(&none);
-        let past = |t: Micros| t == 0 || now >= t + keep;
-        let warm = |c: &Copies| c.count > 0 && (c.own > 0 || !past(c.used));
-        let sound = |w: &WorkerId| {
-            self.workers
-                .get(w)
-                .is_some_and(|s| s.ready && s.healthy(now))
-        };
-        // Credit of many instances adds up in a rush: of many only a function without two homes has any.
-        let lone = f.copies.iter().filter(|(w, c)| warm(c) && sound(w)).count() < 2;
-        let calls = if self.first_cap < 1.0 {
-            CREDIT * f64::from(lone && self.calm)
+    /// Decides what is done for the request.
+    pub(super) fn decide(&self) -> Decision {
+        self.use_copy()
+            .or_else(|| self.try_elsewhere_while_loading())
+            .or_else(|| self.wait_for_ordered_load())
+            .or_else(|| self.find_unknown_copies())
+            .or_else(|| self.join_load())
+            .or_else(|| self.wait_for_capacity())
+            .or_else(|| self.queue_at_copy())
+            .or_else(|| self.postpone_load())
+            .or_else(|| self.load_copy())
+            .unwrap_or(Decision::Hold)
+    }
+
+    /// A copy with free capacity, at a worker that has paid off its debt if there is one: otherwise
+    /// every instance fills the same worker before it goes on to the next. The preferred worker, if
+    /// it was not tried lately, counts as one with a copy, since other instances may keep copies
+    /// there.
+    fn use_copy(&self) -> Option<Decision> {
+        let unsaturated = self.usable.iter().copied().find(|worker| {
+            let has_copy = self.has_free_copy(*worker) && self.is_debt_free(*worker);
+            (has_copy || self.is_untried_preferred(*worker)) && !self.is_saturated(*worker)
+        });
+        let worker = unsaturated.or_else(|| self.least_saturated_copy())?;
+        if self.is_warm(self.copies_at(worker)) {
+            return Some(Decision::SendToCopy(worker));
+        }
+        let load_probability = if self.miss_loads() {
+            LOAD_LIKELY
         } else {
-            1.0
-        };
-        let credit = calls * self.mean_all();
-        let room = |w: &WorkerId| self.has_slot(now, *w, credit) && self.usable(now, *w, r);
-        // Workers of which ill is rumoured come last, each part in the function's own order.
-        let ill = |w: &WorkerId| self.workers.get(w).is_some_and(|s| now < s.rumoured);
-        let walk = || {
-            f.order
-                .iter()
-                .filter(|w| !ill(w))
-                .chain(f.order.iter().filter(|w| ill(w)))
-                .copied()
-        };
-        let rest: Vec<WorkerId> = walk().filter(room).collect();
-        let usable = || rest.iter().copied();
-        let untried = |c: &Copies| c.own == 0 && past(c.used) && past(c.missed);
-        let (patience, many) = (self.load_patience(f), self.settings.instances > 1);
-        let loads = |c: &Copies| c.loading.is_some_and(|t| now < t + patience) && c.count == 0;
-        let open = |w: &WorkerId| {
-            self.workers
-                .get(w)
-                .is_some_and(|s| self.cold_room(now, *w, s))
+            LOAD_EXCLUDED
         };
-        let cold = |w: &WorkerId| {
-            self.workers
-                .get(w)
-                .and_then(|s| s.started)
-                .is_some_and(|t| now < t + self.settings.slow_start_duration)
-        };
-        let home = walk().find(|w| sound(w) && (self.first_cap < 1.0 || open(w)));
-        // 1. Warm with a free lane. A first home not tried lately is not cold: others may keep copies there.
-        let lane = |c: &Copies| warm(c) && c.own < f.lanes * c.count;
-        // Not with the last attempt, nor away from a load ordered for this call: three misses are a refusal.
-        let spare = r.attempts + 1 < self.settings.max_attempts;
-        let blind = spare && r.waits.is_none();
-        let first = |w: WorkerId| Some(w) == home && many && blind && untried(copy(&w));
-        // One of many instances tries the next home with the call itself, cold ones last.
-        let tries =
-            self.first_cap < 1.0 && !self.miss_loads() && spare && (blind || r.attempts == 1);
-        let told = |w: &WorkerId| self.workers.get(w).map_or(0, |w| self.told(now, w));
-        let next = || {
-            let worth = |w: &WorkerId| untried(copy(w)) && told(w) < CROWD;
-            let back =
-                || usable().find(|w| r.attempts == 1 && Some(*w) == home && untried(copy(w)));
-            back()
-                .or_else(|| usable().filter(worth).min_by_key(cold))
-                .filter(|_| tries)
-        };
-        // Rested workers first: else every instance fills the same home before it goes to the next.
-        let rested = |w: &WorkerId| {
-            self.workers
-                .get(w)
-                .is_some_and(|s| s.cap >= 1.0 || s.owes(now) == 0.0)
-        };
-        let quiet = usable().find(|w| (lane(copy(w)) && rested(w) || first(*w)) && told(w) < CROWD);
-        let taken = || {
-            usable()
-                .filter(|w| lane(copy(w)))
-                .min_by_key(|w| if told(w) < CROWD { 0 } else { told(w) })
+        Some(Decision::SendToLoad {
+            worker,
+            load_probability,
+        })
+    }
+
+    /// The copy with free capacity whose worker reported least. Where a miss may be risked, a
+    /// worker that was not tried comes before it.
+    fn least_saturated_copy(&self) -> Option<WorkerId> {
+        let copy = self
+            .usable
+            .iter()
+            .copied()
+            .filter(|worker| self.has_free_copy(*worker))
+            .min_by_key(|worker| self.saturation(*worker))?;
+        let untried = if self.may_risk_miss {
+            self.next_untried()
+        } else {
+            None
         };
-        match quiet.or_else(|| taken().map(|w| next().filter(|_| blind).unwrap_or(w))) {
-            Some(w) if !warm(copy(&w)) => {
-                return Step::Begin(w, if self.miss_loads() { 0.5 } else { 0.0 })
-            }
-            Some(w) => return Step::Warm(w),
-            None => {}
-        }
-        if let Some(w) = next().filter(|_| r.waits.is_some()) {
-            return Step::Begin(w, 0.0);
-        }
-        if let Some((w, from)) = r
-            .waits
-            .filter(|(w, _)| loads(copy(w)) && self.usable(now, *w, r))
-        {
-            return if now >= from && self.has_slot(now, w, credit) {
-                Step::Wait(w)
-            } else {
-                Step::Hold
-            };
-        }
-        // Further homes are tried before a load evicts others' copies: by few instances with an ask, by many
-        // with the call itself, as a miss costs one attempt. The last is kept for a known copy or load.
-        if f.asked > 0 && now < f.asked + 2 * ROUND {
-            return Step::Hold;
-        }
-        let misses = f.copies.values().filter(|c| !past(c.missed)).count();
-        if self.settings.may_load && many && misses < ASKS {
-            match usable().find(|w| untried(copy(w)) && past(copy(w).asked)) {
-                Some(w) if self.miss_loads() || self.first_cap >= 1.0 => return Step::Ask(w),
-                Some(w) if blind => return Step::Begin(next().unwrap_or(w), 0.0),
-                _ => {}
-            }
-        }
-        // 2. A load under way: wait there, not more than two turns deep.
-        let any_warm = f.copies.iter().any(|(w, c)| warm(c) && sound(w));
-        if !any_warm {
-            if let Some(w) = usable().find(|w| loads(copy(w)) && copy(w).own < 2 * f.lanes) {
-                return Step::Wait(w);
-            }
-        }
-        // 3. Lanes taken: one more turn is cheaper than part of a load, and each load evicts others' copies.
-        let waited = now - r.arrived;
-        if any_warm && waited < (self.mean(f) as Micros).max(patience / 4) {
-            return Step::Hold;
+        Some(untried.unwrap_or(copy))
+    }
+
+    /// One of many instances tries the next worker while the load ordered for its request goes on.
+    fn try_elsewhere_while_loading(&self) -> Option<Decision> {
+        self.request.awaited_load?;
+        let worker = self.next_untried()?;
+        Some(Decision::SendToLoad {
+            worker,
+            load_probability: LOAD_EXCLUDED,
+        })
+    }
+
+    /// The request goes to the load that was ordered for it once the order has had its head start.
+    fn wait_for_ordered_load(&self) -> Option<Decision> {
+        let load = self.request.awaited_load?;
+        let goes_on = self.is_loading(self.copies_at(load.worker))
+            && self.policy.may_take(self.now, load.worker, self.request);
+        if !goes_on {
+            return None;
         }
-        // 4. A second turn where the function stands: the worker starts another copy by itself, no fetch.
-        if let Some(w) =
-            usable().find(|w| warm(copy(w)) && copy(w).own < 2 * f.lanes * copy(w).count)
+        let may_send = self.now >= load.send_from
+            && self
+                .policy
+                .has_capacity(self.now, load.worker, self.credit());
+        Some(if may_send {
+            Decision::SendToLoading(load.worker)
+        } else {
+            Decision::Hold
+        })
+    }
+
+    /// Further candidates are tried before a load evicts other functions' copies: by few instances
+    /// with a query, by many with the request itself, as a miss costs one attempt. The last attempt
+    /// is kept for a known copy or load.
+    fn find_unknown_copies(&self) -> Option<Decision> {
+        if self.function.last_query_at > 0
+            && self.now < self.function.last_query_at + 2 * TICK_INTERVAL
         {
-            return Step::Warm(w);
+            return Some(Decision::Hold);
         }
-        // 5. A cold worker, next in the order; loads under way are bounded, the store is shared. While all
-        // carry much only the first home loads: spreading then evicts others' copies, and all is late.
-        let most_loads = (self.first_cap * self.ready as f64 / 2.0 - 1.0).max(2.0);
-        if any_warm && !self.calm
-            || self.loading.values().map(|(_, sure)| sure).sum::<f64>() > most_loads
-            || f.copies.values().any(loads) && waited < patience
-        {
-            return Step::Hold;
+        let misses = self
+            .function
+            .copies
+            .values()
+            .filter(|copy| !self.is_outdated(copy.missed_at))
+            .count();
+        if !self.policy.settings.may_load || !self.is_shared || misses >= MAX_MISSES {
+            return None;
         }
-        let near = |w: &WorkerId| self.calm || Some(*w) == home;
-        match usable().find(|w| near(w) && !warm(copy(w)) && !loads(copy(w))) {
-            Some(w) if !self.miss_loads() && (!blind || !past(copy(&w).missed)) => Step::Order(w),
-            Some(w) => Step::Begin(w, 1.0),
-            None => Step::Hold,
+        let worker = self.usable.iter().copied().find(|worker| {
+            let copies = self.copies_at(*worker);
+            self.is_untried(copies) && self.is_outdated(copies.queried_at)
+        })?;
+        if self.miss_loads() || !self.policy.shares_workers_with_many() {
+            return Some(Decision::QueryCopies(worker));
         }
+        let worker = self.next_untried().unwrap_or(worker);
+        self.may_risk_miss.then_some(Decision::SendToLoad {
+            worker,
+            load_probability: LOAD_EXCLUDED,
+        })
     }
 
-    fn send(
-        &mut self,
-        now: Micros,
-        id: RequestId,
-        worker: WorkerId,
-        cold: bool,
-        out: &mut Vec<Action>,
-    ) {
-        let Some(r) = self.requests.get_mut(&id) else {
-            return;
-        };
-        let function = r.function;
-        r.attempts += 1;
-        r.out = Some(Attempt {
-            worker,
-            sent: now,
-            cold,
-            cancelled: false,
-        });
-        // A try elsewhere leaves the load ordered for it to come back to, and its head start.
-        r.waits = r.waits.filter(|(w, _)| *w != worker);
-        let Some(f) = self.functions.get_mut(&function) else {
-            return;
-        };
-        let c = f.copies.entry(worker).or_default();
-        (c.own, c.used) = (c.own + 1, now);
-        self.unhold(function, id);
-        if let Some(w) = self.workers.get_mut(&worker) {
-            w.quiet_since = if w.inflight == 0 { now } else { w.quiet_since };
-            w.charge(now, 0.0);
-            w.inflight += 1;
-            recent(&mut w.sent, now, self.settings.overload_window);
-            w.sent.push_back(now);
+    /// Without a warm copy the request waits at a load in progress, not more than two rounds deep.
+    fn join_load(&self) -> Option<Decision> {
+        if self.has_warm_copy() {
+            return None;
         }
-        out.push(Action::Send {
-            request: id,
-            worker,
-            timeout: None,
-        });
+        let max_in_flight = ROUNDS_PER_COPY * self.function.concurrency_per_copy;
+        let worker = self.usable.iter().copied().find(|worker| {
+            let copies = self.copies_at(*worker);
+            self.is_loading(copies) && copies.own_in_flight < max_in_flight
+        })?;
+        Some(Decision::SendToLoading(worker))
     }
 
-    /// Whether a worker may take this request now, lanes and slots aside.
-    fn usable(&self, now: Micros, id: WorkerId, r: &Request) -> bool {
-        let Some(w) = self.workers.get(&id) else {
-            return false;
-        };
-        if !w.ready
-            || w.gates.get(&r.class).is_some_and(|g| now < g.0)
-            || !self.cold_room(now, id, w)
-        {
-            return false;
-        }
-        if let (Some((at, _)), Effect::Keyed { scope: group, .. }) = (r.ran, r.effect) {
-            let first = self.workers.get(&at);
-            if group == IdempotencyScope::Zone && first.is_none_or(|f| f.zone != w.zone)
-                || group == IdempotencyScope::Cell && first.is_none_or(|f| f.cell != w.cell)
-            {
-                return false;
-            }
-        }
-        // Never eject most of the fleet: when most look ill the fault is elsewhere.
-        (w.healthy(now) || 2 * self.fit < self.ready) && (r.avoid != Some(id) || self.ready < 2)
+    /// While all copies are busy, one more run is cheaper than part of a load, and each load evicts
+    /// other functions' copies.
+    fn wait_for_capacity(&self) -> Option<Decision> {
+        let run_time = self.policy.mean_run_time(self.function) as Micros;
+        let patience = run_time.max(self.load_patience / 4);
+        (self.has_warm_copy() && self.waited() < patience).then_some(Decision::Hold)
     }
 
-    fn has_slot(&self, now: Micros, worker: WorkerId, credit: f64) -> bool {
-        let room = |w: &Worker| {
-            f64::from(w.inflight) < w.cap.max(2.0)
-                && (w.cap >= 1.0 || w.owes(now) <= if w.strikes == 0 { credit } else { 0.0 })
-        };
-        self.workers.get(&worker).is_some_and(room)
+    /// A second round at a worker with a copy: it starts another copy by itself, without fetching
+    /// the function.
+    fn queue_at_copy(&self) -> Option<Decision> {
+        let worker = self.usable.iter().copied().find(|worker| {
+            let copies = self.copies_at(*worker);
+            let max_in_flight = ROUNDS_PER_COPY * self.function.concurrency_per_copy * copies.count;
+            self.is_warm(copies) && copies.own_in_flight < max_in_flight
+        })?;
+        Some(Decision::SendToCopy(worker))
     }
 
-    /// Calls that a worker told of; to few instances their own tell enough.
-    pub(super) fn told(&self, now: Micros, w: &Worker) -> u32 {
-        let counts = self.first_cap < 1.0 && now < w.told.1 + self.settings.copy_idle_timeout;
-        u32::from(counts) * w.told.0 as u32
+    /// Loads in progress are bounded, as all workers fetch from one store, and a function has one
+    /// at a time unless its request has waited long.
+    fn postpone_load(&self) -> Option<Decision> {
+        let policy = self.policy;
+        let max_loads =
+            (policy.initial_concurrency_limit * policy.ready_workers as f64 / 2.0 - 1.0).max(2.0);
+        let expected_loads: f64 = policy
+            .loads_in_progress
+            .values()
+            .map(|load| load.probability)
+            .sum();
+        let loads_already = self
+            .function
+            .copies
+            .values()
+            .any(|copy| self.is_loading(copy))
+            && self.waited() < self.load_patience;
+        let must_wait = self.has_warm_copy() && !policy.has_spare_capacity
+            || expected_loads > max_loads
+            || loads_already;
+        must_wait.then_some(Decision::Hold)
     }
 
-    /// Whether a call that misses begins a load by itself; else it takes no place among the loads.
-    fn miss_loads(&self) -> bool {
-        self.settings.on_miss == OnMiss::Load
+    /// The next candidate without a copy loads one. Without spare capacity only the preferred
+    /// worker does: spreading then evicts other functions' copies, and everything is late.
+    fn load_copy(&self) -> Option<Decision> {
+        let worker = self.usable.iter().copied().find(|worker| {
+            let copies = self.copies_at(*worker);
+            let is_near = self.policy.has_spare_capacity || Some(*worker) == self.preferred;
+            is_near && !self.is_warm(copies) && !self.is_loading(copies)
+        })?;
+        let missed_lately = !self.is_outdated(self.copies_at(worker).missed_at);
+        if !self.miss_loads() && (!self.may_risk_miss || missed_lately) {
+            return Some(Decision::OrderLoad(worker));
+        }
+        Some(Decision::SendToLoad {
+            worker,
+            load_probability: LOAD_CERTAIN,
+        })
     }
 }
--- /dev/null
+++ b/src/policy/selection_view.rs
@@ -0,0 +1,190 @@
+//! What the rules of selection look at: the candidates, their copies, and what is known of them.
+
+use super::function::CopyState;
+use super::selection::Selection;
+use crate::api::{Micros, WorkerId};
+
+/// Requests of mean run time that a worker may be in debt for with a function that stands nowhere
+/// else, while there is spare capacity.
+const CONCURRENCY_CREDIT: f64 = 6.0;
+
+impl Selection<'_> {
+    /// The function's candidates, those that peers observe to be faulty last.
+    pub(super) fn candidates_by_peer_health(&self) -> Vec<WorkerId> {
+        let is_suspect = |worker: &&WorkerId| {
+            self.policy
+                .workers
+                .get(worker)
+                .is_some_and(|state| self.now < state.peer_unhealthy_until)
+        };
+        let candidates = &self.function.candidates;
+        let trusted = candidates.iter().filter(|worker| !is_suspect(worker));
+        let suspect = candidates.iter().filter(is_suspect);
+        trusted.chain(suspect).copied().collect()
+    }
+
+    pub(super) fn usable_of(&self, candidates: &[WorkerId]) -> Vec<WorkerId> {
+        let credit = self.credit();
+        candidates
+            .iter()
+            .copied()
+            .filter(|worker| self.policy.has_capacity(self.now, *worker, credit))
+            .filter(|worker| self.policy.may_take(self.now, *worker, self.request))
+            .collect()
+    }
+
+    pub(super) fn is_preferred(&self, worker: WorkerId) -> bool {
+        let accepts_load = || {
+            let state = self.policy.workers.get(&worker);
+            state.is_some_and(|state| self.policy.within_slow_start(self.now, worker, state))
+        };
+        self.is_sound(worker) && (self.policy.shares_workers_with_many() || accepts_load())
+    }
+
+    /// The concurrency debt that a worker may have and still take the request, in microseconds. The
+    /// credit of many instances adds up in a burst: of these only a function without two copies
+    /// gives any.
+    pub(super) fn credit(&self) -> f64 {
+        let requests = if !self.policy.shares_workers_with_many() {
+            1.0
+        } else if self.has_single_copy() && self.policy.has_spare_capacity {
+            CONCURRENCY_CREDIT
+        } else {
+            0.0
+        };
+        requests * self.policy.mean_run_time_of_all()
+    }
+
+    pub(super) fn has_single_copy(&self) -> bool {
+        self.sound_warm_copies() < 2
+    }
+
+    pub(super) fn has_warm_copy(&self) -> bool {
+        self.sound_warm_copies() > 0
+    }
+
+    pub(super) fn sound_warm_copies(&self) -> usize {
+        let copies = self.function.copies.iter();
+        copies
+            .filter(|(worker, copy)| self.is_warm(copy) && self.is_sound(**worker))
+            .count()
+    }
+
+    /// The next worker that one of many instances tries with the request itself: the preferred one
+    /// after a first attempt elsewhere, otherwise the first that is not saturated, workers in slow
+    /// start last.
+    pub(super) fn next_untried(&self) -> Option<WorkerId> {
+        *self.next_untried.get_or_init(|| {
+            let may_try = self.policy.shares_workers_with_many()
+                && !self.miss_loads()
+                && self.has_further_attempt
+                && (self.may_risk_miss || self.request.attempts == 1);
+            if !may_try {
+                return None;
+            }
+            self.preferred_after_first_attempt()
+                .or_else(|| self.first_unsaturated_untried())
+        })
+    }
+
+    pub(super) fn preferred_after_first_attempt(&self) -> Option<WorkerId> {
+        let preferred = self.preferred.filter(|_| self.request.attempts == 1)?;
+        (self.usable.contains(&preferred) && self.is_untried(self.copies_at(preferred)))
+            .then_some(preferred)
+    }
+
+    pub(super) fn first_unsaturated_untried(&self) -> Option<WorkerId> {
+        let slow_start = self.policy.settings.slow_start_duration;
+        self.usable
+            .iter()
+            .copied()
+            .filter(|worker| {
+                self.is_untried(self.copies_at(*worker)) && !self.is_saturated(*worker)
+            })
+            .min_by_key(|worker| {
+                let state = self.policy.workers.get(worker);
+                state.is_some_and(|state| state.is_in_slow_start(self.now, slow_start))
+            })
+    }
+
+    pub(super) fn is_untried_preferred(&self, worker: WorkerId) -> bool {
+        Some(worker) == self.preferred
+            && self.is_shared
+            && self.may_risk_miss
+            && self.is_untried(self.copies_at(worker))
+    }
+
+    pub(super) fn copies_at(&self, worker: WorkerId) -> &CopyState {
+        self.function
+            .copies
+            .get(&worker)
+            .unwrap_or(&CopyState::NONE)
+    }
+
+    /// Whether what was known at an instant may have changed since, as idle copies may have been
+    /// unloaded.
+    pub(super) fn is_outdated(&self, at: Micros) -> bool {
+        at == 0 || self.now >= at + self.policy.settings.copy_idle_timeout
+    }
+
+    pub(super) fn is_warm(&self, copies: &CopyState) -> bool {
+        copies.count > 0 && (copies.own_in_flight > 0 || !self.is_outdated(copies.last_used_at))
+    }
+
+    pub(super) fn is_loading(&self, copies: &CopyState) -> bool {
+        let in_progress = copies
+            .loading_since
+            .is_some_and(|since| self.now < since + self.load_patience);
+        in_progress && copies.count == 0
+    }
+
+    /// Whether nothing is known lately of the function's copies there.
+    pub(super) fn is_untried(&self, copies: &CopyState) -> bool {
+        copies.own_in_flight == 0
+            && self.is_outdated(copies.last_used_at)
+            && self.is_outdated(copies.missed_at)
+    }
+
+    pub(super) fn has_free_copy(&self, worker: WorkerId) -> bool {
+        let copies = self.copies_at(worker);
+        self.is_warm(copies)
+            && copies.own_in_flight < self.function.concurrency_per_copy * copies.count
+    }
+
+    pub(super) fn is_sound(&self, worker: WorkerId) -> bool {
+        let state = self.policy.workers.get(&worker);
+        state.is_some_and(|state| state.ready && state.is_healthy(self.now))
+    }
+
+    pub(super) fn is_debt_free(&self, worker: WorkerId) -> bool {
+        let state = self.policy.workers.get(&worker);
+        state.is_some_and(|state| {
+            state.concurrency_limit >= 1.0 || state.concurrency_debt(self.now) == 0.0
+        })
+    }
+
+    pub(super) fn is_saturated(&self, worker: WorkerId) -> bool {
+        self.policy.is_saturated(self.now, worker)
+    }
+
+    /// The requests that a saturated worker reported; 0 for others.
+    pub(super) fn saturation(&self, worker: WorkerId) -> u32 {
+        if self.is_saturated(worker) {
+            self.policy
+                .workers
+                .get(&worker)
+                .map_or(0, |state| self.policy.reported_in_flight(self.now, state))
+        } else {
+            0
+        }
+    }
+
+    /// How long the request has been with this instance, in microseconds.
+    pub(super) fn waited(&self) -> Micros {
+        self.now - self.request.arrived_at
+    }
+
+    pub(super) fn miss_loads(&self) -> bool {
+        self.policy.miss_loads()
+    }
+}
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -5,7 +5,7 @@
 use crate::api::{Effect, Micros};
 use crate::delivery::response::{Dead, State};
 use crate::delivery::Waiting;
-use crate::policy::allowed;
+use crate::policy::permitted_after;
 
 /// What is done with a call found at a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 pub fn fate(call: &CallRecord, now: Micros, stepped_back: bool) -> RecoveryAction {
     let safe = call.effect == Effect::Idempotent;
     if call.sent.is_some() && !safe {
-        let refuse = allowed(call.effect, call.sent, now, 0).refuse && !stepped_back;
+        let refuse = permitted_after(call.effect, call.sent, now, 0).reject && !stepped_back;
         return if refuse {
             RecoveryAction::Refuse
         } else {
@@ -48,7 +48,7 @@
 ) -> (State, AttemptRecord) {
     w.ran.get_or_insert(begun);
     let keyed = matches!(w.effect, Effect::Keyed { .. });
-    let again = allowed(w.effect, w.ran, now, 0).resend && !(stepped_back && keyed);
+    let again = permitted_after(w.effect, w.ran, now, 0).retry && !(stepped_back && keyed);
     let state = if again {
         State::Waiting
     } else {
