--- /dev/null
+++ b/src/front/webhook/replay/tests.rs
@@ -0,0 +1,57 @@
+//! Tests of `front::webhook::replay`.
+
+use super::*;
+
+#[test]
+fn a_full_store_takes_nothing_until_something_has_run_out() {
+    let mut r = Replays::new(2);
+    assert_eq!(r.take("t", "a", 0, 10), Seen::New);
+    assert_eq!(
+        r.take("t", "a", 10, 20),
+        Seen::Before,
+        "still valid at its last instant"
+    );
+    assert_eq!(r.take("u", "a", 1, 20), Seen::New, "another tenant's");
+    assert_eq!(r.take("t", "b", 2, 20), Seen::Full);
+    assert_eq!(r.take("t", "b", 11, 20), Seen::New);
+    assert_eq!(
+        r.take("ta", "", 12, 20),
+        Seen::Full,
+        "and not taken for tenant t's a"
+    );
+}
+
+#[test]
+fn a_file_outlives_the_process_and_a_line_cut_off() {
+    let folder = std::env::temp_dir().join(format!("molelug-replays-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let path = folder.join("seen");
+    let mut r = Replays::open(&path, 3, 0).unwrap();
+    assert_eq!(
+        (r.take("t", "a", 0, 10), r.take("t", "b", 0, 20)),
+        (Seen::New, Seen::New)
+    );
+    drop(r);
+    let mut text = std::fs::read_to_string(&path).unwrap();
+    text.push_str("30 0011");
+    std::fs::write(&path, text).unwrap();
+    let mut r = Replays::open(&path, 3, 15).unwrap();
+    assert_eq!(
+        (r.take("t", "a", 15, 30), r.take("t", "b", 15, 30)),
+        (Seen::New, Seen::Before)
+    );
+    // Written anew before it has grown without bound, and nothing valid is lost by it.
+    for i in 0..2 * FEWEST as u64 {
+        assert_eq!(r.take("t", &format!("c{i}"), 100 + i, 100 + i), Seen::New);
+    }
+    assert!(std::fs::read_to_string(&path).unwrap().lines().count() <= FEWEST + 1);
+    let last = format!("c{}", 2 * FEWEST - 1);
+    let now = 99 + 2 * FEWEST as u64;
+    assert_eq!(
+        Replays::open(&path, 3, now)
+            .unwrap()
+            .take("t", &last, now, now),
+        Seen::Before
+    );
+    std::fs::remove_dir_all(&folder).unwrap();
+}
--- a/src/membership/budget.rs
+++ b/src/membership/budget.rs
@@ -57,30 +57,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        /// In no span does more leave than the ceiling of that span and a second saved up.
-        #[test]
-        fn the_ceiling_holds_in_every_span(steps in prop::collection::vec((0u64..400_000, 1usize..1200), 1..200)) {
-            let (mut budget, mut now, mut sent) = (Budget::new(5000, 10, 0), 0, Vec::new());
-            for (span, size) in steps {
-                now += span;
-                if budget.take(now, size) {
-                    sent.push((now, size));
-                }
-            }
-            for (i, (from, _)) in sent.iter().enumerate() {
-                let (mut bytes, mut count) = (0, 0.0);
-                for (at, size) in &sent[i..] {
-                    bytes += size;
-                    count += 1.0;
-                    let span = (at - from) as f64 / 1e6;
-                    prop_assert!(bytes as f64 <= 5000.0 * (1.0 + span) + 1.0 && count <= 10.0 * (1.0 + span) + 0.01);
-                }
-            }
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/operations/overrides/tests.rs
@@ -0,0 +1,169 @@
+//! Tests of `operations::overrides`.
+
+use super::*;
+use crate::api::{CellId, WorkerId, ZoneId};
+use proptest::prelude::*;
+
+fn member(id: u32, status: WorkerStatus) -> WorkerEntry {
+    WorkerEntry {
+        worker: WorkerId(id),
+        zone: ZoneId(0),
+        cell: CellId(0),
+        status,
+        capacity: 1.0,
+        started_at: None,
+    }
+}
+
+fn list(u: &mut WorkerOverrides, whole: bool, name: &str, status: WorkerStatus) -> WorkerStatus {
+    u.list(whole, [(name, member(1, status))]).remove(0).status
+}
+
+#[test]
+fn a_ban_outlives_whatever_the_list_says_and_one_call_ends_it() {
+    let mut u = WorkerOverrides::default();
+    let never = Err(OverrideError::NeverListed);
+    assert!(u.exclude("s-1", 5) == never && u.include("s-1", 1) == never);
+    assert_eq!(
+        list(&mut u, true, "s-1", WorkerStatus::Ready),
+        WorkerStatus::Ready
+    );
+    assert_eq!(
+        u.exclude("s-1", 5).unwrap().unwrap().status,
+        WorkerStatus::Draining
+    );
+    assert!(
+        u.exclude("s-1", 5).unwrap().is_none(),
+        "again is harmless, and nothing new"
+    );
+    assert_eq!(
+        list(&mut u, false, "s-1", WorkerStatus::Ready),
+        WorkerStatus::Draining
+    );
+    assert_eq!(
+        list(&mut u, false, "s-1", WorkerStatus::Removed),
+        WorkerStatus::Removed
+    );
+    assert_eq!(
+        list(&mut u, true, "s-2", WorkerStatus::Ready),
+        WorkerStatus::Ready,
+        "a whole new list without it"
+    );
+    assert_eq!(
+        list(&mut u, false, "s-1", WorkerStatus::Ready),
+        WorkerStatus::Draining,
+        "listed anew"
+    );
+    let back = u.include("s-1", 77).unwrap().unwrap();
+    assert_eq!(
+        (back.status, back.started_at),
+        (WorkerStatus::Ready, Some(77)),
+        "it comes back cold"
+    );
+    assert!(u.include("s-1", 80).unwrap().is_none());
+    assert_eq!(
+        list(&mut u, false, "s-1", WorkerStatus::Ready),
+        WorkerStatus::Ready
+    );
+}
+
+#[test]
+fn one_that_was_listed_and_is_gone_may_be_banned_and_one_that_drains_stays_so() {
+    let mut u = WorkerOverrides::default();
+    list(&mut u, true, "s-1", WorkerStatus::Ready);
+    list(&mut u, false, "s-1", WorkerStatus::Removed);
+    assert!(u.exclude("s-1", 5).unwrap().is_none() && u.is_banned("s-1"));
+    list(&mut u, false, "s-2", WorkerStatus::Draining);
+    u.exclude("s-2", 5).unwrap();
+    assert_eq!(
+        u.include("s-2", 9).unwrap().unwrap().status,
+        WorkerStatus::Draining
+    );
+}
+
+#[test]
+fn names_are_forgotten_oldest_first_but_never_one_that_is_banned_or_listed() {
+    let mut u = WorkerOverrides::default();
+    list(&mut u, true, "banned", WorkerStatus::Ready);
+    u.exclude("banned", 5).unwrap();
+    list(&mut u, false, "banned", WorkerStatus::Removed);
+    list(&mut u, false, "listed", WorkerStatus::Ready);
+    for n in 0..3 * MAX_WORKERS_SEEN {
+        let name = format!("s-{n}");
+        list(&mut u, false, &name, WorkerStatus::Ready);
+        list(&mut u, false, &name, WorkerStatus::Removed);
+    }
+    assert!(u.order.len() <= MAX_WORKERS_SEEN && u.seen.len() == u.order.len());
+    assert!(u.is_banned("banned") && u.knows("listed") && u.knows("s-3000") && !u.knows("s-1"));
+    u.see(&"x".repeat(MAX_NAME_BYTES + 1));
+    assert!(!u.knows(&"x".repeat(MAX_NAME_BYTES + 1)));
+}
+
+proptest! {
+    /// Two processes that hear the same words in any order, some twice, hold the same bans.
+    #[test]
+    fn merging_knows_no_order(
+        words in proptest::collection::vec((0..3usize, any::<bool>(), 0..6u64), 0..20),
+        turn in any::<prop::sample::Index>(),
+    ) {
+        let names = ["a", "b", "c"];
+        let heard = |words: &[(usize, bool, u64)]| {
+            let mut u = WorkerOverrides::default();
+            for (n, ban, at) in words {
+                u.merge(names[*n], *ban, *at, 9);
+            }
+            u.bans().clone()
+        };
+        let mut other = words.clone();
+        if !other.is_empty() {
+            let by = turn.index(other.len());
+            other.rotate_left(by);
+            other.extend_from_within(..by);
+        }
+        prop_assert_eq!(heard(&words), heard(&other));
+    }
+
+    /// Against a plain model: told as ready only if the list says so and no ban holds.
+    #[test]
+    fn told_is_the_list_and_the_operator_together(
+        steps in proptest::collection::vec((0..6u8, 0..4usize), 0..60),
+    ) {
+        let names = ["a", "b", "c", "d"];
+        let mut u = WorkerOverrides::default();
+        let (mut ready, mut banned, mut ever) = ([false; 4], [false; 4], [false; 4]);
+        let mut told = [false; 4];
+        for (what, n) in steps {
+            let out = match what {
+                0..=2 => {
+                    let status = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Removed][what as usize];
+                    (ready[n], ever[n]) = (what == 0, true);
+                    u.list(false, [(names[n], member(n as u32, status))])
+                }
+                3 => {
+                    ready = [false; 4];
+                    (ready[n], ever[n]) = (true, true);
+                    told = [false; 4];
+                    u.list(true, [(names[n], member(n as u32, WorkerStatus::Ready))])
+                }
+                4 => {
+                    let got = u.exclude(names[n], 5);
+                    prop_assert_eq!(got.is_ok(), ever[n]);
+                    banned[n] |= ever[n];
+                    got.ok().flatten().into_iter().collect()
+                }
+                _ => {
+                    let got = u.include(names[n], 5);
+                    prop_assert_eq!(got.is_ok(), ever[n]);
+                    banned[n] = false;
+                    got.ok().flatten().into_iter().collect()
+                }
+            };
+            for m in out {
+                told[m.worker.0 as usize] = m.status == WorkerStatus::Ready;
+            }
+            for n in 0..4 {
+                prop_assert_eq!(told[n], ready[n] && !banned[n]);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/testbed/src/history/promises/tests.rs
@@ -0,0 +1,99 @@
+//! Tests of `history::promises`.
+
+use super::*;
+
+fn led(process: u64, epoch: u64, number: u64) -> (String, u64, CopyNote) {
+    (
+        "g".into(),
+        process,
+        CopyNote::Led {
+            shard: 1,
+            epoch,
+            number,
+            chain: 0,
+            members: Vec::new(),
+        },
+    )
+}
+
+fn promised(epoch: u64, number: u64, chain: u64) -> (String, u64, CopyNote) {
+    (
+        "g".into(),
+        1,
+        CopyNote::Promised {
+            shard: 1,
+            epoch,
+            number,
+            chain,
+            disks: 2,
+        },
+    )
+}
+
+fn judged(notes: &[(String, u64, CopyNote)]) -> Vec<Wrong> {
+    check(
+        notes,
+        &BTreeMap::new(),
+        &BTreeMap::new(),
+        &BTreeMap::new(),
+        &[],
+    )
+    .1
+}
+
+#[test]
+fn each_kind_of_wrong_is_found() {
+    assert_eq!(
+        judged(&[
+            led(1, 1, 0),
+            promised(1, 1, 7),
+            led(2, 2, 1),
+            promised(2, 1, 7)
+        ]),
+        []
+    );
+    assert_eq!(
+        judged(&[led(1, 1, 0), led(2, 1, 0)]),
+        [Wrong::TwoLed { shard: 1, epoch: 1 }]
+    );
+    assert_eq!(
+        judged(&[promised(1, 1, 7), promised(2, 1, 8)]),
+        [Wrong::TwoPromised {
+            shard: 1,
+            number: 1
+        }]
+    );
+    let gone = Wrong::Gone {
+        shard: 1,
+        number: 2,
+        epoch: 2,
+    };
+    assert_eq!(
+        judged(&[promised(1, 1, 7), promised(1, 2, 8), led(2, 2, 1)]),
+        [gone]
+    );
+    let told = [("a", SAFE, 202), ("b", UNSAFE, 202), ("c", UNSAFE, 503)];
+    let told = told
+        .map(|(id, class, status)| (id.to_owned(), (class.to_owned(), status)))
+        .into();
+    let outcomes = [("a".to_owned(), "served".to_owned())].into();
+    let runs = [(("x".to_owned(), UNSAFE.to_owned()), 2)].into();
+    let portal = [("c".to_owned(), true), ("c".to_owned(), true)];
+    let (held, wrong) = check(&[], &told, &outcomes, &runs, &portal);
+    assert_eq!((held.calls, held.refused), (2, 1));
+    assert_eq!(
+        wrong,
+        [
+            Wrong::NoCallback { call: "a".into() },
+            Wrong::NoEnd { call: "b".into() },
+            Wrong::CallbackTwice {
+                call: "c".into(),
+                times: 2
+            },
+            Wrong::RanTwice {
+                call: format!("{UNSAFE} x"),
+                times: 2
+            },
+        ]
+    );
+}
