--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -340,7 +340,7 @@
                 .iter()
                 .map(|e| e.name.as_str())
                 .zip(self.endpoints.apply(notice).0);
-            let told = self.ops.upkeep.list(notice.snapshot, lines);
+            let told = self.ops.upkeep.apply_list(notice.snapshot, lines);
             members.extend(told.into_iter().map(|m| (m.worker, m)));
             self.last_revision = self.last_revision.max(notice.rev);
         }
@@ -529,7 +529,11 @@
         // Advice may have moved the module to something.
         self.pump();
         let hooks = self.secondary.hooks.as_ref().is_none_or(|h| h.is_idle(now));
-        if self.ops.life.is_ending() && self.listeners.is_empty() && self.clients == 0 && hooks {
+        if self.ops.life.is_shutting_down()
+            && self.listeners.is_empty()
+            && self.clients == 0
+            && hooks
+        {
             let late = self
                 .secondary
                 .hooks
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -65,7 +65,7 @@
                     let by = self
                         .ops
                         .life
-                        .first_request_by(now)
+                        .first_request_deadline(now)
                         .unwrap_or(now + CLIENT_SLOW);
                     self.set_deadline(key, Some(by));
                     self.on_ready(key);
@@ -154,7 +154,7 @@
             let Some((conn, Role::Client { keep, .. })) = self.connections.get_mut(key) else {
                 return;
             };
-            let stays = taken.keep && self.ops.life.keeps(now);
+            let stays = taken.keep && self.ops.life.keeps_alive(now);
             *keep = stays;
             match taken.ask {
                 Ok(Ask::Call(call)) if self.core.open() >= self.config.most_held => {
@@ -185,7 +185,11 @@
                     return;
                 }
                 Ok(Ask::Ping) => {
-                    let status = if self.ops.life.is_emptied() { 503 } else { 200 };
+                    let status = if self.ops.life.is_draining() {
+                        503
+                    } else {
+                        200
+                    };
                     conn.out.push(
                         net::KEPT_FRAME,
                         crate::front::http::response(status, "", b"", stays),
@@ -206,7 +210,7 @@
 
     pub(super) fn answer_client(&mut self, key: ConnKey, answer: &Answer) {
         let now = self.clock.now();
-        let accepting = self.ops.life.keeps(now);
+        let accepting = self.ops.life.keeps_alive(now);
         if let Answer::Served(body) = answer {
             // Guards memory against clients that ask for much and read nothing.
             let waiting = || {
@@ -239,7 +243,7 @@
         let now = self.clock.now();
         // Another process may have become ready since the last look.
         self.look(now);
-        if self.ops.life.end(now, self.is_taken_over()) {
+        if self.ops.life.begin_shutdown(now, self.is_taken_over()) {
             self.core
                 .hang(self.ops.life.accepts_until().unwrap_or(now), DRAIN_OVER);
             self.thin_out(now);
@@ -252,7 +256,7 @@
     /// machine has accepted already: the end of a listener resets them. Where another process shares the socket,
     /// they are that one's.
     pub(super) fn stop_accepting(&mut self, now: Micros) -> bool {
-        let waits = self.ops.life.takes_rest(now) && self.accept_rest();
+        let waits = self.ops.life.accepts_backlog(now) && self.accept_rest();
         if waits {
             self.core.hang(now + ACCEPT_PAUSE, DRAIN_OVER);
             return false;
@@ -283,7 +287,7 @@
     /// Gives idle connections the time by which they are closed, if they are to be, the longest idle first.
     pub(super) fn thin_out(&mut self, now: Micros) {
         let mut idle: Vec<(Micros, ConnKey)> = Vec::new();
-        let leaves = self.ops.life.idle_until(now, 0, 1).is_some();
+        let leaves = self.ops.life.idle_close_deadline(now, 0, 1).is_some();
         for (key, (conn, role)) in self.connections.iter_mut() {
             match role {
                 // Half a request has its own time, and its answer ends the connection.
@@ -299,7 +303,7 @@
         idle.sort();
         let all = idle.len();
         for (rank, (since, key)) in idle.into_iter().enumerate() {
-            let by = self.ops.life.idle_until(now, rank, all);
+            let by = self.ops.life.idle_close_deadline(now, rank, all);
             self.set_deadline(key, Some(by.unwrap_or(since.max(now) + CLIENT_IDLE)));
         }
     }
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -63,7 +63,7 @@
         (self.last_revision, self.revision_gap) = (notice.rev, None);
         let (listed, moved) = self.endpoints.apply(notice);
         let lines = notice.endpoints.iter().map(|e| e.name.as_str()).zip(listed);
-        let members = self.ops.upkeep.list(notice.snapshot, lines);
+        let members = self.ops.upkeep.apply_list(notice.snapshot, lines);
         for m in &members {
             self.on_member(m);
         }
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -11,7 +11,7 @@
 
 use super::*;
 use crate::operations::hot_restart::{
-    SiblingProcesses, SiblingState, State, MAX_STATE_BYTES, WRITE_INTERVAL,
+    ProcessState, SiblingProcesses, SiblingState, MAX_STATE_BYTES, WRITE_INTERVAL,
 };
 
 /// How often the others' words are looked at: well within the grace that the rules give after a call.
@@ -136,7 +136,7 @@
             } else {
                 fs::read(&path)
             };
-            let word = bytes.map(|b| SiblingState::read(&b, &self.config.name, alive, age));
+            let word = bytes.map(|b| SiblingState::decode(&b, &self.config.name, alive, age));
             match word {
                 Ok(Ok(word)) => heard.push((pid, alive, word)),
                 Ok(Err(e)) => tracing::error!(pid, "what another process left is passed over: {e}"),
@@ -144,20 +144,22 @@
             }
         }
         handover.read.retain(|pid, _| living.contains(pid));
-        let changed = handover.others.only(&living);
+        let changed = handover.others.retain_living(&living);
         let mut bans = Vec::new();
         for (pid, alive, word) in heard {
-            word.seen.iter().for_each(|name| self.ops.upkeep.see(name));
+            word.known_workers
+                .iter()
+                .for_each(|name| self.ops.upkeep.remember(name));
             bans.extend(
-                word.bans
+                word.exclusions
                     .iter()
                     .map(|(name, (ban, at))| (name.clone(), *ban, *at)),
             );
             if alive {
-                handover.others.heard(pid, word);
+                handover.others.update(pid, word);
             }
         }
-        let processes = handover.others.processes();
+        let processes = handover.others.process_count();
         let learnt = handover.others.bears() > self.core.bears() * 1e6;
         for (name, ban, at) in bans {
             if let Some(member) = self.ops.upkeep.merge(&name, ban, at, now) {
@@ -194,10 +196,10 @@
     /// Tells the others what has changed here, if anything has or the last word has become old.
     pub(super) fn write_word(&mut self, now: Micros) {
         let life = &self.ops.life;
-        let state = match (life.is_ending(), life.has_started()) {
-            (true, _) => State::Ending,
-            (false, true) => State::Ready,
-            (false, false) => State::Starting,
+        let state = match (life.is_shutting_down(), life.has_started()) {
+            (true, _) => ProcessState::Stopping,
+            (false, true) => ProcessState::Ready,
+            (false, false) => ProcessState::Starting,
         };
         let Some(handover) = &mut self.ops.handover else {
             return;
@@ -209,12 +211,12 @@
         let word = SiblingState {
             gateway: self.config.name.clone(),
             state,
-            rev: self.last_revision,
-            bears: (self.core.bears() * 1e6).min(1e5),
-            bans: upkeep.bans().clone(),
-            seen: upkeep.seen().map(str::to_owned).collect(),
+            list_revision: self.last_revision,
+            observed_capacity: (self.core.bears() * 1e6).min(1e5),
+            exclusions: upkeep.bans().clone(),
+            known_workers: upkeep.seen().map(str::to_owned).collect(),
         };
-        let text = word.text();
+        let text = word.encode();
         if text == handover.written.0 && now < handover.written.1 + WRITE_INTERVAL {
             return;
         }
@@ -245,7 +247,7 @@
             return;
         }
         let told = self.config.board.is_none() || handover.board;
-        if told && self.last_revision >= handover.others.rev()
+        if told && self.last_revision >= handover.others.latest_list_revision()
             || now >= handover.begun + BOARD_PATIENCE
         {
             self.ops.life.start();
@@ -260,7 +262,7 @@
         self.ops
             .handover
             .as_ref()
-            .is_some_and(|h| h.others.take_over())
+            .is_some_and(|h| h.others.any_is_ready())
     }
 
     /// Processes that share one gateway's limits.
@@ -268,6 +270,6 @@
         self.ops
             .handover
             .as_ref()
-            .map_or(1, |h| h.others.processes())
+            .map_or(1, |h| h.others.process_count())
     }
 }
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -185,7 +185,7 @@
             Ask::Telemetry => {
                 let counters = &self.core.counters;
                 let classes = &self.config.names.classes;
-                operator_console::figures(&metrics::text(
+                operator_console::figures(&metrics::encode(
                     classes,
                     &counters.ends,
                     counters.written,
@@ -201,16 +201,16 @@
                 self.keep_upkeep(now, &name, change)
             }
             Ask::Evacuate => {
-                if self.ops.life.evacuate(now) {
+                if self.ops.life.begin_draining(now) {
                     tracing::info!("is being emptied");
                     self.thin_out(now);
                 }
                 operator_console::answer(true, "no connection stays")
             }
             Ask::Activate => {
-                if self.ops.life.is_emptied() {
+                if self.ops.life.is_draining() {
                     tracing::info!("serves again");
-                    self.ops.life.activate();
+                    self.ops.life.resume();
                     self.thin_out(now);
                 }
                 operator_console::answer(true, "serves")
@@ -228,7 +228,7 @@
         match change {
             Err(refusal) => operator_console::answer(false, refusal),
             Ok(change) => {
-                let out = self.ops.upkeep.is_banned(name);
+                let out = self.ops.upkeep.is_excluded(name);
                 tracing::info!(worker = name, out, changed = change.is_some(), "upkeep");
                 if let Some(member) = change {
                     self.tell_member(now, member);
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -116,7 +116,7 @@
                 return;
             }
             let kind = *kind;
-            let accepting = self.ops.life.keeps(now);
+            let accepting = self.ops.life.keeps_alive(now);
             // The request borrows the connection's buffer, which is put back once it is answered.
             let mut input = std::mem::take(&mut conn.input);
             let (size, bytes, stays, malformed) = match http::request(input.bytes()) {
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -363,7 +363,7 @@
         now: Micros,
         bytes: impl FnOnce(bool) -> Vec<u8>,
     ) {
-        let accepting = self.ops.life.keeps(now);
+        let accepting = self.ops.life.keeps_alive(now);
         let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else {
             return;
         };
--- a/src/operations/hot_restart.rs
+++ b/src/operations/hot_restart.rs
@@ -1,6 +1,6 @@
-//! What two processes of one gateway tell each other while a new version takes over: each writes one small text
-//! of its own and reads the others'. Nobody waits for anybody, and whoever dies at any step leaves a text that is
-//! whole or none.
+//! State that two processes of one gateway share while a new version replaces an old one. Each
+//! writes one small text of its own and reads those of its siblings. No process waits for another,
+//! and a process that ends at any step leaves a complete text or none.
 //!
 //! ```text
 //! molelug-handover 1
@@ -15,91 +15,82 @@
 //! ```
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 
 use super::overrides::{MAX_NAME_BYTES, MAX_WORKERS_SEEN};
 use crate::api::{LoadRateLimit, Micros, Settings};
 
-/// The form that this version writes and reads.
+/// The version of the text that this program writes and reads.
 const VERSION: &str = "1";
-/// Bytes that a text may have.
+/// The largest text, in bytes.
 pub const MAX_STATE_BYTES: usize = 2 * MAX_WORKERS_SEEN * (MAX_NAME_BYTES + 32);
-/// Answers a second of one worker that are believed at most.
-const MOST_BORNE: f64 = 1e5;
-/// A text of a dead process that is older than this was not left by an upgrade.
+/// The largest capacity of one worker that is believed, in answers a second.
+const MAX_CAPACITY_PER_S: f64 = 1e5;
+/// A text of an ended process that is older than this, in microseconds, is not part of an upgrade.
 pub const ABANDONED_AFTER: Micros = 60_000_000;
-/// A process that has nothing new to tell writes its text again after this, as a sign that it is not old.
+/// How often a process writes its text although nothing has changed, in microseconds, so that the
+/// text does not look abandoned.
 pub const WRITE_INTERVAL: Micros = 5_000_000;
 
-/// What a process says of itself.
+/// What a process does with connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
-    /// It takes no connection yet.
+pub enum ProcessState {
+    /// It accepts none yet.
     #[default]
     Starting,
-    /// It takes connections.
+    /// It accepts connections.
     Ready,
-    /// It takes none any more.
-    Ending,
+    /// It accepts none any more.
+    Stopping,
 }
 
-const STATES: [(State, &str); 3] = [
-    (State::Starting, "starting"),
-    (State::Ready, "ready"),
-    (State::Ending, "ending"),
+const STATES: [(ProcessState, &str); 3] = [
+    (ProcessState::Starting, "starting"),
+    (ProcessState::Ready, "ready"),
+    (ProcessState::Stopping, "ending"),
 ];
 
-/// What one process tells.
+/// What one process shares with its siblings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiblingState {
-    /// The gateway that it is a process of.
+    /// The name of the gateway that the process belongs to.
     pub gateway: String,
-    /// What it does.
-    pub state: State,
-    /// The number of the last notice that it has taken over.
-    pub rev: u64,
-    /// The most that a worker served for it, answers a second.
-    pub bears: f64,
-    /// Workers that staff have taken out (or put back), and when.
-    pub bans: BTreeMap<String, (bool, Micros)>,
-    /// Names that were listed once.
-    pub seen: Vec<String>,
+    /// What it does with connections.
+    pub state: ProcessState,
+    /// The revision of the endpoint list that it has applied.
+    pub list_revision: u64,
+    /// The most that a worker served for it, in answers a second.
+    pub observed_capacity: f64,
+    /// Workers that operators have excluded (true) or included again, and when.
+    pub exclusions: BTreeMap<String, (bool, Micros)>,
+    /// Names of workers that were listed at some time.
+    pub known_workers: Vec<String>,
 }
 
-/// Why a text cannot be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a sibling's text cannot be used. The process goes on without it; the operator need only act
+/// if both processes are to run for longer.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HotRestartError {
-    /// It is not a text of this kind, or was written by another version.
+    /// It is no such text, or was written by another version. The operator finishes the upgrade.
+    #[error("'{0}' is not the form that this version reads")]
     Version(String),
-    /// Its sum does not fit: it is damaged or not whole.
+    /// Its checksum does not match: it is damaged or incomplete. It is written again within
+    /// seconds.
+    #[error("its sum does not fit")]
     Damaged,
-    /// It is larger than one can be.
+    /// It is larger than a text can be. The operator removes the file.
+    #[error("it is too large")]
     TooLarge,
-    /// A line has no meaning.
-    Line(String),
-    /// It is of another gateway.
+    /// A line has no meaning. The operator removes the file.
+    #[error("the line '{0}' has no meaning")]
+    UnknownLine(String),
+    /// It belongs to another gateway. The operator gives each gateway a `TMPDIR` of its own.
+    #[error("it is of the gateway '{0}'")]
     Foreign(String),
-    /// Its process has been dead for so long that it cannot be an upgrade's.
-    LongDead,
+    /// Its process ended too long ago to be part of an upgrade. Nothing needs to be done.
+    #[error("its process died long ago")]
+    Abandoned,
 }
 
-impl fmt::Display for HotRestartError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            HotRestartError::Version(line) => {
-                write!(f, "'{line}' is not the form that this version reads")
-            }
-            HotRestartError::Damaged => write!(f, "its sum does not fit"),
-            HotRestartError::TooLarge => write!(f, "it is too large"),
-            HotRestartError::Line(line) => write!(f, "the line '{line}' has no meaning"),
-            HotRestartError::Foreign(name) => write!(f, "it is of the gateway '{name}'"),
-            HotRestartError::LongDead => write!(f, "its process died long ago"),
-        }
-    }
-}
-
-impl std::error::Error for HotRestartError {}
-
 fn sum(text: &str) -> String {
     blake3::hash(text.as_bytes()).to_hex().as_str()[..32].to_owned()
 }
@@ -111,28 +102,29 @@
 }
 
 impl SiblingState {
-    /// The text; names that cannot stand in a line of their own are left out.
-    pub fn text(&self) -> String {
+    /// Writes the text. Names that do not fit on a line are omitted.
+    pub fn encode(&self) -> String {
         let state = STATES
             .iter()
             .find(|(s, _)| *s == self.state)
             .map_or("", |(_, word)| word);
         let mut text = format!(
             "molelug-handover {VERSION}\ngateway {}\nstate {state}\nrev {}\nbears {:.1}\n",
-            self.gateway, self.rev, self.bears
+            self.gateway, self.list_revision, self.observed_capacity
         );
-        for (name, (banned, at)) in self.bans.iter().filter(|(n, _)| usable(n)) {
+        for (name, (banned, at)) in self.exclusions.iter().filter(|(n, _)| usable(n)) {
             text += &format!("{} {name} {at}\n", if *banned { "ban" } else { "free" });
         }
-        for name in self.seen.iter().filter(|n| usable(n)) {
+        for name in self.known_workers.iter().filter(|n| usable(n)) {
             text += &format!("seen {name}\n");
         }
         let sum = sum(&text);
         text + &format!("sum {sum}\n")
     }
 
-    /// Reads a text that another process of the gateway `name` has left `age` ago; `alive` if it still runs.
-    pub fn read(
+    /// Reads the text that a process of the gateway `name` wrote `age` microseconds ago. `alive`
+    /// says whether that process still runs.
+    pub fn decode(
         bytes: &[u8],
         name: &str,
         alive: bool,
@@ -150,67 +142,70 @@
             .strip_suffix('\n')
             .and_then(|t| t.rsplit_once("\nsum "));
         let (body, stated) = body.ok_or(HotRestartError::Damaged)?;
-        let whole = format!("{body}\n");
-        if sum(&whole) != stated {
+        let covered = format!("{body}\n");
+        if sum(&covered) != stated {
             return Err(HotRestartError::Damaged);
         }
-        let mut word = SiblingState::default();
-        for line in whole.lines().skip(1) {
-            word.line(line)
-                .ok_or_else(|| HotRestartError::Line(line.chars().take(40).collect()))?;
+        let mut state = SiblingState::default();
+        for line in covered.lines().skip(1) {
+            state
+                .apply_line(line)
+                .ok_or_else(|| HotRestartError::UnknownLine(line.chars().take(40).collect()))?;
         }
-        if word.gateway != name {
-            return Err(HotRestartError::Foreign(word.gateway));
+        if state.gateway != name {
+            return Err(HotRestartError::Foreign(state.gateway));
         }
         if !alive && age > ABANDONED_AFTER {
-            return Err(HotRestartError::LongDead);
+            return Err(HotRestartError::Abandoned);
         }
-        Ok(word)
+        Ok(state)
     }
 
-    fn line(&mut self, line: &str) -> Option<()> {
-        let (what, rest) = line.split_once(' ')?;
-        match what {
+    fn apply_line(&mut self, line: &str) -> Option<()> {
+        let (key, rest) = line.split_once(' ')?;
+        match key {
             "gateway" => self.gateway = rest.to_owned(),
             "state" => self.state = STATES.iter().find(|(_, word)| *word == rest)?.0,
-            "rev" => self.rev = rest.parse().ok()?,
+            "rev" => self.list_revision = rest.parse().ok()?,
             "bears" => {
-                self.bears = rest
+                self.observed_capacity = rest
                     .parse()
                     .ok()
-                    .filter(|b| (0.0..=MOST_BORNE).contains(b))?
+                    .filter(|b| (0.0..=MAX_CAPACITY_PER_S).contains(b))?
             }
             "ban" | "free" => {
                 let (name, at) = rest.split_once(' ')?;
-                self.bans.insert(
+                self.exclusions.insert(
                     Some(name).filter(|n| usable(n))?.to_owned(),
-                    (what == "ban", at.parse().ok()?),
+                    (key == "ban", at.parse().ok()?),
                 );
             }
-            "seen" => self.seen.push(Some(rest).filter(|n| usable(n))?.to_owned()),
+            "seen" => self
+                .known_workers
+                .push(Some(rest).filter(|n| usable(n))?.to_owned()),
             _ => return None,
         }
         Some(())
     }
 }
 
-/// The other processes of this gateway that live.
+/// The other processes of this gateway that run.
 #[derive(Debug, Default)]
 pub struct SiblingProcesses {
     living: BTreeMap<u32, SiblingState>,
-    bears: f64,
+    observed_capacity: f64,
 }
 
 impl SiblingProcesses {
-    /// A living process has told this.
-    pub fn heard(&mut self, pid: u32, word: SiblingState) {
-        self.bears = self.bears.max(word.bears);
-        self.living.insert(pid, word);
+    /// Records what a running process shares.
+    pub fn update(&mut self, pid: u32, state: SiblingState) {
+        self.observed_capacity = self.observed_capacity.max(state.observed_capacity);
+        self.living.insert(pid, state);
     }
 
-    /// These are all that live; what others told counts no more. One that lives and has told nothing yet counts
-    /// as starting. Tells whether their number has changed.
-    pub fn only(&mut self, living: &BTreeSet<u32>) -> bool {
+    /// Keeps only the processes that run. One that has shared nothing yet counts as starting.
+    /// Returns whether the number of processes has changed.
+    pub fn retain_living(&mut self, living: &BTreeSet<u32>) -> bool {
         let before = self.living.len();
         self.living.retain(|pid, _| living.contains(pid));
         let left = self.living.len();
@@ -220,36 +215,40 @@
         before != left || left != self.living.len()
     }
 
-    /// Processes of this gateway, this one counted in.
-    pub fn processes(&self) -> usize {
+    /// The number of processes of this gateway, this one included.
+    pub fn process_count(&self) -> usize {
         1 + self.living.len()
     }
 
-    /// The most that a worker was ever said to have served for this gateway, answers a second. A new process goes by
-    /// it: what it sees itself is too little to tell it while workers are cold, and they stay idle for it.
+    /// The most that a worker was ever seen to serve for this gateway, in answers a second. A new
+    /// process relies on it: it sees too few answers of its own while workers are in slow start.
     pub fn bears(&self) -> f64 {
-        self.bears
+        self.observed_capacity
     }
 
-    /// This process's part of what one gateway may order and send to a cold worker. The part of the ration that
-    /// follows from calls taken is not split: each process counts its own.
+    /// This process's part of the load rate limit and of the overload multiple. The part of the
+    /// rate limit that depends on requests is not divided: each process counts its own requests.
     pub fn limits(&self, settings: &Settings) -> (Option<LoadRateLimit>, f64) {
-        let n = self.processes() as f64;
-        let ration = settings.load_rate_limit.map(|r| LoadRateLimit {
-            base_loads: r.base_loads / n,
-            ..r
+        let processes = self.process_count() as f64;
+        let load_rate_limit = settings.load_rate_limit.map(|limit| LoadRateLimit {
+            base_loads: limit.base_loads / processes,
+            ..limit
         });
-        (ration, settings.overload_multiple / n)
+        (load_rate_limit, settings.overload_multiple / processes)
     }
 
-    /// Whether another process takes connections.
-    pub fn take_over(&self) -> bool {
-        self.living.values().any(|w| w.state == State::Ready)
+    /// Whether another process accepts connections.
+    pub fn any_is_ready(&self) -> bool {
+        self.living.values().any(|w| w.state == ProcessState::Ready)
     }
 
-    /// The last notice that any other has taken over.
-    pub fn rev(&self) -> u64 {
-        self.living.values().map(|w| w.rev).max().unwrap_or(0)
+    /// The latest revision of the endpoint list that another process has applied.
+    pub fn latest_list_revision(&self) -> u64 {
+        self.living
+            .values()
+            .map(|w| w.list_revision)
+            .max()
+            .unwrap_or(0)
     }
 }
 
--- a/src/operations/hot_restart/tests.rs
+++ b/src/operations/hot_restart/tests.rs
@@ -11,24 +11,24 @@
     let seen = vec!["s-1".into(), "s-2".into(), "s-3".into()];
     SiblingState {
         gateway: "n3".into(),
-        state: State::Ready,
-        rev: 41,
-        bears: 24.5,
-        bans: bans.into(),
-        seen,
+        state: ProcessState::Ready,
+        list_revision: 41,
+        observed_capacity: 24.5,
+        exclusions: bans.into(),
+        known_workers: seen,
     }
 }
 
 #[test]
-fn what_is_written_is_read_and_every_damage_is_told() {
-    let text = word().text();
+fn written_state_is_read_and_damage_is_refused() {
+    let text = word().encode();
     assert_eq!(
-        SiblingState::read(text.as_bytes(), "n3", true, 0),
+        SiblingState::decode(text.as_bytes(), "n3", true, 0),
         Ok(word())
     );
     for cut in 0..text.len() {
         assert!(
-            SiblingState::read(&text.as_bytes()[..cut], "n3", true, 0).is_err(),
+            SiblingState::decode(&text.as_bytes()[..cut], "n3", true, 0).is_err(),
             "cut at {cut}"
         );
     }
@@ -36,12 +36,12 @@
         let mut bad = text.clone().into_bytes();
         bad[at] ^= 1;
         assert!(
-            SiblingState::read(&bad, "n3", true, 0).is_err(),
+            SiblingState::decode(&bad, "n3", true, 0).is_err(),
             "changed at {at}"
         );
     }
     let read = |text: &str, name, alive, age| {
-        SiblingState::read(text.as_bytes(), name, alive, age).unwrap_err()
+        SiblingState::decode(text.as_bytes(), name, alive, age).unwrap_err()
     };
     assert_eq!(
         read(&text, "n4", true, 0),
@@ -49,14 +49,14 @@
     );
     assert_eq!(
         read(&text, "n3", false, ABANDONED_AFTER + 1),
-        HotRestartError::LongDead
+        HotRestartError::Abandoned
     );
     assert!(
-        SiblingState::read(text.as_bytes(), "n3", true, ABANDONED_AFTER + 1).is_ok(),
+        SiblingState::decode(text.as_bytes(), "n3", true, ABANDONED_AFTER + 1).is_ok(),
         "a living one's counts"
     );
     assert!(
-        SiblingState::read(text.as_bytes(), "n3", false, ABANDONED_AFTER).is_ok(),
+        SiblingState::decode(text.as_bytes(), "n3", false, ABANDONED_AFTER).is_ok(),
         "one just killed, too"
     );
     let newer = text.replace("handover 1", "handover 2");
@@ -68,63 +68,67 @@
     let odd = format!("{body}sum {}\n", sum(body));
     assert_eq!(
         read(&odd, "n3", true, 0),
-        HotRestartError::Line("lanes 4".into())
+        HotRestartError::UnknownLine("lanes 4".into())
     );
     assert_eq!(
-        SiblingState::read(&vec![b'a'; MAX_STATE_BYTES + 1], "n3", true, 0),
+        SiblingState::decode(&vec![b'a'; MAX_STATE_BYTES + 1], "n3", true, 0),
         Err(HotRestartError::TooLarge)
     );
 }
 
 #[test]
-fn names_that_would_break_a_line_are_left_out_and_the_largest_text_can_be_read() {
+fn unusable_names_are_omitted_and_largest_text_is_read() {
     let mut w = word();
-    w.bans.insert("a b".into(), (true, 1));
-    w.seen.push("x\ny".into());
+    w.exclusions.insert("a b".into(), (true, 1));
+    w.known_workers.push("x\ny".into());
     assert_eq!(
-        SiblingState::read(w.text().as_bytes(), "n3", true, 0),
+        SiblingState::decode(w.encode().as_bytes(), "n3", true, 0),
         Ok(word())
     );
     let name = |n: usize| format!("{n:0>MAX_NAME_BYTES$}");
-    w.seen = (0..MAX_WORKERS_SEEN).map(name).collect();
-    w.bans = (0..MAX_WORKERS_SEEN)
+    w.known_workers = (0..MAX_WORKERS_SEEN).map(name).collect();
+    w.exclusions = (0..MAX_WORKERS_SEEN)
         .map(|n| (name(n), (true, Micros::MAX)))
         .collect();
-    assert!(SiblingState::read(w.text().as_bytes(), "n3", true, 0).is_ok());
+    assert!(SiblingState::decode(w.encode().as_bytes(), "n3", true, 0).is_ok());
 }
 
 #[test]
-fn another_process_takes_over_only_once_it_is_ready_and_while_it_lives() {
+fn sibling_takes_over_only_while_ready_and_running() {
     let mut others = SiblingProcesses::default();
     let living = BTreeSet::from([8]);
-    assert!(others.only(&living) && !others.only(&living));
+    assert!(others.retain_living(&living) && !others.retain_living(&living));
     assert_eq!(
-        (others.processes(), others.take_over()),
+        (others.process_count(), others.any_is_ready()),
         (2, false),
         "it has told nothing yet"
     );
-    others.heard(
+    others.update(
         8,
         SiblingState {
-            state: State::Starting,
+            state: ProcessState::Starting,
             ..word()
         },
     );
-    assert!(!others.take_over());
-    others.heard(8, word());
-    assert!(others.take_over() && others.rev() == 41);
-    others.heard(
+    assert!(!others.any_is_ready());
+    others.update(8, word());
+    assert!(others.any_is_ready() && others.latest_list_revision() == 41);
+    others.update(
         8,
         SiblingState {
-            state: State::Ending,
+            state: ProcessState::Stopping,
             ..word()
         },
     );
-    assert!(!others.take_over());
-    others.heard(8, word());
-    assert!(others.only(&BTreeSet::new()));
+    assert!(!others.any_is_ready());
+    others.update(8, word());
+    assert!(others.retain_living(&BTreeSet::new()));
     assert_eq!(
-        (others.processes(), others.take_over(), others.rev()),
+        (
+            others.process_count(),
+            others.any_is_ready(),
+            others.latest_list_revision()
+        ),
         (1, false, 0)
     );
     assert_eq!(
@@ -149,7 +153,7 @@
     };
     let mut others = SiblingProcesses::default();
     assert_eq!(others.limits(&settings), (Some(ration), 3.0));
-    others.only(&BTreeSet::from([8, 9]));
+    others.retain_living(&BTreeSet::from([8, 9]));
     assert_eq!(
         others.limits(&settings),
         (
@@ -165,6 +169,6 @@
 proptest! {
     #[test]
     fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        prop_assert!(SiblingState::read(&bytes, "n3", true, 0).is_err());
+        prop_assert!(SiblingState::decode(&bytes, "n3", true, 0).is_err());
     }
 }
--- a/src/operations/lifecycle.rs
+++ b/src/operations/lifecycle.rs
@@ -1,34 +1,35 @@
-//! Whether the gateway starts, serves, is being emptied or ends, and what that means for those who connect.
+//! Whether the gateway starts, serves, drains or shuts down, and what that means for connections.
 //!
-//! Every listener and every connection asks here. Being emptied and ending are apart: a call for either may come
-//! at any time, in any order and more than once, and only the end is final.
+//! Every listener and connection asks here. Draining and shutdown are independent: a call for
+//! either may come at any time, in any order and more than once, and only shutdown is final.
 
 use crate::api::Micros;
 
-/// How long connections are accepted after SIGTERM where nobody else takes them: they keep coming for 0.4 s,
-/// requests for 0.2 s more.
-pub const LAST_ACCEPT: Micros = 900_000;
-/// How much longer those are waited for who were accepted by the machine and have no room yet.
-const REST: Micros = 1_000_000;
-/// After a call to empty the gateway, idle connections are closed in turn between these two times. New ones come
-/// for 0.3 s at most; and a request of a kept connection that comes before the second has its own two seconds.
-const EMPTY_FROM: Micros = 300_000;
-const EMPTY_BY: Micros = 1_500_000;
-/// The same after SIGTERM where another process has taken over: what comes before the second time is answered
-/// before the process is killed.
-const HAND_FROM: Micros = 50_000;
-const HAND_BY: Micros = 600_000;
-/// A connection that comes while the gateway is being emptied has this long to send a request.
-const LATE: Micros = 500_000;
-
-/// What the gateway does with those who connect.
+/// How long connections are accepted after SIGTERM, in microseconds, if no sibling process accepts
+/// them: clients connect for 0.4 s more, and send requests for another 0.2 s.
+pub const SHUTDOWN_ACCEPT_WINDOW: Micros = 900_000;
+/// How much longer connections are accepted that wait in the listener's backlog, in microseconds.
+const BACKLOG_WINDOW: Micros = 1_000_000;
+/// While the gateway drains, idle connections are closed one after the other between these two
+/// times from the call, in microseconds. Clients connect for 0.3 s at most.
+const DRAIN_CLOSE_FROM: Micros = 300_000;
+const DRAIN_CLOSE_UNTIL: Micros = 1_500_000;
+/// The same after SIGTERM if a sibling process has taken over. Requests that come before the second
+/// time are answered before the process is killed.
+const HANDOVER_CLOSE_FROM: Micros = 50_000;
+const HANDOVER_CLOSE_UNTIL: Micros = 600_000;
+/// How long a connection that is accepted while the gateway drains has for its first request, in
+/// microseconds.
+const DRAIN_FIRST_REQUEST_TIMEOUT: Micros = 500_000;
+
+/// What the gateway does with connections.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     started: bool,
-    /// Since when it is being emptied.
-    emptied: Option<Micros>,
-    /// Since when it ends, and whether another process takes the connections.
-    ending: Option<(Micros, bool)>,
+    /// Since when it drains.
+    draining_since: Option<Micros>,
+    /// Since when it shuts down, and whether a sibling process accepts connections.
+    shutdown: Option<(Micros, bool)>,
 }
 
 impl Lifecycle {
@@ -37,22 +38,23 @@
         self.started = true;
     }
 
-    /// It is to be emptied. Tells whether that is new.
-    pub fn evacuate(&mut self, now: Micros) -> bool {
-        let new = self.emptied.is_none();
-        self.emptied.get_or_insert(now);
+    /// Begins to drain. Returns whether it did not drain before.
+    pub fn begin_draining(&mut self, now: Micros) -> bool {
+        let new = self.draining_since.is_none();
+        self.draining_since.get_or_insert(now);
         new
     }
 
-    /// It is to serve again, unless it ends.
-    pub fn activate(&mut self) {
-        self.emptied = None;
+    /// Serves again, unless it shuts down.
+    pub fn resume(&mut self) {
+        self.draining_since = None;
     }
 
-    /// It is to end; `taken_over` if another process takes the connections from now on. Tells whether that is new.
-    pub fn end(&mut self, now: Micros, taken_over: bool) -> bool {
-        let new = self.ending.is_none();
-        self.ending.get_or_insert((now, taken_over));
+    /// Begins to shut down. `taken_over` says that a sibling process accepts connections from now
+    /// on. Returns whether the shutdown had not begun before.
+    pub fn begin_shutdown(&mut self, now: Micros, taken_over: bool) -> bool {
+        let new = self.shutdown.is_none();
+        self.shutdown.get_or_insert((now, taken_over));
         new
     }
 
@@ -61,78 +63,85 @@
         self.started
     }
 
-    /// Whether it says that it takes work.
+    /// Whether it reports that it is ready.
     pub fn is_ready(&self) -> bool {
-        self.started && self.emptied.is_none() && self.ending.is_none()
+        self.started && self.draining_since.is_none() && self.shutdown.is_none()
     }
 
-    /// Whether it is being emptied.
-    pub fn is_emptied(&self) -> bool {
-        self.emptied.is_some()
+    /// Whether it drains.
+    pub fn is_draining(&self) -> bool {
+        self.draining_since.is_some()
     }
 
-    /// Whether it has been told to end.
-    pub fn is_ending(&self) -> bool {
-        self.ending.is_some()
+    /// Whether it shuts down.
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutdown.is_some()
     }
 
-    /// Whether connections are accepted. While it is being emptied they still are: who has not heard of it yet is
-    /// answered.
+    /// Whether connections are accepted. They still are while it drains, since clients may not have
+    /// noticed yet.
     pub fn accepts(&self, now: Micros) -> bool {
-        match self.ending {
+        match self.shutdown {
             None => self.started,
-            Some((since, taken_over)) => self.started && !taken_over && now < since + LAST_ACCEPT,
+            Some((since, taken_over)) => {
+                self.started && !taken_over && now < since + SHUTDOWN_ACCEPT_WINDOW
+            }
         }
     }
 
-    /// Whether those who still wait to be accepted are this process's, as nobody else takes them; not for ever.
-    pub fn takes_rest(&self, now: Micros) -> bool {
+    /// Whether connections in the listener's backlog are still accepted, as no sibling process
+    /// does.
+    pub fn accepts_backlog(&self, now: Micros) -> bool {
         self.started
-            && self
-                .ending
-                .is_some_and(|(since, taken_over)| !taken_over && now < since + LAST_ACCEPT + REST)
+            && self.shutdown.is_some_and(|(since, taken_over)| {
+                !taken_over && now < since + SHUTDOWN_ACCEPT_WINDOW + BACKLOG_WINDOW
+            })
     }
 
-    /// When accepting ends, once that is known.
+    /// When accepting ends, once the shutdown has begun.
     pub fn accepts_until(&self) -> Option<Micros> {
-        self.ending.map(|(since, taken_over)| {
+        self.shutdown.map(|(since, taken_over)| {
             if taken_over {
                 since
             } else {
-                since + LAST_ACCEPT
+                since + SHUTDOWN_ACCEPT_WINDOW
             }
         })
     }
 
-    /// Whether a connection may stay after its answer.
-    pub fn keeps(&self, now: Micros) -> bool {
-        self.emptied.is_none()
-            && match self.ending {
+    /// Whether a connection stays open after its answer.
+    pub fn keeps_alive(&self, now: Micros) -> bool {
+        self.draining_since.is_none()
+            && match self.shutdown {
                 None => true,
-                Some((since, taken_over)) => !taken_over && now < since + LAST_ACCEPT,
+                Some((since, taken_over)) => !taken_over && now < since + SHUTDOWN_ACCEPT_WINDOW,
             }
     }
 
-    /// By when an idle connection is closed, if they are now: the one in place `rank` of `all`, the longest idle
-    /// first.
-    pub fn idle_until(&self, now: Micros, rank: usize, all: usize) -> Option<Micros> {
-        let emptied = self.emptied.map(|t| (t + EMPTY_FROM, t + EMPTY_BY));
-        let handed = self.ending.filter(|(_, taken_over)| *taken_over);
-        let handed = handed.map(|(t, _)| (t + HAND_FROM, t + HAND_BY));
+    /// When an idle connection is closed, if idle connections are closed now. Its place is `rank`
+    /// of `all`, the longest idle first.
+    pub fn idle_close_deadline(&self, now: Micros, rank: usize, all: usize) -> Option<Micros> {
+        let emptied = self
+            .draining_since
+            .map(|t| (t + DRAIN_CLOSE_FROM, t + DRAIN_CLOSE_UNTIL));
+        let handed = self.shutdown.filter(|(_, taken_over)| *taken_over);
+        let handed = handed.map(|(t, _)| (t + HANDOVER_CLOSE_FROM, t + HANDOVER_CLOSE_UNTIL));
         let span = |(from, by): (Micros, Micros)| {
             from + (by - from) * (rank as Micros + 1) / (all as Micros).max(1)
         };
         let at = emptied.into_iter().chain(handed).map(span).min();
         let over = self
-            .ending
-            .filter(|(t, taken_over)| !taken_over && now >= t + LAST_ACCEPT)
+            .shutdown
+            .filter(|(t, taken_over)| !taken_over && now >= t + SHUTDOWN_ACCEPT_WINDOW)
             .map(|_| now);
         at.into_iter().chain(over).min()
     }
 
-    /// By when a connection just accepted must have sent a request, where it gets less time than usual.
-    pub fn first_request_by(&self, now: Micros) -> Option<Micros> {
-        (self.emptied.is_some() || self.ending.is_some()).then_some(now + LATE)
+    /// When a connection that is accepted now must have sent a request, if it gets less time than
+    /// usual.
+    pub fn first_request_deadline(&self, now: Micros) -> Option<Micros> {
+        (self.draining_since.is_some() || self.shutdown.is_some())
+            .then_some(now + DRAIN_FIRST_REQUEST_TIMEOUT)
     }
 }
 
--- a/src/operations/lifecycle/tests.rs
+++ b/src/operations/lifecycle/tests.rs
@@ -6,42 +6,55 @@
 const SECOND: Micros = 1_000_000;
 
 #[test]
-fn emptied_it_says_no_takes_who_comes_and_keeps_nobody() {
+fn draining_gateway_accepts_but_keeps_no_connection() {
     let mut l = Lifecycle::default();
     assert!(!l.is_ready() && !l.accepts(0), "not before it has started");
     l.start();
-    assert!(l.is_ready() && l.accepts(0) && l.keeps(0) && l.idle_until(0, 0, 1).is_none());
     assert!(
-        l.evacuate(SECOND) && !l.evacuate(2 * SECOND),
+        l.is_ready()
+            && l.accepts(0)
+            && l.keeps_alive(0)
+            && l.idle_close_deadline(0, 0, 1).is_none()
+    );
+    assert!(
+        l.begin_draining(SECOND) && !l.begin_draining(2 * SECOND),
         "the second call changes nothing"
     );
-    assert!(!l.is_ready() && l.accepts(SECOND) && !l.keeps(SECOND));
+    assert!(!l.is_ready() && l.accepts(SECOND) && !l.keeps_alive(SECOND));
     let ends: Vec<Micros> = (0..10)
-        .filter_map(|n| l.idle_until(SECOND, n, 10))
+        .filter_map(|n| l.idle_close_deadline(SECOND, n, 10))
         .collect();
     assert!(ends.windows(2).all(|w| w[0] < w[1]), "one after the other");
     assert!(
-        ends[0] >= SECOND + EMPTY_FROM && ends[9] <= SECOND + EMPTY_BY,
+        ends[0] >= SECOND + DRAIN_CLOSE_FROM && ends[9] <= SECOND + DRAIN_CLOSE_UNTIL,
         "{ends:?}"
     );
-    l.activate();
-    assert!(l.is_ready() && l.keeps(2 * SECOND) && l.idle_until(2 * SECOND, 0, 1).is_none());
+    l.resume();
+    assert!(
+        l.is_ready()
+            && l.keeps_alive(2 * SECOND)
+            && l.idle_close_deadline(2 * SECOND, 0, 1).is_none()
+    );
 }
 
 /// Guards a planned restart without another process: what comes in its first 0.6 s is taken.
 #[test]
-fn at_its_end_it_accepts_a_little_longer_unless_another_process_does() {
+fn shutdown_accepts_longer_unless_sibling_took_over() {
     for taken_over in [false, true] {
         let mut l = Lifecycle::default();
         l.start();
-        assert!(l.end(SECOND, taken_over) && !l.end(SECOND, !taken_over));
+        assert!(l.begin_shutdown(SECOND, taken_over) && !l.begin_shutdown(SECOND, !taken_over));
         assert!(!l.is_ready());
         assert_eq!(l.accepts(SECOND + 600_000), !taken_over);
-        assert_eq!(l.keeps(SECOND + 600_000), !taken_over);
-        assert_eq!(l.idle_until(SECOND, 0, 1).is_some(), taken_over);
-        assert!(!l.accepts(SECOND + LAST_ACCEPT) && !l.keeps(SECOND + LAST_ACCEPT));
+        assert_eq!(l.keeps_alive(SECOND + 600_000), !taken_over);
+        assert_eq!(l.idle_close_deadline(SECOND, 0, 1).is_some(), taken_over);
+        assert!(
+            !l.accepts(SECOND + SHUTDOWN_ACCEPT_WINDOW)
+                && !l.keeps_alive(SECOND + SHUTDOWN_ACCEPT_WINDOW)
+        );
         assert!(
-            l.idle_until(SECOND + LAST_ACCEPT, 0, 1).is_some(),
+            l.idle_close_deadline(SECOND + SHUTDOWN_ACCEPT_WINDOW, 0, 1)
+                .is_some(),
             "then no idle one stays"
         );
     }
@@ -50,23 +63,23 @@
 proptest! {
     /// Calls in any order: ready only if started and neither emptied nor ending; the end is final.
     #[test]
-    fn any_order_of_calls(calls in proptest::collection::vec(0..5u8, 0..40)) {
+    fn calls_in_any_order_keep_readiness_consistent(calls in proptest::collection::vec(0..5u8, 0..40)) {
         let mut l = Lifecycle::default();
         let (mut started, mut emptied, mut ending) = (false, false, false);
         for (n, call) in calls.into_iter().enumerate() {
             let now = n as Micros * 100_000;
             match call {
                 0 => { l.start(); started = true }
-                1 => { l.evacuate(now); emptied = true }
-                2 => { l.activate(); emptied = false }
-                3 => { l.end(now, false); ending = true }
+                1 => { l.begin_draining(now); emptied = true }
+                2 => { l.resume(); emptied = false }
+                3 => { l.begin_shutdown(now, false); ending = true }
                 _ => {}
             }
             prop_assert_eq!(l.is_ready(), started && !emptied && !ending);
-            prop_assert!(!l.is_ready() || l.accepts(now) && l.keeps(now));
-            prop_assert_eq!(l.is_ending(), ending);
+            prop_assert!(!l.is_ready() || l.accepts(now) && l.keeps_alive(now));
+            prop_assert_eq!(l.is_shutting_down(), ending);
             prop_assert!(started || !l.accepts(now));
-            prop_assert!(!emptied || !l.keeps(now));
+            prop_assert!(!emptied || !l.keeps_alive(now));
         }
     }
 }
--- a/src/operations/metrics.rs
+++ b/src/operations/metrics.rs
@@ -1,42 +1,42 @@
-//! The figures that the second address tells: the platform's names, one a line.
+//! The metrics of the second address, under the platform's names, one a line.
 
 use std::fmt::Write;
 
 use crate::counters::Ends;
 
-/// What is read from the state at the moment of the question.
+/// Values that are read from the state when the metrics are asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Calls taken and not yet ended.
+    /// Requests taken and not yet answered.
     pub pending: usize,
-    /// Workers in the list.
+    /// Workers on the endpoint list.
     pub members: usize,
-    /// Those of them that get nothing now, by hand, by the list's word or by the module's choice.
+    /// Those of them that get no requests now: excluded by an operator, draining, or unhealthy.
     pub unavailable: usize,
 }
 
-/// The figures as text; every class stands in it from the start.
-pub fn text(classes: &[String], ends: &[Ends], attempts: u64, gauges: Gauges) -> String {
+/// Writes the metrics as text. Every class is included from the start.
+pub fn encode(classes: &[String], ends: &[Ends], attempts: u64, gauges: Gauges) -> String {
     let mut out = String::new();
     let none = Ends::default();
-    for (n, class) in classes.iter().enumerate() {
-        let e = ends.get(n).unwrap_or(&none);
-        for (what, count) in [
-            ("completed", e.served),
-            ("rejected", e.refused),
-            ("failed", e.failed),
+    for (index, class) in classes.iter().enumerate() {
+        let ends_of_class = ends.get(index).unwrap_or(&none);
+        for (outcome, count) in [
+            ("completed", ends_of_class.served),
+            ("rejected", ends_of_class.refused),
+            ("failed", ends_of_class.failed),
         ] {
             // Writing to a string does not fail.
-            let _ = writeln!(out, "app.downstream_requests.{class}.{what}:{count}|c");
+            let _ = writeln!(out, "app.downstream_requests.{class}.{outcome}:{count}|c");
         }
     }
     let _ = writeln!(out, "app.upstream_requests:{attempts}|c");
-    for (what, n) in [
+    for (gauge, value) in [
         ("pending", gauges.pending),
         ("members", gauges.members),
         ("members_unavailable", gauges.unavailable),
     ] {
-        let _ = writeln!(out, "app.{what}:{n}|g");
+        let _ = writeln!(out, "app.{gauge}:{value}|g");
     }
     out
 }
--- a/src/operations/metrics/tests.rs
+++ b/src/operations/metrics/tests.rs
@@ -14,7 +14,7 @@
         refused: 2,
         failed: 0,
     }];
-    let text = text(&["a".into(), "b-c".into()], &ends, 9, gauges);
+    let text = encode(&["a".into(), "b-c".into()], &ends, 9, gauges);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(
         lines,
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -1,5 +1,7 @@
-//! What the staff do with a gateway in service: state without I/O. The driver is `gateway::operations`, the wire
-//! `front::line`; how it is used stands in `docs/operators/daily.md`.
+//! What operators do with a gateway in service: state machines without I/O.
+//!
+//! The driver is `gateway::operations`, the protocol of the second address
+//! `front::operator_console`. `docs/operators/daily.md` describes how it is used.
 
 pub mod hot_restart;
 pub mod lifecycle;
--- a/src/operations/overrides.rs
+++ b/src/operations/overrides.rs
@@ -1,187 +1,199 @@
-//! Workers that staff have taken out: the list's word and the operator's of each worker, told as one.
+//! Workers that operators have excluded: the endpoint list and the operators' exclusions, as one
+//! view of each worker.
 //!
-//! Bounds: what is listed, and [`MAX_WORKERS_SEEN`] names that were; bans can only be on those.
+//! Bounds: what is listed, and [`MAX_WORKERS_SEEN`] names that were. Only those can be excluded.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::fmt;
 
 use crate::api::{Micros, WorkerEntry, WorkerStatus};
 
-/// Names that are remembered after they have left the list, the oldest forgotten first.
+/// Names that are remembered after they have left the list. The oldest is forgotten first.
 pub const MAX_WORKERS_SEEN: usize = 1024;
-/// Bytes that a name may have to be remembered.
+/// The longest name that is remembered, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Why a worker cannot be taken out or put back.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a worker cannot be excluded or included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
-    /// It was never listed.
+    /// It was never listed. The operator checks the name against the endpoint list.
+    #[error("no worker of that name was ever listed")]
     NeverListed,
-    /// As many as are remembered are out already.
+    /// As many workers as are remembered are excluded already. The operator includes others first.
+    #[error("too many workers are out")]
     TooMany,
 }
 
-impl fmt::Display for OverrideError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            OverrideError::NeverListed => "no worker of that name was ever listed",
-            OverrideError::TooMany => "too many workers are out",
-        })
-    }
-}
-
-impl std::error::Error for OverrideError {}
-
-/// What the list and the operator say of the workers.
+/// What the endpoint list and the operators say of the workers.
 #[derive(Debug, Default)]
 pub struct WorkerOverrides {
-    /// The list's last word.
+    /// The latest entry of each worker on the list.
     listed: BTreeMap<String, WorkerEntry>,
-    /// The operator's last word, and when it was given. One that ended a ban stays for other processes to hear.
-    bans: BTreeMap<String, (bool, Micros)>,
-    seen: BTreeSet<String>,
-    /// The names seen, in the order in which they came.
-    order: VecDeque<String>,
+    /// Whether an operator excluded a worker last, or included it, and when. An inclusion is kept
+    /// so that sibling processes learn of it.
+    exclusions: BTreeMap<String, (bool, Micros)>,
+    known_workers: BTreeSet<String>,
+    /// The known names, in the order in which they were first listed.
+    known_in_order: VecDeque<String>,
 }
 
 impl WorkerOverrides {
-    /// Takes a notice's lines over; returns what the module is to be told of them.
-    pub fn list<'a>(
+    /// Applies an update of the endpoint list; returns the entries that the module is notified of.
+    pub fn apply_list<'a>(
         &mut self,
-        whole: bool,
-        lines: impl IntoIterator<Item = (&'a str, WorkerEntry)>,
+        is_snapshot: bool,
+        entries: impl IntoIterator<Item = (&'a str, WorkerEntry)>,
     ) -> Vec<WorkerEntry> {
-        if whole {
+        if is_snapshot {
             self.listed.clear();
         }
-        let mut told = Vec::new();
-        for (name, member) in lines {
-            self.see(name);
-            told.push(self.overlay(name, member.clone()));
-            if member.status == WorkerStatus::Removed {
+        let mut effective = Vec::new();
+        for (name, entry) in entries {
+            self.remember(name);
+            effective.push(self.with_exclusion(name, entry.clone()));
+            if entry.status == WorkerStatus::Removed {
                 self.listed.remove(name);
             } else {
-                self.listed.insert(name.to_owned(), member);
+                self.listed.insert(name.to_owned(), entry);
             }
         }
-        told
+        effective
     }
 
-    /// Remembers a name as listed once.
-    pub fn see(&mut self, name: &str) {
-        if name.len() > MAX_NAME_BYTES || !self.seen.insert(name.to_owned()) {
+    /// Remembers that a worker was listed.
+    pub fn remember(&mut self, name: &str) {
+        if name.len() > MAX_NAME_BYTES || !self.known_workers.insert(name.to_owned()) {
             return;
         }
-        self.order.push_back(name.to_owned());
-        // What is banned or listed is not forgotten, and comes to the end of the row again.
-        for _ in 0..self.order.len() {
-            if self.order.len() <= MAX_WORKERS_SEEN {
+        self.known_in_order.push_back(name.to_owned());
+        // An excluded or listed worker is not forgotten and moves to the end of the order.
+        for _ in 0..self.known_in_order.len() {
+            if self.known_in_order.len() <= MAX_WORKERS_SEEN {
                 return;
             }
-            let Some(oldest) = self.order.pop_front() else {
+            let Some(oldest) = self.known_in_order.pop_front() else {
                 return;
             };
-            if self.is_banned(&oldest) || self.listed.contains_key(&oldest) {
-                self.order.push_back(oldest);
+            if self.is_excluded(&oldest) || self.listed.contains_key(&oldest) {
+                self.known_in_order.push_back(oldest);
             } else {
-                self.seen.remove(&oldest);
-                self.bans.remove(&oldest);
+                self.known_workers.remove(&oldest);
+                self.exclusions.remove(&oldest);
             }
         }
     }
 
-    fn overlay(&self, name: &str, mut member: WorkerEntry) -> WorkerEntry {
-        if member.status == WorkerStatus::Ready && self.is_banned(name) {
-            member.status = WorkerStatus::Draining;
+    fn with_exclusion(&self, name: &str, mut entry: WorkerEntry) -> WorkerEntry {
+        if entry.status == WorkerStatus::Ready && self.is_excluded(name) {
+            entry.status = WorkerStatus::Draining;
         }
-        member
+        entry
     }
 
-    /// Whether this name was listed at any time that is still remembered.
-    pub fn knows(&self, name: &str) -> bool {
-        self.seen.contains(name)
+    /// Whether a worker of this name is remembered as listed.
+    pub fn is_known(&self, name: &str) -> bool {
+        self.known_workers.contains(name)
     }
 
-    /// Takes a worker out; returns what the module is to be told, if anything changes for it.
+    /// Excludes a worker; returns the entry that the module is notified of, if it changes.
     pub fn exclude(
         &mut self,
         name: &str,
         now: Micros,
     ) -> Result<Option<WorkerEntry>, OverrideError> {
-        self.call(name, true, now)
+        self.set_exclusion(name, true, now)
     }
 
-    /// Puts a worker back, however often it was taken out.
+    /// Includes a worker again, however often it was excluded.
     pub fn include(
         &mut self,
         name: &str,
         now: Micros,
     ) -> Result<Option<WorkerEntry>, OverrideError> {
-        self.call(name, false, now)
+        self.set_exclusion(name, false, now)
     }
 
-    fn call(
+    fn set_exclusion(
         &mut self,
         name: &str,
-        ban: bool,
+        excluded: bool,
         now: Micros,
     ) -> Result<Option<WorkerEntry>, OverrideError> {
-        if !self.knows(name) {
+        if !self.is_known(name) {
             return Err(OverrideError::NeverListed);
         }
-        if ban
-            && !self.is_banned(name)
-            && self.bans.values().filter(|(b, _)| *b).count() >= MAX_WORKERS_SEEN
+        if excluded
+            && !self.is_excluded(name)
+            && self
+                .exclusions
+                .values()
+                .filter(|(is_excluded, _)| *is_excluded)
+                .count()
+                >= MAX_WORKERS_SEEN
         {
             return Err(OverrideError::TooMany);
         }
-        // Later than all that was said before, whatever another process's clock shows.
-        let at = self.bans.get(name).map_or(now, |(_, at)| now.max(at + 1));
-        Ok(self.merge(name, ban, at, now))
+        // Later than every earlier change, whatever a sibling process's clock shows.
+        let at = self
+            .exclusions
+            .get(name)
+            .map_or(now, |(_, at)| now.max(at + 1));
+        Ok(self.merge(name, excluded, at, now))
     }
 
-    /// Takes over what was said of a worker at a time, here or by another process: the last word counts, of two at
-    /// the same time the ban. Any order of merging leads to the same. Returns what the module is to be told.
-    pub fn merge(&mut self, name: &str, ban: bool, at: Micros, now: Micros) -> Option<WorkerEntry> {
-        self.see(name);
-        if !self.knows(name)
+    /// Merges an operator's change, made here or at a sibling process: the latest counts, and of
+    /// two at the same instant the exclusion. The order of merging does not matter. Returns the
+    /// entry that the module is notified of, if it changes.
+    pub fn merge(
+        &mut self,
+        name: &str,
+        excluded: bool,
+        at: Micros,
+        now: Micros,
+    ) -> Option<WorkerEntry> {
+        self.remember(name);
+        if !self.is_known(name)
             || self
-                .bans
+                .exclusions
                 .get(name)
-                .is_some_and(|(b, t)| (*t, *b) >= (at, ban))
+                .is_some_and(|(was_excluded, changed_at)| {
+                    (*changed_at, *was_excluded) >= (at, excluded)
+                })
         {
             return None;
         }
-        let before = self.is_banned(name);
-        self.bans.insert(name.to_owned(), (ban, at));
-        if before == ban {
+        let before = self.is_excluded(name);
+        self.exclusions.insert(name.to_owned(), (excluded, at));
+        if before == excluded {
             return None;
         }
-        let member = self.listed.get_mut(name)?;
-        if !ban {
-            // Meanwhile it was restarted, this instant at the latest: told as started now, it is not pushed over.
-            member.started_at = Some(member.started_at.unwrap_or(0).max(now));
+        let entry = self.listed.get_mut(name)?;
+        if !excluded {
+            // It was probably restarted meanwhile, at the latest now: as one in slow start it is
+            // not overloaded.
+            entry.started_at = Some(entry.started_at.unwrap_or(0).max(now));
         }
-        let member = member.clone();
-        Some(self.overlay(name, member))
+        let entry = entry.clone();
+        Some(self.with_exclusion(name, entry))
     }
 
-    /// Whether this worker is taken out.
-    pub fn is_banned(&self, name: &str) -> bool {
-        self.bans.get(name).is_some_and(|(banned, _)| *banned)
+    /// Whether this worker is excluded.
+    pub fn is_excluded(&self, name: &str) -> bool {
+        self.exclusions
+            .get(name)
+            .is_some_and(|(is_excluded, _)| *is_excluded)
     }
 
-    /// The operator's last word on each worker, and when it was given.
+    /// The operators' latest change of each worker (true: excluded), and when it was made.
     pub fn bans(&self) -> &BTreeMap<String, (bool, Micros)> {
-        &self.bans
+        &self.exclusions
     }
 
-    /// The names remembered, oldest first.
+    /// The remembered names, oldest first.
     pub fn seen(&self) -> impl Iterator<Item = &str> {
-        self.order.iter().map(String::as_str)
+        self.known_in_order.iter().map(String::as_str)
     }
 
-    /// Workers in the list.
+    /// The number of workers on the list.
     pub fn listed(&self) -> usize {
         self.listed.len()
     }
--- a/src/operations/overrides/tests.rs
+++ b/src/operations/overrides/tests.rs
@@ -16,11 +16,13 @@
 }
 
 fn list(u: &mut WorkerOverrides, whole: bool, name: &str, status: WorkerStatus) -> WorkerStatus {
-    u.list(whole, [(name, member(1, status))]).remove(0).status
+    u.apply_list(whole, [(name, member(1, status))])
+        .remove(0)
+        .status
 }
 
 #[test]
-fn a_ban_outlives_whatever_the_list_says_and_one_call_ends_it() {
+fn exclusion_outlives_list_updates_until_included() {
     let mut u = WorkerOverrides::default();
     let never = Err(OverrideError::NeverListed);
     assert!(u.exclude("s-1", 5) == never && u.include("s-1", 1) == never);
@@ -68,11 +70,11 @@
 }
 
 #[test]
-fn one_that_was_listed_and_is_gone_may_be_banned_and_one_that_drains_stays_so() {
+fn removed_worker_can_be_excluded_and_draining_stays() {
     let mut u = WorkerOverrides::default();
     list(&mut u, true, "s-1", WorkerStatus::Ready);
     list(&mut u, false, "s-1", WorkerStatus::Removed);
-    assert!(u.exclude("s-1", 5).unwrap().is_none() && u.is_banned("s-1"));
+    assert!(u.exclude("s-1", 5).unwrap().is_none() && u.is_excluded("s-1"));
     list(&mut u, false, "s-2", WorkerStatus::Draining);
     u.exclude("s-2", 5).unwrap();
     assert_eq!(
@@ -82,7 +84,7 @@
 }
 
 #[test]
-fn names_are_forgotten_oldest_first_but_never_one_that_is_banned_or_listed() {
+fn oldest_names_are_forgotten_unless_excluded_or_listed() {
     let mut u = WorkerOverrides::default();
     list(&mut u, true, "banned", WorkerStatus::Ready);
     u.exclude("banned", 5).unwrap();
@@ -93,16 +95,24 @@
         list(&mut u, false, &name, WorkerStatus::Ready);
         list(&mut u, false, &name, WorkerStatus::Removed);
     }
-    assert!(u.order.len() <= MAX_WORKERS_SEEN && u.seen.len() == u.order.len());
-    assert!(u.is_banned("banned") && u.knows("listed") && u.knows("s-3000") && !u.knows("s-1"));
-    u.see(&"x".repeat(MAX_NAME_BYTES + 1));
-    assert!(!u.knows(&"x".repeat(MAX_NAME_BYTES + 1)));
+    assert!(
+        u.known_in_order.len() <= MAX_WORKERS_SEEN
+            && u.known_workers.len() == u.known_in_order.len()
+    );
+    assert!(
+        u.is_excluded("banned")
+            && u.is_known("listed")
+            && u.is_known("s-3000")
+            && !u.is_known("s-1")
+    );
+    u.remember(&"x".repeat(MAX_NAME_BYTES + 1));
+    assert!(!u.is_known(&"x".repeat(MAX_NAME_BYTES + 1)));
 }
 
 proptest! {
     /// Two processes that hear the same words in any order, some twice, hold the same bans.
     #[test]
-    fn merging_knows_no_order(
+    fn merge_order_does_not_matter(
         words in proptest::collection::vec((0..3usize, any::<bool>(), 0..6u64), 0..20),
         turn in any::<prop::sample::Index>(),
     ) {
@@ -125,7 +135,7 @@
 
     /// Against a plain model: told as ready only if the list says so and no ban holds.
     #[test]
-    fn told_is_the_list_and_the_operator_together(
+    fn effective_state_combines_list_and_exclusions(
         steps in proptest::collection::vec((0..6u8, 0..4usize), 0..60),
     ) {
         let names = ["a", "b", "c", "d"];
@@ -137,13 +147,13 @@
                 0..=2 => {
                     let status = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Removed][what as usize];
                     (ready[n], ever[n]) = (what == 0, true);
-                    u.list(false, [(names[n], member(n as u32, status))])
+                    u.apply_list(false, [(names[n], member(n as u32, status))])
                 }
                 3 => {
                     ready = [false; 4];
                     (ready[n], ever[n]) = (true, true);
                     told = [false; 4];
-                    u.list(true, [(names[n], member(n as u32, WorkerStatus::Ready))])
+                    u.apply_list(true, [(names[n], member(n as u32, WorkerStatus::Ready))])
                 }
                 4 => {
                     let got = u.exclude(names[n], 5);
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -380,7 +380,7 @@
     let mut client = Client::asks(&g, Ask::once(1));
     // Stopped past the time at which it closes its listener.
     std::thread::sleep(Duration::from_micros(
-        molelug::operations::lifecycle::LAST_ACCEPT,
+        molelug::operations::lifecycle::SHUTDOWN_ACCEPT_WINDOW,
     ));
     g.thaw();
     assert_eq!(client.status(), 200);
@@ -405,7 +405,7 @@
     told_to_end(&g);
     // Past the time at which idle connections are closed, and within that of a request that comes by and by.
     std::thread::sleep(Duration::from_micros(
-        molelug::operations::lifecycle::LAST_ACCEPT + 200_000,
+        molelug::operations::lifecycle::SHUTDOWN_ACCEPT_WINDOW + 200_000,
     ));
     client.send(rest);
     assert_eq!(client.status(), 200);
--- a/tests/stored_data/texts.rs
+++ b/tests/stored_data/texts.rs
@@ -2,7 +2,7 @@
 
 use molelug::delivery::Enabled;
 use molelug::front::webhook::replay::{Replays, Seen};
-use molelug::operations::hot_restart::{SiblingState, State};
+use molelug::operations::hot_restart::{ProcessState, SiblingState};
 use molelug::tenancy::{EndpointSpec, Registry, Secret, Spec};
 
 use crate::fixture;
@@ -144,7 +144,7 @@
     assert_tenant_is_whole(&other, 1_000_500);
 }
 
-fn word(state: State) -> SiblingState {
+fn word(state: ProcessState) -> SiblingState {
     let bans = [
         ("s-1".to_owned(), (true, 1_764_620_000_000_000)),
         ("s-2".to_owned(), (false, 9)),
@@ -153,23 +153,27 @@
     SiblingState {
         gateway: "n3".into(),
         state,
-        rev: 41,
-        bears: 24.5,
-        bans: bans.into(),
-        seen,
+        list_revision: 41,
+        observed_capacity: 24.5,
+        exclusions: bans.into(),
+        known_workers: seen,
     }
 }
 
 #[test]
 fn handover_texts_are_written_and_read_as_before() {
-    let states = [State::Starting, State::Ready, State::Ending];
-    let texts: Vec<String> = states.iter().map(|state| word(*state).text()).collect();
+    let states = [
+        ProcessState::Starting,
+        ProcessState::Ready,
+        ProcessState::Stopping,
+    ];
+    let texts: Vec<String> = states.iter().map(|state| word(*state).encode()).collect();
     fixture::assert_matches(HANDOVER, &texts.join("\n"));
     let stored = fixture::read_text(HANDOVER);
     for (text, state) in stored.split("\n\n").zip(states) {
         let text = format!("{}\n", text.trim_end());
         assert_eq!(
-            SiblingState::read(text.as_bytes(), "n3", true, 0),
+            SiblingState::decode(text.as_bytes(), "n3", true, 0),
             Ok(word(state))
         );
     }
