--- a/src/delivery/breaker.rs
+++ b/src/delivery/breaker.rs
@@ -52,7 +52,7 @@
 impl Breaker {
     /// How many attempts may be out at once, of `limit`, with the time from which that holds: a time that has not
     /// come means none before it.
-    pub fn room(&self, now: Micros, limit: u32) -> Result<u32, Micros> {
+    pub fn attempts_allowed(&self, now: Micros, limit: u32) -> Result<u32, Micros> {
         match self.state {
             State::Open { until } if now < until => Err(until),
             State::Open { .. } | State::Trial => Ok(1.min(limit)),
@@ -116,7 +116,7 @@
     }
 
     /// An attempt ended that proves nothing, as it never got that far: a trial is free again.
-    pub fn proved_nothing(&mut self, now: Micros) {
+    pub fn attempt_void(&mut self, now: Micros) {
         if self.state == State::Trial {
             self.state = State::Open { until: now };
         }
--- a/src/delivery/breaker/tests.rs
+++ b/src/delivery/breaker/tests.rs
@@ -6,15 +6,15 @@
 fn a_failing_endpoint_gets_single_trials_ever_more_rarely_and_then_a_slow_start() {
     let (mut b, mut now) = (Breaker::default(), 1);
     for _ in 0..FAILURES {
-        assert_eq!(b.room(now, 8), Ok(8));
+        assert_eq!(b.attempts_allowed(now, 8), Ok(8));
         b.failed(now, None);
     }
     let mut pauses = Vec::new();
     for _ in 0..9 {
-        let until = b.room(now, 8).unwrap_err();
+        let until = b.attempts_allowed(now, 8).unwrap_err();
         pauses.push((until - now) / SECOND);
         now = until;
-        assert_eq!(b.room(now, 8), Ok(1));
+        assert_eq!(b.attempts_allowed(now, 8), Ok(1));
         b.sent(now);
         assert_eq!(b.name(), "half_open");
         b.failed(now, None);
@@ -23,16 +23,16 @@
     assert_eq!(b.failing_since(), Some(1));
     b.succeeded(8);
     assert!(
-        b.room(now, 8).is_err(),
+        b.attempts_allowed(now, 8).is_err(),
         "the late answer to an old attempt closes nothing"
     );
-    now = b.room(now, 8).unwrap_err();
+    now = b.attempts_allowed(now, 8).unwrap_err();
     b.sent(now);
     b.succeeded(8);
-    let mut rooms = vec![b.room(now, 8).unwrap()];
+    let mut rooms = vec![b.attempts_allowed(now, 8).unwrap()];
     for _ in 0..6 {
         b.succeeded(8);
-        rooms.push(b.room(now, 8).unwrap());
+        rooms.push(b.attempts_allowed(now, 8).unwrap());
     }
     assert_eq!((rooms, b.name()), (vec![2, 3, 4, 5, 6, 7, 8], "closed"));
 }
@@ -41,13 +41,13 @@
 fn advice_holds_the_endpoint_back_within_bounds_and_a_void_trial_is_free_again() {
     let mut b = Breaker::default();
     b.failed(10, Some(30 * SECOND));
-    assert_eq!(b.room(10, 4), Err(10 + 30 * SECOND));
+    assert_eq!(b.attempts_allowed(10, 4), Err(10 + 30 * SECOND));
     let mut b = Breaker::default();
     b.failed(10, Some(Micros::MAX));
-    assert_eq!(b.room(10, 4), Err(10 + LONGEST_OPEN));
+    assert_eq!(b.attempts_allowed(10, 4), Err(10 + LONGEST_OPEN));
     b.sent(10 + LONGEST_OPEN);
-    b.proved_nothing(10 + LONGEST_OPEN);
-    assert_eq!(b.room(10 + LONGEST_OPEN, 4), Ok(1));
+    b.attempt_void(10 + LONGEST_OPEN);
+    assert_eq!(b.attempts_allowed(10 + LONGEST_OPEN, 4), Ok(1));
 }
 
 #[test]
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -36,18 +36,18 @@
 pub struct Seq(pub u64);
 
 /// Where the shard stands in a number, and the epoch in which it was given.
-const SHARD_AT: u32 = 52;
-const EPOCH_AT: u32 = 32;
+const SHARD_SHIFT: u32 = 52;
+const EPOCH_SHIFT: u32 = 32;
 
 impl Seq {
     /// One of a shard, given under an epoch; numbers of one epoch are given by one process.
     pub fn of_shard(shard: u16, epoch: u64, number: u32) -> Seq {
-        Seq(u64::from(shard) << SHARD_AT | (epoch & 0xf_ffff) << EPOCH_AT | u64::from(number))
+        Seq(u64::from(shard) << SHARD_SHIFT | (epoch & 0xf_ffff) << EPOCH_SHIFT | u64::from(number))
     }
 
     /// The shard whose it is; 0 if it is this gateway's alone.
     pub fn shard(self) -> u16 {
-        (self.0 >> SHARD_AT) as u16
+        (self.0 >> SHARD_SHIFT) as u16
     }
 }
 
@@ -85,7 +85,7 @@
 
 /// What delivery is told of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct EndpointPlan {
     /// Whose it is.
     pub tenant: u64,
     /// Whether it is sent anything.
@@ -100,27 +100,27 @@
 
 /// What delivery may hold and do at once.
 #[derive(Clone, Copy, Debug)]
-pub struct Caps {
+pub struct Limits {
     /// Attempts out at once, over all endpoints.
-    pub out: u32,
+    pub max_in_flight: u32,
     /// Messages of one endpoint known here that are due.
-    pub ready: usize,
+    pub max_ready_per_endpoint: usize,
     /// Messages known here in all.
-    pub loaded: usize,
+    pub max_loaded: usize,
     /// How far ahead messages are known here.
-    pub soon: Micros,
+    pub load_horizon: Micros,
     /// An endpoint that has only failed for so long is switched off.
     pub disable_after: Micros,
 }
 
-impl Default for Caps {
-    fn default() -> Caps {
+impl Default for Limits {
+    fn default() -> Limits {
         let day = 86_400_000_000;
-        Caps {
-            out: 64,
-            ready: 64,
-            loaded: 4096,
-            soon: 60_000_000,
+        Limits {
+            max_in_flight: 64,
+            max_ready_per_endpoint: 64,
+            max_loaded: 4096,
+            load_horizon: 60_000_000,
             disable_after: 5 * day,
         }
     }
@@ -130,19 +130,19 @@
 #[derive(Debug)]
 pub enum Input {
     /// An endpoint is new or has changed.
-    Endpoint(EndpointId, Plan),
+    EndpointChanged(EndpointId, EndpointPlan),
     /// An endpoint is there no more.
-    Removed(EndpointId),
+    EndpointRemoved(EndpointId),
     /// A message is in the store and waits.
-    Waits(Waiting),
+    MessagePending(Waiting),
     /// The store holds messages of an endpoint, the first due at this time.
     Stored(EndpointId, Micros),
     /// What was asked for by [`Output::Fetch`]: the first that wait, and when the next one after them is due.
     Fetched(EndpointId, Vec<Waiting>, Option<Micros>),
     /// An attempt has ended.
-    Ended(Seq, Report),
+    AttemptEnded(Seq, Report),
     /// A message is not in the store any more, or not waiting there.
-    Gone(Seq),
+    MessageRemoved(Seq),
     /// A deadline fell due.
     Tick,
     /// Nothing more is begun.
@@ -162,7 +162,7 @@
         recorded: bool,
     },
     /// Keep where a message stands now.
-    Keep {
+    Persist {
         /// It, with its next due time, tries and `ran`.
         message: Waiting,
         /// Where it stands.
@@ -173,52 +173,52 @@
     /// Have messages of an endpoint told, so many of the first.
     Fetch(EndpointId, usize),
     /// An endpoint was switched off.
-    Disabled(EndpointId, &'static str),
+    EndpointDisabled(EndpointId, &'static str),
     /// All that still waits for a removed endpoint is over.
     Purge(EndpointId),
 }
 
 #[derive(Debug)]
-enum Place {
+enum LoadedState {
     Ready,
-    Later(Timer),
+    Scheduled(Timer),
     /// Sent at this time.
-    Out(Micros),
+    InFlight(Micros),
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Due {
     Message(Seq),
-    Look(EndpointId),
+    Recheck(EndpointId),
 }
 
 #[derive(Debug)]
-struct Endpoint {
-    plan: Plan,
+struct EndpointState {
+    plan: EndpointPlan,
     breaker: Breaker,
     bucket: Option<Bucket>,
     budget: Budget,
     /// First attempts and repeats that are due, in their order.
-    fresh: VecDeque<Seq>,
-    again: VecDeque<Seq>,
-    out: u32,
+    first_attempts: VecDeque<Seq>,
+    retries: VecDeque<Seq>,
+    in_flight: u32,
     /// All of its messages known here.
-    held: BTreeSet<Seq>,
+    loaded: BTreeSet<Seq>,
     /// When the first message that only the store knows is due.
-    stored: Option<Micros>,
+    next_stored_at: Option<Micros>,
     fetching: bool,
     /// Messages that changed while they were being fetched: what is fetched of them is old.
-    changed: HashSet<Seq>,
-    look: Option<(Micros, Timer)>,
+    changed_while_fetching: HashSet<Seq>,
+    recheck: Option<(Micros, Timer)>,
 }
 
-impl Endpoint {
+impl EndpointState {
     fn ready(&self) -> usize {
-        self.fresh.len() + self.again.len()
+        self.first_attempts.len() + self.retries.len()
     }
 
-    fn in_store(&mut self, due: Micros) {
-        self.stored = Some(self.stored.map_or(due, |s| s.min(due)));
+    fn note_stored(&mut self, due: Micros) {
+        self.next_stored_at = Some(self.next_stored_at.map_or(due, |s| s.min(due)));
     }
 }
 
@@ -236,33 +236,33 @@
 /// All deliveries.
 #[derive(Debug)]
 pub struct Delivery {
-    caps: Caps,
+    limits: Limits,
     seed: u64,
-    endpoints: HashMap<EndpointId, Endpoint>,
-    turns: FairQueue<u64, EndpointId>,
-    wheel: TimingWheel<Due>,
-    loaded: HashMap<Seq, (Waiting, Place)>,
-    out: u32,
+    endpoints: HashMap<EndpointId, EndpointState>,
+    endpoint_queue: FairQueue<u64, EndpointId>,
+    timers: TimingWheel<Due>,
+    loaded: HashMap<Seq, (Waiting, LoadedState)>,
+    in_flight: u32,
     stopped: bool,
     outputs: VecDeque<Output>,
 }
 
 /// How long a message waits that could not leave for a reason of this side's own.
-const VOID_PAUSE: Micros = 1_000_000;
+const VOID_ATTEMPT_PAUSE: Micros = 1_000_000;
 /// Bytes of a message that cost as much as a message.
-const COST: u32 = 4096;
+const BYTES_PER_COST_UNIT: u32 = 4096;
 
 impl Delivery {
     /// Nothing known, nothing waiting. The seed makes the jitter.
-    pub fn new(caps: Caps, seed: u64, now: Micros) -> Delivery {
+    pub fn new(limits: Limits, seed: u64, now: Micros) -> Delivery {
         Delivery {
-            caps,
+            limits,
             seed,
             endpoints: HashMap::new(),
-            turns: FairQueue::default(),
-            wheel: TimingWheel::new(now),
+            endpoint_queue: FairQueue::default(),
+            timers: TimingWheel::new(now),
             loaded: HashMap::new(),
-            out: 0,
+            in_flight: 0,
             stopped: false,
             outputs: VecDeque::new(),
         }
@@ -278,7 +278,7 @@
         if self.stopped {
             return None;
         }
-        self.wheel.next()
+        self.timers.next_deadline()
     }
 
     /// Messages of a shard that are known here.
@@ -292,7 +292,7 @@
 
     /// Attempts that are out.
     pub fn out(&self) -> u32 {
-        self.out
+        self.in_flight
     }
 
     /// Messages known here.
@@ -307,19 +307,19 @@
         Some(Health {
             breaker: e.breaker.name(),
             failing_since,
-            in_flight: e.out,
+            in_flight: e.in_flight,
         })
     }
 
     /// Takes what has happened.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Endpoint(id, plan) => self.endpoint(now, id, plan),
-            Input::Removed(id) => self.removed(id),
-            Input::Waits(message) => self.load(now, message),
+            Input::EndpointChanged(id, plan) => self.on_endpoint_changed(now, id, plan),
+            Input::EndpointRemoved(id) => self.on_endpoint_removed(id),
+            Input::MessagePending(message) => self.load(now, message),
             Input::Stored(id, due) => {
                 if let Some(e) = self.endpoints.get_mut(&id) {
-                    e.in_store(due);
+                    e.note_stored(due);
                 }
                 self.refill(now, id);
             }
@@ -328,33 +328,33 @@
                     return;
                 };
                 e.fetching = false;
-                let changed = std::mem::take(&mut e.changed);
+                let changed = std::mem::take(&mut e.changed_while_fetching);
                 for message in messages.into_iter().filter(|m| !changed.contains(&m.seq)) {
                     self.load(now, message);
                 }
                 if let (Some(e), Some(next)) = (self.endpoints.get_mut(&id), next) {
-                    e.in_store(next);
+                    e.note_stored(next);
                 }
                 self.refill(now, id);
             }
-            Input::Ended(seq, report) => self.ended(now, seq, report),
-            Input::Gone(seq) => {
-                if let Some((message, place)) = self.take(seq) {
-                    if matches!(place, Place::Out(_)) {
-                        self.back(now, message.endpoint);
+            Input::AttemptEnded(seq, report) => self.on_attempt_ended(now, seq, report),
+            Input::MessageRemoved(seq) => {
+                if let Some((message, place)) = self.unload(seq) {
+                    if matches!(place, LoadedState::InFlight(_)) {
+                        self.attempt_slot_freed(now, message.endpoint);
                     }
                 }
             }
             Input::Tick => {
                 let mut due = Vec::new();
-                self.wheel.expire(now, &mut due);
+                self.timers.expire(now, &mut due);
                 for (_, what) in due {
                     match what {
                         Due::Message(seq) => self.fell_due(seq),
-                        Due::Look(id) => {
+                        Due::Recheck(id) => {
                             if let Some(e) = self.endpoints.get_mut(&id) {
-                                e.look = None;
-                                self.turns.join(e.plan.tenant, id);
+                                e.recheck = None;
+                                self.endpoint_queue.join(e.plan.tenant, id);
                             }
                             self.refill(now, id);
                         }
@@ -363,23 +363,23 @@
             }
             Input::Stop => self.stopped = true,
         }
-        self.send(now);
+        self.begin_attempts(now);
     }
 
-    fn endpoint(&mut self, now: Micros, id: EndpointId, plan: Plan) {
-        let e = self.endpoints.entry(id).or_insert_with(|| Endpoint {
+    fn on_endpoint_changed(&mut self, now: Micros, id: EndpointId, plan: EndpointPlan) {
+        let e = self.endpoints.entry(id).or_insert_with(|| EndpointState {
             plan: plan.clone(),
             breaker: Breaker::default(),
             bucket: None,
             budget: Budget::new(now),
-            fresh: VecDeque::new(),
-            again: VecDeque::new(),
-            out: 0,
-            held: BTreeSet::new(),
-            stored: None,
+            first_attempts: VecDeque::new(),
+            retries: VecDeque::new(),
+            in_flight: 0,
+            loaded: BTreeSet::new(),
+            next_stored_at: None,
             fetching: false,
-            changed: HashSet::new(),
-            look: None,
+            changed_while_fetching: HashSet::new(),
+            recheck: None,
         });
         let burst = plan.per_s.max(1.0);
         match &mut e.bucket {
@@ -393,62 +393,62 @@
         }
         e.plan = plan;
         if e.plan.enabled == Enabled::Yes {
-            self.turns.join(e.plan.tenant, id);
+            self.endpoint_queue.join(e.plan.tenant, id);
             self.refill(now, id);
         } else {
-            self.leave(id);
+            self.unload_endpoint(id);
         }
     }
 
     /// Leaves what waits for an endpoint to the store.
-    fn leave(&mut self, id: EndpointId) {
+    fn unload_endpoint(&mut self, id: EndpointId) {
         let Some(e) = self.endpoints.get(&id) else {
             return;
         };
-        for seq in e.held.clone() {
-            if let Some((_, Place::Out(_))) = self.loaded.get(&seq) {
+        for seq in e.loaded.clone() {
+            if let Some((_, LoadedState::InFlight(_))) = self.loaded.get(&seq) {
                 continue;
             }
-            if let Some((message, _)) = self.take(seq) {
+            if let Some((message, _)) = self.unload(seq) {
                 if let Some(e) = self.endpoints.get_mut(&id) {
-                    e.in_store(message.due);
+                    e.note_stored(message.due);
                 }
             }
         }
     }
 
-    fn removed(&mut self, id: EndpointId) {
-        self.leave(id);
+    fn on_endpoint_removed(&mut self, id: EndpointId) {
+        self.unload_endpoint(id);
         let Some(e) = self.endpoints.remove(&id) else {
             return;
         };
-        if let Some((_, timer)) = e.look {
-            self.wheel.cancel(timer);
+        if let Some((_, timer)) = e.recheck {
+            self.timers.cancel(timer);
         }
         // What is out ends by itself; its end is kept, and nothing follows from it.
         self.outputs.push_back(Output::Purge(id));
     }
 
     /// Takes a message out of what is known here.
-    fn take(&mut self, seq: Seq) -> Option<(Waiting, Place)> {
+    fn unload(&mut self, seq: Seq) -> Option<(Waiting, LoadedState)> {
         let (message, place) = self.loaded.remove(&seq)?;
         if let Some(e) = self.endpoints.get_mut(&message.endpoint) {
-            e.held.remove(&seq);
+            e.loaded.remove(&seq);
             match place {
-                Place::Ready => {
-                    e.fresh.retain(|s| *s != seq);
-                    e.again.retain(|s| *s != seq);
+                LoadedState::Ready => {
+                    e.first_attempts.retain(|s| *s != seq);
+                    e.retries.retain(|s| *s != seq);
                 }
-                Place::Later(timer) => {
-                    self.wheel.cancel(timer);
+                LoadedState::Scheduled(timer) => {
+                    self.timers.cancel(timer);
                 }
-                Place::Out(_) => {
-                    e.out = e.out.saturating_sub(1);
-                    self.out -= 1;
+                LoadedState::InFlight(_) => {
+                    e.in_flight = e.in_flight.saturating_sub(1);
+                    self.in_flight -= 1;
                 }
             }
-        } else if matches!(place, Place::Out(_)) {
-            self.out -= 1;
+        } else if matches!(place, LoadedState::InFlight(_)) {
+            self.in_flight -= 1;
         }
         Some((message, place))
     }
@@ -458,10 +458,10 @@
         if self.loaded.contains_key(&message.seq) {
             return;
         }
-        let full = self.loaded.len() >= self.caps.loaded;
+        let full = self.loaded.len() >= self.limits.max_loaded;
         let Some(e) = self.endpoints.get_mut(&message.endpoint) else {
             let state = State::Dead(Dead::Gone);
-            return self.outputs.push_back(Output::Keep {
+            return self.outputs.push_back(Output::Persist {
                 message,
                 state,
                 attempt: None,
@@ -469,24 +469,24 @@
         };
         let due = message.due <= now;
         // One that has always some places, however many others wait: no endpoint starves for room here.
-        let room = !full || e.held.len() < 4;
+        let room = !full || e.loaded.len() < 4;
         let fits = room
             && if due {
-                e.ready() < self.caps.ready
+                e.ready() < self.limits.max_ready_per_endpoint
             } else {
-                message.due - now <= self.caps.soon
+                message.due - now <= self.limits.load_horizon
             };
         // What is due stands behind what the store holds of before.
-        let behind = due && e.stored.is_some_and(|s| s <= message.due);
+        let behind = due && e.next_stored_at.is_some_and(|s| s <= message.due);
         if e.plan.enabled != Enabled::Yes || !fits || behind {
-            e.in_store(message.due);
+            e.note_stored(message.due);
             return self.refill(now, message.endpoint);
         }
-        e.held.insert(message.seq);
+        e.loaded.insert(message.seq);
         let place = if due {
-            Place::Ready
+            LoadedState::Ready
         } else {
-            Place::Later(self.wheel.insert(message.due, Due::Message(message.seq)))
+            LoadedState::Scheduled(self.timers.insert(message.due, Due::Message(message.seq)))
         };
         self.loaded.insert(message.seq, (message, place));
         if due {
@@ -498,17 +498,17 @@
         let Some((message, place)) = self.loaded.get_mut(&seq) else {
             return;
         };
-        *place = Place::Ready;
+        *place = LoadedState::Ready;
         let Some(e) = self.endpoints.get_mut(&message.endpoint) else {
             return;
         };
         let queue = if message.tries == 0 {
-            &mut e.fresh
+            &mut e.first_attempts
         } else {
-            &mut e.again
+            &mut e.retries
         };
         queue.push_back(seq);
-        self.turns.join(e.plan.tenant, message.endpoint);
+        self.endpoint_queue.join(e.plan.tenant, message.endpoint);
     }
 
     /// Has more of an endpoint's messages fetched when those known here run low.
@@ -516,44 +516,44 @@
         let Some(e) = self.endpoints.get_mut(&id) else {
             return;
         };
-        let Some(stored) = e.stored else { return };
-        if e.fetching || e.plan.enabled != Enabled::Yes || e.ready() > self.caps.ready / 2 {
+        let Some(stored) = e.next_stored_at else { return };
+        if e.fetching || e.plan.enabled != Enabled::Yes || e.ready() > self.limits.max_ready_per_endpoint / 2 {
             return;
         }
-        if self.loaded.len() >= self.caps.loaded && e.held.len() >= 4 {
+        if self.loaded.len() >= self.limits.max_loaded && e.loaded.len() >= 4 {
             // What is fetched would find no room; others' messages make some as they end.
-            self.look_again(id, now.max(stored) + VOID_PAUSE);
+            self.recheck_at(id, now.max(stored) + VOID_ATTEMPT_PAUSE);
         } else if stored <= now {
-            (e.fetching, e.stored) = (true, None);
+            (e.fetching, e.next_stored_at) = (true, None);
             self.outputs
-                .push_back(Output::Fetch(id, self.caps.ready + e.held.len()));
+                .push_back(Output::Fetch(id, self.limits.max_ready_per_endpoint + e.loaded.len()));
         } else {
-            self.look_again(id, stored);
+            self.recheck_at(id, stored);
         }
     }
 
-    fn look_again(&mut self, id: EndpointId, at: Micros) {
+    fn recheck_at(&mut self, id: EndpointId, at: Micros) {
         let Some(e) = self.endpoints.get_mut(&id) else {
             return;
         };
-        if let Some((old, timer)) = e.look {
+        if let Some((old, timer)) = e.recheck {
             if old <= at {
                 return;
             }
-            self.wheel.cancel(timer);
+            self.timers.cancel(timer);
         }
-        e.look = Some((at, self.wheel.insert(at, Due::Look(id))));
+        e.recheck = Some((at, self.timers.insert(at, Due::Recheck(id))));
     }
 
     /// Begins attempts, in fair turns, as long as there is room.
-    fn send(&mut self, now: Micros) {
-        while !self.stopped && self.out < self.caps.out {
+    fn begin_attempts(&mut self, now: Micros) {
+        while !self.stopped && self.in_flight < self.limits.max_in_flight {
             let (endpoints, loaded) = (&mut self.endpoints, &self.loaded);
             let mut looks = Vec::new();
-            let chosen = self.turns.next(|id| {
+            let chosen = self.endpoint_queue.next(|id| {
                 let e = endpoints.get_mut(&id)?;
-                match next_of(e, now) {
-                    Ok(seq) => loaded.get(&seq).map(|(m, _)| 1 + m.size / COST),
+                match next_message(e, now) {
+                    Ok(seq) => loaded.get(&seq).map(|(m, _)| 1 + m.size / BYTES_PER_COST_UNIT),
                     Err(at) => {
                         looks.extend(at.map(|at| (id, at)));
                         None
@@ -562,31 +562,31 @@
             });
             looks
                 .into_iter()
-                .for_each(|(id, at)| self.look_again(id, at));
+                .for_each(|(id, at)| self.recheck_at(id, at));
             let Some(id) = chosen else { return };
-            self.begin(now, id);
+            self.begin_attempt(now, id);
             self.refill(now, id);
         }
     }
 
-    fn begin(&mut self, now: Micros, id: EndpointId) {
+    fn begin_attempt(&mut self, now: Micros, id: EndpointId) {
         let Some(e) = self.endpoints.get_mut(&id) else {
             return;
         };
-        let Ok(seq) = next_of(e, now) else { return };
+        let Ok(seq) = next_message(e, now) else { return };
         let Some((message, place)) = self.loaded.get_mut(&seq) else {
             return;
         };
-        if e.fresh.front() == Some(&seq) {
-            e.fresh.pop_front();
+        if e.first_attempts.front() == Some(&seq) {
+            e.first_attempts.pop_front();
         } else {
-            e.again.pop_front();
+            e.retries.pop_front();
         }
         if !permitted_after(message.effect, message.ran, now, 0).retry {
             // The time within which a repeat is harmless passed while it waited.
             let message = *message;
-            self.take(seq);
-            return self.over(message, State::Dead(Dead::Unknown), None);
+            self.unload(seq);
+            return self.persist(message, State::Dead(Dead::Unknown), None);
         }
         e.breaker.sent(now);
         if let Some(bucket) = &mut e.bucket {
@@ -595,9 +595,9 @@
         if message.tries > 0 {
             e.budget.take();
         }
-        *place = Place::Out(now);
-        e.out += 1;
-        self.out += 1;
+        *place = LoadedState::InFlight(now);
+        e.in_flight += 1;
+        self.in_flight += 1;
         let recorded = message.effect != Effect::Idempotent;
         self.outputs.push_back(Output::Begin {
             seq,
@@ -606,15 +606,15 @@
         });
     }
 
-    fn over(&mut self, message: Waiting, state: State, attempt: Option<Report>) {
+    fn persist(&mut self, message: Waiting, state: State, attempt: Option<Report>) {
         if let Some(e) = self
             .endpoints
             .get_mut(&message.endpoint)
             .filter(|e| e.fetching)
         {
-            e.changed.insert(message.seq);
+            e.changed_while_fetching.insert(message.seq);
         }
-        self.outputs.push_back(Output::Keep {
+        self.outputs.push_back(Output::Persist {
             message,
             state,
             attempt,
@@ -622,24 +622,24 @@
     }
 
     /// A place at an endpoint is free again.
-    fn back(&mut self, now: Micros, id: EndpointId) {
+    fn attempt_slot_freed(&mut self, now: Micros, id: EndpointId) {
         if let Some(e) = self.endpoints.get(&id) {
-            self.turns.join(e.plan.tenant, id);
+            self.endpoint_queue.join(e.plan.tenant, id);
         }
         self.refill(now, id);
     }
 
-    fn ended(&mut self, now: Micros, seq: Seq, report: Report) {
-        let Some((_, Place::Out(sent))) = self.loaded.get(&seq) else {
+    fn on_attempt_ended(&mut self, now: Micros, seq: Seq, report: Report) {
+        let Some((_, LoadedState::InFlight(sent))) = self.loaded.get(&seq) else {
             return;
         };
         let sent = *sent;
-        let Some((mut message, _)) = self.take(seq) else {
+        let Some((mut message, _)) = self.unload(seq) else {
             return;
         };
         let id = message.endpoint;
-        let disable_after = self.caps.disable_after;
-        let meaning = report.meaning();
+        let disable_after = self.limits.disable_after;
+        let meaning = report.class();
         let mut off = None;
         if let Some(e) = self.endpoints.get_mut(&id) {
             match meaning {
@@ -657,7 +657,7 @@
                         off = Some("failing");
                     }
                 }
-                ResponseClass::Void => e.breaker.proved_nothing(now),
+                ResponseClass::Void => e.breaker.attempt_void(now),
             }
         }
         if report.may_have_arrived() && meaning != ResponseClass::Delivered {
@@ -669,7 +669,7 @@
             ResponseClass::Delivered => State::Delivered,
             ResponseClass::Void => {
                 attempt = None;
-                message.due = now + VOID_PAUSE;
+                message.due = now + VOID_ATTEMPT_PAUSE;
                 State::Waiting
             }
             _ if !permitted_after(message.effect, message.ran, now, 0).retry => {
@@ -694,7 +694,7 @@
         if attempt.is_some() {
             message.tries += 1;
         }
-        self.over(message, state, attempt);
+        self.persist(message, state, attempt);
         if let Some(why) = off {
             if let Some(e) = self
                 .endpoints
@@ -702,29 +702,29 @@
                 .filter(|e| e.plan.enabled == Enabled::Yes)
             {
                 e.plan.enabled = Enabled::ByFailure;
-                self.outputs.push_back(Output::Disabled(id, why));
-                self.leave(id);
+                self.outputs.push_back(Output::EndpointDisabled(id, why));
+                self.unload_endpoint(id);
             }
         }
         if state == State::Waiting {
             self.load(now, message);
         }
-        self.back(now, id);
+        self.attempt_slot_freed(now, id);
     }
 }
 
 /// The message of an endpoint that may go now; else when it may be, if it is time alone that it waits for.
-fn next_of(e: &mut Endpoint, now: Micros) -> Result<Seq, Option<Micros>> {
+fn next_message(e: &mut EndpointState, now: Micros) -> Result<Seq, Option<Micros>> {
     if e.plan.enabled != Enabled::Yes || e.ready() == 0 {
         return Err(None);
     }
-    if e.out >= e.breaker.room(now, e.plan.in_flight.max(1)).map_err(Some)? {
+    if e.in_flight >= e.breaker.attempts_allowed(now, e.plan.in_flight.max(1)).map_err(Some)? {
         return Err(None);
     }
     if let Some(bucket) = &mut e.bucket {
         bucket.ready(now).map_err(Some)?;
     }
-    match (e.again.front(), e.fresh.front()) {
+    match (e.retries.front(), e.first_attempts.front()) {
         (Some(seq), fresh) => match (e.budget.ready(now), fresh) {
             (Ok(()), _) => Ok(*seq),
             (Err(_), Some(fresh)) => Ok(*fresh),
--- a/src/delivery/response.rs
+++ b/src/delivery/response.rs
@@ -48,7 +48,7 @@
 
     /// What it means. 3xx is a failure like any other: a signed message goes nowhere but to the address that the
     /// operator has set.
-    pub fn meaning(&self) -> ResponseClass {
+    pub fn class(&self) -> ResponseClass {
         match (self.status, self.ending, self.left) {
             (Some(200..=299), CloseReason::Served, _) => ResponseClass::Delivered,
             (Some(410), ..) => ResponseClass::Gone,
--- a/src/delivery/response/tests.rs
+++ b/src/delivery/response/tests.rs
@@ -16,7 +16,7 @@
             status: Some(status),
             advice,
         }
-        .meaning()
+        .class()
     };
     for status in [200, 201, 204, 299] {
         assert_eq!(of(status, None), ResponseClass::Delivered);
@@ -39,11 +39,11 @@
         advice: None,
     };
     assert_eq!(
-        cut(CloseReason::Shutdown, SendProgress::Unsent).meaning(),
+        cut(CloseReason::Shutdown, SendProgress::Unsent).class(),
         ResponseClass::Void
     );
     assert_eq!(
-        cut(CloseReason::Shutdown, SendProgress::Started).meaning(),
+        cut(CloseReason::Shutdown, SendProgress::Started).class(),
         ResponseClass::Failed(None)
     );
     assert!(!cut(CloseReason::Refused, SendProgress::Unsent).may_have_arrived());
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -13,7 +13,7 @@
 struct World {
     delivery: Delivery,
     now: Micros,
-    plans: BTreeMap<EndpointId, Plan>,
+    plans: BTreeMap<EndpointId, EndpointPlan>,
     store: BTreeMap<Seq, (Waiting, State)>,
     /// What waits, in the order in which it is fetched.
     index: BTreeSet<(EndpointId, Micros, Seq)>,
@@ -26,12 +26,12 @@
     disabled: Vec<EndpointId>,
     /// When each endpoint was last begun to.
     sent: BTreeMap<EndpointId, Vec<Micros>>,
-    caps: Caps,
+    caps: Limits,
 }
 
-fn plan(tenant: u64) -> Plan {
+fn plan(tenant: u64) -> EndpointPlan {
     let schedule = Schedule::from_seconds(&[1.0, 10.0, 100.0]).unwrap();
-    Plan {
+    EndpointPlan {
         tenant,
         enabled: Enabled::Yes,
         per_s: 0.0,
@@ -68,7 +68,7 @@
 };
 
 impl World {
-    fn new(caps: Caps, endpoints: u64) -> World {
+    fn new(caps: Limits, endpoints: u64) -> World {
         let mut w = World {
             delivery: Delivery::new(caps, 7, 1),
             now: 1,
@@ -89,9 +89,9 @@
         w
     }
 
-    fn plan(&mut self, id: EndpointId, plan: Plan) {
+    fn plan(&mut self, id: EndpointId, plan: EndpointPlan) {
         self.plans.insert(id, plan.clone());
-        self.input(Input::Endpoint(id, plan));
+        self.input(Input::EndpointChanged(id, plan));
     }
 
     fn input(&mut self, input: Input) {
@@ -111,7 +111,7 @@
             size: 9000,
         };
         self.keep(message, State::Waiting);
-        self.input(Input::Waits(message));
+        self.input(Input::MessagePending(message));
     }
 
     fn keep(&mut self, message: Waiting, state: State) {
@@ -155,9 +155,9 @@
                     };
                     assert!(at(endpoint) as u32 <= self.plans[&endpoint].in_flight);
                     assert_eq!(self.plans[&endpoint].enabled, Enabled::Yes);
-                    assert!(self.out.len() as u32 <= self.caps.out);
+                    assert!(self.out.len() as u32 <= self.caps.max_in_flight);
                 }
-                Output::Keep { message, state, .. } => {
+                Output::Persist { message, state, .. } => {
                     assert!(
                         !self.store[&message.seq].1.is_over(),
                         "{message:?} ends twice"
@@ -180,7 +180,7 @@
                     );
                     self.fetches.push((id, all, next));
                 }
-                Output::Disabled(id, _) => {
+                Output::EndpointDisabled(id, _) => {
                     self.plans.get_mut(&id).unwrap().enabled = Enabled::ByFailure;
                     self.disabled.push(id);
                 }
@@ -201,7 +201,7 @@
             }
         }
         assert_eq!(self.delivery.out() as usize, self.out.len());
-        assert!(self.delivery.loaded() <= self.caps.loaded + 4 * self.plans.len());
+        assert!(self.delivery.loaded() <= self.caps.max_loaded + 4 * self.plans.len());
     }
 
     fn answer_fetch(&mut self) {
@@ -219,7 +219,7 @@
         if report.may_have_arrived() {
             self.arrived.insert(seq);
         }
-        self.input(Input::Ended(seq, report));
+        self.input(Input::AttemptEnded(seq, report));
     }
 
     fn pass(&mut self, span: Micros) {
@@ -305,7 +305,7 @@
     #[test]
     fn no_order_of_events_loses_doubles_or_sticks(steps in prop::collection::vec(step(), 1..300)) {
         // Small windows, so that most of it lies in the store.
-        let caps = Caps { out: 5, ready: 3, loaded: 8, soon: 20 * SECOND, ..Caps::default() };
+        let caps = Limits { max_in_flight: 5, max_ready_per_endpoint: 3, max_loaded: 8, load_horizon: 20 * SECOND, ..Limits::default() };
         let mut w = World::new(caps, 6);
         let mut removed = BTreeSet::new();
         for (n, step) in steps.into_iter().enumerate() {
@@ -319,20 +319,20 @@
                 Step::Pass(span) => w.pass(span),
                 Step::Switch(e, on) if !removed.contains(&e) => {
                     let enabled = if on { Enabled::Yes } else { Enabled::ByHand };
-                    let p = Plan { enabled, ..w.plans[&EndpointId(e)].clone() };
+                    let p = EndpointPlan { enabled, ..w.plans[&EndpointId(e)].clone() };
                     w.plan(EndpointId(e), p);
                 }
                 Step::Switch(..) => {}
                 // Only now and then: most runs keep their endpoints.
                 Step::Remove(e) if e < 6 => {
                     removed.insert(e);
-                    w.input(Input::Removed(EndpointId(e)));
+                    w.input(Input::EndpointRemoved(EndpointId(e)));
                 }
                 Step::Remove(_) => {}
             }
         }
         for e in (0..6).filter(|e| !removed.contains(e)) {
-            let p = Plan { enabled: Enabled::Yes, ..w.plans[&EndpointId(e)].clone() };
+            let p = EndpointPlan { enabled: Enabled::Yes, ..w.plans[&EndpointId(e)].clone() };
             w.plan(EndpointId(e), p);
         }
         w.run_out(100 * 86_400 * SECOND, |_, _| answer(204));
@@ -347,7 +347,7 @@
                 other => prop_assert!(false, "{:?} is left {:?}", m, other),
             }
         }
-        prop_assert!(w.delivery.wheel.is_empty(), "no timer outlives what it was for");
+        prop_assert!(w.delivery.timers.is_empty(), "no timer outlives what it was for");
     }
 }
 
@@ -355,11 +355,11 @@
 #[test]
 fn a_portal_back_after_an_hour_is_met_slowly_and_gets_all() {
     let mut w = World::new(
-        Caps {
-            out: 64,
-            ready: 32,
-            loaded: 256,
-            ..Caps::default()
+        Limits {
+            max_in_flight: 64,
+            max_ready_per_endpoint: 32,
+            max_loaded: 256,
+            ..Limits::default()
         },
         1,
     );
@@ -367,7 +367,7 @@
     let schedule = Schedule::from_seconds(&[10.0, 60.0, 600.0, 3600.0, 7200.0]).unwrap();
     w.plan(
         EndpointId(0),
-        Plan {
+        EndpointPlan {
             in_flight: 8,
             schedule,
             ..plan(0)
@@ -404,18 +404,18 @@
 #[test]
 fn a_dead_or_slow_portal_takes_nothing_from_the_others() {
     let mut w = World::new(
-        Caps {
-            out: 16,
-            ready: 16,
-            loaded: 4096,
-            ..Caps::default()
+        Limits {
+            max_in_flight: 16,
+            max_ready_per_endpoint: 16,
+            max_loaded: 4096,
+            ..Limits::default()
         },
         0,
     );
     for e in 0..50 {
         w.plan(
             EndpointId(e),
-            Plan {
+            EndpointPlan {
                 in_flight: 4,
                 ..plan(e)
             },
@@ -460,9 +460,9 @@
 #[test]
 fn an_endpoint_is_switched_off_by_410_or_long_failure_and_its_messages_wait() {
     let mut w = World::new(
-        Caps {
+        Limits {
             disable_after: 100 * SECOND,
-            ..Caps::default()
+            ..Limits::default()
         },
         2,
     );
@@ -493,10 +493,10 @@
 
 #[test]
 fn a_rate_is_kept_and_a_repeat_that_has_become_harmful_is_not_sent() {
-    let mut w = World::new(Caps::default(), 0);
+    let mut w = World::new(Limits::default(), 0);
     w.plan(
         EndpointId(0),
-        Plan {
+        EndpointPlan {
             per_s: 5.0,
             in_flight: 50,
             ..plan(0)
--- a/src/delivery/timing_wheel.rs
+++ b/src/delivery/timing_wheel.rs
@@ -106,7 +106,7 @@
 
     /// A time at or before which nothing falls due, and at which [`TimingWheel::expire`] is to be called; none while
     /// nothing hangs. It is the exact time of an entry when that is near, else when one comes nearer.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         for level in 0..LEVELS {
             if self.used[level] == 0 {
                 continue;
@@ -142,7 +142,7 @@
             }
             // Nothing is left in this tick: on to the next one in which anything happens.
             let next = self
-                .next()
+                .next_deadline()
                 .map_or(target, |t| (t >> SHIFT).max(self.ticked + 1))
                 .min(target);
             let crossed = self.ticked ^ next;
--- a/src/delivery/timing_wheel/tests.rs
+++ b/src/delivery/timing_wheel/tests.rs
@@ -41,7 +41,7 @@
                 }
                 Step::Cancel(_) => {}
                 Step::Pass(span) => now += span,
-                Step::ToNext => now = now.max(wheel.next().unwrap_or(now)),
+                Step::ToNext => now = now.max(wheel.next_deadline().unwrap_or(now)),
             }
             let mut told = Vec::new();
             wheel.expire(now, &mut told);
@@ -52,7 +52,7 @@
             prop_assert_eq!(&seen, &due);
             prop_assert!(told.windows(2).all(|w| w[0].0 <= w[1].0));
             prop_assert_eq!(wheel.len(), plain.len());
-            match (wheel.next(), plain.first()) {
+            match (wheel.next_deadline(), plain.first()) {
                 (Some(at), Some((first, _))) => prop_assert!(at <= *first && at > now),
                 (at, first) => prop_assert!(at.is_none() && first.is_none()),
             }
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -12,7 +12,7 @@
         let tenant = self.secondary.tenants.same(&record.tenant, record.serial);
         let Some((tenant, e)) = tenant.and_then(|t| t.endpoint(id).map(|(_, e)| (t, e))) else {
             // Removed at this very moment; its end is kept by the removal.
-            return hooks.delivery.handle(now, Input::Ended(seq, Report::VOID));
+            return hooks.delivery.handle(now, Input::AttemptEnded(seq, Report::VOID));
         };
         let (address, secrets) = (e.portal.address, tenant.signing(e, now));
         let failed = |ending| Report {
@@ -25,7 +25,7 @@
             // Nothing is sent where the operator does not allow it, or unsigned.
             return hooks
                 .delivery
-                .handle(now, Input::Ended(seq, failed(CloseReason::ConnectTimeout)));
+                .handle(now, Input::AttemptEnded(seq, failed(CloseReason::ConnectTimeout)));
         }
         // One that must not come twice has a connection of its own: an idle one may be at its end unseen.
         let reuse = record.waiting.effect == Effect::Idempotent;
@@ -68,7 +68,7 @@
                 if let Some(hooks) = &mut self.secondary.hooks {
                     hooks
                         .delivery
-                        .handle(now, Input::Ended(seq, failed(ending)));
+                        .handle(now, Input::AttemptEnded(seq, failed(ending)));
                 }
             }
         }
@@ -161,7 +161,7 @@
     pub(super) fn portal_ended(&mut self, now: Micros, seq: Seq, report: Report) {
         step("callback answered");
         if let Some(hooks) = &mut self.secondary.hooks {
-            hooks.delivery.handle(now, Input::Ended(seq, report));
+            hooks.delivery.handle(now, Input::AttemptEnded(seq, report));
         }
     }
 
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -66,7 +66,7 @@
             }
             Ask::Settled(w, state) => {
                 if reply.is_ok() && state == State::Waiting {
-                    hooks.delivery.handle(now, Input::Waits(w));
+                    hooks.delivery.handle(now, Input::MessagePending(w));
                 }
                 self.now_wait(now, reply);
             }
@@ -88,8 +88,8 @@
                     step("callback's intent promised");
                     self.attempt(now, both.0, &both.1)
                 }
-                Ok(_) => hooks.delivery.handle(now, Input::Gone(seq)),
-                Err(_) => hooks.delivery.handle(now, Input::Ended(seq, Report::VOID)),
+                Ok(_) => hooks.delivery.handle(now, Input::MessageRemoved(seq)),
+                Err(_) => hooks.delivery.handle(now, Input::AttemptEnded(seq, Report::VOID)),
             },
             Ask::Fetch(id) => match reply {
                 Ok(Reply::Fetched(all, next)) => {
@@ -112,9 +112,9 @@
                 };
                 forward
                     .into_iter()
-                    .for_each(|w| hooks.delivery.handle(now, Input::Waits(w)));
+                    .for_each(|w| hooks.delivery.handle(now, Input::MessagePending(w)));
                 for seq in expired {
-                    hooks.delivery.handle(now, Input::Gone(seq));
+                    hooks.delivery.handle(now, Input::MessageRemoved(seq));
                     self.core.counters.callbacks_undelivered += 1;
                 }
                 self.core
@@ -167,7 +167,7 @@
             return;
         };
         all.into_iter()
-            .for_each(|w| hooks.delivery.handle(now, Input::Waits(w)));
+            .for_each(|w| hooks.delivery.handle(now, Input::MessagePending(w)));
     }
 
     /// A pass of retention is due.
@@ -189,7 +189,7 @@
             }
             Output::Fetch(id, limit) => hooks.ask(Ask::Fetch(id), Op::Fetch(id, limit)),
             Output::Purge(id) => hooks.ask(Ask::Purge(id), Op::Purge(id, RETAINED)),
-            Output::Keep {
+            Output::Persist {
                 message,
                 state,
                 attempt,
@@ -227,7 +227,7 @@
                     }
                 }
             }
-            Output::Disabled(id, why) => {
+            Output::EndpointDisabled(id, why) => {
                 let Some((tenant, name)) = self.secondary.tenants.disable(id) else {
                     return;
                 };
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -90,7 +90,7 @@
         });
         for seq in self.delivery.of_shard(shard) {
             self.out.remove(&seq);
-            self.delivery.handle(now, Input::Gone(seq));
+            self.delivery.handle(now, Input::MessageRemoved(seq));
         }
         self.ask(Ask::Quiet, Op::Rest(shard));
         over
@@ -111,7 +111,7 @@
     pub(in crate::gateway) fn wait(&mut self, now: Micros, waits: Vec<Waiting>) {
         waits
             .into_iter()
-            .for_each(|w| self.delivery.handle(now, Input::Waits(w)));
+            .for_each(|w| self.delivery.handle(now, Input::MessagePending(w)));
     }
 
     /// How a call stands, for another gateway.
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -63,15 +63,15 @@
             (None, false) => Schedule::short(w.callback_window_ms * 1000),
         };
         // What waits in memory is bounded by what may be taken: all of it is known to delivery.
-        let all = Caps {
-            ready: usize::MAX / 2,
-            loaded: usize::MAX / 2,
-            soon: Micros::MAX / 2,
-            ..Caps::default()
+        let all = Limits {
+            max_ready_per_endpoint: usize::MAX / 2,
+            max_loaded: usize::MAX / 2,
+            load_horizon: Micros::MAX / 2,
+            ..Limits::default()
         };
-        let caps = if durable { Caps::default() } else { all };
-        let caps = Caps {
-            out: w.portals,
+        let caps = if durable { Limits::default() } else { all };
+        let caps = Limits {
+            max_in_flight: w.portals,
             disable_after: w.disable_after_s * 1_000_000,
             ..caps
         };
@@ -168,7 +168,7 @@
         for e in t.endpoints.values() {
             hooks.delivery.handle(
                 now,
-                Input::Endpoint(e.id, e.plan(t.serial, &hooks.schedule)),
+                Input::EndpointChanged(e.id, e.plan(t.serial, &hooks.schedule)),
             );
         }
     }
@@ -179,7 +179,7 @@
             let Some(hooks) = &mut self.secondary.hooks else {
                 return;
             };
-            hooks.delivery.handle(now, Input::Removed(*id));
+            hooks.delivery.handle(now, Input::EndpointRemoved(*id));
             for key in hooks.idle.remove(id).unwrap_or_default() {
                 self.close(key, CloseReason::Shutdown);
             }
--- a/src/tenancy/endpoint.rs
+++ b/src/tenancy/endpoint.rs
@@ -8,7 +8,7 @@
 use super::{Secret, TenantError, MOST_SECRETS};
 use crate::api::Micros;
 use crate::delivery::schedule::Schedule;
-use crate::delivery::{Enabled, EndpointId, Plan};
+use crate::delivery::{Enabled, EndpointId, EndpointPlan};
 
 /// The type of event that answers a call; the only one that goes to an endpoint that names none.
 pub const COMPLETED: &str = "call.completed";
@@ -192,8 +192,8 @@
     }
 
     /// What delivery is told of it.
-    pub fn plan(&self, tenant: u64, schedule: &Schedule) -> Plan {
-        Plan {
+    pub fn plan(&self, tenant: u64, schedule: &Schedule) -> EndpointPlan {
+        EndpointPlan {
             tenant,
             enabled: self.enabled,
             per_s: self.rate_per_s,
