--- a/src/delivery/breaker.rs
+++ b/src/delivery/breaker.rs
@@ -1,5 +1,5 @@
-//! What an endpoint can bear: a circuit breaker with half-open trials, a slow start after recovery, a rate, and a
-//! budget for attempts that are not first ones.
+//! What an endpoint can bear: a circuit breaker with half-open trials, a slow start after recovery,
+//! a rate, and a budget for attempts that are not first ones.
 
 use crate::api::Micros;
 
@@ -11,7 +11,8 @@
 const LONGEST_OPEN: Micros = 300 * SECOND;
 /// Repeats earn this share of an attempt with each success ...
 const EARNED: f64 = 0.2;
-/// ... and this much a second, so that a quiet endpoint's repeats go out as well; no more than this is saved up.
+/// ... and this much a second, so that a quiet endpoint's repeats go out as well; no more than this
+/// is saved up.
 const EARNED_PER_S: f64 = 1.0;
 const MOST_SAVED: f64 = 10.0;
 
@@ -50,8 +51,8 @@
 }
 
 impl Breaker {
-    /// How many attempts may be out at once, of `limit`, with the time from which that holds: a time that has not
-    /// come means none before it.
+    /// How many attempts may be out at once, of `limit`, with the time from which that holds: a
+    /// time that has not come means none before it.
     pub fn attempts_allowed(&self, now: Micros, limit: u32) -> Result<u32, Micros> {
         match self.state {
             State::Open { until } if now < until => Err(until),
@@ -74,7 +75,8 @@
             State::Trial => {
                 (self.state, self.pause, self.ramp) = (State::Closed, FIRST_OPEN, Some(2));
             }
-            // The late answer of an attempt from before it opened proves nothing of now; the trial does.
+            // The late answer of an attempt from before it opened proves nothing of now; the trial
+            // does.
             State::Open { .. } => {}
             State::Closed => {
                 self.ramp = self
@@ -85,7 +87,8 @@
         }
     }
 
-    /// An attempt failed in a way that speaks of the endpoint. `advice` holds back all of it until then.
+    /// An attempt failed in a way that speaks of the endpoint. `advice` holds back all of it until
+    /// then.
     pub fn failed(&mut self, now: Micros, advice: Option<Micros>) {
         self.failures += 1;
         self.failing_since.get_or_insert(now);
@@ -192,7 +195,8 @@
     }
 }
 
-/// The budget for attempts that are not first ones: a portal that comes back is not run over by what has waited.
+/// The budget for attempts that are not first ones: a portal that comes back is not run over by
+/// what has waited.
 #[derive(Clone, Debug)]
 pub struct Budget(Bucket);
 
--- a/src/delivery/breaker/tests.rs
+++ b/src/delivery/breaker/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_failing_endpoint_gets_single_trials_ever_more_rarely_and_then_a_slow_start() {
+fn failing_endpoint_gets_rare_trials_then_slow_start() {
     let (mut b, mut now) = (Breaker::default(), 1);
     for _ in 0..FAILURES {
         assert_eq!(b.attempts_allowed(now, 8), Ok(8));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn advice_holds_the_endpoint_back_within_bounds_and_a_void_trial_is_free_again() {
+fn retry_after_is_bounded_and_void_trial_is_repeated() {
     let mut b = Breaker::default();
     b.failed(10, Some(30 * SECOND));
     assert_eq!(b.attempts_allowed(10, 4), Err(10 + 30 * SECOND));
--- a/src/delivery/egress.rs
+++ b/src/delivery/egress.rs
@@ -5,10 +5,10 @@
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 
-/// What is denied unless a longer or equal prefix is allowed: this network, link-local (where clouds keep their
-/// machines' credentials), multicast, private and shared ranges, documentation and reserved addresses
-/// (RFC 6890 and the registries that it set up). Loopback is not: portals beside the gateway are usual, and an
-/// operator who wants it closed denies it.
+/// What is denied unless a longer or equal prefix is allowed: this network, link-local (where
+/// clouds keep their machines' credentials), multicast, private and shared ranges, documentation
+/// and reserved addresses (RFC 6890 and the registries that it set up). Loopback is not: portals
+/// beside the gateway are usual, and an operator who wants it closed denies it.
 const DENIED: [&str; 20] = [
     "0.0.0.0/8",
     "10.0.0.0/8",
@@ -46,7 +46,8 @@
 }
 
 impl Networks {
-    /// The defaults, with these allowed and these denied besides. Of two equal prefixes the denied one counts.
+    /// The defaults, with these allowed and these denied besides. Of two equal prefixes the denied
+    /// one counts.
     pub fn new(allow: &[IpNet], deny: &[IpNet]) -> Networks {
         let mut networks = Networks {
             v4: PrefixMap::new(),
--- a/src/delivery/fair_queue.rs
+++ b/src/delivery/fair_queue.rs
@@ -1,4 +1,5 @@
-//! Fair turns: deficit round robin (Shreedhar and Varghese, 1995) over tenants, then over a tenant's endpoints.
+//! Fair turns: deficit round robin (Shreedhar and Varghese, 1995) over tenants, then over a
+//! tenant's endpoints.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
@@ -35,8 +36,9 @@
         self.order.is_empty()
     }
 
-    /// Whose turn it is, and what it costs. `cost` tells what a place's next piece costs (1 and up), or none if it
-    /// has nothing that may go now: then it leaves the ring with what it had saved.
+    /// Whose turn it is, and what it costs. `cost` tells what a place's next piece costs (1 and
+    /// up), or none if it has nothing that may go now: then it leaves the ring with what it had
+    /// saved.
     pub fn next(&mut self, mut cost: impl FnMut(K) -> Option<u32>) -> Option<(K, u32)> {
         loop {
             let key = *self.order.front()?;
--- a/src/delivery/fair_queue/tests.rs
+++ b/src/delivery/fair_queue/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_may_not_go_leaves_the_ring_and_comes_back_when_it_joins() {
+fn blocked_key_leaves_ring_until_it_joins_again() {
     let mut turns: FairQueue<u8, u8> = FairQueue::default();
     turns.join(1, 1);
     turns.join(2, 2);
--- /dev/null
+++ b/src/delivery/outcomes.rs
@@ -0,0 +1,143 @@
+//! What follows from how an attempt ended, for the message and for its endpoint.
+
+use super::ids::{EndpointId, Seq};
+use super::messages::{Enabled, Output, Waiting};
+use super::response::{Dead, Report, ResponseClass, State};
+use super::{Delivery, LoadedState};
+use crate::api::Micros;
+use crate::policy::permitted_after;
+
+/// How long a message waits after an attempt that did not begin for a reason of this side, in
+/// microseconds.
+pub(super) const VOID_ATTEMPT_PAUSE: Micros = 1_000_000;
+
+/// Why an endpoint is disabled after an attempt; operators see these words.
+const ANSWERED_GONE: &str = "gone";
+const KEPT_FAILING: &str = "failing";
+
+impl Delivery {
+    /// Has the state of a message stored.
+    pub(super) fn persist(&mut self, message: Waiting, state: State, attempt: Option<Report>) {
+        if let Some(endpoint) = self.endpoints.get_mut(&message.endpoint) {
+            if endpoint.fetching {
+                endpoint.changed_while_fetching.insert(message.seq);
+            }
+        }
+        self.outputs.push_back(Output::Persist {
+            message,
+            state,
+            attempt,
+        });
+    }
+
+    /// An endpoint may have one more attempt in flight.
+    pub(super) fn attempt_slot_freed(&mut self, now: Micros, id: EndpointId) {
+        if let Some(endpoint) = self.endpoints.get(&id) {
+            self.endpoint_queue.join(endpoint.plan.tenant, id);
+        }
+        self.refill(now, id);
+    }
+
+    /// Applies the end of an attempt.
+    pub(super) fn on_attempt_ended(&mut self, now: Micros, seq: Seq, report: Report) {
+        let Some((_, LoadedState::InFlight(sent_at))) = self.loaded.get(&seq) else {
+            return;
+        };
+        let sent_at = *sent_at;
+        let Some((mut message, _)) = self.unload(seq) else {
+            return;
+        };
+        let id = message.endpoint;
+        let class = report.class();
+        let disable_reason = self.record_response(now, id, class);
+        if report.may_have_arrived() && class != ResponseClass::Delivered {
+            message.ran.get_or_insert(sent_at);
+        }
+        let state = self.state_after(now, &mut message, class);
+        let attempt = (class != ResponseClass::Void).then_some(report);
+        if attempt.is_some() {
+            message.tries += 1;
+        }
+        self.persist(message, state, attempt);
+        if let Some(reason) = disable_reason {
+            self.disable(id, reason);
+        }
+        if state == State::Waiting {
+            self.load(now, message);
+        }
+        self.attempt_slot_freed(now, id);
+    }
+
+    /// Records a response with its endpoint's breaker. Returns why the endpoint is to be disabled,
+    /// if it is.
+    fn record_response(
+        &mut self,
+        now: Micros,
+        id: EndpointId,
+        class: ResponseClass,
+    ) -> Option<&'static str> {
+        let disable_after = self.limits.disable_after;
+        let endpoint = self.endpoints.get_mut(&id)?;
+        match class {
+            ResponseClass::Delivered => {
+                endpoint.breaker.succeeded(endpoint.plan.in_flight);
+                endpoint.budget.earn();
+                None
+            }
+            ResponseClass::Gone => Some(ANSWERED_GONE),
+            ResponseClass::Failed(advice) => {
+                endpoint.breaker.failed(now, advice);
+                let failing_since = endpoint.breaker.failing_since();
+                let for_too_long = failing_since.is_some_and(|since| now >= since + disable_after);
+                for_too_long.then_some(KEPT_FAILING)
+            }
+            ResponseClass::Void => {
+                endpoint.breaker.attempt_void(now);
+                None
+            }
+        }
+    }
+
+    /// The state of a message after a response, with its next due time if it is sent again.
+    fn state_after(&self, now: Micros, message: &mut Waiting, class: ResponseClass) -> State {
+        match class {
+            ResponseClass::Delivered => State::Delivered,
+            ResponseClass::Void => {
+                message.due = now + VOID_ATTEMPT_PAUSE;
+                State::Waiting
+            }
+            _ if !permitted_after(message.effect, message.ran, now, 0).retry => {
+                State::Dead(Dead::Unknown)
+            }
+            ResponseClass::Gone => State::Dead(Dead::Gone),
+            ResponseClass::Failed(advice) => self.schedule_retry(now, message, advice),
+        }
+    }
+
+    fn schedule_retry(&self, now: Micros, message: &mut Waiting, advice: Option<Micros>) -> State {
+        let Some(endpoint) = self.endpoints.get(&message.endpoint) else {
+            return State::Dead(Dead::Gone);
+        };
+        let schedule = &endpoint.plan.schedule;
+        let jitter_seed = self.seed ^ message.seq.0;
+        match schedule.pause(message.tries + 1, jitter_seed, advice) {
+            Some(pause) => {
+                message.due = now + pause;
+                State::Waiting
+            }
+            None => State::Dead(Dead::Exhausted),
+        }
+    }
+
+    fn disable(&mut self, id: EndpointId, reason: &'static str) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
+        };
+        if endpoint.plan.enabled != Enabled::Yes {
+            return;
+        }
+        endpoint.plan.enabled = Enabled::ByFailure;
+        self.outputs.push_back(Output::EndpointDisabled(id, reason));
+        self.unload_endpoint(id);
+    }
+}
--- a/src/delivery/response.rs
+++ b/src/delivery/response.rs
@@ -9,7 +9,8 @@
 /// How an attempt at a callback ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// How its connection ended, or [`CloseReason::Served`] and [`CloseReason::Failed`] for a whole answer.
+    /// How its connection ended, or [`CloseReason::Served`] and [`CloseReason::Failed`] for a whole
+    /// answer.
     pub ending: CloseReason,
     /// How much of it had left.
     pub left: SendProgress,
@@ -26,9 +27,11 @@
     Delivered,
     /// 410: the portal wants nothing more here.
     Gone,
-    /// It failed; the endpoint may be ill. With advice, the endpoint asks to be left alone for so long.
+    /// It failed; the endpoint may be ill. With advice, the endpoint asks to be left alone for so
+    /// long.
     Failed(Option<Micros>),
-    /// It ended on this side before a byte left: nothing is known of the endpoint, and no attempt is counted.
+    /// It ended on this side before a byte left: nothing is known of the endpoint, and no attempt
+    /// is counted.
     Void,
 }
 
@@ -41,13 +44,14 @@
         advice: None,
     };
 
-    /// Whether the portal may have taken it. Whatever a portal says, once its answer comes it has seen the message.
+    /// Whether the portal may have taken it. Whatever a portal says, once its answer comes it has
+    /// seen the message.
     pub fn may_have_arrived(&self) -> bool {
         !never_ran(self.ending.outcome(self.left))
     }
 
-    /// What it means. 3xx is a failure like any other: a signed message goes nowhere but to the address that the
-    /// operator has set.
+    /// What it means. 3xx is a failure like any other: a signed message goes nowhere but to the
+    /// address that the operator has set.
     pub fn class(&self) -> ResponseClass {
         match (self.status, self.ending, self.left) {
             (Some(200..=299), CloseReason::Served, _) => ResponseClass::Delivered,
--- a/src/delivery/response/tests.rs
+++ b/src/delivery/response/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn every_status_has_its_meaning() {
+fn every_status_has_its_response_class() {
     let of = |status, advice| {
         let ending = if status / 100 == 2 {
             CloseReason::Served
--- a/src/delivery/schedule.rs
+++ b/src/delivery/schedule.rs
@@ -1,7 +1,7 @@
 //! When a callback is tried again.
 //!
-//! The default is the schedule that the Standard Webhooks specification recommends ("Deliverability and
-//! reliability"): at once, then after 5 s, 5 min, 30 min, 2 h, 5 h, 10 h, 14 h, 20 h and 24 h.
+//! The default is the schedule that the Standard Webhooks specification recommends ("Deliverability
+//! and reliability"): at once, then after 5 s, 5 min, 30 min, 2 h, 5 h, 10 h, 14 h, 20 h and 24 h.
 
 use std::fmt;
 use std::time::{Duration, UNIX_EPOCH};
@@ -17,7 +17,8 @@
 const LONGEST: Micros = 7 * 86_400 * SECOND;
 /// A portal's `Retry-After` is obeyed up to this.
 pub const LONGEST_ADVICE: Micros = 86_400 * SECOND;
-/// A pause is moved by up to this share of itself either way, so that what failed together does not come together.
+/// A pause is moved by up to this share of itself either way, so that what failed together does not
+/// come together.
 const JITTER: f64 = 0.2;
 
 /// Pauses between the attempts at one message, in microseconds.
@@ -26,7 +27,8 @@
     pauses: Vec<Micros>,
 }
 
-/// A schedule that cannot be used: it is empty, too long, or a pause is not between 1 ms and 7 days.
+/// A schedule that cannot be used: it is empty, too long, or a pause is not between 1 ms and 7
+/// days.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadSchedule;
 
@@ -70,7 +72,8 @@
         })
     }
 
-    /// The schedule of a gateway that keeps callbacks in memory: 0.25 s, doubling up to 8 s, for `window` in all.
+    /// The schedule of a gateway that keeps callbacks in memory: 0.25 s, doubling up to 8 s, for
+    /// `window` in all.
     pub fn short(window: Micros) -> Schedule {
         let mut pauses = Vec::new();
         let (mut pause, mut all) = (SECOND / 4, 0);
@@ -92,9 +95,9 @@
         self.pauses.iter().sum()
     }
 
-    /// The pause after so many attempts (1 and up); none when that was the last. It follows from `salt` alone, so
-    /// that the same message falls due at the same time in every run. A portal's advice makes it longer, never
-    /// shorter.
+    /// The pause after so many attempts (1 and up); none when that was the last. It follows from
+    /// `salt` alone, so that the same message falls due at the same time in every run. A portal's
+    /// advice makes it longer, never shorter.
     pub fn pause(&self, tries: u32, salt: u64, advice: Option<Micros>) -> Option<Micros> {
         let pause = *self.pauses.get(tries.checked_sub(1)? as usize)?;
         let mut random = ChaCha8Rng::seed_from_u64(salt ^ (u64::from(tries) << 48));
@@ -104,7 +107,8 @@
     }
 }
 
-/// Reads a `Retry-After` as RFC 9110 (10.2.3) has it, seconds or a date; what cannot be read advises nothing.
+/// Reads a `Retry-After` as RFC 9110 (10.2.3) has it, seconds or a date; what cannot be read
+/// advises nothing.
 pub fn retry_after(value: &str, now: Micros) -> Option<Micros> {
     let value = value.trim();
     if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) {
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -4,7 +4,10 @@
 
 use proptest::prelude::*;
 
-use super::*;
+use super::response::{Dead, Report, State};
+use super::schedule::Schedule;
+use super::{Delivery, Enabled, EndpointId, EndpointPlan, Input, Limits, Output, Seq, Waiting};
+use crate::api::{Effect, Micros};
 use crate::completion::{CloseReason, SendProgress};
 
 const SECOND: Micros = 1_000_000;
@@ -227,7 +230,8 @@
         self.input(Input::Tick);
     }
 
-    /// Lets time pass, with portals that answer so, until nothing waits any more or so much time is over.
+    /// Lets time pass, with portals that answer so, until nothing waits any more or so much time is
+    /// over.
     fn run_out(&mut self, span: Micros, report: impl Fn(Seq, Micros) -> Report) {
         let end = self.now + span;
         loop {
@@ -300,8 +304,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// Whatever happens in whatever order: the checks in [`World::settle`] hold, and in the end, with portals that
-    /// answer, nothing is left waiting, nothing safe was lost, and nothing ended without an attempt or a reason.
+    /// Whatever happens in whatever order: the checks in [`World::settle`] hold, and in the end,
+    /// with portals that answer, nothing is left waiting, nothing safe was lost, and nothing ended
+    /// without an attempt or a reason.
     #[test]
     fn no_order_of_events_loses_doubles_or_sticks(steps in prop::collection::vec(step(), 1..300)) {
         // Small windows, so that most of it lies in the store.
@@ -351,9 +356,10 @@
     }
 }
 
-/// A portal that comes back after an hour with 100,000 waiting is not run over, and gets all of them.
+/// A portal that comes back after an hour with 100,000 waiting is not run over, and gets all of
+/// them.
 #[test]
-fn a_portal_back_after_an_hour_is_met_slowly_and_gets_all() {
+fn recovered_endpoint_starts_slowly_and_gets_all_messages() {
     let mut w = World::new(
         Limits {
             max_in_flight: 64,
@@ -402,7 +408,7 @@
 
 /// One dead and one slow tenant take nothing from the others.
 #[test]
-fn a_dead_or_slow_portal_takes_nothing_from_the_others() {
+fn dead_or_slow_endpoint_does_not_delay_others() {
     let mut w = World::new(
         Limits {
             max_in_flight: 16,
@@ -492,7 +498,7 @@
 }
 
 #[test]
-fn a_rate_is_kept_and_a_repeat_that_has_become_harmful_is_not_sent() {
+fn rate_holds_and_unsafe_retry_is_not_sent() {
     let mut w = World::new(Limits::default(), 0);
     w.plan(
         EndpointId(0),
--- a/src/delivery/timing_wheel.rs
+++ b/src/delivery/timing_wheel.rs
@@ -1,9 +1,10 @@
 //! A hierarchical timer wheel: the deadlines of all that waits, in memory that does not move.
 //!
-//! Six levels of 64 slots; a slot of one level is as long as all slots of the level below. An entry hangs in the
-//! level that its distance asks for and sinks as its time comes nearer, so that inserting and cancelling take the
-//! same few steps however many there are. Times are kept to the microsecond: an entry is never told early, and
-//! those that fall due together are told in the order of their times.
+//! Six levels of 64 slots; a slot of one level is as long as all slots of the level below. An entry
+//! hangs in the level that its distance asks for and sinks as its time comes nearer, so that
+//! inserting and cancelling take the same few steps however many there are. Times are kept to the
+//! microsecond: an entry is never told early, and those that fall due together are told in the
+//! order of their times.
 
 use crate::api::Micros;
 
@@ -104,8 +105,9 @@
         self.release(timer.place)
     }
 
-    /// A time at or before which nothing falls due, and at which [`TimingWheel::expire`] is to be called; none while
-    /// nothing hangs. It is the exact time of an entry when that is near, else when one comes nearer.
+    /// A time at or before which nothing falls due, and at which [`TimingWheel::expire`] is to be
+    /// called; none while nothing hangs. It is the exact time of an entry when that is near, else
+    /// when one comes nearer.
     pub fn next_deadline(&self) -> Option<Micros> {
         for level in 0..LEVELS {
             if self.used[level] == 0 {
@@ -187,7 +189,8 @@
         let differ = (tick ^ self.ticked) >> BITS;
         let level =
             (((64 - differ.leading_zeros()) as usize).div_ceil(BITS as usize)).min(LEVELS - 1);
-        // What is further off than the wheel reaches hangs in its last slot and sinks again and again.
+        // What is further off than the wheel reaches hangs in its last slot and sinks again and
+        // again.
         let shift = BITS * level as u32;
         let most = (self.ticked >> shift) + 63;
         let slot = ((tick >> shift).min(most) % 64) as usize;
--- a/src/delivery/timing_wheel/tests.rs
+++ b/src/delivery/timing_wheel/tests.rs
@@ -26,7 +26,7 @@
 proptest! {
     /// The wheel tells what a plain ordered set tells, and its next time is never past the set's first.
     #[test]
-    fn it_tells_what_an_ordered_set_tells(start in 0u64..1 << 40, steps in prop::collection::vec(step(), 1..200)) {
+    fn timing_wheel_matches_ordered_set(start in 0u64..1 << 40, steps in prop::collection::vec(step(), 1..200)) {
         let (mut wheel, mut plain) = (TimingWheel::new(start), BTreeSet::new());
         let (mut now, mut timers) = (start, Vec::new());
         for (n, step) in steps.into_iter().enumerate() {
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -16,7 +16,7 @@
 use crate::delivery::egress::Networks;
 use crate::delivery::response::{Dead, Report, State};
 use crate::delivery::schedule::Schedule;
-use crate::delivery::{Limits, Delivery, EndpointId, Input, Output, Seq, Waiting};
+use crate::delivery::{Delivery, EndpointId, Input, Limits, Output, Seq, Waiting};
 use crate::front::http::{self, plain, Bad};
 use crate::front::webhook::answer::{self, Progress};
 use crate::front::webhook::inbound::{Inbound, Job};
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -12,7 +12,9 @@
         let tenant = self.secondary.tenants.same(&record.tenant, record.serial);
         let Some((tenant, e)) = tenant.and_then(|t| t.endpoint(id).map(|(_, e)| (t, e))) else {
             // Removed at this very moment; its end is kept by the removal.
-            return hooks.delivery.handle(now, Input::AttemptEnded(seq, Report::VOID));
+            return hooks
+                .delivery
+                .handle(now, Input::AttemptEnded(seq, Report::VOID));
         };
         let (address, secrets) = (e.portal.address, tenant.signing(e, now));
         let failed = |ending| Report {
@@ -23,9 +25,10 @@
         };
         if !hooks.networks.allows(address.ip()) || secrets.is_empty() {
             // Nothing is sent where the operator does not allow it, or unsigned.
-            return hooks
-                .delivery
-                .handle(now, Input::AttemptEnded(seq, failed(CloseReason::ConnectTimeout)));
+            return hooks.delivery.handle(
+                now,
+                Input::AttemptEnded(seq, failed(CloseReason::ConnectTimeout)),
+            );
         }
         // One that must not come twice has a connection of its own: an idle one may be at its end unseen.
         let reuse = record.waiting.effect == Effect::Idempotent;
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -89,7 +89,9 @@
                     self.attempt(now, both.0, &both.1)
                 }
                 Ok(_) => hooks.delivery.handle(now, Input::MessageRemoved(seq)),
-                Err(_) => hooks.delivery.handle(now, Input::AttemptEnded(seq, Report::VOID)),
+                Err(_) => hooks
+                    .delivery
+                    .handle(now, Input::AttemptEnded(seq, Report::VOID)),
             },
             Ask::Fetch(id) => match reply {
                 Ok(Reply::Fetched(all, next)) => {
