--- a/src/bin/molelug-simhost/wire.rs
+++ b/src/bin/molelug-simhost/wire.rs
@@ -193,7 +193,7 @@
     Ok(Message::Event(match r[0] {
         8 => {
             let text = String::from_utf8_lossy(tail(body, count, r, 11, 1)?).into_owned();
-            let (settings, fields) = settings::from_facts(&settings::lines(&text));
+            let (settings, fields) = settings::from_map(&settings::lines(&text));
             return Ok(Message::Enlist(u64_at(r, 3)?, Box::new(settings), fields));
         }
         5 => return Ok(Message::Killed),
--- a/src/config.rs
+++ b/src/config.rs
@@ -203,7 +203,7 @@
         let admin = raw.admin_addr.filter(|a| !a.is_empty());
         let facts = settings::nested(&raw.settings);
         settings::check(&facts)?;
-        let (mut module, _) = settings::from_facts(&facts);
+        let (mut module, _) = settings::from_map(&facts);
         let number = |key: &str| {
             facts
                 .get(key)
--- a/src/delivery/breaker.rs
+++ b/src/delivery/breaker.rs
@@ -1,84 +1,85 @@
-//! What an endpoint can bear: a circuit breaker with half-open trials, a slow start after recovery,
+//! Protects an endpoint: a circuit breaker with half-open trials, a slow start after recovery,
 //! a rate, and a budget for attempts that are not first ones.
 
 use crate::api::Micros;
 
 const SECOND: Micros = 1_000_000;
-/// Failures in a row that open the breaker.
-const FAILURES: u32 = 5;
-/// How long it stays open at first; doubled by each trial that fails, up to the longest.
-const FIRST_OPEN: Micros = 2 * SECOND;
-const LONGEST_OPEN: Micros = 300 * SECOND;
-/// Repeats earn this share of an attempt with each success ...
-const EARNED: f64 = 0.2;
-/// ... and this much a second, so that a quiet endpoint's repeats go out as well; no more than this
-/// is saved up.
-const EARNED_PER_S: f64 = 1.0;
-const MOST_SAVED: f64 = 10.0;
+/// Consecutive failures that open the breaker.
+const FAILURES_TO_OPEN: u32 = 5;
+/// How long it stays open at first, in microseconds. Each trial that fails doubles it.
+const INITIAL_OPEN_TIME: Micros = 2 * SECOND;
+/// The longest time for which it stays open, in microseconds.
+const MAX_OPEN_TIME: Micros = 300 * SECOND;
+/// Retries that each success adds to the budget.
+const RETRIES_PER_SUCCESS: f64 = 0.2;
+/// Retries that each second adds to the budget, so that a quiet endpoint gets retries as well.
+const RETRIES_PER_S: f64 = 1.0;
+/// The largest budget.
+const MAX_SAVED_RETRIES: f64 = 10.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum BreakerState {
     Closed,
-    /// Lets nothing through until then.
+    /// No attempt is allowed until then.
     Open {
         until: Micros,
     },
-    /// One trial is out.
+    /// One trial is in flight.
     Trial,
 }
 
-/// The breaker and the slow start of one endpoint.
+/// The circuit breaker and the slow start of one endpoint.
 #[derive(Clone, Debug)]
-pub struct Breaker {
-    state: State,
+pub struct CircuitBreaker {
+    state: BreakerState,
     failures: u32,
     pause: Micros,
-    /// Attempts that may be out at once while it recovers; none when it has.
+    /// The attempts allowed in flight while the endpoint recovers.
     ramp: Option<u32>,
     failing_since: Option<Micros>,
 }
 
-impl Default for Breaker {
-    fn default() -> Breaker {
-        Breaker {
-            state: State::Closed,
+impl Default for CircuitBreaker {
+    fn default() -> CircuitBreaker {
+        CircuitBreaker {
+            state: BreakerState::Closed,
             failures: 0,
-            pause: FIRST_OPEN,
+            pause: INITIAL_OPEN_TIME,
             ramp: None,
             failing_since: None,
         }
     }
 }
 
-impl Breaker {
-    /// How many attempts may be out at once, of `limit`, with the time from which that holds: a
-    /// time that has not come means none before it.
+impl CircuitBreaker {
+    /// How many attempts may be in flight, `limit` at most. An error is the instant before which
+    /// none may be.
     pub fn attempts_allowed(&self, now: Micros, limit: u32) -> Result<u32, Micros> {
         match self.state {
-            State::Open { until } if now < until => Err(until),
-            State::Open { .. } | State::Trial => Ok(1.min(limit)),
-            State::Closed => Ok(self.ramp.map_or(limit, |r| r.min(limit))),
+            BreakerState::Open { until } if now < until => Err(until),
+            BreakerState::Open { .. } | BreakerState::Trial => Ok(1.min(limit)),
+            BreakerState::Closed => Ok(self.ramp.map_or(limit, |r| r.min(limit))),
         }
     }
 
-    /// An attempt leaves.
+    /// An attempt is sent.
     pub fn sent(&mut self, now: Micros) {
-        if matches!(self.state, State::Open { until } if now >= until) {
-            self.state = State::Trial;
+        if matches!(self.state, BreakerState::Open { until } if now >= until) {
+            self.state = BreakerState::Trial;
         }
     }
 
-    /// An attempt was answered well.
+    /// An attempt was delivered.
     pub fn succeeded(&mut self, limit: u32) {
         (self.failures, self.failing_since) = (0, None);
         match self.state {
-            State::Trial => {
-                (self.state, self.pause, self.ramp) = (State::Closed, FIRST_OPEN, Some(2));
+            BreakerState::Trial => {
+                (self.state, self.pause, self.ramp) =
+                    (BreakerState::Closed, INITIAL_OPEN_TIME, Some(2));
             }
-            // The late answer of an attempt from before it opened proves nothing of now; the trial
-            // does.
-            State::Open { .. } => {}
-            State::Closed => {
+            // A late answer to an attempt from before it opened does not close it; only a trial does.
+            BreakerState::Open { .. } => {}
+            BreakerState::Closed => {
                 self.ramp = self
                     .ramp
                     .map(|r| r.saturating_add(1))
@@ -87,73 +88,73 @@
         }
     }
 
-    /// An attempt failed in a way that speaks of the endpoint. `advice` holds back all of it until
-    /// then.
-    pub fn failed(&mut self, now: Micros, advice: Option<Micros>) {
+    /// An attempt failed because of the endpoint. Its Retry-After keeps the breaker open for that
+    /// long.
+    pub fn failed(&mut self, now: Micros, retry_after: Option<Micros>) {
         self.failures += 1;
         self.failing_since.get_or_insert(now);
         self.ramp = self.ramp.map(|r| (r / 2).max(1));
         match self.state {
-            State::Trial => {
-                self.pause = (self.pause * 2).min(LONGEST_OPEN);
-                self.state = State::Open {
+            BreakerState::Trial => {
+                self.pause = (self.pause * 2).min(MAX_OPEN_TIME);
+                self.state = BreakerState::Open {
                     until: now + self.pause,
                 };
             }
-            State::Closed if self.failures >= FAILURES => {
-                self.state = State::Open {
+            BreakerState::Closed if self.failures >= FAILURES_TO_OPEN => {
+                self.state = BreakerState::Open {
                     until: now + self.pause,
                 };
             }
             _ => {}
         }
-        if let Some(advice) = advice {
-            let held = match self.state {
-                State::Open { until } => until,
+        if let Some(retry_after) = retry_after {
+            let open_until = match self.state {
+                BreakerState::Open { until } => until,
                 _ => 0,
             };
-            self.state = State::Open {
-                until: held.max(now + advice.min(LONGEST_OPEN)),
+            self.state = BreakerState::Open {
+                until: open_until.max(now + retry_after.min(MAX_OPEN_TIME)),
             };
         }
     }
 
-    /// An attempt ended that proves nothing, as it never got that far: a trial is free again.
+    /// An attempt ended before it reached the endpoint. If it was the trial, another may be sent.
     pub fn attempt_void(&mut self, now: Micros) {
-        if self.state == State::Trial {
-            self.state = State::Open { until: now };
+        if self.state == BreakerState::Trial {
+            self.state = BreakerState::Open { until: now };
         }
     }
 
-    /// Since when every attempt has failed; none if the last one did not.
+    /// Since when every attempt has failed. None if the last one did not fail.
     pub fn failing_since(&self) -> Option<Micros> {
         self.failing_since
     }
 
-    /// Its state in a word.
+    /// The name of its state, as operators see it.
     pub fn name(&self) -> &'static str {
         match self.state {
-            State::Open { .. } => "open",
-            State::Trial => "half_open",
-            State::Closed if self.ramp.is_some() => "recovering",
-            State::Closed => "closed",
+            BreakerState::Open { .. } => "open",
+            BreakerState::Trial => "half_open",
+            BreakerState::Closed if self.ramp.is_some() => "recovering",
+            BreakerState::Closed => "closed",
         }
     }
 }
 
-/// A token bucket; as many as `burst` tokens are saved up.
+/// A token bucket.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     per_s: f64,
     burst: f64,
     tokens: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
-    pub fn new(per_s: f64, burst: f64, now: Micros) -> Bucket {
-        Bucket {
+    pub fn new(per_s: f64, burst: f64, now: Micros) -> TokenBucket {
+        TokenBucket {
             per_s,
             burst,
             tokens: burst,
@@ -167,7 +168,7 @@
         self.at = self.at.max(now);
     }
 
-    /// Whether a token is there, or when one is.
+    /// Succeeds if there is a token. An error is the instant at which there is one.
     pub fn ready(&mut self, now: Micros) -> Result<(), Micros> {
         self.fill(now);
         if self.tokens >= 1.0 {
@@ -184,41 +185,41 @@
         self.tokens -= 1.0;
     }
 
-    /// Adds a part of one.
+    /// Adds a part of a token.
     fn add(&mut self, part: f64) {
         self.tokens = (self.tokens + part).min(self.burst);
     }
 
-    /// Another rate and burst; what is saved up stays, within the burst.
+    /// Sets another rate and burst. Saved tokens stay, up to the burst.
     pub fn change(&mut self, per_s: f64, burst: f64) {
         (self.per_s, self.burst, self.tokens) = (per_s, burst, self.tokens.min(burst));
     }
 }
 
-/// The budget for attempts that are not first ones: a portal that comes back is not run over by
-/// what has waited.
+/// The budget for retries, so that an endpoint that recovers is not overloaded by waiting
+/// messages.
 #[derive(Clone, Debug)]
-pub struct Budget(Bucket);
+pub struct RetryBudget(TokenBucket);
 
-impl Budget {
-    /// A full one.
-    pub fn new(now: Micros) -> Budget {
-        Budget(Bucket::new(EARNED_PER_S, MOST_SAVED, now))
+impl RetryBudget {
+    /// A full budget.
+    pub fn new(now: Micros) -> RetryBudget {
+        RetryBudget(TokenBucket::new(RETRIES_PER_S, MAX_SAVED_RETRIES, now))
     }
 
-    /// Whether a repeat may go, or when.
+    /// Succeeds if a retry may be sent. An error is the instant at which one may.
     pub fn ready(&mut self, now: Micros) -> Result<(), Micros> {
         self.0.ready(now)
     }
 
-    /// A repeat leaves.
+    /// A retry is sent.
     pub fn take(&mut self) {
         self.0.take()
     }
 
-    /// A success earns some.
+    /// A delivered attempt adds to the budget.
     pub fn earn(&mut self) {
-        self.0.add(EARNED)
+        self.0.add(RETRIES_PER_SUCCESS)
     }
 }
 
--- a/src/delivery/breaker/tests.rs
+++ b/src/delivery/breaker/tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn failing_endpoint_gets_rare_trials_then_slow_start() {
-    let (mut b, mut now) = (Breaker::default(), 1);
-    for _ in 0..FAILURES {
+    let (mut b, mut now) = (CircuitBreaker::default(), 1);
+    for _ in 0..FAILURES_TO_OPEN {
         assert_eq!(b.attempts_allowed(now, 8), Ok(8));
         b.failed(now, None);
     }
@@ -39,20 +39,20 @@
 
 #[test]
 fn retry_after_is_bounded_and_void_trial_is_repeated() {
-    let mut b = Breaker::default();
+    let mut b = CircuitBreaker::default();
     b.failed(10, Some(30 * SECOND));
     assert_eq!(b.attempts_allowed(10, 4), Err(10 + 30 * SECOND));
-    let mut b = Breaker::default();
+    let mut b = CircuitBreaker::default();
     b.failed(10, Some(Micros::MAX));
-    assert_eq!(b.attempts_allowed(10, 4), Err(10 + LONGEST_OPEN));
-    b.sent(10 + LONGEST_OPEN);
-    b.attempt_void(10 + LONGEST_OPEN);
-    assert_eq!(b.attempts_allowed(10 + LONGEST_OPEN, 4), Ok(1));
+    assert_eq!(b.attempts_allowed(10, 4), Err(10 + MAX_OPEN_TIME));
+    b.sent(10 + MAX_OPEN_TIME);
+    b.attempt_void(10 + MAX_OPEN_TIME);
+    assert_eq!(b.attempts_allowed(10 + MAX_OPEN_TIME, 4), Ok(1));
 }
 
 #[test]
 fn no_more_than_burst_and_rate_pass() {
-    let mut bucket = Bucket::new(10.0, 3.0, 0);
+    let mut bucket = TokenBucket::new(10.0, 3.0, 0);
     let (mut now, mut passed) = (0, 0);
     while now < 10 * SECOND {
         match bucket.ready(now) {
--- a/src/delivery/egress.rs
+++ b/src/delivery/egress.rs
@@ -34,22 +34,22 @@
 
 /// The networks that portals may be in.
 #[derive(Clone, Debug)]
-pub struct Networks {
+pub struct EgressPolicy {
     v4: PrefixMap<Ipv4Net, bool>,
     v6: PrefixMap<Ipv6Net, bool>,
 }
 
-impl Default for Networks {
-    fn default() -> Networks {
-        Networks::new(&[], &[])
+impl Default for EgressPolicy {
+    fn default() -> EgressPolicy {
+        EgressPolicy::new(&[], &[])
     }
 }
 
-impl Networks {
+impl EgressPolicy {
     /// The defaults, with these allowed and these denied besides. Of two equal prefixes the denied
     /// one counts.
-    pub fn new(allow: &[IpNet], deny: &[IpNet]) -> Networks {
-        let mut networks = Networks {
+    pub fn new(allow: &[IpNet], deny: &[IpNet]) -> EgressPolicy {
+        let mut networks = EgressPolicy {
             v4: PrefixMap::new(),
             v6: PrefixMap::new(),
         };
--- a/src/delivery/egress/tests.rs
+++ b/src/delivery/egress/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn the_longest_prefix_decides_and_disguises_are_seen_through() {
     let net = |t: &str| t.parse::<IpNet>().unwrap();
-    let n = Networks::new(
+    let n = EgressPolicy::new(
         &[net("10.1.0.0/16"), net("fd00::/8")],
         &[net("10.1.2.0/24"), net("127.0.0.0/8")],
     );
@@ -37,7 +37,7 @@
     ] {
         assert!(!allows(bad), "{bad}");
     }
-    assert!(Networks::default().allows("127.0.0.1".parse().unwrap()));
+    assert!(EgressPolicy::default().allows("127.0.0.1".parse().unwrap()));
     assert_eq!(
         n.v4.len() + n.v6.len(),
         DENIED.len() + 4,
--- a/src/delivery/endpoint_state.rs
+++ b/src/delivery/endpoint_state.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-use super::breaker::{Breaker, Bucket, Budget};
+use super::breaker::{CircuitBreaker, RetryBudget, TokenBucket};
 use super::ids::Seq;
 use super::messages::{Enabled, EndpointPlan};
-use super::timing_wheel::Timer;
+use super::timing_wheel::TimerKey;
 use crate::api::Micros;
 
 #[derive(Debug)]
 pub(super) struct EndpointState {
     pub(super) plan: EndpointPlan,
-    pub(super) breaker: Breaker,
-    pub(super) bucket: Option<Bucket>,
-    pub(super) budget: Budget,
+    pub(super) breaker: CircuitBreaker,
+    pub(super) bucket: Option<TokenBucket>,
+    pub(super) budget: RetryBudget,
     /// Due messages without an attempt so far, in their order.
     pub(super) first_attempts: VecDeque<Seq>,
     /// Due messages to be retried, in their order.
@@ -27,7 +27,7 @@
     /// Messages that changed while others were fetched: what is fetched of these is outdated.
     pub(super) changed_while_fetching: HashSet<Seq>,
     /// When the endpoint is looked at again, and the timer for it.
-    pub(super) recheck: Option<(Micros, Timer)>,
+    pub(super) recheck: Option<(Micros, TimerKey)>,
 }
 
 impl EndpointState {
@@ -45,9 +45,9 @@
     pub(super) fn new(plan: EndpointPlan, now: Micros) -> Self {
         EndpointState {
             plan,
-            breaker: Breaker::default(),
+            breaker: CircuitBreaker::default(),
             bucket: None,
-            budget: Budget::new(now),
+            budget: RetryBudget::new(now),
             first_attempts: VecDeque::new(),
             retries: VecDeque::new(),
             in_flight: 0,
--- a/src/delivery/fair_queue.rs
+++ b/src/delivery/fair_queue.rs
@@ -9,21 +9,21 @@
 
 /// One ring of places that have something to send.
 #[derive(Clone, Debug)]
-pub struct Ring<K> {
+pub struct DeficitRoundRobin<K> {
     order: VecDeque<K>,
     saved: HashMap<K, u32>,
 }
 
-impl<K> Default for Ring<K> {
-    fn default() -> Ring<K> {
-        Ring {
+impl<K> Default for DeficitRoundRobin<K> {
+    fn default() -> DeficitRoundRobin<K> {
+        DeficitRoundRobin {
             order: VecDeque::new(),
             saved: HashMap::new(),
         }
     }
 }
 
-impl<K: Copy + Eq + Hash> Ring<K> {
+impl<K: Copy + Eq + Hash> DeficitRoundRobin<K> {
     /// Takes a place in, at the end, unless it is in.
     pub fn join(&mut self, key: K) {
         if self.saved.try_insert_new(key) {
@@ -83,14 +83,14 @@
 /// Tenants, each with its endpoints.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T, E> {
-    tenants: Ring<T>,
-    endpoints: HashMap<T, Ring<E>>,
+    tenants: DeficitRoundRobin<T>,
+    endpoints: HashMap<T, DeficitRoundRobin<E>>,
 }
 
 impl<T, E> Default for FairQueue<T, E> {
     fn default() -> FairQueue<T, E> {
         FairQueue {
-            tenants: Ring::default(),
+            tenants: DeficitRoundRobin::default(),
             endpoints: HashMap::new(),
         }
     }
@@ -103,7 +103,8 @@
         self.tenants.join(tenant);
     }
 
-    /// The endpoint whose turn it is, charged for its piece. `cost` as for [`Ring::next`].
+    /// The endpoint whose turn it is, charged for its piece. `cost` as for
+    /// [`DeficitRoundRobin::next`].
     pub fn next(&mut self, mut cost: impl FnMut(E) -> Option<u32>) -> Option<E> {
         let endpoints = &mut self.endpoints;
         let mut chosen = None;
--- a/src/delivery/loading.rs
+++ b/src/delivery/loading.rs
@@ -3,7 +3,7 @@
 use super::ids::{EndpointId, Seq};
 use super::messages::{Enabled, Output, Waiting};
 use super::outcomes::VOID_ATTEMPT_PAUSE;
-use super::response::{Dead, State};
+use super::response::{DeadLetterReason, State};
 use super::{Delivery, Due, LoadedState};
 use crate::api::Micros;
 
@@ -59,7 +59,7 @@
         }
         let full = self.loaded.len() >= self.limits.max_loaded;
         let Some(endpoint) = self.endpoints.get_mut(&message.endpoint) else {
-            let state = State::Dead(Dead::Gone);
+            let state = State::Dead(DeadLetterReason::Gone);
             return self.outputs.push_back(Output::Persist {
                 message,
                 state,
--- a/src/delivery/messages.rs
+++ b/src/delivery/messages.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::ids::{EndpointId, Seq};
-use super::response::{Report, State};
+use super::response::{DeliveryReport, State};
 use super::schedule::Schedule;
 use crate::api::{Effect, Micros};
 
@@ -96,7 +96,7 @@
     /// The answer to [`Output::Fetch`]: the first messages that wait, and when the next one is due.
     Fetched(EndpointId, Vec<Waiting>, Option<Micros>),
     /// An attempt ended.
-    AttemptEnded(Seq, Report),
+    AttemptEnded(Seq, DeliveryReport),
     /// A message is no longer in the store, or no longer waits there.
     MessageRemoved(Seq),
     /// A deadline is due.
@@ -124,7 +124,7 @@
         /// Its state.
         state: State,
         /// The attempt that led to the state, if one did.
-        attempt: Option<Report>,
+        attempt: Option<DeliveryReport>,
     },
     /// Fetch so many of the endpoint's first waiting messages from the store.
     Fetch(EndpointId, usize),
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -30,16 +30,16 @@
 pub use ids::{EndpointId, Seq};
 pub use messages::{Enabled, EndpointPlan, Health, Input, Limits, Output, Waiting};
 
-use breaker::{Breaker, Bucket};
+use breaker::{CircuitBreaker, TokenBucket};
 use endpoint_state::EndpointState;
 use fair_queue::FairQueue;
-use timing_wheel::{Timer, TimingWheel};
+use timing_wheel::{TimerKey, TimingWheel};
 
 /// What a loaded message waits for.
 #[derive(Debug)]
 enum LoadedState {
     Ready,
-    Scheduled(Timer),
+    Scheduled(TimerKey),
     /// Sent at this time.
     InFlight(Micros),
 }
@@ -205,11 +205,11 @@
         match &mut endpoint.bucket {
             _ if plan.per_s <= 0.0 => endpoint.bucket = None,
             Some(bucket) => bucket.change(plan.per_s, burst),
-            none => *none = Some(Bucket::new(plan.per_s, burst, now)),
+            none => *none = Some(TokenBucket::new(plan.per_s, burst, now)),
         }
         // An operator who enables an endpoint again has presumably repaired it.
         if plan.enabled == Enabled::Yes && endpoint.plan.enabled != Enabled::Yes {
-            endpoint.breaker = Breaker::default();
+            endpoint.breaker = CircuitBreaker::default();
         }
         endpoint.plan = plan;
         if endpoint.plan.enabled == Enabled::Yes {
--- a/src/delivery/outcomes.rs
+++ b/src/delivery/outcomes.rs
@@ -2,7 +2,7 @@
 
 use super::ids::{EndpointId, Seq};
 use super::messages::{Enabled, Output, Waiting};
-use super::response::{Dead, Report, ResponseClass, State};
+use super::response::{DeadLetterReason, DeliveryReport, ResponseClass, State};
 use super::{Delivery, LoadedState};
 use crate::api::Micros;
 use crate::policy::permitted_after;
@@ -17,7 +17,12 @@
 
 impl Delivery {
     /// Has the state of a message stored.
-    pub(super) fn persist(&mut self, message: Waiting, state: State, attempt: Option<Report>) {
+    pub(super) fn persist(
+        &mut self,
+        message: Waiting,
+        state: State,
+        attempt: Option<DeliveryReport>,
+    ) {
         if let Some(endpoint) = self.endpoints.get_mut(&message.endpoint) {
             if endpoint.fetching {
                 endpoint.changed_while_fetching.insert(message.seq);
@@ -39,7 +44,7 @@
     }
 
     /// Applies the end of an attempt.
-    pub(super) fn on_attempt_ended(&mut self, now: Micros, seq: Seq, report: Report) {
+    pub(super) fn on_attempt_ended(&mut self, now: Micros, seq: Seq, report: DeliveryReport) {
         let Some((_, LoadedState::InFlight(sent_at))) = self.loaded.get(&seq) else {
             return;
         };
@@ -84,7 +89,7 @@
                 endpoint.budget.earn();
                 None
             }
-            ResponseClass::Gone => Some(ANSWERED_GONE),
+            ResponseClass::OptedOut => Some(ANSWERED_GONE),
             ResponseClass::Failed(advice) => {
                 endpoint.breaker.failed(now, advice);
                 let failing_since = endpoint.breaker.failing_since();
@@ -107,16 +112,16 @@
                 State::Waiting
             }
             _ if !permitted_after(message.effect, message.ran, now, 0).retry => {
-                State::Dead(Dead::Unknown)
+                State::Dead(DeadLetterReason::Unknown)
             }
-            ResponseClass::Gone => State::Dead(Dead::Gone),
+            ResponseClass::OptedOut => State::Dead(DeadLetterReason::Gone),
             ResponseClass::Failed(advice) => self.schedule_retry(now, message, advice),
         }
     }
 
     fn schedule_retry(&self, now: Micros, message: &mut Waiting, advice: Option<Micros>) -> State {
         let Some(endpoint) = self.endpoints.get(&message.endpoint) else {
-            return State::Dead(Dead::Gone);
+            return State::Dead(DeadLetterReason::Gone);
         };
         let schedule = &endpoint.plan.schedule;
         let jitter_seed = self.seed ^ message.seq.0;
@@ -125,7 +130,7 @@
                 message.due = now + pause;
                 State::Waiting
             }
-            None => State::Dead(Dead::Exhausted),
+            None => State::Dead(DeadLetterReason::Exhausted),
         }
     }
 
--- a/src/delivery/response.rs
+++ b/src/delivery/response.rs
@@ -1,4 +1,4 @@
-//! What an attempt's end means, for the message and for the endpoint.
+//! How an attempt at a callback ended, and the states of a message.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,55 +8,54 @@
 
 /// How an attempt at a callback ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct DeliveryReport {
     /// How its connection ended, or [`CloseReason::Served`] and [`CloseReason::Failed`] for a whole
     /// answer.
-    pub ending: CloseReason,
-    /// How much of it had left.
-    pub left: SendProgress,
-    /// The answer's status, if one came whole.
+    pub close_reason: CloseReason,
+    /// How much of it had been sent.
+    pub send_progress: SendProgress,
+    /// The status of a complete answer.
     pub status: Option<u16>,
-    /// The answer's `Retry-After`, as a span.
-    pub advice: Option<Micros>,
+    /// The answer's `Retry-After`, in microseconds from then.
+    pub retry_after: Option<Micros>,
 }
 
-/// What follows from a report.
+/// The class of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// A 2xx: the portal has it.
+    /// 2xx: the endpoint has accepted the message.
     Delivered,
-    /// 410: the portal wants nothing more here.
-    Gone,
-    /// It failed; the endpoint may be ill. With advice, the endpoint asks to be left alone for so
-    /// long.
+    /// 410: the endpoint wants no further messages.
+    OptedOut,
+    /// It failed, perhaps because of the endpoint, which may ask for a Retry-After in microseconds.
     Failed(Option<Micros>),
-    /// It ended on this side before a byte left: nothing is known of the endpoint, and no attempt
-    /// is counted.
+    /// It ended on this side before a byte was sent. Nothing is known of the endpoint, and the
+    /// attempt does not count.
     Void,
 }
 
-impl Report {
-    /// An attempt that never left, for a reason of this side's own.
-    pub const VOID: Report = Report {
-        ending: CloseReason::LocalLimit,
-        left: SendProgress::Unsent,
+impl DeliveryReport {
+    /// An attempt that was not sent for a reason of this side.
+    pub const VOID: DeliveryReport = DeliveryReport {
+        close_reason: CloseReason::LocalLimit,
+        send_progress: SendProgress::Unsent,
         status: None,
-        advice: None,
+        retry_after: None,
     };
 
-    /// Whether the portal may have taken it. Whatever a portal says, once its answer comes it has
-    /// seen the message.
+    /// Whether the endpoint may have received the message. One that answers has received it,
+    /// whatever the answer.
     pub fn may_have_arrived(&self) -> bool {
-        !never_ran(self.ending.outcome(self.left))
+        !never_ran(self.close_reason.outcome(self.send_progress))
     }
 
-    /// What it means. 3xx is a failure like any other: a signed message goes nowhere but to the
-    /// address that the operator has set.
+    /// The class of the response. 3xx is a failure like any other: a signed message goes only to
+    /// the address that the operator has set.
     pub fn class(&self) -> ResponseClass {
-        match (self.status, self.ending, self.left) {
+        match (self.status, self.close_reason, self.send_progress) {
             (Some(200..=299), CloseReason::Served, _) => ResponseClass::Delivered,
-            (Some(410), ..) => ResponseClass::Gone,
-            (Some(429 | 503), ..) => ResponseClass::Failed(Some(self.advice.unwrap_or(0))),
+            (Some(410), ..) => ResponseClass::OptedOut,
+            (Some(429 | 503), ..) => ResponseClass::Failed(Some(self.retry_after.unwrap_or(0))),
             (Some(_), ..) => ResponseClass::Failed(None),
             (
                 None,
@@ -71,29 +70,29 @@
 /// Why a message is not sent any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Dead {
-    /// Its schedule has ended; a portal may have seen it, but none confirmed it.
+pub enum DeadLetterReason {
+    /// Its schedule has ended without a confirmation. It may have arrived.
     Exhausted,
-    /// It may have arrived, and its class forbids to send it again.
+    /// It may have arrived, and its class does not permit a retry.
     Unknown,
-    /// Its endpoint said 410, or was removed with its tenant.
+    /// Its endpoint answered 410, or was removed.
     Gone,
-    /// It waited for longer than messages are kept.
+    /// It waited for longer than the retention of messages.
     Expired,
 }
 
-/// Where a message stands.
+/// The state of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It waits for its first or a further attempt.
+    /// It waits for its first attempt or a retry.
     Waiting,
-    /// It waits for another of its order key to end.
+    /// It waits for an earlier message of its order key to end.
     Behind,
-    /// A portal confirmed it.
+    /// The endpoint has confirmed it.
     Delivered,
     /// It is not sent any more.
-    Dead(Dead),
+    Dead(DeadLetterReason),
 }
 
 impl State {
@@ -102,10 +101,10 @@
         match self {
             State::Waiting | State::Behind => "waiting",
             State::Delivered => "delivered",
-            State::Dead(Dead::Exhausted) => "exhausted",
-            State::Dead(Dead::Unknown) => "unknown",
-            State::Dead(Dead::Gone) => "gone",
-            State::Dead(Dead::Expired) => "expired",
+            State::Dead(DeadLetterReason::Exhausted) => "exhausted",
+            State::Dead(DeadLetterReason::Unknown) => "unknown",
+            State::Dead(DeadLetterReason::Gone) => "gone",
+            State::Dead(DeadLetterReason::Expired) => "expired",
         }
     }
 
--- a/src/delivery/response/tests.rs
+++ b/src/delivery/response/tests.rs
@@ -10,11 +10,11 @@
         } else {
             CloseReason::Failed
         };
-        Report {
-            ending,
-            left: SendProgress::Started,
+        DeliveryReport {
+            close_reason: ending,
+            send_progress: SendProgress::Started,
             status: Some(status),
-            advice,
+            retry_after: advice,
         }
         .class()
     };
@@ -31,12 +31,12 @@
             ResponseClass::Failed(Some(0))
         )
     );
-    assert_eq!(of(410, None), ResponseClass::Gone);
-    let cut = |ending, left| Report {
-        ending,
-        left,
+    assert_eq!(of(410, None), ResponseClass::OptedOut);
+    let cut = |ending, left| DeliveryReport {
+        close_reason: ending,
+        send_progress: left,
         status: None,
-        advice: None,
+        retry_after: None,
     };
     assert_eq!(
         cut(CloseReason::Shutdown, SendProgress::Unsent).class(),
--- a/src/delivery/schedule.rs
+++ b/src/delivery/schedule.rs
@@ -1,9 +1,8 @@
-//! When a callback is tried again.
+//! When a callback is retried.
 //!
 //! The default is the schedule that the Standard Webhooks specification recommends ("Deliverability
 //! and reliability"): at once, then after 5 s, 5 min, 30 min, 2 h, 5 h, 10 h, 14 h, 20 h and 24 h.
 
-use std::fmt;
 use std::time::{Duration, UNIX_EPOCH};
 
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -11,14 +10,15 @@
 
 use crate::api::Micros;
 
-const SECOND: Micros = 1_000_000;
-/// Pauses that a schedule may hold, and the longest one.
-const MOST_PAUSES: usize = 64;
-const LONGEST: Micros = 7 * 86_400 * SECOND;
-/// A portal's `Retry-After` is obeyed up to this.
-pub const LONGEST_ADVICE: Micros = 86_400 * SECOND;
-/// A pause is moved by up to this share of itself either way, so that what failed together does not
-/// come together.
+const MICROS_PER_SECOND: Micros = 1_000_000;
+/// The most pauses of a schedule.
+const MAX_PAUSES: usize = 64;
+/// The longest pause, in microseconds.
+const MAX_PAUSE: Micros = 7 * 86_400 * MICROS_PER_SECOND;
+/// The longest `Retry-After` of an endpoint that is obeyed, in microseconds.
+pub const MAX_RETRY_AFTER: Micros = 86_400 * MICROS_PER_SECOND;
+/// The share of itself by which a pause is changed at most, so that messages that failed together
+/// are not retried together.
 const JITTER: f64 = 0.2;
 
 /// Pauses between the attempts at one message, in microseconds.
@@ -27,60 +27,56 @@
     pauses: Vec<Micros>,
 }
 
-/// A schedule that cannot be used: it is empty, too long, or a pause is not between 1 ms and 7
-/// days.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadSchedule;
-
-impl fmt::Display for BadSchedule {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "a schedule is 1 to {MOST_PAUSES} pauses of 0.001 s to 7 days"
-        )
-    }
+/// A schedule that cannot be used. The operator corrects it in the operator's file or request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ScheduleError {
+    /// It is empty, too long, or a pause is not between 1 ms and 7 days.
+    #[error("a schedule is 1 to {MAX_PAUSES} pauses of 0.001 s to 7 days")]
+    OutOfRange,
 }
 
-impl std::error::Error for BadSchedule {}
-
 impl Default for Schedule {
     fn default() -> Schedule {
-        let hour = 3600 * SECOND;
+        let hour = 3600 * MICROS_PER_SECOND;
         let hours = [2, 5, 10, 14, 20, 24].map(|h| h * hour);
-        let pauses = [5 * SECOND, 300 * SECOND, 1800 * SECOND]
-            .into_iter()
-            .chain(hours)
-            .collect();
+        let pauses = [
+            5 * MICROS_PER_SECOND,
+            300 * MICROS_PER_SECOND,
+            1800 * MICROS_PER_SECOND,
+        ]
+        .into_iter()
+        .chain(hours)
+        .collect();
         Schedule { pauses }
     }
 }
 
 impl Schedule {
     /// A schedule of these pauses, in seconds.
-    pub fn from_seconds(pauses: &[f64]) -> Result<Schedule, BadSchedule> {
+    pub fn from_seconds(pauses: &[f64]) -> Result<Schedule, ScheduleError> {
         let micros = |s: &f64| {
             let at = (s * 1e6) as Micros;
-            (s.is_finite() && (1000..=LONGEST).contains(&at))
+            (s.is_finite() && (1000..=MAX_PAUSE).contains(&at))
                 .then_some(at)
-                .ok_or(BadSchedule)
+                .ok_or(ScheduleError::OutOfRange)
         };
-        if pauses.is_empty() || pauses.len() > MOST_PAUSES {
-            return Err(BadSchedule);
+        if pauses.is_empty() || pauses.len() > MAX_PAUSES {
+            return Err(ScheduleError::OutOfRange);
         }
         Ok(Schedule {
             pauses: pauses.iter().map(micros).collect::<Result<_, _>>()?,
         })
     }
 
-    /// The schedule of a gateway that keeps callbacks in memory: 0.25 s, doubling up to 8 s, for
-    /// `window` in all.
+    /// The schedule of a gateway without a store: 0.25 s, doubling up to 8 s, for `window`
+    /// microseconds in all.
     pub fn short(window: Micros) -> Schedule {
         let mut pauses = Vec::new();
-        let (mut pause, mut all) = (SECOND / 4, 0);
-        while pauses.len() < MOST_PAUSES && (all + pause < window || pauses.is_empty()) {
+        let (mut pause, mut all) = (MICROS_PER_SECOND / 4, 0);
+        while pauses.len() < MAX_PAUSES && (all + pause < window || pauses.is_empty()) {
             pauses.push(pause);
             all += pause;
-            pause = (pause * 2).min(8 * SECOND);
+            pause = (pause * 2).min(8 * MICROS_PER_SECOND);
         }
         Schedule { pauses }
     }
@@ -90,33 +86,37 @@
         self.pauses.iter().map(|p| *p as f64 / 1e6).collect()
     }
 
-    /// How long all of it takes, without jitter.
-    pub fn whole(&self) -> Micros {
+    /// The sum of the pauses, without jitter, in microseconds.
+    pub fn total(&self) -> Micros {
         self.pauses.iter().sum()
     }
 
-    /// The pause after so many attempts (1 and up); none when that was the last. It follows from
-    /// `salt` alone, so that the same message falls due at the same time in every run. A portal's
-    /// advice makes it longer, never shorter.
-    pub fn pause(&self, tries: u32, salt: u64, advice: Option<Micros>) -> Option<Micros> {
-        let pause = *self.pauses.get(tries.checked_sub(1)? as usize)?;
-        let mut random = ChaCha8Rng::seed_from_u64(salt ^ (u64::from(tries) << 48));
+    /// The pause after this many attempts, from 1; none after the last. Its jitter depends on
+    /// `salt` alone, so that a message is due at the same time in every run. The endpoint's
+    /// Retry-After makes it longer, never shorter.
+    pub fn pause(&self, attempts: u32, salt: u64, retry_after: Option<Micros>) -> Option<Micros> {
+        let pause = *self.pauses.get(attempts.checked_sub(1)? as usize)?;
+        let mut random = ChaCha8Rng::seed_from_u64(salt ^ (u64::from(attempts) << 48));
         let unit = (random.next_u32() as f64 / f64::from(u32::MAX)) * 2.0 - 1.0;
-        let moved = (pause as f64 * (1.0 + JITTER * unit)) as Micros;
-        Some(moved.max(advice.unwrap_or(0).min(LONGEST_ADVICE)).max(1))
+        let with_jitter = (pause as f64 * (1.0 + JITTER * unit)) as Micros;
+        Some(
+            with_jitter
+                .max(retry_after.unwrap_or(0).min(MAX_RETRY_AFTER))
+                .max(1),
+        )
     }
 }
 
-/// Reads a `Retry-After` as RFC 9110 (10.2.3) has it, seconds or a date; what cannot be read
-/// advises nothing.
+/// Parses a `Retry-After` field (RFC 9110, 10.2.3), seconds or a date, as a span from now. None if
+/// it cannot be read.
 pub fn retry_after(value: &str, now: Micros) -> Option<Micros> {
     let value = value.trim();
     if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) {
-        // A number too long to read is a long time.
+        // A number that does not fit is a long time.
         return Some(
             value
                 .parse::<u64>()
-                .map_or(Micros::MAX, |s| s.saturating_mul(SECOND)),
+                .map_or(Micros::MAX, |s| s.saturating_mul(MICROS_PER_SECOND)),
         );
     }
     let at = httpdate::parse_http_date(value)
--- a/src/delivery/schedule/tests.rs
+++ b/src/delivery/schedule/tests.rs
@@ -11,7 +11,10 @@
     );
     for salt in 0..200 {
         let p = s.pause(1, salt, None).unwrap();
-        assert!((4 * SECOND..=6 * SECOND).contains(&p), "{p}");
+        assert!(
+            (4 * MICROS_PER_SECOND..=6 * MICROS_PER_SECOND).contains(&p),
+            "{p}"
+        );
         assert_eq!(s.pause(1, salt, None), Some(p));
     }
     assert!(
@@ -21,37 +24,43 @@
             .len()
             > 10
     );
-    assert_eq!(s.pause(1, 3, Some(60 * SECOND)), Some(60 * SECOND));
+    assert_eq!(
+        s.pause(1, 3, Some(60 * MICROS_PER_SECOND)),
+        Some(60 * MICROS_PER_SECOND)
+    );
     assert_eq!(
         s.pause(1, 3, Some(Micros::MAX)),
-        Some(LONGEST_ADVICE),
+        Some(MAX_RETRY_AFTER),
         "a year is a day"
     );
     assert!(
-        s.pause(1, 3, Some(1)) > Some(SECOND),
+        s.pause(1, 3, Some(1)) > Some(MICROS_PER_SECOND),
         "advice makes nothing shorter"
     );
     assert_eq!((s.pause(10, 3, None), s.pause(0, 3, None)), (None, None));
     for bad in [&[][..], &[0.0], &[f64::NAN], &[-1.0], &[1e9], &[1.0; 65]] {
-        assert_eq!(Schedule::from_seconds(bad), Err(BadSchedule));
+        assert_eq!(Schedule::from_seconds(bad), Err(ScheduleError::OutOfRange));
     }
-    let short = Schedule::short(60 * SECOND);
+    let short = Schedule::short(60 * MICROS_PER_SECOND);
     assert!(
-        short.whole() < 60 * SECOND && short.whole() > 50 * SECOND,
+        short.total() < 60 * MICROS_PER_SECOND && short.total() > 50 * MICROS_PER_SECOND,
         "{short:?}"
     );
 }
 
 #[test]
 fn advice_is_seconds_or_a_date_and_junk_is_none() {
-    let now = 784_111_700 * SECOND;
-    assert_eq!(retry_after("120", now), Some(120 * SECOND));
+    let now = 784_111_700 * MICROS_PER_SECOND;
+    assert_eq!(retry_after("120", now), Some(120 * MICROS_PER_SECOND));
     assert_eq!(
         retry_after("Sun, 06 Nov 1994 08:49:37 GMT", now),
-        Some(77 * SECOND)
+        Some(77 * MICROS_PER_SECOND)
     );
     assert_eq!(
-        retry_after("Sun, 06 Nov 1994 08:49:37 GMT", now + 100 * SECOND),
+        retry_after(
+            "Sun, 06 Nov 1994 08:49:37 GMT",
+            now + 100 * MICROS_PER_SECOND
+        ),
         Some(0),
         "past"
     );
--- a/src/delivery/sending.rs
+++ b/src/delivery/sending.rs
@@ -2,7 +2,7 @@
 
 use super::ids::EndpointId;
 use super::messages::Output;
-use super::response::{Dead, State};
+use super::response::{DeadLetterReason, State};
 use super::{Delivery, LoadedState};
 use crate::api::{Effect, Micros};
 use crate::policy::permitted_after;
@@ -57,7 +57,7 @@
             // The window in which a retry is safe passed while the message waited.
             let message = *message;
             self.unload(seq);
-            return self.persist(message, State::Dead(Dead::Unknown), None);
+            return self.persist(message, State::Dead(DeadLetterReason::Unknown), None);
         }
         endpoint.breaker.sent(now);
         if let Some(bucket) = &mut endpoint.bucket {
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use super::response::{Dead, Report, State};
+use super::response::{DeadLetterReason, DeliveryReport, State};
 use super::schedule::Schedule;
 use super::{Delivery, Enabled, EndpointId, EndpointPlan, Input, Limits, Output, Seq, Waiting};
 use crate::api::{Effect, Micros};
@@ -43,31 +43,31 @@
     }
 }
 
-fn answer(status: u16) -> Report {
+fn answer(status: u16) -> DeliveryReport {
     let ending = if status / 100 == 2 {
         CloseReason::Served
     } else {
         CloseReason::Failed
     };
-    Report {
-        ending,
-        left: SendProgress::Started,
+    DeliveryReport {
+        close_reason: ending,
+        send_progress: SendProgress::Started,
         status: Some(status),
-        advice: None,
+        retry_after: None,
     }
 }
 
-const REFUSED: Report = Report {
-    ending: CloseReason::Refused,
-    left: SendProgress::Unsent,
+const REFUSED: DeliveryReport = DeliveryReport {
+    close_reason: CloseReason::Refused,
+    send_progress: SendProgress::Unsent,
     status: None,
-    advice: None,
+    retry_after: None,
 };
-const CUT: Report = Report {
-    ending: CloseReason::Reset,
-    left: SendProgress::Started,
+const CUT: DeliveryReport = DeliveryReport {
+    close_reason: CloseReason::Reset,
+    send_progress: SendProgress::Started,
     status: None,
-    advice: None,
+    retry_after: None,
 };
 
 impl World {
@@ -198,7 +198,7 @@
                         .filter(|m| !self.out.contains_key(&m.seq))
                         .collect::<Vec<_>>()
                     {
-                        self.keep(m, State::Dead(Dead::Gone));
+                        self.keep(m, State::Dead(DeadLetterReason::Gone));
                     }
                 }
             }
@@ -214,7 +214,7 @@
         }
     }
 
-    fn end(&mut self, nth: usize, report: Report) {
+    fn end(&mut self, nth: usize, report: DeliveryReport) {
         let Some(&seq) = self.out.keys().nth(nth % self.out.len().max(1)) else {
             return;
         };
@@ -232,7 +232,7 @@
 
     /// Lets time pass, with portals that answer so, until nothing waits any more or so much time is
     /// over.
-    fn run_out(&mut self, span: Micros, report: impl Fn(Seq, Micros) -> Report) {
+    fn run_out(&mut self, span: Micros, report: impl Fn(Seq, Micros) -> DeliveryReport) {
         let end = self.now + span;
         loop {
             while !self.fetches.is_empty() {
@@ -283,20 +283,20 @@
     ]
 }
 
-fn ending(how: u8) -> Report {
+fn ending(how: u8) -> DeliveryReport {
     match how {
         0 => REFUSED,
         1 => CUT,
         2 => answer(500),
-        3 => Report {
-            advice: Some(30 * SECOND),
+        3 => DeliveryReport {
+            retry_after: Some(30 * SECOND),
             ..answer(503)
         },
-        4 => Report {
-            advice: Some(Micros::MAX),
+        4 => DeliveryReport {
+            retry_after: Some(Micros::MAX),
             ..answer(429)
         },
-        5 => Report::VOID,
+        5 => DeliveryReport::VOID,
         _ => answer(204),
     }
 }
@@ -346,9 +346,9 @@
             let begun = w.begun.get(&m.seq).copied().unwrap_or(0);
             match state {
                 State::Delivered => prop_assert!(begun > 0),
-                State::Dead(Dead::Unknown) => prop_assert!(m.effect == Effect::NonIdempotent && w.arrived.contains(&m.seq)),
-                State::Dead(Dead::Exhausted) => prop_assert_eq!(m.tries, 4),
-                State::Dead(Dead::Gone) => prop_assert!(removed.contains(&m.endpoint.0)),
+                State::Dead(DeadLetterReason::Unknown) => prop_assert!(m.effect == Effect::NonIdempotent && w.arrived.contains(&m.seq)),
+                State::Dead(DeadLetterReason::Exhausted) => prop_assert_eq!(m.tries, 4),
+                State::Dead(DeadLetterReason::Gone) => prop_assert!(removed.contains(&m.endpoint.0)),
                 other => prop_assert!(false, "{:?} is left {:?}", m, other),
             }
         }
@@ -522,7 +522,7 @@
     w.run_out(1000 * SECOND, |_, _| answer(200));
     assert_eq!(
         w.store[&Seq(1000)].1,
-        State::Dead(Dead::Unknown),
+        State::Dead(DeadLetterReason::Unknown),
         "the portal forgets it after half a second"
     );
     assert_eq!(w.begun[&Seq(1000)], 1);
--- a/src/delivery/timing_wheel.rs
+++ b/src/delivery/timing_wheel.rs
@@ -18,13 +18,13 @@
 
 /// Names an entry until it is told or cancelled; a stale one names nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Timer {
-    place: u32,
-    turn: u32,
+pub struct TimerKey {
+    index: u32,
+    generation: u32,
 }
 
 #[derive(Debug)]
-struct Node<T> {
+struct TimerNode<T> {
     at: Micros,
     value: Option<T>,
     next: u32,
@@ -38,10 +38,10 @@
 #[derive(Debug)]
 pub struct TimingWheel<T> {
     /// The tick up to which all has been told.
-    ticked: u64,
+    expired_until: u64,
     heads: [[u32; SLOTS]; LEVELS],
     used: [u64; LEVELS],
-    nodes: Vec<Node<T>>,
+    nodes: Vec<TimerNode<T>>,
     free: u32,
     len: usize,
 }
@@ -50,7 +50,7 @@
     /// An empty wheel whose time begins at `now`, in microseconds.
     pub fn new(now: Micros) -> TimingWheel<T> {
         TimingWheel {
-            ticked: now >> SHIFT,
+            expired_until: now >> SHIFT,
             heads: [[NONE; SLOTS]; LEVELS],
             used: [0; LEVELS],
             nodes: Vec::new(),
@@ -70,9 +70,9 @@
     }
 
     /// Hangs a value up to be told at `at`; a time that has passed falls due with the next call.
-    pub fn insert(&mut self, at: Micros, value: T) -> Timer {
+    pub fn insert(&mut self, at: Micros, value: T) -> TimerKey {
         let place = if self.free == NONE {
-            self.nodes.push(Node {
+            self.nodes.push(TimerNode {
                 at,
                 value: None,
                 next: NONE,
@@ -91,18 +91,21 @@
         let turn = node.turn;
         self.len += 1;
         self.link(place);
-        Timer { place, turn }
+        TimerKey {
+            index: place,
+            generation: turn,
+        }
     }
 
     /// Takes an entry away; its value, if it still hung.
-    pub fn cancel(&mut self, timer: Timer) -> Option<T> {
+    pub fn cancel(&mut self, timer: TimerKey) -> Option<T> {
         let node = self
             .nodes
-            .get(timer.place as usize)
-            .filter(|n| n.turn == timer.turn)?;
+            .get(timer.index as usize)
+            .filter(|n| n.turn == timer.generation)?;
         node.value.as_ref()?;
-        self.unlink(timer.place);
-        self.release(timer.place)
+        self.unlink(timer.index);
+        self.release(timer.index)
     }
 
     /// A time at or before which nothing falls due, and at which [`TimingWheel::expire`] is to be
@@ -114,7 +117,7 @@
                 continue;
             }
             let shift = BITS * level as u32;
-            let now = self.ticked >> shift;
+            let now = self.expired_until >> shift;
             let ahead = u64::from(
                 self.used[level]
                     .rotate_right((now % 64) as u32)
@@ -139,16 +142,16 @@
         let (target, begin) = (now >> SHIFT, told.len());
         loop {
             self.take(now, told);
-            if self.ticked >= target {
+            if self.expired_until >= target {
                 break;
             }
             // Nothing is left in this tick: on to the next one in which anything happens.
             let next = self
                 .next_deadline()
-                .map_or(target, |t| (t >> SHIFT).max(self.ticked + 1))
+                .map_or(target, |t| (t >> SHIFT).max(self.expired_until + 1))
                 .min(target);
-            let crossed = self.ticked ^ next;
-            self.ticked = next;
+            let crossed = self.expired_until ^ next;
+            self.expired_until = next;
             for level in (1..LEVELS).rev() {
                 if crossed >> (BITS * level as u32) != 0 {
                     self.sink(level);
@@ -160,7 +163,7 @@
 
     /// Takes what is due out of the present tick's slot.
     fn take(&mut self, now: Micros, told: &mut Vec<(Micros, T)>) {
-        let mut at = self.heads[0][(self.ticked % 64) as usize];
+        let mut at = self.heads[0][(self.expired_until % 64) as usize];
         while at != NONE {
             let next = self.nodes[at as usize].next;
             if self.nodes[at as usize].at <= now {
@@ -174,7 +177,7 @@
 
     /// Hangs the entries of a level's present slot anew, further down.
     fn sink(&mut self, level: usize) {
-        let slot = ((self.ticked >> (BITS * level as u32)) % 64) as usize;
+        let slot = ((self.expired_until >> (BITS * level as u32)) % 64) as usize;
         let mut at = std::mem::replace(&mut self.heads[level][slot], NONE);
         self.used[level] &= !(1 << slot);
         while at != NONE {
@@ -185,14 +188,14 @@
     }
 
     fn link(&mut self, place: u32) {
-        let tick = (self.nodes[place as usize].at >> SHIFT).max(self.ticked);
-        let differ = (tick ^ self.ticked) >> BITS;
+        let tick = (self.nodes[place as usize].at >> SHIFT).max(self.expired_until);
+        let differ = (tick ^ self.expired_until) >> BITS;
         let level =
             (((64 - differ.leading_zeros()) as usize).div_ceil(BITS as usize)).min(LEVELS - 1);
         // What is further off than the wheel reaches hangs in its last slot and sinks again and
         // again.
         let shift = BITS * level as u32;
-        let most = (self.ticked >> shift) + 63;
+        let most = (self.expired_until >> shift) + 63;
         let slot = ((tick >> shift).min(most) % 64) as usize;
         let head = self.heads[level][slot];
         let node = &mut self.nodes[place as usize];
@@ -232,7 +235,7 @@
 
     /// Bytes that the wheel holds, whatever hangs.
     pub fn bytes(&self) -> usize {
-        std::mem::size_of::<Self>() + self.nodes.capacity() * std::mem::size_of::<Node<T>>()
+        std::mem::size_of::<Self>() + self.nodes.capacity() * std::mem::size_of::<TimerNode<T>>()
     }
 }
 
--- a/src/front/operator_console.rs
+++ b/src/front/operator_console.rs
@@ -3,13 +3,13 @@
 use std::fmt;
 
 /// Bytes that a line may have.
-const LONGEST: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 /// Bytes that a connection may hold.
-pub const READ_LIMIT: usize = 2 * LONGEST;
+pub const READ_LIMIT: usize = 2 * MAX_LINE_BYTES;
 
 /// What a line asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Request {
     /// Whether this process can serve.
     Ready,
     /// The figures.
@@ -26,7 +26,7 @@
 
 /// Why a line cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineError {
+pub enum RequestError {
     /// It does not end.
     TooLong,
     /// The connection ended within it.
@@ -43,56 +43,61 @@
     Superfluous,
 }
 
-impl fmt::Display for LineError {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            LineError::TooLong => "the line is too long",
-            LineError::Half => "the line has no end",
-            LineError::NotText => "the line is not plain text",
-            LineError::Empty => "the line is empty",
-            LineError::Unknown => "no such call",
-            LineError::NoWorker => "the call names a worker",
-            LineError::Superfluous => "the call has too many words",
+            RequestError::TooLong => "the line is too long",
+            RequestError::Half => "the line has no end",
+            RequestError::NotText => "the line is not plain text",
+            RequestError::Empty => "the line is empty",
+            RequestError::Unknown => "no such call",
+            RequestError::NoWorker => "the call names a worker",
+            RequestError::Superfluous => "the call has too many words",
         })
     }
 }
 
-impl std::error::Error for LineError {}
+impl std::error::Error for RequestError {}
 
 /// Reads the one line; `None` while it is not whole. `ended` if nothing more will come: then half a line is an
 /// error, and no line at all is none.
-pub fn take(bytes: &[u8], ended: bool) -> Result<Option<Ask>, LineError> {
+pub fn take(bytes: &[u8], ended: bool) -> Result<Option<Request>, RequestError> {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return match bytes.len() {
-            n if n > LONGEST => Err(LineError::TooLong),
+            n if n > MAX_LINE_BYTES => Err(RequestError::TooLong),
             0 => Ok(None),
-            _ if ended => Err(LineError::Half),
+            _ if ended => Err(RequestError::Half),
             _ => Ok(None),
         };
     };
-    if end > LONGEST {
-        return Err(LineError::TooLong);
+    if end > MAX_LINE_BYTES {
+        return Err(RequestError::TooLong);
     }
     let line = bytes[..end].strip_suffix(b"\r").unwrap_or(&bytes[..end]);
     if !line.iter().all(|b| (0x20..0x7f).contains(b)) {
-        return Err(LineError::NotText);
+        return Err(RequestError::NotText);
     }
-    let text = std::str::from_utf8(line).map_err(|_| LineError::NotText)?;
+    let text = std::str::from_utf8(line).map_err(|_| RequestError::NotText)?;
     let mut words = text.split(' ').filter(|w| !w.is_empty());
-    let call = words.next().ok_or(LineError::Empty)?;
-    let mut worker = || words.next().map(str::to_owned).ok_or(LineError::NoWorker);
+    let call = words.next().ok_or(RequestError::Empty)?;
+    let mut worker = || {
+        words
+            .next()
+            .map(str::to_owned)
+            .ok_or(RequestError::NoWorker)
+    };
     let ask = match call {
-        "readyz" => Ask::Ready,
-        "telemetry" => Ask::Telemetry,
-        "exclude" => Ask::Exclude(worker()?),
-        "include" => Ask::Include(worker()?),
-        "evacuate" => Ask::Evacuate,
-        "activate" => Ask::Activate,
-        _ => return Err(LineError::Unknown),
+        "readyz" => Request::Ready,
+        "telemetry" => Request::Telemetry,
+        "exclude" => Request::Exclude(worker()?),
+        "include" => Request::Include(worker()?),
+        "evacuate" => Request::Evacuate,
+        "activate" => Request::Activate,
+        _ => return Err(RequestError::Unknown),
     };
     match words.next() {
         None => Ok(Some(ask)),
-        Some(_) => Err(LineError::Superfluous),
+        Some(_) => Err(RequestError::Superfluous),
     }
 }
 
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -4,7 +4,7 @@
 
 use super::hot_restart::Handover;
 use super::*;
-use crate::front::operator_console::{self, Ask};
+use crate::front::operator_console::{self, Request};
 use crate::operations::lifecycle::Lifecycle;
 use crate::operations::metrics::{self, Gauges};
 use crate::operations::overrides::{OverrideError, WorkerOverrides};
@@ -178,11 +178,11 @@
         self.dirty.push(key);
     }
 
-    fn answer_line(&mut self, now: Micros, ask: Ask) -> Vec<u8> {
+    fn answer_line(&mut self, now: Micros, ask: Request) -> Vec<u8> {
         match ask {
-            Ask::Ready if self.ops.life.is_ready() => operator_console::answer(true, "ready"),
-            Ask::Ready => operator_console::answer(false, "not ready"),
-            Ask::Telemetry => {
+            Request::Ready if self.ops.life.is_ready() => operator_console::answer(true, "ready"),
+            Request::Ready => operator_console::answer(false, "not ready"),
+            Request::Telemetry => {
                 let counters = &self.core.counters;
                 let classes = &self.config.names.classes;
                 operator_console::figures(&metrics::encode(
@@ -192,22 +192,22 @@
                     self.gauges(),
                 ))
             }
-            Ask::Exclude(name) => {
+            Request::Exclude(name) => {
                 let change = self.ops.upkeep.exclude(&name, now);
                 self.keep_upkeep(now, &name, change)
             }
-            Ask::Include(name) => {
+            Request::Include(name) => {
                 let change = self.ops.upkeep.include(&name, now);
                 self.keep_upkeep(now, &name, change)
             }
-            Ask::Evacuate => {
+            Request::Evacuate => {
                 if self.ops.life.begin_draining(now) {
                     tracing::info!("is being emptied");
                     self.thin_out(now);
                 }
                 operator_console::answer(true, "no connection stays")
             }
-            Ask::Activate => {
+            Request::Activate => {
                 if self.ops.life.is_draining() {
                     tracing::info!("serves again");
                     self.ops.life.resume();
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -13,8 +13,8 @@
 use crate::api::{Arrival, Effect, RequestId};
 use crate::config::{ConfigError, Webhooks};
 use crate::core::Call;
-use crate::delivery::egress::Networks;
-use crate::delivery::response::{Dead, Report, State};
+use crate::delivery::egress::EgressPolicy;
+use crate::delivery::response::{DeadLetterReason, DeliveryReport, State};
 use crate::delivery::schedule::Schedule;
 use crate::delivery::{Delivery, EndpointId, Input, Limits, Output, Seq, Waiting};
 use crate::front::http::{self, plain, Bad};
@@ -203,7 +203,7 @@
     guards: HashMap<Rc<str>, Guard>,
     guarded: SecondaryMap<AttemptKey, Rc<str>>,
     unrecorded: SecondaryMap<AttemptKey, Waits>,
-    networks: Networks,
+    networks: EgressPolicy,
     schedule: Schedule,
     hung: Option<Micros>,
     pending: usize,
@@ -291,17 +291,17 @@
     GatewayError::Operator(ConfigError::Parse(path, e.to_string()))
 }
 
-fn answered(status: u16, advice: Option<Micros>) -> Report {
+fn answered(status: u16, advice: Option<Micros>) -> DeliveryReport {
     let ending = if (200..300).contains(&status) {
         CloseReason::Served
     } else {
         CloseReason::Failed
     };
-    Report {
-        ending,
-        left: SendProgress::Started,
+    DeliveryReport {
+        close_reason: ending,
+        send_progress: SendProgress::Started,
         status: Some(status),
-        advice,
+        retry_after: advice,
     }
 }
 
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -14,14 +14,14 @@
             // Removed at this very moment; its end is kept by the removal.
             return hooks
                 .delivery
-                .handle(now, Input::AttemptEnded(seq, Report::VOID));
+                .handle(now, Input::AttemptEnded(seq, DeliveryReport::VOID));
         };
         let (address, secrets) = (e.portal.address, tenant.signing(e, now));
-        let failed = |ending| Report {
-            ending,
-            left: SendProgress::Unsent,
+        let failed = |ending| DeliveryReport {
+            close_reason: ending,
+            send_progress: SendProgress::Unsent,
             status: None,
-            advice: None,
+            retry_after: None,
         };
         if !hooks.networks.allows(address.ip()) || secrets.is_empty() {
             // Nothing is sent where the operator does not allow it, or unsigned.
@@ -150,18 +150,18 @@
                 } else {
                     SendProgress::Started
                 };
-                Report {
-                    ending,
-                    left,
+                DeliveryReport {
+                    close_reason: ending,
+                    send_progress: left,
                     status: None,
-                    advice: None,
+                    retry_after: None,
                 }
             }
         };
         self.portal_ended(now, seq, report);
     }
 
-    pub(super) fn portal_ended(&mut self, now: Micros, seq: Seq, report: Report) {
+    pub(super) fn portal_ended(&mut self, now: Micros, seq: Seq, report: DeliveryReport) {
         step("callback answered");
         if let Some(hooks) = &mut self.secondary.hooks {
             hooks.delivery.handle(now, Input::AttemptEnded(seq, report));
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -91,7 +91,7 @@
                 Ok(_) => hooks.delivery.handle(now, Input::MessageRemoved(seq)),
                 Err(_) => hooks
                     .delivery
-                    .handle(now, Input::AttemptEnded(seq, Report::VOID)),
+                    .handle(now, Input::AttemptEnded(seq, DeliveryReport::VOID)),
             },
             Ask::Fetch(id) => match reply {
                 Ok(Reply::Fetched(all, next)) => {
@@ -202,7 +202,7 @@
                     took: record
                         .as_ref()
                         .map_or(0, |r| now.saturating_sub(r.waiting.due)),
-                    ending: report.ending.name().into(),
+                    ending: report.close_reason.name().into(),
                     status: report.status,
                     may_have_arrived: report.may_have_arrived(),
                 });
@@ -223,7 +223,8 @@
                     self.count(&message, state);
                     let record =
                         record.filter(|r| r.kind == COMPLETED && matches!(state, State::Dead(_)));
-                    if let Some(r) = record.filter(|_| state != State::Dead(Dead::Gone)) {
+                    if let Some(r) = record.filter(|_| state != State::Dead(DeadLetterReason::Gone))
+                    {
                         let data = serde_json::json!({ "message": r.id, "call": r.call, "state": state.name() });
                         self.tell_tenant(now, &r.tenant, None, "message.exhausted", &data);
                     }
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -96,7 +96,7 @@
             guards: HashMap::new(),
             guarded: SecondaryMap::new(),
             unrecorded: SecondaryMap::new(),
-            networks: Networks::new(&w.allow_networks, &w.deny_networks),
+            networks: EgressPolicy::new(&w.allow_networks, &w.deny_networks),
             schedule,
             hung: None,
             pending: w.pending,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -82,7 +82,7 @@
 }
 
 /// Reads the settings from facts, and the names of a load report's values in their order.
-pub fn from_facts(facts: &SettingsMap) -> (Settings, Vec<Field>) {
+pub fn from_map(facts: &SettingsMap) -> (Settings, Vec<Field>) {
     let get = |key: &str| facts.get(key).map(String::as_str);
     let number = |key: &str| {
         get(key)
--- a/src/store/checksums_tests.rs
+++ b/src/store/checksums_tests.rs
@@ -11,7 +11,7 @@
 use super::tables::{key, pack, Tables, FORMAT, TOP};
 use super::tests::{call, mark, message, BYTES, SECOND};
 use crate::api::{Effect, Micros};
-use crate::delivery::response::{Dead, State};
+use crate::delivery::response::{DeadLetterReason, State};
 use crate::delivery::Seq;
 use crate::replication::{LogPosition, ShardId};
 
@@ -137,7 +137,7 @@
                 Step::Fill(shard, n) => s.fill(shard, n),
                 Step::End(shard, n, delivered) => {
                     let (m, _) = message(seq(shard, 100 + n).0, 4, Effect::NonIdempotent, None);
-                    let state = if delivered { State::Delivered } else { State::Dead(Dead::Exhausted) };
+                    let state = if delivered { State::Delivered } else { State::Dead(DeadLetterReason::Exhausted) };
                     s.record(Op::Ended(Box::new(m.waiting), state, None));
                 }
                 Step::Retain(now) => drop(s.ask(Op::Retain(now, 60 * SECOND, u64::MAX, 1000)).unwrap()),
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -3,7 +3,7 @@
 
 use super::records::{AttemptRecord, CallRecord};
 use crate::api::{Effect, Micros};
-use crate::delivery::response::{Dead, State};
+use crate::delivery::response::{DeadLetterReason, State};
 use crate::delivery::Waiting;
 use crate::policy::permitted_after;
 
@@ -52,7 +52,7 @@
     let state = if again {
         State::Waiting
     } else {
-        State::Dead(Dead::Unknown)
+        State::Dead(DeadLetterReason::Unknown)
     };
     w.tries += 1;
     (
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -27,7 +27,7 @@
 use super::shards;
 use crate::api::{Effect, Micros};
 use crate::consensus::kept::{Head as Seat, LogLine};
-use crate::delivery::response::{Dead, State};
+use crate::delivery::response::{DeadLetterReason, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::{LogPosition, ShardId};
 
@@ -641,7 +641,7 @@
             // Those that come forward in its place are of the same endpoint.
             let mut over = vec![w];
             while let Some(w) = over.pop() {
-                over.extend(self.ended(space, w, State::Dead(Dead::Gone), None)?);
+                over.extend(self.ended(space, w, State::Dead(DeadLetterReason::Gone), None)?);
             }
         }
         Ok(Reply::More(pairs.len() == limit))
@@ -764,7 +764,12 @@
             if m.state.is_over() && (old || self.head.stat.bytes > bytes) {
                 self.delete(space, seq, &m)?;
             } else if old && !m.state.is_over() && !out {
-                forward.extend(self.ended(space, m.waiting, State::Dead(Dead::Expired), None)?);
+                forward.extend(self.ended(
+                    space,
+                    m.waiting,
+                    State::Dead(DeadLetterReason::Expired),
+                    None,
+                )?);
                 expired.push(seq);
             }
         }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -14,7 +14,7 @@
 use super::recovery::{fate, RecoveryAction};
 use super::tables::Tables;
 use crate::api::{Effect, IdempotencyScope, Micros};
-use crate::delivery::response::{Dead, State};
+use crate::delivery::response::{DeadLetterReason, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
 
 pub(super) const SECOND: Micros = 1_000_000;
@@ -208,7 +208,7 @@
                     w.tries += 1;
                     let state = match how {
                         0 => { w.due = now + 5; State::Waiting }
-                        1 => State::Dead(Dead::Exhausted),
+                        1 => State::Dead(DeadLetterReason::Exhausted),
                         _ => State::Delivered,
                     };
                     tables.apply(&mut space, Op::Ended(Box::new(w), state, None)).unwrap();
@@ -303,7 +303,7 @@
     };
     assert_eq!(
         state(&mut t, &mut space, 1),
-        (State::Dead(Dead::Unknown), 1)
+        (State::Dead(DeadLetterReason::Unknown), 1)
     );
     assert_eq!(state(&mut t, &mut space, 2), (State::Waiting, 0));
     let again = |t: &mut Tables, space: &mut Memory, by: Option<&str>| {
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use molelug::delivery::response::{Dead, State};
+use molelug::delivery::response::{DeadLetterReason, State};
 use molelug::store::disk::Disk;
 use molelug::store::records::{Filter, Op, Reply};
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -229,7 +229,9 @@
                     return wrong(format!("{call} was never confirmed"))
                 }
                 State::Delivered => round.delivered += 1,
-                State::Dead(Dead::Unknown) if effect != molelug::api::Effect::Idempotent => {
+                State::Dead(DeadLetterReason::Unknown)
+                    if effect != molelug::api::Effect::Idempotent =>
+                {
                     round.unknown_callbacks += 1
                 }
                 other => return wrong(format!("{call} is left {other:?}")),
--- a/tests/operator_answers.rs
+++ b/tests/operator_answers.rs
@@ -14,7 +14,7 @@
 use common::*;
 use jsonwebtoken::jwk::{Jwk, PublicKeyUse};
 use jsonwebtoken::{Algorithm, EncodingKey, Header};
-use molelug::delivery::response::{Dead, State};
+use molelug::delivery::response::{DeadLetterReason, State};
 use molelug::delivery::Enabled;
 use molelug::lease::grantor::GrantReason;
 use molelug::membership::group::PeerView;
@@ -362,10 +362,10 @@
         State::Waiting,
         State::Behind,
         State::Delivered,
-        State::Dead(Dead::Exhausted),
-        State::Dead(Dead::Unknown),
-        State::Dead(Dead::Gone),
-        State::Dead(Dead::Expired),
+        State::Dead(DeadLetterReason::Exhausted),
+        State::Dead(DeadLetterReason::Unknown),
+        State::Dead(DeadLetterReason::Gone),
+        State::Dead(DeadLetterReason::Expired),
     ];
     let expected = [
         "waiting",
--- a/tests/operator_configuration.rs
+++ b/tests/operator_configuration.rs
@@ -122,7 +122,7 @@
 
 /// What the simulator's host takes from the settings otherwise than a gateway does.
 fn simulator_values(out: &mut Values, settings: &Value) {
-    let (module, fields) = settings::from_facts(&settings::nested(settings));
+    let (module, fields) = settings::from_map(&settings::nested(settings));
     let name = |field: &Field| match field {
         Field::Queue => "queue",
         Field::Inflight => "in flight",
--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use molelug::api::{Effect, IdempotencyScope};
-use molelug::delivery::response::{Dead, State};
+use molelug::delivery::response::{DeadLetterReason, State};
 use molelug::delivery::{EndpointId, Seq};
 use molelug::replication::{LogPosition, ShardId};
 use molelug::store::disk::Disk;
@@ -65,7 +65,11 @@
     (tried.due, tried.tries, tried.ran) = (9 * SECOND, 1, Some(7 * SECOND));
     let ended = [
         Op::Ended(waiting(0), State::Delivered, Some(attempt())),
-        Op::Ended(waiting(1), State::Dead(Dead::Exhausted), Some(attempt())),
+        Op::Ended(
+            waiting(1),
+            State::Dead(DeadLetterReason::Exhausted),
+            Some(attempt()),
+        ),
         Op::Ended(tried, State::Waiting, Some(attempt())),
         Op::Begin(Seq(15), true, 6 * SECOND),
         Op::Retain(30 * SECOND, 1 << 40, MAX_BYTES, 100),
@@ -123,7 +127,11 @@
         Op::Begin(number(shard, 101), true, 6 * SECOND),
         taken(3),
         Op::Answer(number(shard, 3), "failed".into(), vec![(unordered, body)]),
-        Op::Ended(waiting, State::Dead(Dead::Unknown), Some(attempt())),
+        Op::Ended(
+            waiting,
+            State::Dead(DeadLetterReason::Unknown),
+            Some(attempt()),
+        ),
     ]
 }
 
@@ -258,8 +266,8 @@
     for (seq, state) in [
         (10, State::Waiting),
         (12, State::Delivered),
-        (13, State::Dead(Dead::Exhausted)),
-        (15, State::Dead(Dead::Unknown)),
+        (13, State::Dead(DeadLetterReason::Exhausted)),
+        (15, State::Dead(DeadLetterReason::Unknown)),
     ] {
         assert_eq!(shown(disk, Seq(seq)).record.state, state, "{seq}");
     }
--- a/tests/stored_data/store_records.rs
+++ b/tests/stored_data/store_records.rs
@@ -1,7 +1,7 @@
 //! Records of the store, one value of each variant, as postcard; among them the operations that copies are sent.
 
 use molelug::api::{Effect, IdempotencyScope, Micros};
-use molelug::delivery::response::{Dead, State};
+use molelug::delivery::response::{DeadLetterReason, State};
 use molelug::delivery::{EndpointId, Seq, Waiting};
 use molelug::store::records::{
     AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord, Op, Stat,
@@ -83,10 +83,10 @@
         ("waiting", State::Waiting),
         ("behind", State::Behind),
         ("delivered", State::Delivered),
-        ("dead, exhausted", State::Dead(Dead::Exhausted)),
-        ("dead, unknown", State::Dead(Dead::Unknown)),
-        ("dead, gone", State::Dead(Dead::Gone)),
-        ("dead, expired", State::Dead(Dead::Expired)),
+        ("dead, exhausted", State::Dead(DeadLetterReason::Exhausted)),
+        ("dead, unknown", State::Dead(DeadLetterReason::Unknown)),
+        ("dead, gone", State::Dead(DeadLetterReason::Gone)),
+        ("dead, expired", State::Dead(DeadLetterReason::Expired)),
     ]
 }
 
@@ -196,7 +196,11 @@
         ("begin", Shared::Begin(seq, 6 * SECOND)),
         (
             "ended",
-            Shared::Ended(waiting, State::Dead(Dead::Unknown), Some(attempt())),
+            Shared::Ended(
+                waiting,
+                State::Dead(DeadLetterReason::Unknown),
+                Some(attempt()),
+            ),
         ),
     ];
     let mut pins = Pins::of("shard-records.txt");
