--- a/src/admin/endpoints.rs
+++ b/src/admin/endpoints.rs
@@ -152,7 +152,7 @@
         .now
         .saturating_sub(recovery.since_s.saturating_mul(1_000_000));
     let serial = cx.tenants.get(tenant).map_or(0, |t| t.serial);
-    Ok(Done::Ask(Op::Recover(
+    Ok(Done::Ask(Op::ResendDeadLetters(
         e.id,
         serial,
         since,
--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -44,7 +44,7 @@
     if limit == 0 || limit > LONGEST_PAGE || endpoint == Some(None) {
         return Err(bad);
     }
-    Ok(Done::Ask(Op::Messages(Filter {
+    Ok(Done::Ask(Op::ListMessages(Filter {
         serial: t.serial,
         state: query(q, "state").map(str::to_owned),
         kind: query(q, "type").map(str::to_owned),
@@ -57,7 +57,10 @@
 
 /// One message, its attempts and its body.
 pub fn one(cx: &Context<'_>, tenant: &str, message: &str) -> Result<Done, Bad> {
-    Ok(Done::Ask(Op::Message(seq(message)?, serial(cx, tenant)?)))
+    Ok(Done::Ask(Op::GetMessage(
+        seq(message)?,
+        serial(cx, tenant)?,
+    )))
 }
 
 #[derive(Deserialize)]
@@ -78,7 +81,7 @@
 ) -> Result<Done, Bad> {
     let again: Again = body(r, "body is not a request to send again")?;
     let by = again.acknowledge_duplicate.then(|| who.to_owned());
-    Ok(Done::Ask(Op::Again(
+    Ok(Done::Ask(Op::Resend(
         seq(message)?,
         serial(cx, tenant)?,
         cx.now,
@@ -137,10 +140,10 @@
             Ok(Handled::new(200, body))
         }
         Ok(Reply::Message(None)) => Err(plain(404, "no such message")),
-        Ok(Reply::Waits(all)) => Ok(Handled::new(202, json!({ "sent_again": all.len() }))),
-        Ok(Reply::NotAgain("no such message")) => Err(plain(404, "no such message")),
-        Ok(Reply::NotAgain(why)) => Err(plain(409, why)),
-        Ok(Reply::Stat(stat)) => Ok(Handled::new(200, json!(stat))),
+        Ok(Reply::Queued(all)) => Ok(Handled::new(202, json!({ "sent_again": all.len() }))),
+        Ok(Reply::ResendRejected("no such message")) => Err(plain(404, "no such message")),
+        Ok(Reply::ResendRejected(why)) => Err(plain(409, why)),
+        Ok(Reply::Stats(stat)) => Ok(Handled::new(200, json!(stat))),
         Ok(_) => Err(plain(500, "the store answered something else")),
         Err(StoreError::Full) => Err(plain(503, "the store is full")),
         Err(_) => Err(plain(503, "the store cannot be written or read")),
--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -164,7 +164,7 @@
         .into());
     }
     let (mut disk, _) = Disk::open(path, 0, now())?;
-    let kept = disk.commit([Op::Log(Box::new(record))], now())?;
+    let kept = disk.commit([Op::AppendLog(Box::new(record))], now())?;
     Ok(kept.into_iter().try_for_each(|k| k.map(|_| ()))?)
 }
 
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -58,7 +58,7 @@
         .map_or(0, |d| d.as_micros() as u64);
     match what {
         Store::Check { file } => {
-            let sound = open(&file)?.check()?;
+            let sound = open(&file)?.check_integrity()?;
             println!(
                 "{}",
                 if sound {
@@ -70,7 +70,7 @@
             Ok(sound)
         }
         Store::Stat { file } => {
-            let Some(Ok(Reply::Stat(stat))) = open(&file)?.commit([Op::Stat], now)?.pop() else {
+            let Some(Ok(Reply::Stats(stat))) = open(&file)?.commit([Op::Stats], now)?.pop() else {
                 return Err("the store has no figures".into());
             };
             println!("{}", json!(stat));
@@ -81,7 +81,7 @@
             let mut after = None;
             loop {
                 let Some(Ok(Reply::Messages(page))) =
-                    disk.commit([Op::Export(after, 500)], now)?.pop()
+                    disk.commit([Op::ExportMessages(after, 500)], now)?.pop()
                 else {
                     return Err("the store has no messages to read".into());
                 };
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -173,7 +173,7 @@
         ));
     }
     let (disk, found) = match Disk::open(path, 0, 0) {
-        Err(StoreError::Held) => return Ok(None),
+        Err(StoreError::Locked) => return Ok(None),
         other => other.map_err(|e| fail(&e))?,
     };
     let kept = PersistentState::found(found.log.0, found.log.1).map_err(|e| fail(&e))?;
@@ -467,7 +467,7 @@
                     .as_ref()
                     .and_then(|h| h.writer.as_ref())
                 {
-                    writer.ask(number, Op::Log(record));
+                    writer.submit(number, Op::AppendLog(record));
                 }
             }
             Output::LeaseBegan(duty, term) => {
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -282,7 +282,7 @@
             }
             Output::Rejected(ticket, why) => {
                 side.kept.remove(&ticket);
-                hooks.reply(ticket, Err(StoreError::NotPromised(why)));
+                hooks.reply(ticket, Err(StoreError::NotCommitted(why)));
             }
             Output::BecomePrimary(shard, epoch) => hooks.lead_shard(shard, epoch),
             Output::StepDown(shard) => {
@@ -387,12 +387,12 @@
         reply: Result<Reply, StoreError>,
     ) {
         match reply {
-            Ok(Reply::Shard(place, bytes)) => {
+            Ok(Reply::ShardContent(place, bytes)) => {
                 let place: LogPosition = place;
                 self.tell_copies(Input::Read(shard, to, place, bytes));
             }
             other => {
-                if let Err(StoreError::Unsound(shard, ranges)) = other {
+                if let Err(StoreError::ChecksumMismatch(shard, ranges)) = other {
                     self.tell_copies(Input::Corrupt(shard, ranges));
                 }
                 self.tell_copies(Input::ReadFailed(shard, to));
@@ -408,10 +408,11 @@
         epoch: Epoch,
         reply: Result<Reply, StoreError>,
     ) {
-        if let Err(StoreError::Unsound(shard, ranges)) = reply {
+        if let Err(StoreError::ChecksumMismatch(shard, ranges)) = reply {
             return self.tell_copies(Input::Corrupt(shard, ranges));
         }
-        let (Some(side), Ok(Reply::Stands(stands))) = (&mut self.cluster.replication, reply) else {
+        let (Some(side), Ok(Reply::PrimaryState(stands))) = (&mut self.cluster.replication, reply)
+        else {
             return;
         };
         if !side.machine.leads(shard) {
@@ -419,15 +420,23 @@
         }
         side.open.insert(
             shard,
-            Identities::new(shard, stands.marks.iter().copied(), stands.forgotten),
+            Identities::new(
+                shard,
+                stands.identities.iter().copied(),
+                stands.identities_expired_until,
+            ),
         );
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
         hooks.numbers_of(shard, epoch);
-        let (calls, waits, begun) = (stands.calls.len(), stands.waits.len(), stands.begun.len());
-        hooks.settle(now, stands.begun);
-        hooks.wait(now, stands.waits);
+        let (calls, waits, begun) = (
+            stands.calls.len(),
+            stands.waiting.len(),
+            stands.in_flight.len(),
+        );
+        hooks.settle(now, stands.in_flight);
+        hooks.wait(now, stands.waiting);
         for call in stands.calls {
             // Times of another machine are not compared with this one's.
             self.go_on(now, call, true);
--- a/src/gateway/replication/questions/digest_tests.rs
+++ b/src/gateway/replication/questions/digest_tests.rs
@@ -25,7 +25,7 @@
         expires: 1_700_000_000_000_000,
         work: Some(20_000),
         memory_mb: 128.5,
-        lanes: 2,
+        concurrency_per_copy: 2,
         load_time: None,
         body: b"input".to_vec(),
         order: Some("cart-7".into()),
--- a/src/gateway/replication/questions/fixture_tests.rs
+++ b/src/gateway/replication/questions/fixture_tests.rs
@@ -21,7 +21,7 @@
         expires: 100_000_000,
         work: Some(250_000),
         memory_mb: 96.5,
-        lanes: 3,
+        concurrency_per_copy: 3,
         load_time: None,
         body: b"body".to_vec(),
         order: None,
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -27,11 +27,11 @@
 use crate::replication::wire::RequestOutcome;
 use crate::replication::{Epoch, LogPosition, Name, ShardId};
 use crate::store::disk::Disk;
-use crate::store::keyspace::Memory;
+use crate::store::keyspace::MemoryKeyspace;
 use crate::store::records::*;
-use crate::store::recovery::{fate, RecoveryAction};
-use crate::store::shared::Shared;
-use crate::store::tables::{Found, Tables};
+use crate::store::recovery::{recovery_action, RecoveryAction};
+use crate::store::shared::ReplicatedOp;
+use crate::store::tables::{RecoveredState, Tables};
 use crate::store::writer::Writer;
 use crate::tenancy::{Endpoint, COMPLETED};
 
@@ -172,7 +172,7 @@
 }
 
 enum Backend {
-    Memory(Box<(Memory, Tables)>),
+    Memory(Box<(MemoryKeyspace, Tables)>),
     Disk(Writer),
 }
 
@@ -220,7 +220,7 @@
     /// Callbacks that wait in memory; those in a file need no room here.
     fn waiting(&self) -> usize {
         match &self.backend {
-            Backend::Memory(both) => both.1.stat().waiting as usize,
+            Backend::Memory(both) => both.1.stats().waiting as usize,
             Backend::Disk(_) => 0,
         }
     }
@@ -238,15 +238,15 @@
         self.last_ask += 1;
         let number = self.last_ask;
         self.asked.insert(number, ask);
-        if let (Some(shard), Some(shared)) = (op.shard(), Shared::of(&op)) {
-            match shared.pack() {
+        if let (Some(shard), Some(shared)) = (op.shard(), ReplicatedOp::from_op(&op)) {
+            match shared.encode() {
                 Ok(bytes) => self.shared.push_back((number, shard, bytes, want)),
                 Err(e) => self.replies.push_back((number, Err(e))),
             }
             return;
         }
         match &mut self.backend {
-            Backend::Disk(writer) => writer.ask(number, op),
+            Backend::Disk(writer) => writer.submit(number, op),
             Backend::Memory(both) => {
                 let (space, tables) = &mut **both;
                 let reply = tables.apply(space, op);
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -49,7 +49,7 @@
                         conn: key,
                         id: id.to_owned(),
                     };
-                    hooks.ask(ask, Op::Call(serial, id.to_owned()));
+                    hooks.ask(ask, Op::GetCall(serial, id.to_owned()));
                     None
                 }
                 Err(bad) => Some(refuse(&bad, stays)),
@@ -83,7 +83,7 @@
                     expires: a.expires_at,
                     work: a.expected_work,
                     memory_mb: a.memory_mb,
-                    lanes: a.concurrency_per_copy,
+                    concurrency_per_copy: a.concurrency_per_copy,
                     load_time: a.load_duration,
                     body: call.body.to_vec(),
                     order: job.order.clone(),
@@ -108,7 +108,7 @@
                     seq,
                     mark,
                 };
-                hooks.ask(ask, Op::Take(Box::new(record), mark, until));
+                hooks.ask(ask, Op::AcceptCall(Box::new(record), mark, until));
                 None
             }
             Err(bad) => {
@@ -148,7 +148,7 @@
                     let shard = seq.shard();
                     self.forget_mark(shard, &mark);
                     let why = match e {
-                        StoreError::NotPromised(why) => why,
+                        StoreError::NotCommitted(why) => why,
                         _ => ReplicationError::Unreached { shard },
                     };
                     self.tell_asker(to, number, RequestOutcome::Rejected(why));
@@ -219,7 +219,7 @@
         };
         hooks.guarded.insert(*attempt, id.clone());
         hooks.unrecorded.insert(*attempt, waits);
-        hooks.ask(Ask::Go(*attempt), Op::Sent(seq, now));
+        hooks.ask(Ask::Go(*attempt), Op::MarkSent(seq, now));
         true
     }
 
@@ -266,7 +266,7 @@
         guard.ran |= !never_ran;
         let (seq, ran) = (guard.seq, guard.ran);
         if !ran {
-            hooks.ask(Ask::Quiet, Op::Unsent(seq));
+            hooks.ask(Ask::Quiet, Op::ClearSent(seq));
         }
     }
 
@@ -310,7 +310,7 @@
         }
         hooks.ask(
             Ask::Publish,
-            Op::Answer(held.seq, outcome.name().into(), messages),
+            Op::CompleteCall(held.seq, outcome.name().into(), messages),
         );
     }
 
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -197,7 +197,7 @@
             .as_mut()
             .ok_or(plain(404, "webhooks are off"))?;
         let limit = match &op {
-            Op::Messages(filter) => Some(filter.limit),
+            Op::ListMessages(filter) => Some(filter.limit),
             _ => None,
         };
         hooks.ask(Ask::Admin { conn, limit, key }, op);
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -84,7 +84,7 @@
             Ask::Go(attempt) => self.recorded(now, attempt, reply.is_ok()),
             Ask::Publish | Ask::Quiet => self.now_wait(now, reply),
             Ask::Begin(seq) => match reply {
-                Ok(Reply::Begun(Some(both))) => {
+                Ok(Reply::Attempt(Some(both))) => {
                     step("callback's intent promised");
                     self.attempt(now, both.0, &both.1)
                 }
@@ -92,7 +92,7 @@
                 Err(_) => hooks.delivery.handle(now, Input::Ended(seq, Report::VOID)),
             },
             Ask::Fetch(id) => match reply {
-                Ok(Reply::Fetched(all, next)) => {
+                Ok(Reply::Due(all, next)) => {
                     hooks.delivery.handle(now, Input::Fetched(id, all, next))
                 }
                 // The disk is sick: asked again after a while, and nothing known is lost by it.
@@ -102,7 +102,7 @@
             },
             Ask::Purge(id) => {
                 if matches!(reply, Ok(Reply::More(true))) {
-                    hooks.ask(Ask::Purge(id), Op::Purge(id, RETAINED));
+                    hooks.ask(Ask::Purge(id), Op::PurgeEndpoint(id, RETAINED));
                 }
             }
             Ask::Retain => {
@@ -129,10 +129,10 @@
             }
             Ask::Admin { conn, limit, key } => {
                 let waits = match &reply {
-                    Ok(Reply::Waits(all)) => all.clone(),
+                    Ok(Reply::Queued(all)) => all.clone(),
                     _ => Vec::new(),
                 };
-                self.now_wait(now, Ok(Reply::Waits(waits)));
+                self.now_wait(now, Ok(Reply::Queued(waits)));
                 self.answer_asked(now, conn, limit, key, reply);
             }
         }
@@ -163,7 +163,7 @@
     }
 
     pub(super) fn now_wait(&mut self, now: Micros, reply: Result<Reply, StoreError>) {
-        let (Some(hooks), Ok(Reply::Waits(all))) = (&mut self.secondary.hooks, reply) else {
+        let (Some(hooks), Ok(Reply::Queued(all))) = (&mut self.secondary.hooks, reply) else {
             return;
         };
         all.into_iter()
@@ -176,7 +176,7 @@
             return;
         };
         let (age, bytes) = hooks.retention;
-        hooks.ask(Ask::Retain, Op::Retain(now, age, bytes, RETAINED));
+        hooks.ask(Ask::Retain, Op::ApplyRetention(now, age, bytes, RETAINED));
     }
 
     pub(super) fn deliver(&mut self, now: Micros, output: Output) {
@@ -185,10 +185,10 @@
         };
         match output {
             Output::Begin { seq, recorded, .. } => {
-                hooks.ask(Ask::Begin(seq), Op::Begin(seq, recorded, now))
+                hooks.ask(Ask::Begin(seq), Op::BeginAttempt(seq, recorded, now))
             }
-            Output::Fetch(id, limit) => hooks.ask(Ask::Fetch(id), Op::Fetch(id, limit)),
-            Output::Purge(id) => hooks.ask(Ask::Purge(id), Op::Purge(id, RETAINED)),
+            Output::Fetch(id, limit) => hooks.ask(Ask::Fetch(id), Op::FetchDue(id, limit)),
+            Output::Purge(id) => hooks.ask(Ask::Purge(id), Op::PurgeEndpoint(id, RETAINED)),
             Output::Keep {
                 message,
                 state,
@@ -216,7 +216,10 @@
                         "an attempt has ended"
                     );
                 }
-                hooks.ask(Ask::Publish, Op::Ended(Box::new(message), state, attempt));
+                hooks.ask(
+                    Ask::Publish,
+                    Op::FinishAttempt(Box::new(message), state, attempt),
+                );
                 if state.is_over() {
                     self.count(&message, state);
                     let record =
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -16,7 +16,7 @@
 
     /// Has the disk tell its number, and how often it was begun; with another one if it is to begin anew.
     pub(in crate::gateway) fn begin_disk(&mut self, id: u64, anew: bool) {
-        self.ask(Ask::Disk, Op::BeginDisk(id.max(1), anew));
+        self.ask(Ask::Disk, Op::RegisterDisk(id.max(1), anew));
     }
 
     /// A record of a shard goes to the disk. One that cannot be read keeps its place, and does nothing.
@@ -27,10 +27,10 @@
         bytes: &[u8],
         ticket: Option<u64>,
     ) {
-        let op = Shared::read(bytes).map_or(Op::Publish(Vec::new()), Shared::op);
+        let op = ReplicatedOp::decode(bytes).map_or(Op::Publish(Vec::new()), ReplicatedOp::into_op);
         self.ask(
             Ask::Record(shard, ticket),
-            Op::Shard(shard, place, Box::new(op)),
+            Op::ApplyToShard(shard, place, Box::new(op)),
         );
     }
 
@@ -43,7 +43,7 @@
     ) {
         self.ask(
             Ask::Record(shard, None),
-            Op::WriteShard(shard, place, bytes),
+            Op::InstallShard(shard, place, bytes),
         );
     }
 
@@ -54,17 +54,17 @@
 
     /// What the disk holds of shards is counted, beside all else.
     pub(in crate::gateway) fn verify_shards(&mut self) {
-        self.ask(Ask::Verify, Op::Verify);
+        self.ask(Ask::Verify, Op::VerifyChecksums);
     }
 
     /// What is left of a damaged shard counts.
     pub(in crate::gateway) fn accept_shard(&mut self, shard: ShardId) {
-        self.ask(Ask::Accept(shard), Op::Accept(shard));
+        self.ask(Ask::Accept(shard), Op::AcceptDamage(shard));
     }
 
     /// A shard is led here: what stands of it is read.
     pub(in crate::gateway) fn lead_shard(&mut self, shard: ShardId, epoch: Epoch) {
-        self.ask(Ask::Lead(shard, epoch), Op::Lead(shard));
+        self.ask(Ask::Lead(shard, epoch), Op::BecomePrimary(shard));
     }
 
     /// Numbers of a shard are given here under an epoch.
@@ -92,17 +92,17 @@
             self.out.remove(&seq);
             self.delivery.handle(now, Input::Gone(seq));
         }
-        self.ask(Ask::Quiet, Op::Rest(shard));
+        self.ask(Ask::Quiet, Op::ResignPrimary(shard));
         over
     }
 
     /// Callbacks whose attempt had begun where their shard was led before: by their class they wait again, or nobody can tell.
     pub(in crate::gateway) fn settle(&mut self, now: Micros, begun: Vec<(Waiting, Micros)>) {
         for (mut w, at) in begun {
-            let (state, attempt) = crate::store::recovery::settled(&mut w, at, now);
+            let (state, attempt) = crate::store::recovery::settle_remote_attempt(&mut w, at, now);
             self.ask(
                 Ask::Settled(w, state),
-                Op::Ended(Box::new(w), state, Some(attempt)),
+                Op::FinishAttempt(Box::new(w), state, Some(attempt)),
             );
         }
     }
@@ -122,7 +122,7 @@
         from: Name,
         number: u64,
     ) {
-        self.ask(Ask::State(from, number), Op::Call(serial, id));
+        self.ask(Ask::State(from, number), Op::GetCall(serial, id));
     }
 
     /// The next number in a shard, or of this gateway's own.
@@ -145,12 +145,12 @@
         call: CallRecord,
         stepped_back: bool,
     ) -> RecoveryAction {
-        let fate = fate(&call, now, stepped_back);
+        let fate = recovery_action(&call, now, stepped_back);
         let made = self
             .call_of(&call)
             .filter(|_| !self.core.is_open(&call.worker_id));
         let Some(hooks) = &mut self.secondary.hooks else {
-            return RecoveryAction::Refuse;
+            return RecoveryAction::Reject;
         };
         let (job, id): (Job, Rc<str>) = (job_of(&call), call.worker_id.as_str().into());
         let key = hooks.jobs.insert(Held {
@@ -174,9 +174,9 @@
                 self.runs(key, request);
                 RecoveryAction::Run
             }
-            (RecoveryAction::Unknown, _) => {
+            (RecoveryAction::ReportUnknown, _) => {
                 self.call_back(now, key, &Outcome::Unknown);
-                RecoveryAction::Unknown
+                RecoveryAction::ReportUnknown
             }
             // Its class or tenant is gone; it never ran, or may run again.
             _ => {
@@ -185,7 +185,7 @@
                     key,
                     &Outcome::Answered(Answer::Rejected { retry_after: 0 }),
                 );
-                RecoveryAction::Refuse
+                RecoveryAction::Reject
             }
         }
     }
@@ -213,7 +213,7 @@
             expires_at: call.expires,
             expected_work: call.work,
             memory_mb: call.memory_mb,
-            concurrency_per_copy: call.lanes,
+            concurrency_per_copy: call.concurrency_per_copy,
             load_duration: call.load_time,
         };
         let id = call.worker_id.as_str().into();
@@ -260,7 +260,7 @@
             seq,
             mark,
         };
-        hooks.ask_for(ask, Op::Take(Box::new(record), mark, until), want);
+        hooks.ask_for(ask, Op::AcceptCall(Box::new(record), mark, until), want);
         Ok(())
     }
 
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -11,7 +11,7 @@
     ) -> Result<(), GatewayError> {
         let seed = self.config.seed;
         let most_bytes = w.store_mb << 20;
-        let mut found = Found::default();
+        let mut found = RecoveredState::default();
         let backend = match &w.store {
             Some(path) => {
                 let (disk, f) =
@@ -38,11 +38,11 @@
                 let writer = Writer::start(disk, Box::new(opener), Box::new(answered));
                 Backend::Disk(
                     writer
-                        .map_err(|e| store_error(path.clone(), &StoreError::Disk(e.to_string())))?,
+                        .map_err(|e| store_error(path.clone(), &StoreError::Io(e.to_string())))?,
                 )
             }
             None => {
-                let mut space = Memory::default();
+                let mut space = MemoryKeyspace::default();
                 let opened = Tables::open(&mut space, false, most_bytes, now);
                 let (tables, _) = opened.map_err(|e| store_error(PathBuf::new(), &e))?;
                 Backend::Memory(Box::new((space, tables)))
@@ -54,7 +54,7 @@
                 .map_err(|e| GatewayError::Operator(ConfigError::Read(path.clone(), e)))?,
             None => Replays::new(w.replay_entries),
         };
-        replays.load(&found.replays);
+        replays.load(&found.identities);
         let schedule = match (&w.schedule_s, durable) {
             (Some(pauses), _) => Schedule::from_seconds(pauses).map_err(|e| {
                 GatewayError::Operator(ConfigError::Value("webhooks.schedule_s", e.to_string()))
@@ -79,7 +79,7 @@
             inbound: Inbound {
                 tolerance_s: w.tolerance_s,
                 started: (w.replay_file.is_none() && !durable).then_some(now),
-                forgotten: found.forgotten,
+                forgotten: found.identities_expired_until,
                 replays,
                 seed,
                 classes: self.config.settings.classes.clone(),
@@ -90,7 +90,7 @@
             replies: VecDeque::new(),
             asked: HashMap::new(),
             last_ask: 0,
-            last_seq: found.next,
+            last_seq: found.last_sequence_number,
             out: HashMap::new(),
             idle: HashMap::new(),
             guards: HashMap::new(),
@@ -122,7 +122,7 @@
     }
 
     /// Goes on with what the process before left: one row of the crash table for each call.
-    pub(super) fn recover(&mut self, now: Micros, found: Found) {
+    pub(super) fn recover(&mut self, now: Micros, found: RecoveredState) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
@@ -130,20 +130,20 @@
             if hooks.delivery.health(*id).is_some() {
                 hooks.delivery.handle(now, Input::Stored(*id, *due));
             } else {
-                hooks.ask(Ask::Purge(*id), Op::Purge(*id, RETAINED));
+                hooks.ask(Ask::Purge(*id), Op::PurgeEndpoint(*id, RETAINED));
             }
         }
-        self.core.counters.callbacks_unknown += found.unknown;
+        self.core.counters.callbacks_unknown += found.unknown_deliveries;
         let (mut run, mut refused, mut unknown) = (0, 0, 0);
         for call in found.calls {
-            match self.go_on(now, call, found.stepped_back) {
+            match self.go_on(now, call, found.clock_went_back) {
                 RecoveryAction::Run => run += 1,
-                RecoveryAction::Unknown => unknown += 1,
-                RecoveryAction::Refuse => refused += 1,
+                RecoveryAction::ReportUnknown => unknown += 1,
+                RecoveryAction::Reject => refused += 1,
             }
         }
-        if run + refused + unknown + found.unknown > 0 {
-            let callbacks = found.unknown;
+        if run + refused + unknown + found.unknown_deliveries > 0 {
+            let callbacks = found.unknown_deliveries;
             tracing::info!(
                 run,
                 refused,
@@ -152,7 +152,7 @@
                 "went on with the calls of the process before"
             );
         }
-        if found.stepped_back {
+        if found.clock_went_back {
             tracing::warn!("the clock shows less than when the store was last written");
         }
     }
--- a/src/store/checksums.rs
+++ b/src/store/checksums.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::keyspace::{Look, Pair, Space, Table};
+use super::keyspace::{KeyValue, Keyspace, KeyspaceReader, Table};
 use super::records::StoreError;
 use super::shards::{shard_of_mark, state, BY_NUMBER};
 use super::tables::{key, number, TOP};
@@ -63,7 +63,11 @@
     }
 
     /// The ranges of a shard that are not what was kept.
-    pub(super) fn unlike(&self, look: &dyn Look, shard: ShardId) -> Result<Vec<u8>, StoreError> {
+    pub(super) fn unlike(
+        &self,
+        look: &dyn KeyspaceReader,
+        shard: ShardId,
+    ) -> Result<Vec<u8>, StoreError> {
         let (counted, kept) = (
             self.0.get(&shard).copied().unwrap_or_default(),
             kept(look, shard)?,
@@ -76,13 +80,13 @@
     }
 }
 
-fn kept_at(look: &dyn Look, shard: ShardId, at: usize) -> Result<u128, StoreError> {
+fn kept_at(look: &dyn KeyspaceReader, shard: ShardId, at: usize) -> Result<u128, StoreError> {
     let bytes = look.get(Table::Sums, &key(&[u64::from(shard), at as u64]))?;
     let word = bytes.and_then(|b| b.first_chunk::<16>().copied());
     Ok(word.map_or(0, u128::from_le_bytes))
 }
 
-fn kept(look: &dyn Look, shard: ShardId) -> Result<Sums, StoreError> {
+fn kept(look: &dyn KeyspaceReader, shard: ShardId) -> Result<Sums, StoreError> {
     let mut sums = Sums::default();
     for (at, sum) in sums.iter_mut().enumerate() {
         *sum = kept_at(look, shard, at)?;
@@ -91,12 +95,12 @@
 }
 
 /// Counts all rows of shards.
-fn count(look: &dyn Look) -> Result<Count, StoreError> {
+fn count(look: &dyn KeyspaceReader) -> Result<Count, StoreError> {
     let mut count = Count::default();
     for table in BY_NUMBER.into_iter().chain([Table::Replays, Table::ByCall]) {
         let mut from = Vec::new();
         loop {
-            let page: Vec<Pair> = look.scan(table, &from, &TOP, PAGE, false)?;
+            let page: Vec<KeyValue> = look.scan(table, &from, &TOP, PAGE, false)?;
             page.iter().for_each(|(k, v)| count.row(table, k, v));
             let Some((last, _)) = page.last().filter(|_| page.len() == PAGE) else {
                 break;
@@ -110,7 +114,7 @@
 }
 
 /// The ranges of each shard whose rows are not what was written; none of a shard that is sound.
-pub(super) fn verify(look: &dyn Look) -> Result<Vec<(ShardId, Vec<u8>)>, StoreError> {
+pub(super) fn verify(look: &dyn KeyspaceReader) -> Result<Vec<(ShardId, Vec<u8>)>, StoreError> {
     let count = count(look)?;
     let mut found = Vec::new();
     for (k, _) in look.scan(Table::Shards, &[], &TOP, usize::MAX, false)? {
@@ -123,14 +127,14 @@
 
 /// A space whose changes of shards' rows are summed.
 pub(super) struct Summed<'a> {
-    space: &'a mut dyn Space,
+    space: &'a mut dyn Keyspace,
     changed: BTreeMap<(ShardId, usize), u128>,
     anew: BTreeSet<ShardId>,
 }
 
 impl<'a> Summed<'a> {
     /// Round a space.
-    pub(super) fn new(space: &'a mut dyn Space) -> Summed<'a> {
+    pub(super) fn new(space: &'a mut dyn Keyspace) -> Summed<'a> {
         Summed {
             space,
             changed: BTreeMap::new(),
@@ -195,7 +199,7 @@
     }
 }
 
-impl Look for Summed<'_> {
+impl KeyspaceReader for Summed<'_> {
     fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.space.get(table, key)
     }
@@ -207,12 +211,12 @@
         to: &[u8],
         limit: usize,
         backwards: bool,
-    ) -> Result<Vec<Pair>, StoreError> {
+    ) -> Result<Vec<KeyValue>, StoreError> {
         self.space.scan(table, from, to, limit, backwards)
     }
 }
 
-impl Space for Summed<'_> {
+impl Keyspace for Summed<'_> {
     fn put(
         &mut self,
         table: Table,
--- a/src/store/checksums_tests.rs
+++ b/src/store/checksums_tests.rs
@@ -5,7 +5,7 @@
 
 use super::checksums::{verify, Summed};
 use super::disk::Disk;
-use super::keyspace::{Look, Memory, Space, Table};
+use super::keyspace::{Keyspace, KeyspaceReader, MemoryKeyspace, Table};
 use super::records::*;
 use super::shards;
 use super::tables::{key, pack, Tables, FORMAT, TOP};
@@ -21,26 +21,26 @@
 
 /// A store in memory whose changes are summed as a file's are.
 struct Store {
-    space: Memory,
+    space: MemoryKeyspace,
     tables: Tables,
     place: LogPosition,
 }
 
 impl Store {
     fn new() -> Store {
-        let mut space = Memory::default();
+        let mut space = MemoryKeyspace::default();
         let (tables, _) = Tables::open(&mut space, true, BYTES, 0).unwrap();
         let mut s = Store {
             space,
             tables,
             place: LogPosition::default(),
         };
-        s.ask(Op::BeginDisk(7, false)).unwrap();
+        s.ask(Op::RegisterDisk(7, false)).unwrap();
         s
     }
 
     fn ask(&mut self, op: Op) -> Result<Reply, StoreError> {
-        let anew = if let Op::WriteShard(shard, ..) = &op {
+        let anew = if let Op::InstallShard(shard, ..) = &op {
             Some(*shard)
         } else {
             None
@@ -58,7 +58,7 @@
     fn record(&mut self, op: Op) {
         let shard = op.shard().unwrap();
         self.place = self.place.then(b"r");
-        self.ask(Op::Shard(shard, self.place, Box::new(op)))
+        self.ask(Op::ApplyToShard(shard, self.place, Box::new(op)))
             .unwrap();
     }
 
@@ -66,8 +66,8 @@
     fn fill(&mut self, shard: ShardId, from: u32) {
         for n in from..from + 6 {
             let c = call(seq(shard, n).0, Effect::NonIdempotent);
-            self.record(Op::Take(c, mark(seq(shard, n).0), 50 * SECOND));
-            self.record(Op::Sent(seq(shard, n), 3));
+            self.record(Op::AcceptCall(c, mark(seq(shard, n).0), 50 * SECOND));
+            self.record(Op::MarkSent(seq(shard, n), 3));
             if n % 2 == 0 {
                 let (m, body) = message(
                     seq(shard, 100 + n).0,
@@ -75,8 +75,12 @@
                     Effect::NonIdempotent,
                     (n % 4 == 0).then_some(1),
                 );
-                self.record(Op::Answer(seq(shard, n), "served".into(), vec![(m, body)]));
-                self.record(Op::Begin(seq(shard, 100 + n), true, 5));
+                self.record(Op::CompleteCall(
+                    seq(shard, n),
+                    "served".into(),
+                    vec![(m, body)],
+                ));
+                self.record(Op::BeginAttempt(seq(shard, 100 + n), true, 5));
             }
         }
     }
@@ -138,12 +142,12 @@
                 Step::End(shard, n, delivered) => {
                     let (m, _) = message(seq(shard, 100 + n).0, 4, Effect::NonIdempotent, None);
                     let state = if delivered { State::Delivered } else { State::Dead(Dead::Exhausted) };
-                    s.record(Op::Ended(Box::new(m.waiting), state, None));
+                    s.record(Op::FinishAttempt(Box::new(m.waiting), state, None));
                 }
-                Step::Retain(now) => drop(s.ask(Op::Retain(now, 60 * SECOND, u64::MAX, 1000)).unwrap()),
+                Step::Retain(now) => drop(s.ask(Op::ApplyRetention(now, 60 * SECOND, u64::MAX, 1000)).unwrap()),
                 Step::Copy(shard) => {
-                    let Reply::Shard(place, bytes) = s.ask(Op::ReadShard(shard)).unwrap() else { unreachable!() };
-                    s.ask(Op::WriteShard(shard, place, bytes)).unwrap();
+                    let Reply::ShardContent(place, bytes) = s.ask(Op::ReadShard(shard)).unwrap() else { unreachable!() };
+                    s.ask(Op::InstallShard(shard, place, bytes)).unwrap();
                 }
             }
             prop_assert!(s.unsound().is_empty());
@@ -165,11 +169,11 @@
         prop_assert!(!found.is_empty(), "{table:?}");
         for shard in found {
             let told = s.ask(Op::ReadShard(shard));
-            prop_assert!(matches!(told, Err(StoreError::Unsound(..))), "a damaged shard was handed on");
-            let told = s.ask(Op::Lead(shard));
-            prop_assert!(matches!(told, Err(StoreError::Unsound(..))), "a damaged shard is led");
-            let Reply::Shard(place, bytes) = good[usize::from(shard) - 1].clone() else { unreachable!() };
-            s.ask(Op::WriteShard(shard, place, bytes)).unwrap();
+            prop_assert!(matches!(told, Err(StoreError::ChecksumMismatch(..))), "a damaged shard was handed on");
+            let told = s.ask(Op::BecomePrimary(shard));
+            prop_assert!(matches!(told, Err(StoreError::ChecksumMismatch(..))), "a damaged shard is led");
+            let Reply::ShardContent(place, bytes) = good[usize::from(shard) - 1].clone() else { unreachable!() };
+            s.ask(Op::InstallShard(shard, place, bytes)).unwrap();
         }
         prop_assert!(s.unsound().is_empty());
         prop_assert_eq!(s.rows(), rows);
@@ -186,10 +190,13 @@
         .scan(Table::Calls, &[], &TOP, usize::MAX, false)
         .unwrap();
     s.space.put(Table::Calls, &calls[0].0, b"\xff").unwrap();
-    assert!(matches!(s.ask(Op::Lead(2)), Err(StoreError::Unsound(2, _))));
-    s.ask(Op::Accept(2)).unwrap();
+    assert!(matches!(
+        s.ask(Op::BecomePrimary(2)),
+        Err(StoreError::ChecksumMismatch(2, _))
+    ));
+    s.ask(Op::AcceptDamage(2)).unwrap();
     assert!(s.unsound().is_empty());
-    let Reply::Stands(stands) = s.ask(Op::Lead(2)).unwrap() else {
+    let Reply::PrimaryState(stands) = s.ask(Op::BecomePrimary(2)).unwrap() else {
         panic!()
     };
     assert_eq!(stands.calls.len(), calls.len() - 1);
@@ -200,18 +207,26 @@
 fn what_may_have_been_forgotten_goes_with_a_shard() {
     let mut s = Store::new();
     s.fill(2, 0);
-    s.ask(Op::Retain(70 * SECOND, 600 * SECOND, u64::MAX, 1000))
-        .unwrap();
-    let Reply::Shard(place, bytes) = s.ask(Op::ReadShard(2)).unwrap() else {
+    s.ask(Op::ApplyRetention(
+        70 * SECOND,
+        600 * SECOND,
+        u64::MAX,
+        1000,
+    ))
+    .unwrap();
+    let Reply::ShardContent(place, bytes) = s.ask(Op::ReadShard(2)).unwrap() else {
         panic!()
     };
     // Its clock has not come so far.
     let mut other = Store::new();
-    other.ask(Op::WriteShard(2, place, bytes)).unwrap();
-    let Reply::Stands(stands) = other.ask(Op::Lead(2)).unwrap() else {
+    other.ask(Op::InstallShard(2, place, bytes)).unwrap();
+    let Reply::PrimaryState(stands) = other.ask(Op::BecomePrimary(2)).unwrap() else {
         panic!()
     };
-    assert_eq!((stands.marks.len(), stands.forgotten), (0, 50 * SECOND));
+    assert_eq!(
+        (stands.identities.len(), stands.identities_expired_until),
+        (0, 50 * SECOND)
+    );
 }
 
 /// A file of before there were sums: they are counted once, when a process begins on it.
@@ -219,11 +234,11 @@
 fn a_file_of_before_sums_is_summed_when_it_is_begun() {
     let backend = InMemoryBackend::new();
     let (mut disk, _) = Disk::open_backend(backend, BYTES, 0).unwrap();
-    disk.commit([Op::BeginDisk(7, false)], 0).unwrap();
+    disk.commit([Op::RegisterDisk(7, false)], 0).unwrap();
     let c = call(seq(2, 1).0, Effect::Idempotent);
-    let take = Op::Take(c, mark(1), 50 * SECOND);
+    let take = Op::AcceptCall(c, mark(1), 50 * SECOND);
     disk.commit(
-        [Op::Shard(
+        [Op::ApplyToShard(
             2,
             LogPosition::default().then(b"r"),
             Box::new(take),
@@ -253,7 +268,7 @@
         .unwrap();
     assert_eq!(s.unsound(), [2]);
     s.tables = Tables::resume(&mut s.space, true, BYTES).unwrap();
-    let Reply::Disk(_, _, places) = s.ask(Op::BeginDisk(7, false)).unwrap() else {
+    let Reply::Disk(_, _, places) = s.ask(Op::RegisterDisk(7, false)).unwrap() else {
         panic!()
     };
     assert_eq!(
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -9,9 +9,9 @@
 };
 
 use super::checksums::{self, Summed};
-use super::keyspace::{Look, Pair, Space, Table};
+use super::keyspace::{KeyValue, Keyspace, KeyspaceReader, Table};
 use super::records::{Op, Reply, StoreError};
-use super::tables::{Found, Tables};
+use super::tables::{RecoveredState, Tables};
 use crate::api::Micros;
 use crate::replication::ShardId;
 
@@ -25,7 +25,7 @@
 }
 
 fn disk(e: impl std::fmt::Display) -> StoreError {
-    StoreError::Disk(e.to_string())
+    StoreError::Io(e.to_string())
 }
 
 struct Transaction<'a>(&'a WriteTransaction);
@@ -36,7 +36,7 @@
     to: &[u8],
     limit: usize,
     backwards: bool,
-) -> Result<Vec<Pair>, StoreError> {
+) -> Result<Vec<KeyValue>, StoreError> {
     if from >= to {
         return Ok(Vec::new());
     }
@@ -55,7 +55,7 @@
     Ok(found)
 }
 
-impl Look for Transaction<'_> {
+impl KeyspaceReader for Transaction<'_> {
     fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         let table = self.0.open_table(definition(table)).map_err(disk)?;
         let value = table.get(key).map_err(disk)?;
@@ -69,13 +69,13 @@
         to: &[u8],
         limit: usize,
         backwards: bool,
-    ) -> Result<Vec<Pair>, StoreError> {
+    ) -> Result<Vec<KeyValue>, StoreError> {
         let table = self.0.open_table(definition(table)).map_err(disk)?;
         scanned(&table, from, to, limit, backwards)
     }
 }
 
-impl Space for Transaction<'_> {
+impl Keyspace for Transaction<'_> {
     fn put(
         &mut self,
         table: Table,
@@ -112,7 +112,7 @@
     }
 }
 
-impl Look for Reading {
+impl KeyspaceReader for Reading {
     fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         let Some(table) = self.table(table)? else {
             return Ok(None);
@@ -128,7 +128,7 @@
         to: &[u8],
         limit: usize,
         backwards: bool,
-    ) -> Result<Vec<Pair>, StoreError> {
+    ) -> Result<Vec<KeyValue>, StoreError> {
         let Some(table) = self.table(table)? else {
             return Ok(Vec::new());
         };
@@ -152,21 +152,25 @@
 
 fn opened(e: DatabaseError) -> StoreError {
     match e {
-        DatabaseError::DatabaseAlreadyOpen => StoreError::Held,
-        DatabaseError::UpgradeRequired(v) => StoreError::Foreign(format!("file format {v}")),
+        DatabaseError::DatabaseAlreadyOpen => StoreError::Locked,
+        DatabaseError::UpgradeRequired(v) => StoreError::NotAStore(format!("file format {v}")),
         DatabaseError::Storage(redb::StorageError::Io(e))
             if e.kind() == std::io::ErrorKind::InvalidData =>
         {
-            StoreError::Foreign(e.to_string())
+            StoreError::NotAStore(e.to_string())
         }
-        DatabaseError::Storage(redb::StorageError::Corrupted(e)) => StoreError::Foreign(e),
+        DatabaseError::Storage(redb::StorageError::Corrupted(e)) => StoreError::NotAStore(e),
         e => disk(e),
     }
 }
 
 impl Disk {
     /// Opens or makes a file, and tells what is in it. `most_bytes` bounds the bodies that wait.
-    pub fn open(path: &Path, most_bytes: u64, now: Micros) -> Result<(Disk, Found), StoreError> {
+    pub fn open(
+        path: &Path,
+        most_bytes: u64,
+        now: Micros,
+    ) -> Result<(Disk, RecoveredState), StoreError> {
         // The file holds what tenants send: it is made for its owner alone.
         use std::os::unix::fs::OpenOptionsExt;
         let made = std::fs::OpenOptions::new()
@@ -207,7 +211,7 @@
         backend: impl StorageBackend,
         most_bytes: u64,
         now: Micros,
-    ) -> Result<(Disk, Found), StoreError> {
+    ) -> Result<(Disk, RecoveredState), StoreError> {
         let database = Database::builder()
             .set_cache_size(CACHE)
             .create_with_backend(backend)
@@ -215,7 +219,11 @@
         Disk::with(database, most_bytes, now)
     }
 
-    fn with(database: Database, most_bytes: u64, now: Micros) -> Result<(Disk, Found), StoreError> {
+    fn with(
+        database: Database,
+        most_bytes: u64,
+        now: Micros,
+    ) -> Result<(Disk, RecoveredState), StoreError> {
         let write = database.begin_write().map_err(disk)?;
         let opened = Tables::open(&mut Transaction(&write), true, most_bytes, now);
         let (tables, found) = match opened {
@@ -252,11 +260,11 @@
             let mut summed = Summed::new(&mut space);
             for op in ops {
                 let anew = match &op {
-                    Op::WriteShard(shard, ..) => Some(*shard),
+                    Op::InstallShard(shard, ..) => Some(*shard),
                     _ => None,
                 };
                 match tables.apply(&mut summed, op) {
-                    Err(e @ (StoreError::Disk(_) | StoreError::Damaged(_))) => return Err(e),
+                    Err(e @ (StoreError::Io(_) | StoreError::Unreadable(_))) => return Err(e),
                     reply => replies.push(reply),
                 }
                 anew.into_iter()
@@ -274,15 +282,15 @@
     /// Gives space that is free in the file back to the disk; tells whether there was any.
     pub fn compact(&mut self) -> Result<bool, StoreError> {
         Arc::get_mut(&mut self.database)
-            .ok_or(StoreError::Held)?
+            .ok_or(StoreError::Locked)?
             .compact()
             .map_err(disk)
     }
 
     /// Checks the file from end to end; tells whether it was sound as it stood.
-    pub fn check(&mut self) -> Result<bool, StoreError> {
+    pub fn check_integrity(&mut self) -> Result<bool, StoreError> {
         Arc::get_mut(&mut self.database)
-            .ok_or(StoreError::Held)?
+            .ok_or(StoreError::Locked)?
             .check_integrity()
             .map_err(disk)
     }
--- a/src/store/keyspace.rs
+++ b/src/store/keyspace.rs
@@ -74,10 +74,10 @@
 }
 
 /// A key and its value.
-pub type Pair = (Vec<u8>, Vec<u8>);
+pub type KeyValue = (Vec<u8>, Vec<u8>);
 
 /// Ordered tables of bytes, to be looked at.
-pub trait Look {
+pub trait KeyspaceReader {
     /// A value.
     fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError>;
     /// The first pairs from `from` up to and without `to`; the last ones, backwards, if asked so.
@@ -88,11 +88,11 @@
         to: &[u8],
         limit: usize,
         backwards: bool,
-    ) -> Result<Vec<Pair>, StoreError>;
+    ) -> Result<Vec<KeyValue>, StoreError>;
 }
 
 /// Ordered tables of bytes.
-pub trait Space: Look {
+pub trait Keyspace: KeyspaceReader {
     /// Sets a value and returns the one before it.
     fn put(
         &mut self,
@@ -106,9 +106,9 @@
 
 /// Tables in memory, which last as long as the process.
 #[derive(Clone, Debug, Default)]
-pub struct Memory(BTreeMap<(Table, Vec<u8>), Vec<u8>>);
+pub struct MemoryKeyspace(BTreeMap<(Table, Vec<u8>), Vec<u8>>);
 
-impl Look for Memory {
+impl KeyspaceReader for MemoryKeyspace {
     fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         Ok(self.0.get(&(table, key.to_vec())).cloned())
     }
@@ -120,7 +120,7 @@
         to: &[u8],
         limit: usize,
         backwards: bool,
-    ) -> Result<Vec<Pair>, StoreError> {
+    ) -> Result<Vec<KeyValue>, StoreError> {
         if from >= to {
             return Ok(Vec::new());
         }
@@ -133,7 +133,7 @@
     }
 }
 
-impl Space for Memory {
+impl Keyspace for MemoryKeyspace {
     fn put(
         &mut self,
         table: Table,
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -1,6 +1,6 @@
 //! A voter's log in the tables: entries by their index, and all else of it under one name.
 
-use super::keyspace::{Space, Table};
+use super::keyspace::{Keyspace, Table};
 use super::records::StoreError;
 use super::tables::{key, number, pack, unpack, TOP};
 use crate::consensus::kept::{Head, LogLine, Record};
@@ -8,7 +8,7 @@
 const SEAT: &[u8] = b"seat";
 
 /// Keeps a change, as [`crate::consensus::kept::PersistentState::apply`] makes it in memory.
-pub fn keep(space: &mut dyn Space, record: &Record) -> Result<(), StoreError> {
+pub fn keep(space: &mut dyn Keyspace, record: &Record) -> Result<(), StoreError> {
     if record.anew {
         drop_range(space, &[], &TOP)?;
     }
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-fn drop_range(space: &mut dyn Space, from: &[u8], to: &[u8]) -> Result<(), StoreError> {
+fn drop_range(space: &mut dyn Keyspace, from: &[u8], to: &[u8]) -> Result<(), StoreError> {
     for (k, _) in space.scan(Table::Log, from, to, usize::MAX, false)? {
         space.remove(Table::Log, &k)?;
     }
@@ -35,7 +35,7 @@
 }
 
 /// What is kept. An entry under another's index cannot be read.
-pub fn read(space: &dyn Space) -> Result<(Option<Head>, Vec<LogLine>), StoreError> {
+pub fn read(space: &dyn Keyspace) -> Result<(Option<Head>, Vec<LogLine>), StoreError> {
     let head = space
         .get(Table::Meta, SEAT)?
         .map(|b| unpack(&b, "a seat"))
@@ -44,7 +44,7 @@
     for (k, v) in space.scan(Table::Log, &[], &TOP, usize::MAX, false)? {
         let line: LogLine = unpack(&v, "an entry of the log")?;
         if line.index != number(&k, 0) {
-            return Err(StoreError::Damaged("an entry of the log"));
+            return Err(StoreError::Unreadable("an entry of the log"));
         }
         lines.push(line);
     }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -18,42 +18,42 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// Another process holds the file.
-    Held,
+    Locked,
     /// The file is not a store of this program.
-    Foreign(String),
+    NotAStore(String),
     /// The file was written by a newer version.
-    Newer(u32),
+    NewerFormat(u32),
     /// A record cannot be read.
-    Damaged(&'static str),
+    Unreadable(&'static str),
     /// The disk failed or is full; what was asked is not kept.
-    Disk(String),
+    Io(String),
     /// As many bytes wait as may.
     Full,
     /// What the disk holds of a shard is not what was written.
-    Unsound(ShardId, Vec<u8>),
+    ChecksumMismatch(ShardId, Vec<u8>),
     /// It does not stand on as many machines as it has to.
-    NotPromised(ReplicationError),
+    NotCommitted(ReplicationError),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::Held => f.write_str("the store is held by another process"),
-            StoreError::Foreign(e) => write!(f, "the file is not a store of this program: {e}"),
-            StoreError::Newer(v) => write!(
+            StoreError::Locked => f.write_str("the store is held by another process"),
+            StoreError::NotAStore(e) => write!(f, "the file is not a store of this program: {e}"),
+            StoreError::NewerFormat(v) => write!(
                 f,
                 "the store has format {v}, which is newer than this program"
             ),
-            StoreError::Damaged(what) => write!(f, "the store holds {what} that cannot be read"),
-            StoreError::Disk(e) => write!(f, "the store cannot be written or read: {e}"),
+            StoreError::Unreadable(what) => write!(f, "the store holds {what} that cannot be read"),
+            StoreError::Io(e) => write!(f, "the store cannot be written or read: {e}"),
             StoreError::Full => f.write_str("the store holds as much as it may"),
-            StoreError::Unsound(shard, ranges) => {
+            StoreError::ChecksumMismatch(shard, ranges) => {
                 write!(
                     f,
                     "ranges {ranges:?} of shard {shard} are not what was written"
                 )
             }
-            StoreError::NotPromised(why) => write!(f, "{why}"),
+            StoreError::NotCommitted(why) => write!(f, "{why}"),
         }
     }
 }
@@ -86,7 +86,7 @@
     /// Memory of a copy.
     pub memory_mb: f64,
     /// Calls that a copy runs at a time.
-    pub lanes: u32,
+    pub concurrency_per_copy: u32,
     /// Usual time of a load.
     pub load_time: Option<Micros>,
     /// What the worker gets.
@@ -171,73 +171,74 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op {
     /// Keep a call, and that its identity was seen, until this time.
-    Take(Box<CallRecord>, IdentityDigest, Micros),
+    AcceptCall(Box<CallRecord>, IdentityDigest, Micros),
     /// Forget a call whose taking could not be confirmed.
-    Untake(Seq, IdentityDigest),
+    RevokeCall(Seq, IdentityDigest),
     /// An attempt of an unsafe call is about to leave, at this time.
-    Sent(Seq, Micros),
+    MarkSent(Seq, Micros),
     /// No attempt of it ran after all.
-    Unsent(Seq),
+    ClearSent(Seq),
     /// A call has its answer: the outcome and its messages, in place of the call.
-    Answer(Seq, String, Vec<(MessageRecord, Vec<u8>)>),
+    CompleteCall(Seq, String, Vec<(MessageRecord, Vec<u8>)>),
     /// Keep messages that answer no call.
     Publish(Vec<(MessageRecord, Vec<u8>)>),
     /// An attempt at a message is about to leave; whether that is to be recorded, and when.
-    Begin(Seq, bool, Micros),
+    BeginAttempt(Seq, bool, Micros),
     /// Where a message stands after an attempt, or without one.
-    Ended(Box<Waiting>, State, Option<AttemptRecord>),
+    FinishAttempt(Box<Waiting>, State, Option<AttemptRecord>),
     /// The first that wait for an endpoint.
-    Fetch(EndpointId, usize),
+    FetchDue(EndpointId, usize),
     /// End what waits for an endpoint that is no more; at most so many at once.
-    Purge(EndpointId, usize),
+    PurgeEndpoint(EndpointId, usize),
     /// Send a message again, due at this time; one that may have arrived and must not twice only if acknowledged,
     /// by whom.
-    Again(Seq, u64, Micros, Option<String>),
+    Resend(Seq, u64, Micros, Option<String>),
     /// Send again all messages of an endpoint that were given up since a time and may be sent again; at most so many.
-    Recover(EndpointId, u64, Micros, Micros, usize),
+    ResendDeadLetters(EndpointId, u64, Micros, Micros, usize),
     /// Messages of a tenant, the newest first.
-    Messages(Filter),
+    ListMessages(Filter),
     /// One message of a tenant with its attempts and body.
-    Message(Seq, u64),
+    GetMessage(Seq, u64),
     /// How a tenant's call stands.
-    Call(u64, String),
+    GetCall(u64, String),
     /// Let go of what is old or too much: now, the age, the bytes, and how many records to look at.
-    Retain(Micros, Micros, u64, usize),
+    ApplyRetention(Micros, Micros, u64, usize),
     /// Figures.
-    Stat,
+    Stats,
     /// Whether what the disk holds of shards is still what was written.
-    Verify,
+    VerifyChecksums,
     /// All messages after one, the oldest first, so many.
-    Export(Option<Seq>, usize),
+    ExportMessages(Option<Seq>, usize),
     /// Keep a change of a voter's log.
-    Log(Box<Record>),
+    AppendLog(Box<Record>),
     /// A process begins on this disk, which gets this number if it has none; `true` takes a new one whatever it has, and lets
     /// go of all that is held for others.
-    BeginDisk(u64, bool),
+    RegisterDisk(u64, bool),
     /// A record of a shard, and the place it leads to.
-    Shard(ShardId, LogPosition, Box<Op>),
+    ApplyToShard(ShardId, LogPosition, Box<Op>),
     /// All that the disk holds of a shard, for a copy.
     ReadShard(ShardId),
     /// What another disk holds of a shard takes the place of what this one does.
-    WriteShard(ShardId, LogPosition, Vec<u8>),
+    InstallShard(ShardId, LogPosition, Vec<u8>),
     /// No other disk has a shard that is damaged here: what is left of it counts.
-    Accept(ShardId),
+    AcceptDamage(ShardId),
     /// A shard is led here from now on: what stands of it.
-    Lead(ShardId),
+    BecomePrimary(ShardId),
     /// It is led here no more: nothing of it waits here.
-    Rest(ShardId),
+    ResignPrimary(ShardId),
 }
 
 impl Op {
     /// The shard whose copies must have this before it counts; none if it is this gateway's alone.
     pub fn shard(&self) -> Option<ShardId> {
         let seq = match self {
-            Op::Take(call, ..) => call.seq,
-            Op::Begin(seq, true, _) | Op::Sent(seq, _) | Op::Unsent(seq) | Op::Answer(seq, ..) => {
-                *seq
-            }
-            Op::Untake(seq, _) => *seq,
-            Op::Ended(waiting, ..) => waiting.seq,
+            Op::AcceptCall(call, ..) => call.seq,
+            Op::BeginAttempt(seq, true, _)
+            | Op::MarkSent(seq, _)
+            | Op::ClearSent(seq)
+            | Op::CompleteCall(seq, ..) => *seq,
+            Op::RevokeCall(seq, _) => *seq,
+            Op::FinishAttempt(waiting, ..) => waiting.seq,
             _ => return None,
         };
         Some(seq.shard()).filter(|s| *s > 0)
@@ -250,54 +251,54 @@
     /// Done.
     Done,
     /// Messages that now wait for their attempt.
-    Waits(Vec<Waiting>),
+    Queued(Vec<Waiting>),
     /// The message whose attempt may leave, with its body; none if it does not wait any more.
-    Begun(Option<Box<(MessageRecord, Vec<u8>)>>),
+    Attempt(Option<Box<(MessageRecord, Vec<u8>)>>),
     /// The first that wait, and when the next after them is due.
-    Fetched(Vec<Waiting>, Option<Micros>),
+    Due(Vec<Waiting>, Option<Micros>),
     /// Whether there may be more to do.
     More(bool),
     /// It may not be sent again: it may have arrived, or it is not known.
-    NotAgain(&'static str),
+    ResendRejected(&'static str),
     /// Messages.
     Messages(Vec<MessageRecord>),
     /// One message, its attempts and its body.
-    Message(Option<Box<Shown>>),
+    Message(Option<Box<MessageDetails>>),
     /// A call's state.
     Call(Option<CallState>),
     /// Messages that expired while they waited, those that wait in their place, and whether there may be more to
     /// look at.
     Retained(Vec<Seq>, Vec<Waiting>, bool),
     /// Figures.
-    Stat(Stat),
+    Stats(StoreStats),
     /// The disk's number, how often it was begun, and how far the shards on it have come.
     Disk(u64, u64, Vec<(ShardId, LogPosition)>),
     /// The ranges of each shard that are not what was written.
     Verified(Vec<(ShardId, Vec<u8>)>),
     /// A shard's content, as of a place.
-    Shard(LogPosition, Vec<u8>),
+    ShardContent(LogPosition, Vec<u8>),
     /// What stands of a shard.
-    Stands(Box<Stands>),
+    PrimaryState(Box<ShardState>),
 }
 
 /// What stands of a shard that is taken over.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stands {
+pub struct ShardState {
     /// Calls without an answer.
     pub calls: Vec<CallRecord>,
     /// Identities taken, and until when they count.
-    pub marks: Vec<(IdentityDigest, Micros)>,
+    pub identities: Vec<(IdentityDigest, Micros)>,
     /// Callbacks that wait.
-    pub waits: Vec<Waiting>,
+    pub waiting: Vec<Waiting>,
     /// Callbacks of which an attempt had begun, and when.
-    pub begun: Vec<(Waiting, Micros)>,
+    pub in_flight: Vec<(Waiting, Micros)>,
     /// Identities that counted until then may have been forgotten.
-    pub forgotten: Micros,
+    pub identities_expired_until: Micros,
 }
 
 /// All that is kept of one message.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct MessageDetails {
     /// The message.
     pub record: MessageRecord,
     /// Its latest attempts, in their order.
@@ -308,7 +309,7 @@
 
 /// Figures of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stat {
+pub struct StoreStats {
     /// Calls without an answer.
     pub calls: u64,
     /// Messages in all.
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -13,34 +13,34 @@
     /// It runs, as if it had just come.
     Run,
     /// It is refused at once: to call again is harmless.
-    Refuse,
+    Reject,
     /// Nobody can tell whether it ran: its callback says so, and it is never run again.
-    Unknown,
+    ReportUnknown,
 }
 
 /// Tells a call's fate. A keyed call that may have run is not run again: the module does not know of the first
 /// attempt, and so not when workers forget it. With a clock that has stepped back nobody can tell that either, and
 /// it counts as one that must not run twice.
-pub fn fate(call: &CallRecord, now: Micros, stepped_back: bool) -> RecoveryAction {
+pub fn recovery_action(call: &CallRecord, now: Micros, stepped_back: bool) -> RecoveryAction {
     let safe = call.effect == Effect::Idempotent;
     if call.sent.is_some() && !safe {
         let refuse = allowed(call.effect, call.sent, now, 0).refuse && !stepped_back;
         return if refuse {
-            RecoveryAction::Refuse
+            RecoveryAction::Reject
         } else {
-            RecoveryAction::Unknown
+            RecoveryAction::ReportUnknown
         };
     }
     if now < call.expires {
         RecoveryAction::Run
     } else {
-        RecoveryAction::Refuse
+        RecoveryAction::Reject
     }
 }
 
 /// What becomes of a callback whose attempt had begun when its gateway was lost: by its class it waits again, or nobody can
 /// tell. A keyed one is not sent again with a clock that has stepped back.
-pub fn settled_with(
+pub fn settle_attempt(
     w: &mut Waiting,
     begun: Micros,
     now: Micros,
@@ -69,6 +69,10 @@
 
 /// The same where another machine's clock said when it had begun: a keyed one is not sent again, as clocks of two machines
 /// are not compared.
-pub fn settled(w: &mut Waiting, begun: Micros, now: Micros) -> (State, AttemptRecord) {
-    settled_with(w, begun, now, true)
+pub fn settle_remote_attempt(
+    w: &mut Waiting,
+    begun: Micros,
+    now: Micros,
+) -> (State, AttemptRecord) {
+    settle_attempt(w, begun, now, true)
 }
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::checksums::Count;
-use super::keyspace::{Pair, Space, Table};
+use super::keyspace::{KeyValue, Keyspace, Table};
 use super::records::*;
 use super::tables::{key, number, pack, unpack, waiting_key, TOP};
 use crate::api::Micros;
@@ -43,7 +43,7 @@
     Table::Attempts,
 ];
 
-fn head(space: &dyn Space, shard: ShardId) -> Result<Head, StoreError> {
+fn head(space: &dyn Keyspace, shard: ShardId) -> Result<Head, StoreError> {
     let bytes = space.get(Table::Shards, &key(&[u64::from(shard)]))?;
     bytes.map_or(Ok(Head::default()), |b| read_head(&b))
 }
@@ -60,20 +60,20 @@
     })
 }
 
-fn put(space: &mut dyn Space, shard: ShardId, head: &Head) -> Result<(), StoreError> {
+fn put(space: &mut dyn Keyspace, shard: ShardId, head: &Head) -> Result<(), StoreError> {
     space
         .put(Table::Shards, &key(&[u64::from(shard)]), &pack(head)?)
         .map(drop)
 }
 
 /// Whether deliveries of a number are found here: it is this gateway's alone, or its shard is led here.
-pub(super) fn is_led(space: &dyn Space, seq: Seq) -> bool {
+pub(super) fn is_led(space: &dyn Keyspace, seq: Seq) -> bool {
     seq.shard() == 0 || head(space, seq.shard()).is_ok_and(|h| h.led)
 }
 
 /// A record of a shard leads to a place.
 pub(super) fn keep(
-    space: &mut dyn Space,
+    space: &mut dyn Keyspace,
     shard: ShardId,
     place: LogPosition,
 ) -> Result<(), StoreError> {
@@ -82,7 +82,7 @@
 }
 
 /// All shards on the disk, and how far they have come.
-pub(super) fn places(space: &dyn Space) -> Result<Vec<(ShardId, LogPosition)>, StoreError> {
+pub(super) fn places(space: &dyn Keyspace) -> Result<Vec<(ShardId, LogPosition)>, StoreError> {
     let rows = space.scan(Table::Shards, &[], &TOP, usize::MAX, false)?;
     // Keys are written from numbers of shards.
     rows.iter()
@@ -91,7 +91,7 @@
 }
 
 /// A process begins: it leads nothing.
-pub(super) fn rest_all(space: &mut dyn Space) -> Result<(), StoreError> {
+pub(super) fn rest_all(space: &mut dyn Keyspace) -> Result<(), StoreError> {
     for (shard, _) in places(space)? {
         rest(space, shard)?;
     }
@@ -105,12 +105,12 @@
     )
 }
 
-fn of(space: &dyn Space, table: Table, shard: ShardId) -> Result<Vec<Pair>, StoreError> {
+fn of(space: &dyn Keyspace, table: Table, shard: ShardId) -> Result<Vec<KeyValue>, StoreError> {
     let (from, to) = range(shard);
     space.scan(table, &from, &to, usize::MAX, false)
 }
 
-fn waiting(space: &dyn Space, shard: ShardId) -> Result<Vec<MessageRecord>, StoreError> {
+fn waiting(space: &dyn Keyspace, shard: ShardId) -> Result<Vec<MessageRecord>, StoreError> {
     let all: Result<Vec<MessageRecord>, _> = of(space, Table::Messages, shard)?
         .iter()
         .map(|(_, v)| unpack(v, "a message"))
@@ -122,7 +122,7 @@
 }
 
 /// Nothing of a shard waits here any more.
-pub(super) fn rest(space: &mut dyn Space, shard: ShardId) -> Result<(), StoreError> {
+pub(super) fn rest(space: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
     let h = head(space, shard)?;
     if !h.led {
         return Ok(());
@@ -135,10 +135,10 @@
 
 /// Removes the rows of a table that are meant; without a look into what may be damaged.
 fn sweep(
-    space: &mut dyn Space,
+    space: &mut dyn Keyspace,
     table: Table,
     meant: impl Fn(&[u8], &[u8]) -> bool,
-) -> Result<Vec<Pair>, StoreError> {
+) -> Result<Vec<KeyValue>, StoreError> {
     let mut gone = space.scan(table, &[], &TOP, usize::MAX, false)?;
     gone.retain(|(k, v)| meant(k, v));
     for (k, _) in &gone {
@@ -149,7 +149,7 @@
 
 /// Removes rows by identity, with what tells their age. One that cannot be read is nobody's, and goes with any shard.
 fn sweep_aged(
-    space: &mut dyn Space,
+    space: &mut dyn Keyspace,
     (table, ages): (Table, Table),
     shard: ShardId,
     shard_of: impl Fn(&[u8]) -> Result<ShardId, StoreError>,
@@ -165,7 +165,7 @@
 }
 
 /// What is left of a shard counts as it stands; rows that cannot be read go.
-pub(super) fn accept(space: &mut dyn Space, shard: ShardId) -> Result<(), StoreError> {
+pub(super) fn accept(space: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
     let good = |table: Table, v: &[u8]| match table {
         Table::Calls => unpack::<CallRecord>(v, "a call").is_ok(),
         Table::Messages => unpack::<MessageRecord>(v, "a message").is_ok(),
@@ -194,7 +194,7 @@
 }
 
 /// All of a shard goes, damaged or not.
-fn let_go(space: &mut dyn Space, shard: ShardId) -> Result<(), StoreError> {
+fn let_go(space: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
     rest(space, shard)?;
     for (table, part) in [(Table::ByTenant, 1), (Table::Behind, 2)] {
         sweep(space, table, |k, _| Seq(number(k, part)).shard() == shard)?;
@@ -220,37 +220,42 @@
 
 /// A shard is led here: what stands of it.
 pub(super) fn lead(
-    space: &mut dyn Space,
+    space: &mut dyn Keyspace,
     shard: ShardId,
-    forgotten: Micros,
+    identities_expired_until: Micros,
 ) -> Result<Reply, StoreError> {
     // Not on what is damaged: whoever has it whole is to lead.
     sound(space, shard)?;
-    let mut stands = Stands::default();
+    let mut stands = ShardState::default();
     for m in waiting(space, shard)? {
         space.put(Table::Waiting, &waiting_key(&m.waiting), &pack(&m.waiting)?)?;
         match space.get(Table::Begun, &key(&[m.waiting.seq.0]))? {
             Some(at) => stands
-                .begun
+                .in_flight
                 .push((m.waiting, unpack(&at, "an attempt's beginning")?)),
-            None => stands.waits.push(m.waiting),
+            None => stands.waiting.push(m.waiting),
         }
     }
     for (_, v) in of(space, Table::Calls, shard)? {
         stands.calls.push(unpack(&v, "a call")?);
     }
-    stands.marks = marks(space, shard)?;
+    stands.identities = marks(space, shard)?;
     let h = head(space, shard)?;
-    stands.forgotten = h.forgotten.max(forgotten);
+    stands.identities_expired_until = h.forgotten.max(identities_expired_until);
     put(space, shard, &Head { led: true, ..h })?;
-    Ok(Reply::Stands(Box::new(stands)))
+    Ok(Reply::PrimaryState(Box::new(stands)))
 }
 
 /// A mark's shard is written with it.
-fn marks(space: &dyn Space, shard: ShardId) -> Result<Vec<(IdentityDigest, Micros)>, StoreError> {
+fn marks(
+    space: &dyn Keyspace,
+    shard: ShardId,
+) -> Result<Vec<(IdentityDigest, Micros)>, StoreError> {
     let mut found = Vec::new();
     for (k, v) in space.scan(Table::Replays, &[], &TOP, usize::MAX, false)? {
-        let mark: IdentityDigest = k.try_into().map_err(|_| StoreError::Damaged("a digest"))?;
+        let mark: IdentityDigest = k
+            .try_into()
+            .map_err(|_| StoreError::Unreadable("a digest"))?;
         let (until, of) = until_and_shard(&v)?;
         if of == shard {
             found.push((mark, until));
@@ -260,7 +265,7 @@
 }
 
 /// Whether what the disk holds of a shard is what was written.
-fn sound(space: &dyn Space, shard: ShardId) -> Result<(), StoreError> {
+fn sound(space: &dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
     let mut count = Count::default();
     for table in BY_NUMBER {
         of(space, table, shard)?
@@ -275,13 +280,13 @@
     }
     match count.unlike(space, shard)? {
         unlike if unlike.is_empty() => Ok(()),
-        unlike => Err(StoreError::Unsound(shard, unlike)),
+        unlike => Err(StoreError::ChecksumMismatch(shard, unlike)),
     }
 }
 
 /// All that the disk holds of a shard, if it is what was written: nothing damaged is handed on.
 pub(super) fn read(
-    space: &dyn Space,
+    space: &dyn Keyspace,
     shard: ShardId,
     forgotten: Micros,
 ) -> Result<Reply, StoreError> {
@@ -307,16 +312,16 @@
             content.states.push((k, state));
         }
     }
-    Ok(Reply::Shard(content.place, pack(&content)?))
+    Ok(Reply::ShardContent(content.place, pack(&content)?))
 }
 
 /// What another disk holds takes the place of what this one does; the figures of both.
 pub(super) fn write(
-    space: &mut dyn Space,
+    space: &mut dyn Keyspace,
     shard: ShardId,
     place: LogPosition,
     bytes: &[u8],
-) -> Result<(Stat, Stat), StoreError> {
+) -> Result<(StoreStats, StoreStats), StoreError> {
     let content: Content = unpack(bytes, "a shard's content")?;
     let gone = figures(space, shard)?;
     let_go(space, shard)?;
@@ -324,9 +329,9 @@
         let table = BY_NUMBER
             .get(usize::from(*n))
             .copied()
-            .ok_or(StoreError::Damaged("a shard's table"))?;
+            .ok_or(StoreError::Unreadable("a shard's table"))?;
         if Seq(number(k, 0)).shard() != shard {
-            return Err(StoreError::Damaged("a row of another shard"));
+            return Err(StoreError::Unreadable("a row of another shard"));
         }
         space.put(table, k, v)?;
         if table == Table::Messages {
@@ -374,11 +379,11 @@
 }
 
 /// Figures of what the disk holds of a shard; what cannot be read is left out.
-fn figures(space: &dyn Space, shard: ShardId) -> Result<Stat, StoreError> {
+fn figures(space: &dyn Keyspace, shard: ShardId) -> Result<StoreStats, StoreError> {
     let calls = of(space, Table::Calls, shard)?;
-    let mut stat = Stat {
+    let mut stat = StoreStats {
         calls: calls.len() as u64,
-        ..Stat::default()
+        ..StoreStats::default()
     };
     for (_, v) in of(space, Table::Messages, shard)? {
         stat.messages += 1;
--- a/src/store/shared.rs
+++ b/src/store/shared.rs
@@ -10,58 +10,66 @@
 
 /// An operation that counts once all copies have it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Shared {
+pub enum ReplicatedOp {
     /// A call is taken.
-    Take(Box<CallRecord>, IdentityDigest, Micros),
+    AcceptCall(Box<CallRecord>, IdentityDigest, Micros),
     /// It is not, after all.
-    Untake(Seq, IdentityDigest),
+    RevokeCall(Seq, IdentityDigest),
     /// An attempt of an unsafe call is about to leave.
-    Sent(Seq, Micros),
+    MarkSent(Seq, Micros),
     /// No attempt of it ran after all.
-    Unsent(Seq),
+    ClearSent(Seq),
     /// A call has its answer, with its callbacks.
-    Answer(Seq, String, Vec<(MessageRecord, Vec<u8>)>),
+    CompleteCall(Seq, String, Vec<(MessageRecord, Vec<u8>)>),
     /// An attempt at a callback that must not come twice is about to leave.
-    Begin(Seq, Micros),
+    BeginAttempt(Seq, Micros),
     /// Where a callback stands after an attempt.
-    Ended(Box<Waiting>, State, Option<AttemptRecord>),
+    FinishAttempt(Box<Waiting>, State, Option<AttemptRecord>),
 }
 
-impl Shared {
+impl ReplicatedOp {
     /// The record of an operation; none if it is not one that copies have.
-    pub fn of(op: &Op) -> Option<Shared> {
+    pub fn from_op(op: &Op) -> Option<ReplicatedOp> {
         Some(match op.clone() {
-            Op::Take(call, mark, until) => Shared::Take(call, mark, until),
-            Op::Untake(seq, mark) => Shared::Untake(seq, mark),
-            Op::Sent(seq, at) => Shared::Sent(seq, at),
-            Op::Unsent(seq) => Shared::Unsent(seq),
-            Op::Answer(seq, outcome, messages) => Shared::Answer(seq, outcome, messages),
-            Op::Begin(seq, true, at) => Shared::Begin(seq, at),
-            Op::Ended(waiting, state, attempt) => Shared::Ended(waiting, state, attempt),
+            Op::AcceptCall(call, mark, until) => ReplicatedOp::AcceptCall(call, mark, until),
+            Op::RevokeCall(seq, mark) => ReplicatedOp::RevokeCall(seq, mark),
+            Op::MarkSent(seq, at) => ReplicatedOp::MarkSent(seq, at),
+            Op::ClearSent(seq) => ReplicatedOp::ClearSent(seq),
+            Op::CompleteCall(seq, outcome, messages) => {
+                ReplicatedOp::CompleteCall(seq, outcome, messages)
+            }
+            Op::BeginAttempt(seq, true, at) => ReplicatedOp::BeginAttempt(seq, at),
+            Op::FinishAttempt(waiting, state, attempt) => {
+                ReplicatedOp::FinishAttempt(waiting, state, attempt)
+            }
             _ => return None,
         })
     }
 
     /// The operation of a record.
-    pub fn op(self) -> Op {
+    pub fn into_op(self) -> Op {
         match self {
-            Shared::Take(call, mark, until) => Op::Take(call, mark, until),
-            Shared::Untake(seq, mark) => Op::Untake(seq, mark),
-            Shared::Sent(seq, at) => Op::Sent(seq, at),
-            Shared::Unsent(seq) => Op::Unsent(seq),
-            Shared::Answer(seq, outcome, messages) => Op::Answer(seq, outcome, messages),
-            Shared::Begin(seq, at) => Op::Begin(seq, true, at),
-            Shared::Ended(waiting, state, attempt) => Op::Ended(waiting, state, attempt),
+            ReplicatedOp::AcceptCall(call, mark, until) => Op::AcceptCall(call, mark, until),
+            ReplicatedOp::RevokeCall(seq, mark) => Op::RevokeCall(seq, mark),
+            ReplicatedOp::MarkSent(seq, at) => Op::MarkSent(seq, at),
+            ReplicatedOp::ClearSent(seq) => Op::ClearSent(seq),
+            ReplicatedOp::CompleteCall(seq, outcome, messages) => {
+                Op::CompleteCall(seq, outcome, messages)
+            }
+            ReplicatedOp::BeginAttempt(seq, at) => Op::BeginAttempt(seq, true, at),
+            ReplicatedOp::FinishAttempt(waiting, state, attempt) => {
+                Op::FinishAttempt(waiting, state, attempt)
+            }
         }
     }
 
     /// Its bytes.
-    pub fn pack(&self) -> Result<Vec<u8>, StoreError> {
+    pub fn encode(&self) -> Result<Vec<u8>, StoreError> {
         pack(self)
     }
 
     /// Reads a record.
-    pub fn read(bytes: &[u8]) -> Result<Shared, StoreError> {
+    pub fn decode(bytes: &[u8]) -> Result<ReplicatedOp, StoreError> {
         unpack(bytes, "a shard's record")
     }
 }
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -1,4 +1,4 @@
-//! The store's logic: what each [`Op`] does to the tables. It does no I/O of its own; the [`Space`] is handed in.
+//! The store's logic: what each [`Op`] does to the tables. It does no I/O of its own; the [`Keyspace`] is handed in.
 //!
 //! | table | key | value | removed by |
 //! | --- | --- | --- | --- |
@@ -20,10 +20,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::checksums;
-use super::keyspace::{Pair, Space, Table};
+use super::keyspace::{KeyValue, Keyspace, Table};
 use super::log;
 use super::records::*;
-use super::recovery::settled_with;
+use super::recovery::settle_attempt;
 use super::shards;
 use crate::api::{Effect, Micros};
 use crate::consensus::kept::{Head as Seat, LogLine};
@@ -49,26 +49,26 @@
     latest: Micros,
     /// Identities whose stamps were good until then may have been forgotten.
     forgotten: Micros,
-    stat: Stat,
+    stat: StoreStats,
 }
 
 /// What a start finds.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct RecoveredState {
     /// Calls that got a 202 and have no answer.
     pub calls: Vec<CallRecord>,
     /// Endpoints for which messages wait, with the first due time.
     pub endpoints: Vec<(EndpointId, Micros)>,
     /// Identities seen, with the time until which they count.
-    pub replays: Vec<(IdentityDigest, Micros)>,
+    pub identities: Vec<(IdentityDigest, Micros)>,
     /// The highest number given.
-    pub next: u64,
+    pub last_sequence_number: u64,
     /// Identities whose stamps were good until then may have been forgotten.
-    pub forgotten: Micros,
+    pub identities_expired_until: Micros,
     /// Whether the clock shows less than it did when the store was last written.
-    pub stepped_back: bool,
+    pub clock_went_back: bool,
     /// Callbacks of which nobody can tell whether they arrived.
-    pub unknown: u64,
+    pub unknown_deliveries: u64,
     /// A voter's seat and log, if the file has one.
     pub log: (Option<Seat>, Vec<LogLine>),
 }
@@ -84,18 +84,18 @@
     /// Where retention goes on.
     cursor: u64,
     /// Shards that were written before there were sums, or written anew.
-    unsummed: Vec<ShardId>,
+    take_uncounted_shards: Vec<ShardId>,
 }
 
 pub(super) fn pack<T: Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
-    postcard::to_stdvec(value).map_err(|_| StoreError::Damaged("a record"))
+    postcard::to_stdvec(value).map_err(|_| StoreError::Unreadable("a record"))
 }
 
 pub(super) fn unpack<T: DeserializeOwned>(
     bytes: &[u8],
     what: &'static str,
 ) -> Result<T, StoreError> {
-    postcard::from_bytes(bytes).map_err(|_| StoreError::Damaged(what))
+    postcard::from_bytes(bytes).map_err(|_| StoreError::Unreadable(what))
 }
 
 pub(super) fn key(parts: &[u64]) -> Vec<u8> {
@@ -121,19 +121,19 @@
     /// The logic over a space, and what a start finds in it at `now`: attempts that had begun are settled by their
     /// class.
     pub fn open(
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         history: bool,
         most_bytes: u64,
         now: Micros,
-    ) -> Result<(Tables, Found), StoreError> {
+    ) -> Result<(Tables, RecoveredState), StoreError> {
         let mut tables = Tables::resume(space, history, most_bytes)?;
         let head = tables.head;
         let stepped_back = now < head.latest;
-        let mut found = Found {
-            next: head.next,
-            forgotten: head.forgotten,
-            stepped_back,
-            ..Found::default()
+        let mut found = RecoveredState {
+            last_sequence_number: head.next,
+            identities_expired_until: head.forgotten,
+            clock_went_back: stepped_back,
+            ..RecoveredState::default()
         };
         for (k, v) in space.scan(Table::Begun, &[], &TOP, usize::MAX, false)? {
             if Seq(number(&k, 0)).shard() > 0 {
@@ -141,7 +141,7 @@
                 continue;
             }
             let begun: Micros = unpack(&v, "an attempt's beginning")?;
-            found.unknown +=
+            found.unknown_deliveries +=
                 u64::from(tables.settle(space, Seq(number(&k, 0)), begun, now, stepped_back)?);
         }
         // What is damaged of shards is mended from another disk, and no reason not to begin.
@@ -162,9 +162,11 @@
             from = key(&[next]);
         }
         for (k, v) in space.scan(Table::Replays, &[], &TOP, usize::MAX, false)? {
-            let mark = k.try_into().map_err(|_| StoreError::Damaged("a digest"))?;
+            let mark = k
+                .try_into()
+                .map_err(|_| StoreError::Unreadable("a digest"))?;
             match unpack(&v, "a digest") {
-                Ok(until) => found.replays.push((mark, until)),
+                Ok(until) => found.identities.push((mark, until)),
                 Err(e) if alone => return Err(e),
                 Err(_) => {}
             }
@@ -177,7 +179,7 @@
 
     /// The logic over a space that this process has had open before.
     pub fn resume(
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         history: bool,
         most_bytes: u64,
     ) -> Result<Tables, StoreError> {
@@ -187,24 +189,24 @@
                 format: ALONE,
                 ..Head::default()
             },
-            None => return Err(StoreError::Foreign("it has messages and no head".into())),
+            None => return Err(StoreError::NotAStore("it has messages and no head".into())),
         };
         if head.format > FORMAT {
-            return Err(StoreError::Newer(head.format));
+            return Err(StoreError::NewerFormat(head.format));
         }
         Ok(Tables {
             head,
             history,
             most_bytes,
             cursor: 0,
-            unsummed: Vec::new(),
+            take_uncounted_shards: Vec::new(),
         })
     }
 
     /// A kill came while an attempt was out: by its class it waits again, or nobody can tell.
     fn settle(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         seq: Seq,
         begun: Micros,
         now: Micros,
@@ -218,43 +220,43 @@
             return Ok(false);
         }
         let mut w = message.waiting;
-        let (state, attempt) = settled_with(&mut w, begun, now, stepped_back);
+        let (state, attempt) = settle_attempt(&mut w, begun, now, stepped_back);
         self.ended(space, w, state, Some(attempt))?;
         Ok(state != State::Waiting)
     }
 
     /// Its figures.
-    pub fn stat(&self) -> Stat {
+    pub fn stats(&self) -> StoreStats {
         self.head.stat
     }
 
     /// Shards whose sums are to be counted anew.
     pub(super) fn unsummed(&mut self) -> Vec<ShardId> {
-        std::mem::take(&mut self.unsummed)
+        std::mem::take(&mut self.take_uncounted_shards)
     }
 
     /// Keeps what lives beside the tables; the last step of a commit.
-    pub fn finish(&mut self, space: &mut dyn Space, now: Micros) -> Result<(), StoreError> {
+    pub fn finish(&mut self, space: &mut dyn Keyspace, now: Micros) -> Result<(), StoreError> {
         self.head.latest = self.head.latest.max(now);
         space
             .put(Table::Meta, b"head", &pack(&self.head)?)
             .map(drop)
     }
 
-    fn message(&self, space: &dyn Space, seq: Seq) -> Result<Option<MessageRecord>, StoreError> {
+    fn message(&self, space: &dyn Keyspace, seq: Seq) -> Result<Option<MessageRecord>, StoreError> {
         let bytes = space.get(Table::Messages, &key(&[seq.0]))?;
         bytes.map(|b| unpack(&b, "a message")).transpose()
     }
 
-    fn call(&self, space: &dyn Space, seq: Seq) -> Result<Option<CallRecord>, StoreError> {
+    fn call(&self, space: &dyn Keyspace, seq: Seq) -> Result<Option<CallRecord>, StoreError> {
         let bytes = space.get(Table::Calls, &key(&[seq.0]))?;
         bytes.map(|b| unpack(&b, "a call")).transpose()
     }
 
     /// Does what is asked.
-    pub fn apply(&mut self, space: &mut dyn Space, op: Op) -> Result<Reply, StoreError> {
+    pub fn apply(&mut self, space: &mut dyn Keyspace, op: Op) -> Result<Reply, StoreError> {
         match op {
-            Op::Take(call, mark, until) => {
+            Op::AcceptCall(call, mark, until) => {
                 if call.seq.shard() == 0
                     && self.head.stat.bytes + call.body.len() as u64 > self.most_bytes
                 {
@@ -284,7 +286,7 @@
                 )?;
                 Ok(Reply::Done)
             }
-            Op::Untake(seq, mark) => {
+            Op::RevokeCall(seq, mark) => {
                 if let Some(bytes) = space.remove(Table::Calls, &key(&[seq.0]))? {
                     let call: CallRecord = unpack(&bytes, "a call")?;
                     self.uncount(&call);
@@ -296,11 +298,11 @@
                 }
                 Ok(Reply::Done)
             }
-            Op::Sent(seq, at) => self.sent(space, seq, Some(at)),
-            Op::Unsent(seq) => self.sent(space, seq, None),
-            Op::Answer(seq, outcome, messages) => {
+            Op::MarkSent(seq, at) => self.sent(space, seq, Some(at)),
+            Op::ClearSent(seq) => self.sent(space, seq, None),
+            Op::CompleteCall(seq, outcome, messages) => {
                 let Some(bytes) = space.remove(Table::Calls, &key(&[seq.0]))? else {
-                    return Ok(Reply::Waits(Vec::new()));
+                    return Ok(Reply::Queued(Vec::new()));
                 };
                 let call: CallRecord = unpack(&bytes, "a call")?;
                 self.uncount(&call);
@@ -322,13 +324,13 @@
                 self.publish(space, messages)
             }
             Op::Publish(messages) => self.publish(space, messages),
-            Op::Begin(seq, recorded, at) => {
+            Op::BeginAttempt(seq, recorded, at) => {
                 let message = self
                     .message(space, seq)?
                     .filter(|m| m.state == State::Waiting);
                 let Some(message) = message.filter(|_| recorded || shards::is_led(space, seq))
                 else {
-                    return Ok(Reply::Begun(None));
+                    return Ok(Reply::Attempt(None));
                 };
                 if recorded {
                     space.put(Table::Begun, &key(&[seq.0]), &pack(&at)?)?;
@@ -336,12 +338,12 @@
                 let body = space
                     .get(Table::Bodies, &key(&[seq.0]))?
                     .unwrap_or_default();
-                Ok(Reply::Begun(Some(Box::new((message, body)))))
+                Ok(Reply::Attempt(Some(Box::new((message, body)))))
             }
-            Op::Ended(waiting, state, attempt) => self
+            Op::FinishAttempt(waiting, state, attempt) => self
                 .ended(space, *waiting, state, attempt)
-                .map(Reply::Waits),
-            Op::Fetch(endpoint, limit) => {
+                .map(Reply::Queued),
+            Op::FetchDue(endpoint, limit) => {
                 let (from, to) = (key(&[endpoint.0]), key(&[endpoint.0, u64::MAX, u64::MAX]));
                 let mut pairs = space.scan(Table::Waiting, &from, &to, limit + 1, false)?;
                 let next = pairs.get(limit).map(|(k, _)| number(k, 1));
@@ -350,11 +352,11 @@
                     .iter()
                     .map(|(_, v)| unpack(v, "what waits"))
                     .collect::<Result<_, _>>()?;
-                Ok(Reply::Fetched(all, next))
+                Ok(Reply::Due(all, next))
             }
-            Op::Purge(endpoint, limit) => self.purge(space, endpoint, limit),
-            Op::Again(seq, serial, now, by) => self.again(space, seq, serial, now, by),
-            Op::Recover(endpoint, serial, since, now, limit) => {
+            Op::PurgeEndpoint(endpoint, limit) => self.purge(space, endpoint, limit),
+            Op::Resend(seq, serial, now, by) => self.again(space, seq, serial, now, by),
+            Op::ResendDeadLetters(endpoint, serial, since, now, limit) => {
                 let filter = Filter {
                     serial,
                     endpoint: Some(endpoint),
@@ -364,14 +366,14 @@
                 };
                 let mut waits = Vec::new();
                 for m in self.list(space, &filter, |m| matches!(m.state, State::Dead(_)))? {
-                    if let Reply::Waits(w) = self.again(space, m.waiting.seq, serial, now, None)? {
+                    if let Reply::Queued(w) = self.again(space, m.waiting.seq, serial, now, None)? {
                         waits.extend(w);
                     }
                 }
-                Ok(Reply::Waits(waits))
+                Ok(Reply::Queued(waits))
             }
-            Op::Messages(filter) => Ok(Reply::Messages(self.list(space, &filter, |_| true)?)),
-            Op::Message(seq, serial) => {
+            Op::ListMessages(filter) => Ok(Reply::Messages(self.list(space, &filter, |_| true)?)),
+            Op::GetMessage(seq, serial) => {
                 let Some(record) = self.message(space, seq)?.filter(|m| m.serial == serial) else {
                     return Ok(Reply::Message(None));
                 };
@@ -384,35 +386,37 @@
                 let body = space
                     .get(Table::Bodies, &key(&[seq.0]))?
                     .unwrap_or_default();
-                Ok(Reply::Message(Some(Box::new(Shown {
+                Ok(Reply::Message(Some(Box::new(MessageDetails {
                     record,
                     attempts,
                     body,
                 }))))
             }
-            Op::Call(serial, id) => {
+            Op::GetCall(serial, id) => {
                 let bytes = space.get(Table::ByCall, &call_key(serial, &id))?;
                 Ok(Reply::Call(bytes.map(|b| shards::state(&b)).transpose()?))
             }
-            Op::Retain(now, age, bytes, limit) => self.retain(space, now, age, bytes, limit),
-            Op::Stat => Ok(Reply::Stat(self.head.stat)),
+            Op::ApplyRetention(now, age, bytes, limit) => {
+                self.retain(space, now, age, bytes, limit)
+            }
+            Op::Stats => Ok(Reply::Stats(self.head.stat)),
             // Read beside the thread that writes, where there is one.
-            Op::Verify => checksums::verify(space).map(Reply::Verified),
-            Op::Log(record) => log::keep(space, &record).map(|()| Reply::Done),
-            Op::BeginDisk(id, anew) => self.begin_disk(space, id, anew),
-            Op::Shard(shard, place, op) => {
+            Op::VerifyChecksums => checksums::verify(space).map(Reply::Verified),
+            Op::AppendLog(record) => log::keep(space, &record).map(|()| Reply::Done),
+            Op::RegisterDisk(id, anew) => self.begin_disk(space, id, anew),
+            Op::ApplyToShard(shard, place, op) => {
                 shards::keep(space, shard, place)?;
                 self.apply(space, *op)
             }
             Op::ReadShard(shard) => shards::read(space, shard, self.head.forgotten),
-            Op::WriteShard(shard, place, bytes) => self.write_shard(space, shard, place, &bytes),
-            Op::Accept(shard) => {
-                self.unsummed.push(shard);
+            Op::InstallShard(shard, place, bytes) => self.write_shard(space, shard, place, &bytes),
+            Op::AcceptDamage(shard) => {
+                self.take_uncounted_shards.push(shard);
                 shards::accept(space, shard).map(|()| Reply::Done)
             }
-            Op::Lead(shard) => shards::lead(space, shard, self.head.forgotten),
-            Op::Rest(shard) => shards::rest(space, shard).map(|()| Reply::Done),
-            Op::Export(after, limit) => {
+            Op::BecomePrimary(shard) => shards::lead(space, shard, self.head.forgotten),
+            Op::ResignPrimary(shard) => shards::rest(space, shard).map(|()| Reply::Done),
+            Op::ExportMessages(after, limit) => {
                 let from = key(&[after.map_or(0, |s| s.0 + 1)]);
                 let page = space.scan(Table::Messages, &from, &TOP, limit, false)?;
                 let all = page
@@ -433,7 +437,7 @@
 
     fn begin_disk(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         id: u64,
         anew: bool,
     ) -> Result<Reply, StoreError> {
@@ -447,7 +451,8 @@
         space.put(Table::Meta, b"disk", &pack(&(id, boot))?)?;
         let mut places = shards::places(space)?;
         if anew || self.head.format < FORMAT {
-            self.unsummed.extend(places.iter().map(|(shard, _)| *shard));
+            self.take_uncounted_shards
+                .extend(places.iter().map(|(shard, _)| *shard));
         }
         self.head.format = FORMAT;
         if anew {
@@ -466,7 +471,7 @@
 
     fn write_shard(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         shard: ShardId,
         place: LogPosition,
         bytes: &[u8],
@@ -491,7 +496,7 @@
 
     fn sent(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         seq: Seq,
         at: Option<Micros>,
     ) -> Result<Reply, StoreError> {
@@ -504,7 +509,7 @@
 
     fn publish(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         messages: Vec<(MessageRecord, Vec<u8>)>,
     ) -> Result<Reply, StoreError> {
         let mut waits = Vec::new();
@@ -531,13 +536,13 @@
             space.put(Table::ByTenant, &key(&[m.serial, seq.0]), &[])?;
             space.put(Table::Messages, &key(&[seq.0]), &pack(&m)?)?;
         }
-        Ok(Reply::Waits(waits))
+        Ok(Reply::Queued(waits))
     }
 
     /// Where a message stands now; returns who may go in its place, if its order key has others.
     fn ended(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         waiting: Waiting,
         state: State,
         attempt: Option<AttemptRecord>,
@@ -583,7 +588,7 @@
     /// The next of a message's order key comes to wait.
     fn next_in_order(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         m: &MessageRecord,
     ) -> Result<Vec<Waiting>, StoreError> {
         let Some(order) = m.order else {
@@ -625,7 +630,7 @@
 
     fn purge(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         endpoint: EndpointId,
         limit: usize,
     ) -> Result<Reply, StoreError> {
@@ -649,22 +654,22 @@
 
     fn again(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         seq: Seq,
         serial: u64,
         now: Micros,
         by: Option<String>,
     ) -> Result<Reply, StoreError> {
         let Some(mut m) = self.message(space, seq)?.filter(|m| m.serial == serial) else {
-            return Ok(Reply::NotAgain("no such message"));
+            return Ok(Reply::ResendRejected("no such message"));
         };
         if !m.state.is_over() {
-            return Ok(Reply::NotAgain("it still waits"));
+            return Ok(Reply::ResendRejected("it still waits"));
         }
         let arrived = m.state == State::Delivered || m.waiting.ran.is_some();
         if m.waiting.effect != Effect::Idempotent && arrived {
             if by.is_none() {
-                return Ok(Reply::NotAgain(
+                return Ok(Reply::ResendRejected(
                     "it may have arrived, and its class forbids to send it twice",
                 ));
             }
@@ -675,12 +680,12 @@
         self.head.stat.waiting += 1;
         space.put(Table::Waiting, &waiting_key(&m.waiting), &pack(&m.waiting)?)?;
         space.put(Table::Messages, &key(&[seq.0]), &pack(&m)?)?;
-        Ok(Reply::Waits(vec![m.waiting]))
+        Ok(Reply::Queued(vec![m.waiting]))
     }
 
     fn list(
         &self,
-        space: &dyn Space,
+        space: &dyn Keyspace,
         f: &Filter,
         also: impl Fn(&MessageRecord) -> bool,
     ) -> Result<Vec<MessageRecord>, StoreError> {
@@ -712,7 +717,7 @@
 
     fn delete(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         seq: Seq,
         m: &MessageRecord,
     ) -> Result<(), StoreError> {
@@ -739,7 +744,7 @@
     /// for its size; past the age it ends as expired.
     fn retain(
         &mut self,
-        space: &mut dyn Space,
+        space: &mut dyn Keyspace,
         now: Micros,
         age: Micros,
         bytes: u64,
@@ -768,7 +773,7 @@
                 expired.push(seq);
             }
         }
-        let calls: Vec<Pair> = space.scan(
+        let calls: Vec<KeyValue> = space.scan(
             Table::CallAges,
             &[],
             &key(&[now.saturating_sub(age)]),
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -9,9 +9,9 @@
 use redb::StorageBackend;
 
 use super::disk::Disk;
-use super::keyspace::Memory;
+use super::keyspace::MemoryKeyspace;
 use super::records::*;
-use super::recovery::{fate, RecoveryAction};
+use super::recovery::{recovery_action, RecoveryAction};
 use super::tables::Tables;
 use crate::api::{Effect, IdempotencyScope, Micros};
 use crate::delivery::response::{Dead, State};
@@ -33,7 +33,7 @@
         expires: 100 * SECOND,
         work: None,
         memory_mb: 1.0,
-        lanes: 1,
+        concurrency_per_copy: 1,
         load_time: None,
         body: b"trip".to_vec(),
         order: None,
@@ -85,34 +85,44 @@
     };
     let rows = [
         (Effect::NonIdempotent, None, 10, RecoveryAction::Run),
-        (Effect::NonIdempotent, None, 200, RecoveryAction::Refuse),
+        (Effect::NonIdempotent, None, 200, RecoveryAction::Reject),
         (Effect::Idempotent, Some(5), 10, RecoveryAction::Run),
-        (Effect::Idempotent, Some(5), 200, RecoveryAction::Refuse),
-        (Effect::NonIdempotent, Some(5), 10, RecoveryAction::Unknown),
-        (Effect::NonIdempotent, Some(5), 200, RecoveryAction::Unknown),
+        (Effect::Idempotent, Some(5), 200, RecoveryAction::Reject),
+        (
+            Effect::NonIdempotent,
+            Some(5),
+            10,
+            RecoveryAction::ReportUnknown,
+        ),
+        (
+            Effect::NonIdempotent,
+            Some(5),
+            200,
+            RecoveryAction::ReportUnknown,
+        ),
         (
             keyed(IdempotencyScope::All),
             Some(7),
             10,
-            RecoveryAction::Refuse,
+            RecoveryAction::Reject,
         ),
         (
             keyed(IdempotencyScope::All),
             Some(4),
             10,
-            RecoveryAction::Unknown,
+            RecoveryAction::ReportUnknown,
         ),
         (
             keyed(IdempotencyScope::Zone),
             Some(99),
             101,
-            RecoveryAction::Unknown,
+            RecoveryAction::ReportUnknown,
         ),
         (
             keyed(IdempotencyScope::All),
             Some(99),
             101,
-            RecoveryAction::Refuse,
+            RecoveryAction::Reject,
         ),
     ];
     for (effect, sent, now, expected) in rows {
@@ -121,7 +131,7 @@
             ..*call(1, effect)
         };
         assert_eq!(
-            fate(&c, now * SECOND, false),
+            recovery_action(&c, now * SECOND, false),
             expected,
             "{effect:?} {sent:?} {now}"
         );
@@ -131,8 +141,8 @@
         ..*call(1, keyed(IdempotencyScope::All))
     };
     assert_eq!(
-        fate(&c, 6 * SECOND, true),
-        RecoveryAction::Unknown,
+        recovery_action(&c, 6 * SECOND, true),
+        RecoveryAction::ReportUnknown,
         "the clock has stepped back"
     );
 }
@@ -163,7 +173,7 @@
     /// key go out in their order, and the figures are those of a plain count.
     #[test]
     fn calls_and_messages_are_neither_lost_nor_doubled(steps in prop::collection::vec(step(), 1..120)) {
-        let mut space = Memory::default();
+        let mut space = MemoryKeyspace::default();
         let (mut tables, _) = Tables::open(&mut space, true, BYTES, 0).unwrap();
         let (mut next, mut now) = (0, 1000);
         let mut calls: BTreeMap<u64, Effect> = BTreeMap::new();
@@ -177,7 +187,7 @@
                 Step::Take(safe) => {
                     next += 1;
                     let effect = if safe { Effect::Idempotent } else { Effect::NonIdempotent };
-                    tables.apply(&mut space, Op::Take(call(next, effect), mark(next), now + 300)).unwrap();
+                    tables.apply(&mut space, Op::AcceptCall(call(next, effect), mark(next), now + 300)).unwrap();
                     calls.insert(next, effect);
                 }
                 Step::Answer(n, order) if !calls.is_empty() => {
@@ -187,10 +197,10 @@
                     let mut m = message(next, 0, effect, order);
                     m.0.created = now;
                     waits.insert(next, (effect, order));
-                    tables.apply(&mut space, Op::Answer(Seq(seq), "served".into(), vec![m])).unwrap();
+                    tables.apply(&mut space, Op::CompleteCall(Seq(seq), "served".into(), vec![m])).unwrap();
                 }
                 Step::End(n, how) => {
-                    let Reply::Fetched(ready, _) = tables.apply(&mut space, Op::Fetch(EndpointId(0), 1000)).unwrap() else { panic!() };
+                    let Reply::Due(ready, _) = tables.apply(&mut space, Op::FetchDue(EndpointId(0), 1000)).unwrap() else { panic!() };
                     // Of each key exactly the oldest may go.
                     let mut expect: Vec<u64> = waits.iter().filter(|(s, (_, o))| {
                         o.is_none() || waits.iter().find(|(_, (_, p))| p == o).unwrap().0 == *s
@@ -204,14 +214,14 @@
                     }
                     let mut w = ready[n % ready.len()];
                     let recorded = w.effect != Effect::Idempotent;
-                    tables.apply(&mut space, Op::Begin(w.seq, recorded, now)).unwrap();
+                    tables.apply(&mut space, Op::BeginAttempt(w.seq, recorded, now)).unwrap();
                     w.tries += 1;
                     let state = match how {
                         0 => { w.due = now + 5; State::Waiting }
                         1 => State::Dead(Dead::Exhausted),
                         _ => State::Delivered,
                     };
-                    tables.apply(&mut space, Op::Ended(Box::new(w), state, None)).unwrap();
+                    tables.apply(&mut space, Op::FinishAttempt(Box::new(w), state, None)).unwrap();
                     if state != State::Waiting {
                         let (_, order) = waits.remove(&w.seq.0).unwrap();
                         over += 1;
@@ -226,11 +236,11 @@
                     tables = fresh;
                     let seen: Vec<u64> = found.calls.iter().map(|c| c.seq.0).collect();
                     prop_assert_eq!(seen, calls.keys().copied().collect::<Vec<_>>());
-                    prop_assert_eq!(found.next, next);
-                    prop_assert_eq!((found.unknown, found.stepped_back), (0, false));
+                    prop_assert_eq!(found.last_sequence_number, next);
+                    prop_assert_eq!((found.unknown_deliveries, found.clock_went_back), (0, false));
                 }
                 Step::Retain(age) => {
-                    let Reply::Retained(expired, forward, _) = tables.apply(&mut space, Op::Retain(now, age, BYTES, 1000)).unwrap() else { panic!() };
+                    let Reply::Retained(expired, forward, _) = tables.apply(&mut space, Op::ApplyRetention(now, age, BYTES, 1000)).unwrap() else { panic!() };
                     prop_assert!(forward.iter().all(|w| waits.contains_key(&w.seq.0)));
                     for seq in expired {
                         let (_, order) = waits.remove(&seq.0).unwrap();
@@ -242,7 +252,7 @@
                 }
                 Step::Answer(..) => {}
             }
-            let Reply::Stat(stat) = tables.apply(&mut space, Op::Stat).unwrap() else { panic!() };
+            let Reply::Stats(stat) = tables.apply(&mut space, Op::Stats).unwrap() else { panic!() };
             prop_assert_eq!((stat.calls, stat.waiting), (calls.len() as u64, waits.len() as u64));
             prop_assert!(stat.messages >= stat.waiting && stat.messages <= stat.waiting + over);
             prop_assert_eq!(stat.bytes, 4 * (stat.messages + stat.calls));
@@ -253,7 +263,7 @@
 /// One of an order key that is let go brings the next forward, which delivery is told of; a removed endpoint's go all.
 #[test]
 fn what_is_let_go_of_does_not_hold_those_behind_it() {
-    let mut space = Memory::default();
+    let mut space = MemoryKeyspace::default();
     let (mut t, _) = Tables::open(&mut space, true, BYTES, 0).unwrap();
     let all = (1..=4).map(|n| {
         let mut m = message(n, 0, Effect::Idempotent, Some(7));
@@ -262,15 +272,16 @@
     });
     t.apply(&mut space, Op::Publish(all.collect())).unwrap();
     let Reply::Retained(expired, forward, _) = t
-        .apply(&mut space, Op::Retain(350, 100, BYTES, 10))
+        .apply(&mut space, Op::ApplyRetention(350, 100, BYTES, 10))
         .unwrap()
     else {
         panic!()
     };
     assert_eq!(expired, [Seq(1), Seq(2)]);
     assert_eq!(forward.iter().map(|w| w.seq).collect::<Vec<_>>(), [Seq(3)]);
-    t.apply(&mut space, Op::Purge(EndpointId(0), 10)).unwrap();
-    let Reply::Stat(stat) = t.apply(&mut space, Op::Stat).unwrap() else {
+    t.apply(&mut space, Op::PurgeEndpoint(EndpointId(0), 10))
+        .unwrap();
+    let Reply::Stats(stat) = t.apply(&mut space, Op::Stats).unwrap() else {
         panic!()
     };
     assert_eq!((stat.waiting, stat.messages), (0, 4));
@@ -278,7 +289,7 @@
 
 #[test]
 fn a_callback_killed_on_its_way_follows_its_class_and_sending_again_needs_an_acknowledgement() {
-    let mut space = Memory::default();
+    let mut space = MemoryKeyspace::default();
     let (mut t, _) = Tables::open(&mut space, true, BYTES, 0).unwrap();
     let all = vec![
         message(1, 0, Effect::NonIdempotent, None),
@@ -286,16 +297,16 @@
     ];
     t.apply(&mut space, Op::Publish(all)).unwrap();
     for seq in [1, 2] {
-        t.apply(&mut space, Op::Begin(Seq(seq), seq == 1, 50))
+        t.apply(&mut space, Op::BeginAttempt(Seq(seq), seq == 1, 50))
             .unwrap();
     }
     let (mut t, found) = Tables::open(&mut space, true, BYTES, 60).unwrap();
     assert_eq!(
-        (found.unknown, found.endpoints),
+        (found.unknown_deliveries, found.endpoints),
         (1, vec![(EndpointId(0), 2)])
     );
-    let state = |t: &mut Tables, space: &mut Memory, seq| match t
-        .apply(space, Op::Message(Seq(seq), 1))
+    let state = |t: &mut Tables, space: &mut MemoryKeyspace, seq| match t
+        .apply(space, Op::GetMessage(Seq(seq), 1))
         .unwrap()
     {
         Reply::Message(Some(m)) => (m.record.state, m.attempts.len()),
@@ -306,19 +317,19 @@
         (State::Dead(Dead::Unknown), 1)
     );
     assert_eq!(state(&mut t, &mut space, 2), (State::Waiting, 0));
-    let again = |t: &mut Tables, space: &mut Memory, by: Option<&str>| {
-        t.apply(space, Op::Again(Seq(1), 1, 70, by.map(str::to_owned)))
+    let again = |t: &mut Tables, space: &mut MemoryKeyspace, by: Option<&str>| {
+        t.apply(space, Op::Resend(Seq(1), 1, 70, by.map(str::to_owned)))
             .unwrap()
     };
     assert!(matches!(
         again(&mut t, &mut space, None),
-        Reply::NotAgain(_)
+        Reply::ResendRejected(_)
     ));
     assert!(
-        matches!(t.apply(&mut space, Op::Recover(EndpointId(0), 1, 0, 70, 10)).unwrap(), Reply::Waits(w) if w.is_empty())
+        matches!(t.apply(&mut space, Op::ResendDeadLetters(EndpointId(0), 1, 0, 70, 10)).unwrap(), Reply::Queued(w) if w.is_empty())
     );
-    assert!(matches!(again(&mut t, &mut space, Some("ops")), Reply::Waits(w) if w.len() == 1));
-    let Reply::Message(Some(m)) = t.apply(&mut space, Op::Message(Seq(1), 1)).unwrap() else {
+    assert!(matches!(again(&mut t, &mut space, Some("ops")), Reply::Queued(w) if w.len() == 1));
+    let Reply::Message(Some(m)) = t.apply(&mut space, Op::GetMessage(Seq(1), 1)).unwrap() else {
         panic!()
     };
     assert_eq!(
@@ -326,7 +337,7 @@
         (State::Waiting, Some("ops"))
     );
     assert_eq!(
-        t.apply(&mut space, Op::Message(Seq(1), 2)).unwrap(),
+        t.apply(&mut space, Op::GetMessage(Seq(1), 2)).unwrap(),
         Reply::Message(None),
         "another tenant's"
     );
@@ -424,11 +435,11 @@
             };
             let mut done = Vec::new();
             for seq in 1..=6 {
-                let op = Op::Take(call(seq, Effect::NonIdempotent), mark(seq), 300);
-                match disk.commit([op, Op::Sent(Seq(seq), 5)], seq) {
+                let op = Op::AcceptCall(call(seq, Effect::NonIdempotent), mark(seq), 300);
+                match disk.commit([op, Op::MarkSent(Seq(seq), 5)], seq) {
                     Ok(_) => done.push(seq),
                     Err(e) => {
-                        assert!(matches!(e, StoreError::Disk(_)), "{e}");
+                        assert!(matches!(e, StoreError::Io(_)), "{e}");
                         break;
                     }
                 }
@@ -452,9 +463,9 @@
                 "one commit is kept whole"
             );
             let next = done.len() as u64 + 1;
-            disk.commit([Op::Untake(Seq(next), mark(next))], 10)
+            disk.commit([Op::RevokeCall(Seq(next), mark(next))], 10)
                 .unwrap();
-            assert_eq!(disk.commit([Op::Stat], 10).unwrap().len(), 1);
+            assert_eq!(disk.commit([Op::Stats], 10).unwrap().len(), 1);
             if !failed {
                 break;
             }
@@ -475,7 +486,7 @@
     let mended = well.clone();
     let opener = move || match mended.load(Ordering::SeqCst) {
         true => Disk::open_backend(backend.after(), BYTES, 2).map(|(disk, _)| disk),
-        false => Err(StoreError::Disk("still sick".into())),
+        false => Err(StoreError::Io("still sick".into())),
     };
     let answered = move |number, reply| tell.send((number, reply)).unwrap();
     let writer = Writer::start(disk, Box::new(opener), Box::new(answered)).unwrap();
@@ -483,29 +494,32 @@
         told.recv_timeout(std::time::Duration::from_secs(30))
             .unwrap()
     };
-    writer.ask(1, Op::Take(call(1, Effect::NonIdempotent), mark(1), 300));
+    writer.submit(
+        1,
+        Op::AcceptCall(call(1, Effect::NonIdempotent), mark(1), 300),
+    );
     assert_eq!(next(), (1, Ok(Reply::Done)));
     sick.left.store(0, Ordering::SeqCst);
-    writer.ask(2, Op::Take(call(2, Effect::Idempotent), mark(2), 300));
-    assert!(matches!(next(), (2, Err(StoreError::Disk(_)))));
-    writer.ask(
+    writer.submit(2, Op::AcceptCall(call(2, Effect::Idempotent), mark(2), 300));
+    assert!(matches!(next(), (2, Err(StoreError::Io(_)))));
+    writer.submit(
         3,
-        Op::Answer(
+        Op::CompleteCall(
             Seq(1),
             "served".into(),
             vec![message(7, 0, Effect::NonIdempotent, None)],
         ),
     );
-    writer.ask(4, Op::Take(call(3, Effect::Idempotent), mark(3), 300));
+    writer.submit(4, Op::AcceptCall(call(3, Effect::Idempotent), mark(3), 300));
     assert!(
-        matches!(next(), (4, Err(StoreError::Disk(_)))),
+        matches!(next(), (4, Err(StoreError::Io(_)))),
         "nothing new is taken; the answer waits"
     );
     well.store(true, Ordering::SeqCst);
     let (number, reply) = next();
-    assert!(number == 3 && matches!(reply, Ok(Reply::Waits(w)) if w.len() == 1));
-    writer.ask(5, Op::Stat);
-    let (_, Ok(Reply::Stat(stat))) = next() else {
+    assert!(number == 3 && matches!(reply, Ok(Reply::Queued(w)) if w.len() == 1));
+    writer.submit(5, Op::Stats);
+    let (_, Ok(Reply::Stats(stat))) = next() else {
         panic!()
     };
     assert_eq!(
@@ -518,22 +532,25 @@
 /// A clock that steps back over a restart is noticed, and identities that may have been forgotten are told.
 #[test]
 fn a_clock_that_steps_back_is_noticed() {
-    let mut space = Memory::default();
+    let mut space = MemoryKeyspace::default();
     let (mut t, _) = Tables::open(&mut space, true, BYTES, 1000).unwrap();
     t.apply(
         &mut space,
-        Op::Take(call(1, Effect::Idempotent), mark(1), 1300),
+        Op::AcceptCall(call(1, Effect::Idempotent), mark(1), 1300),
     )
     .unwrap();
-    t.apply(&mut space, Op::Answer(Seq(1), "served".into(), vec![]))
-        .unwrap();
-    t.apply(&mut space, Op::Retain(2000, 1 << 40, BYTES, 10))
+    t.apply(
+        &mut space,
+        Op::CompleteCall(Seq(1), "served".into(), vec![]),
+    )
+    .unwrap();
+    t.apply(&mut space, Op::ApplyRetention(2000, 1 << 40, BYTES, 10))
         .unwrap();
     t.finish(&mut space, 2000).unwrap();
     let (_, found) = Tables::open(&mut space, true, BYTES, 900).unwrap();
-    assert!(found.stepped_back && found.replays.is_empty());
+    assert!(found.clock_went_back && found.identities.is_empty());
     assert_eq!(
-        found.forgotten, 1300,
+        found.identities_expired_until, 1300,
         "a stamp that was good until then may have been taken"
     );
 }
@@ -546,12 +563,12 @@
     std::fs::write(&path, "a letter, not a store").unwrap();
     assert!(matches!(
         Disk::open(&path, BYTES, 0),
-        Err(StoreError::Foreign(_))
+        Err(StoreError::NotAStore(_))
     ));
     assert_eq!(std::fs::read(&path).unwrap(), b"a letter, not a store");
     std::fs::remove_file(&path).unwrap();
     let (held, _) = Disk::open(&path, BYTES, 0).unwrap();
-    assert_eq!(Disk::open(&path, BYTES, 0).unwrap_err(), StoreError::Held);
+    assert_eq!(Disk::open(&path, BYTES, 0).unwrap_err(), StoreError::Locked);
     drop(held);
     assert!(Disk::open(&path, BYTES, 0).is_ok());
     std::fs::remove_dir_all(&folder).unwrap();
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -19,9 +19,9 @@
 const AGAIN: Duration = Duration::from_millis(500);
 
 /// Opens the store anew.
-pub type Opener = Box<dyn FnMut() -> Result<Disk, StoreError> + Send>;
+pub type StoreOpener = Box<dyn FnMut() -> Result<Disk, StoreError> + Send>;
 /// Where answers go: the number of the question, and the answer.
-pub type Answered = Box<dyn FnMut(u64, Result<Reply, StoreError>) + Send>;
+pub type ReplyHandler = Box<dyn FnMut(u64, Result<Reply, StoreError>) + Send>;
 
 enum Job {
     Op(u64, Op),
@@ -39,7 +39,11 @@
 
 impl Writer {
     /// Begins the thread over a store that is open.
-    pub fn start(disk: Disk, opener: Opener, answered: Answered) -> std::io::Result<Writer> {
+    pub fn start(
+        disk: Disk,
+        opener: StoreOpener,
+        answered: ReplyHandler,
+    ) -> std::io::Result<Writer> {
         let (jobs, waits) = mpsc::channel();
         let room = Room {
             disk: Some(disk),
@@ -59,7 +63,7 @@
     }
 
     /// Asks for something; the answer comes under the number.
-    pub fn ask(&self, number: u64, op: Op) {
+    pub fn submit(&self, number: u64, op: Op) {
         // A thread that is gone answers nothing; the process is at its end then.
         let _ = self.jobs.send(Job::Op(number, op));
     }
@@ -78,26 +82,26 @@
 fn must_be_kept(op: &Op) -> bool {
     matches!(
         op,
-        Op::Answer(..)
-            | Op::Ended(..)
-            | Op::Unsent(_)
-            | Op::Untake(..)
-            | Op::Purge(..)
+        Op::CompleteCall(..)
+            | Op::FinishAttempt(..)
+            | Op::ClearSent(_)
+            | Op::RevokeCall(..)
+            | Op::PurgeEndpoint(..)
             | Op::Publish(_)
-            | Op::Log(_)
-            | Op::Shard(..)
-            | Op::WriteShard(..)
-            | Op::Accept(_)
-            | Op::Lead(_)
-            | Op::Rest(_)
-            | Op::BeginDisk(..)
+            | Op::AppendLog(_)
+            | Op::ApplyToShard(..)
+            | Op::InstallShard(..)
+            | Op::AcceptDamage(_)
+            | Op::BecomePrimary(_)
+            | Op::ResignPrimary(_)
+            | Op::RegisterDisk(..)
     )
 }
 
 struct Room {
     disk: Option<Disk>,
-    opener: Opener,
-    answered: Answered,
+    opener: StoreOpener,
+    answered: ReplyHandler,
     /// What waits for the disk.
     kept: VecDeque<(u64, Op)>,
     clock: Clock,
@@ -126,7 +130,7 @@
             let mut batch = Vec::new();
             for job in first.into_iter().chain(waits.try_iter()).take(MOST_OPS) {
                 match job {
-                    Job::Op(number, Op::Verify) => self.verify(number),
+                    Job::Op(number, Op::VerifyChecksums) => self.verify(number),
                     Job::Op(number, op) => batch.push((number, op)),
                     Job::Read(number, reply) => (self.answered)(number, reply),
                     Job::Stop => stopping = true,
@@ -142,7 +146,7 @@
     /// Counts what the disk holds beside this thread, so that nobody's commit waits for it.
     fn verify(&mut self, number: u64) {
         let Some(disk) = &self.disk else {
-            return (self.answered)(number, Err(StoreError::Disk("closed".into())));
+            return (self.answered)(number, Err(StoreError::Io("closed".into())));
         };
         let (reader, jobs) = (disk.reader(), self.jobs.clone());
         let read = move || {
@@ -153,7 +157,7 @@
             .name("verify".into())
             .spawn(read)
         {
-            (self.answered)(number, Err(StoreError::Disk(e.to_string())));
+            (self.answered)(number, Err(StoreError::Io(e.to_string())));
         }
     }
 
@@ -174,7 +178,7 @@
             return;
         }
         let Some(disk) = &mut self.disk else {
-            return self.fail(batch, &StoreError::Disk("closed".into()));
+            return self.fail(batch, &StoreError::Io("closed".into()));
         };
         let now = self.clock.now();
         match disk.commit(batch.iter().map(|(_, op)| op.clone()), now) {
@@ -203,11 +207,11 @@
                     self.kept.push_back((number, op.clone()));
                     continue;
                 }
-                Op::Take(call, mark, _) => {
-                    self.kept.push_back((NOBODY, Op::Untake(call.seq, *mark)))
-                }
+                Op::AcceptCall(call, mark, _) => self
+                    .kept
+                    .push_back((NOBODY, Op::RevokeCall(call.seq, *mark))),
                 // That an attempt began and did not errs on the safe side; the attempt's end corrects it.
-                Op::Sent(seq, _) => self.kept.push_back((NOBODY, Op::Unsent(*seq))),
+                Op::MarkSent(seq, _) => self.kept.push_back((NOBODY, Op::ClearSent(*seq))),
                 _ => {}
             }
             (self.answered)(number, Err(e.clone()));
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -142,8 +142,8 @@
         std::thread::sleep(Duration::from_millis(1500));
         g.stop()?;
         let (mut disk, found) = open(folder)?;
-        let Some(Ok(Reply::Stat(stat))) =
-            disk.commit([Op::Stat], now()).map_err(Error::other)?.pop()
+        let Some(Ok(Reply::Stats(stat))) =
+            disk.commit([Op::Stats], now()).map_err(Error::other)?.pop()
         else {
             return Err(Error::other("the store has no figures"));
         };
@@ -208,7 +208,7 @@
             ..Filter::default()
         };
         let reply = disk
-            .commit([Op::Messages(filter)], now())
+            .commit([Op::ListMessages(filter)], now())
             .map_err(Error::other)?
             .pop();
         let Some(Ok(Reply::Messages(all))) = reply else {
--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -8,9 +8,10 @@
 use molelug::replication::{LogPosition, ShardId};
 use molelug::store::disk::Disk;
 use molelug::store::records::{
-    CallRecord, CallState, Filter, IdentityDigest, MessageRecord, Op, Reply, Shown, Stands, Stat,
+    CallRecord, CallState, Filter, IdentityDigest, MessageDetails, MessageRecord, Op, Reply,
+    ShardState, StoreStats,
 };
-use molelug::store::tables::Found;
+use molelug::store::tables::RecoveredState;
 
 use crate::agreed_log::voter_record;
 use crate::store_records::{attempt, call, mark, message, SECOND};
@@ -45,7 +46,7 @@
 }
 
 fn take(seq: Seq, effect: Effect, of: u8, until: u64) -> Op {
-    Op::Take(Box::new(call(seq, effect)), mark(of), until)
+    Op::AcceptCall(Box::new(call(seq, effect)), mark(of), until)
 }
 
 /// The gateway's own: open calls, messages at each stage, an attempt that has begun, an identity that was forgotten.
@@ -64,18 +65,18 @@
     let mut tried = waiting(2);
     (tried.due, tried.tries, tried.ran) = (9 * SECOND, 1, Some(7 * SECOND));
     let ended = [
-        Op::Ended(waiting(0), State::Delivered, Some(attempt())),
-        Op::Ended(waiting(1), State::Dead(Dead::Exhausted), Some(attempt())),
-        Op::Ended(tried, State::Waiting, Some(attempt())),
-        Op::Begin(Seq(15), true, 6 * SECOND),
-        Op::Retain(30 * SECOND, 1 << 40, MAX_BYTES, 100),
+        Op::FinishAttempt(waiting(0), State::Delivered, Some(attempt())),
+        Op::FinishAttempt(waiting(1), State::Dead(Dead::Exhausted), Some(attempt())),
+        Op::FinishAttempt(tried, State::Waiting, Some(attempt())),
+        Op::BeginAttempt(Seq(15), true, 6 * SECOND),
+        Op::ApplyRetention(30 * SECOND, 1 << 40, MAX_BYTES, 100),
     ];
     let mut ops = vec![
         take(Seq(1), Effect::NonIdempotent, 1, 100 * SECOND),
-        Op::Sent(Seq(1), 3 * SECOND),
+        Op::MarkSent(Seq(1), 3 * SECOND),
         take(Seq(2), KEYED, 2, 100 * SECOND),
         take(Seq(3), Effect::Idempotent, 3, 20 * SECOND),
-        Op::Answer(Seq(3), "served".into(), answers),
+        Op::CompleteCall(Seq(3), "served".into(), answers),
         Op::Publish(published.clone()),
     ];
     ops.extend(ended);
@@ -114,16 +115,16 @@
     vec![
         taken(1),
         taken(2),
-        Op::Sent(number(shard, 1), 3 * SECOND),
-        Op::Answer(
+        Op::MarkSent(number(shard, 1), 3 * SECOND),
+        Op::CompleteCall(
             number(shard, 2),
             "served".into(),
             vec![ordered(shard, 101), ordered(shard, 102)],
         ),
-        Op::Begin(number(shard, 101), true, 6 * SECOND),
+        Op::BeginAttempt(number(shard, 101), true, 6 * SECOND),
         taken(3),
-        Op::Answer(number(shard, 3), "failed".into(), vec![(unordered, body)]),
-        Op::Ended(waiting, State::Dead(Dead::Unknown), Some(attempt())),
+        Op::CompleteCall(number(shard, 3), "failed".into(), vec![(unordered, body)]),
+        Op::FinishAttempt(waiting, State::Dead(Dead::Unknown), Some(attempt())),
     ]
 }
 
@@ -137,7 +138,7 @@
     let mut place = LogPosition::default();
     for op in shard_records(shard) {
         place = place.then(b"record");
-        ask(disk, Op::Shard(shard, place, Box::new(op)));
+        ask(disk, Op::ApplyToShard(shard, place, Box::new(op)));
     }
 }
 
@@ -145,12 +146,12 @@
     let file = Scratch::new();
     let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("it is made");
     fill_own(&mut disk);
-    ask(&mut disk, Op::BeginDisk(7001, false));
+    ask(&mut disk, Op::RegisterDisk(7001, false));
     SHARDS
         .into_iter()
         .for_each(|shard| fill_shard(&mut disk, shard));
-    ask(&mut disk, Op::Lead(3));
-    ask(&mut disk, Op::Log(Box::new(voter_record())));
+    ask(&mut disk, Op::BecomePrimary(3));
+    ask(&mut disk, Op::AppendLog(Box::new(voter_record())));
     disk.compact().expect("it shrinks");
     drop(disk);
     let written = rows(file.path());
@@ -200,11 +201,11 @@
     rows
 }
 
-fn open(path: &Path) -> (Disk, Found) {
+fn open(path: &Path) -> (Disk, RecoveredState) {
     Disk::open(path, MAX_BYTES, 40 * SECOND).expect("it opens")
 }
 
-fn open_fixture(name: &str) -> (Scratch, Disk, Found) {
+fn open_fixture(name: &str) -> (Scratch, Disk, RecoveredState) {
     let file = file_of(&from_text(&fixture::read_text(name)));
     let (disk, found) = open(file.path());
     (file, disk, found)
@@ -221,15 +222,21 @@
     of.iter().map(|of| (mark(*of), 100 * SECOND)).collect()
 }
 
-fn assert_own_is_found(found: &Found) {
+fn assert_own_is_found(found: &RecoveredState) {
     assert_eq!(found.calls, [sent(Seq(1)), call(Seq(2), KEYED)]);
     assert_eq!(found.endpoints, [(EndpointId(4004), 6 * SECOND)]);
-    assert_eq!((found.next, found.forgotten), (15, 20 * SECOND));
-    assert_eq!((found.unknown, found.stepped_back), (1, false));
+    assert_eq!(
+        (found.last_sequence_number, found.identities_expired_until),
+        (15, 20 * SECOND)
+    );
+    assert_eq!(
+        (found.unknown_deliveries, found.clock_went_back),
+        (1, false)
+    );
 }
 
-fn shown(disk: &mut Disk, seq: Seq) -> Shown {
-    match ask(disk, Op::Message(seq, 21)) {
+fn shown(disk: &mut Disk, seq: Seq) -> MessageDetails {
+    match ask(disk, Op::GetMessage(seq, 21)) {
         Reply::Message(Some(shown)) => *shown,
         other => panic!("{seq:?}: {other:?}"),
     }
@@ -241,7 +248,7 @@
     record.waiting.ran = Some(7 * SECOND);
     assert_eq!(
         shown(disk, Seq(14)),
-        Shown {
+        MessageDetails {
             record,
             attempts: vec![attempt()],
             body
@@ -269,7 +276,7 @@
         shard: 0,
     });
     assert_eq!(
-        ask(disk, Op::Call(21, "call-3".into())),
+        ask(disk, Op::GetCall(21, "call-3".into())),
         Reply::Call(answered)
     );
     let open = Some(CallState {
@@ -277,13 +284,16 @@
         outcome: None,
         shard: 0,
     });
-    assert_eq!(ask(disk, Op::Call(21, "call-2".into())), Reply::Call(open));
+    assert_eq!(
+        ask(disk, Op::GetCall(21, "call-2".into())),
+        Reply::Call(open)
+    );
 }
 
 /// What waits is found by its endpoint, and the next of an order key comes forward.
 fn assert_waiting_goes_on(disk: &mut Disk) {
     let (first, _) = message(Seq(10), Effect::NonIdempotent, Some(7));
-    let Reply::Fetched(waiting, None) = ask(disk, Op::Fetch(EndpointId(4004), 10)) else {
+    let Reply::Due(waiting, None) = ask(disk, Op::FetchDue(EndpointId(4004), 10)) else {
         panic!("more waits")
     };
     let own: Vec<Seq> = waiting
@@ -292,9 +302,9 @@
         .filter(|seq| seq.shard() == 0)
         .collect();
     assert_eq!(own, [Seq(10), Seq(14)]);
-    let delivered = Op::Ended(Box::new(first.waiting), State::Delivered, None);
+    let delivered = Op::FinishAttempt(Box::new(first.waiting), State::Delivered, None);
     let (next, _) = message(Seq(11), Effect::NonIdempotent, Some(7));
-    assert_eq!(ask(disk, delivered), Reply::Waits(vec![next.waiting]));
+    assert_eq!(ask(disk, delivered), Reply::Queued(vec![next.waiting]));
     let filter = Filter {
         serial: 21,
         state: Some("unknown".into()),
@@ -303,7 +313,7 @@
     };
     let Reply::Messages(listed) = ask(
         disk,
-        Op::Messages(Filter {
+        Op::ListMessages(Filter {
             before: Some(Seq(100)),
             ..filter
         }),
@@ -319,37 +329,40 @@
     );
 }
 
-fn assert_shards_are_found(found: &Found) {
+fn assert_shards_are_found(found: &RecoveredState) {
     let record = voter_record();
     assert_eq!(found.log, (record.head, record.entries));
     let of_shards = SHARDS
         .iter()
         .flat_map(|shard| (1..4).map(|of| shard_mark(*shard, of)));
     let expected: Vec<u8> = [1, 2].into_iter().chain(of_shards).collect();
-    assert_eq!(found.replays, marks(&expected));
+    assert_eq!(found.identities, marks(&expected));
 }
 
 /// Both shards, once a process has begun on the disk.
 fn assert_shards_are_kept(disk: &mut Disk) {
     let sound = SHARDS.map(|shard| (shard, Vec::new())).to_vec();
     assert_eq!(disk.reader().verify(), Ok(sound));
-    let figures = Stat {
+    let figures = StoreStats {
         calls: 4,
         messages: 12,
         waiting: 7,
         bytes: 4 * 13 + 12 * 16,
     };
-    assert_eq!(ask(disk, Op::Stat), Reply::Stat(figures));
+    assert_eq!(ask(disk, Op::Stats), Reply::Stats(figures));
     for shard in SHARDS {
         let begun = ordered(shard, 101).0.waiting;
-        let stands = Stands {
+        let stands = ShardState {
             calls: vec![sent(number(shard, 1))],
-            marks: marks(&[1, 2, 3].map(|of| shard_mark(shard, of))),
-            waits: Vec::new(),
-            begun: vec![(begun, 6 * SECOND)],
-            forgotten: 20 * SECOND,
+            identities: marks(&[1, 2, 3].map(|of| shard_mark(shard, of))),
+            waiting: Vec::new(),
+            in_flight: vec![(begun, 6 * SECOND)],
+            identities_expired_until: 20 * SECOND,
         };
-        assert_eq!(ask(disk, Op::Lead(shard)), Reply::Stands(Box::new(stands)));
+        assert_eq!(
+            ask(disk, Op::BecomePrimary(shard)),
+            Reply::PrimaryState(Box::new(stands))
+        );
         let (record, _) = ordered(shard, 102);
         let behind = MessageRecord {
             state: State::Behind,
@@ -362,7 +375,7 @@
 fn begin(disk: &mut Disk) {
     let places = SHARDS.map(|shard| (shard, last_place())).to_vec();
     assert_eq!(
-        ask(disk, Op::BeginDisk(1, false)),
+        ask(disk, Op::RegisterDisk(1, false)),
         Reply::Disk(7001, 2, places)
     );
 }
@@ -409,11 +422,11 @@
 fn store_of_format_1_is_read() {
     let (_file, mut disk, found) = open_fixture(FORMAT_1);
     assert_own_is_found(&found);
-    assert_eq!(found.replays, marks(&[1, 2]));
+    assert_eq!(found.identities, marks(&[1, 2]));
     assert_eq!(found.log, (None, Vec::new()));
     assert_own_is_kept(&mut disk);
     assert_eq!(
-        ask(&mut disk, Op::BeginDisk(7001, false)),
+        ask(&mut disk, Op::RegisterDisk(7001, false)),
         Reply::Disk(7001, 1, Vec::new())
     );
     assert_own_is_kept(&mut disk);
@@ -423,7 +436,7 @@
 #[test]
 fn shard_content_is_handed_on_as_before() {
     let (_file, mut disk, _) = open_fixture(FORMAT_3);
-    let Reply::Shard(place, content) = ask(&mut disk, Op::ReadShard(2)) else {
+    let Reply::ShardContent(place, content) = ask(&mut disk, Op::ReadShard(2)) else {
         panic!("no content")
     };
     assert_eq!(place, last_place());
@@ -432,11 +445,11 @@
     let stored = pins::from_hex(fixture::read_text(SHARD_CONTENT).trim_end());
     let copy = Scratch::new();
     let (mut disk, _) = open(copy.path());
-    ask(&mut disk, Op::BeginDisk(7002, false));
-    ask(&mut disk, Op::WriteShard(2, place, stored.clone()));
+    ask(&mut disk, Op::RegisterDisk(7002, false));
+    ask(&mut disk, Op::InstallShard(2, place, stored.clone()));
     assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
     assert_eq!(
         ask(&mut disk, Op::ReadShard(2)),
-        Reply::Shard(place, stored)
+        Reply::ShardContent(place, stored)
     );
 }
--- a/tests/stored_data/store_records.rs
+++ b/tests/stored_data/store_records.rs
@@ -4,9 +4,9 @@
 use molelug::delivery::response::{Dead, State};
 use molelug::delivery::{EndpointId, Seq, Waiting};
 use molelug::store::records::{
-    AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord, Op, Stat,
+    AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord, Op, StoreStats,
 };
-use molelug::store::shared::Shared;
+use molelug::store::shared::ReplicatedOp;
 
 use crate::pins::Pins;
 
@@ -26,7 +26,7 @@
         expires: 100 * SECOND,
         work: Some(250_000),
         memory_mb: 96.5,
-        lanes: 3,
+        concurrency_per_copy: 3,
         load_time: Some(1_500_000),
         body: b"a call's body".to_vec(),
         order: Some("patient-9".into()),
@@ -161,7 +161,7 @@
     );
     pins.postcard(
         "figures",
-        &Stat {
+        &StoreStats {
             calls: 1,
             messages: 2,
             waiting: 3,
@@ -180,30 +180,30 @@
     let records = [
         (
             "take",
-            Shared::Take(
+            ReplicatedOp::AcceptCall(
                 Box::new(call(seq, Effect::NonIdempotent)),
                 mark(1),
                 50 * SECOND,
             ),
         ),
-        ("untake", Shared::Untake(seq, mark(1))),
-        ("sent", Shared::Sent(seq, 3 * SECOND)),
-        ("unsent", Shared::Unsent(seq)),
+        ("untake", ReplicatedOp::RevokeCall(seq, mark(1))),
+        ("sent", ReplicatedOp::MarkSent(seq, 3 * SECOND)),
+        ("unsent", ReplicatedOp::ClearSent(seq)),
         (
             "answer",
-            Shared::Answer(seq, "served".into(), vec![(record, body)]),
+            ReplicatedOp::CompleteCall(seq, "served".into(), vec![(record, body)]),
         ),
-        ("begin", Shared::Begin(seq, 6 * SECOND)),
+        ("begin", ReplicatedOp::BeginAttempt(seq, 6 * SECOND)),
         (
             "ended",
-            Shared::Ended(waiting, State::Dead(Dead::Unknown), Some(attempt())),
+            ReplicatedOp::FinishAttempt(waiting, State::Dead(Dead::Unknown), Some(attempt())),
         ),
     ];
     let mut pins = Pins::of("shard-records.txt");
     for (name, record) in &records {
         pins.postcard(name, record);
-        let op: Op = record.clone().op();
-        assert_eq!(Shared::of(&op).as_ref(), Some(record), "{name}");
+        let op: Op = record.clone().into_op();
+        assert_eq!(ReplicatedOp::from_op(&op).as_ref(), Some(record), "{name}");
         assert_eq!(op.shard(), Some(3), "{name}");
     }
     pins.finish();
