--- a/src/admin/endpoints.rs
+++ b/src/admin/endpoints.rs
@@ -6,7 +6,7 @@
 use super::tenants::rotation;
 use super::{body, matches, refused, Change, Context, Done, Handled};
 use crate::front::http::{plain, Bad, Request};
-use crate::store::records::Op;
+use crate::store::operations::{Op, ResendDeadLetters};
 use crate::tenancy::{Endpoint, EndpointSpec, TenantError};
 
 /// Messages that one recovery sends again.
@@ -152,11 +152,11 @@
         .now
         .saturating_sub(recovery.since_s.saturating_mul(1_000_000));
     let serial = cx.tenants.get(tenant).map_or(0, |t| t.serial);
-    Ok(Done::Ask(Op::ResendDeadLetters(
-        e.id,
+    Ok(Done::Ask(Op::ResendDeadLetters(ResendDeadLetters {
+        endpoint: e.id,
         serial,
         since,
-        cx.now,
-        MOST_RECOVERED,
-    )))
+        now: cx.now,
+        limit: MOST_RECOVERED,
+    })))
 }
--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -7,7 +7,9 @@
 use crate::delivery::Seq;
 use crate::front::http::{plain, Bad, Request};
 use crate::front::webhook::message::timestamp;
-use crate::store::records::{AttemptRecord, Filter, MessageRecord, Op, Reply, StoreError};
+use crate::store::error::StoreError;
+use crate::store::operations::{Filter, Op, Reply, Resend};
+use crate::store::records::{AttemptRecord, MessageRecord};
 use crate::tenancy::TenantError;
 
 /// Messages on one page, where nothing is said and at most.
@@ -81,12 +83,12 @@
 ) -> Result<Done, Bad> {
     let again: Again = body(r, "body is not a request to send again")?;
     let by = again.acknowledge_duplicate.then(|| who.to_owned());
-    Ok(Done::Ask(Op::Resend(
-        seq(message)?,
-        serial(cx, tenant)?,
-        cx.now,
-        by,
-    )))
+    Ok(Done::Ask(Op::Resend(Resend {
+        message: seq(message)?,
+        serial: serial(cx, tenant)?,
+        now: cx.now,
+        acknowledged_by: by,
+    })))
 }
 
 fn view(m: &MessageRecord) -> Value {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -11,7 +11,7 @@
 use crate::delivery::EndpointId;
 use crate::front::http::{plain, response, Bad, Request};
 use crate::identity::{Gate, Role};
-use crate::store::records::Op;
+use crate::store::operations::Op;
 use crate::tenancy::{Registry, TenantError};
 
 pub mod consensus;
--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -11,7 +11,7 @@
 use crate::consensus::config::{bootstrap, fresh, state_of, File};
 use crate::consensus::kept::Record;
 use crate::store::disk::Disk;
-use crate::store::records::Op;
+use crate::store::operations::Op;
 
 /// A council: its disks, which no gateway may hold meanwhile, and what a running gateway knows of it
 #[derive(Clone, Debug, Bpaf)]
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 use crate::store::disk::Disk;
-use crate::store::records::{Op, Reply};
+use crate::store::operations::{Op, Reply};
 
 /// A store that no gateway holds
 #[derive(Clone, Debug, Bpaf)]
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -25,7 +25,8 @@
 use crate::lease::{LeaseName, Term};
 use crate::membership::keys::Keys;
 use crate::store::disk::Disk;
-use crate::store::records::{Op, StoreError};
+use crate::store::error::StoreError;
+use crate::store::operations::Op;
 use crate::store::writer::Writer;
 
 /// Bytes read from one gateway before they are looked at.
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -15,7 +15,9 @@
 use crate::replication::machine::{Input, Output, Replicator};
 use crate::replication::wire::{Body, RequestOutcome};
 use crate::replication::{Epoch, LogPosition, Name, ShardId};
-use crate::store::records::{CallRecord, CallState, IdentityDigest, Reply, StoreError};
+use crate::store::error::StoreError;
+use crate::store::operations::Reply;
+use crate::store::records::{CallRecord, CallState, IdentityDigest};
 use crate::tenancy::replicated::changes::Settings as Agreeing;
 
 mod questions;
@@ -355,11 +357,11 @@
 
     /// The disk's answers.
     pub(super) fn disk_began(&mut self, reply: Result<Reply, StoreError>) {
-        if let Ok(Reply::Disk(id, boot, places)) = reply {
+        if let Ok(Reply::Disk(disk)) = reply {
             self.tell_copies(Input::Disk {
-                id,
-                boot,
-                places: places.into_iter().collect(),
+                id: disk.id,
+                boot: disk.incarnation,
+                places: disk.shards.into_iter().collect(),
             });
         }
     }
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -15,7 +15,8 @@
 use crate::front::http::{self, plain, Bad};
 use crate::identity::Gate;
 use crate::net::KEPT_FRAME;
-use crate::store::records::{Reply, StoreError};
+use crate::store::error::StoreError;
+use crate::store::operations::Reply;
 use crate::tenancy::{Registry, TenantError};
 
 /// All that belongs to the second front.
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -27,10 +27,15 @@
 use crate::replication::wire::RequestOutcome;
 use crate::replication::{Epoch, LogPosition, Name, ShardId};
 use crate::store::disk::Disk;
+use crate::store::error::StoreError;
 use crate::store::keyspace::MemoryKeyspace;
-use crate::store::records::*;
+use crate::store::operations::{
+    AcceptCall, ApplyRetention, ApplyToShard, BeginAttempt, CompleteCall, FinishAttempt,
+    InstallShard, Op, RegisterDisk, Reply, RetentionResult,
+};
+use crate::store::records::{AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord};
 use crate::store::recovery::{recovery_action, RecoveryAction};
-use crate::store::shared::ReplicatedOp;
+use crate::store::replicated_op::ReplicatedOp;
 use crate::store::tables::{RecoveredState, Tables};
 use crate::store::writer::Writer;
 use crate::tenancy::{Endpoint, COMPLETED};
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -108,7 +108,12 @@
                     seq,
                     mark,
                 };
-                hooks.ask(ask, Op::AcceptCall(Box::new(record), mark, until));
+                let accept = AcceptCall {
+                    call: Box::new(record),
+                    identity: mark,
+                    valid_until: until,
+                };
+                hooks.ask(ask, Op::AcceptCall(accept));
                 None
             }
             Err(bad) => {
@@ -219,7 +224,7 @@
         };
         hooks.guarded.insert(*attempt, id.clone());
         hooks.unrecorded.insert(*attempt, waits);
-        hooks.ask(Ask::Go(*attempt), Op::MarkSent(seq, now));
+        hooks.ask(Ask::Go(*attempt), Op::SetSent(seq, now));
         true
     }
 
@@ -310,7 +315,11 @@
         }
         hooks.ask(
             Ask::Publish,
-            Op::CompleteCall(held.seq, outcome.name().into(), messages),
+            Op::CompleteCall(CompleteCall {
+                call: held.seq,
+                outcome: outcome.name().into(),
+                messages,
+            }),
         );
     }
 
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -106,11 +106,15 @@
                 }
             }
             Ask::Retain => {
-                let (expired, forward, more) = match reply {
-                    Ok(Reply::Retained(expired, forward, more)) => (expired, forward, more),
-                    _ => (Vec::new(), Vec::new(), false),
+                let RetentionResult {
+                    expired,
+                    released,
+                    more,
+                } = match reply {
+                    Ok(Reply::Retained(result)) => result,
+                    _ => RetentionResult::default(),
                 };
-                forward
+                released
                     .into_iter()
                     .for_each(|w| hooks.delivery.handle(now, Input::Waits(w)));
                 for seq in expired {
@@ -175,8 +179,14 @@
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
-        let (age, bytes) = hooks.retention;
-        hooks.ask(Ask::Retain, Op::ApplyRetention(now, age, bytes, RETAINED));
+        let (max_age, max_bytes) = hooks.retention;
+        let retention = ApplyRetention {
+            now,
+            max_age,
+            max_bytes,
+            limit: RETAINED,
+        };
+        hooks.ask(Ask::Retain, Op::ApplyRetention(retention));
     }
 
     pub(super) fn deliver(&mut self, now: Micros, output: Output) {
@@ -185,7 +195,12 @@
         };
         match output {
             Output::Begin { seq, recorded, .. } => {
-                hooks.ask(Ask::Begin(seq), Op::BeginAttempt(seq, recorded, now))
+                let begin = BeginAttempt {
+                    message: seq,
+                    durable: recorded,
+                    at: now,
+                };
+                hooks.ask(Ask::Begin(seq), Op::BeginAttempt(begin))
             }
             Output::Fetch(id, limit) => hooks.ask(Ask::Fetch(id), Op::FetchDue(id, limit)),
             Output::Purge(id) => hooks.ask(Ask::Purge(id), Op::PurgeEndpoint(id, RETAINED)),
@@ -218,7 +233,11 @@
                 }
                 hooks.ask(
                     Ask::Publish,
-                    Op::FinishAttempt(Box::new(message), state, attempt),
+                    Op::FinishAttempt(FinishAttempt {
+                        waiting: Box::new(message),
+                        state,
+                        attempt,
+                    }),
                 );
                 if state.is_over() {
                     self.count(&message, state);
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -16,7 +16,13 @@
 
     /// Has the disk tell its number, and how often it was begun; with another one if it is to begin anew.
     pub(in crate::gateway) fn begin_disk(&mut self, id: u64, anew: bool) {
-        self.ask(Ask::Disk, Op::RegisterDisk(id.max(1), anew));
+        self.ask(
+            Ask::Disk,
+            Op::RegisterDisk(RegisterDisk {
+                id: id.max(1),
+                reset: anew,
+            }),
+        );
     }
 
     /// A record of a shard goes to the disk. One that cannot be read keeps its place, and does nothing.
@@ -30,7 +36,11 @@
         let op = ReplicatedOp::decode(bytes).map_or(Op::Publish(Vec::new()), ReplicatedOp::into_op);
         self.ask(
             Ask::Record(shard, ticket),
-            Op::ApplyToShard(shard, place, Box::new(op)),
+            Op::ApplyToShard(ApplyToShard {
+                shard,
+                position: place,
+                op: Box::new(op),
+            }),
         );
     }
 
@@ -43,7 +53,11 @@
     ) {
         self.ask(
             Ask::Record(shard, None),
-            Op::InstallShard(shard, place, bytes),
+            Op::InstallShard(InstallShard {
+                shard,
+                position: place,
+                content: bytes,
+            }),
         );
     }
 
@@ -102,7 +116,11 @@
             let (state, attempt) = crate::store::recovery::settle_remote_attempt(&mut w, at, now);
             self.ask(
                 Ask::Settled(w, state),
-                Op::FinishAttempt(Box::new(w), state, Some(attempt)),
+                Op::FinishAttempt(FinishAttempt {
+                    waiting: Box::new(w),
+                    state,
+                    attempt: Some(attempt),
+                }),
             );
         }
     }
@@ -260,7 +278,12 @@
             seq,
             mark,
         };
-        hooks.ask_for(ask, Op::AcceptCall(Box::new(record), mark, until), want);
+        let accept = AcceptCall {
+            call: Box::new(record),
+            identity: mark,
+            valid_until: until,
+        };
+        hooks.ask_for(ask, Op::AcceptCall(accept), want);
         Ok(())
     }
 
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -136,7 +136,7 @@
         self.core.counters.callbacks_unknown += found.unknown_deliveries;
         let (mut run, mut refused, mut unknown) = (0, 0, 0);
         for call in found.calls {
-            match self.go_on(now, call, found.clock_went_back) {
+            match self.go_on(now, call, found.clock_regressed) {
                 RecoveryAction::Run => run += 1,
                 RecoveryAction::ReportUnknown => unknown += 1,
                 RecoveryAction::Reject => refused += 1,
@@ -152,7 +152,7 @@
                 "went on with the calls of the process before"
             );
         }
-        if found.clock_went_back {
+        if found.clock_regressed {
             tracing::warn!("the clock shows less than when the store was last written");
         }
     }
--- a/src/store/checksums.rs
+++ b/src/store/checksums.rs
@@ -1,207 +1,250 @@
-//! Sums of what a disk holds of each shard, kept with each commit, so that a disk can tell by itself whether what it holds
-//! is still what was written.
+//! Checksums of what a disk holds of each shard. They are updated in each commit, so that a disk
+//! can detect by itself whether its rows are still those that were written.
 //!
-//! A shard's rows fall into [`RANGES`] ranges. A range's sum is the sum of its rows' digests, so a row that comes or goes moves it
-//! by its own digest. Copies' sums are not compared with one another: each disk lets go of what is old by its own clock.
+//! The rows of a shard fall into [`RANGE_COUNT`] ranges. The checksum of a range is the wrapping
+//! sum of its rows' digests, so that adding or removing a row changes it by the row's digest alone.
+//! Checksums of different replicas are not compared: each disk applies retention by its own clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::keyspace::{KeyValue, Keyspace, KeyspaceReader, Table};
-use super::records::StoreError;
-use super::shards::{shard_of_mark, state, BY_NUMBER};
-use super::tables::{key, number, TOP};
+use super::error::StoreError;
+use super::keys::{
+    decode_call_state, decode_identity, key, key_part, shard_key_range, KEY_END, TABLES_BY_SEQUENCE,
+};
+use super::keyspace::{KeyValue, Keyspace, KeyspaceReader, ScanOrder, Table};
 use crate::delivery::Seq;
 use crate::replication::ShardId;
 
 /// Ranges of a shard.
-pub const RANGES: usize = 16;
-/// Rows read at once while all are counted.
-const PAGE: usize = 256;
-
-/// A shard's sums.
-pub(super) type Sums = [u128; RANGES];
-
-/// Which shard and range a row belongs to; none if it is not a shard's, or cannot be read.
-fn place_of(table: Table, k: &[u8], value: &[u8]) -> Option<(ShardId, usize)> {
-    let last = usize::from(k.last().copied().unwrap_or(0));
-    let (shard, at) = match table {
-        t if BY_NUMBER.contains(&t) => {
-            let seq = Seq(number(k, 0));
-            (seq.shard(), (seq.0 % RANGES as u64) as usize)
-        }
-        Table::Replays => (shard_of_mark(value).ok()?, last % RANGES),
-        Table::ByCall => (state(value).ok()?.shard, last % RANGES),
-        _ => return None,
-    };
-    (shard > 0).then_some((shard, at))
+const RANGE_COUNT: usize = 16;
+/// Rows that are read at a time while all of them are counted.
+const SCAN_PAGE_ROWS: usize = 256;
+/// Tables with rows of shards that are found by an identity.
+const TABLES_BY_IDENTITY: [Table; 2] = [Table::Identities, Table::CallStates];
+
+/// The checksums of a shard's ranges.
+type ShardChecksums = [u128; RANGE_COUNT];
+
+/// A range of a shard's rows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ShardRange {
+    shard: ShardId,
+    range: usize,
+}
+
+impl ShardRange {
+    /// Returns the range of a row; none if the row is not replicated or cannot be read.
+    fn of_row(table: Table, row_key: &[u8], value: &[u8]) -> Option<ShardRange> {
+        let last_byte = usize::from(row_key.last().copied().unwrap_or(0));
+        let (shard, range) = match table {
+            Table::Identities => (decode_identity(value).ok()?.shard, last_byte % RANGE_COUNT),
+            Table::CallStates => (
+                decode_call_state(value).ok()?.shard,
+                last_byte % RANGE_COUNT,
+            ),
+            table if TABLES_BY_SEQUENCE.contains(&table) => {
+                let seq = Seq(key_part(row_key, 0));
+                (seq.shard(), (seq.0 % RANGE_COUNT as u64) as usize)
+            }
+            _ => return None,
+        };
+        (shard > 0).then_some(ShardRange { shard, range })
+    }
+
+    /// Returns the key of the range's checksum.
+    fn key(self) -> Vec<u8> {
+        key(&[u64::from(self.shard), self.range as u64])
+    }
 }
 
-/// A row's digest.
-fn digest(table: Table, k: &[u8], value: &[u8]) -> u128 {
+/// Returns the digest of a row.
+fn row_digest(table: Table, row_key: &[u8], value: &[u8]) -> u128 {
     let mut hash = blake3::Hasher::new();
     hash.update(table.name().as_bytes());
-    hash.update(&(k.len() as u64).to_le_bytes());
-    hash.update(k);
+    hash.update(&(row_key.len() as u64).to_le_bytes());
+    hash.update(row_key);
     hash.update(value);
     hash.finalize()
         .as_bytes()
         .first_chunk::<16>()
-        .map_or(0, |b| u128::from_le_bytes(*b))
+        .map_or(0, |bytes| u128::from_le_bytes(*bytes))
 }
 
-/// Sums of rows that are looked at one by one.
+/// Computes checksums from rows that are added one by one.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Count(BTreeMap<ShardId, Sums>);
-
-impl Count {
-    /// One more row.
-    pub(super) fn row(&mut self, table: Table, k: &[u8], value: &[u8]) {
-        if let Some((shard, at)) = place_of(table, k, value) {
-            let sums = self.0.entry(shard).or_default();
-            sums[at] = sums[at].wrapping_add(digest(table, k, value));
+pub(super) struct ChecksumCounter(BTreeMap<ShardId, ShardChecksums>);
+
+impl ChecksumCounter {
+    /// Adds rows of a table.
+    pub(super) fn add_rows(&mut self, table: Table, rows: &[KeyValue]) {
+        for (row_key, value) in rows {
+            self.add_row(table, row_key, value);
+        }
+    }
+
+    fn add_row(&mut self, table: Table, row_key: &[u8], value: &[u8]) {
+        if let Some(ShardRange { shard, range }) = ShardRange::of_row(table, row_key, value) {
+            let checksums = self.0.entry(shard).or_default();
+            checksums[range] = checksums[range].wrapping_add(row_digest(table, row_key, value));
         }
     }
 
-    /// The ranges of a shard that are not what was kept.
-    pub(super) fn unlike(
+    fn checksums(&self, shard: ShardId) -> ShardChecksums {
+        self.0.get(&shard).copied().unwrap_or_default()
+    }
+
+    /// Returns the ranges of a shard whose computed checksum differs from the stored one.
+    pub(super) fn mismatches(
         &self,
-        look: &dyn KeyspaceReader,
+        reader: &dyn KeyspaceReader,
         shard: ShardId,
     ) -> Result<Vec<u8>, StoreError> {
-        let (counted, kept) = (
-            self.0.get(&shard).copied().unwrap_or_default(),
-            kept(look, shard)?,
-        );
-        // Sixteen ranges.
-        Ok((0..RANGES)
-            .filter(|at| counted[*at] != kept[*at])
-            .map(|at| at as u8)
-            .collect())
+        let mut mismatches = Vec::new();
+        for (range, computed) in self.checksums(shard).into_iter().enumerate() {
+            if computed != stored_checksum(reader, ShardRange { shard, range })? {
+                // There are sixteen ranges.
+                mismatches.push(range as u8);
+            }
+        }
+        Ok(mismatches)
     }
 }
 
-fn kept_at(look: &dyn KeyspaceReader, shard: ShardId, at: usize) -> Result<u128, StoreError> {
-    let bytes = look.get(Table::Sums, &key(&[u64::from(shard), at as u64]))?;
-    let word = bytes.and_then(|b| b.first_chunk::<16>().copied());
-    Ok(word.map_or(0, u128::from_le_bytes))
+fn stored_checksum(reader: &dyn KeyspaceReader, range: ShardRange) -> Result<u128, StoreError> {
+    let bytes = reader.get(Table::Checksums, &range.key())?;
+    let checksum = bytes.and_then(|bytes| bytes.first_chunk::<16>().copied());
+    Ok(checksum.map_or(0, u128::from_le_bytes))
+}
+
+fn store_checksum(
+    keyspace: &mut dyn Keyspace,
+    range: ShardRange,
+    checksum: u128,
+) -> Result<(), StoreError> {
+    keyspace
+        .put(Table::Checksums, &range.key(), &checksum.to_le_bytes())
+        .map(drop)
 }
 
-fn kept(look: &dyn KeyspaceReader, shard: ShardId) -> Result<Sums, StoreError> {
-    let mut sums = Sums::default();
-    for (at, sum) in sums.iter_mut().enumerate() {
-        *sum = kept_at(look, shard, at)?;
+/// Checks a shard's rows against its checksums.
+pub(super) fn verify_shard(reader: &dyn KeyspaceReader, shard: ShardId) -> Result<(), StoreError> {
+    let mut counter = ChecksumCounter::default();
+    let (from, to) = shard_key_range(shard);
+    for table in TABLES_BY_SEQUENCE {
+        counter.add_rows(table, &reader.scan_all(table, &from, &to)?);
+    }
+    for table in TABLES_BY_IDENTITY {
+        counter.add_rows(table, &reader.scan_all(table, &[], &KEY_END)?);
+    }
+    let mismatches = counter.mismatches(reader, shard)?;
+    if mismatches.is_empty() {
+        Ok(())
+    } else {
+        Err(StoreError::ChecksumMismatch(shard, mismatches))
     }
-    Ok(sums)
 }
 
-/// Counts all rows of shards.
-fn count(look: &dyn KeyspaceReader) -> Result<Count, StoreError> {
-    let mut count = Count::default();
-    for table in BY_NUMBER.into_iter().chain([Table::Replays, Table::ByCall]) {
+/// Counts the rows of all shards, a page at a time.
+fn count_all(reader: &dyn KeyspaceReader) -> Result<ChecksumCounter, StoreError> {
+    let mut counter = ChecksumCounter::default();
+    for table in TABLES_BY_SEQUENCE.into_iter().chain(TABLES_BY_IDENTITY) {
         let mut from = Vec::new();
         loop {
-            let page: Vec<KeyValue> = look.scan(table, &from, &TOP, PAGE, false)?;
-            page.iter().for_each(|(k, v)| count.row(table, k, v));
-            let Some((last, _)) = page.last().filter(|_| page.len() == PAGE) else {
+            let order = ScanOrder::Ascending;
+            let page = reader.scan(table, &from, &KEY_END, SCAN_PAGE_ROWS, order)?;
+            counter.add_rows(table, &page);
+            let Some((last_key, _)) = page.last().filter(|_| page.len() == SCAN_PAGE_ROWS) else {
                 break;
             };
-            // The next key after it.
-            from.clone_from(last);
+            // The lowest key after the last one.
+            from.clone_from(last_key);
             from.push(0);
         }
     }
-    Ok(count)
+    Ok(counter)
 }
 
-/// The ranges of each shard whose rows are not what was written; none of a shard that is sound.
-pub(super) fn verify(look: &dyn KeyspaceReader) -> Result<Vec<(ShardId, Vec<u8>)>, StoreError> {
-    let count = count(look)?;
-    let mut found = Vec::new();
-    for (k, _) in look.scan(Table::Shards, &[], &TOP, usize::MAX, false)? {
-        // Keys are written from numbers of shards.
-        let shard = number(&k, 0) as ShardId;
-        found.push((shard, count.unlike(look, shard)?));
+/// Returns for each shard the ranges whose rows do not match their checksums.
+pub(super) fn verify(reader: &dyn KeyspaceReader) -> Result<Vec<(ShardId, Vec<u8>)>, StoreError> {
+    let counter = count_all(reader)?;
+    let mut verified = Vec::new();
+    for (shard_key, _) in reader.scan_all(Table::Shards, &[], &KEY_END)? {
+        // The keys are written from shard numbers.
+        let shard = key_part(&shard_key, 0) as ShardId;
+        verified.push((shard, counter.mismatches(reader, shard)?));
     }
-    Ok(found)
+    Ok(verified)
 }
 
-/// A space whose changes of shards' rows are summed.
-pub(super) struct Summed<'a> {
-    space: &'a mut dyn Keyspace,
-    changed: BTreeMap<(ShardId, usize), u128>,
-    anew: BTreeSet<ShardId>,
+/// A keyspace that tracks how writes change the checksums of shards.
+pub(super) struct ChecksummedKeyspace<'a> {
+    keyspace: &'a mut dyn Keyspace,
+    /// The change of each range's checksum.
+    changes: BTreeMap<ShardRange, u128>,
+    /// Shards whose checksums are computed from all of their rows.
+    recounted: BTreeSet<ShardId>,
 }
 
-impl<'a> Summed<'a> {
-    /// Round a space.
-    pub(super) fn new(space: &'a mut dyn Keyspace) -> Summed<'a> {
-        Summed {
-            space,
-            changed: BTreeMap::new(),
-            anew: BTreeSet::new(),
+impl<'a> ChecksummedKeyspace<'a> {
+    /// Wraps a keyspace.
+    pub(super) fn new(keyspace: &'a mut dyn Keyspace) -> ChecksummedKeyspace<'a> {
+        ChecksummedKeyspace {
+            keyspace,
+            changes: BTreeMap::new(),
+            recounted: BTreeSet::new(),
         }
     }
 
-    /// All of a shard was written anew: its sums are counted, whatever was kept before.
-    pub(super) fn anew(&mut self, shard: ShardId) {
-        self.anew.insert(shard);
+    /// Has a shard's checksums computed from all of its rows, whatever was stored before.
+    pub(super) fn recount(&mut self, shard: ShardId) {
+        self.recounted.insert(shard);
     }
 
-    /// Keeps the sums; the last step of a commit but for the store's own.
+    /// Stores the checksums. This is the last step of a commit but for the store's header.
     pub(super) fn flush(&mut self) -> Result<(), StoreError> {
-        let changed = std::mem::take(&mut self.changed);
-        for ((shard, at), by) in changed
-            .into_iter()
-            .filter(|((s, _), by)| !self.anew.contains(s) && *by != 0)
-        {
-            let sum = kept_at(self.space, shard, at)?.wrapping_add(by);
-            self.space.put(
-                Table::Sums,
-                &key(&[u64::from(shard), at as u64]),
-                &sum.to_le_bytes(),
-            )?;
-        }
-        let anew = std::mem::take(&mut self.anew);
-        if anew.is_empty() {
+        self.flush_changes()?;
+        let recounted = std::mem::take(&mut self.recounted);
+        if recounted.is_empty() {
             return Ok(());
         }
-        let count = count(self.space)?;
-        for shard in anew {
-            let sums = count.0.get(&shard).copied().unwrap_or_default();
-            for (at, sum) in sums.iter().enumerate() {
-                self.space.put(
-                    Table::Sums,
-                    &key(&[u64::from(shard), at as u64]),
-                    &sum.to_le_bytes(),
-                )?;
+        let counter = count_all(self.keyspace)?;
+        for shard in recounted {
+            for (range, checksum) in counter.checksums(shard).into_iter().enumerate() {
+                store_checksum(self.keyspace, ShardRange { shard, range }, checksum)?;
             }
         }
         Ok(())
     }
 
-    fn moved(&mut self, table: Table, k: &[u8], old: Option<&[u8]>, new: Option<&[u8]>) {
-        for (value, comes) in [(old, false), (new, true)] {
-            let Some((place, value)) = value.and_then(|v| Some((place_of(table, k, v)?, v))) else {
+    fn flush_changes(&mut self) -> Result<(), StoreError> {
+        for (range, change) in std::mem::take(&mut self.changes) {
+            if change == 0 || self.recounted.contains(&range.shard) {
                 continue;
-            };
-            let by = digest(table, k, value);
-            let sum = self.changed.entry(place).or_default();
-            *sum = if comes {
-                sum.wrapping_add(by)
-            } else {
-                sum.wrapping_sub(by)
-            };
+            }
+            let checksum = stored_checksum(self.keyspace, range)?.wrapping_add(change);
+            store_checksum(self.keyspace, range, checksum)?;
         }
+        Ok(())
     }
 
-    fn is_summed(table: Table) -> bool {
-        BY_NUMBER.contains(&table) || matches!(table, Table::Replays | Table::ByCall)
+    fn subtract_row(&mut self, table: Table, row_key: &[u8], value: &[u8]) {
+        if let Some(range) = ShardRange::of_row(table, row_key, value) {
+            let change = self.changes.entry(range).or_default();
+            *change = change.wrapping_sub(row_digest(table, row_key, value));
+        }
+    }
+
+    fn add_row(&mut self, table: Table, row_key: &[u8], value: &[u8]) {
+        if let Some(range) = ShardRange::of_row(table, row_key, value) {
+            let change = self.changes.entry(range).or_default();
+            *change = change.wrapping_add(row_digest(table, row_key, value));
+        }
     }
 }
 
-impl KeyspaceReader for Summed<'_> {
+impl KeyspaceReader for ChecksummedKeyspace<'_> {
     fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
-        self.space.get(table, key)
+        self.keyspace.get(table, key)
     }
 
     fn scan(
@@ -210,32 +253,33 @@
         from: &[u8],
         to: &[u8],
         limit: usize,
-        backwards: bool,
+        order: ScanOrder,
     ) -> Result<Vec<KeyValue>, StoreError> {
-        self.space.scan(table, from, to, limit, backwards)
+        self.keyspace.scan(table, from, to, limit, order)
     }
 }
 
-impl Keyspace for Summed<'_> {
+impl Keyspace for ChecksummedKeyspace<'_> {
     fn put(
         &mut self,
         table: Table,
         key: &[u8],
         value: &[u8],
     ) -> Result<Option<Vec<u8>>, StoreError> {
-        let old = self.space.put(table, key, value)?;
-        if Summed::is_summed(table) {
-            self.moved(table, key, old.as_deref(), Some(value));
+        let previous = self.keyspace.put(table, key, value)?;
+        if let Some(previous) = &previous {
+            self.subtract_row(table, key, previous);
         }
-        Ok(old)
+        self.add_row(table, key, value);
+        Ok(previous)
     }
 
     fn remove(&mut self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
-        let old = self.space.remove(table, key)?;
-        if Summed::is_summed(table) {
-            self.moved(table, key, old.as_deref(), None);
+        let previous = self.keyspace.remove(table, key)?;
+        if let Some(previous) = &previous {
+            self.subtract_row(table, key, previous);
         }
-        Ok(old)
+        Ok(previous)
     }
 }
 
--- a/src/store/checksums/fixture_tests.rs
+++ b/src/store/checksums/fixture_tests.rs
@@ -2,7 +2,7 @@
 //!
 //! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
 
-use super::{digest, Table};
+use super::{row_digest, Table};
 use crate::fixtures::check_lines;
 use crate::hex::hex_line;
 
@@ -11,7 +11,7 @@
     let line = |table: Table| {
         hex_line(
             table.name(),
-            &digest(table, &9_u64.to_be_bytes(), b"a row").to_le_bytes(),
+            &row_digest(table, &9_u64.to_be_bytes(), b"a row").to_le_bytes(),
         )
     };
     check_lines("wire/row_digests.txt", &Table::ALL.map(line));
--- /dev/null
+++ b/src/store/consensus_log.rs
@@ -0,0 +1,57 @@
+//! The tables of the consensus log: its entries by index, and the voter's state beside them.
+
+use super::error::StoreError;
+use super::keys::{decode, encode, key, key_part, KEY_END};
+use super::keyspace::{Keyspace, KeyspaceReader, Table};
+use crate::consensus::kept::{Head, LogLine, Record};
+
+/// The key of the voter's state in [`Table::Meta`].
+const VOTER_KEY: &[u8] = b"seat";
+const ENTRY: &str = "an entry of the log";
+
+/// What the disk holds of a voter.
+pub type VoterState = (Option<Head>, Vec<LogLine>);
+
+/// Persists a change, as [`crate::consensus::kept::PersistentState::apply`] makes it in memory.
+pub(super) fn append(keyspace: &mut dyn Keyspace, record: &Record) -> Result<(), StoreError> {
+    if record.anew {
+        remove_range(keyspace, &[], &KEY_END)?;
+    }
+    if let Some(first) = record.entries.first() {
+        remove_range(keyspace, &key(&[first.index]), &KEY_END)?;
+    }
+    for entry in &record.entries {
+        keyspace.put(Table::Log, &key(&[entry.index]), &encode(entry)?)?;
+    }
+    if let Some(first_index) = record.from {
+        remove_range(keyspace, &[], &key(&[first_index]))?;
+    }
+    if let Some(head) = &record.head {
+        keyspace.put(Table::Meta, VOTER_KEY, &encode(head)?)?;
+    }
+    Ok(())
+}
+
+fn remove_range(keyspace: &mut dyn Keyspace, from: &[u8], to: &[u8]) -> Result<(), StoreError> {
+    for (entry_key, _) in keyspace.scan_all(Table::Log, from, to)? {
+        keyspace.remove(Table::Log, &entry_key)?;
+    }
+    Ok(())
+}
+
+/// Reads the voter's state and its log. An entry that is stored under another index is unreadable.
+pub(super) fn read(reader: &dyn KeyspaceReader) -> Result<VoterState, StoreError> {
+    let head = reader
+        .get(Table::Meta, VOTER_KEY)?
+        .map(|bytes| decode(&bytes, "a seat"))
+        .transpose()?;
+    let mut entries = Vec::new();
+    for (entry_key, value) in reader.scan_all(Table::Log, &[], &KEY_END)? {
+        let entry: LogLine = decode(&value, ENTRY)?;
+        if entry.index != key_part(&entry_key, 0) {
+            return Err(StoreError::Unreadable(ENTRY));
+        }
+        entries.push(entry);
+    }
+    Ok((head, entries))
+}
--- /dev/null
+++ b/src/store/keys.rs
@@ -0,0 +1,113 @@
+//! Encoding of keys and values, shared by all tables.
+//!
+//! Keys are sequences of big-endian 64-bit numbers, so that they sort by their parts; values are
+//! encoded by postcard.
+
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+
+use super::error::StoreError;
+use super::keyspace::Table;
+use super::records::CallState;
+use crate::api::Micros;
+use crate::delivery::{Seq, Waiting};
+use crate::replication::ShardId;
+
+/// A key after all keys that are in use.
+pub(super) const KEY_END: [u8; 32] = [0xff; 32];
+/// Bytes of one numeric part of a key.
+pub(super) const KEY_PART_BYTES: usize = 8;
+
+/// Tables whose keys start with the number of a call or message.
+pub(super) const TABLES_BY_SEQUENCE: [Table; 5] = [
+    Table::Calls,
+    Table::Messages,
+    Table::Bodies,
+    Table::StartedAttempts,
+    Table::Attempts,
+];
+
+/// Encodes a value.
+pub(super) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StoreError> {
+    postcard::to_stdvec(value).map_err(|_| StoreError::Unreadable("a record"))
+}
+
+/// Decodes a value; `description` names it in the error.
+pub(super) fn decode<T: DeserializeOwned>(
+    bytes: &[u8],
+    description: &'static str,
+) -> Result<T, StoreError> {
+    postcard::from_bytes(bytes).map_err(|_| StoreError::Unreadable(description))
+}
+
+/// Builds a key of numeric parts.
+pub(super) fn key(parts: &[u64]) -> Vec<u8> {
+    parts.iter().flat_map(|part| part.to_be_bytes()).collect()
+}
+
+/// Reads a numeric part of a key; 0 if the key is too short.
+pub(super) fn key_part(key: &[u8], index: usize) -> u64 {
+    let start = index * KEY_PART_BYTES;
+    let part = key
+        .get(start..start + KEY_PART_BYTES)
+        .and_then(|bytes| bytes.try_into().ok());
+    part.map_or(0, u64::from_be_bytes)
+}
+
+/// Returns the key of a call, message, body or started attempt.
+pub(super) fn sequence_key(seq: Seq) -> Vec<u8> {
+    key(&[seq.0])
+}
+
+/// Returns the range of a shard's keys in the [`TABLES_BY_SEQUENCE`], without its end.
+pub(super) fn shard_key_range(shard: ShardId) -> (Vec<u8>, Vec<u8>) {
+    let start = Seq::of_shard(shard, 0, 0);
+    let end = Seq::of_shard(shard + 1, 0, 0);
+    (sequence_key(start), sequence_key(end))
+}
+
+/// Returns the key of a waiting message: its endpoint, due time and number.
+pub(super) fn waiting_key(waiting: &Waiting) -> Vec<u8> {
+    key(&[waiting.endpoint.0, waiting.due, waiting.seq.0])
+}
+
+/// Returns the key of a call's state: its tenant and identity.
+pub(super) fn call_key(serial: u64, id: &str) -> Vec<u8> {
+    [&key(&[serial])[..], id.as_bytes()].concat()
+}
+
+/// Returns the key of a row that orders another row by time.
+pub(super) fn age_key(time: Micros, row_key: &[u8]) -> Vec<u8> {
+    [&key(&[time])[..], row_key].concat()
+}
+
+/// The value of an identity that was seen.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+pub(super) struct IdentityEntry {
+    /// The time until which a repetition has to be detected.
+    pub(super) valid_until: Micros,
+    /// The shard of the call; 0 if it is not replicated.
+    pub(super) shard: ShardId,
+}
+
+/// Decodes an identity's value. Earlier versions wrote no shard.
+pub(super) fn decode_identity(bytes: &[u8]) -> Result<IdentityEntry, StoreError> {
+    decode(bytes, "a digest").or_else(|_: StoreError| {
+        Ok(IdentityEntry {
+            valid_until: decode(bytes, "a digest")?,
+            shard: 0,
+        })
+    })
+}
+
+/// Decodes the state of a call. Earlier versions wrote no shard.
+pub(super) fn decode_call_state(bytes: &[u8]) -> Result<CallState, StoreError> {
+    decode(bytes, "a call's state").or_else(|error| {
+        let (taken, outcome) = decode(bytes, "a call's state").map_err(|_: StoreError| error)?;
+        Ok(CallState {
+            taken,
+            outcome,
+            shard: 0,
+        })
+    })
+}
--- a/src/store/keyspace.rs
+++ b/src/store/keyspace.rs
@@ -1,55 +1,72 @@
-//! Tables of bytes: what the store's logic stands on, in memory or in a file's transaction.
+//! Ordered tables of bytes, which the store's logic runs over: in memory, or in a transaction of
+//! the file.
 
 use std::collections::BTreeMap;
 
-use super::records::StoreError;
+use super::error::StoreError;
 
-/// The tables.
+/// A table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-#[allow(missing_docs)]
 pub enum Table {
+    /// The header, the disk's identity, and the voter's state.
     Meta,
+    /// Calls without an outcome, by number.
     Calls,
+    /// Messages, by number.
     Messages,
+    /// Bodies of messages, by number.
     Bodies,
+    /// Messages that wait here, by endpoint, due time and number.
     Waiting,
-    Begun,
+    /// Started attempts, by the message's number.
+    StartedAttempts,
+    /// Finished attempts, by the message's number and a counter.
     Attempts,
-    ByTenant,
-    ByCall,
-    CallAges,
-    Replays,
-    ReplayAges,
-    Heads,
-    Behind,
+    /// Messages, by tenant and number.
+    MessagesByTenant,
+    /// States of calls, by tenant and identity.
+    CallStates,
+    /// States of calls, by time.
+    CallStateAges,
+    /// Identities that were seen, by digest.
+    Identities,
+    /// Identities that were seen, by time.
+    IdentityAges,
+    /// The first message of each order key, by endpoint and order key.
+    OrderHeads,
+    /// Messages behind the first of their order key, by endpoint, order key and number.
+    OrderQueue,
+    /// Entries of the consensus log, by index.
     Log,
+    /// Headers of shards, by shard.
     Shards,
-    Sums,
+    /// Checksums, by shard and range.
+    Checksums,
 }
 
 impl Table {
-    /// All of them.
+    /// All tables.
     pub const ALL: [Table; 17] = [
         Table::Meta,
         Table::Calls,
         Table::Messages,
         Table::Bodies,
         Table::Waiting,
-        Table::Begun,
+        Table::StartedAttempts,
         Table::Attempts,
-        Table::ByTenant,
-        Table::ByCall,
-        Table::CallAges,
-        Table::Replays,
-        Table::ReplayAges,
-        Table::Heads,
-        Table::Behind,
+        Table::MessagesByTenant,
+        Table::CallStates,
+        Table::CallStateAges,
+        Table::Identities,
+        Table::IdentityAges,
+        Table::OrderHeads,
+        Table::OrderQueue,
         Table::Log,
         Table::Shards,
-        Table::Sums,
+        Table::Checksums,
     ];
 
-    /// Its name in the file.
+    /// Returns the table's name in the file.
     pub fn name(self) -> &'static str {
         match self {
             Table::Meta => "meta",
@@ -57,18 +74,18 @@
             Table::Messages => "messages",
             Table::Bodies => "bodies",
             Table::Waiting => "waiting",
-            Table::Begun => "begun",
+            Table::StartedAttempts => "begun",
             Table::Attempts => "attempts",
-            Table::ByTenant => "by_tenant",
-            Table::ByCall => "by_call",
-            Table::CallAges => "call_ages",
-            Table::Replays => "replays",
-            Table::ReplayAges => "replay_ages",
-            Table::Heads => "heads",
-            Table::Behind => "behind",
+            Table::MessagesByTenant => "by_tenant",
+            Table::CallStates => "by_call",
+            Table::CallStateAges => "call_ages",
+            Table::Identities => "replays",
+            Table::IdentityAges => "replay_ages",
+            Table::OrderHeads => "heads",
+            Table::OrderQueue => "behind",
             Table::Log => "log",
             Table::Shards => "shards",
-            Table::Sums => "sums",
+            Table::Checksums => "sums",
         }
     }
 }
@@ -76,24 +93,39 @@
 /// A key and its value.
 pub type KeyValue = (Vec<u8>, Vec<u8>);
 
-/// Ordered tables of bytes, to be looked at.
+/// The order in which a scan returns rows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ScanOrder {
+    /// From the lowest key.
+    Ascending,
+    /// From the highest key.
+    Descending,
+}
+
+/// Read access to ordered tables of bytes.
 pub trait KeyspaceReader {
-    /// A value.
+    /// Returns the value of a key.
     fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError>;
-    /// The first pairs from `from` up to and without `to`; the last ones, backwards, if asked so.
+    /// Returns up to `limit` rows whose keys are at least `from` and below `to`, in the given
+    /// order.
     fn scan(
         &self,
         table: Table,
         from: &[u8],
         to: &[u8],
         limit: usize,
-        backwards: bool,
+        order: ScanOrder,
     ) -> Result<Vec<KeyValue>, StoreError>;
+
+    /// Returns all rows whose keys are at least `from` and below `to`.
+    fn scan_all(&self, table: Table, from: &[u8], to: &[u8]) -> Result<Vec<KeyValue>, StoreError> {
+        self.scan(table, from, to, usize::MAX, ScanOrder::Ascending)
+    }
 }
 
-/// Ordered tables of bytes.
+/// Read and write access to ordered tables of bytes.
 pub trait Keyspace: KeyspaceReader {
-    /// Sets a value and returns the one before it.
+    /// Sets a value and returns the previous one.
     fn put(
         &mut self,
         table: Table,
@@ -119,16 +151,18 @@
         from: &[u8],
         to: &[u8],
         limit: usize,
-        backwards: bool,
+        order: ScanOrder,
     ) -> Result<Vec<KeyValue>, StoreError> {
         if from >= to {
             return Ok(Vec::new());
         }
-        let range = self.0.range((table, from.to_vec())..(table, to.to_vec()));
-        let pair = |((_, k), v): (&(Table, Vec<u8>), &Vec<u8>)| (k.clone(), v.clone());
-        Ok(match backwards {
-            false => range.take(limit).map(pair).collect(),
-            true => range.rev().take(limit).map(pair).collect(),
+        let rows = self
+            .0
+            .range((table, from.to_vec())..(table, to.to_vec()))
+            .map(|((_, key), value)| (key.clone(), value.clone()));
+        Ok(match order {
+            ScanOrder::Ascending => rows.take(limit).collect(),
+            ScanOrder::Descending => rows.rev().take(limit).collect(),
         })
     }
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,128 +1,79 @@
-//! What the store keeps, and what is asked of it.
-
-use std::fmt;
+//! Records that the store persists. They are encoded by postcard, so the order of their fields is
+//! part of the format.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::{Effect, Micros};
-use crate::consensus::kept::Record;
 use crate::delivery::response::State;
-use crate::delivery::{EndpointId, Seq, Waiting};
-use crate::replication::error::ReplicationError;
-use crate::replication::{LogPosition, ShardId};
+use crate::delivery::{Seq, Waiting};
+use crate::replication::ShardId;
 
 /// The digest of a call's identity.
 pub type IdentityDigest = [u8; 32];
 
-/// Why the store cannot do what it is asked.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreError {
-    /// Another process holds the file.
-    Locked,
-    /// The file is not a store of this program.
-    NotAStore(String),
-    /// The file was written by a newer version.
-    NewerFormat(u32),
-    /// A record cannot be read.
-    Unreadable(&'static str),
-    /// The disk failed or is full; what was asked is not kept.
-    Io(String),
-    /// As many bytes wait as may.
-    Full,
-    /// What the disk holds of a shard is not what was written.
-    ChecksumMismatch(ShardId, Vec<u8>),
-    /// It does not stand on as many machines as it has to.
-    NotCommitted(ReplicationError),
-}
-
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            StoreError::Locked => f.write_str("the store is held by another process"),
-            StoreError::NotAStore(e) => write!(f, "the file is not a store of this program: {e}"),
-            StoreError::NewerFormat(v) => write!(
-                f,
-                "the store has format {v}, which is newer than this program"
-            ),
-            StoreError::Unreadable(what) => write!(f, "the store holds {what} that cannot be read"),
-            StoreError::Io(e) => write!(f, "the store cannot be written or read: {e}"),
-            StoreError::Full => f.write_str("the store holds as much as it may"),
-            StoreError::ChecksumMismatch(shard, ranges) => {
-                write!(
-                    f,
-                    "ranges {ranges:?} of shard {shard} are not what was written"
-                )
-            }
-            StoreError::NotCommitted(why) => write!(f, "{why}"),
-        }
-    }
-}
-
-impl std::error::Error for StoreError {}
-
-/// A call that got a 202, until its answer is kept.
+/// An accepted call, from its 202 until its outcome is committed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// Its number.
+    /// The sequence number.
     pub seq: Seq,
-    /// The tenant's name, and which of that name.
+    /// The tenant's name.
     pub tenant: String,
-    /// Which tenant of that name.
+    /// The tenant's serial number, which tells tenants of one name apart.
     pub serial: u64,
-    /// The identity that the caller gave it.
+    /// The identity that the caller gave the call.
     pub webhook_id: String,
-    /// The identity that workers are told.
+    /// The identity under which workers receive the call.
     pub worker_id: String,
-    /// The class's name.
+    /// The name of the request class.
     pub class: String,
-    /// What repeating it does.
+    /// The effect of running the call more than once.
     pub effect: Effect,
-    /// The function.
+    /// The function that is called.
     pub function: u64,
-    /// Until when it is of use, Unix microseconds.
+    /// When the call expires, in Unix microseconds.
     pub expires: Micros,
-    /// The hint at its work.
+    /// The caller's estimate of the work.
     pub work: Option<Micros>,
-    /// Memory of a copy.
+    /// Memory of one copy of the function.
     pub memory_mb: f64,
-    /// Calls that a copy runs at a time.
+    /// Calls that one copy runs at a time.
     pub concurrency_per_copy: u32,
-    /// Usual time of a load.
+    /// The usual time to load a copy.
     pub load_time: Option<Micros>,
-    /// What the worker gets.
+    /// The body that is sent to the worker.
     pub body: Vec<u8>,
-    /// Answers under one key go out in their order.
+    /// The order key; callbacks of one key are delivered in order.
     pub order: Option<String>,
-    /// When an attempt that is not proved never to have run was first sent.
+    /// When an attempt was first sent that may have run.
     pub sent: Option<Micros>,
 }
 
 /// A message to an endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageRecord {
-    /// What delivery knows of it.
+    /// The part that the delivery scheduler uses.
     pub waiting: Waiting,
-    /// Where it stands.
+    /// The state of the delivery.
     pub state: State,
     /// The tenant's name.
     pub tenant: String,
-    /// Which tenant of that name.
+    /// The tenant's serial number, which tells tenants of one name apart.
     pub serial: u64,
-    /// The `webhook-id`, the same with every attempt.
+    /// The `webhook-id`, which is the same for every attempt.
     pub id: String,
     /// The type of event.
     pub kind: String,
-    /// The call that it answers.
+    /// The identity of the call that the message answers, if it answers one.
     pub call: Option<String>,
-    /// When it was made.
+    /// When the message was created.
     pub created: Micros,
-    /// The key within which messages keep their order.
+    /// The order key; messages of one key are delivered in order.
     pub order: Option<u64>,
-    /// Who had it sent again although it may have arrived.
+    /// The operator who requested a resend although the message may have arrived.
     pub acknowledged: Option<String>,
 }
 
-/// An attempt at a message.
+/// A finished attempt to deliver a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRecord {
     /// When it ended.
@@ -131,191 +82,32 @@
     pub took: Micros,
     /// How it ended.
     pub ending: String,
-    /// The answer's status.
+    /// The status code of the response.
     pub status: Option<u16>,
-    /// Whether it may have arrived.
+    /// Whether the message may have arrived.
     pub may_have_arrived: bool,
 }
 
-/// How a call stands, for its caller to ask.
+/// The state of a call, as its caller can query it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallState {
-    /// When it was taken.
+    /// The time from which retention measures the state's age.
     pub taken: Micros,
-    /// `served`, `refused`, `failed` or `unknown`; none while it is open.
+    /// `served`, `refused`, `failed` or `unknown`; none while the call is open.
     pub outcome: Option<String>,
-    /// Its shard; 0 if it is this gateway's alone.
+    /// The call's shard; 0 if it is not replicated.
     pub shard: ShardId,
 }
 
-/// A list of messages to look for; all that is given must hold.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Filter {
-    /// The tenant.
-    pub serial: u64,
-    /// The state's name.
-    pub state: Option<String>,
-    /// The type of event.
-    pub kind: Option<String>,
-    /// The endpoint.
-    pub endpoint: Option<EndpointId>,
-    /// Made at or after this.
-    pub since: Option<Micros>,
-    /// Older than this message: the page's cursor.
-    pub before: Option<Seq>,
-    /// At most so many.
-    pub limit: usize,
-}
-
-/// What is asked of the store.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Op {
-    /// Keep a call, and that its identity was seen, until this time.
-    AcceptCall(Box<CallRecord>, IdentityDigest, Micros),
-    /// Forget a call whose taking could not be confirmed.
-    RevokeCall(Seq, IdentityDigest),
-    /// An attempt of an unsafe call is about to leave, at this time.
-    MarkSent(Seq, Micros),
-    /// No attempt of it ran after all.
-    ClearSent(Seq),
-    /// A call has its answer: the outcome and its messages, in place of the call.
-    CompleteCall(Seq, String, Vec<(MessageRecord, Vec<u8>)>),
-    /// Keep messages that answer no call.
-    Publish(Vec<(MessageRecord, Vec<u8>)>),
-    /// An attempt at a message is about to leave; whether that is to be recorded, and when.
-    BeginAttempt(Seq, bool, Micros),
-    /// Where a message stands after an attempt, or without one.
-    FinishAttempt(Box<Waiting>, State, Option<AttemptRecord>),
-    /// The first that wait for an endpoint.
-    FetchDue(EndpointId, usize),
-    /// End what waits for an endpoint that is no more; at most so many at once.
-    PurgeEndpoint(EndpointId, usize),
-    /// Send a message again, due at this time; one that may have arrived and must not twice only if acknowledged,
-    /// by whom.
-    Resend(Seq, u64, Micros, Option<String>),
-    /// Send again all messages of an endpoint that were given up since a time and may be sent again; at most so many.
-    ResendDeadLetters(EndpointId, u64, Micros, Micros, usize),
-    /// Messages of a tenant, the newest first.
-    ListMessages(Filter),
-    /// One message of a tenant with its attempts and body.
-    GetMessage(Seq, u64),
-    /// How a tenant's call stands.
-    GetCall(u64, String),
-    /// Let go of what is old or too much: now, the age, the bytes, and how many records to look at.
-    ApplyRetention(Micros, Micros, u64, usize),
-    /// Figures.
-    Stats,
-    /// Whether what the disk holds of shards is still what was written.
-    VerifyChecksums,
-    /// All messages after one, the oldest first, so many.
-    ExportMessages(Option<Seq>, usize),
-    /// Keep a change of a voter's log.
-    AppendLog(Box<Record>),
-    /// A process begins on this disk, which gets this number if it has none; `true` takes a new one whatever it has, and lets
-    /// go of all that is held for others.
-    RegisterDisk(u64, bool),
-    /// A record of a shard, and the place it leads to.
-    ApplyToShard(ShardId, LogPosition, Box<Op>),
-    /// All that the disk holds of a shard, for a copy.
-    ReadShard(ShardId),
-    /// What another disk holds of a shard takes the place of what this one does.
-    InstallShard(ShardId, LogPosition, Vec<u8>),
-    /// No other disk has a shard that is damaged here: what is left of it counts.
-    AcceptDamage(ShardId),
-    /// A shard is led here from now on: what stands of it.
-    BecomePrimary(ShardId),
-    /// It is led here no more: nothing of it waits here.
-    ResignPrimary(ShardId),
-}
-
-impl Op {
-    /// The shard whose copies must have this before it counts; none if it is this gateway's alone.
-    pub fn shard(&self) -> Option<ShardId> {
-        let seq = match self {
-            Op::AcceptCall(call, ..) => call.seq,
-            Op::BeginAttempt(seq, true, _)
-            | Op::MarkSent(seq, _)
-            | Op::ClearSent(seq)
-            | Op::CompleteCall(seq, ..) => *seq,
-            Op::RevokeCall(seq, _) => *seq,
-            Op::FinishAttempt(waiting, ..) => waiting.seq,
-            _ => return None,
-        };
-        Some(seq.shard()).filter(|s| *s > 0)
-    }
-}
-
-/// What the store answers.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
-    /// Done.
-    Done,
-    /// Messages that now wait for their attempt.
-    Queued(Vec<Waiting>),
-    /// The message whose attempt may leave, with its body; none if it does not wait any more.
-    Attempt(Option<Box<(MessageRecord, Vec<u8>)>>),
-    /// The first that wait, and when the next after them is due.
-    Due(Vec<Waiting>, Option<Micros>),
-    /// Whether there may be more to do.
-    More(bool),
-    /// It may not be sent again: it may have arrived, or it is not known.
-    ResendRejected(&'static str),
-    /// Messages.
-    Messages(Vec<MessageRecord>),
-    /// One message, its attempts and its body.
-    Message(Option<Box<MessageDetails>>),
-    /// A call's state.
-    Call(Option<CallState>),
-    /// Messages that expired while they waited, those that wait in their place, and whether there may be more to
-    /// look at.
-    Retained(Vec<Seq>, Vec<Waiting>, bool),
-    /// Figures.
-    Stats(StoreStats),
-    /// The disk's number, how often it was begun, and how far the shards on it have come.
-    Disk(u64, u64, Vec<(ShardId, LogPosition)>),
-    /// The ranges of each shard that are not what was written.
-    Verified(Vec<(ShardId, Vec<u8>)>),
-    /// A shard's content, as of a place.
-    ShardContent(LogPosition, Vec<u8>),
-    /// What stands of a shard.
-    PrimaryState(Box<ShardState>),
-}
-
-/// What stands of a shard that is taken over.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct ShardState {
-    /// Calls without an answer.
-    pub calls: Vec<CallRecord>,
-    /// Identities taken, and until when they count.
-    pub identities: Vec<(IdentityDigest, Micros)>,
-    /// Callbacks that wait.
-    pub waiting: Vec<Waiting>,
-    /// Callbacks of which an attempt had begun, and when.
-    pub in_flight: Vec<(Waiting, Micros)>,
-    /// Identities that counted until then may have been forgotten.
-    pub identities_expired_until: Micros,
-}
-
-/// All that is kept of one message.
-#[derive(Clone, Debug, PartialEq)]
-pub struct MessageDetails {
-    /// The message.
-    pub record: MessageRecord,
-    /// Its latest attempts, in their order.
-    pub attempts: Vec<AttemptRecord>,
-    /// Its body.
-    pub body: Vec<u8>,
-}
-
-/// Figures of the store.
+/// Counts of the store's content. The names of the fields are keys of JSON.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStats {
-    /// Calls without an answer.
+    /// Calls without an outcome.
     pub calls: u64,
-    /// Messages in all.
+    /// All messages.
     pub messages: u64,
-    /// Messages that wait.
+    /// Messages whose delivery is not over.
     pub waiting: u64,
-    /// Bytes of bodies.
+    /// Bytes of the bodies.
     pub bytes: u64,
 }
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -1,5 +1,4 @@
-//! What becomes of a call that got a 202 and has no answer when the gateway starts: one row for each stage and
-//! class. Callbacks whose attempt had begun are settled by [`super::tables::Tables::open`].
+//! Recovery of calls and attempts after a restart or the loss of a gateway.
 
 use super::records::{AttemptRecord, CallRecord};
 use crate::api::{Effect, Micros};
@@ -7,25 +6,28 @@
 use crate::delivery::Waiting;
 use crate::policy::allowed;
 
-/// What is done with a call found at a start.
+/// What is done with a call that a start finds without an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryAction {
-    /// It runs, as if it had just come.
+    /// The call runs as if it had just been accepted.
     Run,
-    /// It is refused at once: to call again is harmless.
+    /// The call is rejected at once; calling again is safe.
     Reject,
-    /// Nobody can tell whether it ran: its callback says so, and it is never run again.
+    /// It is unknown whether the call ran. Its callback reports that, and the call is never run
+    /// again.
     ReportUnknown,
 }
 
-/// Tells a call's fate. A keyed call that may have run is not run again: the module does not know of the first
-/// attempt, and so not when workers forget it. With a clock that has stepped back nobody can tell that either, and
-/// it counts as one that must not run twice.
-pub fn recovery_action(call: &CallRecord, now: Micros, stepped_back: bool) -> RecoveryAction {
-    let safe = call.effect == Effect::Idempotent;
-    if call.sent.is_some() && !safe {
-        let refuse = allowed(call.effect, call.sent, now, 0).refuse && !stepped_back;
-        return if refuse {
+/// Chooses the action for a recovered call.
+///
+/// A call with an idempotency key that may have run is not run again: the decision module does not
+/// know the first attempt, so it cannot tell when workers forget the key. If the clock went back
+/// that time is not known at all, and the call is treated as one that must not run twice.
+pub fn recovery_action(call: &CallRecord, now: Micros, clock_regressed: bool) -> RecoveryAction {
+    let is_idempotent = call.effect == Effect::Idempotent;
+    if call.sent.is_some() && !is_idempotent {
+        let can_reject = allowed(call.effect, call.sent, now, 0).refuse && !clock_regressed;
+        return if can_reject {
             RecoveryAction::Reject
         } else {
             RecoveryAction::ReportUnknown
@@ -38,41 +40,41 @@
     }
 }
 
-/// What becomes of a callback whose attempt had begun when its gateway was lost: by its class it waits again, or nobody can
-/// tell. A keyed one is not sent again with a clock that has stepped back.
+/// Settles an attempt that was in flight when its gateway was lost. By its effect the message waits
+/// again, or it is unknown whether it arrived. A message with an idempotency key is not sent again
+/// if the clock went back.
 pub fn settle_attempt(
-    w: &mut Waiting,
-    begun: Micros,
+    waiting: &mut Waiting,
+    started_at: Micros,
     now: Micros,
-    stepped_back: bool,
+    clock_regressed: bool,
 ) -> (State, AttemptRecord) {
-    w.ran.get_or_insert(begun);
-    let keyed = matches!(w.effect, Effect::Keyed { .. });
-    let again = allowed(w.effect, w.ran, now, 0).resend && !(stepped_back && keyed);
-    let state = if again {
+    waiting.ran.get_or_insert(started_at);
+    waiting.tries += 1;
+    let has_key = matches!(waiting.effect, Effect::Keyed { .. });
+    let can_resend =
+        allowed(waiting.effect, waiting.ran, now, 0).resend && !(clock_regressed && has_key);
+    let state = if can_resend {
         State::Waiting
     } else {
         State::Dead(Dead::Unknown)
     };
-    w.tries += 1;
-    (
-        state,
-        AttemptRecord {
-            at: now,
-            took: 0,
-            ending: "killed".into(),
-            status: None,
-            may_have_arrived: true,
-        },
-    )
+    let attempt = AttemptRecord {
+        at: now,
+        took: 0,
+        ending: "killed".into(),
+        status: None,
+        may_have_arrived: true,
+    };
+    (state, attempt)
 }
 
-/// The same where another machine's clock said when it had begun: a keyed one is not sent again, as clocks of two machines
-/// are not compared.
+/// Settles an attempt whose start was recorded by another machine. The clocks of two machines are
+/// not compared, so a message with an idempotency key is not sent again.
 pub fn settle_remote_attempt(
-    w: &mut Waiting,
-    begun: Micros,
+    waiting: &mut Waiting,
+    started_at: Micros,
     now: Micros,
 ) -> (State, AttemptRecord) {
-    settle_attempt(w, begun, now, true)
+    settle_attempt(waiting, started_at, now, true)
 }
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -1,423 +1,296 @@
-//! Shards in the tables: what a disk holds for others, by the shard in a call's or message's number.
+//! Shards in the tables: the replicas that a disk holds.
 //!
-//! A disk that is a copy keeps all of a shard but the rows by which deliveries are found: those are made when the shard comes
-//! to be led here. Identities seen and the states of calls have no number; they go by the call's own digest.
+//! Calls and messages belong to the shard in their number; identities and states of calls have
+//! their shard in the value. A replica holds all of a shard but its rows in [`Table::Waiting`].
+//! Those are made when this gateway becomes the primary, and removed when it resigns.
+
+use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-use super::checksums::Count;
-use super::keyspace::{KeyValue, Keyspace, Table};
-use super::records::*;
-use super::tables::{key, number, pack, unpack, waiting_key, TOP};
+use super::checksums::verify_shard;
+use super::error::StoreError;
+use super::keys::{
+    decode, decode_call_state, decode_identity, encode, key, key_part, sequence_key,
+    shard_key_range, waiting_key, KEY_END, KEY_PART_BYTES, TABLES_BY_SEQUENCE,
+};
+use super::keyspace::{KeyValue, Keyspace, KeyspaceReader, Table};
+use super::operations::ShardState;
+use super::records::{AttemptRecord, CallRecord, IdentityDigest, MessageRecord};
 use crate::api::Micros;
 use crate::delivery::response::State;
 use crate::delivery::Seq;
 use crate::replication::{LogPosition, ShardId};
 
-/// What is kept of a shard itself.
-#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-struct Head {
-    place: LogPosition,
-    led: bool,
-    /// Identities that counted until then may have been forgotten, here or by a disk that this content came from.
-    forgotten: Micros,
-}
+pub(super) mod snapshot;
 
-/// A shard's content, as it is sent to a copy.
-#[derive(Debug, Default, Serialize, Deserialize)]
-pub(super) struct Content {
-    place: LogPosition,
-    /// Rows of tables whose keys begin with a number: which table, key and value.
-    rows: Vec<(u8, Vec<u8>, Vec<u8>)>,
-    marks: Vec<(IdentityDigest, Micros)>,
-    states: Vec<(Vec<u8>, CallState)>,
-    forgotten: Micros,
+/// The header of a shard on this disk.
+#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
+struct ShardHeader {
+    /// The position of the replica's log.
+    position: LogPosition,
+    /// Whether this gateway is the shard's primary.
+    is_primary: bool,
+    /// Identities that were valid until this time may have been removed, here or on a disk that
+    /// this content came from.
+    identities_expired_until: Micros,
 }
 
-/// Tables whose keys begin with a call's or message's number.
-pub(super) const BY_NUMBER: [Table; 5] = [
-    Table::Calls,
-    Table::Messages,
-    Table::Bodies,
-    Table::Begun,
-    Table::Attempts,
-];
-
-fn head(space: &dyn Keyspace, shard: ShardId) -> Result<Head, StoreError> {
-    let bytes = space.get(Table::Shards, &key(&[u64::from(shard)]))?;
-    bytes.map_or(Ok(Head::default()), |b| read_head(&b))
-}
+impl ShardHeader {
+    /// Decodes a header. Earlier versions wrote no time of expired identities.
+    fn decode(bytes: &[u8]) -> Result<ShardHeader, StoreError> {
+        decode(bytes, "a shard").or_else(|error| {
+            let (position, is_primary) = decode(bytes, "a shard").map_err(|_: StoreError| error)?;
+            Ok(ShardHeader {
+                position,
+                is_primary,
+                identities_expired_until: 0,
+            })
+        })
+    }
 
-/// A shard's head, also as earlier versions wrote it.
-fn read_head(bytes: &[u8]) -> Result<Head, StoreError> {
-    unpack(bytes, "a shard").or_else(|e| {
-        let (place, led) = unpack(bytes, "a shard").map_err(|_: StoreError| e)?;
-        Ok(Head {
-            place,
-            led,
-            forgotten: 0,
+    fn read(reader: &dyn KeyspaceReader, shard: ShardId) -> Result<ShardHeader, StoreError> {
+        let bytes = reader.get(Table::Shards, &shard_key(shard))?;
+        bytes.map_or(Ok(ShardHeader::default()), |bytes| {
+            ShardHeader::decode(&bytes)
         })
-    })
+    }
+
+    fn write(&self, keyspace: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
+        keyspace
+            .put(Table::Shards, &shard_key(shard), &encode(self)?)
+            .map(drop)
+    }
 }
 
-fn put(space: &mut dyn Keyspace, shard: ShardId, head: &Head) -> Result<(), StoreError> {
-    space
-        .put(Table::Shards, &key(&[u64::from(shard)]), &pack(head)?)
-        .map(drop)
+fn shard_key(shard: ShardId) -> Vec<u8> {
+    key(&[u64::from(shard)])
 }
 
-/// Whether deliveries of a number are found here: it is this gateway's alone, or its shard is led here.
-pub(super) fn is_led(space: &dyn Keyspace, seq: Seq) -> bool {
-    seq.shard() == 0 || head(space, seq.shard()).is_ok_and(|h| h.led)
+/// Returns whether this gateway delivers a message: it is not replicated, or this gateway is its
+/// shard's primary.
+pub(super) fn is_local_or_primary(reader: &dyn KeyspaceReader, seq: Seq) -> bool {
+    seq.shard() == 0 || ShardHeader::read(reader, seq.shard()).is_ok_and(|header| header.is_primary)
 }
 
-/// A record of a shard leads to a place.
-pub(super) fn keep(
-    space: &mut dyn Keyspace,
+/// Sets the position of a replica's log.
+pub(super) fn set_position(
+    keyspace: &mut dyn Keyspace,
     shard: ShardId,
-    place: LogPosition,
+    position: LogPosition,
 ) -> Result<(), StoreError> {
-    let head = head(space, shard)?;
-    put(space, shard, &Head { place, ..head })
+    let header = ShardHeader {
+        position,
+        ..ShardHeader::read(keyspace, shard)?
+    };
+    header.write(keyspace, shard)
 }
 
-/// All shards on the disk, and how far they have come.
-pub(super) fn places(space: &dyn Keyspace) -> Result<Vec<(ShardId, LogPosition)>, StoreError> {
-    let rows = space.scan(Table::Shards, &[], &TOP, usize::MAX, false)?;
-    // Keys are written from numbers of shards.
+/// Returns all shards on the disk, with the positions of their logs.
+pub(super) fn positions(
+    reader: &dyn KeyspaceReader,
+) -> Result<Vec<(ShardId, LogPosition)>, StoreError> {
+    let rows = reader.scan_all(Table::Shards, &[], &KEY_END)?;
     rows.iter()
-        .map(|(k, v)| Ok((number(k, 0) as ShardId, read_head(v)?.place)))
+        .map(|(row_key, value)| {
+            // The keys are written from shard numbers.
+            let shard = key_part(row_key, 0) as ShardId;
+            Ok((shard, ShardHeader::decode(value)?.position))
+        })
         .collect()
 }
 
-/// A process begins: it leads nothing.
-pub(super) fn rest_all(space: &mut dyn Keyspace) -> Result<(), StoreError> {
-    for (shard, _) in places(space)? {
-        rest(space, shard)?;
-    }
-    Ok(())
-}
-
-fn range(shard: ShardId) -> (Vec<u8>, Vec<u8>) {
-    (
-        key(&[Seq::of_shard(shard, 0, 0).0]),
-        key(&[Seq::of_shard(shard + 1, 0, 0).0]),
-    )
-}
-
-fn of(space: &dyn Keyspace, table: Table, shard: ShardId) -> Result<Vec<KeyValue>, StoreError> {
-    let (from, to) = range(shard);
-    space.scan(table, &from, &to, usize::MAX, false)
+/// Removes a shard's header.
+pub(super) fn remove_header(keyspace: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
+    keyspace.remove(Table::Shards, &shard_key(shard)).map(drop)
 }
 
-fn waiting(space: &dyn Keyspace, shard: ShardId) -> Result<Vec<MessageRecord>, StoreError> {
-    let all: Result<Vec<MessageRecord>, _> = of(space, Table::Messages, shard)?
-        .iter()
-        .map(|(_, v)| unpack(v, "a message"))
-        .collect();
-    Ok(all?
-        .into_iter()
-        .filter(|m| m.state == State::Waiting)
-        .collect())
-}
-
-/// Nothing of a shard waits here any more.
-pub(super) fn rest(space: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
-    let h = head(space, shard)?;
-    if !h.led {
-        return Ok(());
-    }
-    sweep(space, Table::Waiting, |k, _| {
-        Seq(number(k, 2)).shard() == shard
-    })?;
-    put(space, shard, &Head { led: false, ..h })
-}
-
-/// Removes the rows of a table that are meant; without a look into what may be damaged.
-fn sweep(
-    space: &mut dyn Keyspace,
-    table: Table,
-    meant: impl Fn(&[u8], &[u8]) -> bool,
-) -> Result<Vec<KeyValue>, StoreError> {
-    let mut gone = space.scan(table, &[], &TOP, usize::MAX, false)?;
-    gone.retain(|(k, v)| meant(k, v));
-    for (k, _) in &gone {
-        space.remove(table, k)?;
+/// Resigns as the primary of all shards. A process that starts is no primary.
+pub(super) fn resign_all(keyspace: &mut dyn Keyspace) -> Result<(), StoreError> {
+    for (shard, _) in positions(keyspace)? {
+        resign_primary(keyspace, shard)?;
     }
-    Ok(gone)
+    Ok(())
 }
 
-/// Removes rows by identity, with what tells their age. One that cannot be read is nobody's, and goes with any shard.
-fn sweep_aged(
-    space: &mut dyn Keyspace,
-    (table, ages): (Table, Table),
+/// Ends this gateway's role as a shard's primary: none of its messages wait here any more.
+pub(super) fn resign_primary(
+    keyspace: &mut dyn Keyspace,
     shard: ShardId,
-    shard_of: impl Fn(&[u8]) -> Result<ShardId, StoreError>,
 ) -> Result<(), StoreError> {
-    let gone = sweep(space, table, |_, v| {
-        shard_of(v).map_or(true, |of| of == shard)
-    })?;
-    let gone: std::collections::BTreeSet<Vec<u8>> = gone.into_iter().map(|(k, _)| k).collect();
-    sweep(space, ages, |k, _| {
-        k.get(8..).is_some_and(|of| gone.contains(of))
+    let header = ShardHeader::read(keyspace, shard)?;
+    if !header.is_primary {
+        return Ok(());
+    }
+    remove_rows(keyspace, Table::Waiting, |row_key, _| {
+        Seq(key_part(row_key, 2)).shard() == shard
     })?;
-    Ok(())
+    let header = ShardHeader {
+        is_primary: false,
+        ..header
+    };
+    header.write(keyspace, shard)
 }
 
-/// What is left of a shard counts as it stands; rows that cannot be read go.
-pub(super) fn accept(space: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
-    let good = |table: Table, v: &[u8]| match table {
-        Table::Calls => unpack::<CallRecord>(v, "a call").is_ok(),
-        Table::Messages => unpack::<MessageRecord>(v, "a message").is_ok(),
-        Table::Begun => unpack::<Micros>(v, "an attempt's beginning").is_ok(),
-        Table::Attempts => unpack::<AttemptRecord>(v, "an attempt").is_ok(),
-        _ => true,
-    };
-    for table in BY_NUMBER {
-        for (k, v) in of(space, table, shard)? {
-            if !good(table, &v) {
-                space.remove(table, &k)?;
+/// Makes this gateway a shard's primary, and returns the shard's state. A damaged replica is not
+/// promoted: one whose rows match their checksums has to be.
+pub(super) fn become_primary(
+    keyspace: &mut dyn Keyspace,
+    shard: ShardId,
+    identities_expired_until: Micros,
+) -> Result<ShardState, StoreError> {
+    verify_shard(keyspace, shard)?;
+    let mut state = ShardState::default();
+    for message in waiting_messages(keyspace, shard)? {
+        let waiting = message.waiting;
+        keyspace.put(Table::Waiting, &waiting_key(&waiting), &encode(&waiting)?)?;
+        match keyspace.get(Table::StartedAttempts, &sequence_key(waiting.seq))? {
+            Some(started) => {
+                let started_at = decode(&started, "an attempt's beginning")?;
+                state.in_flight.push((waiting, started_at));
             }
+            None => state.waiting.push(waiting),
         }
     }
-    // Of those by identity only what is nobody's.
-    let nobody = ShardId::MAX;
-    sweep_aged(
-        space,
-        (Table::Replays, Table::ReplayAges),
-        nobody,
-        shard_of_mark,
-    )?;
-    sweep_aged(space, (Table::ByCall, Table::CallAges), nobody, |v| {
-        Ok(state(v)?.shard)
-    })
+    for (_, value) in shard_rows(keyspace, Table::Calls, shard)? {
+        state.calls.push(decode(&value, "a call")?);
+    }
+    state.identities = identities(keyspace, shard)?;
+    let header = ShardHeader::read(keyspace, shard)?;
+    state.identities_expired_until = header
+        .identities_expired_until
+        .max(identities_expired_until);
+    let header = ShardHeader {
+        is_primary: true,
+        ..header
+    };
+    header.write(keyspace, shard)?;
+    Ok(state)
 }
 
-/// All of a shard goes, damaged or not.
-fn let_go(space: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
-    rest(space, shard)?;
-    for (table, part) in [(Table::ByTenant, 1), (Table::Behind, 2)] {
-        sweep(space, table, |k, _| Seq(number(k, part)).shard() == shard)?;
-    }
-    sweep(space, Table::Heads, |_, v| {
-        Seq(number(v, 0)).shard() == shard
-    })?;
-    for table in BY_NUMBER {
-        for (k, _) in of(space, table, shard)? {
-            space.remove(table, &k)?;
-        }
-    }
-    sweep_aged(
-        space,
-        (Table::Replays, Table::ReplayAges),
-        shard,
-        shard_of_mark,
-    )?;
-    sweep_aged(space, (Table::ByCall, Table::CallAges), shard, |v| {
-        Ok(state(v)?.shard)
-    })
+/// Returns a shard's rows in one of the [`TABLES_BY_SEQUENCE`].
+fn shard_rows(
+    reader: &dyn KeyspaceReader,
+    table: Table,
+    shard: ShardId,
+) -> Result<Vec<KeyValue>, StoreError> {
+    let (from, to) = shard_key_range(shard);
+    reader.scan_all(table, &from, &to)
 }
 
-/// A shard is led here: what stands of it.
-pub(super) fn lead(
-    space: &mut dyn Keyspace,
+fn waiting_messages(
+    reader: &dyn KeyspaceReader,
     shard: ShardId,
-    identities_expired_until: Micros,
-) -> Result<Reply, StoreError> {
-    // Not on what is damaged: whoever has it whole is to lead.
-    sound(space, shard)?;
-    let mut stands = ShardState::default();
-    for m in waiting(space, shard)? {
-        space.put(Table::Waiting, &waiting_key(&m.waiting), &pack(&m.waiting)?)?;
-        match space.get(Table::Begun, &key(&[m.waiting.seq.0]))? {
-            Some(at) => stands
-                .in_flight
-                .push((m.waiting, unpack(&at, "an attempt's beginning")?)),
-            None => stands.waiting.push(m.waiting),
+) -> Result<Vec<MessageRecord>, StoreError> {
+    let mut messages = Vec::new();
+    for (_, value) in shard_rows(reader, Table::Messages, shard)? {
+        let message: MessageRecord = decode(&value, "a message")?;
+        if message.state == State::Waiting {
+            messages.push(message);
         }
     }
-    for (_, v) in of(space, Table::Calls, shard)? {
-        stands.calls.push(unpack(&v, "a call")?);
-    }
-    stands.identities = marks(space, shard)?;
-    let h = head(space, shard)?;
-    stands.identities_expired_until = h.forgotten.max(identities_expired_until);
-    put(space, shard, &Head { led: true, ..h })?;
-    Ok(Reply::PrimaryState(Box::new(stands)))
+    Ok(messages)
 }
 
-/// A mark's shard is written with it.
-fn marks(
-    space: &dyn Keyspace,
+/// Returns a shard's identities, with the time until which each is valid.
+fn identities(
+    reader: &dyn KeyspaceReader,
     shard: ShardId,
 ) -> Result<Vec<(IdentityDigest, Micros)>, StoreError> {
-    let mut found = Vec::new();
-    for (k, v) in space.scan(Table::Replays, &[], &TOP, usize::MAX, false)? {
-        let mark: IdentityDigest = k
+    let mut identities = Vec::new();
+    for (row_key, value) in reader.scan_all(Table::Identities, &[], &KEY_END)? {
+        let identity: IdentityDigest = row_key
             .try_into()
             .map_err(|_| StoreError::Unreadable("a digest"))?;
-        let (until, of) = until_and_shard(&v)?;
-        if of == shard {
-            found.push((mark, until));
+        let entry = decode_identity(&value)?;
+        if entry.shard == shard {
+            identities.push((identity, entry.valid_until));
         }
     }
-    Ok(found)
-}
-
-/// Whether what the disk holds of a shard is what was written.
-fn sound(space: &dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
-    let mut count = Count::default();
-    for table in BY_NUMBER {
-        of(space, table, shard)?
-            .iter()
-            .for_each(|(k, v)| count.row(table, k, v));
-    }
-    for table in [Table::Replays, Table::ByCall] {
-        space
-            .scan(table, &[], &TOP, usize::MAX, false)?
-            .iter()
-            .for_each(|(k, v)| count.row(table, k, v));
-    }
-    match count.unlike(space, shard)? {
-        unlike if unlike.is_empty() => Ok(()),
-        unlike => Err(StoreError::ChecksumMismatch(shard, unlike)),
-    }
+    Ok(identities)
 }
 
-/// All that the disk holds of a shard, if it is what was written: nothing damaged is handed on.
-pub(super) fn read(
-    space: &dyn Keyspace,
-    shard: ShardId,
-    forgotten: Micros,
-) -> Result<Reply, StoreError> {
-    sound(space, shard)?;
-    let h = head(space, shard)?;
-    let forgotten = h.forgotten.max(forgotten);
-    let mut content = Content {
-        place: h.place,
-        forgotten,
-        ..Content::default()
-    };
-    for (n, table) in BY_NUMBER.into_iter().enumerate() {
-        // Five tables.
-        let n = n as u8;
-        content
-            .rows
-            .extend(of(space, table, shard)?.into_iter().map(|(k, v)| (n, k, v)));
-    }
-    content.marks = marks(space, shard)?;
-    for (k, v) in space.scan(Table::ByCall, &[], &TOP, usize::MAX, false)? {
-        let state = state(&v)?;
-        if state.shard == shard {
-            content.states.push((k, state));
+/// Accepts what is readable of a damaged shard, and removes the rows that are not.
+pub(super) fn accept_damage(keyspace: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
+    for table in TABLES_BY_SEQUENCE {
+        for (row_key, value) in shard_rows(keyspace, table, shard)? {
+            if !is_readable(table, &value) {
+                keyspace.remove(table, &row_key)?;
+            }
         }
     }
-    Ok(Reply::ShardContent(content.place, pack(&content)?))
+    // Of the rows found by identity only those that cannot be read, which belong to no shard.
+    remove_rows_by_identity(keyspace, ShardId::MAX)
 }
 
-/// What another disk holds takes the place of what this one does; the figures of both.
-pub(super) fn write(
-    space: &mut dyn Keyspace,
-    shard: ShardId,
-    place: LogPosition,
-    bytes: &[u8],
-) -> Result<(StoreStats, StoreStats), StoreError> {
-    let content: Content = unpack(bytes, "a shard's content")?;
-    let gone = figures(space, shard)?;
-    let_go(space, shard)?;
-    for (n, k, v) in &content.rows {
-        let table = BY_NUMBER
-            .get(usize::from(*n))
-            .copied()
-            .ok_or(StoreError::Unreadable("a shard's table"))?;
-        if Seq(number(k, 0)).shard() != shard {
-            return Err(StoreError::Unreadable("a row of another shard"));
-        }
-        space.put(table, k, v)?;
-        if table == Table::Messages {
-            let m: MessageRecord = unpack(v, "a message")?;
-            let (e, seq) = (m.waiting.endpoint.0, m.waiting.seq.0);
-            space.put(Table::ByTenant, &key(&[m.serial, seq]), &[])?;
-            match (m.order, m.state) {
-                (Some(order), State::Behind) => {
-                    space.put(Table::Behind, &key(&[e, order, seq]), &[])?;
-                }
-                (Some(order), State::Waiting) => {
-                    space.put(Table::Heads, &key(&[e, order]), &key(&[seq]))?;
-                }
-                _ => {}
-            }
-        }
-    }
-    for (mark, until) in &content.marks {
-        space.put(Table::Replays, mark, &pack(&(*until, shard))?)?;
-        space.put(
-            Table::ReplayAges,
-            &[&key(&[*until])[..], mark].concat(),
-            &[],
-        )?;
-    }
-    for (k, state) in &content.states {
-        space.put(Table::ByCall, k, &pack(state)?)?;
-        space.put(
-            Table::CallAges,
-            &[&key(&[state.taken])[..], k].concat(),
-            &[],
-        )?;
+fn is_readable(table: Table, value: &[u8]) -> bool {
+    match table {
+        Table::Calls => decode::<CallRecord>(value, "a call").is_ok(),
+        Table::Messages => decode::<MessageRecord>(value, "a message").is_ok(),
+        Table::StartedAttempts => decode::<Micros>(value, "an attempt's beginning").is_ok(),
+        Table::Attempts => decode::<AttemptRecord>(value, "an attempt").is_ok(),
+        _ => true,
     }
-    let forgotten = head(space, shard)?.forgotten.max(content.forgotten);
-    put(
-        space,
-        shard,
-        &Head {
-            place,
-            led: false,
-            forgotten,
-        },
-    )?;
-    Ok((gone, figures(space, shard)?))
 }
 
-/// Figures of what the disk holds of a shard; what cannot be read is left out.
-fn figures(space: &dyn Keyspace, shard: ShardId) -> Result<StoreStats, StoreError> {
-    let calls = of(space, Table::Calls, shard)?;
-    let mut stat = StoreStats {
-        calls: calls.len() as u64,
-        ..StoreStats::default()
-    };
-    for (_, v) in of(space, Table::Messages, shard)? {
-        stat.messages += 1;
-        let waits = unpack(&v, "a message").is_ok_and(|m: MessageRecord| !m.state.is_over());
-        stat.waiting += u64::from(waits);
+/// Removes all rows of a shard, damaged or not.
+fn remove_shard(keyspace: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
+    resign_primary(keyspace, shard)?;
+    for (table, part) in [(Table::MessagesByTenant, 1), (Table::OrderQueue, 2)] {
+        remove_rows(keyspace, table, |row_key, _| {
+            Seq(key_part(row_key, part)).shard() == shard
+        })?;
     }
-    stat.bytes = of(space, Table::Bodies, shard)?
-        .iter()
-        .map(|(_, v)| v.len() as u64)
-        .sum();
-    for (_, v) in calls {
-        stat.bytes += unpack::<CallRecord>(&v, "a call").map_or(0, |c| c.body.len() as u64);
+    remove_rows(keyspace, Table::OrderHeads, |_, value| {
+        Seq(key_part(value, 0)).shard() == shard
+    })?;
+    for table in TABLES_BY_SEQUENCE {
+        for (row_key, _) in shard_rows(keyspace, table, shard)? {
+            keyspace.remove(table, &row_key)?;
+        }
     }
-    Ok(stat)
+    remove_rows_by_identity(keyspace, shard)
 }
 
-/// A call's state, also as earlier versions wrote it.
-pub(super) fn state(bytes: &[u8]) -> Result<CallState, StoreError> {
-    unpack(bytes, "a call's state").or_else(|e| {
-        let (taken, outcome) = unpack(bytes, "a call's state").map_err(|_: StoreError| e)?;
-        Ok(CallState {
-            taken,
-            outcome,
-            shard: 0,
-        })
-    })
+/// Removes the identities and the states of calls of a shard, with the rows of their ages. A row
+/// that cannot be read belongs to no shard, and is removed with any.
+fn remove_rows_by_identity(keyspace: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
+    let identities = remove_rows(keyspace, Table::Identities, |_, value| {
+        decode_identity(value).map_or(true, |entry| entry.shard == shard)
+    })?;
+    remove_ages(keyspace, Table::IdentityAges, &identities)?;
+    let states = remove_rows(keyspace, Table::CallStates, |_, value| {
+        decode_call_state(value).map_or(true, |state| state.shard == shard)
+    })?;
+    remove_ages(keyspace, Table::CallStateAges, &states)
 }
 
-/// The shard of an identity's row.
-pub(super) fn shard_of_mark(bytes: &[u8]) -> Result<ShardId, StoreError> {
-    until_and_shard(bytes).map(|(_, shard)| shard)
+/// Removes the rows of a table that match, and returns their keys.
+fn remove_rows(
+    keyspace: &mut dyn Keyspace,
+    table: Table,
+    matches: impl Fn(&[u8], &[u8]) -> bool,
+) -> Result<BTreeSet<Vec<u8>>, StoreError> {
+    let mut removed = BTreeSet::new();
+    for (row_key, value) in keyspace.scan_all(table, &[], &KEY_END)? {
+        if matches(&row_key, &value) {
+            keyspace.remove(table, &row_key)?;
+            removed.insert(row_key);
+        }
+    }
+    Ok(removed)
 }
 
-/// Until when an identity counts, and its shard; earlier versions wrote none.
-fn until_and_shard(bytes: &[u8]) -> Result<(Micros, ShardId), StoreError> {
-    unpack(bytes, "a digest").or_else(|_: StoreError| Ok((unpack(bytes, "a digest")?, 0)))
+/// Removes the rows of the ages of removed rows.
+fn remove_ages(
+    keyspace: &mut dyn Keyspace,
+    table: Table,
+    removed: &BTreeSet<Vec<u8>>,
+) -> Result<(), StoreError> {
+    remove_rows(keyspace, table, |age_key, _| {
+        age_key
+            .get(KEY_PART_BYTES..)
+            .is_some_and(|row_key| removed.contains(row_key))
+    })
+    .map(drop)
 }
--- /dev/null
+++ b/src/store/tests/recovery.rs
@@ -0,0 +1,87 @@
+//! Calls that a restart finds: the action for each effect and stage.
+
+use super::{accept, call, complete, retain, MAX_BYTES, SECOND_US};
+use crate::api::{Effect, IdempotencyScope};
+use crate::store::keyspace::MemoryKeyspace;
+use crate::store::records::CallRecord;
+use crate::store::recovery::{recovery_action, RecoveryAction};
+use crate::store::tables::Tables;
+
+fn keyed(scope: IdempotencyScope) -> Effect {
+    Effect::Keyed {
+        scope,
+        window: 5 * SECOND_US,
+    }
+}
+
+#[test]
+fn recovery_action_follows_effect_and_progress() {
+    let all = keyed(IdempotencyScope::All);
+    let zone = keyed(IdempotencyScope::Zone);
+    // The effect, when the first attempt was sent, the time of recovery (both in seconds), the
+    // action.
+    let rows = [
+        (Effect::NonIdempotent, None, 10, RecoveryAction::Run),
+        (Effect::NonIdempotent, None, 200, RecoveryAction::Reject),
+        (Effect::Idempotent, Some(5), 10, RecoveryAction::Run),
+        (Effect::Idempotent, Some(5), 200, RecoveryAction::Reject),
+        (
+            Effect::NonIdempotent,
+            Some(5),
+            10,
+            RecoveryAction::ReportUnknown,
+        ),
+        (
+            Effect::NonIdempotent,
+            Some(5),
+            200,
+            RecoveryAction::ReportUnknown,
+        ),
+        (all, Some(7), 10, RecoveryAction::Reject),
+        (all, Some(4), 10, RecoveryAction::ReportUnknown),
+        (zone, Some(99), 101, RecoveryAction::ReportUnknown),
+        (all, Some(99), 101, RecoveryAction::Reject),
+    ];
+    for (effect, sent, now, expected) in rows {
+        let call = CallRecord {
+            sent: sent.map(|sent| sent * SECOND_US),
+            ..*call(1, effect)
+        };
+        assert_eq!(
+            recovery_action(&call, now * SECOND_US, false),
+            expected,
+            "{effect:?} {sent:?} {now}"
+        );
+    }
+    let call = CallRecord {
+        sent: Some(7 * SECOND_US),
+        ..*call(1, all)
+    };
+    assert_eq!(
+        recovery_action(&call, 6 * SECOND_US, true),
+        RecoveryAction::ReportUnknown,
+        "the clock went back"
+    );
+}
+
+/// Identities that retention removed are reported too, because the clock makes their stamps valid
+/// again.
+#[test]
+fn regressed_clock_is_reported() {
+    let mut keyspace = MemoryKeyspace::default();
+    let (mut tables, _) = Tables::open(&mut keyspace, true, MAX_BYTES, 1000).unwrap();
+    for op in [
+        accept(1, Effect::Idempotent, 1300),
+        complete(1, vec![]),
+        retain(2000, 1 << 40),
+    ] {
+        tables.apply(&mut keyspace, op).unwrap();
+    }
+    tables.finish(&mut keyspace, 2000).unwrap();
+    let (_, recovered) = Tables::open(&mut keyspace, true, MAX_BYTES, 900).unwrap();
+    assert!(recovered.clock_regressed && recovered.identities.is_empty());
+    assert_eq!(
+        recovered.identities_expired_until, 1300,
+        "an identity that was valid until then may have been used"
+    );
+}
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -1,8 +1,10 @@
-//! The one thread that writes: it takes what waits, many operations to one commit, and tells the loop.
+//! The thread that writes: it commits operations in batches and passes the replies on.
 //!
-//! After an error nothing that the operations asked for counts as kept. What only asks, or must not be done unless
-//! it is kept, is told the error; what has happened and must be kept waits here, in its order, until the file can
-//! be opened again. It is bounded by what was under way when the disk failed, as nothing new is taken meanwhile.
+//! After an error no operation of the batch counts as durable. Operations that the caller can
+//! repeat, or that must not take effect unless they are durable, are answered with the error.
+//! Operations that record what has already happened are queued in order until the file can be
+//! opened again. The queue is bounded by what was in progress when the disk failed, because nothing
+//! new is accepted meanwhile.
 
 use std::collections::VecDeque;
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
@@ -10,27 +12,30 @@
 use std::time::Duration;
 
 use super::disk::Disk;
-use super::records::{Op, Reply, StoreError};
+use super::error::StoreError;
+use super::operations::{Op, Reply};
 use crate::clock::Clock;
 
-/// Operations that one commit takes at most.
-const MOST_OPS: usize = 512;
-/// How long after an error the file is opened anew.
-const AGAIN: Duration = Duration::from_millis(500);
+/// The maximum number of operations in one commit.
+const MAX_BATCH_OPS: usize = 512;
+/// The interval at which a closed file is opened again.
+const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
+/// The number of an operation whose reply nobody waits for.
+const NO_REPLY: u64 = 0;
 
-/// Opens the store anew.
+/// Opens the store again.
 pub type StoreOpener = Box<dyn FnMut() -> Result<Disk, StoreError> + Send>;
-/// Where answers go: the number of the question, and the answer.
+/// Receives each reply with the number of its operation.
 pub type ReplyHandler = Box<dyn FnMut(u64, Result<Reply, StoreError>) + Send>;
 
 enum Job {
     Op(u64, Op),
-    /// What was read beside the thread.
-    Read(u64, Result<Reply, StoreError>),
+    /// The result of a read beside the thread.
+    ReadDone(u64, Result<Reply, StoreError>),
     Stop,
 }
 
-/// The way to the thread.
+/// The handle of the thread. Dropping it stops the thread after the operations that were submitted.
 #[derive(Debug)]
 pub struct Writer {
     jobs: Sender<Job>,
@@ -38,33 +43,33 @@
 }
 
 impl Writer {
-    /// Begins the thread over a store that is open.
+    /// Starts the thread over an open store.
     pub fn start(
         disk: Disk,
         opener: StoreOpener,
-        answered: ReplyHandler,
+        reply_handler: ReplyHandler,
     ) -> std::io::Result<Writer> {
-        let (jobs, waits) = mpsc::channel();
-        let room = Room {
+        let (jobs, receiver) = mpsc::channel();
+        let worker = WriterThread {
             disk: Some(disk),
             opener,
-            answered,
-            kept: VecDeque::new(),
+            reply_handler,
+            deferred: VecDeque::new(),
             clock: Clock::system(),
             jobs: jobs.clone(),
         };
         let thread = std::thread::Builder::new()
             .name("store".into())
-            .spawn(move || room.run(&waits))?;
+            .spawn(move || worker.run(&receiver))?;
         Ok(Writer {
             jobs,
             thread: Some(thread),
         })
     }
 
-    /// Asks for something; the answer comes under the number.
+    /// Submits an operation; its reply comes under the number.
     pub fn submit(&self, number: u64, op: Op) {
-        // A thread that is gone answers nothing; the process is at its end then.
+        // The thread is gone only at the end of the process, when nobody waits for a reply.
         let _ = self.jobs.send(Job::Op(number, op));
     }
 }
@@ -78,61 +83,63 @@
     }
 }
 
-/// What has happened and must be kept, whatever the disk says now.
-fn must_be_kept(op: &Op) -> bool {
+/// Returns whether an operation records what has already happened, so that it must become durable
+/// in the end.
+fn must_become_durable(op: &Op) -> bool {
     matches!(
         op,
-        Op::CompleteCall(..)
-            | Op::FinishAttempt(..)
+        Op::CompleteCall(_)
+            | Op::FinishAttempt(_)
             | Op::ClearSent(_)
             | Op::RevokeCall(..)
             | Op::PurgeEndpoint(..)
             | Op::Publish(_)
             | Op::AppendLog(_)
-            | Op::ApplyToShard(..)
-            | Op::InstallShard(..)
+            | Op::ApplyToShard(_)
+            | Op::InstallShard(_)
             | Op::AcceptDamage(_)
             | Op::BecomePrimary(_)
             | Op::ResignPrimary(_)
-            | Op::RegisterDisk(..)
+            | Op::RegisterDisk(_)
     )
 }
 
-struct Room {
+/// Returns the operation that reverts one which failed. A commit that failed may still have reached
+/// the disk.
+fn compensation(op: &Op) -> Option<Op> {
+    match op {
+        Op::AcceptCall(accept) => Some(Op::RevokeCall(accept.call.seq, accept.identity)),
+        // A started attempt that is recorded too often is safe; the attempt's end corrects it.
+        Op::SetSent(seq, _) => Some(Op::ClearSent(*seq)),
+        _ => None,
+    }
+}
+
+struct WriterThread {
+    /// The open store; none after an error.
     disk: Option<Disk>,
     opener: StoreOpener,
-    answered: ReplyHandler,
-    /// What waits for the disk.
-    kept: VecDeque<(u64, Op)>,
+    reply_handler: ReplyHandler,
+    /// Operations that are committed once the store is open again.
+    deferred: VecDeque<(u64, Op)>,
     clock: Clock,
     jobs: Sender<Job>,
 }
 
-/// The number under which nobody waits for an answer.
-const NOBODY: u64 = 0;
-
-impl Room {
-    fn run(mut self, waits: &Receiver<Job>) {
+impl WriterThread {
+    fn run(mut self, receiver: &Receiver<Job>) {
         let mut stopping = false;
         while !stopping {
-            let first = if self.disk.is_some() {
-                match waits.recv() {
-                    Ok(job) => Some(job),
-                    Err(_) => return,
-                }
-            } else {
-                match waits.recv_timeout(AGAIN) {
-                    Ok(job) => Some(job),
-                    Err(RecvTimeoutError::Timeout) => None,
-                    Err(RecvTimeoutError::Disconnected) => return,
-                }
+            let Ok(first) = self.wait(receiver) else {
+                return;
             };
             let mut batch = Vec::new();
-            for job in first.into_iter().chain(waits.try_iter()).take(MOST_OPS) {
+            let jobs = first.into_iter().chain(receiver.try_iter());
+            for job in jobs.take(MAX_BATCH_OPS) {
                 match job {
-                    Job::Op(number, Op::VerifyChecksums) => self.verify(number),
+                    Job::Op(number, Op::VerifyChecksums) => self.verify_checksums(number),
                     Job::Op(number, op) => batch.push((number, op)),
-                    Job::Read(number, reply) => (self.answered)(number, reply),
+                    Job::ReadDone(number, reply) => (self.reply_handler)(number, reply),
                     Job::Stop => stopping = true,
                 }
             }
@@ -143,33 +150,46 @@
         }
     }
 
-    /// Counts what the disk holds beside this thread, so that nobody's commit waits for it.
-    fn verify(&mut self, number: u64) {
+    /// Waits for a job; without an open store only until the store is to be opened again.
+    fn wait(&self, receiver: &Receiver<Job>) -> Result<Option<Job>, mpsc::RecvError> {
+        if self.disk.is_some() {
+            return receiver.recv().map(Some);
+        }
+        match receiver.recv_timeout(REOPEN_INTERVAL) {
+            Ok(job) => Ok(Some(job)),
+            Err(RecvTimeoutError::Timeout) => Ok(None),
+            Err(RecvTimeoutError::Disconnected) => Err(mpsc::RecvError),
+        }
+    }
+
+    /// Verifies checksums on a thread of its own, so that no commit waits for it.
+    fn verify_checksums(&mut self, number: u64) {
         let Some(disk) = &self.disk else {
-            return (self.answered)(number, Err(StoreError::Io("closed".into())));
+            return (self.reply_handler)(number, Err(closed()));
         };
         let (reader, jobs) = (disk.reader(), self.jobs.clone());
-        let read = move || {
-            // The thread is gone only at the end of the process.
-            let _ = jobs.send(Job::Read(number, reader.verify().map(Reply::Verified)));
+        let verify = move || {
+            let reply = reader.verify().map(Reply::Verified);
+            // The receiver is gone only at the end of the process.
+            let _ = jobs.send(Job::ReadDone(number, reply));
         };
-        if let Err(e) = std::thread::Builder::new()
+        let spawned = std::thread::Builder::new()
             .name("verify".into())
-            .spawn(read)
-        {
-            (self.answered)(number, Err(StoreError::Io(e.to_string())));
+            .spawn(verify);
+        if let Err(error) = spawned {
+            (self.reply_handler)(number, Err(StoreError::Io(error.to_string())));
         }
     }
 
     fn reopen(&mut self) {
         match (self.opener)() {
             Ok(disk) => {
-                tracing::info!("the store is open again");
+                tracing::info!(deferred = self.deferred.len(), "the store is open again");
                 self.disk = Some(disk);
-                let kept: Vec<_> = self.kept.drain(..).collect();
-                self.commit(kept);
+                let deferred: Vec<_> = self.deferred.drain(..).collect();
+                self.commit(deferred);
             }
-            Err(e) => tracing::debug!("the store stays closed: {e}"),
+            Err(error) => tracing::debug!(%error, "the store cannot be opened again"),
         }
     }
 
@@ -178,43 +198,43 @@
             return;
         }
         let Some(disk) = &mut self.disk else {
-            return self.fail(batch, &StoreError::Io("closed".into()));
+            return self.fail(batch, &closed());
         };
         let now = self.clock.now();
         match disk.commit(batch.iter().map(|(_, op)| op.clone()), now) {
             Ok(replies) => {
                 for ((number, _), reply) in batch.into_iter().zip(replies) {
-                    if number != NOBODY {
-                        (self.answered)(number, reply);
+                    if number != NO_REPLY {
+                        (self.reply_handler)(number, reply);
                     }
                 }
             }
-            Err(e) => {
+            Err(error) => {
                 tracing::error!(
-                    "the store has failed; nothing new is taken until it is open again: {e}"
+                    %error,
+                    "the store has failed; nothing new is accepted until it is open again"
                 );
                 self.disk = None;
-                self.fail(batch, &e);
+                self.fail(batch, &error);
             }
         }
     }
 
-    /// A commit that failed may still have reached the disk: what was told an error is undone once it is open.
-    fn fail(&mut self, batch: Vec<(u64, Op)>, e: &StoreError) {
+    /// Defers what must become durable, and answers the rest of a failed batch with the error.
+    fn fail(&mut self, batch: Vec<(u64, Op)>, error: &StoreError) {
         for (number, op) in batch {
-            match &op {
-                op if must_be_kept(op) => {
-                    self.kept.push_back((number, op.clone()));
-                    continue;
-                }
-                Op::AcceptCall(call, mark, _) => self
-                    .kept
-                    .push_back((NOBODY, Op::RevokeCall(call.seq, *mark))),
-                // That an attempt began and did not errs on the safe side; the attempt's end corrects it.
-                Op::MarkSent(seq, _) => self.kept.push_back((NOBODY, Op::ClearSent(*seq))),
-                _ => {}
+            if must_become_durable(&op) {
+                self.deferred.push_back((number, op));
+                continue;
             }
-            (self.answered)(number, Err(e.clone()));
+            if let Some(compensation) = compensation(&op) {
+                self.deferred.push_back((NO_REPLY, compensation));
+            }
+            (self.reply_handler)(number, Err(error.clone()));
         }
     }
 }
+
+fn closed() -> StoreError {
+    StoreError::Io("closed".into())
+}
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -7,7 +7,7 @@
 
 use molelug::delivery::response::{Dead, State};
 use molelug::store::disk::Disk;
-use molelug::store::records::{Filter, Op, Reply};
+use molelug::store::operations::{Filter, Op, Reply};
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -13,7 +13,8 @@
 use molelug::delivery::response::State;
 use molelug::delivery::{Seq, Waiting};
 use molelug::store::disk::Disk;
-use molelug::store::records::{MessageRecord, Op};
+use molelug::store::operations::Op;
+use molelug::store::records::MessageRecord;
 use serde_json::json;
 
 use crate::fakes::gateway::{Folder, SAFE};
--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -4,12 +4,15 @@
 
 use molelug::api::{Effect, IdempotencyScope};
 use molelug::delivery::response::{Dead, State};
-use molelug::delivery::{EndpointId, Seq};
+use molelug::delivery::{EndpointId, Seq, Waiting};
 use molelug::replication::{LogPosition, ShardId};
 use molelug::store::disk::Disk;
+use molelug::store::operations::{
+    AcceptCall, ApplyRetention, ApplyToShard, BeginAttempt, CompleteCall, DiskState, Filter,
+    FinishAttempt, InstallShard, MessageDetails, Op, RegisterDisk, Reply, ShardState,
+};
 use molelug::store::records::{
-    CallRecord, CallState, Filter, IdentityDigest, MessageDetails, MessageRecord, Op, Reply,
-    ShardState, StoreStats,
+    AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord, StoreStats,
 };
 use molelug::store::tables::RecoveredState;
 
@@ -46,7 +49,39 @@
 }
 
 fn take(seq: Seq, effect: Effect, of: u8, until: u64) -> Op {
-    Op::AcceptCall(Box::new(call(seq, effect)), mark(of), until)
+    Op::AcceptCall(AcceptCall {
+        call: Box::new(call(seq, effect)),
+        identity: mark(of),
+        valid_until: until,
+    })
+}
+
+fn finish(waiting: Box<Waiting>, state: State, attempt: Option<AttemptRecord>) -> Op {
+    Op::FinishAttempt(FinishAttempt {
+        waiting,
+        state,
+        attempt,
+    })
+}
+
+fn complete(call: Seq, outcome: &str, messages: Vec<(MessageRecord, Vec<u8>)>) -> Op {
+    Op::CompleteCall(CompleteCall {
+        call,
+        outcome: outcome.into(),
+        messages,
+    })
+}
+
+fn begin_durably(message: Seq, at: u64) -> Op {
+    Op::BeginAttempt(BeginAttempt {
+        message,
+        durable: true,
+        at,
+    })
+}
+
+fn register(id: u64) -> Op {
+    Op::RegisterDisk(RegisterDisk { id, reset: false })
 }
 
 /// The gateway's own: open calls, messages at each stage, an attempt that has begun, an identity that was forgotten.
@@ -65,18 +100,23 @@
     let mut tried = waiting(2);
     (tried.due, tried.tries, tried.ran) = (9 * SECOND, 1, Some(7 * SECOND));
     let ended = [
-        Op::FinishAttempt(waiting(0), State::Delivered, Some(attempt())),
-        Op::FinishAttempt(waiting(1), State::Dead(Dead::Exhausted), Some(attempt())),
-        Op::FinishAttempt(tried, State::Waiting, Some(attempt())),
-        Op::BeginAttempt(Seq(15), true, 6 * SECOND),
-        Op::ApplyRetention(30 * SECOND, 1 << 40, MAX_BYTES, 100),
+        finish(waiting(0), State::Delivered, Some(attempt())),
+        finish(waiting(1), State::Dead(Dead::Exhausted), Some(attempt())),
+        finish(tried, State::Waiting, Some(attempt())),
+        begin_durably(Seq(15), 6 * SECOND),
+        Op::ApplyRetention(ApplyRetention {
+            now: 30 * SECOND,
+            max_age: 1 << 40,
+            max_bytes: MAX_BYTES,
+            limit: 100,
+        }),
     ];
     let mut ops = vec![
         take(Seq(1), Effect::NonIdempotent, 1, 100 * SECOND),
-        Op::MarkSent(Seq(1), 3 * SECOND),
+        Op::SetSent(Seq(1), 3 * SECOND),
         take(Seq(2), KEYED, 2, 100 * SECOND),
         take(Seq(3), Effect::Idempotent, 3, 20 * SECOND),
-        Op::CompleteCall(Seq(3), "served".into(), answers),
+        complete(Seq(3), "served", answers),
         Op::Publish(published.clone()),
     ];
     ops.extend(ended);
@@ -115,16 +155,16 @@
     vec![
         taken(1),
         taken(2),
-        Op::MarkSent(number(shard, 1), 3 * SECOND),
-        Op::CompleteCall(
+        Op::SetSent(number(shard, 1), 3 * SECOND),
+        complete(
             number(shard, 2),
-            "served".into(),
+            "served",
             vec![ordered(shard, 101), ordered(shard, 102)],
         ),
-        Op::BeginAttempt(number(shard, 101), true, 6 * SECOND),
+        begin_durably(number(shard, 101), 6 * SECOND),
         taken(3),
-        Op::CompleteCall(number(shard, 3), "failed".into(), vec![(unordered, body)]),
-        Op::FinishAttempt(waiting, State::Dead(Dead::Unknown), Some(attempt())),
+        complete(number(shard, 3), "failed", vec![(unordered, body)]),
+        finish(waiting, State::Dead(Dead::Unknown), Some(attempt())),
     ]
 }
 
@@ -138,7 +178,12 @@
     let mut place = LogPosition::default();
     for op in shard_records(shard) {
         place = place.then(b"record");
-        ask(disk, Op::ApplyToShard(shard, place, Box::new(op)));
+        let apply = ApplyToShard {
+            shard,
+            position: place,
+            op: Box::new(op),
+        };
+        ask(disk, Op::ApplyToShard(apply));
     }
 }
 
@@ -146,7 +191,7 @@
     let file = Scratch::new();
     let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("it is made");
     fill_own(&mut disk);
-    ask(&mut disk, Op::RegisterDisk(7001, false));
+    ask(&mut disk, register(7001));
     SHARDS
         .into_iter()
         .for_each(|shard| fill_shard(&mut disk, shard));
@@ -230,7 +275,7 @@
         (15, 20 * SECOND)
     );
     assert_eq!(
-        (found.unknown_deliveries, found.clock_went_back),
+        (found.unknown_deliveries, found.clock_regressed),
         (1, false)
     );
 }
@@ -302,7 +347,7 @@
         .filter(|seq| seq.shard() == 0)
         .collect();
     assert_eq!(own, [Seq(10), Seq(14)]);
-    let delivered = Op::FinishAttempt(Box::new(first.waiting), State::Delivered, None);
+    let delivered = finish(Box::new(first.waiting), State::Delivered, None);
     let (next, _) = message(Seq(11), Effect::NonIdempotent, Some(7));
     assert_eq!(ask(disk, delivered), Reply::Queued(vec![next.waiting]));
     let filter = Filter {
@@ -375,8 +420,12 @@
 fn begin(disk: &mut Disk) {
     let places = SHARDS.map(|shard| (shard, last_place())).to_vec();
     assert_eq!(
-        ask(disk, Op::RegisterDisk(1, false)),
-        Reply::Disk(7001, 2, places)
+        ask(disk, register(1)),
+        Reply::Disk(DiskState {
+            id: 7001,
+            incarnation: 2,
+            shards: places
+        })
     );
 }
 
@@ -426,8 +475,12 @@
     assert_eq!(found.log, (None, Vec::new()));
     assert_own_is_kept(&mut disk);
     assert_eq!(
-        ask(&mut disk, Op::RegisterDisk(7001, false)),
-        Reply::Disk(7001, 1, Vec::new())
+        ask(&mut disk, register(7001)),
+        Reply::Disk(DiskState {
+            id: 7001,
+            incarnation: 1,
+            shards: Vec::new()
+        })
     );
     assert_own_is_kept(&mut disk);
     assert_waiting_goes_on(&mut disk);
@@ -445,8 +498,13 @@
     let stored = pins::from_hex(fixture::read_text(SHARD_CONTENT).trim_end());
     let copy = Scratch::new();
     let (mut disk, _) = open(copy.path());
-    ask(&mut disk, Op::RegisterDisk(7002, false));
-    ask(&mut disk, Op::InstallShard(2, place, stored.clone()));
+    ask(&mut disk, register(7002));
+    let install = InstallShard {
+        shard: 2,
+        position: place,
+        content: stored.clone(),
+    };
+    ask(&mut disk, Op::InstallShard(install));
     assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
     assert_eq!(
         ask(&mut disk, Op::ReadShard(2)),
--- a/tests/stored_data/store_records.rs
+++ b/tests/stored_data/store_records.rs
@@ -3,10 +3,11 @@
 use molelug::api::{Effect, IdempotencyScope, Micros};
 use molelug::delivery::response::{Dead, State};
 use molelug::delivery::{EndpointId, Seq, Waiting};
+use molelug::store::operations::{AcceptCall, CompleteCall, FinishAttempt, Op};
 use molelug::store::records::{
-    AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord, Op, StoreStats,
+    AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord, StoreStats,
 };
-use molelug::store::shared::ReplicatedOp;
+use molelug::store::replicated_op::ReplicatedOp;
 
 use crate::pins::Pins;
 
@@ -180,23 +181,31 @@
     let records = [
         (
             "take",
-            ReplicatedOp::AcceptCall(
-                Box::new(call(seq, Effect::NonIdempotent)),
-                mark(1),
-                50 * SECOND,
-            ),
+            ReplicatedOp::AcceptCall(AcceptCall {
+                call: Box::new(call(seq, Effect::NonIdempotent)),
+                identity: mark(1),
+                valid_until: 50 * SECOND,
+            }),
         ),
         ("untake", ReplicatedOp::RevokeCall(seq, mark(1))),
-        ("sent", ReplicatedOp::MarkSent(seq, 3 * SECOND)),
+        ("sent", ReplicatedOp::SetSent(seq, 3 * SECOND)),
         ("unsent", ReplicatedOp::ClearSent(seq)),
         (
             "answer",
-            ReplicatedOp::CompleteCall(seq, "served".into(), vec![(record, body)]),
+            ReplicatedOp::CompleteCall(CompleteCall {
+                call: seq,
+                outcome: "served".into(),
+                messages: vec![(record, body)],
+            }),
         ),
         ("begin", ReplicatedOp::BeginAttempt(seq, 6 * SECOND)),
         (
             "ended",
-            ReplicatedOp::FinishAttempt(waiting, State::Dead(Dead::Unknown), Some(attempt())),
+            ReplicatedOp::FinishAttempt(FinishAttempt {
+                waiting,
+                state: State::Dead(Dead::Unknown),
+                attempt: Some(attempt()),
+            }),
         ),
     ];
     let mut pins = Pins::of("shard-records.txt");
