--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -158,7 +158,7 @@
     let gossip = gossip.map(|path| Gossip::read(&path)).transpose()?;
     let council = council.map(|path| File::read(&path)).transpose()?;
     let copies = copies
-        .map(|path| crate::replication::config::File::read(&path))
+        .map(|path| crate::replication::config::ReplicationFile::read(&path))
         .transpose()?;
     let extras = OptionalSubsystems {
         gossip,
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -38,7 +38,7 @@
     /// Whose word it is.
     pub fn by(&self) -> &Arc<str> {
         match self {
-            SubsystemEntry::ReplicaSets(e) => e.by(),
+            SubsystemEntry::ReplicaSets(e) => e.proposer(),
             SubsystemEntry::Tenants(e) => &e.by,
         }
     }
@@ -77,7 +77,7 @@
     u64,
     BTreeMap<ReplicaId, Arc<str>>,
     LeaseTable,
-    sets::Earlier,
+    sets::LegacyReplicaSets,
 );
 
 impl State {
--- a/src/consensus/wire.rs
+++ b/src/consensus/wire.rs
@@ -101,7 +101,7 @@
     /// An entry that a subsystem of somebody's wants agreed; whether a voter passed it on.
     Submit(SubsystemEntry, bool),
     /// Between gateways that hold copies: not the council's.
-    Replication(crate::replication::wire::Body),
+    Replication(crate::replication::wire::Message),
 }
 
 /// A follower's question.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -212,7 +212,7 @@
     /// The council.
     pub consensus: Option<crate::consensus::config::File>,
     /// Copies of what is held for others.
-    pub replication: Option<crate::replication::config::File>,
+    pub replication: Option<crate::replication::config::ReplicationFile>,
 }
 
 /// One gateway.
@@ -323,7 +323,7 @@
             node.set_up_council(now, c, ready)?;
         }
         if let Some(c) = &extras.replication {
-            node.set_up_copies(now, c)?;
+            node.start_replication(now, c)?;
         }
         Ok(node)
     }
@@ -535,7 +535,7 @@
                 .hooks
                 .as_ref()
                 .is_some_and(|h| h.is_late(now));
-            self.stop = self.copies_left() || late;
+            self.stop = self.hand_over_shards() || late;
         }
     }
 
@@ -558,7 +558,7 @@
                 RETAIN => self.retain(now),
                 GOSSIP => self.tick_gossip(now),
                 COUNCIL => self.tick_council(),
-                COPIES => self.tick_copies(),
+                COPIES => self.tick_replication(),
                 TENANTS => self.tick_tenants(now),
                 TRIALS => self.tick_trials(now),
                 LOADS => self.tick_loads(now),
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -491,7 +491,7 @@
                 self.loads_heard(now, &duty, &from, &content);
             }
             Output::SubsystemChanged => {
-                self.copies_agreed();
+                self.update_replica_sets();
                 self.tenants_agreed(now);
             }
             Output::Record(note) => {
@@ -511,7 +511,7 @@
 
     /// Connections to those whom the member wants to speak with.
     fn meet(&mut self, now: Micros) {
-        let copies = self.copies_peers();
+        let copies = self.replication_peers();
         let Some(hall) = &mut self.cluster.consensus else {
             return;
         };
@@ -572,7 +572,7 @@
             hall.member
                 .handle(uptime(), Input::Disconnected(name.clone()));
         }
-        self.tell_copies(crate::replication::machine::Input::Disconnected(
+        self.notify_replicator(crate::replication::machine::Input::Disconnected(
             name.clone(),
         ));
     }
@@ -672,7 +672,7 @@
                 self.push(key, &body, net::KEPT_FRAME);
             }
             if let Some(Body::Replication(body)) = body {
-                self.copies_frame(name, body);
+                self.receive_replication_message(name, body);
             } else if let (Some(body), Some(hall)) = (body, &mut self.cluster.consensus) {
                 hall.member.handle(uptime(), Input::Frame(name, body));
             }
--- a/src/gateway/history/fixture_tests.rs
+++ b/src/gateway/history/fixture_tests.rs
@@ -15,7 +15,7 @@
     let council = folder.join("council.history");
     let name: Arc<str> = "n1".into();
     let mut history = History::beside(Some(&council), "copies", &name, 9001).expect("it opens");
-    history.record(&replication::history::HistoryEvent::Rested { shard: 3, epoch: 7 });
+    history.record(&replication::history::HistoryEvent::SteppedDown { shard: 3, epoch: 7 });
     history.record(&replicated::history::HistoryEvent::Told {
         tenant: "clinic".into(),
         version: 4,
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -8,12 +8,12 @@
 use crate::config::ConfigError;
 use crate::consensus::state::SubsystemEntry;
 use crate::consensus::{member, wire as frames};
-use crate::replication::config::{self, Guards, WhenFewer};
+use crate::replication::config::{self, DisabledGuards, WhenFewer};
 use crate::replication::error::ReplicationError;
 use crate::replication::history::HistoryEvent;
 use crate::replication::identities::Identities;
 use crate::replication::machine::{Input, Output, Replicator};
-use crate::replication::wire::{Body, RequestOutcome};
+use crate::replication::wire::{Message, RequestOutcome};
 use crate::replication::{Epoch, LogPosition, Name, ShardId};
 use crate::store::error::StoreError;
 use crate::store::operations::Reply;
@@ -21,18 +21,18 @@
 use crate::tenancy::replicated::changes::Settings as Agreeing;
 
 mod questions;
-pub(super) use questions::{Asked, Waits};
+pub(super) use questions::{PrimaryRequest, RequestOrigin};
 
 /// Copies, while they are on.
 #[derive(Debug)]
 pub(super) struct ReplicationDriver {
     machine: Replicator,
-    file: config::File,
+    file: config::ReplicationFile,
     /// The shards that are led here and whose content was taken up, with the identities taken.
     pub(super) open: BTreeMap<ShardId, Identities>,
     /// What the disk here said to a record that is not promised yet.
     kept: HashMap<u64, Reply>,
-    waits: HashMap<u64, Waits>,
+    waits: HashMap<u64, RequestOrigin>,
     tickets: u64,
     hung: Option<Micros>,
     leaves: bool,
@@ -50,8 +50,8 @@
 }
 
 /// The guards that this build can take out, for the lab's runs; a build for use has none to take out.
-fn guards() -> Guards {
-    let mut guards = Guards::default();
+fn guards() -> DisabledGuards {
+    let mut guards = DisabledGuards::default();
     if cfg!(debug_assertions) {
         match std::env::var("MOLELUG_WITHOUT").as_deref() {
             Ok("epochs") => guards.epochs = true,
@@ -85,10 +85,10 @@
 
 impl Gateway {
     /// Begins to hold copies.
-    pub(super) fn set_up_copies(
+    pub(super) fn start_replication(
         &mut self,
         now: Micros,
-        file: &config::File,
+        file: &config::ReplicationFile,
     ) -> Result<(), GatewayError> {
         let needs = |what: &'static str| {
             Err(GatewayError::Operator(ConfigError::Value(
@@ -125,8 +125,8 @@
             name: name.clone(),
             process,
             copies: settings.copies,
-            ask: settings.ask,
-            without_agreed: settings.without.agreed,
+            ask: settings.request_timeout,
+            without_agreed: settings.disabled_guards.agreed,
         };
         self.know_addresses(
             file.members
@@ -145,44 +145,44 @@
             history,
         });
         self.set_up_tenants(now, agreeing, tenants);
-        self.copies_agreed();
+        self.update_replica_sets();
         if let Some(hooks) = &mut self.secondary.hooks {
-            hooks.begin_disk(process ^ self.config.seed, false);
+            hooks.register_disk(process ^ self.config.seed, false);
         }
-        self.step_copies(now);
+        self.step_replication(now);
         Ok(())
     }
 
-    pub(super) fn tell_copies(&mut self, input: Input) {
+    pub(super) fn notify_replicator(&mut self, input: Input) {
         if let Some(side) = &mut self.cluster.replication {
             side.machine.handle(consensus::uptime(), input);
         }
     }
 
     /// What is agreed has changed.
-    pub(super) fn copies_agreed(&mut self) {
+    pub(super) fn update_replica_sets(&mut self) {
         if self.cluster.replication.is_none() {
             return;
         }
         if let Some(sets) = self.agreed_sets() {
-            self.tell_copies(Input::SetsChanged(std::sync::Arc::new(sets)));
+            self.notify_replicator(Input::SetsChanged(std::sync::Arc::new(sets)));
         }
     }
 
     /// Another gateway said something of copies.
-    pub(super) fn copies_frame(&mut self, from: Name, body: Body) {
-        self.tell_copies(Input::Frame(from, body));
+    pub(super) fn receive_replication_message(&mut self, from: Name, body: Message) {
+        self.notify_replicator(Input::Received(from, body));
     }
 
-    pub(super) fn tick_copies(&mut self) {
+    pub(super) fn tick_replication(&mut self) {
         if let Some(side) = &mut self.cluster.replication {
             side.hung = None;
         }
-        self.tell_copies(Input::Tick);
+        self.notify_replicator(Input::Tick);
     }
 
     /// On how many disks a shard's promises stand.
-    pub(super) fn disks_of(&self, shard: ShardId) -> u8 {
+    pub(super) fn replica_count(&self, shard: ShardId) -> u8 {
         let set = self
             .cluster
             .replication
@@ -193,7 +193,7 @@
     }
 
     /// Those with whom a connection is kept for copies.
-    pub(super) fn copies_peers(&self) -> Vec<Name> {
+    pub(super) fn replication_peers(&self) -> Vec<Name> {
         self.cluster
             .replication
             .as_ref()
@@ -201,12 +201,12 @@
     }
 
     /// Whether nothing is led here any more, at the end of the process: what is led is handed to others first.
-    pub(super) fn copies_left(&mut self) -> bool {
+    pub(super) fn hand_over_shards(&mut self) -> bool {
         let leads = self
             .cluster
             .replication
             .as_ref()
-            .is_some_and(|s| s.machine.leads_any());
+            .is_some_and(|s| s.machine.is_any_primary());
         if leads
             && self
                 .cluster
@@ -214,13 +214,13 @@
                 .as_mut()
                 .is_some_and(|s| !std::mem::replace(&mut s.leaves, true))
         {
-            self.tell_copies(Input::GracefulShutdown);
+            self.notify_replicator(Input::GracefulShutdown);
         }
         !leads
     }
 
     /// Does what there is to do; whether there was something.
-    pub(super) fn step_copies(&mut self, now: Micros) -> bool {
+    pub(super) fn step_replication(&mut self, now: Micros) -> bool {
         let Some(side) = &mut self.cluster.replication else {
             return false;
         };
@@ -234,14 +234,14 @@
                 consensus::uptime(),
                 Input::Append {
                     shard,
-                    ticket,
-                    bytes,
-                    want,
+                    waiter: ticket,
+                    record: bytes,
+                    min_replicas: want,
                 },
             );
             return true;
         }
-        if let Some(output) = side.machine.output() {
+        if let Some(output) = side.machine.next_output() {
             self.copies_output(now, output);
             return true;
         }
@@ -271,13 +271,13 @@
                     entry,
                 )));
             }
-            Output::Store(shard, place, bytes, ticket) => {
-                hooks.keep_record(shard, place, &bytes, ticket)
+            Output::StoreRecord(shard, place, bytes, ticket) => {
+                hooks.store_shard_record(shard, place, &bytes, ticket)
             }
-            Output::Install(shard, place, bytes) => hooks.keep_shard(shard, place, bytes),
-            Output::Read(shard, to) => hooks.read_shard(shard, to),
-            Output::Verify => hooks.verify_shards(),
-            Output::Accept(shard) => hooks.accept_shard(shard),
+            Output::InstallSnapshot(shard, place, bytes) => hooks.install_shard(shard, place, bytes),
+            Output::ReadSnapshot(shard, to) => hooks.read_shard_snapshot(shard, to),
+            Output::VerifyDisk => hooks.verify_shards(),
+            Output::AcceptDamage(shard) => hooks.accept_shard_damage(shard),
             Output::Committed(ticket, _) => {
                 let reply = side.kept.remove(&ticket).unwrap_or(Reply::Done);
                 hooks.reply(ticket, Ok(reply));
@@ -286,11 +286,11 @@
                 side.kept.remove(&ticket);
                 hooks.reply(ticket, Err(StoreError::NotCommitted(why)));
             }
-            Output::BecomePrimary(shard, epoch) => hooks.lead_shard(shard, epoch),
+            Output::BecomePrimary(shard, epoch) => hooks.become_shard_primary(shard, epoch),
             Output::StepDown(shard) => {
                 side.open.remove(&shard);
                 tracing::warn!(shard, "a shard is led here no more");
-                let over = hooks.rest_shard(now, shard);
+                let over = hooks.resign_shard(now, shard);
                 over.into_iter()
                     .for_each(|key| self.core.caller_gone(now, key));
             }
@@ -298,15 +298,15 @@
                 self.asked_of_shard(now, shard, from, number, &bytes)
             }
             Output::Response(ticket, told) => self.told_by_primary(now, ticket, told),
-            Output::DiskRefused => {
+            Output::DiskRejected => {
                 tracing::error!(
                     "the disk is an old copy, or another process has begun on it since: what it held for others is let go \
                      of and copied anew; start each gateway on its own newest disk"
                 );
-                hooks.begin_disk(self.config.seed ^ consensus::uptime(), true);
+                hooks.register_disk(self.config.seed ^ consensus::uptime(), true);
             }
-            Output::Record(note) => {
-                if let HistoryEvent::Lost { shard } = note {
+            Output::RecordEvent(note) => {
+                if let HistoryEvent::DataLost { shard } = note {
                     tracing::error!(
                         shard,
                         "all disks that held this shard are lost, and what was promised in it with them; raise copies, \
@@ -320,28 +320,28 @@
                         "the disk does not hold what was written: the shard is copied anew from another; look at this machine's \
                          disk and memory, and replace it if that comes again"
                     ),
-                    HistoryEvent::Recalled { shard } => tracing::error!(
+                    HistoryEvent::RecoveredFromFormer { shard } => tracing::error!(
                         shard,
                         "all disks that held this shard are lost; this one had been left out and has what was promised until then: \
                          what was taken on fewer machines since is gone; raise copies, or spread members over more halls"
                     ),
-                    HistoryEvent::Waits { shard, members } => tracing::error!(
+                    HistoryEvent::WaitingForReplica { shard, members } => tracing::error!(
                         shard,
                         ?members,
                         "the disk here is damaged, and no other that holds the shard can be heard: bring one of them back; or, if \
                          their disks are lost, start them with empty ones, and what is left here counts"
                     ),
-                    HistoryEvent::Mended { shard, accepted: false } => {
+                    HistoryEvent::Repaired { shard, accepted: false } => {
                         tracing::info!(shard, "a damaged shard was mended from another disk");
                     }
-                    HistoryEvent::Mended { shard, accepted: true } => tracing::error!(
+                    HistoryEvent::Repaired { shard, accepted: true } => tracing::error!(
                         shard,
                         "no other disk has a damaged shard: what is left of it counts, and something promised may be gone; \
                          raise copies"
                     ),
                     _ => {}
                 }
-                if let HistoryEvent::Led {
+                if let HistoryEvent::BecamePrimary {
                     shard,
                     epoch,
                     members,
@@ -356,12 +356,12 @@
     }
 
     /// The disk's answers.
-    pub(super) fn disk_began(&mut self, reply: Result<Reply, StoreError>) {
+    pub(super) fn disk_registered(&mut self, reply: Result<Reply, StoreError>) {
         if let Ok(Reply::Disk(disk)) = reply {
-            self.tell_copies(Input::Disk {
+            self.notify_replicator(Input::Disk {
                 id: disk.id,
-                boot: disk.incarnation,
-                places: disk.shards.into_iter().collect(),
+                incarnation: disk.incarnation,
+                positions: disk.shards.into_iter().collect(),
             });
         }
     }
@@ -373,13 +373,13 @@
         reply: Result<Reply, StoreError>,
     ) {
         let Ok(reply) = reply else { return };
-        if let Some(what) = ticket.and_then(|t| self.secondary.hooks.as_ref()?.is_for(t)) {
+        if let Some(what) = ticket.and_then(|t| self.secondary.hooks.as_ref()?.fault_injection_step(t)) {
             step(what);
         }
         if let (Some(side), Some(ticket)) = (&mut self.cluster.replication, ticket) {
             side.kept.insert(ticket, reply);
         }
-        self.tell_copies(Input::Persisted(shard));
+        self.notify_replicator(Input::Persisted(shard));
     }
 
     pub(super) fn shard_read(
@@ -391,19 +391,19 @@
         match reply {
             Ok(Reply::ShardContent(place, bytes)) => {
                 let place: LogPosition = place;
-                self.tell_copies(Input::Read(shard, to, place, bytes));
+                self.notify_replicator(Input::SnapshotRead(shard, to, place, bytes));
             }
             other => {
                 if let Err(StoreError::ChecksumMismatch(shard, ranges)) = other {
-                    self.tell_copies(Input::Corrupt(shard, ranges));
+                    self.notify_replicator(Input::Corrupt(shard, ranges));
                 }
-                self.tell_copies(Input::ReadFailed(shard, to));
+                self.notify_replicator(Input::SnapshotReadFailed(shard, to));
             }
         }
     }
 
     /// What stands of a shard that is led here: it goes on as after a start.
-    pub(super) fn shard_taken_up(
+    pub(super) fn shard_state_loaded(
         &mut self,
         now: Micros,
         shard: ShardId,
@@ -411,13 +411,13 @@
         reply: Result<Reply, StoreError>,
     ) {
         if let Err(StoreError::ChecksumMismatch(shard, ranges)) = reply {
-            return self.tell_copies(Input::Corrupt(shard, ranges));
+            return self.notify_replicator(Input::Corrupt(shard, ranges));
         }
         let (Some(side), Ok(Reply::PrimaryState(stands))) = (&mut self.cluster.replication, reply)
         else {
             return;
         };
-        if !side.machine.leads(shard) {
+        if !side.machine.is_primary(shard) {
             return;
         }
         side.open.insert(
@@ -431,17 +431,17 @@
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
-        hooks.numbers_of(shard, epoch);
+        hooks.start_numbering(shard, epoch);
         let (calls, waits, begun) = (
             stands.calls.len(),
             stands.waiting.len(),
             stands.in_flight.len(),
         );
-        hooks.settle(now, stands.in_flight);
-        hooks.wait(now, stands.waiting);
+        hooks.settle_in_flight(now, stands.in_flight);
+        hooks.enqueue_messages(now, stands.waiting);
         for call in stands.calls {
             // Times of another machine are not compared with this one's.
-            self.go_on(now, call, true);
+            self.resume_call(now, call, true);
         }
         tracing::info!(
             shard,
--- a/src/gateway/replication/questions.rs
+++ b/src/gateway/replication/questions.rs
@@ -5,7 +5,7 @@
 
 /// What is asked of a shard's primary.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
-pub(in crate::gateway) enum Asked {
+pub(in crate::gateway) enum PrimaryRequest {
     /// Take a call.
     Take(Box<CallRecord>, IdentityDigest, Micros),
     /// How does a call stand?
@@ -14,7 +14,7 @@
 
 /// Who waits here for a primary's answer.
 #[derive(Debug)]
-pub(in crate::gateway) enum Waits {
+pub(in crate::gateway) enum RequestOrigin {
     /// A caller whose call is to be taken, and its identity.
     Take(ConnKey, IdentityDigest),
     /// A caller who asked how a call stands.
@@ -23,7 +23,7 @@
 
 impl Gateway {
     /// A caller's question goes to whoever leads its shard.
-    pub(in crate::gateway) fn ask_primary(&mut self, shard: ShardId, asked: &Asked, waits: Waits) {
+    pub(in crate::gateway) fn send_to_primary(&mut self, shard: ShardId, asked: &PrimaryRequest, waits: RequestOrigin) {
         let Some(side) = &mut self.cluster.replication else {
             return;
         };
@@ -32,15 +32,15 @@
         side.waits.insert(ticket, waits);
         // A question always packs.
         let bytes = postcard::to_stdvec(asked).unwrap_or_default();
-        self.tell_copies(Input::Request {
+        self.notify_replicator(Input::Request {
             shard,
-            ticket,
+            waiter: ticket,
             bytes,
         });
     }
 
-    pub(in crate::gateway) fn tell_asker(&mut self, to: Name, number: u64, told: RequestOutcome) {
-        self.tell_copies(Input::Respond(to, number, told));
+    pub(in crate::gateway) fn respond_to_request(&mut self, to: Name, number: u64, told: RequestOutcome) {
+        self.notify_replicator(Input::Respond(to, number, told));
     }
 
     /// A question to this primary.
@@ -52,31 +52,31 @@
         number: u64,
         bytes: &[u8],
     ) {
-        let asked: Option<Asked> = postcard::from_bytes(bytes).ok();
+        let asked: Option<PrimaryRequest> = postcard::from_bytes(bytes).ok();
         let why = match asked {
             None => ReplicationError::Unknown {
                 what: "question".into(),
             },
-            Some(Asked::State(serial, id)) => {
+            Some(PrimaryRequest::State(serial, id)) => {
                 let Some(hooks) = &mut self.secondary.hooks else {
                     return;
                 };
-                return hooks.ask_state(serial, id, from, number);
+                return hooks.request_call_state(serial, id, from, number);
             }
-            Some(Asked::Take(mut call, mark, until)) => {
+            Some(PrimaryRequest::Take(mut call, mark, until)) => {
                 // It tells for how long it is of use still.
                 call.expires = now.saturating_add(call.expires);
                 let caller = Caller::Gateway(from.clone(), number);
                 let may = self.may_take(now, shard, (&mark, until), &call.class);
                 match may
-                    .and_then(|want| self.take_asked(now, shard, *call, mark, until, want, caller))
+                    .and_then(|want| self.accept_as_primary(now, shard, *call, mark, until, want, caller))
                 {
                     Ok(()) => return self.remember_mark(shard, mark, until),
                     Err(why) => why,
                 }
             }
         };
-        self.tell_asker(from, number, RequestOutcome::Rejected(why));
+        self.respond_to_request(from, number, RequestOutcome::Rejected(why));
     }
 
     /// How many disks a call of a class asks for, if its identity may be taken in a shard that is led here.
@@ -88,7 +88,7 @@
         class: &str,
     ) -> Result<usize, ReplicationError> {
         let Some(side) = &mut self.cluster.replication else {
-            return Err(ReplicationError::Leaving);
+            return Err(ReplicationError::ShuttingDown);
         };
         let (want, primary) = (side.wants(class), side.machine.settings().name.clone());
         // None while what stands of it is still being read.
@@ -97,7 +97,7 @@
             shard,
             primary: Some(primary),
         })?;
-        taken.may(now, mark, until, super::webhooks::MOST_MARKS)?;
+        taken.check(now, mark, until, super::webhooks::MOST_MARKS)?;
         Ok(want)
     }
 
@@ -108,19 +108,19 @@
             .as_mut()
             .and_then(|s| s.open.get_mut(&shard))
         {
-            taken.take(mark, until);
+            taken.insert(mark, until);
         }
     }
 
     /// The identity was not taken after all.
-    pub(in crate::gateway) fn forget_mark(&mut self, shard: ShardId, mark: &IdentityDigest) {
+    pub(in crate::gateway) fn remove_identity(&mut self, shard: ShardId, mark: &IdentityDigest) {
         if let Some(taken) = self
             .cluster
             .replication
             .as_mut()
             .and_then(|s| s.open.get_mut(&shard))
         {
-            taken.forget(mark);
+            taken.remove(mark);
         }
     }
 
@@ -132,17 +132,17 @@
             .as_mut()
             .and_then(|s| s.waits.remove(&ticket));
         match (waits, told) {
-            (Some(Waits::Take(conn, _)), RequestOutcome::Committed(copies)) => {
-                self.promised_call(now, conn, copies)
+            (Some(RequestOrigin::Take(conn, _)), RequestOutcome::Committed(copies)) => {
+                self.confirm_call(now, conn, copies)
             }
-            (Some(Waits::Take(conn, mark)), RequestOutcome::Rejected(why)) => {
-                self.refused_call(now, conn, &mark, &why)
+            (Some(RequestOrigin::Take(conn, mark)), RequestOutcome::Rejected(why)) => {
+                self.reject_call(now, conn, &mark, &why)
             }
-            (Some(Waits::State(conn, id)), RequestOutcome::Content(bytes)) => {
+            (Some(RequestOrigin::State(conn, id)), RequestOutcome::Content(bytes)) => {
                 let state: Option<CallState> = postcard::from_bytes(&bytes).unwrap_or_default();
                 self.answer_state(now, conn, &id, Ok(state));
             }
-            (Some(Waits::State(conn, id)), _) => {
+            (Some(RequestOrigin::State(conn, id)), _) => {
                 self.answer_state(
                     now,
                     conn,
@@ -153,11 +153,11 @@
                     )),
                 );
             }
-            (Some(Waits::Take(conn, mark)), RequestOutcome::Content(_)) => {
+            (Some(RequestOrigin::Take(conn, mark)), RequestOutcome::Content(_)) => {
                 let why = ReplicationError::Unknown {
                     what: "question".into(),
                 };
-                self.refused_call(now, conn, &mark, &why);
+                self.reject_call(now, conn, &mark, &why);
             }
             (None, _) => {}
         }
--- a/src/gateway/replication/questions/digest_tests.rs
+++ b/src/gateway/replication/questions/digest_tests.rs
@@ -2,7 +2,7 @@
 //!
 //! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
 
-use super::Asked;
+use super::PrimaryRequest;
 use crate::api::{Effect, IdempotencyScope};
 use crate::delivery::Seq;
 use crate::fixtures::check_lines;
@@ -39,18 +39,18 @@
 
 #[test]
 fn questions_to_primaries_match_recorded_bytes() {
-    let take = packed(&Asked::Take(
+    let take = packed(&PrimaryRequest::Take(
         Box::new(call()),
         [0xcc; 32],
         1_700_000_300_000_000,
     ));
-    let state = packed(&Asked::State(12, "msg_1".into()));
+    let state = packed(&PrimaryRequest::State(12, "msg_1".into()));
     check_lines(
         "wire/primary_questions.txt",
         &[hex_line("take", &take), hex_line("state", &state)],
     );
     match postcard::from_bytes(&take) {
-        Ok(Asked::Take(read, mark, until)) => {
+        Ok(PrimaryRequest::Take(read, mark, until)) => {
             assert_eq!(
                 (*read, mark, until),
                 (call(), [0xcc; 32], 1_700_000_300_000_000)
@@ -59,7 +59,7 @@
         other => panic!("read as {other:?}"),
     }
     match postcard::from_bytes(&state) {
-        Ok(Asked::State(serial, id)) => assert_eq!((serial, id.as_str()), (12, "msg_1")),
+        Ok(PrimaryRequest::State(serial, id)) => assert_eq!((serial, id.as_str()), (12, "msg_1")),
         other => panic!("read as {other:?}"),
     }
 }
--- a/src/gateway/replication/questions/fixture_tests.rs
+++ b/src/gateway/replication/questions/fixture_tests.rs
@@ -1,6 +1,6 @@
 //! Questions to a shard's primary as postcard.
 
-use super::Asked;
+use super::PrimaryRequest;
 use crate::api::Effect;
 use crate::delivery::Seq;
 use crate::fixture;
@@ -29,7 +29,7 @@
     }
 }
 
-fn to_line(asked: &Asked) -> String {
+fn to_line(asked: &PrimaryRequest) -> String {
     let bytes = postcard::to_stdvec(asked).expect("it encodes");
     bytes
         .iter()
@@ -38,7 +38,7 @@
         + "\n"
 }
 
-fn from_line(line: &str) -> Asked {
+fn from_line(line: &str) -> PrimaryRequest {
     let digits =
         |at: usize| u8::from_str_radix(&line[at..at + 2], 16).expect("two hexadecimal digits");
     let bytes: Vec<u8> = (0..line.len()).step_by(2).map(digits).collect();
@@ -47,15 +47,15 @@
 
 #[test]
 fn questions_to_primary_encode_as_before() {
-    let take = Asked::Take(Box::new(call()), [0xc3; 32], 50_000_000);
-    let state = Asked::State(21, "call-1".into());
+    let take = PrimaryRequest::Take(Box::new(call()), [0xc3; 32], 50_000_000);
+    let state = PrimaryRequest::State(21, "call-1".into());
     fixture::assert_matches(QUESTIONS, &(to_line(&take) + &to_line(&state)));
 
-    let stored: Vec<Asked> = fixture::read_text(QUESTIONS)
+    let stored: Vec<PrimaryRequest> = fixture::read_text(QUESTIONS)
         .lines()
         .map(from_line)
         .collect();
-    let [Asked::Take(stored_call, mark, until), Asked::State(serial, id)] = &stored[..] else {
+    let [PrimaryRequest::Take(stored_call, mark, until), PrimaryRequest::State(serial, id)] = &stored[..] else {
         panic!("other questions: {stored:?}")
     };
     assert_eq!(
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -8,7 +8,7 @@
 use calloop::channel;
 use slotmap::{new_key_type, SecondaryMap, SlotMap};
 
-use super::replication::{step, Asked, Waits as Question};
+use super::replication::{step, PrimaryRequest, RequestOrigin as Question};
 use super::*;
 use crate::api::{Arrival, Effect, RequestId};
 use crate::config::{ConfigError, Webhooks};
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -37,9 +37,9 @@
                             .as_ref()
                             .map_or(0, |s| s.shard_of(&mark)),
                     );
-                    self.ask_primary(
+                    self.send_to_primary(
                         shard,
-                        &Asked::State(serial, id.clone()),
+                        &PrimaryRequest::State(serial, id.clone()),
                         Question::State(key, id),
                     );
                     None
@@ -91,7 +91,7 @@
                 };
                 if let Some(shard) = self.cluster.replication.as_ref().map(|s| s.shard_of(&mark)) {
                     let left = record.expires.saturating_sub(now);
-                    let asked = Asked::Take(
+                    let asked = PrimaryRequest::Take(
                         Box::new(CallRecord {
                             expires: left,
                             ..record
@@ -99,7 +99,7 @@
                         mark,
                         until,
                     );
-                    self.ask_primary(shard, &asked, Question::Take(key, mark));
+                    self.send_to_primary(shard, &asked, Question::Take(key, mark));
                     return None;
                 }
                 let ask = Ask::Take {
@@ -151,12 +151,12 @@
                 }
                 (Caller::Gateway(to, number), e) => {
                     let shard = seq.shard();
-                    self.forget_mark(shard, &mark);
+                    self.remove_identity(shard, &mark);
                     let why = match e {
                         StoreError::NotCommitted(why) => why,
-                        _ => ReplicationError::Unreached { shard },
+                        _ => ReplicationError::PrimaryUnreachable { shard },
                     };
-                    self.tell_asker(to, number, RequestOutcome::Rejected(why));
+                    self.respond_to_request(to, number, RequestOutcome::Rejected(why));
                 }
             };
         }
@@ -180,12 +180,12 @@
             }
             Caller::Gateway(to, number) => {
                 step("call promised");
-                let disks = self.disks_of(seq.shard());
-                self.tell_asker(to, number, RequestOutcome::Committed(disks));
+                let disks = self.replica_count(seq.shard());
+                self.respond_to_request(to, number, RequestOutcome::Committed(disks));
             }
         }
         let request = self.core.call(now, call.with(Origin::Webhook(job)));
-        self.runs(job, request);
+        self.set_call_request(job, request);
     }
 
     /// An attempt of a call that must not run twice waits until it is recorded that it leaves.
@@ -296,7 +296,7 @@
             .filter(|e| e.wants(COMPLETED))
         {
             let shard = held.seq.shard();
-            let mut m = new_message(hooks.seq_in(shard), e, COMPLETED, now, &body);
+            let mut m = new_message(hooks.next_sequence_number(shard), e, COMPLETED, now, &body);
             m.id = format!("msg_{}", held.id);
             (m.tenant, m.serial) = (held.job.tenant.clone(), held.job.serial);
             m.waiting.effect = held.job.effect;
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -50,19 +50,19 @@
                 seq,
                 mark,
             } => self.taken(now, caller, *call, seq, mark, reply),
-            Ask::Disk => self.disk_began(reply),
+            Ask::Disk => self.disk_registered(reply),
             Ask::Record(shard, ticket) => self.record_stored(shard, ticket, reply),
             Ask::Shard(shard, to) => self.shard_read(shard, to, reply),
-            Ask::Lead(shard, epoch) => self.shard_taken_up(now, shard, epoch, reply),
+            Ask::Lead(shard, epoch) => self.shard_state_loaded(now, shard, epoch, reply),
             Ask::Verify => {
                 let found = match reply {
                     Ok(Reply::Verified(found)) => Some(found),
                     _ => None,
                 };
-                self.tell_copies(crate::replication::machine::Input::Verified(found));
+                self.notify_replicator(crate::replication::machine::Input::Verified(found));
             }
             Ask::Accept(shard) => {
-                self.tell_copies(crate::replication::machine::Input::Accepted(shard));
+                self.notify_replicator(crate::replication::machine::Input::DamageAccepted(shard));
             }
             Ask::Settled(w, state) => {
                 if reply.is_ok() && state == State::Waiting {
@@ -79,7 +79,7 @@
                         what: "call".into(),
                     }),
                 };
-                self.tell_asker(to, number, told);
+                self.respond_to_request(to, number, told);
             }
             Ask::Go(attempt) => self.recorded(now, attempt, reply.is_ok()),
             Ask::Publish | Ask::Quiet => self.now_wait(now, reply),
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -4,7 +4,7 @@
 
 impl WebhookDriver {
     /// What a question that is being kept is for, for tests that end the process there.
-    pub(in crate::gateway) fn is_for(&self, number: u64) -> Option<&'static str> {
+    pub(in crate::gateway) fn fault_injection_step(&self, number: u64) -> Option<&'static str> {
         match self.asked.get(&number)? {
             Ask::Take { .. } => Some("call recorded here"),
             Ask::Go(_) => Some("intent recorded here"),
@@ -15,7 +15,7 @@
     }
 
     /// Has the disk tell its number, and how often it was begun; with another one if it is to begin anew.
-    pub(in crate::gateway) fn begin_disk(&mut self, id: u64, anew: bool) {
+    pub(in crate::gateway) fn register_disk(&mut self, id: u64, anew: bool) {
         self.ask(
             Ask::Disk,
             Op::RegisterDisk(RegisterDisk {
@@ -26,7 +26,7 @@
     }
 
     /// A record of a shard goes to the disk. One that cannot be read keeps its place, and does nothing.
-    pub(in crate::gateway) fn keep_record(
+    pub(in crate::gateway) fn store_shard_record(
         &mut self,
         shard: ShardId,
         place: LogPosition,
@@ -45,7 +45,7 @@
     }
 
     /// Another disk's content takes the place of what this one holds of a shard.
-    pub(in crate::gateway) fn keep_shard(
+    pub(in crate::gateway) fn install_shard(
         &mut self,
         shard: ShardId,
         place: LogPosition,
@@ -62,7 +62,7 @@
     }
 
     /// What the disk holds of a shard is read for a copy.
-    pub(in crate::gateway) fn read_shard(&mut self, shard: ShardId, to: Name) {
+    pub(in crate::gateway) fn read_shard_snapshot(&mut self, shard: ShardId, to: Name) {
         self.ask(Ask::Shard(shard, to), Op::ReadShard(shard));
     }
 
@@ -72,22 +72,22 @@
     }
 
     /// What is left of a damaged shard counts.
-    pub(in crate::gateway) fn accept_shard(&mut self, shard: ShardId) {
+    pub(in crate::gateway) fn accept_shard_damage(&mut self, shard: ShardId) {
         self.ask(Ask::Accept(shard), Op::AcceptDamage(shard));
     }
 
     /// A shard is led here: what stands of it is read.
-    pub(in crate::gateway) fn lead_shard(&mut self, shard: ShardId, epoch: Epoch) {
+    pub(in crate::gateway) fn become_shard_primary(&mut self, shard: ShardId, epoch: Epoch) {
         self.ask(Ask::Lead(shard, epoch), Op::BecomePrimary(shard));
     }
 
     /// Numbers of a shard are given here under an epoch.
-    pub(in crate::gateway) fn numbers_of(&mut self, shard: ShardId, epoch: Epoch) {
+    pub(in crate::gateway) fn start_numbering(&mut self, shard: ShardId, epoch: Epoch) {
         self.numbers.insert(shard, (epoch, 0));
     }
 
     /// A shard is led here no more: nothing of it is run or delivered here. Calls to be given up.
-    pub(in crate::gateway) fn rest_shard(
+    pub(in crate::gateway) fn resign_shard(
         &mut self,
         now: Micros,
         shard: ShardId,
@@ -111,7 +111,7 @@
     }
 
     /// Callbacks whose attempt had begun where their shard was led before: by their class they wait again, or nobody can tell.
-    pub(in crate::gateway) fn settle(&mut self, now: Micros, begun: Vec<(Waiting, Micros)>) {
+    pub(in crate::gateway) fn settle_in_flight(&mut self, now: Micros, begun: Vec<(Waiting, Micros)>) {
         for (mut w, at) in begun {
             let (state, attempt) = crate::store::recovery::settle_remote_attempt(&mut w, at, now);
             self.ask(
@@ -126,14 +126,14 @@
     }
 
     /// Callbacks wait.
-    pub(in crate::gateway) fn wait(&mut self, now: Micros, waits: Vec<Waiting>) {
+    pub(in crate::gateway) fn enqueue_messages(&mut self, now: Micros, waits: Vec<Waiting>) {
         waits
             .into_iter()
             .for_each(|w| self.delivery.handle(now, Input::Waits(w)));
     }
 
     /// How a call stands, for another gateway.
-    pub(in crate::gateway) fn ask_state(
+    pub(in crate::gateway) fn request_call_state(
         &mut self,
         serial: u64,
         id: String,
@@ -144,7 +144,7 @@
     }
 
     /// The next number in a shard, or of this gateway's own.
-    pub(super) fn seq_in(&mut self, shard: ShardId) -> Seq {
+    pub(super) fn next_sequence_number(&mut self, shard: ShardId) -> Seq {
         match self.numbers.get_mut(&shard) {
             Some((epoch, last)) => {
                 *last += 1;
@@ -157,7 +157,7 @@
 
 impl Gateway {
     /// Goes on with a call that another process has taken: by its class and stage it runs, is refused, or nobody can tell.
-    pub(in crate::gateway) fn go_on(
+    pub(in crate::gateway) fn resume_call(
         &mut self,
         now: Micros,
         call: CallRecord,
@@ -189,7 +189,7 @@
                     );
                 }
                 let request = self.core.call(now, made.with(Origin::Webhook(key)));
-                self.runs(key, request);
+                self.set_call_request(key, request);
                 RecoveryAction::Run
             }
             (RecoveryAction::ReportUnknown, _) => {
@@ -208,7 +208,7 @@
         }
     }
 
-    pub(super) fn runs(&mut self, key: JobKey, request: RequestKey) {
+    pub(super) fn set_call_request(&mut self, key: JobKey, request: RequestKey) {
         if let Some(held) = self
             .secondary
             .hooks
@@ -245,7 +245,7 @@
 
     /// A call that another gateway, or a caller here, wants this primary to take.
     #[allow(clippy::too_many_arguments)]
-    pub(in crate::gateway) fn take_asked(
+    pub(in crate::gateway) fn accept_as_primary(
         &mut self,
         now: Micros,
         shard: ShardId,
@@ -257,20 +257,20 @@
     ) -> Result<(), ReplicationError> {
         let unknown = |what: &str| ReplicationError::Unknown { what: what.into() };
         if now >= record.expires {
-            return Err(ReplicationError::Unreached { shard });
+            return Err(ReplicationError::PrimaryUnreachable { shard });
         }
         if self.core.is_open(&record.worker_id) {
-            return Err(ReplicationError::Seen);
+            return Err(ReplicationError::DuplicateIdentity);
         }
         let call = self.call_of(&record).ok_or(unknown("class or tenant"))?;
         let hooks = self.secondary.hooks.as_mut().ok_or(unknown("front"))?;
         if hooks.stopping.is_some() {
-            return Err(ReplicationError::Leaving);
+            return Err(ReplicationError::ShuttingDown);
         }
         if hooks.jobs.len() >= hooks.pending || hooks.asked.len() >= MOST_ASKED {
-            return Err(ReplicationError::Full);
+            return Err(ReplicationError::PrimaryOverloaded);
         }
-        let seq = hooks.seq_in(shard);
+        let seq = hooks.next_sequence_number(shard);
         record.seq = seq;
         let ask = Ask::Take {
             caller,
@@ -288,14 +288,14 @@
     }
 
     /// A caller's call is promised by whoever leads its shard.
-    pub(in crate::gateway) fn promised_call(&mut self, now: Micros, conn: ConnKey, copies: u8) {
+    pub(in crate::gateway) fn confirm_call(&mut self, now: Micros, conn: ConnKey, copies: u8) {
         self.core.counters.webhooks_taken += 1;
         let head = format!("X-Kept-In: store\r\nX-Copies: {copies}\r\n");
         self.answer_second(conn, now, |stays| http::response(202, &head, b"", stays));
     }
 
     /// A caller's call is not promised.
-    pub(in crate::gateway) fn refused_call(
+    pub(in crate::gateway) fn reject_call(
         &mut self,
         now: Micros,
         conn: ConnKey,
@@ -306,21 +306,21 @@
             .secondary
             .hooks
             .as_mut()
-            .filter(|_| *why != ReplicationError::Seen)
+            .filter(|_| *why != ReplicationError::DuplicateIdentity)
         {
             hooks.inbound.replays.forget(mark);
         }
         self.core.counters.webhooks_refused += 1;
         let (status, text) = match why {
-            ReplicationError::Seen => (409, "already taken"),
+            ReplicationError::DuplicateIdentity => (409, "already taken"),
             ReplicationError::TooLong { .. } => (413, "longer than a record may be"),
-            ReplicationError::Late { .. } => (401, "its time stamp is over where its shard is led"),
+            ReplicationError::IdentityExpired { .. } => (401, "its time stamp is over where its shard is led"),
             ReplicationError::Unknown { .. } => (422, "unknown to the gateway that would take it"),
-            ReplicationError::Fewer { .. } => (503, "held by fewer machines than it has to be"),
-            ReplicationError::Full
-            | ReplicationError::Busy { .. }
-            | ReplicationError::Behind { .. } => (503, "too many calls under way"),
-            ReplicationError::Leaving => (503, "the gateway is about to end"),
+            ReplicationError::TooFewReplicas { .. } => (503, "held by fewer machines than it has to be"),
+            ReplicationError::PrimaryOverloaded
+            | ReplicationError::TooManyRequests { .. }
+            | ReplicationError::ReplicationLag { .. } => (503, "too many calls under way"),
+            ReplicationError::ShuttingDown => (503, "the gateway is about to end"),
             _ => (503, "nobody can promise it now"),
         };
         tracing::debug!(remedy = why.remedy(), "a call is not promised: {why}");
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -136,7 +136,7 @@
         self.core.counters.callbacks_unknown += found.unknown_deliveries;
         let (mut run, mut refused, mut unknown) = (0, 0, 0);
         for call in found.calls {
-            match self.go_on(now, call, found.clock_regressed) {
+            match self.resume_call(now, call, found.clock_regressed) {
                 RecoveryAction::Run => run += 1,
                 RecoveryAction::ReportUnknown => unknown += 1,
                 RecoveryAction::Reject => refused += 1,
--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -26,7 +26,7 @@
 /// One gateway that may hold copies.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct MemberLine {
+pub struct FileMember {
     /// Where its council's frames come in.
     pub address: SocketAddr,
     /// Its hall.
@@ -36,7 +36,7 @@
 /// What an operator writes; the same at every gateway.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct File {
+pub struct ReplicationFile {
     /// Machines whose disks a promise stands on.
     pub copies: usize,
     /// Parts that identities are spread over; never changed once anything is held.
@@ -61,7 +61,7 @@
     #[serde(default)]
     pub when_fewer: BTreeMap<String, WhenFewer>,
     /// All that may hold copies.
-    pub members: BTreeMap<String, MemberLine>,
+    pub members: BTreeMap<String, FileMember>,
     /// Where it came from.
     #[serde(skip)]
     pub file: PathBuf,
@@ -103,24 +103,24 @@
     /// Parts that identities are spread over.
     pub shards: u16,
     /// For how long a primary may be silent.
-    pub silent: Micros,
+    pub failure_timeout: Micros,
     /// For how long a copy may owe its word.
-    pub stall: Micros,
+    pub acknowledgement_timeout: Micros,
     /// For how long a question may take.
-    pub ask: Micros,
+    pub request_timeout: Micros,
     /// Shards that are copied anew at once.
-    pub repairs: usize,
+    pub max_repairs: usize,
     /// How often the disk here is looked at; 0 for never.
-    pub verify: Micros,
+    pub verify_interval: Micros,
     /// All that may hold copies.
     pub hosts: Vec<Host>,
     /// Guards taken out, for tests.
-    pub without: Guards,
+    pub disabled_guards: DisabledGuards,
 }
 
 /// Guards that a test takes out, to see what they hold off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Guards {
+pub struct DisabledGuards {
     /// A copy does not look at the epoch of what it is sent.
     pub epochs: bool,
     /// A record counts as promised before the whole set has it.
@@ -147,21 +147,21 @@
     })
 }
 
-impl File {
+impl ReplicationFile {
     /// Reads a file.
-    pub fn read(path: &Path) -> Result<File, FileError> {
+    pub fn read(path: &Path) -> Result<ReplicationFile, FileError> {
         let text = std::fs::read_to_string(path).map_err(|error| FileError::Read {
             path: path.into(),
             error,
         })?;
-        let mut f = File::parse(path, &text)?;
+        let mut f = ReplicationFile::parse(path, &text)?;
         f.file = path.to_owned();
         Ok(f)
     }
 
     /// Reads a file's text.
-    pub fn parse(path: &Path, text: &str) -> Result<File, FileError> {
-        let parsed: Result<File, toml::de::Error> = toml::from_str(text);
+    pub fn parse(path: &Path, text: &str) -> Result<ReplicationFile, FileError> {
+        let parsed: Result<ReplicationFile, toml::de::Error> = toml::from_str(text);
         let f = parsed.map_err(|e| FileError::Parse {
             path: path.into(),
             line: e
@@ -206,8 +206,8 @@
     }
 
     /// What the machine goes by.
-    pub fn settings(&self, name: &str, process: u64, without: Guards) -> Settings {
-        let host = |(n, m): (&String, &MemberLine)| Host {
+    pub fn settings(&self, name: &str, process: u64, without: DisabledGuards) -> Settings {
+        let host = |(n, m): (&String, &FileMember)| Host {
             name: n.as_str().into(),
             hall: m.hall.clone(),
         };
@@ -216,13 +216,13 @@
             process,
             copies: self.copies,
             shards: self.shards,
-            silent: self.silent_ms * 1_000,
-            stall: self.stall_ms * 1_000,
-            ask: self.ask_ms * 1_000,
-            repairs: self.repairs,
-            verify: self.verify_s * 1_000_000,
+            failure_timeout: self.silent_ms * 1_000,
+            acknowledgement_timeout: self.stall_ms * 1_000,
+            request_timeout: self.ask_ms * 1_000,
+            max_repairs: self.repairs,
+            verify_interval: self.verify_s * 1_000_000,
             hosts: self.members.iter().map(host).collect(),
-            without,
+            disabled_guards: without,
         }
     }
 }
--- a/src/replication/disks_tests.rs
+++ b/src/replication/disks_tests.rs
@@ -1,6 +1,6 @@
 //! Disks that are full, that lie, or that change what they hold, on the virtual clock of [`super::tests`].
 
-use super::config::Guards;
+use super::config::DisabledGuards;
 use super::history::HistoryEvent;
 use super::tests::{leader, name, World, MS};
 use super::Name;
@@ -17,9 +17,9 @@
             4,
             2,
             21,
-            Guards {
+            DisabledGuards {
                 sound,
-                ..Guards::default()
+                ..DisabledGuards::default()
             },
         );
         w.run(3_000 * MS);
@@ -35,7 +35,7 @@
         let mended = notes(&w, |n| {
             matches!(
                 n,
-                HistoryEvent::Mended {
+                HistoryEvent::Repaired {
                     shard: 1,
                     accepted: false
                 }
@@ -52,7 +52,7 @@
 /// A primary's disk changes what it holds: another leads, and the damage is handed on to nobody.
 #[test]
 fn a_damaged_primary_hands_its_shard_on_and_is_mended_from_a_copy() {
-    let mut w = World::new(4, 2, 22, Guards::default());
+    let mut w = World::new(4, 2, 22, DisabledGuards::default());
     w.run(3_000 * MS);
     w.traffic(500 * MS);
     w.run(300 * MS);
@@ -67,7 +67,7 @@
 /// The only disk of a shard changes what it holds: there is nothing to mend it from, so what is left counts, and that is told.
 #[test]
 fn the_only_disk_goes_on_with_what_is_left_and_says_so() {
-    let mut w = World::new(1, 1, 23, Guards::default());
+    let mut w = World::new(1, 1, 23, DisabledGuards::default());
     w.run(2_000 * MS);
     w.traffic(500 * MS);
     assert!(w.gateways[0].disk.damage(1));
@@ -75,7 +75,7 @@
     assert_eq!(
         notes(&w, |n| matches!(
             n,
-            HistoryEvent::Mended {
+            HistoryEvent::Repaired {
                 shard: 1,
                 accepted: true
             }
@@ -90,7 +90,7 @@
 /// The other disk of the set is away: a damaged primary waits for it, as it has all that was promised, and accepts nothing.
 #[test]
 fn a_damaged_disk_waits_for_the_one_that_has_all() {
-    let mut w = World::new(2, 2, 24, Guards::default());
+    let mut w = World::new(2, 2, 24, DisabledGuards::default());
     w.run(3_000 * MS);
     w.traffic(500 * MS);
     w.run(300 * MS);
@@ -99,11 +99,11 @@
     assert!(w.gateways[primary].disk.damage(1));
     w.run(6_000 * MS);
     assert_eq!(
-        notes(&w, |n| matches!(n, HistoryEvent::Mended { shard: 1, .. })),
+        notes(&w, |n| matches!(n, HistoryEvent::Repaired { shard: 1, .. })),
         0
     );
     assert_eq!(
-        notes(&w, |n| matches!(n, HistoryEvent::Waits { shard: 1, .. })),
+        notes(&w, |n| matches!(n, HistoryEvent::WaitingForReplica { shard: 1, .. })),
         1,
         "it is told once"
     );
@@ -113,7 +113,7 @@
     assert_eq!(
         notes(&w, |n| matches!(
             n,
-            HistoryEvent::Mended {
+            HistoryEvent::Repaired {
                 shard: 1,
                 accepted: false
             }
@@ -126,7 +126,7 @@
 #[test]
 fn one_whose_disk_is_full_leads_nothing_and_holds_nothing_up() {
     for copy in [false, true] {
-        let mut w = World::new(4, 2, 25, Guards::default());
+        let mut w = World::new(4, 2, 25, DisabledGuards::default());
         w.run(3_000 * MS);
         w.traffic(300 * MS);
         let primary = leader(&w, 1);
@@ -139,7 +139,7 @@
         let leads = w.gateways[full]
             .machine
             .as_ref()
-            .map_or(0, |m| (1..=4).filter(|s| m.leads(*s)).count());
+            .map_or(0, |m| (1..=4).filter(|s| m.is_primary(*s)).count());
         assert_eq!(leads, 0, "copy {copy}");
         let before = w.promised.len();
         w.traffic(1_000 * MS);
@@ -163,9 +163,9 @@
                 3,
                 3,
                 seed,
-                Guards {
+                DisabledGuards {
                     ahead,
-                    ..Guards::default()
+                    ..DisabledGuards::default()
                 },
             );
             w.run(4_000 * MS);
--- a/src/replication/error.rs
+++ b/src/replication/error.rs
@@ -26,7 +26,7 @@
     },
     /// Another has taken the shard over.
     #[error("shard {shard} was taken over: epoch {ours} here, {theirs} agreed")]
-    Deposed {
+    Superseded {
         /// Which.
         shard: ShardId,
         /// The epoch under which it was led here.
@@ -36,7 +36,7 @@
     },
     /// Fewer machines hold the shard than a promise of this class asks for.
     #[error("shard {shard} is held by {have} machines, a promise asks for {want}")]
-    Fewer {
+    TooFewReplicas {
         /// Which.
         shard: ShardId,
         /// How many hold it.
@@ -46,19 +46,19 @@
     },
     /// The primary did not answer in time.
     #[error("nobody who leads shard {shard} answered in time")]
-    Unreached {
+    PrimaryUnreachable {
         /// Which.
         shard: ShardId,
     },
     /// As many questions are under way as may be.
     #[error("{open} questions to other gateways are under way, as many as may be")]
-    Busy {
+    TooManyRequests {
         /// How many.
         open: usize,
     },
     /// The records that wait for other disks take as many bytes as they may.
     #[error("{bytes} bytes of shard {shard} wait for other disks, as many as may")]
-    Behind {
+    ReplicationLag {
         /// Which.
         shard: ShardId,
         /// How many.
@@ -74,12 +74,12 @@
     },
     /// Its identity was given before.
     #[error("the identity was taken before")]
-    Seen,
+    DuplicateIdentity,
     /// Its identity's time is over at the primary, or so close to it that it may have been forgotten.
     #[error(
         "the identity's time is over in shard {shard}, so that nobody can tell whether it was taken before"
     )]
-    Late {
+    IdentityExpired {
         /// Which shard.
         shard: ShardId,
     },
@@ -91,10 +91,10 @@
     },
     /// The primary has too many calls under way.
     #[error("the primary has too many calls under way")]
-    Full,
+    PrimaryOverloaded,
     /// The process is about to end.
     #[error("the gateway is about to end")]
-    Leaving,
+    ShuttingDown,
 }
 
 impl ReplicationError {
@@ -104,19 +104,19 @@
             ReplicationError::NotPrimary { .. } => {
                 "wait: a member of the set takes the shard over by itself; if none does, look at whether the council has a majority"
             }
-            ReplicationError::Deposed { .. } => "nothing: the shard goes on elsewhere; look at why this gateway was silent for so long",
-            ReplicationError::Fewer { .. } => {
+            ReplicationError::Superseded { .. } => "nothing: the shard goes on elsewhere; look at why this gateway was silent for so long",
+            ReplicationError::TooFewReplicas { .. } => {
                 "start the gateways that are down, or name further ones under [members]; or allow fewer copies for the class with when_fewer"
             }
-            ReplicationError::Unreached { .. } => "look at the links between gateways and at whether the council has a majority",
-            ReplicationError::Busy { .. } => "look for a primary that is slow; callers may try again",
-            ReplicationError::Behind { .. } => "look for a gateway of the set with a slow disk or link; it is left out after stall_ms",
+            ReplicationError::PrimaryUnreachable { .. } => "look at the links between gateways and at whether the council has a majority",
+            ReplicationError::TooManyRequests { .. } => "look for a primary that is slow; callers may try again",
+            ReplicationError::ReplicationLag { .. } => "look for a gateway of the set with a slow disk or link; it is left out after stall_ms",
             ReplicationError::TooLong { .. } => "have callers send smaller bodies",
-            ReplicationError::Seen => "nothing: the call has its answer, or will have it",
-            ReplicationError::Late { .. } => "look at the clocks of the gateways and of the caller; the call may be sent under a new identity",
+            ReplicationError::DuplicateIdentity => "nothing: the call has its answer, or will have it",
+            ReplicationError::IdentityExpired { .. } => "look at the clocks of the gateways and of the caller; the call may be sent under a new identity",
             ReplicationError::Unknown { .. } => "give all gateways the same classes and tenants",
-            ReplicationError::Full => "raise webhooks.pending, or add gateways",
-            ReplicationError::Leaving => "nothing: callers find another gateway",
+            ReplicationError::PrimaryOverloaded => "raise webhooks.pending, or add gateways",
+            ReplicationError::ShuttingDown => "nothing: callers find another gateway",
         }
     }
 }
--- a/src/replication/history.rs
+++ b/src/replication/history.rs
@@ -9,7 +9,7 @@
 #[serde(tag = "copies", rename_all = "snake_case")]
 pub enum HistoryEvent {
     /// This process gives a shard's records their numbers from here on.
-    Led {
+    BecamePrimary {
         /// Which shard.
         shard: ShardId,
         /// Under which epoch.
@@ -22,14 +22,14 @@
         members: Vec<Name>,
     },
     /// It does so no more.
-    Rested {
+    SteppedDown {
         /// Which shard.
         shard: ShardId,
         /// Under which epoch it did.
         epoch: Epoch,
     },
     /// A record stands on the disks of all the set.
-    Promised {
+    Committed {
         /// Which shard.
         shard: ShardId,
         /// Under which epoch.
@@ -69,14 +69,14 @@
         ranges: Vec<u8>,
     },
     /// The disk here is damaged, and whoever else holds the shard cannot be heard: it is waited for.
-    Waits {
+    WaitingForReplica {
         /// Which shard.
         shard: ShardId,
         /// The set.
         members: Vec<Name>,
     },
     /// It was mended from another disk; or, as no other has it, what is left of it counts.
-    Mended {
+    Repaired {
         /// Which shard.
         shard: ShardId,
         /// Whether something of it may be gone.
@@ -92,19 +92,19 @@
         ours: Epoch,
     },
     /// All that held a shard were lost, and one that had been left out leads it: it has what was promised until then.
-    Recalled {
+    RecoveredFromFormer {
         /// Which shard.
         shard: ShardId,
     },
     /// All that held a shard were lost, and it was founded anew: what was promised in it is gone.
-    Lost {
+    DataLost {
         /// Which shard.
         shard: ShardId,
     },
 }
 
 /// A digest as histories have it.
-pub fn short(chain: &super::ChainDigest) -> u64 {
+pub fn short_digest(chain: &super::ChainDigest) -> u64 {
     chain
         .first_chunk::<8>()
         .map_or(0, |b| u64::from_le_bytes(*b))
--- a/src/replication/identities.rs
+++ b/src/replication/identities.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether one may be taken now, which counts until then; at most so many are remembered.
-    pub fn may(
+    pub fn check(
         &mut self,
         now: Micros,
         mark: &IdentityDigest,
@@ -49,28 +49,28 @@
             .get(mark)
             .is_some_and(|t| *t >= now.max(self.forgotten))
         {
-            return Err(ReplicationError::Seen);
+            return Err(ReplicationError::DuplicateIdentity);
         }
         if self.marks.len() >= most {
             self.marks.retain(|_, t| *t >= now);
             self.forgotten = self.forgotten.max(now);
         }
         if until <= self.forgotten || until < now {
-            return Err(ReplicationError::Late { shard: self.shard });
+            return Err(ReplicationError::IdentityExpired { shard: self.shard });
         }
         if self.marks.len() >= most {
-            return Err(ReplicationError::Full);
+            return Err(ReplicationError::PrimaryOverloaded);
         }
         Ok(())
     }
 
     /// One is taken.
-    pub fn take(&mut self, mark: IdentityDigest, until: Micros) {
+    pub fn insert(&mut self, mark: IdentityDigest, until: Micros) {
         self.marks.insert(mark, until);
     }
 
     /// It was not taken after all.
-    pub fn forget(&mut self, mark: &IdentityDigest) {
+    pub fn remove(&mut self, mark: &IdentityDigest) {
         self.marks.remove(mark);
     }
 }
@@ -82,34 +82,34 @@
     #[test]
     fn one_is_taken_once_as_long_as_it_counts_and_never_where_it_may_have_been_forgotten() {
         let mut all = Identities::new(3, [([1; 32], 50)], 20);
-        let late = Err(ReplicationError::Late { shard: 3 });
-        assert_eq!(all.may(10, &[1; 32], 50, 9), Err(ReplicationError::Seen));
-        assert_eq!(all.may(10, &[2; 32], 50, 9), Ok(()));
-        all.take([2; 32], 50);
-        assert_eq!(all.may(10, &[2; 32], 50, 9), Err(ReplicationError::Seen));
+        let late = Err(ReplicationError::IdentityExpired { shard: 3 });
+        assert_eq!(all.check(10, &[1; 32], 50, 9), Err(ReplicationError::DuplicateIdentity));
+        assert_eq!(all.check(10, &[2; 32], 50, 9), Ok(()));
+        all.insert([2; 32], 50);
+        assert_eq!(all.check(10, &[2; 32], 50, 9), Err(ReplicationError::DuplicateIdentity));
         // Another disk, whose clock is ahead, may have forgotten it; the clock here has not come so far.
-        assert_eq!(all.may(10, &[3; 32], 20, 9), late);
-        assert_eq!(all.may(10, &[3; 32], 21, 9), Ok(()));
+        assert_eq!(all.check(10, &[3; 32], 20, 9), late);
+        assert_eq!(all.check(10, &[3; 32], 21, 9), Ok(()));
         // Its time is over here, though a gateway whose clock is behind has accepted it.
-        assert_eq!(all.may(51, &[2; 32], 50, 9), late);
-        all.forget(&[1; 32]);
-        assert_eq!(all.may(10, &[1; 32], 50, 9), Ok(()));
+        assert_eq!(all.check(51, &[2; 32], 50, 9), late);
+        all.remove(&[1; 32]);
+        assert_eq!(all.check(10, &[1; 32], 50, 9), Ok(()));
     }
 
     #[test]
     fn it_is_bounded_and_remembers_what_it_let_go_of_also_when_the_clock_steps_back() {
         let mut all = Identities::default();
         for n in 0..4 {
-            assert_eq!(all.may(1, &[n; 32], 10 + u64::from(n), 4), Ok(()));
-            all.take([n; 32], 10 + u64::from(n));
+            assert_eq!(all.check(1, &[n; 32], 10 + u64::from(n), 4), Ok(()));
+            all.insert([n; 32], 10 + u64::from(n));
         }
-        assert_eq!(all.may(5, &[9; 32], 40, 4), Err(ReplicationError::Full));
-        assert_eq!(all.may(12, &[9; 32], 40, 4), Ok(()), "two are over");
+        assert_eq!(all.check(5, &[9; 32], 40, 4), Err(ReplicationError::PrimaryOverloaded));
+        assert_eq!(all.check(12, &[9; 32], 40, 4), Ok(()), "two are over");
         assert_eq!(
-            all.may(3, &[0; 32], 10, 4),
-            Err(ReplicationError::Late { shard: 0 }),
+            all.check(3, &[0; 32], 10, 4),
+            Err(ReplicationError::IdentityExpired { shard: 0 }),
             "the clock went back"
         );
-        assert_eq!(all.may(3, &[3; 32], 13, 4), Err(ReplicationError::Seen));
+        assert_eq!(all.check(3, &[3; 32], 13, 4), Err(ReplicationError::DuplicateIdentity));
     }
 }
--- a/src/replication/machine.rs
+++ b/src/replication/machine.rs
@@ -5,12 +5,12 @@
 
 use super::config::Settings;
 use super::error::{Declined, ReplicationError};
-use super::history::{short, HistoryEvent};
+use super::history::{short_digest, HistoryEvent};
 use super::placement;
 use super::primary::{fits, CommitWaiter, Primary, MOST_OWED};
-use super::sets::{Disk, Entry, Move, ReplicaSet, ReplicaSets};
+use super::sets::{Disk, Entry, MembershipChange, ReplicaSet, ReplicaSets};
 use super::shard::{Pending, Shard, Taken};
-use super::wire::{Body, RequestOutcome, MAX_RECORD_BYTES};
+use super::wire::{Message, RequestOutcome, MAX_RECORD_BYTES};
 use super::{Epoch, LogPosition, Name, ShardId};
 use crate::api::Micros;
 
@@ -31,14 +31,14 @@
         /// Its number.
         id: u64,
         /// How often it was begun.
-        boot: u64,
+        incarnation: u64,
         /// The shards on it.
-        places: BTreeMap<ShardId, LogPosition>,
+        positions: BTreeMap<ShardId, LogPosition>,
     },
     /// What is agreed has changed.
     SetsChanged(Arc<ReplicaSets>),
     /// Another gateway said something.
-    Frame(Name, Body),
+    Received(Name, Message),
     /// The connection to another has ended.
     Disconnected(Name),
     /// Something is to be promised by this gateway, which leads; `want` disks are asked for.
@@ -46,31 +46,31 @@
         /// In which shard.
         shard: ShardId,
         /// Where the promise is told.
-        ticket: CommitWaiter,
+        waiter: CommitWaiter,
         /// The record.
-        bytes: Vec<u8>,
+        record: Vec<u8>,
         /// How many disks it asks for; 0 for as many as there are.
-        want: usize,
+        min_replicas: usize,
     },
     /// The oldest of a shard's that was on its way to the disk is there.
     Persisted(ShardId),
     /// What the disk holds of a shard, asked for by [`Output::Read`].
-    Read(ShardId, Name, LogPosition, Vec<u8>),
+    SnapshotRead(ShardId, Name, LogPosition, Vec<u8>),
     /// The disk was not read for a copy.
-    ReadFailed(ShardId, Name),
+    SnapshotReadFailed(ShardId, Name),
     /// What the disk was looked at for: the ranges of each shard on it that are not what was written; none if it could not be
     /// read.
     Verified(Option<Vec<(ShardId, Vec<u8>)>>),
     /// Ranges of a shard were found not to be what was written.
     Corrupt(ShardId, Vec<u8>),
     /// What is left of a shard counts from here on.
-    Accepted(ShardId),
+    DamageAccepted(ShardId),
     /// A question for a shard's primary.
     Request {
         /// Which shard.
         shard: ShardId,
         /// Of whoever asks here.
-        ticket: CommitWaiter,
+        waiter: CommitWaiter,
         /// What.
         bytes: Vec<u8>,
     },
@@ -86,19 +86,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Say something to another gateway; it may get lost.
-    Send(Name, Body),
+    Send(Name, Message),
     /// Have an entry agreed; it may get lost.
     Propose(Entry),
     /// Have a record on the disk, behind all before it; report it by [`Input::PersistentState`]. With the ticket, if it is led here.
-    Store(ShardId, LogPosition, Arc<[u8]>, Option<CommitWaiter>),
+    StoreRecord(ShardId, LogPosition, Arc<[u8]>, Option<CommitWaiter>),
     /// Have a snapshot take the place of what the disk holds; report it likewise.
-    Install(ShardId, LogPosition, Vec<u8>),
+    InstallSnapshot(ShardId, LogPosition, Vec<u8>),
     /// Read what the disk holds of a shard, for a copy.
-    Read(ShardId, Name),
+    ReadSnapshot(ShardId, Name),
     /// Look at whether the disk still holds what was written, beside all else.
-    Verify,
+    VerifyDisk,
     /// No other disk has a shard that is damaged here: let what is left of it count.
-    Accept(ShardId),
+    AcceptDamage(ShardId),
     /// A record is promised, on so many disks.
     Committed(CommitWaiter, usize),
     /// It is not.
@@ -112,9 +112,9 @@
     /// A question of one's own is answered.
     Response(CommitWaiter, RequestOutcome),
     /// The disk here is not the one that it was: its content counts for nothing, and it needs a number of its own.
-    DiskRefused,
+    DiskRejected,
     /// Something to be recorded.
-    Record(HistoryEvent),
+    RecordEvent(HistoryEvent),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -181,7 +181,7 @@
     }
 
     /// The next thing to be done, if any.
-    pub fn output(&mut self) -> Option<Output> {
+    pub fn next_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
@@ -196,16 +196,16 @@
 
     /// When `Tick` is due.
     pub fn next_deadline(&self) -> Micros {
-        self.ticked + self.settings.silent / 8
+        self.ticked + self.settings.failure_timeout / 8
     }
 
     /// Whether this process leads any shard.
-    pub fn leads_any(&self) -> bool {
+    pub fn is_any_primary(&self) -> bool {
         self.shards.values().any(|s| s.leading.is_some())
     }
 
     /// Whether this process leads a shard.
-    pub fn leads(&self, shard: ShardId) -> bool {
+    pub fn is_primary(&self, shard: ShardId) -> bool {
         self.shards.get(&shard).is_some_and(|s| s.leading.is_some())
     }
 
@@ -219,21 +219,21 @@
         &self.settings
     }
 
-    fn say(&mut self, to: Name, body: Body) {
+    fn say(&mut self, to: Name, body: Message) {
         self.outputs.push_back(Output::Send(to, body));
     }
 
     fn note(&mut self, note: HistoryEvent) {
-        self.outputs.push_back(Output::Record(note));
+        self.outputs.push_back(Output::RecordEvent(note));
     }
 
     /// Takes what happened.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Disk { id, boot, places } => {
+            Input::Disk { id, incarnation: boot, positions: places } => {
                 self.disk = Some(Disk {
                     id,
-                    boot,
+                    incarnation: boot,
                     process: self.settings.process,
                 });
                 self.known = false;
@@ -250,7 +250,7 @@
                 self.look_at_disk(now);
                 self.take_up(now);
             }
-            Input::Frame(from, body) => self.frame(now, from, body),
+            Input::Received(from, body) => self.frame(now, from, body),
             Input::Disconnected(name) => {
                 for s in self.shards.values_mut() {
                     if let Some(l) = &mut s.leading {
@@ -260,34 +260,34 @@
             }
             Input::Append {
                 shard,
-                ticket,
-                bytes,
-                want,
+                waiter: ticket,
+                record: bytes,
+                min_replicas: want,
             } => self.append(now, shard, ticket, bytes, want),
             Input::Persisted(shard) => self.kept(now, shard),
-            Input::Read(shard, to, place, bytes) => {
+            Input::SnapshotRead(shard, to, place, bytes) => {
                 if let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) {
                     l.read(now, &to, place, bytes.into());
                 }
             }
-            Input::ReadFailed(shard, to) => {
+            Input::SnapshotReadFailed(shard, to) => {
                 if let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) {
                     l.unread(now, &to);
                 }
             }
             Input::Verified(found) => self.verified(now, found),
             Input::Corrupt(shard, ranges) => self.unsound(shard, ranges),
-            Input::Accepted(shard) => self.accepted(shard),
+            Input::DamageAccepted(shard) => self.accepted(shard),
             Input::Request {
                 shard,
-                ticket,
+                waiter: ticket,
                 bytes,
             } => self.ask(now, shard, ticket, bytes),
             Input::Respond(to, number, told) => {
                 if to == self.settings.name {
                     self.told(number, told);
                 } else {
-                    self.say(to, Body::Reply(number, told));
+                    self.say(to, Message::Reply(number, told));
                 }
             }
             Input::GracefulShutdown => {
@@ -302,11 +302,11 @@
 
 fn led(shard: ShardId, epoch: Epoch, place: LogPosition, members: &BTreeSet<Name>) -> Output {
     let members = members.iter().cloned().collect();
-    Output::Record(HistoryEvent::Led {
+    Output::RecordEvent(HistoryEvent::BecamePrimary {
         shard,
         epoch,
         number: place.number,
-        chain: short(&place.chain),
+        chain: short_digest(&place.chain),
         members,
     })
 }
--- a/src/replication/machine/agreed.rs
+++ b/src/replication/machine/agreed.rs
@@ -8,21 +8,21 @@
         let Some(disk) = self.disk else { return };
         match self.sets.disks.get(&self.settings.name) {
             Some(k) if *k == disk => self.known = true,
-            Some(k) if k.id == disk.id && k.boot >= disk.boot => {
+            Some(k) if k.id == disk.id && k.incarnation >= disk.incarnation => {
                 // Another process has begun on this disk since: it is yesterday's copy, or it was taken away.
                 (self.known, self.disk) = (false, None);
                 for s in self.shards.values_mut() {
                     s.place = LogPosition::default();
                 }
-                self.outputs.push_back(Output::DiskRefused);
+                self.outputs.push_back(Output::DiskRejected);
             }
             _ => {
                 self.known = false;
-                if now >= self.proposed + self.settings.stall / 2 || self.proposed == 0 {
+                if now >= self.proposed + self.settings.acknowledgement_timeout / 2 || self.proposed == 0 {
                     self.proposed = now.max(1);
                     let name = self.settings.name.clone();
                     self.outputs
-                        .push_back(Output::Propose(Entry::Begun { name, disk }));
+                        .push_back(Output::Propose(Entry::RegisterDisk { name, disk }));
                 }
             }
         }
@@ -33,12 +33,12 @@
         self.look_at_processes();
         let me = self.settings.name.clone();
         for id in 1..=self.settings.shards {
-            let set = self.sets.of(id);
+            let set = self.sets.replica_set(id);
             let Some(s) = self.shards.get_mut(&id) else {
                 continue;
             };
             let older = std::mem::replace(&mut s.set, set);
-            let process = s.set.process == self.settings.process || self.settings.without.process;
+            let process = s.set.process == self.settings.process || self.settings.disabled_guards.process;
             let mine = self.known && s.set.primary.as_ref() == Some(&me) && process;
             let (epoch, members) = (s.set.epoch, s.set.members.clone());
             let mut events = Vec::new();
@@ -53,14 +53,14 @@
                 (Some(l), false) => {
                     let ours = l.epoch;
                     for ticket in l.unpromised() {
-                        let why = ReplicationError::Deposed {
+                        let why = ReplicationError::Superseded {
                             shard: id,
                             ours,
                             theirs: epoch,
                         };
                         events.push(Output::Rejected(ticket, why));
                     }
-                    events.push(Output::Record(HistoryEvent::Rested {
+                    events.push(Output::RecordEvent(HistoryEvent::SteppedDown {
                         shard: id,
                         epoch: ours,
                     }));
@@ -71,9 +71,9 @@
                     let come = (s.place, s.stored());
                     s.leading = Some(Primary::new(now, &me, id, (epoch, members), come));
                     if older.epoch > 0 && older.members.is_empty() {
-                        events.push(Output::Record(match older.former.contains_key(&me) {
-                            true => HistoryEvent::Recalled { shard: id },
-                            false => HistoryEvent::Lost { shard: id },
+                        events.push(Output::RecordEvent(match older.former_members.contains_key(&me) {
+                            true => HistoryEvent::RecoveredFromFormer { shard: id },
+                            false => HistoryEvent::DataLost { shard: id },
                         }));
                     }
                 }
@@ -106,7 +106,7 @@
     /// A shard that is led here is opened once those who hold it have told how far they have come: one that has more is to lead
     /// itself, and would be overwritten by what is taken here before.
     pub(super) fn open(&mut self, now: Micros, id: ShardId) {
-        let (stall, silent) = (2 * self.settings.stall, self.settings.silent);
+        let (stall, silent) = (2 * self.settings.acknowledgement_timeout, self.settings.failure_timeout);
         let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else {
             return;
         };
@@ -123,7 +123,7 @@
 
     pub(super) fn tick(&mut self, now: Micros) {
         // Nothing can be said of others' silence by one that was stopped itself.
-        if now > self.ticked + self.settings.silent / 2 {
+        if now > self.ticked + self.settings.failure_timeout / 2 {
             self.heard.values_mut().for_each(|t| *t = now);
         }
         self.ticked = now;
@@ -135,15 +135,15 @@
             .collect();
         for number in over {
             if let Some(q) = self.asked.remove(&number) {
-                let why = ReplicationError::Unreached { shard: q.shard };
+                let why = ReplicationError::PrimaryUnreachable { shard: q.shard };
                 self.outputs
                     .push_back(Output::Response(q.ticket, RequestOutcome::Rejected(why)));
             }
         }
-        if now >= self.beat + self.settings.silent / 5 {
+        if now >= self.beat + self.settings.failure_timeout / 5 {
             self.beat = now;
             let to: Vec<Name> = self.peers().cloned().collect();
-            to.into_iter().for_each(|to| self.say(to, Body::Heartbeat));
+            to.into_iter().for_each(|to| self.say(to, Message::Heartbeat));
         }
         self.look_at_disk(now);
         if self.known {
@@ -171,19 +171,19 @@
             let set = self.shards[&id].set.clone();
             if self.shards[&id].leading.is_some() {
                 self.open(now, id);
-                joining += usize::from(self.lead(now, id, joining < self.settings.repairs));
+                joining += usize::from(self.lead(now, id, joining < self.settings.max_repairs));
             } else if self.leaving {
                 // What others lead is theirs.
-            } else if set.members.is_empty() && !set.former.is_empty() {
+            } else if set.members.is_empty() && !set.former_members.is_empty() {
                 // Who was left out last has what was promised until then; it is waited for.
-                if set.heirs().any(|n| *n == me) {
+                if set.successors().any(|n| *n == me) {
                     self.propose(now, id, &set, [me.clone()].into());
                 }
             } else if set.members.is_empty() {
-                let order = placement::order(id, &self.settings.hosts);
+                let order = placement::replica_order(id, &self.settings.hosts);
                 let first = order
                     .iter()
-                    .find(|n| self.is_heard(now, n, self.settings.silent));
+                    .find(|n| self.is_heard(now, n, self.settings.failure_timeout));
                 if first == Some(&me) {
                     self.propose(now, id, &set, [me.clone()].into());
                 }
@@ -192,7 +192,7 @@
                 // One whose disk is damaged or stuck leaves it to the others, as long as one of them can be heard.
                 let others = members
                     .iter()
-                    .any(|m| *m != me && self.is_heard(now, m, self.settings.silent));
+                    .any(|m| *m != me && self.is_heard(now, m, self.settings.failure_timeout));
                 if others && self.is_unfit(now, id) {
                     continue;
                 }
@@ -205,8 +205,8 @@
                             .iter()
                             .filter(|m| primary.as_ref() != Some(m))
                             .position(|m| *m == me);
-                        let waits = self.settings.silent
-                            + self.settings.silent / 2 * turn.unwrap_or(0) as Micros;
+                        let waits = self.settings.failure_timeout
+                            + self.settings.failure_timeout / 2 * turn.unwrap_or(0) as Micros;
                         // The one before stays in the set until another has come: it has all that was promised.
                         if primary
                             .as_ref()
@@ -227,8 +227,8 @@
     pub(super) fn lead(&mut self, now: Micros, id: ShardId, room: bool) -> bool {
         let (me, stall, silent) = (
             self.settings.name.clone(),
-            self.settings.stall,
-            self.settings.silent,
+            self.settings.acknowledgement_timeout,
+            self.settings.failure_timeout,
         );
         let Some(l) = self.shards.get(&id).and_then(|s| s.leading.as_ref()) else {
             return false;
@@ -326,7 +326,7 @@
     pub(super) fn leaves(&mut self, now: Micros, late: Option<Name>, members: &mut BTreeSet<Name>) {
         if let Some(late) = late {
             members.remove(&late);
-            self.calm.insert(late, now + 2 * self.settings.stall);
+            self.calm.insert(late, now + 2 * self.settings.acknowledgement_timeout);
         }
     }
 
@@ -340,10 +340,10 @@
         let may = |n: &Name| {
             *n != self.settings.name
                 && self.sets.disks.contains_key(n)
-                && self.is_heard(now, n, self.settings.silent)
+                && self.is_heard(now, n, self.settings.failure_timeout)
                 && self.calm.get(n).is_none_or(|t| *t <= now)
         };
-        placement::next(id, &self.settings.hosts, members, may)
+        placement::next_replica(id, &self.settings.hosts, members, may)
     }
 
     /// Another member, which has all, is to lead; it asks for an epoch of its own once it hears.
@@ -359,16 +359,16 @@
             l.proposed = Some(now);
         }
         let (was, by) = (set.epoch, self.settings.name.clone());
-        let entry = Move {
+        let entry = MembershipChange {
             shard,
-            was,
-            by,
+            previous_epoch: was,
+            proposer: by,
             primary: to,
             process: 0,
             members,
-            joins: None,
+            joining: None,
         };
-        self.outputs.push_back(Output::Propose(Entry::Move(entry)));
+        self.outputs.push_back(Output::Propose(Entry::ChangeMembers(entry)));
     }
 
     pub(super) fn propose(
@@ -389,15 +389,15 @@
             .cloned();
         let joins = comes.and_then(|n| Some((n.clone(), self.sets.disks.get(&n)?.id)));
         let (was, by) = (set.epoch, me.clone());
-        let entry = Move {
+        let entry = MembershipChange {
             shard,
-            was,
-            by,
+            previous_epoch: was,
+            proposer: by,
             primary: me,
             process,
             members,
-            joins,
+            joining: joins,
         };
-        self.outputs.push_back(Output::Propose(Entry::Move(entry)));
+        self.outputs.push_back(Output::Propose(Entry::ChangeMembers(entry)));
     }
 }
--- a/src/replication/machine/integrity.rs
+++ b/src/replication/machine/integrity.rs
@@ -10,17 +10,17 @@
 impl Replicator {
     /// Has the disk looked at, now and again.
     pub(super) fn look_at_soundness(&mut self, now: Micros) {
-        if self.settings.verify > 0 && self.verify.is_some_and(|t| t <= now) {
+        if self.settings.verify_interval > 0 && self.verify.is_some_and(|t| t <= now) {
             self.verify = None;
-            self.outputs.push_back(Output::Verify);
+            self.outputs.push_back(Output::VerifyDisk);
         }
-        let said: Vec<(Name, Body)> = self
+        let said: Vec<(Name, Message)> = self
             .shards
             .iter()
             .filter(|(_, s)| s.unsound.is_some() && s.leading.is_none())
             .filter_map(|(id, s)| {
                 let primary = s.set.primary.clone().filter(|p| *p != self.settings.name)?;
-                Some((primary, Body::Corrupt(*id, s.set.epoch)))
+                Some((primary, Message::Corrupt(*id, s.set.epoch)))
             })
             .collect();
         said.into_iter().for_each(|(to, body)| self.say(to, body));
@@ -28,7 +28,7 @@
 
     pub(super) fn verified(&mut self, now: Micros, found: Option<Vec<(ShardId, Vec<u8>)>>) {
         // One that cannot be read at all owes its word for all that is written to it, too.
-        self.verify = Some(now + self.settings.verify);
+        self.verify = Some(now + self.settings.verify_interval);
         for (shard, ranges) in found
             .into_iter()
             .flatten()
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn unsound(&mut self, shard: ShardId, ranges: Vec<u8>) {
-        let without = self.settings.without.sound;
+        let without = self.settings.disabled_guards.sound;
         let Some(s) = self.shards.get_mut(&shard) else {
             return;
         };
@@ -56,15 +56,15 @@
     pub(super) fn is_unfit(&self, now: Micros, shard: ShardId) -> bool {
         self.shards
             .get(&shard)
-            .is_some_and(|s| s.unsound.is_some() || s.is_stuck(now, 2 * self.settings.stall))
+            .is_some_and(|s| s.unsound.is_some() || s.is_stuck(now, 2 * self.settings.acknowledgement_timeout))
     }
 
     /// Hands a shard that is led here to another of its set; whether there is one, or one is waited for.
     pub(super) fn yield_lead(&mut self, now: Micros, shard: ShardId) -> bool {
         let (me, silent, stall) = (
             self.settings.name.clone(),
-            self.settings.silent,
-            self.settings.stall,
+            self.settings.failure_timeout,
+            self.settings.acknowledgement_timeout,
         );
         let Some(s) = self.shards.get(&shard) else {
             return false;
@@ -85,7 +85,7 @@
                     if let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) {
                         l.proposed = Some(now);
                     }
-                    self.outputs.push_back(Output::Accept(shard));
+                    self.outputs.push_back(Output::AcceptDamage(shard));
                 }
                 true
             }
@@ -96,7 +96,7 @@
                 };
                 s.waiting = true;
                 let members = s.set.members.iter().cloned().collect();
-                self.note(HistoryEvent::Waits { shard, members });
+                self.note(HistoryEvent::WaitingForReplica { shard, members });
                 true
             }
             None => false,
@@ -127,7 +127,7 @@
         }
         s.waiting = false;
         let leads = s.leading.as_ref().map(|l| l.epoch);
-        self.note(HistoryEvent::Mended {
+        self.note(HistoryEvent::Repaired {
             shard,
             accepted: true,
         });
--- a/src/replication/machine/records.rs
+++ b/src/replication/machine/records.rs
@@ -3,25 +3,25 @@
 use super::*;
 
 impl Replicator {
-    pub(super) fn frame(&mut self, now: Micros, from: Name, body: Body) {
+    pub(super) fn frame(&mut self, now: Micros, from: Name, body: Message) {
         self.heard.insert(from.clone(), now);
-        let without = self.settings.without;
+        let without = self.settings.disabled_guards;
         match body {
-            Body::Heartbeat => {}
-            Body::QueryPosition(shard, epoch) => {
+            Message::Heartbeat => {}
+            Message::QueryPosition(shard, epoch) => {
                 let taken = self
                     .shard(shard)
                     .and_then(|s| s.asked(shard, &from, epoch, without.epochs));
                 self.taken(shard, &from, taken);
             }
-            Body::Record(shard, epoch, before, bytes) if self.known => {
+            Message::Record(shard, epoch, before, bytes) if self.known => {
                 let guards = (without.epochs, without.chain);
                 let taken = self
                     .shard(shard)
                     .and_then(|s| s.record(now, shard, &from, (epoch, before), bytes, guards));
                 self.taken(shard, &from, taken);
             }
-            Body::SnapshotPart(shard, epoch, place, part, last, bytes) if self.known => {
+            Message::SnapshotPart(shard, epoch, place, part, last, bytes) if self.known => {
                 let taken = self.shard(shard).map_or(Vec::new(), |s| {
                     s.part(
                         now,
@@ -36,11 +36,11 @@
                 });
                 self.taken(shard, &from, taken);
             }
-            Body::Record(..) | Body::SnapshotPart(..) => {}
+            Message::Record(..) | Message::SnapshotPart(..) => {}
             // The process before it said so, or one of which the log has not told yet: it is asked anew.
-            Body::Position(.., process) | Body::Acknowledge(.., process)
+            Message::Position(.., process) | Message::Acknowledge(.., process)
                 if self.processes.get(&from) != Some(&process) => {}
-            Body::Position(shard, epoch, place, _) => {
+            Message::Position(shard, epoch, place, _) => {
                 let ahead = !without.ahead
                     && self
                         .leading(shard, epoch)
@@ -52,38 +52,38 @@
                 if let Some(l) = self.leading(shard, epoch) {
                     l.told(&from);
                     if l.at(now, &from, place, without.chain) {
-                        self.outputs.push_back(Output::Read(shard, from));
+                        self.outputs.push_back(Output::ReadSnapshot(shard, from));
                     }
                 }
                 self.open(now, shard);
             }
-            Body::Acknowledge(shard, epoch, number, _) => {
+            Message::Acknowledge(shard, epoch, number, _) => {
                 if let Some(l) = self.leading(shard, epoch) {
                     l.has(now, &from, number);
                 }
                 self.promise(shard);
             }
-            Body::SnapshotPartReceived(shard, epoch, part) => {
+            Message::SnapshotPartReceived(shard, epoch, part) => {
                 if let Some(l) = self.leading(shard, epoch) {
                     l.took(now, &from, part);
                 }
             }
-            Body::Declined(shard, why) => {
+            Message::Declined(shard, why) => {
                 tracing::debug!(
                     shard,
                     remedy = why.remedy(),
                     "a copy does not take what was sent: {why}"
                 );
             }
-            Body::Request(shard, number, bytes) => {
-                if self.leads(shard) {
+            Message::Request(shard, number, bytes) => {
+                if self.is_primary(shard) {
                     self.outputs
                         .push_back(Output::HandleRequest(shard, from, number, bytes));
                 } else {
                     let primary = self.shards.get(&shard).and_then(|s| s.set.primary.clone());
                     self.say(
                         from,
-                        Body::Reply(
+                        Message::Reply(
                             number,
                             RequestOutcome::Rejected(ReplicationError::NotPrimary {
                                 shard,
@@ -93,13 +93,13 @@
                     );
                 }
             }
-            Body::Reply(number, told) => self.told(number, told),
-            Body::Corrupt(shard, epoch) => {
+            Message::Reply(number, told) => self.told(number, told),
+            Message::Corrupt(shard, epoch) => {
                 if self
                     .leading(shard, epoch)
                     .is_some_and(|l| l.unsound(now, &from))
                 {
-                    self.outputs.push_back(Output::Read(shard, from));
+                    self.outputs.push_back(Output::ReadSnapshot(shard, from));
                 }
                 self.open(now, shard);
             }
@@ -136,10 +136,10 @@
                 Taken::Say(body) => self.say(from.clone(), body),
                 Taken::Store(place, bytes) => {
                     self.outputs
-                        .push_back(Output::Store(shard, place, bytes, None));
+                        .push_back(Output::StoreRecord(shard, place, bytes, None));
                 }
                 Taken::Install(place, bytes) => {
-                    self.outputs.push_back(Output::Install(shard, place, bytes))
+                    self.outputs.push_back(Output::InstallSnapshot(shard, place, bytes))
                 }
                 Taken::Declined(why) => {
                     if let Declined::Stale { theirs, ours, .. } = why {
@@ -149,7 +149,7 @@
                             ours,
                         });
                     }
-                    self.say(from.clone(), Body::Declined(shard, why));
+                    self.say(from.clone(), Message::Declined(shard, why));
                 }
             }
         }
@@ -180,9 +180,9 @@
                 most: MAX_RECORD_BYTES,
             })
         } else if have < want {
-            Some(ReplicationError::Fewer { shard, have, want })
+            Some(ReplicationError::TooFewReplicas { shard, have, want })
         } else if want > 0 && l.owed() > MOST_OWED {
-            Some(ReplicationError::Behind {
+            Some(ReplicationError::ReplicationLag {
                 shard,
                 bytes: l.owed(),
             })
@@ -206,11 +206,11 @@
             },
         );
         self.outputs
-            .push_back(Output::Store(shard, place, bytes, Some(ticket)));
+            .push_back(Output::StoreRecord(shard, place, bytes, Some(ticket)));
     }
 
     pub(super) fn kept(&mut self, now: Micros, shard: ShardId) {
-        let without = self.settings.without.epochs;
+        let without = self.settings.disabled_guards.epochs;
         let Some(s) = self.shards.get_mut(&shard) else {
             return;
         };
@@ -222,7 +222,7 @@
             l.stored = stored.min(l.head.number);
         }
         if let Some(done) = done {
-            let (number, chain) = (done.place.number, short(&done.place.chain));
+            let (number, chain) = (done.place.number, short_digest(&done.place.chain));
             self.note(match done.whole {
                 true => HistoryEvent::Installed {
                     shard,
@@ -238,7 +238,7 @@
             });
         }
         if mended {
-            self.note(HistoryEvent::Mended {
+            self.note(HistoryEvent::Repaired {
                 shard,
                 accepted: false,
             });
@@ -248,7 +248,7 @@
     }
 
     pub(super) fn promise(&mut self, shard: ShardId) {
-        let (me, without) = (self.settings.name.clone(), self.settings.without);
+        let (me, without) = (self.settings.name.clone(), self.settings.disabled_guards);
         let Some(l) = self.shards.get_mut(&shard).and_then(|s| s.leading.as_mut()) else {
             return;
         };
@@ -258,8 +258,8 @@
             l.disks(),
         );
         for (ticket, place) in told {
-            let (number, chain) = (place.number, short(&place.chain));
-            self.note(HistoryEvent::Promised {
+            let (number, chain) = (place.number, short_digest(&place.chain));
+            self.note(HistoryEvent::Committed {
                 shard,
                 epoch,
                 number,
@@ -280,9 +280,9 @@
         let Some(s) = self.shards.get(&shard) else {
             return;
         };
-        let (open, until) = (self.asked.len(), now + self.settings.ask);
+        let (open, until) = (self.asked.len(), now + self.settings.request_timeout);
         let why = match &s.set.primary {
-            _ if open >= MAX_FORWARDED_REQUESTS => ReplicationError::Busy { open },
+            _ if open >= MAX_FORWARDED_REQUESTS => ReplicationError::TooManyRequests { open },
             Some(primary) if s.leading.is_some() || *primary != self.settings.name => {
                 // Also one's own question has an end, whatever becomes of its record.
                 let (primary, leads) = (primary.clone(), s.leading.is_some());
@@ -303,7 +303,7 @@
                         bytes,
                     ));
                 }
-                return self.say(primary, Body::Request(shard, self.questions, bytes));
+                return self.say(primary, Message::Request(shard, self.questions, bytes));
             }
             primary => ReplicationError::NotPrimary {
                 shard,
@@ -316,7 +316,7 @@
 
     /// Says to copies what is to be said.
     pub(super) fn bring_along(&mut self, now: Micros) {
-        let (me, retry) = (self.settings.name.clone(), self.settings.stall / 4);
+        let (me, retry) = (self.settings.name.clone(), self.settings.acknowledgement_timeout / 4);
         let mut said = Vec::new();
         for s in self.shards.values_mut() {
             let Some(l) = &mut s.leading else { continue };
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -70,7 +70,7 @@
 
 impl LogPosition {
     /// The place behind one more record.
-    pub fn then(&self, record: &[u8]) -> LogPosition {
+    pub fn advance(&self, record: &[u8]) -> LogPosition {
         let mut hash = blake3::Hasher::new_derive_key("molelug shard's records 1");
         hash.update(&self.chain);
         hash.update(&(self.number + 1).to_le_bytes());
--- a/src/replication/model.rs
+++ b/src/replication/model.rs
@@ -9,11 +9,11 @@
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-use super::config::{Guards, Settings};
+use super::config::{DisabledGuards, Settings};
 use super::machine::{Input, Output, Replicator};
 use super::placement::Host;
 use super::sets::{Disk, Entry, ReplicaSets};
-use super::wire::Body;
+use super::wire::Message;
 use super::{LogPosition, Name};
 use crate::api::Micros;
 
@@ -32,7 +32,7 @@
     losses: u8,
     /// Frames that come twice.
     doubles: u8,
-    without: Guards,
+    without: DisabledGuards,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -58,7 +58,7 @@
     gateways: Vec<Gateway>,
     log: Vec<Arc<ReplicaSets>>,
     proposed: BTreeSet<Entry>,
-    frames: BTreeSet<(usize, usize, Body)>,
+    frames: BTreeSet<(usize, usize, Message)>,
     asked: u8,
     silences: u8,
     kills: u8,
@@ -75,7 +75,7 @@
 enum Step {
     Append(usize),
     /// Whether it stays on its way.
-    Frame((usize, usize, Body), bool),
+    Frame((usize, usize, Message), bool),
     Agree(Entry),
     Hear(usize),
     Write(usize),
@@ -93,7 +93,7 @@
 fn place(records: &[Vec<u8>]) -> LogPosition {
     records
         .iter()
-        .fold(LogPosition::default(), |p, r| p.then(r))
+        .fold(LogPosition::default(), |p, r| p.advance(r))
 }
 
 impl Play {
@@ -103,18 +103,18 @@
             process: 100 * (i as u64 + 1) + begun,
             copies: 2,
             shards: 1,
-            silent: SILENT,
-            stall: SILENT / 2,
-            ask: SILENT,
-            repairs: 1,
-            verify: 0,
+            failure_timeout: SILENT,
+            acknowledgement_timeout: SILENT / 2,
+            request_timeout: SILENT,
+            max_repairs: 1,
+            verify_interval: 0,
             hosts: (0..3)
                 .map(|n| Host {
                     name: name(n),
                     hall: None,
                 })
                 .collect(),
-            without: self.without,
+            disabled_guards: self.without,
         };
         Replicator::new(settings, now)
     }
@@ -122,10 +122,10 @@
     fn give(&self, s: &mut State, i: usize, input: Input) {
         let now = s.gateways[i].now;
         s.gateways[i].machine.handle(now, input);
-        while let Some(output) = s.gateways[i].machine.output() {
+        while let Some(output) = s.gateways[i].machine.next_output() {
             match output {
                 // Who is heard is played by silences.
-                Output::Send(_, Body::Heartbeat | Body::Declined(..)) => {}
+                Output::Send(_, Message::Heartbeat | Message::Declined(..)) => {}
                 Output::Send(to, body) => {
                     let to = to[1..].parse().unwrap();
                     s.frames.insert((i, to, body));
@@ -133,14 +133,14 @@
                 Output::Propose(e) => {
                     s.proposed.insert(e);
                 }
-                Output::Store(_, _, bytes, _) => {
+                Output::StoreRecord(_, _, bytes, _) => {
                     s.gateways[i].writes.push_back(Write::One(bytes.to_vec()))
                 }
-                Output::Install(_, _, bytes) => {
+                Output::InstallSnapshot(_, _, bytes) => {
                     let all = postcard::from_bytes(&bytes).unwrap();
                     s.gateways[i].writes.push_back(Write::All(all));
                 }
-                Output::Read(shard, to) => {
+                Output::ReadSnapshot(shard, to) => {
                     let g = &s.gateways[i];
                     let mut all = g.disk.clone();
                     for w in &g.writes {
@@ -150,13 +150,13 @@
                         }
                     }
                     let bytes = postcard::to_stdvec(&all).unwrap();
-                    self.give(s, i, Input::Read(shard, to, place(&all), bytes));
+                    self.give(s, i, Input::SnapshotRead(shard, to, place(&all), bytes));
                 }
                 Output::Committed(ticket, _) => {
                     s.promised.insert(ticket as u8);
                     s.later |= s.gateways[i].machine.shards()[&1].set.epoch > s.first;
                 }
-                Output::DiskRefused => {
+                Output::DiskRejected => {
                     let g = &mut s.gateways[i];
                     (g.id, g.boot) = (g.id + 10, 1);
                     g.disk.clear();
@@ -167,8 +167,8 @@
                         i,
                         Input::Disk {
                             id,
-                            boot,
-                            places: BTreeMap::new(),
+                            incarnation: boot,
+                            positions: BTreeMap::new(),
                         },
                     );
                 }
@@ -200,7 +200,7 @@
         let sets = s.log[g.heard].clone();
         // What was on its way to and from the process before is gone with its connections.
         s.frames.retain(|(from, to, _)| *from != i && *to != i);
-        self.give(s, i, Input::Disk { id, boot, places });
+        self.give(s, i, Input::Disk { id, incarnation: boot, positions: places });
         self.give(s, i, Input::SetsChanged(sets));
         for other in (0..3).filter(|o| *o != i) {
             self.give(s, other, Input::Disconnected(name(i)));
@@ -260,7 +260,7 @@
             for i in 0..3 {
                 s.gateways[i].now += SILENT / 4;
                 for other in (0..3).filter(|o| *o != i) {
-                    self.give(&mut s, i, Input::Frame(name(other), Body::Heartbeat));
+                    self.give(&mut s, i, Input::Received(name(other), Message::Heartbeat));
                 }
                 self.give(&mut s, i, Input::Tick);
                 while self.write(&mut s, i) {
@@ -268,16 +268,16 @@
                 }
             }
             for (from, to, body) in std::mem::take(&mut s.frames) {
-                self.give(&mut s, to, Input::Frame(name(from), body));
+                self.give(&mut s, to, Input::Received(name(from), body));
             }
             for e in std::mem::take(&mut s.proposed) {
                 self.agree(&mut s, &e);
             }
             (0..3).for_each(|i| self.hear(&mut s, i));
         }
-        let set = s.log.last().unwrap().of(1);
+        let set = s.log.last().unwrap().replica_set(1);
         assert!(
-            set.members.len() == 2 && s.gateways.iter().any(|g| g.machine.leads(1)),
+            set.members.len() == 2 && s.gateways.iter().any(|g| g.machine.is_primary(1)),
             "{set:?}"
         );
         s.first = set.epoch;
@@ -299,7 +299,7 @@
 
     fn actions(&self, s: &State, out: &mut Vec<Step>) {
         for (i, g) in s.gateways.iter().enumerate() {
-            if s.asked < self.appends && g.machine.leads(1) {
+            if s.asked < self.appends && g.machine.is_primary(1) {
                 out.push(Step::Append(i));
             }
             if g.heard + 1 < s.log.len() {
@@ -341,9 +341,9 @@
                     i,
                     Input::Append {
                         shard: 1,
-                        ticket,
-                        bytes,
-                        want: 2,
+                        waiter: ticket,
+                        record: bytes,
+                        min_replicas: 2,
                     },
                 );
             }
@@ -353,7 +353,7 @@
                 } else {
                     s.frames.remove(&f);
                 }
-                self.give(&mut s, f.1, Input::Frame(name(f.0), f.2));
+                self.give(&mut s, f.1, Input::Received(name(f.0), f.2));
             }
             Step::Agree(e) => {
                 s.proposed.remove(&e);
@@ -394,7 +394,7 @@
                         .disks
                         .get(&name(i))
                         .is_some_and(|d: &Disk| d.id == g.id);
-                    let member = sets.of(1).members.contains(&name(i));
+                    let member = sets.replica_set(1).members.contains(&name(i));
                     !known || !member || s.promised.iter().all(|p| g.disk.contains(&vec![*p]))
                 })
             }),
@@ -437,7 +437,7 @@
         kills,
         losses,
         doubles,
-        without: Guards::default(),
+        without: DisabledGuards::default(),
     }
 }
 
@@ -470,16 +470,16 @@
 /// Each guard taken out: the checker must find what it guards against.
 #[test]
 fn each_guard_taken_out_is_found() {
-    let g = Guards::default();
+    let g = DisabledGuards::default();
     let all = Play {
-        without: Guards { all: true, ..g },
+        without: DisabledGuards { all: true, ..g },
         ..play(1, 1, 0, 0, 0)
     };
     assert!(violated(all, MOST_STATES)
         .0
         .contains(&"promises stand at all of the set"));
     let want = Play {
-        without: Guards { want: true, ..g },
+        without: DisabledGuards { want: true, ..g },
         ..play(1, 1, 0, 1, 0)
     };
     assert!(violated(want, MOST_STATES)
--- a/src/replication/placement.rs
+++ b/src/replication/placement.rs
@@ -26,7 +26,7 @@
 }
 
 /// All of them in the order in which they are asked to hold a shard: the first ones in different halls.
-pub fn order(shard: ShardId, hosts: &[Host]) -> Vec<Name> {
+pub fn replica_order(shard: ShardId, hosts: &[Host]) -> Vec<Name> {
     let mut by_weight: Vec<&Host> = hosts.iter().collect();
     by_weight.sort_by_key(|h| std::cmp::Reverse((weight(shard, &h.name), h.name.clone())));
     let mut halls = BTreeSet::new();
@@ -40,7 +40,7 @@
 }
 
 /// The next that is asked to hold a shard besides those that do: one in a hall of its own if there is any.
-pub fn next(
+pub fn next_replica(
     shard: ShardId,
     hosts: &[Host],
     have: &BTreeSet<Name>,
@@ -53,7 +53,7 @@
             .and_then(|h| h.hall.as_ref())
     };
     let taken: BTreeSet<Option<&String>> = have.iter().map(hall).collect();
-    let order = order(shard, hosts);
+    let order = replica_order(shard, hosts);
     let free: Vec<&Name> = order
         .iter()
         .filter(|n| !have.contains(*n) && may(n))
@@ -81,14 +81,14 @@
         let all = hosts(9, 3);
         let (mut moved, mut first) = (0, [0; 9]);
         for shard in 1..=300 {
-            let o = order(shard, &all);
+            let o = replica_order(shard, &all);
             let halls: BTreeSet<_> = o[..3]
                 .iter()
                 .map(|n| n[1..].parse::<usize>().unwrap() % 3)
                 .collect();
             assert_eq!(halls.len(), 3, "shard {shard}");
             first[o[0][1..].parse::<usize>().unwrap()] += 1;
-            let fewer = order(shard, &all[..8]);
+            let fewer = replica_order(shard, &all[..8]);
             moved += usize::from(o[0] != fewer[0]);
             assert!(o[0] == fewer[0] || &*o[0] == "g8");
         }
@@ -101,14 +101,14 @@
         for halls in [0, 1, 3] {
             let all = hosts(6, halls);
             for shard in 1..50 {
-                let have: BTreeSet<Name> = [order(shard, &all)[0].clone()].into();
-                let got = next(shard, &all, &have, |_| true).unwrap();
+                let have: BTreeSet<Name> = [replica_order(shard, &all)[0].clone()].into();
+                let got = next_replica(shard, &all, &have, |_| true).unwrap();
                 assert!(!have.contains(&got));
                 if halls == 3 {
                     let hall = |n: &Name| n[1..].parse::<usize>().unwrap() % 3;
                     assert_ne!(hall(&got), hall(have.first().unwrap()));
                 }
-                assert_eq!(next(shard, &all, &have, |_| false), None);
+                assert_eq!(next_replica(shard, &all, &have, |_| false), None);
             }
         }
     }
--- a/src/replication/primary.rs
+++ b/src/replication/primary.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::wire::{Body, MAX_RECORD_BYTES, SNAPSHOT_PART_BYTES};
+use super::wire::{Message, MAX_RECORD_BYTES, SNAPSHOT_PART_BYTES};
 use super::{Epoch, LogPosition, Name, SequenceNumber, ShardId};
 use crate::api::Micros;
 
@@ -148,7 +148,7 @@
     /// One more record.
     pub fn append(&mut self, bytes: Arc<[u8]>, ticket: CommitWaiter, want: usize) -> LogPosition {
         let before = self.head;
-        self.head = before.then(&bytes);
+        self.head = before.advance(&bytes);
         self.bytes += bytes.len();
         self.owed += bytes.len();
         self.tail.push_back(Record {
@@ -205,7 +205,7 @@
                     self.held += 1;
                 } else if let Some(ticket) = r.ticket.take() {
                     self.owed -= r.bytes.len();
-                    told.push((ticket, r.before.then(&r.bytes)));
+                    told.push((ticket, r.before.advance(&r.bytes)));
                 }
             }
         }
@@ -348,7 +348,7 @@
     }
 
     /// What is to be said to copies now.
-    pub fn say(&mut self, now: Micros, retry: Micros) -> Vec<(Name, Body)> {
+    pub fn say(&mut self, now: Micros, retry: Micros) -> Vec<(Name, Message)> {
         let (mut said, shard, epoch) = (Vec::new(), self.shard, self.epoch);
         let first = self
             .tail
@@ -363,13 +363,13 @@
                 Step::Asked if late => {
                     peer.again = now.max(1);
                     peer.owes.get_or_insert(now);
-                    said.push((name.clone(), Body::QueryPosition(shard, epoch)));
+                    said.push((name.clone(), Message::QueryPosition(shard, epoch)));
                 }
                 Step::Asked | Step::Reads => {}
                 // What was sent may have got lost: it tells where it stands.
                 Step::Tail(sent) if late && peer.has < *sent => {
                     (peer.step, peer.again) = (Step::Asked, now);
-                    said.push((name.clone(), Body::QueryPosition(shard, epoch)));
+                    said.push((name.clone(), Message::QueryPosition(shard, epoch)));
                 }
                 Step::Tail(sent) => {
                     while *sent < self.head.number && *sent < peer.has + WINDOW {
@@ -383,7 +383,7 @@
                         };
                         said.push((
                             name.clone(),
-                            Body::Record(shard, epoch, r.before, r.bytes.to_vec()),
+                            Message::Record(shard, epoch, r.before, r.bytes.to_vec()),
                         ));
                         *sent += 1;
                         peer.again = now;
@@ -399,7 +399,7 @@
                         let from = *next as usize * SNAPSHOT_PART_BYTES;
                         let part =
                             bytes[from..bytes.len().min(from + SNAPSHOT_PART_BYTES)].to_vec();
-                        let body = Body::SnapshotPart(
+                        let body = Message::SnapshotPart(
                             shard,
                             epoch,
                             *place,
--- a/src/replication/sets.rs
+++ b/src/replication/sets.rs
@@ -19,7 +19,7 @@
     /// Drawn when it was made.
     pub id: u64,
     /// How often it was begun.
-    pub boot: u64,
+    pub incarnation: u64,
     /// The process that has it now.
     pub process: u64,
 }
@@ -37,16 +37,16 @@
     pub members: BTreeSet<Name>,
     /// Those that were left out where nobody came in their place, and the epoch at which they were: their disks have all that was
     /// promised until then, should those of the members be lost.
-    pub former: BTreeMap<Name, Epoch>,
+    pub former_members: BTreeMap<Name, Epoch>,
     /// How many members there were before.
-    pub whole: usize,
+    pub full_size: usize,
 }
 
 impl ReplicaSet {
     /// Those of whom one may lead after all members were lost: who was left out last has the most.
-    pub fn heirs(&self) -> impl Iterator<Item = &Name> {
-        let last = self.former.values().max().copied();
-        self.former
+    pub fn successors(&self) -> impl Iterator<Item = &Name> {
+        let last = self.former_members.values().max().copied();
+        self.former_members
             .iter()
             .filter(move |(_, e)| Some(**e) == last)
             .map(|(n, _)| n)
@@ -54,28 +54,28 @@
 
     fn left(mut self, epoch: Epoch, members: &BTreeSet<Name>) -> (BTreeMap<Name, Epoch>, usize) {
         if members.len() < self.members.len() {
-            self.whole = self.whole.max(self.members.len());
-            self.former
+            self.full_size = self.full_size.max(self.members.len());
+            self.former_members
                 .extend(self.members.difference(members).map(|n| (n.clone(), epoch)));
         }
-        if members.len() >= self.whole {
+        if members.len() >= self.full_size {
             // As many disks as before have all again.
-            (self.former, self.whole) = (BTreeMap::new(), 0);
+            (self.former_members, self.full_size) = (BTreeMap::new(), 0);
         }
-        self.former.retain(|n, _| !members.contains(n));
-        (self.former, self.whole)
+        self.former_members.retain(|n, _| !members.contains(n));
+        (self.former_members, self.full_size)
     }
 }
 
 /// Sets as they were written before it was remembered who was left out.
 #[derive(Deserialize)]
-pub struct Earlier {
+pub struct LegacyReplicaSets {
     disks: BTreeMap<Name, Disk>,
     shards: BTreeMap<ShardId, (Epoch, Option<Name>, u64, BTreeSet<Name>)>,
 }
 
-impl From<Earlier> for ReplicaSets {
-    fn from(e: Earlier) -> ReplicaSets {
+impl From<LegacyReplicaSets> for ReplicaSets {
+    fn from(e: LegacyReplicaSets) -> ReplicaSets {
         let set = |(shard, (epoch, primary, process, members))| {
             (
                 shard,
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Entry {
     /// A process has begun on a disk.
-    Begun {
+    RegisterDisk {
         /// Its name.
         name: Name,
         /// The disk.
@@ -107,7 +107,7 @@
     },
     /// A shard's set is to change, as versions before this one proposed it. It is applied as it was then, so that all come to
     /// the same from the same log.
-    Change {
+    LegacyChange {
         /// Which shard.
         shard: ShardId,
         /// The epoch that it follows.
@@ -122,18 +122,18 @@
         members: BTreeSet<Name>,
     },
     /// A shard's set is to change.
-    Move(Move),
+    ChangeMembers(MembershipChange),
 }
 
 /// A change of a shard's set.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Move {
+pub struct MembershipChange {
     /// Which shard.
     pub shard: ShardId,
     /// The epoch that it follows.
-    pub was: Epoch,
+    pub previous_epoch: Epoch,
     /// Who asks.
-    pub by: Name,
+    pub proposer: Name,
     /// The primary from here on.
     pub primary: Name,
     /// Its process; 0 if whoever asks does not know it.
@@ -141,16 +141,16 @@
     /// The set from here on.
     pub members: BTreeSet<Name>,
     /// Who comes, and the number of the disk that has all: it may have been lost since.
-    pub joins: Option<(Name, u64)>,
+    pub joining: Option<(Name, u64)>,
 }
 
 impl Entry {
     /// Whose word it is.
-    pub fn by(&self) -> &Name {
+    pub fn proposer(&self) -> &Name {
         match self {
-            Entry::Begun { name, .. } => name,
-            Entry::Change { by, .. } => by,
-            Entry::Move(m) => &m.by,
+            Entry::RegisterDisk { name, .. } => name,
+            Entry::LegacyChange { by, .. } => by,
+            Entry::ChangeMembers(m) => &m.proposer,
         }
     }
 }
@@ -166,15 +166,15 @@
 
 impl ReplicaSets {
     /// A shard's set; epoch 0 and nobody if it was never founded.
-    pub fn of(&self, shard: ShardId) -> ReplicaSet {
+    pub fn replica_set(&self, shard: ShardId) -> ReplicaSet {
         self.shards.get(&shard).cloned().unwrap_or_default()
     }
 
     /// Applies an entry; tells whether it took hold.
     pub fn apply(&mut self, entry: &Entry) -> bool {
         match entry {
-            Entry::Begun { name, disk } => self.begun(name, *disk),
-            Entry::Change {
+            Entry::RegisterDisk { name, disk } => self.begun(name, *disk),
+            Entry::LegacyChange {
                 shard,
                 was,
                 by,
@@ -188,7 +188,7 @@
                 self.shards.insert(*shard, set);
                 true
             }
-            Entry::Move(m) => {
+            Entry::ChangeMembers(m) => {
                 let Some(set) = self.moved(m) else {
                     return false;
                 };
@@ -199,28 +199,28 @@
     }
 
     /// The set that a move leads to, if it may take hold.
-    fn moved(&self, m: &Move) -> Option<ReplicaSet> {
-        let now = self.of(m.shard);
-        let mut after = self.after(m.shard, m.was, &m.by, &m.primary, m.process, &m.members)?;
+    fn moved(&self, m: &MembershipChange) -> Option<ReplicaSet> {
+        let now = self.replica_set(m.shard);
+        let mut after = self.after(m.shard, m.previous_epoch, &m.proposer, &m.primary, m.process, &m.members)?;
         let comes: Vec<&Name> = m.members.difference(&now.members).collect();
         // Founded anew, it is by one that has what was promised until it was left out, if there is one.
-        let heirs: Vec<&Name> = now.heirs().collect();
-        let may = match (now.members.is_empty(), comes.as_slice(), &m.joins) {
-            (true, _, None) => heirs.is_empty() || heirs.contains(&&m.by),
+        let heirs: Vec<&Name> = now.successors().collect();
+        let may = match (now.members.is_empty(), comes.as_slice(), &m.joining) {
+            (true, _, None) => heirs.is_empty() || heirs.contains(&&m.proposer),
             (false, [], None) => true,
             (false, [one], Some((name, disk))) => {
                 *one == name && self.disks.get(name).is_some_and(|d| d.id == *disk)
             }
             _ => false,
         };
-        (after.former, after.whole) = now.left(m.was + 1, &m.members);
+        (after.former_members, after.full_size) = now.left(m.previous_epoch + 1, &m.members);
         may.then_some(after)
     }
 
     fn begun(&mut self, name: &Name, disk: Disk) -> bool {
         let known = self.disks.get(name).copied();
         match known {
-            Some(k) if k.id == disk.id && disk.boot <= k.boot => return false,
+            Some(k) if k.id == disk.id && disk.incarnation <= k.incarnation => return false,
             None if self.disks.len() >= MAX_DISKS => return false,
             _ => {}
         }
@@ -228,7 +228,7 @@
         if known.is_some_and(|k| k.id != disk.id) {
             // What it held is gone with the old disk.
             for set in self.shards.values_mut() {
-                set.former.remove(name);
+                set.former_members.remove(name);
             }
             for set in self
                 .shards
@@ -255,7 +255,7 @@
         process: u64,
         members: &BTreeSet<Name>,
     ) -> Option<ReplicaSet> {
-        let now = self.of(shard);
+        let now = self.replica_set(shard);
         let sound = (1..=MAX_SHARDS).contains(&shard)
             && now.epoch == was
             && members.contains(primary)
@@ -295,7 +295,7 @@
 
     fn change(was: Epoch, by: &str, primary: &str, members: &[&str]) -> Entry {
         let members = members.iter().map(|m| n(m)).collect();
-        Entry::Change {
+        Entry::LegacyChange {
             shard: 1,
             was,
             by: n(by),
@@ -308,14 +308,14 @@
     fn step(was: Epoch, by: &str, members: &[&str], joins: Option<(&str, u64)>) -> Entry {
         let members = members.iter().map(|m| n(m)).collect();
         let joins = joins.map(|(name, disk)| (n(name), disk));
-        Entry::Move(Move {
+        Entry::ChangeMembers(MembershipChange {
             shard: 1,
-            was,
-            by: n(by),
+            previous_epoch: was,
+            proposer: n(by),
             primary: n(by),
             process: 9,
             members,
-            joins,
+            joining: joins,
         })
     }
 
@@ -335,11 +335,11 @@
     }
 
     fn begun(name: &str, id: u64, boot: u64) -> Entry {
-        Entry::Begun {
+        Entry::RegisterDisk {
             name: n(name),
             disk: Disk {
                 id,
-                boot,
+                incarnation: boot,
                 process: id * 100 + boot,
             },
         }
@@ -380,7 +380,7 @@
         );
         assert!(s.apply(&change(2, "b", "b", &["b"])));
         assert!(!s.apply(&change(2, "a", "a", &["a"])), "too late");
-        assert_eq!((s.of(1).epoch, s.of(1).primary), (3, Some(n("b"))));
+        assert_eq!((s.replica_set(1).epoch, s.replica_set(1).primary), (3, Some(n("b"))));
     }
 
     /// A set is left smaller, and then its last disk is lost: only who was left out may lead, as it has what was promised.
@@ -399,7 +399,7 @@
             assert!(s.apply(&step(was, "a", members, joins)), "{was}");
         }
         assert!(s.apply(&begun("a", 70, 1)), "its disk is lost");
-        assert_eq!((s.of(1).epoch, s.of(1).members.len()), (6, 0));
+        assert_eq!((s.replica_set(1).epoch, s.replica_set(1).members.len()), (6, 0));
         assert!(
             !s.clone().apply(&step(6, "a", &["a"], None)),
             "it has nothing"
@@ -411,7 +411,7 @@
         assert!(s.clone().apply(&step(6, "b", &["b"], None)));
         assert!(s.apply(&begun("b", 71, 1)), "that disk is lost, too");
         assert!(s.apply(&step(6, "c", &["c"], None)));
-        assert_eq!(s.of(1).former, BTreeMap::new());
+        assert_eq!(s.replica_set(1).former_members, BTreeMap::new());
         // A set that is whole again needs nobody who was left out.
         let (a, b) = (Some(("a", 70)), Some(("b", 71)));
         for (was, members, joins) in [
@@ -422,7 +422,7 @@
         ] {
             assert!(s.apply(&step(was, "c", members, joins)), "{was}");
         }
-        assert_eq!((s.of(1).former.len(), s.of(1).whole), (0, 0));
+        assert_eq!((s.replica_set(1).former_members.len(), s.replica_set(1).full_size), (0, 0));
     }
 
     #[test]
@@ -431,18 +431,18 @@
         s.apply(&change(0, "a", "a", &["a"]));
         s.apply(&change(1, "a", "a", &["a", "b"]));
         assert!(s.apply(&begun("b", 2, 2)), "begun again");
-        assert_eq!(s.of(1).members.len(), 2);
+        assert_eq!(s.replica_set(1).members.len(), 2);
         assert!(!s.apply(&begun("b", 2, 2)), "yesterday's copy of it");
         assert!(!s.apply(&begun("b", 2, 1)));
         assert!(s.apply(&begun("b", 77, 1)), "an empty disk");
-        assert_eq!((s.of(1).epoch, s.of(1).members.len()), (3, 1));
+        assert_eq!((s.replica_set(1).epoch, s.replica_set(1).members.len()), (3, 1));
         assert!(
             s.apply(&begun("b", 2, 3)),
             "the old disk again counts as another"
         );
-        assert!(!s.of(1).members.contains("b"));
+        assert!(!s.replica_set(1).members.contains("b"));
         assert!(s.apply(&begun("a", 78, 1)));
-        assert_eq!((s.of(1).primary, s.of(1).members.len()), (None, 0));
+        assert_eq!((s.replica_set(1).primary, s.replica_set(1).members.len()), (None, 0));
         assert!(s.apply(&change(4, "c", "c", &["c"])), "founded anew");
     }
 }
--- a/src/replication/shard.rs
+++ b/src/replication/shard.rs
@@ -6,7 +6,7 @@
 use super::error::Declined;
 use super::primary::Primary;
 use super::sets::ReplicaSet;
-use super::wire::{Body, MAX_SNAPSHOT_BYTES};
+use super::wire::{Message, MAX_SNAPSHOT_BYTES};
 use super::{Epoch, LogPosition, Name, ShardId};
 use crate::api::Micros;
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Taken {
     /// Say something to whoever sent.
-    Say(Body),
+    Say(Message),
     /// Have a record on the disk.
     Store(LogPosition, Arc<[u8]>),
     /// Have a snapshot take the place of what the disk holds.
@@ -134,8 +134,8 @@
         match self.epoch_of(shard, from, epoch, without) {
             Err(e) => Some(Taken::Declined(e)),
             Ok(false) => None,
-            Ok(true) if self.unsound.is_some() => Some(Taken::Say(Body::Corrupt(shard, epoch))),
-            Ok(true) if self.pending.is_empty() => Some(Taken::Say(Body::Position(
+            Ok(true) if self.unsound.is_some() => Some(Taken::Say(Message::Corrupt(shard, epoch))),
+            Ok(true) if self.pending.is_empty() => Some(Taken::Say(Message::Position(
                 shard,
                 epoch,
                 self.place,
@@ -171,7 +171,7 @@
                 .filter(|_| self.leading.is_none());
         }
         self.coming = None;
-        self.place = before.then(&bytes);
+        self.place = before.advance(&bytes);
         let (from, place) = (Some(from.clone()), self.place);
         self.push(
             now,
@@ -219,7 +219,7 @@
         if part > coming.next {
             return Vec::new();
         }
-        let took = Taken::Say(Body::SnapshotPartReceived(shard, epoch, part));
+        let took = Taken::Say(Message::SnapshotPartReceived(shard, epoch, part));
         if part < coming.next {
             return vec![took];
         }
@@ -256,7 +256,7 @@
         now: Micros,
         shard: ShardId,
         without: bool,
-    ) -> (Option<Pending>, Vec<(Name, Body)>) {
+    ) -> (Option<Pending>, Vec<(Name, Message)>) {
         let Some(done) = self.pending.pop_front() else {
             return (None, Vec::new());
         };
@@ -273,13 +273,13 @@
         if let Some(from) = done.from.clone().filter(|_| counts) {
             said.push((
                 from,
-                Body::Acknowledge(shard, done.epoch, done.place.number, self.process),
+                Message::Acknowledge(shard, done.epoch, done.place.number, self.process),
             ));
         }
         if self.pending.is_empty() {
             if let Some((to, epoch)) = self.waits.take() {
                 if epoch == self.set.epoch && self.leading.is_none() && self.unsound.is_none() {
-                    said.push((to, Body::Position(shard, epoch, self.place, self.process)));
+                    said.push((to, Message::Position(shard, epoch, self.place, self.process)));
                 }
             }
         }
--- a/src/replication/tests.rs
+++ b/src/replication/tests.rs
@@ -7,13 +7,13 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::config::{Guards, Settings};
+use super::config::{DisabledGuards, Settings};
 use super::error::ReplicationError;
 use super::history::HistoryEvent;
 use super::machine::{Input, Output, Replicator};
 use super::placement::Host;
 use super::sets::{Entry, ReplicaSets};
-use super::wire::{Body, RequestOutcome};
+use super::wire::{Message, RequestOutcome};
 use super::{LogPosition, Name, ShardId};
 use crate::api::Micros;
 
@@ -42,7 +42,7 @@
 fn place(records: &[Vec<u8>]) -> LogPosition {
     records
         .iter()
-        .fold(LogPosition::default(), |p, r| p.then(r))
+        .fold(LogPosition::default(), |p, r| p.advance(r))
 }
 
 enum Write {
@@ -65,7 +65,7 @@
 }
 
 enum Event {
-    Frame(usize, usize, Body),
+    Frame(usize, usize, Message),
     Entry(Entry),
 }
 
@@ -82,7 +82,7 @@
     pub(super) cut: BTreeSet<(usize, usize)>,
     council: bool,
     copies: usize,
-    without: Guards,
+    without: DisabledGuards,
     processes: u64,
     tickets: u64,
     /// What was asked to be promised, by ticket, and what was promised.
@@ -101,7 +101,7 @@
 const SHARDS: u16 = 4;
 
 impl World {
-    pub(super) fn new(n: usize, copies: usize, seed: u64, without: Guards) -> World {
+    pub(super) fn new(n: usize, copies: usize, seed: u64, without: DisabledGuards) -> World {
         let none = || Gateway {
             machine: None,
             disk: DiskImage::default(),
@@ -155,13 +155,13 @@
             process: self.processes,
             copies: self.copies,
             shards: SHARDS,
-            silent: 400 * MS,
-            stall: 200 * MS,
-            ask: 500 * MS,
-            repairs: 2,
-            verify: 500 * MS,
+            failure_timeout: 400 * MS,
+            acknowledgement_timeout: 200 * MS,
+            request_timeout: 500 * MS,
+            max_repairs: 2,
+            verify_interval: 500 * MS,
             hosts: (0..self.gateways.len()).map(host).collect(),
-            without: self.without,
+            disabled_guards: self.without,
         }
     }
 
@@ -175,7 +175,7 @@
         let (id, boot) = (g.disk.id, g.disk.boot);
         let places = g.disk.shards.iter().map(|(s, r)| (*s, place(r))).collect();
         g.heard = 0;
-        self.give(i, Input::Disk { id, boot, places });
+        self.give(i, Input::Disk { id, incarnation: boot, positions: places });
         self.hear(i);
     }
 
@@ -240,7 +240,7 @@
             return;
         };
         m.handle(now, input);
-        let outputs: Vec<Output> = std::iter::from_fn(|| m.output()).collect();
+        let outputs: Vec<Output> = std::iter::from_fn(|| m.next_output()).collect();
         outputs.into_iter().for_each(|o| self.carry_out(i, o));
     }
 
@@ -268,13 +268,13 @@
                     self.later(5 * MS, Event::Entry(entry));
                 }
             }
-            Output::Store(shard, _, bytes, _) => {
+            Output::StoreRecord(shard, _, bytes, _) => {
                 let at = self.now + 1 + self.below(3 * MS);
                 self.gateways[i]
                     .writes
                     .push_back((at, Write::One(shard, bytes.to_vec())));
             }
-            Output::Install(shard, p, bytes) => {
+            Output::InstallSnapshot(shard, p, bytes) => {
                 let all: Vec<Vec<u8>> = postcard::from_bytes(&bytes).unwrap();
                 assert!(
                     place(&all) == p || self.without.sound,
@@ -284,7 +284,7 @@
                     .writes
                     .push_back((self.now + 1, Write::All(shard, all)));
             }
-            Output::Read(shard, to) => {
+            Output::ReadSnapshot(shard, to) => {
                 // What is on its way is written first, as a store's thread does it.
                 let mut all = self.gateways[i]
                     .disk
@@ -301,25 +301,25 @@
                 }
                 if self.gateways[i].disk.damaged.contains(&shard) && !self.without.sound {
                     self.give(i, Input::Corrupt(shard, vec![0]));
-                    return self.give(i, Input::ReadFailed(shard, to));
+                    return self.give(i, Input::SnapshotReadFailed(shard, to));
                 }
                 let bytes = postcard::to_stdvec(&all).unwrap();
-                self.give(i, Input::Read(shard, to, place(&all), bytes));
+                self.give(i, Input::SnapshotRead(shard, to, place(&all), bytes));
             }
-            Output::Verify => {
+            Output::VerifyDisk => {
                 let damaged = &self.gateways[i].disk.damaged;
                 let found = damaged.iter().map(|s| (*s, vec![0])).collect();
                 self.give(i, Input::Verified(Some(found)));
             }
-            Output::Accept(shard) => {
+            Output::AcceptDamage(shard) => {
                 self.gateways[i].disk.damaged.remove(&shard);
-                self.give(i, Input::Accepted(shard));
+                self.give(i, Input::DamageAccepted(shard));
             }
             Output::Committed(ticket, _) => {
                 assert!(self.promised.insert(ticket), "promised twice");
             }
             Output::Rejected(_, why) => self.refused.push(why),
-            Output::DiskRefused => {
+            Output::DiskRejected => {
                 let id = self.random.next_u64();
                 self.gateways[i].disk = DiskImage {
                     id,
@@ -331,12 +331,12 @@
                     i,
                     Input::Disk {
                         id,
-                        boot: 1,
-                        places: BTreeMap::new(),
+                        incarnation: 1,
+                        positions: BTreeMap::new(),
                     },
                 );
             }
-            Output::Record(note) => self.notes.push((i, note)),
+            Output::RecordEvent(note) => self.notes.push((i, note)),
             Output::Response(ticket, told) => self.told.push((i, ticket, told)),
             Output::HandleRequest(_, from, number, _) => {
                 self.heard_questions.push((i, from, number))
@@ -359,7 +359,7 @@
             for (_, event) in std::mem::replace(&mut self.events, later) {
                 match event {
                     Event::Frame(from, to, body) if !self.gateways[to].stopped => {
-                        self.give(to, Input::Frame(name(from), body));
+                        self.give(to, Input::Received(name(from), body));
                     }
                     // Held by the machine, and read once it goes on.
                     Event::Frame(from, to, body) => {
@@ -406,7 +406,7 @@
             let leads = self.gateways[i]
                 .machine
                 .as_ref()
-                .is_some_and(|m| m.leads(shard));
+                .is_some_and(|m| m.is_primary(shard));
             if leads && !self.gateways[i].stopped {
                 self.tickets += 1;
                 let (ticket, bytes) = (self.tickets, self.tickets.to_le_bytes().to_vec());
@@ -415,9 +415,9 @@
                     i,
                     Input::Append {
                         shard,
-                        ticket,
-                        bytes,
-                        want,
+                        waiter: ticket,
+                        record: bytes,
+                        min_replicas: want,
                     },
                 );
             }
@@ -445,7 +445,7 @@
         self.run(6_000 * MS);
         let sets = self.log.last().unwrap().clone();
         for shard in 1..=SHARDS {
-            let set = sets.of(shard);
+            let set = sets.replica_set(shard);
             if set.members.len() != self.copies {
                 return Err(format!("shard {shard} is held by {:?}", set.members));
             }
@@ -474,7 +474,7 @@
         let mut led: BTreeMap<(ShardId, u64), usize> = BTreeMap::new();
         for (i, note) in &self.notes {
             match note {
-                HistoryEvent::Promised {
+                HistoryEvent::Committed {
                     shard,
                     number,
                     chain,
@@ -484,7 +484,7 @@
                         "record {number} of shard {shard} was promised twice"
                     ));
                 }
-                HistoryEvent::Led { shard, epoch, .. }
+                HistoryEvent::BecamePrimary { shard, epoch, .. }
                     if *led.entry((*shard, *epoch)).or_insert(*i) != *i =>
                 {
                     return Err(format!("two led shard {shard} under epoch {epoch}"));
@@ -498,19 +498,19 @@
 
 /// Who leads a shard, as far as is agreed.
 pub(super) fn leader(w: &World, shard: ShardId) -> usize {
-    let set = w.log.last().unwrap().of(shard);
+    let set = w.log.last().unwrap().replica_set(shard);
     set.primary.unwrap()[1..].parse().unwrap()
 }
 
 impl World {
     /// The agreed set of a shard.
     pub(super) fn members(&self, shard: ShardId) -> BTreeSet<Name> {
-        self.log.last().unwrap().of(shard).members
+        self.log.last().unwrap().replica_set(shard).members
     }
 }
 
 /// One trial: traffic, and faults drawn by the seed, never more machines lost at once than copies bear.
-fn trial(seed: u64, copies: usize, without: Guards) -> Result<usize, String> {
+fn trial(seed: u64, copies: usize, without: DisabledGuards) -> Result<usize, String> {
     let mut w = World::new(6, copies, seed, without);
     w.run(3_000 * MS);
     for _ in 0..6 {
@@ -596,7 +596,7 @@
 fn nothing_promised_is_lost_whatever_breaks() {
     for seed in 0..14 {
         for copies in [2, 3] {
-            let promised = trial(seed, copies, Guards::default());
+            let promised = trial(seed, copies, DisabledGuards::default());
             let promised = promised.unwrap_or_else(|e| panic!("seed {seed}, {copies} copies: {e}"));
             assert!(promised > 50, "seed {seed}: only {promised} promised");
         }
@@ -609,16 +609,16 @@
     let guards = [
         (
             "all",
-            Guards {
+            DisabledGuards {
                 all: true,
-                ..Guards::default()
+                ..DisabledGuards::default()
             },
         ),
         (
             "chain",
-            Guards {
+            DisabledGuards {
                 chain: true,
-                ..Guards::default()
+                ..DisabledGuards::default()
             },
         ),
     ];
@@ -640,14 +640,14 @@
             3,
             2,
             4,
-            Guards {
+            DisabledGuards {
                 epochs,
-                ..Guards::default()
+                ..DisabledGuards::default()
             },
         );
         w.run(3_000 * MS);
         let leader = |w: &World| {
-            w.log.last().unwrap().of(1).primary.unwrap()[1..]
+            w.log.last().unwrap().replica_set(1).primary.unwrap()[1..]
                 .parse::<usize>()
                 .unwrap()
         };
@@ -659,7 +659,7 @@
         w.run(3_000 * MS);
         w.gateways[second].stopped = false;
         w.run(3_000 * MS);
-        let set = w.log.last().unwrap().of(1);
+        let set = w.log.last().unwrap().replica_set(1);
         assert!(
             set.members.contains(&name(second)) && leader(&w) != second && set.members.len() == 2
         );
@@ -671,9 +671,9 @@
             first,
             Input::Append {
                 shard: 1,
-                ticket,
-                bytes: vec![1],
-                want: 0,
+                waiter: ticket,
+                record: vec![1],
+                min_replicas: 0,
             },
         );
         w.run(1_000 * MS);
@@ -696,15 +696,15 @@
             2,
             2,
             6,
-            Guards {
+            DisabledGuards {
                 process,
-                ..Guards::default()
+                ..DisabledGuards::default()
             },
         );
         w.run(3_000 * MS);
         w.traffic(300 * MS);
         w.run(200 * MS);
-        let set = w.log.last().unwrap().of(1);
+        let set = w.log.last().unwrap().replica_set(1);
         let (first, second) = if set.primary == Some(name(0)) {
             (0, 1)
         } else {
@@ -726,15 +726,15 @@
             first,
             Input::Append {
                 shard: 1,
-                ticket,
-                bytes: vec![1],
-                want: 0,
+                waiter: ticket,
+                record: vec![1],
+                min_replicas: 0,
             },
         );
         w.run(10 * MS);
         w.give(
             first,
-            Input::Frame(name(second), Body::Acknowledge(1, set.epoch, number, told)),
+            Input::Received(name(second), Message::Acknowledge(1, set.epoch, number, told)),
         );
         assert_eq!(w.promised.contains(&ticket), process);
     }
@@ -742,13 +742,13 @@
 
 #[test]
 fn a_primary_that_wakes_up_late_promises_nothing() {
-    let mut w = World::new(4, 2, 1, Guards::default());
+    let mut w = World::new(4, 2, 1, DisabledGuards::default());
     w.run(3_000 * MS);
-    let set = w.log.last().unwrap().of(1);
+    let set = w.log.last().unwrap().replica_set(1);
     let old = set.primary.unwrap()[1..].parse::<usize>().unwrap();
     w.gateways[old].stopped = true;
     w.run(3_000 * MS);
-    let later = w.log.last().unwrap().of(1);
+    let later = w.log.last().unwrap().replica_set(1);
     assert_ne!(later.primary, Some(name(old)));
     // It has not heard of anything yet, and takes something to be promised.
     w.gateways[old].stopped = false;
@@ -758,9 +758,9 @@
         old,
         Input::Append {
             shard: 1,
-            ticket: w.tickets,
-            bytes: vec![1],
-            want: 0,
+            waiter: w.tickets,
+            record: vec![1],
+            min_replicas: 0,
         },
     );
     w.run(2_000 * MS);
@@ -768,7 +768,7 @@
     assert!(
         w.refused
             .iter()
-            .any(|r| matches!(r, ReplicationError::Deposed { shard: 1, .. })),
+            .any(|r| matches!(r, ReplicationError::Superseded { shard: 1, .. })),
         "{:?}",
         w.refused
     );
@@ -781,7 +781,7 @@
 
 #[test]
 fn with_too_few_machines_it_is_refused_or_stands_on_fewer_as_was_asked() {
-    let mut w = World::new(3, 3, 2, Guards::default());
+    let mut w = World::new(3, 3, 2, DisabledGuards::default());
     w.run(4_000 * MS);
     w.append(3);
     w.run(200 * MS);
@@ -794,7 +794,7 @@
     assert!(
         w.refused.iter().all(|r| matches!(
             r,
-            ReplicationError::Fewer {
+            ReplicationError::TooFewReplicas {
                 have: 2,
                 want: 3,
                 ..
@@ -811,7 +811,7 @@
 
 #[test]
 fn without_a_council_whole_sets_go_on_and_broken_ones_promise_nothing() {
-    let mut w = World::new(4, 2, 3, Guards::default());
+    let mut w = World::new(4, 2, 3, DisabledGuards::default());
     w.run(4_000 * MS);
     w.council = false;
     w.run(1_000 * MS);
@@ -833,9 +833,9 @@
 /// A question has an end, also one that a gateway asks itself and whose record is never promised.
 #[test]
 fn a_question_is_given_up_on_and_its_late_answer_counts_for_nothing() {
-    let mut w = World::new(3, 2, 7, Guards::default());
+    let mut w = World::new(3, 2, 7, DisabledGuards::default());
     w.run(3_000 * MS);
-    let primary = w.log.last().unwrap().of(1).primary.unwrap()[1..]
+    let primary = w.log.last().unwrap().replica_set(1).primary.unwrap()[1..]
         .parse::<usize>()
         .unwrap();
     let asks = |w: &mut World, at: usize, ticket| {
@@ -843,7 +843,7 @@
             at,
             Input::Request {
                 shard: 1,
-                ticket,
+                waiter: ticket,
                 bytes: vec![1],
             },
         );
@@ -858,7 +858,7 @@
             [(
                 at,
                 70 + at as u64,
-                RequestOutcome::Rejected(ReplicationError::Unreached { shard: 1 })
+                RequestOutcome::Rejected(ReplicationError::PrimaryUnreachable { shard: 1 })
             )]
         );
     }
@@ -874,17 +874,17 @@
 
 #[test]
 fn one_that_leaves_in_order_hands_its_shards_on_first() {
-    let mut w = World::new(4, 2, 8, Guards::default());
+    let mut w = World::new(4, 2, 8, DisabledGuards::default());
     w.run(3_000 * MS);
     w.traffic(300 * MS);
     let led = |w: &World, i: usize| {
         (1..=SHARDS)
-            .filter(|s| w.gateways[i].machine.as_ref().unwrap().leads(*s))
+            .filter(|s| w.gateways[i].machine.as_ref().unwrap().is_primary(*s))
             .count()
     };
     let leaves = (0..4).find(|i| led(&w, *i) > 0).unwrap();
     let epochs: Vec<u64> = (1..=SHARDS)
-        .map(|s| w.log.last().unwrap().of(s).epoch)
+        .map(|s| w.log.last().unwrap().replica_set(s).epoch)
         .collect();
     w.give(leaves, Input::GracefulShutdown);
     // Well within the silence after which others would take over by themselves.
@@ -910,19 +910,19 @@
             shard: 3,
             primary: None,
         },
-        ReplicationError::Deposed {
+        ReplicationError::Superseded {
             shard: 3,
             ours: 4,
             theirs: 6,
         },
-        ReplicationError::Fewer {
+        ReplicationError::TooFewReplicas {
             shard: 3,
             have: 1,
             want: 2,
         },
-        ReplicationError::Unreached { shard: 3 },
-        ReplicationError::Busy { open: 4096 },
-        ReplicationError::Behind {
+        ReplicationError::PrimaryUnreachable { shard: 3 },
+        ReplicationError::TooManyRequests { open: 4096 },
+        ReplicationError::ReplicationLag {
             shard: 3,
             bytes: 5_000_000,
         },
@@ -930,13 +930,13 @@
             bytes: 600_000,
             most: 524_288,
         },
-        ReplicationError::Seen,
-        ReplicationError::Late { shard: 3 },
+        ReplicationError::DuplicateIdentity,
+        ReplicationError::IdentityExpired { shard: 3 },
         ReplicationError::Unknown {
             what: "class".into(),
         },
-        ReplicationError::Full,
-        ReplicationError::Leaving,
+        ReplicationError::PrimaryOverloaded,
+        ReplicationError::ShuttingDown,
     ];
     let text: Vec<String> = all.iter().map(|r| format!("{r}; {}", r.remedy())).collect();
     insta::assert_snapshot!(text.join("\n"));
--- a/src/replication/wire.rs
+++ b/src/replication/wire.rs
@@ -14,7 +14,7 @@
 
 /// What a frame says.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Body {
+pub enum Message {
     /// Nothing but that it is there.
     Heartbeat,
     /// The primary asks how far a copy has come.
--- a/src/store/tests/checksums.rs
+++ b/src/store/tests/checksums.rs
@@ -80,7 +80,7 @@
 
     fn replicate(&mut self, op: Op) {
         let shard = op.shard().unwrap();
-        self.position = self.position.then(b"r");
+        self.position = self.position.advance(b"r");
         self.apply(apply_to_shard(shard, self.position, op))
             .unwrap();
     }
@@ -291,7 +291,7 @@
     let (mut disk, _) = Disk::open_backend(InMemoryBackend::new(), MAX_BYTES, 0).unwrap();
     disk.commit([register_disk()], 0).unwrap();
     let accept = accept(seq(2, 1).0, Effect::Idempotent, 50 * SECOND_US);
-    let position = LogPosition::default().then(b"r");
+    let position = LogPosition::default().advance(b"r");
     disk.commit([apply_to_shard(2, position, accept)], 0)
         .unwrap();
     assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -15,7 +15,7 @@
 use molelug::consensus::config::File as CouncilFile;
 use molelug::identity::Role;
 use molelug::membership::config::Gossip as GossipFile;
-use molelug::replication::config::{File as CopiesFile, WhenFewer};
+use molelug::replication::config::{ReplicationFile as CopiesFile, WhenFewer};
 use molelug::tenancy::Spec;
 use values::{fixture, read_fixture, Values};
 
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -14,8 +14,8 @@
 use molelug::lease::ledger::{self, LeaseTable};
 use molelug::lease::{LeaseHolder, LeaseName};
 use molelug::load_coordination::Word;
-use molelug::replication::placement::{order, Host};
-use molelug::replication::sets::{self, Disk, Move, ReplicaSet, ReplicaSets};
+use molelug::replication::placement::{replica_order, Host};
+use molelug::replication::sets::{self, Disk, MembershipChange, ReplicaSet, ReplicaSets};
 use molelug::replication::{shard_of, Epoch, LogPosition, Name, ShardId};
 use molelug::tenancy::replicated::state as tenants;
 use molelug::tenancy::replicated::Origin;
@@ -44,7 +44,7 @@
 fn disk() -> Disk {
     Disk {
         id: 501,
-        boot: 2,
+        incarnation: 2,
         process: 9001,
     }
 }
@@ -65,7 +65,7 @@
 }
 
 fn begun() -> sets::Entry {
-    sets::Entry::Begun {
+    sets::Entry::RegisterDisk {
         name: "n1".into(),
         disk: disk(),
     }
@@ -73,7 +73,7 @@
 
 fn change() -> sets::Entry {
     let members = names(&["n1", "n2"]);
-    sets::Entry::Change {
+    sets::Entry::LegacyChange {
         shard: 3,
         was: 0,
         by: "n4".into(),
@@ -86,14 +86,14 @@
 fn moved(joins: Option<(Name, u64)>) -> sets::Entry {
     let (by, primary) = ("n4".into(), "n1".into());
     let members = names(&["n1", "n2", "n5"]);
-    sets::Entry::Move(Move {
+    sets::Entry::ChangeMembers(MembershipChange {
         shard: 3,
-        was: 6,
-        by,
+        previous_epoch: 6,
+        proposer: by,
         primary,
         process: 9001,
         members,
-        joins,
+        joining: joins,
     })
 }
 
@@ -145,8 +145,8 @@
         primary: Some("n1".into()),
         process: 9001,
         members: names(&["n1", "n2"]),
-        former: [("n3".into(), 5)].into(),
-        whole: 3,
+        former_members: [("n3".into(), 5)].into(),
+        full_size: 3,
     }
 }
 
@@ -312,8 +312,8 @@
         ..now.clone()
     };
     let set = ReplicaSet {
-        former: BTreeMap::new(),
-        whole: 0,
+        former_members: BTreeMap::new(),
+        full_size: 0,
         ..set()
     };
     let sets = ReplicaSets {
@@ -454,7 +454,7 @@
         state.tenants.lines["clinic"].kept, None,
         "entry 258 removed it"
     );
-    assert_eq!(state.replica_sets.of(3), set());
+    assert_eq!(state.replica_sets.replica_set(3), set());
 }
 
 #[test]
@@ -462,9 +462,9 @@
     let mut pins = Pins::of("derived.txt");
     pins.line("founder's seat", &bootstrap_voter(2, "n1").to_string());
     pins.bytes("connection's word", &challenge("n1", 9001, 3));
-    let first = LogPosition::default().then(b"record");
+    let first = LogPosition::default().advance(b"record");
     pins.postcard("place of a first record", &first);
-    pins.postcard("place of a second record", &first.then(b"another"));
+    pins.postcard("place of a second record", &first.advance(b"another"));
     let mark = molelug::front::webhook::replay::mark("clinic", "call-1");
     pins.bytes("mark of a call", &mark);
     pins.line("shard of a mark", &shard_of(&mark, 64).to_string());
@@ -476,7 +476,7 @@
     for shard in [1, 2, 3, 64] {
         pins.line(
             &format!("hosts of shard {shard}"),
-            &order(shard, &hosts).join(" "),
+            &replica_order(shard, &hosts).join(" "),
         );
     }
     pins.finish();
--- a/tests/stored_data/histories.rs
+++ b/tests/stored_data/histories.rs
@@ -98,12 +98,12 @@
 
 #[test]
 fn replication_notes_are_written_as_before() {
-    use replication::history::{short, HistoryEvent};
+    use replication::history::{short_digest, HistoryEvent};
     let members = || vec!["n1".into(), "n2".into(), "n3".into()];
     let mut pins = Pins::of("history-replication.txt");
     pins.json(
         "led",
-        &HistoryEvent::Led {
+        &HistoryEvent::BecamePrimary {
             shard: 3,
             epoch: 7,
             number: 41,
@@ -111,10 +111,10 @@
             members: members(),
         },
     );
-    pins.json("rested", &HistoryEvent::Rested { shard: 3, epoch: 7 });
+    pins.json("rested", &HistoryEvent::SteppedDown { shard: 3, epoch: 7 });
     pins.json(
         "promised",
-        &HistoryEvent::Promised {
+        &HistoryEvent::Committed {
             shard: 3,
             epoch: 7,
             number: 42,
@@ -148,14 +148,14 @@
     );
     pins.json(
         "waits",
-        &HistoryEvent::Waits {
+        &HistoryEvent::WaitingForReplica {
             shard: 3,
             members: members(),
         },
     );
     pins.json(
         "mended",
-        &HistoryEvent::Mended {
+        &HistoryEvent::Repaired {
             shard: 3,
             accepted: true,
         },
@@ -168,10 +168,10 @@
             ours: 7,
         },
     );
-    pins.json("recalled", &HistoryEvent::Recalled { shard: 3 });
-    pins.json("lost", &HistoryEvent::Lost { shard: 4 });
+    pins.json("recalled", &HistoryEvent::RecoveredFromFormer { shard: 3 });
+    pins.json("lost", &HistoryEvent::DataLost { shard: 4 });
     let chain: replication::ChainDigest = std::array::from_fn(|at| at as u8);
-    pins.line("digest cut to eight bytes", &short(&chain).to_string());
+    pins.line("digest cut to eight bytes", &short_digest(&chain).to_string());
     pins.finish();
 }
 
--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -171,13 +171,13 @@
 fn last_place() -> LogPosition {
     shard_records(2)
         .iter()
-        .fold(LogPosition::default(), |place, _| place.then(b"record"))
+        .fold(LogPosition::default(), |place, _| place.advance(b"record"))
 }
 
 fn fill_shard(disk: &mut Disk, shard: ShardId) {
     let mut place = LogPosition::default();
     for op in shard_records(shard) {
-        place = place.then(b"record");
+        place = place.advance(b"record");
         let apply = ApplyToShard {
             shard,
             position: place,
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -12,8 +12,8 @@
 use molelug::lease::LeaseHolder;
 use molelug::load_coordination::Word as LoadWord;
 use molelug::replication::error::{Declined, ReplicationError};
-use molelug::replication::sets::{Disk, Entry as SetEntry, Move, ReplicaSet, ReplicaSets};
-use molelug::replication::wire::{Body as ReplicationBody, RequestOutcome};
+use molelug::replication::sets::{Disk, Entry as SetEntry, MembershipChange, ReplicaSet, ReplicaSets};
+use molelug::replication::wire::{Message as ReplicationBody, RequestOutcome};
 use molelug::replication::LogPosition;
 use molelug::tenancy::replicated::state::{
     Answer as KeptAnswer, Entry as TenantEntry, Follows, Line, Tenants,
@@ -56,7 +56,7 @@
 fn disk() -> Disk {
     Disk {
         id: 0xd15c,
-        boot: 4,
+        incarnation: 4,
         process: 77,
     }
 }
@@ -103,14 +103,14 @@
 }
 
 fn set_move(joins: Option<(Arc<str>, u64)>) -> SetEntry {
-    SetEntry::Move(Move {
+    SetEntry::ChangeMembers(MembershipChange {
         shard: 9,
-        was: 4,
-        by: ALPHA.into(),
+        previous_epoch: 4,
+        proposer: ALPHA.into(),
         primary: BETA.into(),
         process: 77,
         members: names(&[ALPHA, BETA]),
-        joins,
+        joining: joins,
     })
 }
 
@@ -136,14 +136,14 @@
         ("voters", Entry::Voters(voters())),
         (
             "sets-begun",
-            Entry::ReplicaSets(SetEntry::Begun {
+            Entry::ReplicaSets(SetEntry::RegisterDisk {
                 name: ALPHA.into(),
                 disk: disk(),
             }),
         ),
         (
             "sets-change",
-            Entry::ReplicaSets(SetEntry::Change {
+            Entry::ReplicaSets(SetEntry::LegacyChange {
                 shard: 9,
                 was: 3,
                 by: ALPHA.into(),
@@ -178,8 +178,8 @@
         primary: Some(ALPHA.into()),
         process: 77,
         members: names(&[ALPHA, BETA]),
-        former: BTreeMap::from([("gamma".into(), 4)]),
-        whole: 3,
+        former_members: BTreeMap::from([("gamma".into(), 4)]),
+        full_size: 3,
     };
     let sets = ReplicaSets {
         disks: BTreeMap::from([(ALPHA.into(), disk())]),
@@ -266,7 +266,7 @@
         ),
         (
             "deposed",
-            ReplicationError::Deposed {
+            ReplicationError::Superseded {
                 shard: 9,
                 ours: 4,
                 theirs: 5,
@@ -274,17 +274,17 @@
         ),
         (
             "fewer",
-            ReplicationError::Fewer {
+            ReplicationError::TooFewReplicas {
                 shard: 9,
                 have: 1,
                 want: 2,
             },
         ),
-        ("unreached", ReplicationError::Unreached { shard: 9 }),
-        ("busy", ReplicationError::Busy { open: 4096 }),
+        ("unreached", ReplicationError::PrimaryUnreachable { shard: 9 }),
+        ("busy", ReplicationError::TooManyRequests { open: 4096 }),
         (
             "behind",
-            ReplicationError::Behind {
+            ReplicationError::ReplicationLag {
                 shard: 9,
                 bytes: 70_000,
             },
@@ -296,16 +296,16 @@
                 most: 524_288,
             },
         ),
-        ("seen", ReplicationError::Seen),
-        ("late", ReplicationError::Late { shard: 9 }),
+        ("seen", ReplicationError::DuplicateIdentity),
+        ("late", ReplicationError::IdentityExpired { shard: 9 }),
         (
             "unknown",
             ReplicationError::Unknown {
                 what: "class".into(),
             },
         ),
-        ("full", ReplicationError::Full),
-        ("leaving", ReplicationError::Leaving),
+        ("full", ReplicationError::PrimaryOverloaded),
+        ("leaving", ReplicationError::ShuttingDown),
     ]
 }
 
--- a/tests/wire_formats/digests.rs
+++ b/tests/wire_formats/digests.rs
@@ -5,7 +5,7 @@
 use molelug::consensus::wire::challenge;
 use molelug::front::webhook::replay::mark;
 use molelug::front::webhook::signature::{sign, verify};
-use molelug::replication::placement::{next, order, Host};
+use molelug::replication::placement::{next_replica, replica_order, Host};
 use molelug::replication::{shard_of, LogPosition};
 use molelug::tenancy::replicated::history::digest;
 use molelug::tenancy::Secret;
@@ -42,8 +42,8 @@
 #[test]
 fn digests_match_their_recorded_bytes() {
     let place = LogPosition::default()
-        .then(b"first record")
-        .then(b"second record");
+        .advance(b"first record")
+        .advance(b"second record");
     let identity = mark("acme", MESSAGE_ID);
     let lines = [
         hex_line("session-word", &challenge("alpha", 0x0a0a, 4)),
@@ -61,9 +61,9 @@
 fn shard_hosts_keep_their_recorded_order() {
     let hosts = hosts();
     let line = |shard: u16| {
-        let order = order(shard, &hosts);
+        let order = replica_order(shard, &hosts);
         let have = [order[0].clone(), order[1].clone()].into();
-        let next = next(shard, &hosts, &have, |_| true).expect("five are left");
+        let next = next_replica(shard, &hosts, &have, |_| true).expect("five are left");
         format!("{shard} {} next={next}", order.join(" "))
     };
     let lines: Vec<String> = (1..=16).chain([1024]).map(line).collect();
