--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -7,7 +7,7 @@
 
 use super::ReplicaId;
 use crate::lease::ledger::{self, LeaseTable};
-use crate::replication::sets::{self, ReplicaSets};
+use crate::replication::replica_sets::{self, ReplicaSets};
 use crate::tenancy::replicated::state as tenants;
 
 /// An entry.
@@ -20,7 +20,7 @@
     /// Who votes from here on.
     Voters(BTreeMap<ReplicaId, Arc<str>>),
     /// Of shards and the disks that hold them.
-    ReplicaSets(sets::Entry),
+    ReplicaSets(replica_sets::Entry),
     /// Of tenants.
     Tenants(Box<tenants::Entry>),
 }
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubsystemEntry {
     /// Of shards and the disks that hold them.
-    ReplicaSets(sets::Entry),
+    ReplicaSets(replica_sets::Entry),
     /// Of tenants.
     Tenants(Box<tenants::Entry>),
 }
@@ -77,7 +77,7 @@
     u64,
     BTreeMap<ReplicaId, Arc<str>>,
     LeaseTable,
-    sets::LegacyReplicaSets,
+    replica_sets::LegacyReplicaSets,
 );
 
 impl State {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -24,7 +24,6 @@
 use crate::front::operator_console;
 use crate::front::platform::{self, Ask};
 use crate::membership::config::Gossip;
-use crate::names::Names;
 use crate::net::{self, Conn, Stream};
 use crate::worker::{self, AttemptCommand, Completed, Exchange, WorkerConnection};
 
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -13,7 +13,10 @@
                 self.report(now, done);
             } else if let Some(command) = self.core.command() {
                 self.perform(now, command);
-            } else if self.step_webhooks(now) || self.step_replication(now) || self.step_tenants(now) {
+            } else if self.step_webhooks(now)
+                || self.step_replication(now)
+                || self.step_tenants(now)
+            {
             } else if let Some(key) = self.dirty.pop() {
                 self.look_at_leases(key);
                 let Some((conn, _)) = self.connections.get_mut(key) else {
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -572,7 +572,7 @@
             hall.member
                 .handle(uptime(), Input::Disconnected(name.clone()));
         }
-        self.notify_replicator(crate::replication::machine::Input::Disconnected(
+        self.notify_replicator(crate::replication::replicator::Input::Disconnected(
             name.clone(),
         ));
     }
@@ -737,7 +737,7 @@
     }
 
     /// What is agreed of shards, as far as it is known here.
-    pub(super) fn agreed_sets(&self) -> Option<crate::replication::sets::ReplicaSets> {
+    pub(super) fn agreed_sets(&self) -> Option<crate::replication::replica_sets::ReplicaSets> {
         self.cluster
             .consensus
             .as_ref()
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -1,111 +1,115 @@
-//! Drives what gateways hold for one another: records to the disk and to copies, questions to a shard's primary, and what
-//! stands of a shard that comes to be led here. It decides nothing: that is [`Replicator`]'.
+//! Drives the replication of shards: it carries out what the [`Replicator`] decides, and reports
+//! the results to it.
+//!
+//! The outputs are in [`outputs`], the store's replies in [`store_replies`], and requests to
+//! primaries in [`requests`].
 
 use std::collections::{BTreeMap, HashMap};
+use std::io;
+use std::path::Path;
+use std::sync::Arc;
 
 use super::history::History;
-use super::*;
+use super::{consensus, webhooks, Gateway, GatewayError, COPIES};
+use crate::api::Micros;
 use crate::config::ConfigError;
-use crate::consensus::state::SubsystemEntry;
-use crate::consensus::{member, wire as frames};
-use crate::replication::config::{self, DisabledGuards, WhenFewer};
-use crate::replication::error::ReplicationError;
-use crate::replication::history::HistoryEvent;
-use crate::replication::identities::Identities;
-use crate::replication::machine::{Input, Output, Replicator};
-use crate::replication::wire::{Message, RequestOutcome};
-use crate::replication::{Epoch, LogPosition, Name, ShardId};
-use crate::store::error::StoreError;
+use crate::replication::config::{DisabledGuards, ReplicationFile, WhenFewer};
+use crate::replication::identities::{Identities, IdentityDigest};
+use crate::replication::replicator::{Input, Replicator};
+use crate::replication::wire::Message;
+use crate::replication::{Name, ShardId};
 use crate::store::operations::Reply;
-use crate::store::records::{CallRecord, CallState, IdentityDigest};
-use crate::tenancy::replicated::changes::Settings as Agreeing;
+use crate::tenancy::replicated::changes::Settings as TenantSettings;
 
-mod questions;
-pub(super) use questions::{PrimaryRequest, RequestOrigin};
+mod outputs;
+mod requests;
+mod store_replies;
 
-/// Copies, while they are on.
+pub(super) use requests::{PrimaryRequest, RequestOrigin};
+
+/// The replication of shards, while it is on.
 #[derive(Debug)]
 pub(super) struct ReplicationDriver {
-    machine: Replicator,
-    file: config::ReplicationFile,
-    /// The shards that are led here and whose content was taken up, with the identities taken.
-    pub(super) open: BTreeMap<ShardId, Identities>,
-    /// What the disk here said to a record that is not promised yet.
-    kept: HashMap<u64, Reply>,
-    waits: HashMap<u64, RequestOrigin>,
-    tickets: u64,
-    hung: Option<Micros>,
-    leaves: bool,
+    replicator: Replicator,
+    file: ReplicationFile,
+    /// The shards of which this process is the primary and whose state was loaded, with the
+    /// identities that were used.
+    pub(super) open_shards: BTreeMap<ShardId, Identities>,
+    /// The store's replies to records that are not committed yet.
+    uncommitted_replies: HashMap<u64, Reply>,
+    pending_requests: HashMap<u64, RequestOrigin>,
+    last_request: u64,
+    /// When the timer is set for.
+    tick_at: Option<Micros>,
+    shutdown_started: bool,
     history: History,
 }
 
-/// Ends the process at a step of a call's life, if a test has asked for it; a build for use never does.
-pub(super) fn step(what: &str) {
-    let asked = || std::env::var("MOLELUG_ENDS_AT").is_ok_and(|at| at == what);
-    let armed =
-        || std::env::var("MOLELUG_ENDS_IF").is_ok_and(|file| std::path::Path::new(&file).exists());
-    if cfg!(debug_assertions) && asked() && armed() {
+/// Ends the process at a step of a call, if a test has asked for it; a release build never does.
+pub(super) fn fault_injection_point(step: &str) {
+    let is_chosen = || std::env::var("MOLELUG_ENDS_AT").is_ok_and(|chosen| chosen == step);
+    let is_armed = || std::env::var("MOLELUG_ENDS_IF").is_ok_and(|file| Path::new(&file).exists());
+    if cfg!(debug_assertions) && is_chosen() && is_armed() {
         std::process::abort();
     }
 }
 
-/// The guards that this build can take out, for the lab's runs; a build for use has none to take out.
-fn guards() -> DisabledGuards {
+/// Returns the guards that a test disables; a release build disables none.
+fn disabled_guards() -> DisabledGuards {
     let mut guards = DisabledGuards::default();
     if cfg!(debug_assertions) {
         match std::env::var("MOLELUG_WITHOUT").as_deref() {
-            Ok("epochs") => guards.epochs = true,
-            Ok("all") => guards.all = true,
-            Ok("process") => guards.process = true,
-            Ok("chain") => guards.chain = true,
-            Ok("agreed") => guards.agreed = true,
-            Ok("want") => guards.want = true,
-            Ok("sound") => guards.sound = true,
-            Ok("ahead") => guards.ahead = true,
+            Ok("epochs") => guards.epoch_check = true,
+            Ok("all") => guards.full_acknowledgement = true,
+            Ok("process") => guards.process_check = true,
+            Ok("chain") => guards.chain_check = true,
+            Ok("agreed") => guards.tenant_agreement = true,
+            Ok("want") => guards.min_replicas_check = true,
+            Ok("sound") => guards.integrity_check = true,
+            Ok("ahead") => guards.ahead_check = true,
             _ => {}
         }
     }
     guards
 }
 
+fn missing_setting(setting: &'static str) -> GatewayError {
+    let reason = "absent, and copies need it";
+    GatewayError::Operator(ConfigError::Value(setting, reason.into()))
+}
+
 impl ReplicationDriver {
-    /// How many disks a call of a class asks for.
-    pub(super) fn wants(&self, class: &str) -> usize {
+    /// Returns the number of replicas that a call of a class needs.
+    pub(super) fn min_replicas(&self, class: &str) -> usize {
         match self.file.when_fewer.get(class).copied().unwrap_or_default() {
             WhenFewer::Refuse => self.file.copies,
             WhenFewer::Fewer => 1,
         }
     }
 
-    /// The shard of an identity.
-    pub(super) fn shard_of(&self, mark: &IdentityDigest) -> ShardId {
-        crate::replication::shard_of(mark, self.file.shards)
+    /// Returns the shard of an identity.
+    pub(super) fn shard_of(&self, identity: &IdentityDigest) -> ShardId {
+        crate::replication::shard_of(identity, self.file.shards)
     }
 }
 
 impl Gateway {
-    /// Begins to hold copies.
+    /// Starts replication.
+    ///
+    /// # Errors
+    ///
+    /// Consensus or the store is off, this gateway is not a member, or a history cannot be opened.
     pub(super) fn start_replication(
         &mut self,
         now: Micros,
-        file: &config::ReplicationFile,
+        file: &ReplicationFile,
     ) -> Result<(), GatewayError> {
-        let needs = |what: &'static str| {
-            Err(GatewayError::Operator(ConfigError::Value(
-                what,
-                "absent, and copies need it".into(),
-            )))
+        let Some((name, process, history_path)) = self.council_identity() else {
+            return Err(missing_setting("--council"));
         };
-        let Some((name, process, history)) = self.council_identity() else {
-            return needs("--council");
-        };
-        if !self
-            .secondary
-            .hooks
-            .as_ref()
-            .is_some_and(webhooks::WebhookDriver::durable)
-        {
-            return needs("webhooks.store");
+        let webhooks = self.secondary.hooks.as_ref();
+        if !webhooks.is_some_and(webhooks::WebhookDriver::durable) {
+            return Err(missing_setting("webhooks.store"));
         }
         if !file.members.contains_key(&*name) {
             return Err(GatewayError::Operator(ConfigError::Value(
@@ -113,343 +117,141 @@
                 format!("{name} is not among them"),
             )));
         }
-        let machine = Replicator::new(file.settings(&name, process, guards()), consensus::uptime());
-        let beside = |what| History::beside(history.as_deref(), what, &name, process);
-        let fail = |e: io::Error| GatewayError::Loop(e.into());
-        let (history, tenants) = (
-            beside("copies.jsonl").map_err(fail)?,
-            beside("tenants.jsonl").map_err(fail)?,
-        );
-        let settings = machine.settings();
-        let agreeing = Agreeing {
+        let open_history = |file_name| {
+            History::beside(history_path.as_deref(), file_name, &name, process)
+                .map_err(|error: io::Error| GatewayError::Loop(error.into()))
+        };
+        let history = open_history("copies.jsonl")?;
+        let tenant_history = open_history("tenants.jsonl")?;
+        let settings = file.settings(&name, process, disabled_guards());
+        let tenant_settings = TenantSettings {
             name: name.clone(),
             process,
             copies: settings.copies,
             ask: settings.request_timeout,
-            without_agreed: settings.disabled_guards.agreed,
+            without_agreed: settings.disabled_guards.tenant_agreement,
         };
-        self.know_addresses(
-            file.members
-                .iter()
-                .map(|(n, m)| (n.as_str().into(), m.address)),
-        );
+        let addresses = file.members.iter();
+        self.know_addresses(addresses.map(|(name, member)| (name.as_str().into(), member.address)));
         self.cluster.replication = Some(ReplicationDriver {
-            machine,
+            replicator: Replicator::new(settings, consensus::uptime()),
             file: file.clone(),
-            open: BTreeMap::new(),
-            kept: HashMap::new(),
-            waits: HashMap::new(),
-            tickets: 0,
-            hung: None,
-            leaves: false,
+            open_shards: BTreeMap::new(),
+            uncommitted_replies: HashMap::new(),
+            pending_requests: HashMap::new(),
+            last_request: 0,
+            tick_at: None,
+            shutdown_started: false,
             history,
         });
-        self.set_up_tenants(now, agreeing, tenants);
+        self.set_up_tenants(now, tenant_settings, tenant_history);
         self.update_replica_sets();
-        if let Some(hooks) = &mut self.secondary.hooks {
-            hooks.register_disk(process ^ self.config.seed, false);
+        if let Some(webhooks) = &mut self.secondary.hooks {
+            webhooks.register_disk(process ^ self.config.seed, false);
         }
         self.step_replication(now);
         Ok(())
     }
 
+    /// Passes an input to the replicator, if replication is on.
     pub(super) fn notify_replicator(&mut self, input: Input) {
-        if let Some(side) = &mut self.cluster.replication {
-            side.machine.handle(consensus::uptime(), input);
+        if let Some(driver) = &mut self.cluster.replication {
+            driver.replicator.handle(consensus::uptime(), input);
         }
     }
 
-    /// What is agreed has changed.
+    /// Passes the agreed replica sets on, after they have changed.
     pub(super) fn update_replica_sets(&mut self) {
         if self.cluster.replication.is_none() {
             return;
         }
         if let Some(sets) = self.agreed_sets() {
-            self.notify_replicator(Input::SetsChanged(std::sync::Arc::new(sets)));
+            self.notify_replicator(Input::SetsChanged(Arc::new(sets)));
         }
     }
 
-    /// Another gateway said something of copies.
-    pub(super) fn receive_replication_message(&mut self, from: Name, body: Message) {
-        self.notify_replicator(Input::Received(from, body));
+    /// Passes a message of another gateway on.
+    pub(super) fn receive_replication_message(&mut self, from: Name, message: Message) {
+        self.notify_replicator(Input::Received(from, message));
     }
 
+    /// Handles the timer of replication.
     pub(super) fn tick_replication(&mut self) {
-        if let Some(side) = &mut self.cluster.replication {
-            side.hung = None;
+        if let Some(driver) = &mut self.cluster.replication {
+            driver.tick_at = None;
         }
         self.notify_replicator(Input::Tick);
     }
 
-    /// On how many disks a shard's promises stand.
+    /// Returns the number of replicas of a shard.
     pub(super) fn replica_count(&self, shard: ShardId) -> u8 {
-        let set = self
-            .cluster
-            .replication
-            .as_ref()
-            .and_then(|s| s.machine.shards().get(&shard));
+        let driver = self.cluster.replication.as_ref();
+        let replica = driver.and_then(|driver| driver.replicator.shards().get(&shard));
         // A set has five members at most.
-        set.map_or(0, |s| s.set.members.len().min(255) as u8)
+        replica.map_or(0, |replica| replica.set.members.len().min(255) as u8)
     }
 
-    /// Those with whom a connection is kept for copies.
+    /// Returns the gateways to which replication keeps connections.
     pub(super) fn replication_peers(&self) -> Vec<Name> {
-        self.cluster
-            .replication
-            .as_ref()
-            .map_or(Vec::new(), |s| s.machine.peers().cloned().collect())
+        let driver = self.cluster.replication.as_ref();
+        driver.map_or(Vec::new(), |driver| {
+            driver.replicator.peers().cloned().collect()
+        })
     }
 
-    /// Whether nothing is led here any more, at the end of the process: what is led is handed to others first.
+    /// Hands this process's shards over to other gateways, at the end of the process. Returns
+    /// whether it is the primary of no shard any more.
     pub(super) fn hand_over_shards(&mut self) -> bool {
-        let leads = self
-            .cluster
-            .replication
-            .as_ref()
-            .is_some_and(|s| s.machine.is_any_primary());
-        if leads
-            && self
-                .cluster
-                .replication
-                .as_mut()
-                .is_some_and(|s| !std::mem::replace(&mut s.leaves, true))
-        {
+        let Some(driver) = &mut self.cluster.replication else {
+            return true;
+        };
+        if !driver.replicator.is_any_primary() {
+            return true;
+        }
+        if !std::mem::replace(&mut driver.shutdown_started, true) {
             self.notify_replicator(Input::GracefulShutdown);
         }
-        !leads
+        false
     }
 
-    /// Does what there is to do; whether there was something.
+    /// Does one step of what replication has to do; returns whether there was something.
     pub(super) fn step_replication(&mut self, now: Micros) -> bool {
-        let Some(side) = &mut self.cluster.replication else {
+        let Some(driver) = &mut self.cluster.replication else {
             return false;
         };
-        if let Some((ticket, shard, bytes, want)) = self
-            .secondary
-            .hooks
-            .as_mut()
-            .and_then(|h| h.shared.pop_front())
-        {
-            side.machine.handle(
-                consensus::uptime(),
-                Input::Append {
-                    shard,
-                    waiter: ticket,
-                    record: bytes,
-                    min_replicas: want,
-                },
-            );
+        let webhooks = self.secondary.hooks.as_mut();
+        if let Some(append) = webhooks.and_then(|webhooks| webhooks.shared.pop_front()) {
+            let (waiter, shard, record, min_replicas) = append;
+            let input = Input::Append {
+                shard,
+                waiter,
+                record,
+                min_replicas,
+            };
+            driver.replicator.handle(consensus::uptime(), input);
             return true;
         }
-        if let Some(output) = side.machine.next_output() {
-            self.copies_output(now, output);
+        if let Some(output) = driver.replicator.next_output() {
+            self.perform_replication_output(now, output);
             return true;
         }
-        let up = consensus::uptime();
-        let next = Some(now + side.machine.next_deadline().saturating_sub(up).max(1));
-        if side.hung.is_none_or(|old| Some(old) > next || old <= now) {
-            if let Some(old) = side.hung.take() {
-                self.core.unhang(old, COPIES);
-            }
-            side.hung = next;
-            if let Some(at) = next {
-                self.core.hang(at, COPIES);
-            }
-        }
+        self.schedule_replication_tick(now);
         false
     }
 
-    fn copies_output(&mut self, now: Micros, output: Output) {
-        let (Some(side), Some(hooks)) = (&mut self.cluster.replication, &mut self.secondary.hooks)
-        else {
+    /// Sets the timer, if it is not set or set for too late.
+    fn schedule_replication_tick(&mut self, now: Micros) {
+        let Some(driver) = &mut self.cluster.replication else {
             return;
         };
-        match output {
-            Output::Send(to, body) => self.say(now, &to, frames::Body::Replication(body)),
-            Output::Propose(entry) => {
-                self.tell_member_of_council(member::Input::Submit(SubsystemEntry::ReplicaSets(
-                    entry,
-                )));
-            }
-            Output::StoreRecord(shard, place, bytes, ticket) => {
-                hooks.store_shard_record(shard, place, &bytes, ticket)
-            }
-            Output::InstallSnapshot(shard, place, bytes) => hooks.install_shard(shard, place, bytes),
-            Output::ReadSnapshot(shard, to) => hooks.read_shard_snapshot(shard, to),
-            Output::VerifyDisk => hooks.verify_shards(),
-            Output::AcceptDamage(shard) => hooks.accept_shard_damage(shard),
-            Output::Committed(ticket, _) => {
-                let reply = side.kept.remove(&ticket).unwrap_or(Reply::Done);
-                hooks.reply(ticket, Ok(reply));
-            }
-            Output::Rejected(ticket, why) => {
-                side.kept.remove(&ticket);
-                hooks.reply(ticket, Err(StoreError::NotCommitted(why)));
-            }
-            Output::BecomePrimary(shard, epoch) => hooks.become_shard_primary(shard, epoch),
-            Output::StepDown(shard) => {
-                side.open.remove(&shard);
-                tracing::warn!(shard, "a shard is led here no more");
-                let over = hooks.resign_shard(now, shard);
-                over.into_iter()
-                    .for_each(|key| self.core.caller_gone(now, key));
-            }
-            Output::HandleRequest(shard, from, number, bytes) => {
-                self.asked_of_shard(now, shard, from, number, &bytes)
-            }
-            Output::Response(ticket, told) => self.told_by_primary(now, ticket, told),
-            Output::DiskRejected => {
-                tracing::error!(
-                    "the disk is an old copy, or another process has begun on it since: what it held for others is let go \
-                     of and copied anew; start each gateway on its own newest disk"
-                );
-                hooks.register_disk(self.config.seed ^ consensus::uptime(), true);
-            }
-            Output::RecordEvent(note) => {
-                if let HistoryEvent::DataLost { shard } = note {
-                    tracing::error!(
-                        shard,
-                        "all disks that held this shard are lost, and what was promised in it with them; raise copies, \
-                         or spread members over more halls"
-                    );
-                }
-                match &note {
-                    HistoryEvent::Damaged { shard, ranges } => tracing::error!(
-                        shard,
-                        ?ranges,
-                        "the disk does not hold what was written: the shard is copied anew from another; look at this machine's \
-                         disk and memory, and replace it if that comes again"
-                    ),
-                    HistoryEvent::RecoveredFromFormer { shard } => tracing::error!(
-                        shard,
-                        "all disks that held this shard are lost; this one had been left out and has what was promised until then: \
-                         what was taken on fewer machines since is gone; raise copies, or spread members over more halls"
-                    ),
-                    HistoryEvent::WaitingForReplica { shard, members } => tracing::error!(
-                        shard,
-                        ?members,
-                        "the disk here is damaged, and no other that holds the shard can be heard: bring one of them back; or, if \
-                         their disks are lost, start them with empty ones, and what is left here counts"
-                    ),
-                    HistoryEvent::Repaired { shard, accepted: false } => {
-                        tracing::info!(shard, "a damaged shard was mended from another disk");
-                    }
-                    HistoryEvent::Repaired { shard, accepted: true } => tracing::error!(
-                        shard,
-                        "no other disk has a damaged shard: what is left of it counts, and something promised may be gone; \
-                         raise copies"
-                    ),
-                    _ => {}
-                }
-                if let HistoryEvent::BecamePrimary {
-                    shard,
-                    epoch,
-                    members,
-                    ..
-                } = &note
-                {
-                    tracing::info!(shard, epoch, ?members, "a shard is led here");
-                }
-                side.history.record(&note);
-            }
-        }
-    }
-
-    /// The disk's answers.
-    pub(super) fn disk_registered(&mut self, reply: Result<Reply, StoreError>) {
-        if let Ok(Reply::Disk(disk)) = reply {
-            self.notify_replicator(Input::Disk {
-                id: disk.id,
-                incarnation: disk.incarnation,
-                positions: disk.shards.into_iter().collect(),
-            });
-        }
-    }
-
-    pub(super) fn record_stored(
-        &mut self,
-        shard: ShardId,
-        ticket: Option<u64>,
-        reply: Result<Reply, StoreError>,
-    ) {
-        let Ok(reply) = reply else { return };
-        if let Some(what) = ticket.and_then(|t| self.secondary.hooks.as_ref()?.fault_injection_step(t)) {
-            step(what);
-        }
-        if let (Some(side), Some(ticket)) = (&mut self.cluster.replication, ticket) {
-            side.kept.insert(ticket, reply);
-        }
-        self.notify_replicator(Input::Persisted(shard));
-    }
-
-    pub(super) fn shard_read(
-        &mut self,
-        shard: ShardId,
-        to: Name,
-        reply: Result<Reply, StoreError>,
-    ) {
-        match reply {
-            Ok(Reply::ShardContent(place, bytes)) => {
-                let place: LogPosition = place;
-                self.notify_replicator(Input::SnapshotRead(shard, to, place, bytes));
-            }
-            other => {
-                if let Err(StoreError::ChecksumMismatch(shard, ranges)) = other {
-                    self.notify_replicator(Input::Corrupt(shard, ranges));
-                }
-                self.notify_replicator(Input::SnapshotReadFailed(shard, to));
-            }
-        }
-    }
-
-    /// What stands of a shard that is led here: it goes on as after a start.
-    pub(super) fn shard_state_loaded(
-        &mut self,
-        now: Micros,
-        shard: ShardId,
-        epoch: Epoch,
-        reply: Result<Reply, StoreError>,
-    ) {
-        if let Err(StoreError::ChecksumMismatch(shard, ranges)) = reply {
-            return self.notify_replicator(Input::Corrupt(shard, ranges));
-        }
-        let (Some(side), Ok(Reply::PrimaryState(stands))) = (&mut self.cluster.replication, reply)
-        else {
-            return;
-        };
-        if !side.machine.is_primary(shard) {
+        let deadline = driver.replicator.next_deadline();
+        let next = now + deadline.saturating_sub(consensus::uptime()).max(1);
+        if driver.tick_at.is_some_and(|at| at <= next && at > now) {
             return;
         }
-        side.open.insert(
-            shard,
-            Identities::new(
-                shard,
-                stands.identities.iter().copied(),
-                stands.identities_expired_until,
-            ),
-        );
-        let Some(hooks) = &mut self.secondary.hooks else {
-            return;
-        };
-        hooks.start_numbering(shard, epoch);
-        let (calls, waits, begun) = (
-            stands.calls.len(),
-            stands.waiting.len(),
-            stands.in_flight.len(),
-        );
-        hooks.settle_in_flight(now, stands.in_flight);
-        hooks.enqueue_messages(now, stands.waiting);
-        for call in stands.calls {
-            // Times of another machine are not compared with this one's.
-            self.resume_call(now, call, true);
+        if let Some(at) = driver.tick_at.replace(next) {
+            self.core.unhang(at, COPIES);
         }
-        tracing::info!(
-            shard,
-            epoch,
-            calls,
-            waits,
-            begun,
-            "went on with what stood of a shard"
-        );
+        self.core.hang(next, COPIES);
     }
 }
--- /dev/null
+++ b/src/gateway/replication/requests.rs
@@ -0,0 +1,206 @@
+//! Requests to the primary of a shard: of callers here, and of other gateways.
+
+use serde::{Deserialize, Serialize};
+
+use crate::api::Micros;
+use crate::front::http::plain;
+use crate::gateway::webhooks::{Caller, IncomingCall, MAX_IDENTITIES};
+use crate::gateway::{ConnKey, Gateway};
+use crate::replication::error::ReplicationError;
+use crate::replication::replicator::Input;
+use crate::replication::wire::RequestOutcome;
+use crate::replication::{Name, ShardId};
+use crate::store::records::{CallRecord, CallState, IdentityDigest};
+
+#[cfg(test)]
+mod digest_tests;
+#[cfg(test)]
+mod fixture_tests;
+
+/// A request to the primary of a shard. Postcard encodes it, so the order of variants and fields is
+/// part of the format.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub(in crate::gateway) enum PrimaryRequest {
+    /// Accept a call, whose expiry is relative to now.
+    AcceptCall {
+        call: Box<CallRecord>,
+        identity: IdentityDigest,
+        valid_until: Micros,
+    },
+    /// Return the state of a call, by its tenant's serial number and its identity.
+    CallState(u64, String),
+}
+
+/// Who waits for the response of a primary.
+#[derive(Debug)]
+pub(in crate::gateway) enum RequestOrigin {
+    /// A caller whose call is to be accepted, and its identity.
+    AcceptCall(ConnKey, IdentityDigest),
+    /// A caller who queries the state of a call, and its identity.
+    CallState(ConnKey, String),
+}
+
+fn unknown_request() -> ReplicationError {
+    ReplicationError::Unknown {
+        subject: "question".into(),
+    }
+}
+
+impl Gateway {
+    /// Sends a caller's request to the primary of a shard.
+    pub(in crate::gateway) fn send_to_primary(
+        &mut self,
+        shard: ShardId,
+        request: &PrimaryRequest,
+        origin: RequestOrigin,
+    ) {
+        let Some(driver) = &mut self.cluster.replication else {
+            return;
+        };
+        driver.last_request += 1;
+        let waiter = driver.last_request;
+        driver.pending_requests.insert(waiter, origin);
+        // A request can always be encoded.
+        let bytes = postcard::to_stdvec(request).unwrap_or_default();
+        self.notify_replicator(Input::Request {
+            shard,
+            waiter,
+            bytes,
+        });
+    }
+
+    /// Sends the response to a request that was handled here.
+    pub(in crate::gateway) fn respond_to_request(
+        &mut self,
+        peer: Name,
+        number: u64,
+        outcome: RequestOutcome,
+    ) {
+        self.notify_replicator(Input::Respond {
+            peer,
+            number,
+            outcome,
+        });
+    }
+
+    /// Handles a request to this primary.
+    pub(super) fn handle_primary_request(
+        &mut self,
+        now: Micros,
+        shard: ShardId,
+        from: Name,
+        number: u64,
+        bytes: &[u8],
+    ) {
+        match postcard::from_bytes(bytes).ok() {
+            None => {
+                let outcome = RequestOutcome::Rejected(unknown_request());
+                self.respond_to_request(from, number, outcome);
+            }
+            Some(PrimaryRequest::CallState(serial, id)) => {
+                if let Some(webhooks) = &mut self.secondary.hooks {
+                    webhooks.request_call_state(serial, id, from, number);
+                }
+            }
+            Some(PrimaryRequest::AcceptCall {
+                mut call,
+                identity,
+                valid_until,
+            }) => {
+                call.expires = now.saturating_add(call.expires);
+                let accepted = IncomingCall {
+                    shard,
+                    record: *call,
+                    identity,
+                    valid_until,
+                    caller: Caller::Gateway(from.clone(), number),
+                };
+                if let Err(error) = self.accept_remote_call(now, accepted) {
+                    self.respond_to_request(from, number, RequestOutcome::Rejected(error));
+                }
+            }
+        }
+    }
+
+    /// Accepts a call as the primary, unless its identity was used before.
+    fn accept_remote_call(
+        &mut self,
+        now: Micros,
+        call: IncomingCall,
+    ) -> Result<(), ReplicationError> {
+        let (shard, identity, valid_until) = (call.shard, call.identity, call.valid_until);
+        let min_replicas = self.check_identity(now, &call)?;
+        self.accept_as_primary(now, call, min_replicas)?;
+        let driver = self.cluster.replication.as_mut();
+        if let Some(used) = driver.and_then(|driver| driver.open_shards.get_mut(&shard)) {
+            used.insert(identity, valid_until);
+        }
+        Ok(())
+    }
+
+    /// Returns the number of replicas that a call needs, if its identity may be used in a shard of
+    /// this primary.
+    fn check_identity(
+        &mut self,
+        now: Micros,
+        call: &IncomingCall,
+    ) -> Result<usize, ReplicationError> {
+        let Some(driver) = &mut self.cluster.replication else {
+            return Err(ReplicationError::ShuttingDown);
+        };
+        let min_replicas = driver.min_replicas(&call.record.class);
+        // None while the state of the shard is still being loaded.
+        let Some(used) = driver.open_shards.get_mut(&call.shard) else {
+            return Err(ReplicationError::NotPrimary {
+                shard: call.shard,
+                primary: Some(driver.replicator.settings().name.clone()),
+            });
+        };
+        used.check(now, &call.identity, call.valid_until, MAX_IDENTITIES)?;
+        Ok(min_replicas)
+    }
+
+    /// Notes that an identity was not used after all.
+    pub(in crate::gateway) fn remove_identity(
+        &mut self,
+        shard: ShardId,
+        identity: &IdentityDigest,
+    ) {
+        let driver = self.cluster.replication.as_mut();
+        if let Some(used) = driver.and_then(|driver| driver.open_shards.get_mut(&shard)) {
+            used.remove(identity);
+        }
+    }
+
+    /// Handles the response of a primary to a request of a caller here.
+    pub(super) fn handle_primary_response(
+        &mut self,
+        now: Micros,
+        waiter: u64,
+        outcome: RequestOutcome,
+    ) {
+        let driver = self.cluster.replication.as_mut();
+        let origin = driver.and_then(|driver| driver.pending_requests.remove(&waiter));
+        match origin {
+            Some(RequestOrigin::AcceptCall(conn, identity)) => match outcome {
+                RequestOutcome::Committed(replicas) => self.confirm_call(now, conn, replicas),
+                RequestOutcome::Rejected(error) => {
+                    self.reject_call(now, conn, &identity, &error);
+                }
+                RequestOutcome::Content(_) => {
+                    self.reject_call(now, conn, &identity, &unknown_request());
+                }
+            },
+            Some(RequestOrigin::CallState(conn, id)) => {
+                let state: Result<Option<CallState>, _> = match outcome {
+                    RequestOutcome::Content(bytes) => {
+                        Ok(postcard::from_bytes(&bytes).unwrap_or_default())
+                    }
+                    _ => Err(plain(503, "nobody who knows of the call answered")),
+                };
+                self.answer_state(now, conn, &id, state);
+            }
+            None => {}
+        }
+    }
+}
--- a/src/gateway/replication/questions/digest_tests.rs
+++ b/src/gateway/replication/requests/digest_tests.rs
@@ -38,34 +38,40 @@
 }
 
 #[test]
-fn questions_to_primaries_match_recorded_bytes() {
-    let take = packed(&PrimaryRequest::Take(
-        Box::new(call()),
-        [0xcc; 32],
-        1_700_000_300_000_000,
-    ));
-    let state = packed(&PrimaryRequest::State(12, "msg_1".into()));
+fn primary_requests_match_recorded_bytes() {
+    let take = packed(&PrimaryRequest::AcceptCall {
+        call: Box::new(call()),
+        identity: [0xcc; 32],
+        valid_until: 1_700_000_300_000_000,
+    });
+    let state = packed(&PrimaryRequest::CallState(12, "msg_1".into()));
     check_lines(
         "wire/primary_questions.txt",
         &[hex_line("take", &take), hex_line("state", &state)],
     );
     match postcard::from_bytes(&take) {
-        Ok(PrimaryRequest::Take(read, mark, until)) => {
+        Ok(PrimaryRequest::AcceptCall {
+            call: read,
+            identity,
+            valid_until,
+        }) => {
             assert_eq!(
-                (*read, mark, until),
+                (*read, identity, valid_until),
                 (call(), [0xcc; 32], 1_700_000_300_000_000)
             );
         }
         other => panic!("read as {other:?}"),
     }
     match postcard::from_bytes(&state) {
-        Ok(PrimaryRequest::State(serial, id)) => assert_eq!((serial, id.as_str()), (12, "msg_1")),
+        Ok(PrimaryRequest::CallState(serial, id)) => {
+            assert_eq!((serial, id.as_str()), (12, "msg_1"))
+        }
         other => panic!("read as {other:?}"),
     }
 }
 
 #[test]
-fn call_state_answer_matches_recorded_bytes() {
+fn call_state_response_matches_recorded_bytes() {
     let state = |outcome: Option<&str>| {
         Some(CallState {
             taken: 1_700_000_000_000_000,
--- a/src/gateway/replication/questions/fixture_tests.rs
+++ b/src/gateway/replication/requests/fixture_tests.rs
@@ -6,7 +6,7 @@
 use crate::fixture;
 use crate::store::records::CallRecord;
 
-const QUESTIONS: &str = "primary-questions.txt";
+const REQUESTS: &str = "primary-questions.txt";
 
 fn call() -> CallRecord {
     CallRecord {
@@ -29,8 +29,8 @@
     }
 }
 
-fn to_line(asked: &PrimaryRequest) -> String {
-    let bytes = postcard::to_stdvec(asked).expect("it encodes");
+fn to_hex_line(request: &PrimaryRequest) -> String {
+    let bytes = postcard::to_stdvec(request).expect("it encodes");
     bytes
         .iter()
         .map(|byte| format!("{byte:02x}"))
@@ -38,7 +38,7 @@
         + "\n"
 }
 
-fn from_line(line: &str) -> PrimaryRequest {
+fn from_hex_line(line: &str) -> PrimaryRequest {
     let digits =
         |at: usize| u8::from_str_radix(&line[at..at + 2], 16).expect("two hexadecimal digits");
     let bytes: Vec<u8> = (0..line.len()).step_by(2).map(digits).collect();
@@ -46,20 +46,29 @@
 }
 
 #[test]
-fn questions_to_primary_encode_as_before() {
-    let take = PrimaryRequest::Take(Box::new(call()), [0xc3; 32], 50_000_000);
-    let state = PrimaryRequest::State(21, "call-1".into());
-    fixture::assert_matches(QUESTIONS, &(to_line(&take) + &to_line(&state)));
+fn primary_requests_encode_as_before() {
+    let take = PrimaryRequest::AcceptCall {
+        call: Box::new(call()),
+        identity: [0xc3; 32],
+        valid_until: 50_000_000,
+    };
+    let state = PrimaryRequest::CallState(21, "call-1".into());
+    fixture::assert_matches(REQUESTS, &(to_hex_line(&take) + &to_hex_line(&state)));
 
-    let stored: Vec<PrimaryRequest> = fixture::read_text(QUESTIONS)
+    let stored: Vec<PrimaryRequest> = fixture::read_text(REQUESTS)
         .lines()
-        .map(from_line)
+        .map(from_hex_line)
         .collect();
-    let [PrimaryRequest::Take(stored_call, mark, until), PrimaryRequest::State(serial, id)] = &stored[..] else {
+    let [PrimaryRequest::AcceptCall {
+        call: stored_call,
+        identity,
+        valid_until,
+    }, PrimaryRequest::CallState(serial, id)] = &stored[..]
+    else {
         panic!("other questions: {stored:?}")
     };
     assert_eq!(
-        (&**stored_call, *mark, *until),
+        (&**stored_call, *identity, *valid_until),
         (&call(), [0xc3; 32], 50_000_000)
     );
     assert_eq!((*serial, id.as_str()), (21, "call-1"));
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -8,9 +8,9 @@
 use calloop::channel;
 use slotmap::{new_key_type, SecondaryMap, SlotMap};
 
-use super::replication::{step, PrimaryRequest, RequestOrigin as Question};
+use super::replication::{fault_injection_point, PrimaryRequest, RequestOrigin};
 use super::*;
-use crate::api::{Arrival, Effect, RequestId};
+use crate::api::Effect;
 use crate::config::{ConfigError, Webhooks};
 use crate::core::Call;
 use crate::delivery::egress::Networks;
@@ -25,16 +25,16 @@
 use crate::net::KEPT_FRAME;
 use crate::replication::error::ReplicationError;
 use crate::replication::wire::RequestOutcome;
-use crate::replication::{Epoch, LogPosition, Name, ShardId};
+use crate::replication::{Epoch, Name, ShardId};
 use crate::store::disk::Disk;
 use crate::store::error::StoreError;
 use crate::store::keyspace::MemoryKeyspace;
 use crate::store::operations::{
-    AcceptCall, ApplyRetention, ApplyToShard, BeginAttempt, CompleteCall, FinishAttempt,
-    InstallShard, Op, RegisterDisk, Reply, RetentionResult,
+    AcceptCall, ApplyRetention, BeginAttempt, CompleteCall, FinishAttempt, Op, Reply,
+    RetentionResult,
 };
 use crate::store::records::{AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord};
-use crate::store::recovery::{recovery_action, RecoveryAction};
+use crate::store::recovery::RecoveryAction;
 use crate::store::replicated_op::ReplicatedOp;
 use crate::store::tables::{RecoveredState, Tables};
 use crate::store::writer::Writer;
@@ -46,6 +46,8 @@
 mod shards;
 mod start;
 
+pub(super) use shards::IncomingCall;
+
 new_key_type! {
     /// The slot of a call that came as a webhook.
     pub(super) struct JobKey;
@@ -63,12 +65,12 @@
 const RETAIN_SOON: Micros = 50_000;
 const RETAIN_LATER: Micros = 5_000_000;
 /// Questions to the store that may be open before nothing new is taken.
-const MOST_ASKED: usize = 8192;
+const MAX_PENDING_STORE_OPS: usize = 8192;
 /// How long after the last call the disk is waited for at the end.
 const LAST_WORD: Micros = 2_000_000;
 
 /// Identities of one shard that are remembered at most.
-pub(super) const MOST_MARKS: usize = 65_536;
+pub(super) const MAX_IDENTITIES: usize = 65_536;
 
 /// Who is owed the word that a call is taken.
 #[derive(Clone, Debug)]
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -39,8 +39,8 @@
                     );
                     self.send_to_primary(
                         shard,
-                        &PrimaryRequest::State(serial, id.clone()),
-                        Question::State(key, id),
+                        &PrimaryRequest::CallState(serial, id.clone()),
+                        RequestOrigin::CallState(key, id),
                     );
                     None
                 }
@@ -56,10 +56,11 @@
             };
         }
         // Taken only with room for what follows: what got a 202 is owed a callback.
-        let full =
-            hooks.jobs.len() + hooks.waiting() + hooks.asked.len().saturating_sub(MOST_ASKED)
-                >= hooks.pending;
-        let taken = if full || hooks.asked.len() >= MOST_ASKED {
+        let full = hooks.jobs.len()
+            + hooks.waiting()
+            + hooks.asked.len().saturating_sub(MAX_PENDING_STORE_OPS)
+            >= hooks.pending;
+        let taken = if full || hooks.asked.len() >= MAX_PENDING_STORE_OPS {
             Err(plain(503, "too many calls under way"))
         } else {
             hooks.inbound.take(r, tenants, &self.config.names, now)
@@ -91,15 +92,15 @@
                 };
                 if let Some(shard) = self.cluster.replication.as_ref().map(|s| s.shard_of(&mark)) {
                     let left = record.expires.saturating_sub(now);
-                    let asked = PrimaryRequest::Take(
-                        Box::new(CallRecord {
+                    let request = PrimaryRequest::AcceptCall {
+                        call: Box::new(CallRecord {
                             expires: left,
                             ..record
                         }),
-                        mark,
-                        until,
-                    );
-                    self.send_to_primary(shard, &asked, Question::Take(key, mark));
+                        identity: mark,
+                        valid_until: until,
+                    };
+                    self.send_to_primary(shard, &request, RequestOrigin::AcceptCall(key, mark));
                     return None;
                 }
                 let ask = Ask::Take {
@@ -179,7 +180,7 @@
                 });
             }
             Caller::Gateway(to, number) => {
-                step("call promised");
+                fault_injection_point("call promised");
                 let disks = self.replica_count(seq.shard());
                 self.respond_to_request(to, number, RequestOutcome::Committed(disks));
             }
@@ -250,7 +251,7 @@
                 SendProgress::Unsent,
             ));
         }
-        step("intent promised");
+        fault_injection_point("intent promised");
         self.go(
             now, attempt, w.worker, w.id, w.class, w.function, w.expires, &w.body,
         );
@@ -267,7 +268,7 @@
         let Some(guard) = hooks.guards.get_mut(&id) else {
             return;
         };
-        step("attempt answered");
+        fault_injection_point("attempt answered");
         guard.ran |= !never_ran;
         let (seq, ran) = (guard.seq, guard.ran);
         if !ran {
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -159,7 +159,7 @@
     }
 
     pub(super) fn portal_ended(&mut self, now: Micros, seq: Seq, report: Report) {
-        step("callback answered");
+        fault_injection_point("callback answered");
         if let Some(hooks) = &mut self.secondary.hooks {
             hooks.delivery.handle(now, Input::Ended(seq, report));
         }
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -59,10 +59,12 @@
                     Ok(Reply::Verified(found)) => Some(found),
                     _ => None,
                 };
-                self.notify_replicator(crate::replication::machine::Input::Verified(found));
+                self.notify_replicator(crate::replication::replicator::Input::Verified(found));
             }
             Ask::Accept(shard) => {
-                self.notify_replicator(crate::replication::machine::Input::DamageAccepted(shard));
+                self.notify_replicator(crate::replication::replicator::Input::DamageAccepted(
+                    shard,
+                ));
             }
             Ask::Settled(w, state) => {
                 if reply.is_ok() && state == State::Waiting {
@@ -76,7 +78,7 @@
                         RequestOutcome::Content(postcard::to_stdvec(&state).unwrap_or_default())
                     }
                     _ => RequestOutcome::Rejected(ReplicationError::Unknown {
-                        what: "call".into(),
+                        subject: "call".into(),
                     }),
                 };
                 self.respond_to_request(to, number, told);
@@ -85,7 +87,7 @@
             Ask::Publish | Ask::Quiet => self.now_wait(now, reply),
             Ask::Begin(seq) => match reply {
                 Ok(Reply::Attempt(Some(both))) => {
-                    step("callback's intent promised");
+                    fault_injection_point("callback's intent promised");
                     self.attempt(now, both.0, &both.1)
                 }
                 Ok(_) => hooks.delivery.handle(now, Input::Gone(seq)),
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -1,9 +1,41 @@
-//! Shards: what is copied before it counts, and calls that another gateway has taken.
+//! Shards: store operations for the replicator, and calls that another gateway has received.
 
-use super::*;
+use std::rc::Rc;
+
+use super::{
+    job_of, refuse, Ask, Caller, Guard, Held, JobKey, WebhookDriver, MAX_PENDING_STORE_OPS,
+};
+use crate::api::{Arrival, ClassId, Effect, FunctionId, Micros, RequestId};
+use crate::core::{Answer, Call, RequestKey};
+use crate::delivery::{Input, Seq, Waiting};
+use crate::front::http::{self, plain};
+use crate::front::webhook::inbound::Job;
+use crate::front::webhook::message::Outcome;
+use crate::gateway::{ConnKey, Gateway, Origin};
+use crate::names::Names;
+use crate::replication::error::ReplicationError;
+use crate::replication::{Epoch, LogPosition, Name, ShardId};
+use crate::store::operations::{
+    AcceptCall, ApplyToShard, FinishAttempt, InstallShard, Op, RegisterDisk,
+};
+use crate::store::records::{CallRecord, IdentityDigest};
+use crate::store::recovery::{recovery_action, settle_remote_attempt, RecoveryAction};
+use crate::store::replicated_op::ReplicatedOp;
+
+/// A call that the primary of its shard is to accept.
+#[derive(Debug)]
+pub(in crate::gateway) struct IncomingCall {
+    pub(in crate::gateway) shard: ShardId,
+    pub(in crate::gateway) record: CallRecord,
+    pub(in crate::gateway) identity: IdentityDigest,
+    /// The time until which a repetition of the identity has to be detected.
+    pub(in crate::gateway) valid_until: Micros,
+    pub(in crate::gateway) caller: Caller,
+}
 
 impl WebhookDriver {
-    /// What a question that is being kept is for, for tests that end the process there.
+    /// Returns the step of a call at which a store operation was submitted, for tests that end the
+    /// process there.
     pub(in crate::gateway) fn fault_injection_step(&self, number: u64) -> Option<&'static str> {
         match self.asked.get(&number)? {
             Ask::Take { .. } => Some("call recorded here"),
@@ -14,125 +46,128 @@
         }
     }
 
-    /// Has the disk tell its number, and how often it was begun; with another one if it is to begin anew.
-    pub(in crate::gateway) fn register_disk(&mut self, id: u64, anew: bool) {
-        self.ask(
-            Ask::Disk,
-            Op::RegisterDisk(RegisterDisk {
-                id: id.max(1),
-                reset: anew,
-            }),
-        );
+    /// Registers the start of this process on the disk; `reset` gives the disk a new identifier and
+    /// drops its shards.
+    pub(in crate::gateway) fn register_disk(&mut self, id: u64, reset: bool) {
+        let register = RegisterDisk {
+            id: id.max(1),
+            reset,
+        };
+        self.ask(Ask::Disk, Op::RegisterDisk(register));
     }
 
-    /// A record of a shard goes to the disk. One that cannot be read keeps its place, and does nothing.
+    /// Writes a record of a shard to the disk. A record that cannot be decoded moves the position
+    /// and has no effect.
     pub(in crate::gateway) fn store_shard_record(
         &mut self,
         shard: ShardId,
-        place: LogPosition,
-        bytes: &[u8],
-        ticket: Option<u64>,
+        position: LogPosition,
+        record: &[u8],
+        waiter: Option<u64>,
     ) {
-        let op = ReplicatedOp::decode(bytes).map_or(Op::Publish(Vec::new()), ReplicatedOp::into_op);
-        self.ask(
-            Ask::Record(shard, ticket),
-            Op::ApplyToShard(ApplyToShard {
-                shard,
-                position: place,
-                op: Box::new(op),
-            }),
-        );
+        let op = match ReplicatedOp::decode(record) {
+            Ok(replicated) => replicated.into_op(),
+            Err(_) => Op::Publish(Vec::new()),
+        };
+        let apply = ApplyToShard {
+            shard,
+            position,
+            op: Box::new(op),
+        };
+        self.ask(Ask::Record(shard, waiter), Op::ApplyToShard(apply));
     }
 
-    /// Another disk's content takes the place of what this one holds of a shard.
+    /// Replaces a shard's content on the disk by a snapshot.
     pub(in crate::gateway) fn install_shard(
         &mut self,
         shard: ShardId,
-        place: LogPosition,
-        bytes: Vec<u8>,
+        position: LogPosition,
+        content: Vec<u8>,
     ) {
-        self.ask(
-            Ask::Record(shard, None),
-            Op::InstallShard(InstallShard {
-                shard,
-                position: place,
-                content: bytes,
-            }),
-        );
+        let install = InstallShard {
+            shard,
+            position,
+            content,
+        };
+        self.ask(Ask::Record(shard, None), Op::InstallShard(install));
     }
 
-    /// What the disk holds of a shard is read for a copy.
-    pub(in crate::gateway) fn read_shard_snapshot(&mut self, shard: ShardId, to: Name) {
-        self.ask(Ask::Shard(shard, to), Op::ReadShard(shard));
+    /// Reads a snapshot of a shard for a replica.
+    pub(in crate::gateway) fn read_shard_snapshot(&mut self, shard: ShardId, peer: Name) {
+        self.ask(Ask::Shard(shard, peer), Op::ReadShard(shard));
     }
 
-    /// What the disk holds of shards is counted, beside all else.
+    /// Verifies the checksums of all shards on the disk.
     pub(in crate::gateway) fn verify_shards(&mut self) {
         self.ask(Ask::Verify, Op::VerifyChecksums);
     }
 
-    /// What is left of a damaged shard counts.
+    /// Accepts what is readable of a damaged shard.
     pub(in crate::gateway) fn accept_shard_damage(&mut self, shard: ShardId) {
         self.ask(Ask::Accept(shard), Op::AcceptDamage(shard));
     }
 
-    /// A shard is led here: what stands of it is read.
+    /// Reads the state of a shard of which this process has become the primary.
     pub(in crate::gateway) fn become_shard_primary(&mut self, shard: ShardId, epoch: Epoch) {
         self.ask(Ask::Lead(shard, epoch), Op::BecomePrimary(shard));
     }
 
-    /// Numbers of a shard are given here under an epoch.
+    /// Gives the numbers of a shard from here on, under an epoch.
     pub(in crate::gateway) fn start_numbering(&mut self, shard: ShardId, epoch: Epoch) {
         self.numbers.insert(shard, (epoch, 0));
     }
 
-    /// A shard is led here no more: nothing of it is run or delivered here. Calls to be given up.
+    /// Ends the role of a shard's primary: its calls and messages are neither run nor delivered
+    /// here any more. Returns the requests to cancel.
     pub(in crate::gateway) fn resign_shard(
         &mut self,
         now: Micros,
         shard: ShardId,
     ) -> Vec<RequestKey> {
         self.numbers.remove(&shard);
-        let mut over = Vec::new();
+        let mut cancelled = Vec::new();
+        let guards = &mut self.guards;
         self.jobs.retain(|_, held| {
-            let goes = held.seq.shard() == shard;
-            if goes {
-                self.guards.remove(&held.id);
-                over.extend(held.request);
+            let is_of_shard = held.seq.shard() == shard;
+            if is_of_shard {
+                guards.remove(&held.id);
+                cancelled.extend(held.request);
             }
-            !goes
+            !is_of_shard
         });
         for seq in self.delivery.of_shard(shard) {
             self.out.remove(&seq);
             self.delivery.handle(now, Input::Gone(seq));
         }
         self.ask(Ask::Quiet, Op::ResignPrimary(shard));
-        over
+        cancelled
     }
 
-    /// Callbacks whose attempt had begun where their shard was led before: by their class they wait again, or nobody can tell.
-    pub(in crate::gateway) fn settle_in_flight(&mut self, now: Micros, begun: Vec<(Waiting, Micros)>) {
-        for (mut w, at) in begun {
-            let (state, attempt) = crate::store::recovery::settle_remote_attempt(&mut w, at, now);
-            self.ask(
-                Ask::Settled(w, state),
-                Op::FinishAttempt(FinishAttempt {
-                    waiting: Box::new(w),
-                    state,
-                    attempt: Some(attempt),
-                }),
-            );
+    /// Settles the attempts that the previous primary of a shard had started.
+    pub(in crate::gateway) fn settle_in_flight(
+        &mut self,
+        now: Micros,
+        in_flight: Vec<(Waiting, Micros)>,
+    ) {
+        for (mut waiting, started_at) in in_flight {
+            let (state, attempt) = settle_remote_attempt(&mut waiting, started_at, now);
+            let finish = FinishAttempt {
+                waiting: Box::new(waiting),
+                state,
+                attempt: Some(attempt),
+            };
+            self.ask(Ask::Settled(waiting, state), Op::FinishAttempt(finish));
         }
     }
 
-    /// Callbacks wait.
-    pub(in crate::gateway) fn enqueue_messages(&mut self, now: Micros, waits: Vec<Waiting>) {
-        waits
-            .into_iter()
-            .for_each(|w| self.delivery.handle(now, Input::Waits(w)));
+    /// Passes messages that wait to the delivery scheduler.
+    pub(in crate::gateway) fn enqueue_messages(&mut self, now: Micros, messages: Vec<Waiting>) {
+        for waiting in messages {
+            self.delivery.handle(now, Input::Waits(waiting));
+        }
     }
 
-    /// How a call stands, for another gateway.
+    /// Reads the state of a call for another gateway.
     pub(in crate::gateway) fn request_call_state(
         &mut self,
         serial: u64,
@@ -143,7 +178,8 @@
         self.ask(Ask::State(from, number), Op::GetCall(serial, id));
     }
 
-    /// The next number in a shard, or of this gateway's own.
+    /// Returns the next number of a shard, or one that is not replicated if this process is not the
+    /// shard's primary.
     pub(super) fn next_sequence_number(&mut self, shard: ShardId) -> Seq {
         match self.numbers.get_mut(&shard) {
             Some((epoch, last)) => {
@@ -153,42 +189,50 @@
             None => self.seq(),
         }
     }
+
+    /// Returns why no further call can be accepted, if none can.
+    fn check_capacity(&self) -> Result<(), ReplicationError> {
+        if self.stopping.is_some() {
+            return Err(ReplicationError::ShuttingDown);
+        }
+        let is_full = self.jobs.len() >= self.pending || self.asked.len() >= MAX_PENDING_STORE_OPS;
+        if is_full {
+            return Err(ReplicationError::PrimaryOverloaded);
+        }
+        Ok(())
+    }
 }
 
 impl Gateway {
-    /// Goes on with a call that another process has taken: by its class and stage it runs, is refused, or nobody can tell.
+    /// Continues with a call that another process has accepted, and returns what is done with it.
     pub(in crate::gateway) fn resume_call(
         &mut self,
         now: Micros,
         call: CallRecord,
-        stepped_back: bool,
+        clock_regressed: bool,
     ) -> RecoveryAction {
-        let fate = recovery_action(&call, now, stepped_back);
-        let made = self
+        let action = recovery_action(&call, now, clock_regressed);
+        let runnable = self
             .call_of(&call)
             .filter(|_| !self.core.is_open(&call.worker_id));
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(webhooks) = &mut self.secondary.hooks else {
             return RecoveryAction::Reject;
         };
-        let (job, id): (Job, Rc<str>) = (job_of(&call), call.worker_id.as_str().into());
-        let key = hooks.jobs.insert(Held {
+        let job = job_of(&call);
+        let id: Rc<str> = call.worker_id.as_str().into();
+        let key = webhooks.jobs.insert(Held {
             seq: call.seq,
             job,
             id: id.clone(),
             request: None,
         });
-        match (fate, made) {
-            (RecoveryAction::Run, Some(made)) => {
+        match (action, runnable) {
+            (RecoveryAction::Run, Some(runnable)) => {
                 if call.effect != Effect::Idempotent {
-                    hooks.guards.insert(
-                        id,
-                        Guard {
-                            seq: call.seq,
-                            ran: false,
-                        },
-                    );
+                    let seq = call.seq;
+                    webhooks.guards.insert(id, Guard { seq, ran: false });
                 }
-                let request = self.core.call(now, made.with(Origin::Webhook(key)));
+                let request = self.core.call(now, runnable.with(Origin::Webhook(key)));
                 self.set_call_request(key, request);
                 RecoveryAction::Run
             }
@@ -196,36 +240,30 @@
                 self.call_back(now, key, &Outcome::Unknown);
                 RecoveryAction::ReportUnknown
             }
-            // Its class or tenant is gone; it never ran, or may run again.
+            // The call's class or tenant was removed; it never ran, or may run again.
             _ => {
-                self.call_back(
-                    now,
-                    key,
-                    &Outcome::Answered(Answer::Rejected { retry_after: 0 }),
-                );
+                let rejected = Outcome::Answered(Answer::Rejected { retry_after: 0 });
+                self.call_back(now, key, &rejected);
                 RecoveryAction::Reject
             }
         }
     }
 
+    /// Notes the request in the core that runs a call.
     pub(super) fn set_call_request(&mut self, key: JobKey, request: RequestKey) {
-        if let Some(held) = self
-            .secondary
-            .hooks
-            .as_mut()
-            .and_then(|h| h.jobs.get_mut(key))
-        {
+        let webhooks = self.secondary.hooks.as_mut();
+        if let Some(held) = webhooks.and_then(|webhooks| webhooks.jobs.get_mut(key)) {
             held.request = Some(request);
         }
     }
 
-    /// The call that a record is of; none if its class or tenant is not known here.
+    /// Returns the call of a record; none if its class or tenant is not known here.
     pub(super) fn call_of(&self, call: &CallRecord) -> Option<Call<Job>> {
-        let place = Names::place(&self.config.names.classes, &call.class)?;
+        let class = Names::place(&self.config.names.classes, &call.class)?;
         let tenant = self.secondary.tenants.same(&call.tenant, call.serial)?.id;
         let arrival = Arrival {
             request: RequestId(0),
-            class: ClassId(place as u8),
+            class: ClassId(class as u8),
             tenant,
             function: FunctionId(call.function),
             expires_at: call.expires,
@@ -234,28 +272,27 @@
             concurrency_per_copy: call.concurrency_per_copy,
             load_duration: call.load_time,
         };
-        let id = call.worker_id.as_str().into();
         Some(Call {
             origin: job_of(call),
-            id,
+            id: call.worker_id.as_str().into(),
             body: call.body.clone().into(),
             arrival,
         })
     }
 
-    /// A call that another gateway, or a caller here, wants this primary to take.
-    #[allow(clippy::too_many_arguments)]
+    /// Accepts a call as the primary of its shard, once it is committed on `min_replicas` replicas.
     pub(in crate::gateway) fn accept_as_primary(
         &mut self,
         now: Micros,
-        shard: ShardId,
-        mut record: CallRecord,
-        mark: IdentityDigest,
-        until: Micros,
-        want: usize,
-        caller: Caller,
+        incoming: IncomingCall,
+        min_replicas: usize,
     ) -> Result<(), ReplicationError> {
-        let unknown = |what: &str| ReplicationError::Unknown { what: what.into() };
+        let IncomingCall {
+            shard, mut record, ..
+        } = incoming;
+        let unknown = |subject: &str| ReplicationError::Unknown {
+            subject: subject.into(),
+        };
         if now >= record.expires {
             return Err(ReplicationError::PrimaryUnreachable { shard });
         }
@@ -263,67 +300,69 @@
             return Err(ReplicationError::DuplicateIdentity);
         }
         let call = self.call_of(&record).ok_or(unknown("class or tenant"))?;
-        let hooks = self.secondary.hooks.as_mut().ok_or(unknown("front"))?;
-        if hooks.stopping.is_some() {
-            return Err(ReplicationError::ShuttingDown);
-        }
-        if hooks.jobs.len() >= hooks.pending || hooks.asked.len() >= MOST_ASKED {
-            return Err(ReplicationError::PrimaryOverloaded);
-        }
-        let seq = hooks.next_sequence_number(shard);
+        let webhooks = self.secondary.hooks.as_mut().ok_or(unknown("front"))?;
+        webhooks.check_capacity()?;
+        let seq = webhooks.next_sequence_number(shard);
         record.seq = seq;
         let ask = Ask::Take {
-            caller,
+            caller: incoming.caller,
             call: Box::new(call),
             seq,
-            mark,
+            mark: incoming.identity,
         };
         let accept = AcceptCall {
             call: Box::new(record),
-            identity: mark,
-            valid_until: until,
+            identity: incoming.identity,
+            valid_until: incoming.valid_until,
         };
-        hooks.ask_for(ask, Op::AcceptCall(accept), want);
+        webhooks.ask_for(ask, Op::AcceptCall(accept), min_replicas);
         Ok(())
     }
 
-    /// A caller's call is promised by whoever leads its shard.
-    pub(in crate::gateway) fn confirm_call(&mut self, now: Micros, conn: ConnKey, copies: u8) {
+    /// Confirms a caller's call that the primary of its shard has committed.
+    pub(in crate::gateway) fn confirm_call(&mut self, now: Micros, conn: ConnKey, replicas: u8) {
         self.core.counters.webhooks_taken += 1;
-        let head = format!("X-Kept-In: store\r\nX-Copies: {copies}\r\n");
+        let head = format!("X-Kept-In: store\r\nX-Copies: {replicas}\r\n");
         self.answer_second(conn, now, |stays| http::response(202, &head, b"", stays));
     }
 
-    /// A caller's call is not promised.
+    /// Rejects a caller's call that is not committed.
     pub(in crate::gateway) fn reject_call(
         &mut self,
         now: Micros,
         conn: ConnKey,
-        mark: &IdentityDigest,
-        why: &ReplicationError,
+        identity: &IdentityDigest,
+        error: &ReplicationError,
     ) {
-        if let Some(hooks) = self
-            .secondary
-            .hooks
-            .as_mut()
-            .filter(|_| *why != ReplicationError::DuplicateIdentity)
-        {
-            hooks.inbound.replays.forget(mark);
+        let is_duplicate = *error == ReplicationError::DuplicateIdentity;
+        if let Some(webhooks) = self.secondary.hooks.as_mut().filter(|_| !is_duplicate) {
+            webhooks.inbound.replays.forget(identity);
         }
         self.core.counters.webhooks_refused += 1;
-        let (status, text) = match why {
-            ReplicationError::DuplicateIdentity => (409, "already taken"),
-            ReplicationError::TooLong { .. } => (413, "longer than a record may be"),
-            ReplicationError::IdentityExpired { .. } => (401, "its time stamp is over where its shard is led"),
-            ReplicationError::Unknown { .. } => (422, "unknown to the gateway that would take it"),
-            ReplicationError::TooFewReplicas { .. } => (503, "held by fewer machines than it has to be"),
-            ReplicationError::PrimaryOverloaded
-            | ReplicationError::TooManyRequests { .. }
-            | ReplicationError::ReplicationLag { .. } => (503, "too many calls under way"),
-            ReplicationError::ShuttingDown => (503, "the gateway is about to end"),
-            _ => (503, "nobody can promise it now"),
-        };
-        tracing::debug!(remedy = why.remedy(), "a call is not promised: {why}");
-        self.answer_second(conn, now, |stays| refuse(&plain(status, text), stays));
+        let (status, problem) = problem_of(error);
+        tracing::debug!(%error, remedy = error.remedy(), "a call is not committed");
+        self.answer_second(conn, now, |stays| refuse(&plain(status, problem), stays));
+    }
+}
+
+/// Returns the status and the problem that a caller gets for an error.
+fn problem_of(error: &ReplicationError) -> (u16, &'static str) {
+    match error {
+        ReplicationError::DuplicateIdentity => (409, "already taken"),
+        ReplicationError::TooLong { .. } => (413, "longer than a record may be"),
+        ReplicationError::IdentityExpired { .. } => {
+            (401, "its time stamp is over where its shard is led")
+        }
+        ReplicationError::Unknown { .. } => (422, "unknown to the gateway that would take it"),
+        ReplicationError::TooFewReplicas { .. } => {
+            (503, "held by fewer machines than it has to be")
+        }
+        ReplicationError::PrimaryOverloaded
+        | ReplicationError::TooManyRequests { .. }
+        | ReplicationError::ReplicationLag { .. } => (503, "too many calls under way"),
+        ReplicationError::ShuttingDown => (503, "the gateway is about to end"),
+        ReplicationError::NotPrimary { .. }
+        | ReplicationError::Superseded { .. }
+        | ReplicationError::PrimaryUnreachable { .. } => (503, "nobody can promise it now"),
     }
 }
--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -1,68 +1,70 @@
-//! The file that switches copies on.
+//! The replication file, and the settings of the replicator.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
 use serde::Deserialize;
 
 use super::error::FileError;
 use super::placement::Host;
-use super::{MAX_REPLICAS, MAX_SHARDS};
+use super::{Name, MAX_REPLICAS, MAX_SHARDS};
 use crate::api::Micros;
 use crate::membership::is_name;
 
-/// What is done with a class's calls while fewer machines hold a shard than are asked for.
+/// What happens to a class's calls while a shard has fewer replicas than configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WhenFewer {
-    /// They are refused with 503: nothing is promised.
+    /// They are rejected with 503.
     #[default]
     Refuse,
-    /// They are taken, and it is told that they stand on fewer.
+    /// They are accepted, and the response has the number of replicas.
     Fewer,
 }
 
-/// One gateway that may hold copies.
+/// A gateway that may hold replicas.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FileMember {
-    /// Where its council's frames come in.
+    /// The address of its consensus listener.
     pub address: SocketAddr,
-    /// Its hall.
+    /// The hall where it stands.
     pub hall: Option<String>,
 }
 
-/// What an operator writes; the same at every gateway.
+/// The file as operators write it; it is the same at every gateway. The names of the fields are its
+/// keys.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicationFile {
-    /// Machines whose disks a promise stands on.
+    /// The number of replicas that a committed record has.
     pub copies: usize,
-    /// Parts that identities are spread over; never changed once anything is held.
+    /// The number of shards; it must not change once anything is stored.
     #[serde(default = "default_shards")]
     pub shards: u16,
-    /// For how long a primary may be silent before a copy takes over.
+    /// How long a primary may be silent before another member takes over.
     #[serde(default = "default_silent")]
     pub silent_ms: u64,
-    /// For how long a copy may owe its word before the primary leaves it out.
+    /// How long a replica may take to acknowledge before the primary removes it.
     #[serde(default = "default_stall")]
     pub stall_ms: u64,
-    /// For how long a question to a primary may take.
+    /// How long a request to a primary may take.
     #[serde(default = "default_ask")]
     pub ask_ms: u64,
-    /// Shards that are copied anew at once.
+    /// The number of shards that are repaired at a time.
     #[serde(default = "default_repairs")]
     pub repairs: usize,
-    /// How often a disk looks at whether it still holds what was written; 0 for never.
+    /// The interval at which the checksums of a disk are verified; 0 for never.
     #[serde(default = "default_verify")]
     pub verify_s: u64,
-    /// By class, where it is not `refuse`.
+    /// The behavior by class, where it is not `refuse`.
     #[serde(default)]
     pub when_fewer: BTreeMap<String, WhenFewer>,
-    /// All that may hold copies.
+    /// All gateways that may hold replicas.
     pub members: BTreeMap<String, FileMember>,
-    /// Where it came from.
+    /// The path of the file.
     #[serde(skip)]
     pub file: PathBuf,
 }
@@ -91,55 +93,67 @@
     3_600
 }
 
-/// What the machine goes by.
+/// The settings of the replicator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// This gateway's name.
-    pub name: super::Name,
-    /// This process, unlike any other.
+    /// The name of this gateway.
+    pub name: Name,
+    /// The identifier of this process.
     pub process: u64,
-    /// Machines whose disks a promise stands on.
+    /// The number of replicas that a committed record has.
     pub copies: usize,
-    /// Parts that identities are spread over.
+    /// The number of shards.
     pub shards: u16,
-    /// For how long a primary may be silent.
+    /// How long a gateway may be silent before it counts as unreachable.
     pub failure_timeout: Micros,
-    /// For how long a copy may owe its word.
+    /// How long a replica may take to acknowledge.
     pub acknowledgement_timeout: Micros,
-    /// For how long a question may take.
+    /// How long a request may take.
     pub request_timeout: Micros,
-    /// Shards that are copied anew at once.
+    /// The number of shards that are repaired at a time.
     pub max_repairs: usize,
-    /// How often the disk here is looked at; 0 for never.
+    /// The interval at which the disk is verified; 0 for never.
     pub verify_interval: Micros,
-    /// All that may hold copies.
+    /// All gateways that may hold replicas.
     pub hosts: Vec<Host>,
-    /// Guards taken out, for tests.
+    /// Guards that a test disables.
     pub disabled_guards: DisabledGuards,
 }
 
-/// Guards that a test takes out, to see what they hold off.
+/// Guards that a test disables, to see what they prevent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DisabledGuards {
-    /// A copy does not look at the epoch of what it is sent.
-    pub epochs: bool,
-    /// A record counts as promised before the whole set has it.
-    pub all: bool,
-    /// A process goes on under the epoch of the one before it.
-    pub process: bool,
-    /// Records behind a gap or of another history are taken.
-    pub chain: bool,
-    /// A record is promised although the set has become smaller than it asks for.
-    pub want: bool,
-    /// A copy whose disk is damaged goes on counting.
-    pub sound: bool,
-    /// Whoever takes over does not look at whether another of the set has more.
-    pub ahead: bool,
-    /// A change of a tenant is told done before it is agreed on.
-    pub agreed: bool,
+    /// A replica does not check the epoch of a message.
+    pub epoch_check: bool,
+    /// A record is committed before all members have it.
+    pub full_acknowledgement: bool,
+    /// A process continues under the epoch of the previous one.
+    pub process_check: bool,
+    /// A replica takes records behind a gap or of another log.
+    pub chain_check: bool,
+    /// A record is committed although the set has become too small for it.
+    pub min_replicas_check: bool,
+    /// A replica whose disk is damaged continues to count.
+    pub integrity_check: bool,
+    /// A new primary does not check whether another member has more records.
+    pub ahead_check: bool,
+    /// A change of a tenant is reported as done before it is agreed on.
+    pub tenant_agreement: bool,
 }
 
-fn bad<T>(key: &str, value: impl ToString, expected: &str) -> Result<T, FileError> {
+/// The values that timeouts may have, in milliseconds.
+const TIMEOUT_RANGE_MS: RangeInclusive<u64> = 50..=600_000;
+/// The maximum number of shards that are repaired at a time.
+const MAX_REPAIRS: usize = 64;
+/// The maximum interval of verification: a year, in seconds.
+const MAX_VERIFY_INTERVAL_S: u64 = 31_536_000;
+
+/// Returns the line of an offset in a text, from 1.
+fn line_number(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
+}
+
+fn value_error<T>(key: &str, value: impl ToString, expected: &str) -> Result<T, FileError> {
     Err(FileError::Value {
         key: key.into(),
         value: value.to_string(),
@@ -148,69 +162,68 @@
 }
 
 impl ReplicationFile {
-    /// Reads a file.
+    /// Reads and checks a file.
     pub fn read(path: &Path) -> Result<ReplicationFile, FileError> {
         let text = std::fs::read_to_string(path).map_err(|error| FileError::Read {
             path: path.into(),
             error,
         })?;
-        let mut f = ReplicationFile::parse(path, &text)?;
-        f.file = path.to_owned();
-        Ok(f)
+        let mut file = ReplicationFile::parse(path, &text)?;
+        file.file = path.to_owned();
+        Ok(file)
     }
 
-    /// Reads a file's text.
+    /// Parses and checks the text of a file; `path` is for errors.
     pub fn parse(path: &Path, text: &str) -> Result<ReplicationFile, FileError> {
-        let parsed: Result<ReplicationFile, toml::de::Error> = toml::from_str(text);
-        let f = parsed.map_err(|e| FileError::Parse {
+        let file: ReplicationFile = toml::from_str(text).map_err(|error| FileError::Parse {
             path: path.into(),
-            line: e
-                .span()
-                .map(|s| text[..s.start.min(text.len())].matches('\n').count() + 1),
-            what: e.message().to_owned(),
+            line: error.span().map(|span| line_number(text, span.start)),
+            message: error.message().to_owned(),
         })?;
-        if !(1..=MAX_REPLICAS).contains(&f.copies) {
-            return bad("copies", f.copies, "1 to 5 machines");
+        file.check()?;
+        Ok(file)
+    }
+
+    fn check(&self) -> Result<(), FileError> {
+        if !(1..=MAX_REPLICAS).contains(&self.copies) {
+            return value_error("copies", self.copies, "1 to 5 machines");
         }
-        if !(1..=MAX_SHARDS).contains(&f.shards) {
-            return bad("shards", f.shards, "1 to 1024 parts");
+        if !(1..=MAX_SHARDS).contains(&self.shards) {
+            return value_error("shards", self.shards, "1 to 1024 parts");
         }
-        let spans = [
-            ("silent_ms", f.silent_ms),
-            ("stall_ms", f.stall_ms),
-            ("ask_ms", f.ask_ms),
+        let timeouts = [
+            ("silent_ms", self.silent_ms),
+            ("stall_ms", self.stall_ms),
+            ("ask_ms", self.ask_ms),
         ];
-        if let Some((key, ms)) = spans
-            .into_iter()
-            .find(|(_, ms)| !(50..=600_000).contains(ms))
-        {
-            return bad(key, ms, "50 to 600000 milliseconds");
+        for (key, timeout_ms) in timeouts {
+            if !TIMEOUT_RANGE_MS.contains(&timeout_ms) {
+                return value_error(key, timeout_ms, "50 to 600000 milliseconds");
+            }
         }
-        if !(1..=64).contains(&f.repairs) {
-            return bad("repairs", f.repairs, "1 to 64 shards at once");
+        if !(1..=MAX_REPAIRS).contains(&self.repairs) {
+            return value_error("repairs", self.repairs, "1 to 64 shards at once");
         }
-        if f.verify_s > 31_536_000 {
-            return bad("verify_s", f.verify_s, "0 to 31536000 seconds");
+        if self.verify_s > MAX_VERIFY_INTERVAL_S {
+            return value_error("verify_s", self.verify_s, "0 to 31536000 seconds");
         }
-        if let Some(name) = f.members.keys().find(|n| !is_name(n)) {
-            return bad("members", name, "names of gateways, as RELAY_NAME has them");
+        if let Some(name) = self.members.keys().find(|name| !is_name(name)) {
+            let expected = "names of gateways, as RELAY_NAME has them";
+            return value_error("members", name, expected);
         }
-        if f.members.len() < f.copies {
-            return bad(
-                "members",
-                f.members.len(),
-                "at least as many gateways as copies",
-            );
+        if self.members.len() < self.copies {
+            let expected = "at least as many gateways as copies";
+            return value_error("members", self.members.len(), expected);
         }
-        Ok(f)
+        Ok(())
     }
 
-    /// What the machine goes by.
-    pub fn settings(&self, name: &str, process: u64, without: DisabledGuards) -> Settings {
-        let host = |(n, m): (&String, &FileMember)| Host {
-            name: n.as_str().into(),
-            hall: m.hall.clone(),
-        };
+    /// Returns the settings of the replicator.
+    pub fn settings(&self, name: &str, process: u64, disabled_guards: DisabledGuards) -> Settings {
+        let hosts = self.members.iter().map(|(name, member)| Host {
+            name: name.as_str().into(),
+            hall: member.hall.clone(),
+        });
         Settings {
             name: name.into(),
             process,
@@ -221,8 +234,8 @@
             request_timeout: self.ask_ms * 1_000,
             max_repairs: self.repairs,
             verify_interval: self.verify_s * 1_000_000,
-            hosts: self.members.iter().map(host).collect(),
-            disabled_guards: without,
+            hosts: hosts.collect(),
+            disabled_guards,
         }
     }
 }
--- a/src/replication/error.rs
+++ b/src/replication/error.rs
@@ -1,104 +1,100 @@
-//! Why something is not promised, and what an operator can do about it.
+//! Errors of replication, and what an operator can do about them.
 
-use super::{Epoch, Name, SequenceNumber, ShardId};
+use std::path::PathBuf;
 
-/// Why a record is not promised. Nothing of it may be relied on; to try again with the same identity is harmless.
-#[derive(
-    Clone,
-    Debug,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    Hash,
-    thiserror::Error,
-    serde::Serialize,
-    serde::Deserialize,
-)]
+use serde::{Deserialize, Serialize};
+use thiserror::Error;
+
+use super::{Epoch, Name, ShardId};
+
+/// Why a record is not committed. It may have no effect; a retry with the same identity is safe.
+///
+/// Postcard encodes the error, so the order of variants and fields is part of the format.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error, Serialize, Deserialize)]
 pub enum ReplicationError {
-    /// This gateway does not lead the shard.
+    /// This gateway is not the primary of the shard.
     #[error("shard {shard} is led by {}", primary.as_deref().unwrap_or("nobody"))]
     NotPrimary {
-        /// Which.
+        /// The shard.
         shard: ShardId,
-        /// Who leads, as far as is known here.
+        /// The primary, as far as is known here.
         primary: Option<Name>,
     },
-    /// Another has taken the shard over.
+    /// Another gateway has become the primary.
     #[error("shard {shard} was taken over: epoch {ours} here, {theirs} agreed")]
     Superseded {
-        /// Which.
+        /// The shard.
         shard: ShardId,
-        /// The epoch under which it was led here.
+        /// The epoch under which this gateway was the primary.
         ours: Epoch,
-        /// The one that is agreed.
+        /// The agreed epoch.
         theirs: Epoch,
     },
-    /// Fewer machines hold the shard than a promise of this class asks for.
+    /// The shard has fewer replicas than calls of this class need.
     #[error("shard {shard} is held by {have} machines, a promise asks for {want}")]
     TooFewReplicas {
-        /// Which.
+        /// The shard.
         shard: ShardId,
-        /// How many hold it.
+        /// The number of replicas.
         have: usize,
-        /// How many are asked for.
+        /// The number that is needed.
         want: usize,
     },
     /// The primary did not answer in time.
     #[error("nobody who leads shard {shard} answered in time")]
     PrimaryUnreachable {
-        /// Which.
+        /// The shard.
         shard: ShardId,
     },
-    /// As many questions are under way as may be.
+    /// Too many requests to other gateways are pending.
     #[error("{open} questions to other gateways are under way, as many as may be")]
     TooManyRequests {
-        /// How many.
+        /// The number.
         open: usize,
     },
-    /// The records that wait for other disks take as many bytes as they may.
+    /// Too many bytes of records wait for the acknowledgements of replicas.
     #[error("{bytes} bytes of shard {shard} wait for other disks, as many as may")]
     ReplicationLag {
-        /// Which.
+        /// The shard.
         shard: ShardId,
-        /// How many.
+        /// The number.
         bytes: usize,
     },
-    /// It is longer than a record may be.
-    #[error("a record of {bytes} bytes is longer than the {most} that one may have")]
+    /// The record is too long.
+    #[error("a record of {bytes} bytes is longer than the {max} that one may have")]
     TooLong {
-        /// How long.
+        /// Its length.
         bytes: usize,
-        /// How long one may be.
-        most: usize,
+        /// The maximum length.
+        max: usize,
     },
-    /// Its identity was given before.
+    /// The identity was used before.
     #[error("the identity was taken before")]
     DuplicateIdentity,
-    /// Its identity's time is over at the primary, or so close to it that it may have been forgotten.
+    /// The identity has expired at the primary, or so nearly that it may have been removed.
     #[error(
         "the identity's time is over in shard {shard}, so that nobody can tell whether it was taken before"
     )]
     IdentityExpired {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
     },
-    /// The call is of a class, tenant or kind that the primary does not know.
-    #[error("the primary's settings do not know this {what}")]
+    /// The primary does not know the class, tenant or kind of request.
+    #[error("the primary's settings do not know this {subject}")]
     Unknown {
-        /// What it does not know.
-        what: String,
+        /// What the primary does not know.
+        subject: String,
     },
-    /// The primary has too many calls under way.
+    /// The primary has too many calls in flight.
     #[error("the primary has too many calls under way")]
     PrimaryOverloaded,
-    /// The process is about to end.
+    /// The gateway is shutting down.
     #[error("the gateway is about to end")]
     ShuttingDown,
 }
 
 impl ReplicationError {
-    /// What an operator can do.
+    /// Returns what an operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
             ReplicationError::NotPrimary { .. } => {
@@ -121,42 +117,31 @@
     }
 }
 
-/// Why a copy does not take what a primary sent.
-#[derive(
-    Clone,
-    Debug,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    Hash,
-    thiserror::Error,
-    serde::Serialize,
-    serde::Deserialize,
-)]
+/// Why a replica declines a message of its primary.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error, Serialize, Deserialize)]
 pub enum Declined {
-    /// The epoch is over.
+    /// The epoch of the sender is over.
     #[error("epoch {theirs} of shard {shard} is over: {ours} is agreed")]
     Stale {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
         /// The sender's epoch.
         theirs: Epoch,
         /// The agreed one.
         ours: Epoch,
     },
-    /// A snapshot takes more bytes than one may.
-    #[error("a snapshot of shard {shard} is longer than {most} bytes")]
+    /// The snapshot is too long.
+    #[error("a snapshot of shard {shard} is longer than {max} bytes")]
     TooLong {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// How long one may be.
-        most: usize,
+        /// The maximum length.
+        max: usize,
     },
 }
 
 impl Declined {
-    /// What an operator can do.
+    /// Returns what an operator can do.
     pub fn remedy(&self) -> &'static str {
         match self {
             Declined::Stale { .. } => {
@@ -167,40 +152,35 @@
     }
 }
 
-/// Why the file that switches copies on cannot be used.
-#[derive(Debug, thiserror::Error)]
+/// Why the replication file cannot be used.
+#[derive(Debug, Error)]
 pub enum FileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{path}: {error}; look at the path and at who may read it", path = path.display())]
     Read {
-        /// Which file.
-        path: std::path::PathBuf,
-        /// Why.
+        /// The file.
+        path: PathBuf,
+        /// The error.
         error: std::io::Error,
     },
-    /// It is not what is expected.
-    #[error("{path}{}: {what}; see docs/operators/copies.md for what each key takes", line.map_or(String::new(), |l| format!(" line {l}")), path = path.display())]
+    /// The file is not valid.
+    #[error("{path}{}: {message}; see docs/operators/copies.md for what each key takes", line.map_or(String::new(), |line| format!(" line {line}")), path = path.display())]
     Parse {
-        /// Which file.
-        path: std::path::PathBuf,
-        /// Which line.
+        /// The file.
+        path: PathBuf,
+        /// The line.
         line: Option<usize>,
-        /// What is wrong, with what is expected.
-        what: String,
+        /// What is wrong, and what is expected.
+        message: String,
     },
-    /// A value is out of bounds.
+    /// A value is out of range.
     #[error("{key} = {value}: expected {expected}")]
     Value {
-        /// Which key.
+        /// The key.
         key: String,
-        /// What it is.
+        /// The value.
         value: String,
-        /// What it may be.
+        /// The expected values.
         expected: String,
     },
 }
-
-/// How far a copy has come, for messages to people.
-pub fn behind(primary: SequenceNumber, copy: SequenceNumber) -> SequenceNumber {
-    primary.saturating_sub(copy)
-}
--- a/src/replication/history.rs
+++ b/src/replication/history.rs
@@ -1,111 +1,122 @@
-//! What a process records of shards, for a checker apart from it.
+//! Events of shards that a process records, for an independent checker.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Epoch, Name, SequenceNumber, ShardId};
+use super::{ChainDigest, Epoch, Name, SequenceNumber, ShardId};
 
-/// A note; digests are cut to eight bytes.
+/// An event; digests are cut to eight bytes. Tags and keys of the JSON lines are read by the
+/// checker.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "copies", rename_all = "snake_case")]
 pub enum HistoryEvent {
-    /// This process gives a shard's records their numbers from here on.
+    /// This process is a shard's primary from here on.
+    #[serde(rename = "led")]
     BecamePrimary {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Under which epoch.
+        /// The epoch.
         epoch: Epoch,
-        /// How far its records go.
+        /// The number of the last record.
         number: SequenceNumber,
-        /// Their digest.
+        /// The digest of the log up to it.
         chain: u64,
-        /// The set.
+        /// The members of the replica set.
         members: Vec<Name>,
     },
-    /// It does so no more.
+    /// This process is a shard's primary no more.
+    #[serde(rename = "rested")]
     SteppedDown {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Under which epoch it did.
+        /// The epoch under which it was.
         epoch: Epoch,
     },
-    /// A record stands on the disks of all the set.
+    /// A record is on the disks of all members.
+    #[serde(rename = "promised")]
     Committed {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Under which epoch.
+        /// The epoch.
         epoch: Epoch,
-        /// Which record.
+        /// The number of the record.
         number: SequenceNumber,
-        /// The digest of all up to it.
+        /// The digest of the log up to it.
         chain: u64,
-        /// On how many disks.
+        /// The number of disks.
         disks: usize,
     },
-    /// A record stands on this process's disk.
+    /// A record is on this process's disk.
     Stored {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Under which epoch it came.
+        /// The epoch under which it came.
         epoch: Epoch,
-        /// Which record.
+        /// The number of the record.
         number: SequenceNumber,
-        /// The digest of all up to it.
+        /// The digest of the log up to it.
         chain: u64,
     },
-    /// A snapshot took the place of what stood here.
+    /// A snapshot has replaced the content of this process's disk.
     Installed {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Up to which record.
+        /// The number of its last record.
         number: SequenceNumber,
-        /// The digest of all up to it.
+        /// The digest of the log up to it.
         chain: u64,
     },
-    /// What this process's disk holds of a shard is not what was written.
+    /// Rows of a shard on this process's disk do not match their checksums.
     Damaged {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Which of its ranges.
+        /// The damaged ranges.
         ranges: Vec<u8>,
     },
-    /// The disk here is damaged, and whoever else holds the shard cannot be heard: it is waited for.
+    /// This process's disk is damaged and no other member is reachable, so it waits for one.
+    #[serde(rename = "waits")]
     WaitingForReplica {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// The set.
+        /// The members of the replica set.
         members: Vec<Name>,
     },
-    /// It was mended from another disk; or, as no other has it, what is left of it counts.
+    /// A damaged shard was repaired from another disk; or no other has it, and what is readable was
+    /// accepted.
+    #[serde(rename = "mended")]
     Repaired {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Whether something of it may be gone.
+        /// Whether committed data may be lost.
         accepted: bool,
     },
-    /// What an older primary sent was refused.
+    /// A message of a former primary was declined.
     Declined {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
-        /// Its epoch.
+        /// The sender's epoch.
         theirs: Epoch,
-        /// The agreed one.
+        /// The agreed epoch.
         ours: Epoch,
     },
-    /// All that held a shard were lost, and one that had been left out leads it: it has what was promised until then.
+    /// All members lost their disks, and a former member continues with what was committed until it
+    /// was removed.
+    #[serde(rename = "recalled")]
     RecoveredFromFormer {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
     },
-    /// All that held a shard were lost, and it was founded anew: what was promised in it is gone.
+    /// All members lost their disks, and the shard was created anew: what was committed in it is
+    /// lost.
+    #[serde(rename = "lost")]
     DataLost {
-        /// Which shard.
+        /// The shard.
         shard: ShardId,
     },
 }
 
-/// A digest as histories have it.
-pub fn short_digest(chain: &super::ChainDigest) -> u64 {
+/// Returns the digest in the form that events have.
+pub fn short_digest(chain: &ChainDigest) -> u64 {
     chain
         .first_chunk::<8>()
-        .map_or(0, |b| u64::from_le_bytes(*b))
+        .map_or(0, |bytes| u64::from_le_bytes(*bytes))
 }
--- a/src/replication/identities.rs
+++ b/src/replication/identities.rs
@@ -1,8 +1,9 @@
-//! Identities taken in a shard that is led here, each for as long as its time stamp would be accepted.
+//! Identities of calls that were accepted in a shard, each until its time stamp is no longer valid.
 //!
-//! Every disk forgets by its own clock, and no two clocks are compared. So whoever leads knows a bound: identities that counted
-//! until then may have been forgotten, here or by a disk that this content came from. One whose time is not beyond the
-//! bound cannot be told from one that was taken, and is refused.
+//! Every disk removes identities by its own clock, and no two clocks are compared. So the primary
+//! knows a bound: identities that were valid until then may have been removed, here or on a disk
+//! that this content came from. An identity that is not valid beyond the bound cannot be told from
+//! one that was used, and is rejected.
 
 use std::collections::HashMap;
 
@@ -10,106 +11,74 @@
 use super::ShardId;
 use crate::api::Micros;
 
+#[cfg(test)]
+mod tests;
+
 /// The digest of an identity.
 pub type IdentityDigest = [u8; 32];
 
-/// Identities taken in one shard.
+/// Identities that were used in one shard.
 #[derive(Clone, Debug, Default)]
 pub struct Identities {
     shard: ShardId,
-    marks: HashMap<IdentityDigest, Micros>,
-    /// Identities that counted until then may have been forgotten; it only grows.
-    forgotten: Micros,
+    valid_until: HashMap<IdentityDigest, Micros>,
+    /// Identities that were valid until this time may have been removed; it only grows.
+    expired_until: Micros,
 }
 
 impl Identities {
-    /// Those that a disk holds of a shard.
+    /// Creates the identities that a disk holds of a shard.
     pub fn new(
         shard: ShardId,
-        marks: impl IntoIterator<Item = (IdentityDigest, Micros)>,
-        forgotten: Micros,
+        identities: impl IntoIterator<Item = (IdentityDigest, Micros)>,
+        expired_until: Micros,
     ) -> Identities {
         Identities {
             shard,
-            marks: marks.into_iter().collect(),
-            forgotten,
+            valid_until: identities.into_iter().collect(),
+            expired_until,
         }
     }
 
-    /// Whether one may be taken now, which counts until then; at most so many are remembered.
+    /// Checks whether an identity that is valid until a time may be used now, with at most `max`
+    /// identities remembered.
+    ///
+    /// # Errors
+    ///
+    /// The identity was used, may have been used and removed, or too many are remembered.
     pub fn check(
         &mut self,
         now: Micros,
-        mark: &IdentityDigest,
-        until: Micros,
-        most: usize,
+        identity: &IdentityDigest,
+        valid_until: Micros,
+        max: usize,
     ) -> Result<(), ReplicationError> {
-        if self
-            .marks
-            .get(mark)
-            .is_some_and(|t| *t >= now.max(self.forgotten))
-        {
+        let earliest = now.max(self.expired_until);
+        let known = self.valid_until.get(identity);
+        if known.is_some_and(|valid_until| *valid_until >= earliest) {
             return Err(ReplicationError::DuplicateIdentity);
         }
-        if self.marks.len() >= most {
-            self.marks.retain(|_, t| *t >= now);
-            self.forgotten = self.forgotten.max(now);
+        if self.valid_until.len() >= max {
+            self.valid_until
+                .retain(|_, valid_until| *valid_until >= now);
+            self.expired_until = self.expired_until.max(now);
         }
-        if until <= self.forgotten || until < now {
+        if valid_until <= self.expired_until || valid_until < now {
             return Err(ReplicationError::IdentityExpired { shard: self.shard });
         }
-        if self.marks.len() >= most {
+        if self.valid_until.len() >= max {
             return Err(ReplicationError::PrimaryOverloaded);
         }
         Ok(())
     }
 
-    /// One is taken.
-    pub fn insert(&mut self, mark: IdentityDigest, until: Micros) {
-        self.marks.insert(mark, until);
-    }
-
-    /// It was not taken after all.
-    pub fn remove(&mut self, mark: &IdentityDigest) {
-        self.marks.remove(mark);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn one_is_taken_once_as_long_as_it_counts_and_never_where_it_may_have_been_forgotten() {
-        let mut all = Identities::new(3, [([1; 32], 50)], 20);
-        let late = Err(ReplicationError::IdentityExpired { shard: 3 });
-        assert_eq!(all.check(10, &[1; 32], 50, 9), Err(ReplicationError::DuplicateIdentity));
-        assert_eq!(all.check(10, &[2; 32], 50, 9), Ok(()));
-        all.insert([2; 32], 50);
-        assert_eq!(all.check(10, &[2; 32], 50, 9), Err(ReplicationError::DuplicateIdentity));
-        // Another disk, whose clock is ahead, may have forgotten it; the clock here has not come so far.
-        assert_eq!(all.check(10, &[3; 32], 20, 9), late);
-        assert_eq!(all.check(10, &[3; 32], 21, 9), Ok(()));
-        // Its time is over here, though a gateway whose clock is behind has accepted it.
-        assert_eq!(all.check(51, &[2; 32], 50, 9), late);
-        all.remove(&[1; 32]);
-        assert_eq!(all.check(10, &[1; 32], 50, 9), Ok(()));
+    /// Notes that an identity is used.
+    pub fn insert(&mut self, identity: IdentityDigest, valid_until: Micros) {
+        self.valid_until.insert(identity, valid_until);
     }
 
-    #[test]
-    fn it_is_bounded_and_remembers_what_it_let_go_of_also_when_the_clock_steps_back() {
-        let mut all = Identities::default();
-        for n in 0..4 {
-            assert_eq!(all.check(1, &[n; 32], 10 + u64::from(n), 4), Ok(()));
-            all.insert([n; 32], 10 + u64::from(n));
-        }
-        assert_eq!(all.check(5, &[9; 32], 40, 4), Err(ReplicationError::PrimaryOverloaded));
-        assert_eq!(all.check(12, &[9; 32], 40, 4), Ok(()), "two are over");
-        assert_eq!(
-            all.check(3, &[0; 32], 10, 4),
-            Err(ReplicationError::IdentityExpired { shard: 0 }),
-            "the clock went back"
-        );
-        assert_eq!(all.check(3, &[3; 32], 13, 4), Err(ReplicationError::DuplicateIdentity));
+    /// Notes that an identity was not used after all.
+    pub fn remove(&mut self, identity: &IdentityDigest) {
+        self.valid_until.remove(identity);
     }
 }
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,29 +1,28 @@
-//! What a gateway holds for others, copied to further gateways: shards, epochs, sets in sync, repair. No I/O.
+//! Replication of accepted calls and their callbacks among gateways: shards, epochs, replica sets,
+//! and repair. No I/O.
 //!
-//! Identities are spread over [`shards`](config::Settings::shards). For each the agreed log names an *epoch*, a *primary* and
-//! the *set in sync* ([`sets`]). The primary gives each record a number and a chained digest, has it on its own disk and on
-//! those of all the set, and only then is it promised ([`leading`]). Whoever is in the set can take the shard over with all
-//! that was promised ([`shard`]); whoever is not can come to it by a tail of records or a snapshot, and counts once it has
-//! all. Which gateways hold a shard follows from [`order`]. [`machine::Replicator`] is one gateway's part in all shards; [`wire`]
-//! what parts say to one another; [`history`] what each process records for a checker;
-//! [`identities`] which calls were taken. A disk that no longer holds what was written is mended from another
-//! (`machine/soundness.rs`).
+//! Identities of calls are spread over [shards](config::Settings::shards). For each the agreed
+//! state ([`replica_sets`]) names an epoch, a primary and the members of the replica set. The
+//! primary gives each record a number and a chained digest; the record is committed once all
+//! members have it on their disks ([`primary`]). Every member can take the shard over with all that
+//! was committed ([`shard`]). Another gateway can be caught up by the tail of the log or a
+//! snapshot, and is added once it has all. [`placement`] chooses the gateways of a shard.
+//! [`replicator::Replicator`] is one gateway's part in all shards; [`wire`] has the messages
+//! between gateways, [`history`] the events for a checker, and [`identities`] the identities that
+//! were used. A disk that is damaged is repaired from another.
 //!
-//! Kept by id: shards (at most [`MAX_SHARDS`]), members (the file's), records of a tail (by bytes, the oldest go first),
-//! questions under way (at most [`machine::MAX_FORWARDED_REQUESTS`], each with its end).
+//! Bounded: shards (at most [`MAX_SHARDS`]), members (those of the file), records of a tail (by
+//! bytes, the oldest are removed first), pending requests (at most
+//! [`replicator::MAX_FORWARDED_REQUESTS`], each with a deadline).
 
 pub mod config;
-#[cfg(test)]
-mod disks_tests;
 pub mod error;
 pub mod history;
 pub mod identities;
-pub mod machine;
-#[cfg(test)]
-mod model;
 pub mod placement;
 pub mod primary;
-pub mod sets;
+pub mod replica_sets;
+pub mod replicator;
 pub mod shard;
 #[cfg(test)]
 mod tests;
@@ -31,45 +30,39 @@
 
 use std::sync::Arc;
 
+use serde::{Deserialize, Serialize};
+
+use identities::IdentityDigest;
+
 /// A gateway's name.
 pub type Name = Arc<str>;
-/// One of the parts that identities are spread over; 0 is what a gateway holds for itself alone.
+/// A shard of the identities; 0 stands for what is not replicated.
 pub type ShardId = u16;
-/// Counts the agreed changes of one shard's set; it only grows.
+/// Counts the agreed changes of a shard's replica set; it only grows.
 pub type Epoch = u64;
-/// The place of a record in its shard.
+/// The number of a record in its shard's log.
 pub type SequenceNumber = u64;
-/// The digest of a record and of all before it.
+/// The digest of a log up to a record.
 pub type ChainDigest = [u8; 32];
 
-/// Shards at most.
+/// The maximum number of shards.
 pub const MAX_SHARDS: u16 = 1024;
-/// A shard's gateways at most.
+/// The maximum number of members of a replica set.
 pub const MAX_REPLICAS: usize = 5;
 
-/// How far a shard's records go, and the digest of all of them.
+/// The position of the last record of a shard's log.
 #[derive(
-    Clone,
-    Copy,
-    Debug,
-    Default,
-    PartialEq,
-    Eq,
-    PartialOrd,
-    Ord,
-    Hash,
-    serde::Serialize,
-    serde::Deserialize,
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LogPosition {
-    /// The last record's number.
+    /// The number of the record.
     pub number: SequenceNumber,
-    /// Its chained digest.
+    /// The digest of the log up to the record.
     pub chain: ChainDigest,
 }
 
 impl LogPosition {
-    /// The place behind one more record.
+    /// Returns the position after one more record.
     pub fn advance(&self, record: &[u8]) -> LogPosition {
         let mut hash = blake3::Hasher::new_derive_key("molelug shard's records 1");
         hash.update(&self.chain);
@@ -82,11 +75,11 @@
     }
 }
 
-/// The shard of an identity's digest.
-pub fn shard_of(mark: &[u8; 32], shards: u16) -> ShardId {
-    let word = u64::from_le_bytes([
-        mark[0], mark[1], mark[2], mark[3], mark[4], mark[5], mark[6], mark[7],
-    ]);
-    // The rest of a division always fits.
-    (word % u64::from(shards.max(1))) as ShardId + 1
+/// Returns the shard of an identity's digest.
+pub fn shard_of(identity: &IdentityDigest, shards: u16) -> ShardId {
+    let prefix = identity
+        .first_chunk::<8>()
+        .map_or(0, |bytes| u64::from_le_bytes(*bytes));
+    // The remainder always fits.
+    (prefix % u64::from(shards.max(1))) as ShardId + 1
 }
--- a/src/replication/primary.rs
+++ b/src/replication/primary.rs
@@ -1,494 +1,493 @@
-//! What a shard's primary knows of its records and of those who are to have them.
+//! A shard's primary: its log, the replicas that have to acknowledge it, and what is committed.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::wire::{Message, MAX_RECORD_BYTES, SNAPSHOT_PART_BYTES};
-use super::{Epoch, LogPosition, Name, SequenceNumber, ShardId};
+use super::config::DisabledGuards;
+use super::wire::{Message, MAX_RECORD_BYTES};
+use super::{ChainDigest, Epoch, LogPosition, Name, SequenceNumber, ShardId};
 use crate::api::Micros;
 
-/// Bytes of records kept for those who are behind.
-pub const MOST_TAIL: usize = 4 << 20;
-/// Bytes of records that may wait for other disks.
-pub const MOST_OWED: usize = 4 << 20;
-/// Records and bytes on their way to one copy at once.
-const WINDOW: SequenceNumber = 256;
-/// Parts of a snapshot on their way at once.
-const PARTS: u32 = 3;
+mod peer;
 
-/// Where a record's promise is told.
+use peer::{LogTail, Record};
+pub use peer::{Peer, PeerState, SnapshotTransfer};
+
+/// The maximum number of bytes of records that are kept for replicas that are behind.
+pub const MAX_TAIL_BYTES: usize = 4 << 20;
+/// The maximum number of bytes of records that are not committed.
+pub const MAX_UNCOMMITTED_BYTES: usize = 4 << 20;
+
+/// The number under which a commit is reported.
 pub type CommitWaiter = u64;
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Record {
-    before: LogPosition,
-    bytes: Arc<[u8]>,
-    ticket: Option<CommitWaiter>,
-    /// On how many disks it is to stand before it is promised.
-    want: usize,
+/// The epoch and members under which a primary starts.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PrimaryTerm {
+    /// The epoch.
+    pub epoch: Epoch,
+    /// The members of the replica set, with the primary.
+    pub members: BTreeSet<Name>,
 }
 
-/// How one copy is brought along.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
-    /// It was asked how far it has come.
-    Asked,
-    /// Records are sent to it, up to this one so far.
-    Tail(SequenceNumber),
-    /// The disk here is read for it.
-    Reads,
-    /// A snapshot is sent: as of where, its bytes, the next part and how many it has taken.
-    Sends(LogPosition, Arc<[u8]>, u32, u32),
+/// How far this gateway's replica has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LocalProgress {
+    /// The last record, on the disk or on its way there.
+    pub head: LogPosition,
+    /// The number of the last record on the disk.
+    pub stored: SequenceNumber,
 }
 
-/// One copy.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Peer {
-    /// How it is brought along.
-    pub step: Step,
-    /// All up to this is on its disk, of the history here.
-    pub has: SequenceNumber,
-    /// Since when it owes a word; none if it owes none.
-    pub owes: Option<Micros>,
-    /// When it was asked or sent something again last.
-    again: Micros,
+/// A record that was committed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Commit {
+    /// Who waits for it.
+    pub waiter: CommitWaiter,
+    /// The position of the record.
+    pub position: LogPosition,
 }
 
-/// A shard while it is led here.
+/// A shard while this process is its primary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Primary {
     shard: ShardId,
-    /// Under which epoch.
+    /// The epoch.
     pub epoch: Epoch,
-    /// The agreed set.
-    pub set: BTreeSet<Name>,
-    /// Those that a change under this epoch may already have let in: promises wait for them too.
-    pub maybe: BTreeSet<Name>,
-    /// The last record.
+    /// The agreed members of the replica set.
+    pub members: BTreeSet<Name>,
+    /// Members that a proposed change of this epoch may already have added; commits wait for them
+    /// too.
+    pub proposed_members: BTreeSet<Name>,
+    /// The position of the last record.
     pub head: LogPosition,
-    /// How far this process's own disk has come.
+    /// The number of the last record on this gateway's disk.
     pub stored: SequenceNumber,
-    /// How far all that count have come.
-    pub promised: SequenceNumber,
-    /// Records up to there that are not told promised, as fewer machines hold the shard than they ask for.
-    pub held: usize,
+    /// The number of the last record that all members have.
+    pub committed: SequenceNumber,
+    /// Records up to there that are not reported as committed, because they need more replicas than
+    /// there are.
+    pub under_replicated: usize,
     tail: VecDeque<Record>,
-    bytes: usize,
-    owed: usize,
-    /// Since when it is led; and the members of the set that have not told yet how far they have come. Nothing is taken before.
-    began: Micros,
-    untold: BTreeSet<Name>,
-    /// Whether something is taken.
-    pub open: bool,
-    /// The copies.
+    tail_bytes: usize,
+    uncommitted_bytes: usize,
+    started_at: Micros,
+    /// Members that have not reported their position yet. Records are accepted only after that.
+    awaiting_position: BTreeSet<Name>,
+    /// Whether records are accepted.
+    pub is_open: bool,
+    /// The replicas.
     pub peers: BTreeMap<Name, Peer>,
-    /// When a change of the set was last proposed.
-    pub proposed: Option<Micros>,
-    /// Since when somebody of the set owes its word.
-    pub late: Option<Micros>,
+    /// When a change of the replica set was last proposed.
+    pub proposed_at: Option<Micros>,
+    /// Since when a member lags.
+    pub lagging_since: Option<Micros>,
 }
 
 impl Primary {
-    /// Begins under an epoch, with what the disk here holds.
+    /// Starts with what this gateway's disk holds. Its records may be missing at other members, so
+    /// they count as committed only once those have them.
     pub fn new(
         now: Micros,
         me: &Name,
         shard: ShardId,
-        (epoch, set): (Epoch, BTreeSet<Name>),
-        (head, stored): (LogPosition, SequenceNumber),
+        term: PrimaryTerm,
+        progress: LocalProgress,
     ) -> Primary {
+        let mut awaiting_position = term.members.clone();
+        awaiting_position.remove(me);
         Primary {
             shard,
-            epoch,
-            began: now,
-            untold: set.iter().filter(|n| *n != me).cloned().collect(),
-            open: false,
-            set,
-            maybe: BTreeSet::new(),
-            head,
-            stored,
-            // What stands here may lack at others; it counts as promised once they have it.
-            promised: 0,
-            held: 0,
+            epoch: term.epoch,
+            members: term.members,
+            proposed_members: BTreeSet::new(),
+            head: progress.head,
+            stored: progress.stored,
+            committed: 0,
+            under_replicated: 0,
             tail: VecDeque::new(),
-            bytes: 0,
-            owed: 0,
+            tail_bytes: 0,
+            uncommitted_bytes: 0,
+            started_at: now,
+            awaiting_position,
+            is_open: false,
             peers: BTreeMap::new(),
-            proposed: None,
-            late: None,
+            proposed_at: None,
+            lagging_since: None,
         }
     }
 
-    /// Whether it may be opened: all members that can be heard have told how far they have come, or had long enough to.
-    pub fn may_open(&self, now: Micros, stall: Micros, is_heard: impl Fn(&Name) -> bool) -> bool {
-        let waits = |n: &&Name| self.set.contains(*n) && is_heard(n);
-        !self.open && (self.untold.iter().find(waits).is_none() || self.began + stall <= now)
+    /// Returns whether records can be accepted from now on: all reachable members have reported
+    /// their positions, or had enough time to.
+    pub fn can_open(
+        &self,
+        now: Micros,
+        timeout: Micros,
+        is_reachable: impl Fn(&Name) -> bool,
+    ) -> bool {
+        let is_awaited = self
+            .awaiting_position
+            .iter()
+            .any(|name| self.members.contains(name) && is_reachable(name));
+        !self.is_open && (!is_awaited || self.started_at + timeout <= now)
     }
 
-    /// A member has told how far it has come.
-    pub fn told(&mut self, name: &Name) {
-        self.untold.remove(name);
+    /// Notes that a member has reported its position.
+    pub fn position_received(&mut self, name: &Name) {
+        self.awaiting_position.remove(name);
     }
 
-    /// The set has changed under the same primary.
-    pub fn changed(&mut self, epoch: Epoch, set: BTreeSet<Name>) {
-        (self.epoch, self.set, self.proposed) = (epoch, set, None);
-        self.maybe.clear();
+    /// Continues under another epoch. What is in flight belongs to the previous one and does not
+    /// count.
+    pub fn reconfigure(&mut self, term: PrimaryTerm) {
+        self.epoch = term.epoch;
+        self.members = term.members;
+        self.proposed_at = None;
+        self.proposed_members.clear();
         for peer in self.peers.values_mut() {
-            // What was under way was under the old epoch, and does not count.
-            (peer.step, peer.again) = (Step::Asked, 0);
+            peer.restart();
         }
     }
 
-    /// Bytes that wait for other disks.
-    pub fn owed(&self) -> usize {
-        self.owed
+    /// Returns the bytes of records that are not committed.
+    pub fn uncommitted_bytes(&self) -> usize {
+        self.uncommitted_bytes
     }
 
-    /// One more record.
-    pub fn append(&mut self, bytes: Arc<[u8]>, ticket: CommitWaiter, want: usize) -> LogPosition {
+    /// Appends a record, and returns its position.
+    pub fn append(
+        &mut self,
+        bytes: Arc<[u8]>,
+        waiter: CommitWaiter,
+        min_replicas: usize,
+    ) -> LogPosition {
         let before = self.head;
         self.head = before.advance(&bytes);
-        self.bytes += bytes.len();
-        self.owed += bytes.len();
+        self.tail_bytes += bytes.len();
+        self.uncommitted_bytes += bytes.len();
         self.tail.push_back(Record {
             before,
             bytes,
-            ticket: Some(ticket),
-            want,
+            waiter: Some(waiter),
+            min_replicas,
         });
         self.head
     }
 
-    /// How many disks a record is promised on.
-    pub fn disks(&self) -> usize {
-        self.set.len()
+    /// Returns the number of replicas that a committed record has.
+    pub fn replica_count(&self) -> usize {
+        self.members.len()
     }
 
-    /// Those whose word a promise waits for, this process apart.
-    fn needed<'a>(&'a self, me: &'a Name) -> impl Iterator<Item = &'a Name> {
-        self.set
-            .iter()
-            .chain(self.maybe.difference(&self.set))
-            .filter(move |n| *n != me)
+    /// Commits what all members have, and returns the records in order. The replica set may have
+    /// shrunk since a record was accepted: a record that needs more replicas waits until there are
+    /// enough, and holds up no record behind it.
+    pub fn commit(&mut self, me: &Name, disabled_guards: DisabledGuards) -> Vec<Commit> {
+        let mut commits = Vec::new();
+        let replicated = self.replicated(me, disabled_guards);
+        if replicated > self.committed || self.under_replicated > 0 {
+            self.committed = self.committed.max(replicated);
+            commits = self.report_commits(replicated, disabled_guards);
+        }
+        self.trim_tail();
+        commits
     }
 
-    /// What can be promised now: tickets with their places, in order. A set may have become smaller since a record was taken:
-    /// one that asks for more disks waits until it is whole again, and holds up nothing behind it.
-    pub fn promise(
-        &mut self,
-        me: &Name,
-        (without_all, without_want): (bool, bool),
-    ) -> Vec<(CommitWaiter, LogPosition)> {
-        let disks = self.disks();
-        let has = |n: &Name| self.peers.get(n).map_or(0, |p| p.has);
-        let all = self
-            .needed(me)
-            .map(has)
+    /// Returns the number of the last record that this gateway and all other required members have
+    /// on their disks.
+    fn replicated(&self, me: &Name, disabled_guards: DisabledGuards) -> SequenceNumber {
+        if disabled_guards.full_acknowledgement {
+            return self.stored;
+        }
+        let required = self
+            .members
+            .union(&self.proposed_members)
+            .filter(|name| *name != me);
+        required
+            .map(|name| self.peers.get(name).map_or(0, |peer| peer.acknowledged))
             .min()
-            .unwrap_or(SequenceNumber::MAX);
-        let upto = if without_all {
-            self.stored
-        } else {
-            self.stored.min(all)
-        };
-        let mut told = Vec::new();
-        if upto > self.promised || self.held > 0 {
-            self.promised = self.promised.max(upto);
-            self.held = 0;
-            for r in self
-                .tail
-                .iter_mut()
-                .filter(|r| r.before.number < upto && r.ticket.is_some())
-            {
-                if r.want > disks && !without_want {
-                    self.held += 1;
-                } else if let Some(ticket) = r.ticket.take() {
-                    self.owed -= r.bytes.len();
-                    told.push((ticket, r.before.advance(&r.bytes)));
-                }
+            .map_or(self.stored, |acknowledged| self.stored.min(acknowledged))
+    }
+
+    fn report_commits(
+        &mut self,
+        replicated: SequenceNumber,
+        disabled_guards: DisabledGuards,
+    ) -> Vec<Commit> {
+        let replicas = self.replica_count();
+        let mut commits = Vec::new();
+        self.under_replicated = 0;
+        for record in &mut self.tail {
+            if record.before.number >= replicated || record.waiter.is_none() {
+                continue;
             }
-        }
-        // The oldest that all have go first; none that somebody is still owed a promise for.
-        let over = |r: &Record| r.before.number < self.promised && r.ticket.is_none();
-        while self.bytes > MOST_TAIL && self.tail.front().is_some_and(over) {
-            if let Some(r) = self.tail.pop_front() {
-                self.bytes -= r.bytes.len();
+            if record.min_replicas > replicas && !disabled_guards.min_replicas_check {
+                self.under_replicated += 1;
+            } else if let Some(waiter) = record.waiter.take() {
+                self.uncommitted_bytes -= record.bytes.len();
+                let position = record.before.advance(&record.bytes);
+                commits.push(Commit { waiter, position });
             }
         }
-        told
+        commits
     }
 
-    /// Tickets of what was never promised, for the end.
-    pub fn unpromised(&self) -> Vec<CommitWaiter> {
-        self.tail.iter().filter_map(|r| r.ticket).collect()
+    /// Removes the oldest records that all members have, but none whose commit is not reported.
+    fn trim_tail(&mut self) {
+        while self.tail_bytes > MAX_TAIL_BYTES {
+            let oldest = self.tail.pop_front_if(|record| {
+                record.before.number < self.committed && record.waiter.is_none()
+            });
+            let Some(record) = oldest else {
+                return;
+            };
+            self.tail_bytes -= record.bytes.len();
+        }
     }
 
-    /// Begins to bring somebody along.
-    pub fn meet(&mut self, name: &Name) {
-        let peer = Peer {
-            step: Step::Asked,
-            has: 0,
-            owes: None,
-            again: 0,
-        };
-        self.peers.entry(name.clone()).or_insert(peer);
+    /// Returns who waits for records that are not reported as committed.
+    pub fn uncommitted_waiters(&self) -> Vec<CommitWaiter> {
+        self.tail
+            .iter()
+            .filter_map(|record| record.waiter)
+            .collect()
     }
 
-    /// The connection to somebody has ended: it is asked anew.
-    pub fn lost(&mut self, name: &Name) {
+    /// Starts to catch a replica up.
+    pub fn add_peer(&mut self, name: &Name) {
+        self.peers.entry(name.clone()).or_insert_with(Peer::new);
+    }
+
+    /// Queries a replica's position anew, because its connection has ended.
+    pub fn disconnected(&mut self, name: &Name) {
         if let Some(peer) = self.peers.get_mut(name) {
-            (peer.step, peer.again) = (Step::Asked, 0);
+            peer.restart();
         }
     }
 
-    /// Another process has begun under a name: what the one before told counts for nothing.
-    pub fn renewed(&mut self, name: &Name) {
+    /// Queries a replica's position anew, because another process has started there: what the
+    /// previous one reported does not count.
+    pub fn process_restarted(&mut self, name: &Name) {
         if let Some(peer) = self.peers.get_mut(name) {
-            (peer.step, peer.has, peer.again) = (Step::Asked, 0, 0);
+            peer.restart();
+            peer.acknowledged = 0;
         }
     }
 
-    fn chain_at(&self, number: SequenceNumber) -> Option<super::ChainDigest> {
+    /// Returns the digest of the log up to a record; none if the record is not in the tail any
+    /// more.
+    fn chain_at(&self, number: SequenceNumber) -> Option<ChainDigest> {
         if number == self.head.number {
             return Some(self.head.chain);
         }
         let first = self.tail.front()?.before.number;
-        let at = usize::try_from(number.checked_sub(first)?).ok()?;
-        self.tail.get(at).map(|r| r.before.chain)
+        let index = usize::try_from(number.checked_sub(first)?).ok()?;
+        self.tail.get(index).map(|record| record.before.chain)
     }
 
-    /// A copy tells how far it has come; whether the disk here has to be read for it.
-    pub fn at(
+    /// Takes the position of a replica, and returns whether a snapshot has to be read for it.
+    pub fn update_position(
         &mut self,
         now: Micros,
         name: &Name,
-        place: LogPosition,
-        without_chain: bool,
+        position: LogPosition,
+        disabled_guards: DisabledGuards,
     ) -> bool {
-        let same = match without_chain {
-            true => self.chain_at(place.number).is_some(),
-            false => self.chain_at(place.number) == Some(place.chain),
+        let chain = self.chain_at(position.number);
+        let is_in_log = match disabled_guards.chain_check {
+            true => chain.is_some(),
+            false => chain == Some(position.chain),
         };
         let Some(peer) = self.peers.get_mut(name) else {
             return false;
         };
-        if matches!(peer.step, Step::Reads | Step::Sends(..)) && !same {
+        if peer.is_in_snapshot() && !is_in_log {
             return false;
         }
-        peer.again = now;
-        if same {
-            (peer.step, peer.has) = (Step::Tail(place.number), place.number);
-            if peer.has >= self.head.number {
-                peer.owes = None;
-            }
-            return false;
+        peer.active_at = now;
+        if !is_in_log {
+            peer.state = PeerState::ReadingSnapshot;
+            return true;
+        }
+        peer.state = PeerState::Tailing(position.number);
+        peer.acknowledged = position.number;
+        if peer.acknowledged >= self.head.number {
+            peer.outstanding_since = None;
+        }
+        false
+    }
+
+    /// Sends a snapshot that was read from this gateway's disk.
+    pub fn snapshot_read(
+        &mut self,
+        now: Micros,
+        name: &Name,
+        position: LogPosition,
+        content: Arc<[u8]>,
+    ) {
+        if let Some(peer) = self.reading_peer(name) {
+            peer.active_at = now;
+            peer.state = PeerState::SendingSnapshot(SnapshotTransfer {
+                position,
+                content,
+                next_part: 0,
+                acknowledged_parts: 0,
+            });
         }
-        peer.step = Step::Reads;
-        true
     }
 
-    /// The disk here was read for a copy.
-    pub fn read(&mut self, now: Micros, name: &Name, place: LogPosition, bytes: Arc<[u8]>) {
-        if let Some(peer) = self.peers.get_mut(name).filter(|p| p.step == Step::Reads) {
-            (peer.step, peer.again) = (Step::Sends(place, bytes, 0, 0), now);
+    /// Queries a replica's position anew, because no snapshot could be read from this gateway's
+    /// disk.
+    pub fn snapshot_read_failed(&mut self, now: Micros, name: &Name) {
+        if let Some(peer) = self.reading_peer(name) {
+            peer.state = PeerState::QueryingPosition;
+            peer.active_at = now;
         }
     }
 
-    /// A copy's disk is damaged: it counts for nothing until it has a snapshot. Whether the disk here has to be read for it.
-    pub fn unsound(&mut self, now: Micros, name: &Name) -> bool {
-        self.untold.remove(name);
+    fn reading_peer(&mut self, name: &Name) -> Option<&mut Peer> {
+        self.peers
+            .get_mut(name)
+            .filter(|peer| peer.state == PeerState::ReadingSnapshot)
+    }
+
+    /// Notes that a replica's disk is damaged: it does not count until it has a snapshot. Returns
+    /// whether a snapshot has to be read for it.
+    pub fn replica_corrupt(&mut self, now: Micros, name: &Name) -> bool {
+        self.awaiting_position.remove(name);
         let Some(peer) = self.peers.get_mut(name) else {
             return false;
         };
-        peer.has = 0;
-        peer.owes.get_or_insert(now);
-        if matches!(peer.step, Step::Reads | Step::Sends(..)) {
+        peer.acknowledged = 0;
+        peer.outstanding_since.get_or_insert(now);
+        if peer.is_in_snapshot() {
             return false;
         }
-        (peer.step, peer.again) = (Step::Reads, now);
+        peer.state = PeerState::ReadingSnapshot;
+        peer.active_at = now;
         true
     }
 
-    /// The disk here could not be read for a copy.
-    pub fn unread(&mut self, now: Micros, name: &Name) {
-        if let Some(peer) = self.peers.get_mut(name).filter(|p| p.step == Step::Reads) {
-            (peer.step, peer.again) = (Step::Asked, now);
-        }
-    }
-
-    /// A copy has taken a part of a snapshot.
-    pub fn took(&mut self, now: Micros, name: &Name, part: u32) {
+    /// Notes that a replica has received a part of a snapshot.
+    pub fn snapshot_part_received(&mut self, now: Micros, name: &Name, part: u32) {
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
-        if let Step::Sends(.., taken) = &mut peer.step {
-            *taken = (*taken).max(part + 1);
-            peer.again = now;
-            peer.owes = Some(now);
+        if let PeerState::SendingSnapshot(transfer) = &mut peer.state {
+            transfer.acknowledged_parts = transfer.acknowledged_parts.max(part + 1);
+            peer.active_at = now;
+            peer.outstanding_since = Some(now);
         }
     }
 
-    /// A copy has all up to a record on its disk.
-    pub fn has(&mut self, now: Micros, name: &Name, number: SequenceNumber) {
+    /// Notes that a replica has all records up to a number on its disk.
+    pub fn acknowledged(&mut self, now: Micros, name: &Name, number: SequenceNumber) {
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
-        if let Step::Sends(place, ..) = &peer.step {
-            if number != place.number {
+        if let PeerState::SendingSnapshot(transfer) = &peer.state {
+            if number != transfer.position.number {
                 return;
             }
-            peer.step = Step::Tail(number);
+            peer.state = PeerState::Tailing(number);
         }
-        if number > peer.has {
-            peer.has = number;
-            peer.again = now;
-            peer.owes = (number < self.head.number).then_some(now);
+        if number > peer.acknowledged {
+            peer.acknowledged = number;
+            peer.active_at = now;
+            peer.outstanding_since = (number < self.head.number).then_some(now);
         }
     }
 
-    /// What is to be said to copies now.
-    pub fn say(&mut self, now: Micros, retry: Micros) -> Vec<(Name, Message)> {
-        let (mut said, shard, epoch) = (Vec::new(), self.shard, self.epoch);
-        let first = self
-            .tail
-            .front()
-            .map_or(self.head.number, |r| r.before.number);
+    /// Returns the messages to replicas that are due.
+    pub fn next_messages(&mut self, now: Micros, retry_interval: Micros) -> Vec<(Name, Message)> {
+        let log = LogTail {
+            shard: self.shard,
+            epoch: self.epoch,
+            last: self.head.number,
+            records: &self.tail,
+        };
+        let mut messages = Vec::new();
         for (name, peer) in &mut self.peers {
-            if peer.has < self.head.number && peer.owes.is_none() {
-                peer.owes = Some(now);
-            }
-            let late = peer.again + retry <= now || peer.again == 0;
-            match &mut peer.step {
-                Step::Asked if late => {
-                    peer.again = now.max(1);
-                    peer.owes.get_or_insert(now);
-                    said.push((name.clone(), Message::QueryPosition(shard, epoch)));
-                }
-                Step::Asked | Step::Reads => {}
-                // What was sent may have got lost: it tells where it stands.
-                Step::Tail(sent) if late && peer.has < *sent => {
-                    (peer.step, peer.again) = (Step::Asked, now);
-                    said.push((name.clone(), Message::QueryPosition(shard, epoch)));
-                }
-                Step::Tail(sent) => {
-                    while *sent < self.head.number && *sent < peer.has + WINDOW {
-                        let at = sent
-                            .checked_sub(first)
-                            .and_then(|at| usize::try_from(at).ok());
-                        let Some(r) = at.and_then(|at| self.tail.get(at)) else {
-                            // Its next record is not kept any more.
-                            (peer.step, peer.again) = (Step::Asked, 0);
-                            break;
-                        };
-                        said.push((
-                            name.clone(),
-                            Message::Record(shard, epoch, r.before, r.bytes.to_vec()),
-                        ));
-                        *sent += 1;
-                        peer.again = now;
-                    }
-                }
-                Step::Sends(place, bytes, next, taken) => {
-                    if peer.again + 4 * retry <= now {
-                        *next = *taken;
-                        peer.again = now;
-                    }
-                    let parts = bytes.len().div_ceil(SNAPSHOT_PART_BYTES).max(1) as u32;
-                    while *next < parts && *next < *taken + PARTS {
-                        let from = *next as usize * SNAPSHOT_PART_BYTES;
-                        let part =
-                            bytes[from..bytes.len().min(from + SNAPSHOT_PART_BYTES)].to_vec();
-                        let body = Message::SnapshotPart(
-                            shard,
-                            epoch,
-                            *place,
-                            *next,
-                            *next + 1 == parts,
-                            part,
-                        );
-                        said.push((name.clone(), body));
-                        *next += 1;
-                    }
-                }
+            for message in peer.next_messages(log, now, retry_interval) {
+                messages.push((name.clone(), message));
             }
         }
-        said
+        messages
     }
 
-    /// A member of the set that has owed its word for too long.
-    pub fn stalled(&self, now: Micros, me: &Name, stall: Micros) -> Option<Name> {
-        let owes = |n: &&Name| {
-            self.peers
-                .get(*n)
-                .and_then(|p| p.owes)
-                .is_some_and(|t| t + stall <= now)
-        };
-        self.set.iter().filter(|n| *n != me).find(owes).cloned()
+    /// Returns a member whose acknowledgement has been outstanding for too long.
+    pub fn lagging_member(&self, now: Micros, me: &Name, timeout: Micros) -> Option<Name> {
+        self.members
+            .iter()
+            .find(|name| *name != me && self.is_lagging(now, name, timeout))
+            .cloned()
     }
 
-    /// Somebody outside the set who has all that was promised, and may be let in.
-    pub fn arrived(&self) -> Option<Name> {
-        let all =
-            |p: &Peer| matches!(p.step, Step::Tail(_)) && p.has >= self.promised.max(self.stored);
+    /// Returns whether a replica's acknowledgement has been outstanding for a timeout.
+    pub fn is_lagging(&self, now: Micros, name: &Name, timeout: Micros) -> bool {
+        self.peers
+            .get(name)
+            .is_some_and(|peer| peer.is_overdue(now, timeout))
+    }
+
+    /// Returns a replica outside the set that has caught up and can be added.
+    pub fn caught_up_candidate(&self) -> Option<Name> {
+        let required = self.committed.max(self.stored);
+        let has_caught_up = |peer: &Peer| {
+            matches!(peer.state, PeerState::Tailing(_)) && peer.acknowledged >= required
+        };
         self.peers
             .iter()
-            .find(|(n, p)| !self.set.contains(*n) && all(p))
-            .map(|(n, _)| n.clone())
+            .find(|(name, peer)| !self.members.contains(*name) && has_caught_up(peer))
+            .map(|(name, _)| name.clone())
     }
 
-    /// A member of the set that has all there is, once all of it is promised.
-    pub fn heir(&self, me: &Name) -> Option<Name> {
-        let has = |n: &&Name| {
+    /// Returns a member that has the whole log, once all of it is committed.
+    pub fn successor(&self, me: &Name) -> Option<Name> {
+        if self.committed < self.head.number {
+            return None;
+        }
+        let has_all = |name: &Name| {
             self.peers
-                .get(*n)
-                .is_some_and(|p| p.has >= self.head.number)
+                .get(name)
+                .is_some_and(|peer| peer.acknowledged >= self.head.number)
         };
-        let all = self.promised >= self.head.number;
-        self.set
+        self.members
             .iter()
-            .filter(|n| *n != me && all)
-            .find(has)
+            .find(|name| *name != me && has_all(name))
             .cloned()
     }
 
-    /// The member of the set that has the most, of those who have all that was promised and may lead.
-    pub fn fittest(&self, me: &Name, may: impl Fn(&Name) -> bool) -> Option<Name> {
-        let has = |n: &Name| {
+    /// Returns the member with the most records, of those that have all that is committed and are
+    /// eligible.
+    pub fn most_advanced(&self, me: &Name, is_eligible: impl Fn(&Name) -> bool) -> Option<Name> {
+        let progress = |name: &Name| {
             self.peers
-                .get(n)
-                .map(|p| p.has)
-                .filter(|has| *has >= self.promised)
+                .get(name)
+                .map(|peer| peer.acknowledged)
+                .filter(|acknowledged| *acknowledged >= self.committed)
         };
-        let all = self
-            .set
+        self.members
             .iter()
-            .filter(|n| *n != me && may(n))
-            .filter_map(|n| Some((has(n)?, n)));
-        all.max_by_key(|(has, n)| (*has, std::cmp::Reverse(*n)))
-            .map(|(_, n)| n.clone())
+            .filter(|name| *name != me && is_eligible(name))
+            .filter_map(|name| Some((progress(name)?, name)))
+            .max_by_key(|(acknowledged, name)| (*acknowledged, Reverse(*name)))
+            .map(|(_, name)| name.clone())
     }
 
-    /// Whether a member of the set has come further than all that there was here when the lead began.
-    pub fn is_ahead(&self, name: &Name, place: LogPosition) -> bool {
-        self.tail.is_empty() && self.set.contains(name) && place.number > self.head.number
-    }
-
-    /// One outside the set that has owed its word for so long.
-    pub fn is_slow(&self, now: Micros, name: &Name, stall: Micros) -> bool {
-        self.peers
-            .get(name)
-            .and_then(|p| p.owes)
-            .is_some_and(|t| t + stall <= now)
+    /// Returns whether a member has more records than this gateway had when it became the primary.
+    pub fn is_ahead(&self, name: &Name, position: LogPosition) -> bool {
+        self.tail.is_empty() && self.members.contains(name) && position.number > self.head.number
     }
 
-    /// Whether somebody outside the set is being brought along.
+    /// Returns the replica outside the set that is being caught up.
     pub fn joining(&self) -> Option<&Name> {
-        self.peers.keys().find(|n| !self.set.contains(*n))
+        self.peers.keys().find(|name| !self.members.contains(*name))
     }
 }
 
-/// Whether a record is short enough.
+/// Returns whether a record is short enough.
 pub fn fits(bytes: usize) -> bool {
     bytes <= MAX_RECORD_BYTES
 }
--- /dev/null
+++ b/src/replication/replicator/integrity.rs
@@ -0,0 +1,139 @@
+//! Disks that are damaged or stuck.
+//!
+//! A disk detects damage by itself, by checksums. A replica reports it to its primary, does not
+//! count, and is sent a snapshot. A primary hands its shard over to a member whose disk is intact,
+//! and is then repaired like any other replica. So damage is never passed on: each disk verifies a
+//! shard before it is read for another. Where no other disk has the shard, what is readable is
+//! accepted, and it is reported that committed data may be lost.
+
+use super::{Output, Replicator};
+use crate::api::Micros;
+use crate::replication::history::HistoryEvent;
+use crate::replication::shard::WriteKind;
+use crate::replication::wire::Message;
+use crate::replication::{Name, ShardId};
+
+impl Replicator {
+    /// Has the disk verified when that is due, and reports damaged replicas to their primaries.
+    pub(super) fn check_integrity(&mut self, now: Micros) {
+        let is_due = self.verify_at.is_some_and(|at| at <= now);
+        if self.settings.verify_interval > 0 && is_due {
+            self.verify_at = None;
+            self.outputs.push_back(Output::VerifyDisk);
+        }
+        let me = &self.settings.name;
+        let reports: Vec<(Name, Message)> = self
+            .shards
+            .iter()
+            .filter(|(_, shard)| shard.corrupt_ranges.is_some() && shard.primary.is_none())
+            .filter_map(|(id, shard)| {
+                let primary = shard.set.primary.clone().filter(|name| name != me)?;
+                Some((primary, Message::Corrupt(*id, shard.set.epoch)))
+            })
+            .collect();
+        self.send_all(reports);
+    }
+
+    /// Takes the result of a verification. A disk that could not be read at all does not complete
+    /// its writes either, which is detected there.
+    pub(super) fn disk_verified(&mut self, now: Micros, verified: Option<Vec<(ShardId, Vec<u8>)>>) {
+        self.verify_at = Some(now + self.settings.verify_interval);
+        for (shard, ranges) in verified.into_iter().flatten() {
+            if !ranges.is_empty() {
+                self.mark_corrupt(shard, ranges);
+            }
+        }
+    }
+
+    /// Marks a shard as damaged, unless a snapshot on its way to the disk repairs it.
+    pub(super) fn mark_corrupt(&mut self, shard: ShardId, ranges: Vec<u8>) {
+        let is_check_disabled = self.settings.disabled_guards.integrity_check;
+        let Some(replica) = self.shards.get_mut(&shard) else {
+            return;
+        };
+        let is_repaired_soon = replica
+            .pending
+            .iter()
+            .any(|write| write.kind == WriteKind::Snapshot);
+        if is_check_disabled || is_repaired_soon || replica.corrupt_ranges.is_some() {
+            return;
+        }
+        replica.corrupt_ranges = Some(ranges.clone());
+        self.record_event(HistoryEvent::Damaged { shard, ranges });
+    }
+
+    /// Returns whether this process should not be the primary of a shard if another member can.
+    pub(super) fn is_unsuitable_primary(&self, now: Micros, shard: ShardId) -> bool {
+        let timeout = 2 * self.settings.acknowledgement_timeout;
+        self.shards.get(&shard).is_some_and(|replica| {
+            replica.corrupt_ranges.is_some() || replica.is_stuck(now, timeout)
+        })
+    }
+
+    /// Hands a shard over to another member, accepts the damage if there is none, or waits for one.
+    /// Returns whether it did one of these.
+    pub(super) fn relinquish(&mut self, now: Micros, shard: ShardId) -> bool {
+        let Some(replica) = self.shards.get(&shard) else {
+            return false;
+        };
+        let Some(primary) = replica.primary.as_ref() else {
+            return false;
+        };
+        let is_corrupt = replica.corrupt_ranges.is_some();
+        let is_only_member = primary.members.len() == 1;
+        let can_propose = self.can_propose(now, shard);
+        let successor =
+            primary.most_advanced(&self.settings.name, |name| self.is_reachable(now, name));
+        if let Some(successor) = successor {
+            if can_propose {
+                self.hand_over_to(now, shard, successor);
+            }
+            return true;
+        }
+        if !is_corrupt {
+            return false;
+        }
+        if is_only_member {
+            if can_propose {
+                self.note_proposal(now, shard);
+                self.outputs.push_back(Output::AcceptDamage(shard));
+            }
+        } else {
+            self.report_waiting(shard);
+        }
+        true
+    }
+
+    /// Reports once that a damaged disk waits for another member, which has all of the shard and
+    /// may come back.
+    fn report_waiting(&mut self, shard: ShardId) {
+        let Some(replica) = self.shards.get_mut(&shard) else {
+            return;
+        };
+        if std::mem::replace(&mut replica.wait_reported, true) {
+            return;
+        }
+        let members = replica.set.members.iter().cloned().collect();
+        self.record_event(HistoryEvent::WaitingForReplica { shard, members });
+    }
+
+    /// Continues with what was readable of a damaged shard.
+    pub(super) fn damage_accepted(&mut self, shard: ShardId) {
+        let Some(replica) = self.shards.get_mut(&shard) else {
+            return;
+        };
+        if replica.corrupt_ranges.take().is_none() {
+            return;
+        }
+        replica.wait_reported = false;
+        let epoch = replica.primary.as_ref().map(|primary| primary.epoch);
+        self.record_event(HistoryEvent::Repaired {
+            shard,
+            accepted: true,
+        });
+        if let Some(epoch) = epoch {
+            // The state of the shard is read again.
+            self.outputs.push_back(Output::BecomePrimary(shard, epoch));
+        }
+    }
+}
--- /dev/null
+++ b/src/replication/replicator/membership.rs
@@ -0,0 +1,430 @@
+//! Changes of replica sets that this process proposes: repair, takeover, and graceful handover.
+
+use std::collections::BTreeSet;
+
+use super::{Output, Replicator};
+use crate::api::Micros;
+use crate::replication::placement;
+use crate::replication::primary::Primary;
+use crate::replication::replica_sets::{Entry, MembershipChange, ReplicaSet};
+use crate::replication::{Name, ShardId};
+
+/// Acknowledgement timeouts after which a replica that lags is given up, although no other has
+/// caught up.
+const GIVE_UP_TIMEOUTS: Micros = 10;
+/// Acknowledgement timeouts for which a member that was removed is not added again.
+const EXCLUSION_TIMEOUTS: Micros = 2;
+
+/// Whether the repair of another shard may start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RepairSlot {
+    Free,
+    Taken,
+}
+
+/// What the primary of a shard knows when it reviews the set.
+#[derive(Clone, Debug)]
+struct SetReview {
+    /// The set as it is.
+    members: BTreeSet<Name>,
+    /// Whether no recent proposal is waiting to be agreed on.
+    can_propose: bool,
+    /// A member that lags or is not reachable, and since when.
+    lagging: Option<(Name, Micros)>,
+    /// A replica outside the set that has caught up.
+    caught_up: Option<Name>,
+    /// The replica outside the set that is being caught up.
+    joining: Option<JoiningReplica>,
+    /// Whether the set needs another member.
+    needs_member: bool,
+    /// The next replica to catch up, if none is and one can be.
+    next: Option<Name>,
+}
+
+/// A replica outside the set that is being caught up.
+#[derive(Clone, Debug)]
+struct JoiningReplica {
+    name: Name,
+    /// Whether it lags or is not reachable.
+    is_slow: bool,
+    /// Whether a proposed change may already have added it.
+    is_proposed: bool,
+}
+
+impl Replicator {
+    /// Proposes the changes that the shards' sets need, those with the fewest members first.
+    pub(super) fn review_sets(&mut self, now: Micros) {
+        let mut repairs = self
+            .shards
+            .values()
+            .filter_map(|shard| shard.primary.as_ref()?.joining())
+            .count();
+        let mut ids: Vec<ShardId> = self.shards.keys().copied().collect();
+        ids.sort_by_key(|id| (self.shards[id].set.members.len(), *id));
+        for id in ids {
+            let set = self.shards[&id].set.clone();
+            if self.is_primary(id) {
+                self.open_if_ready(now, id);
+                let slot = if repairs < self.settings.max_repairs {
+                    RepairSlot::Free
+                } else {
+                    RepairSlot::Taken
+                };
+                repairs += usize::from(self.review_own_set(now, id, slot));
+            } else if self.is_shutting_down {
+                // Other gateways maintain the sets of their shards.
+            } else if set.members.is_empty() {
+                self.create_set(now, id, &set);
+            } else if set.members.contains(&self.settings.name) {
+                self.review_primary(now, id, &set);
+            }
+        }
+    }
+
+    /// Becomes the only member of a shard without members: as a former member that has what was
+    /// committed, which the others wait for; or, if there is none, as the first reachable gateway
+    /// of the placement.
+    fn create_set(&mut self, now: Micros, id: ShardId, set: &ReplicaSet) {
+        let me = &self.settings.name;
+        let is_first = if set.former_members.is_empty() {
+            let order = placement::replica_order(id, &self.settings.hosts);
+            let first = order.iter().find(|name| self.is_reachable(now, name));
+            first == Some(me)
+        } else {
+            set.successors().any(|name| name == me)
+        };
+        if is_first {
+            let members = BTreeSet::from([me.clone()]);
+            self.propose(now, id, set, members);
+        }
+    }
+
+    /// Takes a shard over whose primary is not reachable, as one of its members.
+    fn review_primary(&mut self, now: Micros, id: ShardId, set: &ReplicaSet) {
+        let me = &self.settings.name;
+        let is_other_reachable = set
+            .members
+            .iter()
+            .any(|name| name != me && self.is_reachable(now, name));
+        if is_other_reachable && self.is_unsuitable_primary(now, id) {
+            return;
+        }
+        let is_needed = match &set.primary {
+            // An earlier process of this gateway was the primary: this one needs an epoch of its
+            // own.
+            Some(primary) if primary == me => true,
+            Some(primary) => {
+                let timeout = self.takeover_timeout(set);
+                !self.is_reachable_within(now, primary, timeout)
+            }
+            None => true,
+        };
+        if is_needed {
+            // The former primary has all that is committed, so it stays until another has caught
+            // up.
+            self.propose(now, id, set, set.members.clone());
+        }
+    }
+
+    /// Returns how long the primary has to be silent before this process takes over. It differs
+    /// among the members, so that the first is done before the second begins.
+    fn takeover_timeout(&self, set: &ReplicaSet) -> Micros {
+        let rank = set
+            .members
+            .iter()
+            .filter(|name| set.primary.as_ref() != Some(name))
+            .position(|name| *name == self.settings.name);
+        let failure_timeout = self.settings.failure_timeout;
+        failure_timeout + failure_timeout / 2 * rank.unwrap_or(0) as Micros
+    }
+
+    /// Maintains the set of a shard of which this process is the primary. Returns whether another
+    /// replica starts to be caught up.
+    ///
+    /// A member that lags is replaced by one change, because it counts until then: it has all that
+    /// was committed before. Only where no other catches up does the set shrink.
+    fn review_own_set(&mut self, now: Micros, id: ShardId, slot: RepairSlot) -> bool {
+        if self.is_shutting_down {
+            self.hand_over_to_successor(now, id);
+            return false;
+        }
+        // Before a handover, which may change when a proposal was made last.
+        let Some(lagging) = self.primary(id).map(|primary| self.lagging(now, primary)) else {
+            return false;
+        };
+        if self.is_unsuitable_primary(now, id) && self.relinquish(now, id) {
+            return false;
+        }
+        let Some(primary) = self.primary(id) else {
+            return false;
+        };
+        let review = self.review(now, id, primary, lagging);
+        if let Some(primary) = self.primary_mut(id) {
+            primary.lagging_since = review.lagging.as_ref().map(|(_, since)| *since);
+        }
+        self.act_on_review(now, id, slot, review)
+    }
+
+    /// Returns a member that lags or is not reachable, and since when one does.
+    fn lagging(&self, now: Micros, primary: &Primary) -> Option<(Name, Micros)> {
+        let timeout = self.settings.acknowledgement_timeout;
+        let unreachable = || {
+            primary
+                .members
+                .iter()
+                .find(|name| !self.is_reachable(now, name))
+                .cloned()
+        };
+        let name = primary
+            .lagging_member(now, &self.settings.name, timeout)
+            .or_else(unreachable)?;
+        Some((name, primary.lagging_since.unwrap_or(now)))
+    }
+
+    fn review(
+        &self,
+        now: Micros,
+        id: ShardId,
+        primary: &Primary,
+        lagging: Option<(Name, Micros)>,
+    ) -> SetReview {
+        let members = primary.members.clone();
+        let joining = primary.joining().map(|name| JoiningReplica {
+            name: name.clone(),
+            is_slow: !self.is_reachable(now, name)
+                || primary.is_lagging(now, name, self.give_up_timeout()),
+            is_proposed: primary.proposed_members.contains(name),
+        });
+        let next = match joining {
+            Some(_) => None,
+            None => self.next_replica(now, id, &members),
+        };
+        SetReview {
+            can_propose: self.can_propose(now, id),
+            caught_up: primary.caught_up_candidate(),
+            needs_member: lagging.is_some() || members.len() < self.settings.copies,
+            members,
+            lagging,
+            joining,
+            next,
+        }
+    }
+
+    fn give_up_timeout(&self) -> Micros {
+        GIVE_UP_TIMEOUTS * self.settings.acknowledgement_timeout
+    }
+
+    /// Does what a review asks for. Returns whether another replica starts to be caught up.
+    fn act_on_review(
+        &mut self,
+        now: Micros,
+        id: ShardId,
+        slot: RepairSlot,
+        review: SetReview,
+    ) -> bool {
+        let current = self.own_set(id);
+        if let Some(joining) = &review.joining {
+            if joining.is_slow && joining.is_proposed {
+                // It may have been added and is not there: the next epoch decides, with or without
+                // it.
+                if review.can_propose {
+                    self.propose(now, id, &current, review.members);
+                }
+                return false;
+            }
+        }
+        if review.needs_member {
+            if let Some(name) = review.caught_up.clone() {
+                if review.can_propose {
+                    self.add_member(now, id, &current, name, review);
+                }
+                return false;
+            }
+        }
+        if let Some(joining) = &review.joining {
+            if !joining.is_proposed && (joining.is_slow || !review.needs_member) {
+                self.stop_catching_up(now, id, joining);
+                return false;
+            }
+        }
+        if !review.needs_member {
+            return false;
+        }
+        let Some(next) = &review.next else {
+            self.remove_lagging(now, id, &current, review);
+            return false;
+        };
+        if slot == RepairSlot::Taken {
+            return false;
+        }
+        if let Some(primary) = self.primary_mut(id) {
+            primary.add_peer(next);
+        }
+        true
+    }
+
+    /// Proposes to add a replica that has caught up, in place of the one that lags.
+    fn add_member(
+        &mut self,
+        now: Micros,
+        id: ShardId,
+        current: &ReplicaSet,
+        name: Name,
+        review: SetReview,
+    ) {
+        if let Some(primary) = self.primary_mut(id) {
+            primary.proposed_members.insert(name.clone());
+        }
+        let mut members = review.members;
+        members.insert(name);
+        if let Some((lagging, _)) = review.lagging {
+            self.exclude(now, lagging, &mut members);
+        }
+        self.propose(now, id, current, members);
+    }
+
+    /// Proposes to remove the member that lags, if no replica is being caught up or none has caught
+    /// up for long.
+    fn remove_lagging(
+        &mut self,
+        now: Micros,
+        id: ShardId,
+        current: &ReplicaSet,
+        review: SetReview,
+    ) {
+        let Some((lagging, since)) = review.lagging else {
+            return;
+        };
+        let is_given_up = since + self.give_up_timeout() <= now;
+        if review.can_propose && (review.joining.is_none() || is_given_up) {
+            let mut members = review.members;
+            self.exclude(now, lagging, &mut members);
+            self.propose(now, id, current, members);
+        }
+    }
+
+    /// Stops to catch a replica up. One that was too slow is not chosen again at once: its disk may
+    /// be full.
+    fn stop_catching_up(&mut self, now: Micros, id: ShardId, joining: &JoiningReplica) {
+        if let Some(primary) = self.primary_mut(id) {
+            primary.peers.remove(&joining.name);
+        }
+        if joining.is_slow {
+            let until = now + EXCLUSION_TIMEOUTS * self.give_up_timeout();
+            self.excluded_until.insert(joining.name.clone(), until);
+        }
+    }
+
+    /// Removes a member that lags. It is not added again at once, so that an unstable one does not
+    /// cost a change each time.
+    fn exclude(&mut self, now: Micros, lagging: Name, members: &mut BTreeSet<Name>) {
+        members.remove(&lagging);
+        let until = now + EXCLUSION_TIMEOUTS * self.settings.acknowledgement_timeout;
+        self.excluded_until.insert(lagging, until);
+    }
+
+    /// Returns the next gateway to catch up, if there is one.
+    fn next_replica(&self, now: Micros, id: ShardId, members: &BTreeSet<Name>) -> Option<Name> {
+        let is_eligible = |name: &Name| {
+            let excluded_until = self.excluded_until.get(name);
+            *name != self.settings.name
+                && self.sets.disks.contains_key(name)
+                && self.is_reachable(now, name)
+                && excluded_until.is_none_or(|until| *until <= now)
+        };
+        placement::next_replica(id, &self.settings.hosts, members, is_eligible)
+    }
+
+    /// Returns whether no recent proposal of a shard is waiting to be agreed on.
+    pub(super) fn can_propose(&self, now: Micros, id: ShardId) -> bool {
+        let interval = self.settings.acknowledgement_timeout / 2;
+        self.primary(id).is_some_and(|primary| {
+            primary
+                .proposed_at
+                .is_none_or(|proposed_at| proposed_at + interval <= now)
+        })
+    }
+
+    /// Notes the time of a proposal.
+    pub(super) fn note_proposal(&mut self, now: Micros, id: ShardId) {
+        if let Some(primary) = self.primary_mut(id) {
+            primary.proposed_at = Some(now);
+        }
+    }
+
+    /// Returns the set of a shard of which this process is the primary.
+    fn own_set(&self, id: ShardId) -> ReplicaSet {
+        self.primary(id)
+            .map_or_else(ReplicaSet::default, |primary| ReplicaSet {
+                epoch: primary.epoch,
+                primary: Some(self.settings.name.clone()),
+                members: primary.members.clone(),
+                ..ReplicaSet::default()
+            })
+    }
+
+    /// Hands a shard over to a reachable member that has the whole log, if there is one.
+    fn hand_over_to_successor(&mut self, now: Micros, id: ShardId) {
+        let Some(primary) = self.primary(id) else {
+            return;
+        };
+        let successor = primary
+            .successor(&self.settings.name)
+            .filter(|name| self.is_reachable(now, name));
+        if let Some(successor) = successor.filter(|_| self.can_propose(now, id)) {
+            self.hand_over_to(now, id, successor);
+        }
+    }
+
+    /// Proposes another member as the primary. Its process is not known here, so it proposes an
+    /// epoch of its own then.
+    pub(super) fn hand_over_to(&mut self, now: Micros, shard: ShardId, successor: Name) {
+        let Some(primary) = self.primary_mut(shard) else {
+            return;
+        };
+        primary.proposed_at = Some(now);
+        let change = MembershipChange {
+            shard,
+            previous_epoch: primary.epoch,
+            members: primary.members.clone(),
+            proposer: self.settings.name.clone(),
+            primary: successor,
+            process: 0,
+            joining: None,
+        };
+        self.outputs
+            .push_back(Output::Propose(Entry::ChangeMembers(change)));
+    }
+
+    /// Proposes this process as the primary of a shard with the given members.
+    fn propose(
+        &mut self,
+        now: Micros,
+        shard: ShardId,
+        current: &ReplicaSet,
+        members: BTreeSet<Name>,
+    ) {
+        self.note_proposal(now, shard);
+        let me = self.settings.name.clone();
+        // The disk that has caught up is named, because it may be lost before the change is agreed
+        // on.
+        let added = members
+            .difference(&current.members)
+            .find(|name| **name != me);
+        let joining = added.and_then(|name| {
+            let disk = self.sets.disks.get(name)?;
+            Some((name.clone(), disk.id))
+        });
+        let change = MembershipChange {
+            shard,
+            previous_epoch: current.epoch,
+            proposer: me.clone(),
+            primary: me,
+            process: self.settings.process,
+            members,
+            joining,
+        };
+        self.outputs
+            .push_back(Output::Propose(Entry::ChangeMembers(change)));
+    }
+}
--- a/src/replication/shard.rs
+++ b/src/replication/shard.rs
@@ -1,288 +1,342 @@
-//! One shard at one gateway: what its disk holds, what the log says, and what a copy answers to whoever sends.
+//! One shard at one gateway: its replica set, what the disk holds, and the replies to the primary's
+//! messages.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
+use super::config::DisabledGuards;
 use super::error::Declined;
 use super::primary::Primary;
-use super::sets::ReplicaSet;
-use super::wire::{Message, MAX_SNAPSHOT_BYTES};
-use super::{Epoch, LogPosition, Name, ShardId};
+use super::replica_sets::ReplicaSet;
+use super::wire::{Message, RecordMessage, SnapshotPartMessage, MAX_SNAPSHOT_BYTES};
+use super::{Epoch, LogPosition, Name, SequenceNumber, ShardId};
 use crate::api::Micros;
 
-/// A snapshot that is coming.
+/// A snapshot of which parts have arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Coming {
+struct IncomingSnapshot {
     epoch: Epoch,
-    place: LogPosition,
-    next: u32,
+    position: LogPosition,
+    next_part: u32,
     bytes: Vec<u8>,
 }
 
-/// What is on its way to the disk here.
+/// The kind of a write to the disk.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum WriteKind {
+    /// One record.
+    Record,
+    /// A snapshot, which replaces the content.
+    Snapshot,
+}
+
+/// A write that is on its way to the disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Pending {
-    /// Under which epoch it came.
+pub struct PendingWrite {
+    /// The epoch under which it came.
     pub epoch: Epoch,
-    /// From whom; none if this process leads.
+    /// The primary that sent it; none if this process is the primary.
     pub from: Option<Name>,
-    /// Where it leads.
-    pub place: LogPosition,
-    /// Whether it is a snapshot.
-    pub whole: bool,
+    /// The position after it.
+    pub position: LogPosition,
+    /// What is written.
+    pub kind: WriteKind,
 }
 
-/// What a copy does with what it was sent.
+/// What a replica does with a message of its primary.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taken {
-    /// Say something to whoever sent.
-    Say(Message),
-    /// Have a record on the disk.
-    Store(LogPosition, Arc<[u8]>),
-    /// Have a snapshot take the place of what the disk holds.
-    Install(LogPosition, Vec<u8>),
-    /// An older primary was refused.
-    Declined(Declined),
+pub enum ReplicaAction {
+    /// Send a message to the primary.
+    Reply(Message),
+    /// Write a record to the disk.
+    StoreRecord(LogPosition, Arc<[u8]>),
+    /// Replace the content of the disk by a snapshot.
+    InstallSnapshot(LogPosition, Vec<u8>),
+    /// Decline the message.
+    Decline(Declined),
+}
+
+/// A write that has reached the disk, and the messages that report it.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct CompletedWrite {
+    /// The write; none if none was pending.
+    pub write: Option<PendingWrite>,
+    /// Messages with their recipients.
+    pub messages: Vec<(Name, Message)>,
+}
+
+/// Whether the sender of a message is the primary of this shard's epoch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Sender {
+    Primary,
+    /// The sender's epoch is not known here yet; it sends again until it is.
+    Unknown,
 }
 
 /// One shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Shard {
-    /// What the log says.
-    pub set: ReplicaSet,
-    /// The last record that came, on the disk or on its way there.
-    pub place: LogPosition,
-    /// What is on its way there, in order.
-    pub pending: VecDeque<Pending>,
-    /// Since when the oldest of it is.
-    pub since: Option<Micros>,
-    /// The ranges that are not what was written, if the disk was found to be damaged.
-    pub unsound: Option<Vec<u8>>,
+    id: ShardId,
     /// This process.
-    pub process: u64,
-    /// Whether it was told that a damaged disk waits for another that has the shard whole.
-    pub waiting: bool,
-    /// The shard while it is led here.
-    pub leading: Option<Primary>,
-    coming: Option<Coming>,
-    /// Who waits to hear how far the disk has come.
-    waits: Option<(Name, Epoch)>,
+    process: u64,
+    /// The agreed replica set.
+    pub set: ReplicaSet,
+    /// The position of the last record, on the disk or on its way there.
+    pub position: LogPosition,
+    /// Writes on their way to the disk, in order.
+    pub pending: VecDeque<PendingWrite>,
+    /// Since when the oldest of them is.
+    pub pending_since: Option<Micros>,
+    /// The ranges whose rows do not match their checksums, if the disk was found to be damaged.
+    pub corrupt_ranges: Option<Vec<u8>>,
+    /// Whether it was reported that this damaged disk waits for another member.
+    pub wait_reported: bool,
+    /// The primary, while it is this process.
+    pub primary: Option<Primary>,
+    incoming: Option<IncomingSnapshot>,
+    /// The primary that waits for this replica's position, and its epoch.
+    position_query: Option<(Name, Epoch)>,
 }
 
 impl Shard {
-    /// One that is not known of yet, at a process.
-    pub fn of(process: u64) -> Shard {
+    /// Creates a shard of which nothing is known yet.
+    pub fn new(id: ShardId, process: u64) -> Shard {
         Shard {
+            id,
             process,
             ..Shard::default()
         }
     }
 
-    /// How far the disk has come.
-    pub fn stored(&self) -> u64 {
-        self.pending.front().map_or(self.place.number, |_| {
-            self.pending.front().map_or(0, |p| {
-                if p.whole {
-                    0
-                } else {
-                    p.place.number.saturating_sub(1)
-                }
-            })
-        })
+    /// Returns the number of the last record on the disk; 0 while a snapshot replaces the content.
+    pub fn stored(&self) -> SequenceNumber {
+        match self.pending.front() {
+            None => self.position.number,
+            Some(write) => match write.kind {
+                WriteKind::Record => write.position.number.saturating_sub(1),
+                WriteKind::Snapshot => 0,
+            },
+        }
     }
 
-    /// Something is on its way to the disk here.
-    pub fn push(&mut self, now: Micros, pending: Pending) {
-        self.since.get_or_insert(now);
-        self.pending.push_back(pending);
+    /// Notes a write that is on its way to the disk.
+    pub fn push_write(&mut self, now: Micros, write: PendingWrite) {
+        self.pending_since.get_or_insert(now);
+        self.pending.push_back(write);
     }
 
-    /// Whether the disk here has had nothing to say for so long, although it owes something.
-    pub fn is_stuck(&self, now: Micros, stall: Micros) -> bool {
-        self.since.is_some_and(|t| t + stall <= now)
+    /// Returns whether no write has reached the disk for a timeout.
+    pub fn is_stuck(&self, now: Micros, timeout: Micros) -> bool {
+        self.pending_since
+            .is_some_and(|since| since + timeout <= now)
     }
 
-    fn epoch_of(
+    fn check_sender(
         &self,
-        shard: ShardId,
         from: &Name,
         epoch: Epoch,
-        without: bool,
-    ) -> Result<bool, Declined> {
-        if without {
-            return Ok(true);
+        disabled_guards: DisabledGuards,
+    ) -> Result<Sender, Declined> {
+        if disabled_guards.epoch_check {
+            return Ok(Sender::Primary);
         }
         if epoch < self.set.epoch {
             return Err(Declined::Stale {
-                shard,
+                shard: self.id,
                 theirs: epoch,
                 ours: self.set.epoch,
             });
         }
-        // Of an epoch that was not heard of here yet: said again until it is.
-        Ok(epoch == self.set.epoch && self.set.primary.as_ref() == Some(from))
+        if epoch == self.set.epoch && self.set.primary.as_ref() == Some(from) {
+            Ok(Sender::Primary)
+        } else {
+            Ok(Sender::Unknown)
+        }
+    }
+
+    fn position_message(&self, epoch: Epoch) -> Message {
+        Message::Position {
+            shard: self.id,
+            epoch,
+            position: self.position,
+            process: self.process,
+        }
     }
 
-    /// The primary asks how far this copy has come.
-    pub fn asked(
+    /// Answers the primary's query for the position; only once all pending writes are on the disk.
+    pub fn query_position(
         &mut self,
-        shard: ShardId,
         from: &Name,
         epoch: Epoch,
-        without: bool,
-    ) -> Option<Taken> {
-        match self.epoch_of(shard, from, epoch, without) {
-            Err(e) => Some(Taken::Declined(e)),
-            Ok(false) => None,
-            Ok(true) if self.unsound.is_some() => Some(Taken::Say(Message::Corrupt(shard, epoch))),
-            Ok(true) if self.pending.is_empty() => Some(Taken::Say(Message::Position(
-                shard,
-                epoch,
-                self.place,
-                self.process,
-            ))),
-            Ok(true) => {
-                self.waits = Some((from.clone(), epoch));
-                None
-            }
+        disabled_guards: DisabledGuards,
+    ) -> Option<ReplicaAction> {
+        match self.check_sender(from, epoch, disabled_guards) {
+            Err(declined) => return Some(ReplicaAction::Decline(declined)),
+            Ok(Sender::Unknown) => return None,
+            Ok(Sender::Primary) => {}
+        }
+        if self.corrupt_ranges.is_some() {
+            return Some(ReplicaAction::Reply(Message::Corrupt(self.id, epoch)));
         }
+        if !self.pending.is_empty() {
+            self.position_query = Some((from.clone(), epoch));
+            return None;
+        }
+        Some(ReplicaAction::Reply(self.position_message(epoch)))
     }
 
-    /// A record came.
-    #[allow(clippy::too_many_arguments)]
-    pub fn record(
+    /// Takes a record of the primary, if it follows the last one; otherwise reports the position.
+    pub fn receive_record(
         &mut self,
         now: Micros,
-        shard: ShardId,
         from: &Name,
-        (epoch, before): (Epoch, LogPosition),
-        bytes: Vec<u8>,
-        without: (bool, bool),
-    ) -> Option<Taken> {
-        match self.epoch_of(shard, from, epoch, without.0) {
-            Err(e) => return Some(Taken::Declined(e)),
-            Ok(false) => return None,
-            Ok(true) => {}
+        record: RecordMessage,
+        disabled_guards: DisabledGuards,
+    ) -> Option<ReplicaAction> {
+        let RecordMessage { epoch, before, .. } = record;
+        match self.check_sender(from, epoch, disabled_guards) {
+            Err(declined) => return Some(ReplicaAction::Decline(declined)),
+            Ok(Sender::Unknown) => return None,
+            Ok(Sender::Primary) => {}
         }
-        let fits = before == self.place || without.1 && before.number == self.place.number;
-        if self.leading.is_some() || !fits {
+        let is_next = before == self.position
+            || disabled_guards.chain_check && before.number == self.position.number;
+        if self.primary.is_some() || !is_next {
             return self
-                .asked(shard, from, epoch, without.0)
-                .filter(|_| self.leading.is_none());
+                .query_position(from, epoch, disabled_guards)
+                .filter(|_| self.primary.is_none());
         }
-        self.coming = None;
-        self.place = before.advance(&bytes);
-        let (from, place) = (Some(from.clone()), self.place);
-        self.push(
-            now,
-            Pending {
-                epoch,
-                from,
-                place,
-                whole: false,
-            },
-        );
-        Some(Taken::Store(self.place, bytes.into()))
+        self.incoming = None;
+        self.position = before.advance(&record.bytes);
+        let write = PendingWrite {
+            epoch,
+            from: Some(from.clone()),
+            position: self.position,
+            kind: WriteKind::Record,
+        };
+        self.push_write(now, write);
+        Some(ReplicaAction::StoreRecord(
+            self.position,
+            record.bytes.into(),
+        ))
     }
 
-    /// A part of a snapshot came.
-    #[allow(clippy::too_many_arguments)]
-    pub fn part(
+    /// Takes a part of a snapshot of the primary.
+    pub fn receive_snapshot_part(
         &mut self,
         now: Micros,
-        shard: ShardId,
         from: &Name,
-        epoch: Epoch,
-        place: LogPosition,
-        (part, last): (u32, bool),
-        bytes: &[u8],
-        without: bool,
-    ) -> Vec<Taken> {
-        match self.epoch_of(shard, from, epoch, without) {
-            Err(e) => return vec![Taken::Declined(e)],
-            Ok(false) => return Vec::new(),
-            Ok(true) if self.leading.is_some() => return Vec::new(),
-            Ok(true) => {}
+        message: &SnapshotPartMessage,
+        disabled_guards: DisabledGuards,
+    ) -> Vec<ReplicaAction> {
+        match self.check_sender(from, message.epoch, disabled_guards) {
+            Err(declined) => return vec![ReplicaAction::Decline(declined)],
+            Ok(Sender::Primary) if self.primary.is_none() => {}
+            Ok(_) => return Vec::new(),
         }
-        if part == 0 {
-            self.coming = Some(Coming {
-                epoch,
-                place,
-                next: 0,
+        if message.part == 0 {
+            self.incoming = Some(IncomingSnapshot {
+                epoch: message.epoch,
+                position: message.position,
+                next_part: 0,
                 bytes: Vec::new(),
             });
         }
-        let of = |c: &&mut Coming| c.epoch == epoch && c.place == place;
-        let Some(coming) = self.coming.as_mut().filter(of) else {
+        let incoming = self.incoming.as_mut().filter(|incoming| {
+            incoming.epoch == message.epoch && incoming.position == message.position
+        });
+        let Some(incoming) = incoming.filter(|incoming| message.part <= incoming.next_part) else {
             return Vec::new();
         };
-        if part > coming.next {
-            return Vec::new();
-        }
-        let took = Taken::Say(Message::SnapshotPartReceived(shard, epoch, part));
-        if part < coming.next {
-            return vec![took];
+        let received = ReplicaAction::Reply(Message::SnapshotPartReceived {
+            shard: self.id,
+            epoch: message.epoch,
+            part: message.part,
+        });
+        if message.part < incoming.next_part {
+            return vec![received];
         }
-        if coming.bytes.len() + bytes.len() > MAX_SNAPSHOT_BYTES {
-            self.coming = None;
-            return vec![Taken::Declined(Declined::TooLong {
-                shard,
-                most: MAX_SNAPSHOT_BYTES,
+        if incoming.bytes.len() + message.bytes.len() > MAX_SNAPSHOT_BYTES {
+            self.incoming = None;
+            return vec![ReplicaAction::Decline(Declined::TooLong {
+                shard: self.id,
+                max: MAX_SNAPSHOT_BYTES,
             })];
         }
-        coming.bytes.extend(bytes);
-        coming.next += 1;
-        if !last {
-            return vec![took];
+        incoming.bytes.extend(&message.bytes);
+        incoming.next_part += 1;
+        if !message.is_last {
+            return vec![received];
         }
-        let bytes = std::mem::take(&mut coming.bytes);
-        self.coming = None;
-        self.place = place;
-        self.push(
-            now,
-            Pending {
-                epoch,
-                from: Some(from.clone()),
-                place,
-                whole: true,
-            },
-        );
-        vec![took, Taken::Install(place, bytes)]
+        vec![received, self.install_incoming(now, from, message)]
+    }
+
+    fn install_incoming(
+        &mut self,
+        now: Micros,
+        from: &Name,
+        last_part: &SnapshotPartMessage,
+    ) -> ReplicaAction {
+        let snapshot = self.incoming.take();
+        let bytes = snapshot.map_or_else(Vec::new, |snapshot| snapshot.bytes);
+        self.position = last_part.position;
+        let write = PendingWrite {
+            epoch: last_part.epoch,
+            from: Some(from.clone()),
+            position: last_part.position,
+            kind: WriteKind::Snapshot,
+        };
+        self.push_write(now, write);
+        ReplicaAction::InstallSnapshot(last_part.position, bytes)
     }
 
-    /// The oldest that was on its way is on the disk: what it was, and what is to be said to whom.
-    pub fn kept(
+    /// Notes that the oldest pending write has reached the disk.
+    pub fn write_persisted(
         &mut self,
         now: Micros,
-        shard: ShardId,
-        without: bool,
-    ) -> (Option<Pending>, Vec<(Name, Message)>) {
-        let Some(done) = self.pending.pop_front() else {
-            return (None, Vec::new());
+        disabled_guards: DisabledGuards,
+    ) -> CompletedWrite {
+        let Some(write) = self.pending.pop_front() else {
+            return CompletedWrite::default();
         };
-        self.since = (!self.pending.is_empty()).then_some(now);
-        if done.whole {
-            // All of it was written anew.
-            (self.unsound, self.waiting) = (None, false);
+        self.pending_since = (!self.pending.is_empty()).then_some(now);
+        if write.kind == WriteKind::Snapshot {
+            // All rows were written anew.
+            self.corrupt_ranges = None;
+            self.wait_reported = false;
+        }
+        let mut messages = Vec::new();
+        // A write of an older epoch is reported by the position only, which the current primary
+        // compares.
+        let is_current = disabled_guards.epoch_check || write.epoch == self.set.epoch;
+        if let Some(from) = write.from.clone().filter(|_| is_current && self.counts()) {
+            let acknowledge = Message::Acknowledge {
+                shard: self.id,
+                epoch: write.epoch,
+                number: write.position.number,
+                process: self.process,
+            };
+            messages.push((from, acknowledge));
         }
-        let mut said = Vec::new();
-        // What came under an older epoch is told by its place only, which whoever leads now compares.
-        let counts = self.leading.is_none()
-            && self.unsound.is_none()
-            && (without || done.epoch == self.set.epoch);
-        if let Some(from) = done.from.clone().filter(|_| counts) {
-            said.push((
-                from,
-                Message::Acknowledge(shard, done.epoch, done.place.number, self.process),
-            ));
+        messages.extend(self.deferred_position());
+        CompletedWrite {
+            write: Some(write),
+            messages,
         }
-        if self.pending.is_empty() {
-            if let Some((to, epoch)) = self.waits.take() {
-                if epoch == self.set.epoch && self.leading.is_none() && self.unsound.is_none() {
-                    said.push((to, Message::Position(shard, epoch, self.place, self.process)));
-                }
-            }
+    }
+
+    /// Returns the position for a query that had to wait for pending writes.
+    fn deferred_position(&mut self) -> Option<(Name, Message)> {
+        if !self.pending.is_empty() {
+            return None;
         }
-        (Some(done), said)
+        let (primary, epoch) = self.position_query.take()?;
+        let is_current = epoch == self.set.epoch;
+        (is_current && self.counts()).then(|| (primary, self.position_message(epoch)))
+    }
+
+    /// Returns whether this replica's acknowledgements count.
+    fn counts(&self) -> bool {
+        self.primary.is_none() && self.corrupt_ranges.is_none()
     }
 }
