--- /dev/null
+++ b/src/replication/tests/simulation.rs
@@ -0,0 +1,466 @@
+//! Gateways on a virtual clock, over a network that loses, repeats and delays messages, with disks
+//! that fail.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+
+use rand_chacha::rand_core::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+use crate::api::Micros;
+use crate::replication::config::{DisabledGuards, Settings};
+use crate::replication::error::ReplicationError;
+use crate::replication::history::HistoryEvent;
+use crate::replication::placement::Host;
+use crate::replication::replica_sets::{Entry, ReplicaSet, ReplicaSets};
+use crate::replication::replicator::{Input, Replicator};
+use crate::replication::wire::{Message, RequestOutcome};
+use crate::replication::{LogPosition, Name, ShardId};
+
+mod outputs;
+mod verdict;
+
+/// A millisecond.
+pub(super) const MS: Micros = 1_000;
+/// Shards of a simulation.
+pub(super) const SHARDS: u16 = 4;
+
+/// The content of a disk.
+#[derive(Clone, Debug, Default)]
+pub(super) struct DiskImage {
+    id: u64,
+    incarnation: u64,
+    pub(super) shards: BTreeMap<ShardId, Vec<Vec<u8>>>,
+    /// Shards with a row that has changed by itself.
+    damaged: BTreeSet<ShardId>,
+}
+
+impl DiskImage {
+    /// Changes a record. The position of the shard is stored elsewhere, and stays.
+    pub(super) fn damage(&mut self, shard: ShardId) -> bool {
+        let records = self.shards.get_mut(&shard);
+        let Some(record) = records.and_then(|records| records.first_mut()) else {
+            return false;
+        };
+        record[0] ^= 0x80;
+        self.damaged.insert(shard)
+    }
+}
+
+/// Returns the position after some records.
+pub(super) fn position_after(records: &[Vec<u8>]) -> LogPosition {
+    records
+        .iter()
+        .fold(LogPosition::default(), |position, record| {
+            position.advance(record)
+        })
+}
+
+enum Write {
+    Record(ShardId, Vec<u8>),
+    Snapshot(ShardId, Vec<Vec<u8>>),
+}
+
+/// A gateway of a simulation.
+pub(super) struct SimulatedGateway {
+    /// The replicator, while the process runs.
+    pub(super) replicator: Option<Replicator>,
+    pub(super) disk: DiskImage,
+    /// Writes on their way to the disk, with the time at which they reach it.
+    writes: VecDeque<(Micros, Write)>,
+    /// Whether the process is stopped, and goes on later.
+    pub(super) stopped: bool,
+    /// Whether the disk is full and completes no writes.
+    pub(super) disk_full: bool,
+    /// Records that the disk reports as written and loses when the process ends.
+    pub(super) lost_records: usize,
+    /// Whether changes of the replica sets do not arrive.
+    pub(super) ignores_changes: bool,
+    /// The index of the last state of the replica sets that has arrived.
+    seen_state: usize,
+}
+
+impl SimulatedGateway {
+    fn new() -> SimulatedGateway {
+        SimulatedGateway {
+            replicator: None,
+            disk: DiskImage::default(),
+            writes: VecDeque::new(),
+            stopped: false,
+            disk_full: false,
+            lost_records: 0,
+            ignores_changes: false,
+            seen_state: 0,
+        }
+    }
+}
+
+enum Event {
+    Message {
+        from: usize,
+        to: usize,
+        message: Message,
+    },
+    Entry(Entry),
+}
+
+/// A record that was appended.
+pub(super) struct AppendedRecord {
+    shard: ShardId,
+    bytes: Vec<u8>,
+}
+
+/// A response to a request.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Response {
+    pub(super) gateway: usize,
+    pub(super) waiter: u64,
+    pub(super) outcome: RequestOutcome,
+}
+
+/// A request that a primary handles.
+#[derive(Clone, Debug)]
+pub(super) struct HandledRequest {
+    pub(super) from: Name,
+    pub(super) number: u64,
+}
+
+/// A simulation of some gateways.
+pub(super) struct Simulation {
+    pub(super) now: Micros,
+    random: ChaCha8Rng,
+    pub(super) gateways: Vec<SimulatedGateway>,
+    /// All states of the replica sets.
+    states: Vec<Arc<ReplicaSets>>,
+    events: BTreeMap<(Micros, u64), Event>,
+    last_event: u64,
+    /// The percentage of messages that are lost.
+    pub(super) loss_percent: u64,
+    /// Pairs of sender and recipient whose messages are lost.
+    pub(super) partitions: BTreeSet<(usize, usize)>,
+    /// Whether entries are agreed on.
+    pub(super) has_quorum: bool,
+    replicas: usize,
+    disabled_guards: DisabledGuards,
+    last_process: u64,
+    pub(super) last_waiter: u64,
+    /// The records that were appended, by their waiters.
+    pub(super) appended: BTreeMap<u64, AppendedRecord>,
+    /// The waiters of the records that were committed.
+    pub(super) committed: BTreeSet<u64>,
+    pub(super) rejections: Vec<ReplicationError>,
+    /// Events of the histories, by gateway.
+    pub(super) history: Vec<(usize, HistoryEvent)>,
+    pub(super) responses: Vec<Response>,
+    pub(super) requests: Vec<HandledRequest>,
+}
+
+/// Returns the name of a gateway.
+pub(super) fn gateway_name(index: usize) -> Name {
+    format!("g{index}").into()
+}
+
+/// Returns the index of a gateway.
+pub(super) fn gateway_index(name: &Name) -> usize {
+    name[1..].parse().unwrap()
+}
+
+impl Simulation {
+    pub(super) fn new(
+        gateways: usize,
+        replicas: usize,
+        seed: u64,
+        disabled_guards: DisabledGuards,
+    ) -> Simulation {
+        let mut simulation = Simulation {
+            now: 1_000 * MS,
+            random: ChaCha8Rng::seed_from_u64(seed),
+            gateways: (0..gateways).map(|_| SimulatedGateway::new()).collect(),
+            states: vec![Arc::default()],
+            events: BTreeMap::new(),
+            last_event: 0,
+            loss_percent: 0,
+            partitions: BTreeSet::new(),
+            has_quorum: true,
+            replicas,
+            disabled_guards,
+            last_process: 0,
+            last_waiter: 0,
+            appended: BTreeMap::new(),
+            committed: BTreeSet::new(),
+            rejections: Vec::new(),
+            history: Vec::new(),
+            responses: Vec::new(),
+            requests: Vec::new(),
+        };
+        for index in 0..gateways {
+            simulation.gateways[index].disk.id = simulation.random.next_u64();
+            simulation.start(index);
+        }
+        simulation
+    }
+
+    /// Draws a number below a limit.
+    pub(super) fn random_below(&mut self, limit: u64) -> u64 {
+        self.random.next_u64() % limit
+    }
+
+    fn settings(&mut self, index: usize) -> Settings {
+        self.last_process += 1;
+        let host = |index| Host {
+            name: gateway_name(index),
+            hall: Some(format!("h{}", index % 3)),
+        };
+        Settings {
+            name: gateway_name(index),
+            process: self.last_process,
+            copies: self.replicas,
+            shards: SHARDS,
+            failure_timeout: 400 * MS,
+            acknowledgement_timeout: 200 * MS,
+            request_timeout: 500 * MS,
+            max_repairs: 2,
+            verify_interval: 500 * MS,
+            hosts: (0..self.gateways.len()).map(host).collect(),
+            disabled_guards: self.disabled_guards,
+        }
+    }
+
+    /// Starts a process.
+    pub(super) fn start(&mut self, index: usize) {
+        let settings = self.settings(index);
+        let gateway = &mut self.gateways[index];
+        gateway.disk.incarnation += 1;
+        gateway.writes.clear();
+        gateway.stopped = false;
+        gateway.replicator = Some(Replicator::new(settings, self.now));
+        gateway.seen_state = 0;
+        let shards = gateway.disk.shards.iter();
+        let input = Input::Disk {
+            id: gateway.disk.id,
+            incarnation: gateway.disk.incarnation,
+            positions: shards
+                .map(|(shard, records)| (*shard, position_after(records)))
+                .collect(),
+        };
+        self.handle(index, input);
+        self.deliver_state(index);
+    }
+
+    /// Ends a process. Some of the writes on their way to the disk reach it.
+    pub(super) fn kill(&mut self, index: usize) {
+        let writes = self.gateways[index].writes.len() as u64;
+        let completed = self.random_below(writes + 1);
+        for _ in 0..completed {
+            self.complete_write(index);
+        }
+        let gateway = &mut self.gateways[index];
+        gateway.replicator = None;
+        gateway.writes.clear();
+        for records in gateway.disk.shards.values_mut() {
+            records.truncate(records.len().saturating_sub(gateway.lost_records));
+        }
+    }
+
+    /// Loses a machine with its disk; the next start is on an empty disk.
+    pub(super) fn lose(&mut self, index: usize) {
+        self.kill(index);
+        let id = self.random.next_u64();
+        self.gateways[index].disk = DiskImage {
+            id,
+            ..DiskImage::default()
+        };
+    }
+
+    /// Delivers the latest state of the replica sets to a gateway.
+    fn deliver_state(&mut self, index: usize) {
+        let last = self.states.len() - 1;
+        if self.gateways[index].seen_state < last || last == 0 {
+            self.gateways[index].seen_state = last;
+            let sets = self.states[last].clone();
+            self.handle(index, Input::SetsChanged(sets));
+        }
+    }
+
+    /// Completes the oldest write of a disk, and returns its shard.
+    fn complete_write(&mut self, index: usize) -> Option<ShardId> {
+        let gateway = &mut self.gateways[index];
+        let (_, write) = gateway.writes.pop_front()?;
+        match write {
+            Write::Record(shard, record) => {
+                gateway.disk.shards.entry(shard).or_default().push(record);
+                Some(shard)
+            }
+            Write::Snapshot(shard, records) => {
+                gateway.disk.shards.insert(shard, records);
+                gateway.disk.damaged.remove(&shard);
+                Some(shard)
+            }
+        }
+    }
+
+    /// Passes an input to a replicator, and performs its outputs.
+    pub(super) fn handle(&mut self, index: usize, input: Input) {
+        let now = self.now;
+        let Some(replicator) = &mut self.gateways[index].replicator else {
+            return;
+        };
+        replicator.handle(now, input);
+        let mut outputs = Vec::new();
+        while let Some(output) = replicator.next_output() {
+            outputs.push(output);
+        }
+        for output in outputs {
+            self.perform(index, output);
+        }
+    }
+
+    /// Schedules an event at a random time within a span.
+    fn schedule(&mut self, span: Micros, event: Event) {
+        self.last_event += 1;
+        let at = self.now + 1 + self.random_below(span);
+        self.events.insert((at, self.last_event), event);
+    }
+
+    /// Lets time pass.
+    pub(super) fn run(&mut self, span: Micros) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now += MS;
+            let later = self.events.split_off(&(self.now, u64::MAX));
+            for (_, event) in std::mem::replace(&mut self.events, later) {
+                self.dispatch(event);
+            }
+            for index in 0..self.gateways.len() {
+                self.step_gateway(index);
+            }
+        }
+    }
+
+    fn dispatch(&mut self, event: Event) {
+        match event {
+            Event::Message { from, to, message } if !self.gateways[to].stopped => {
+                self.handle(to, Input::Received(gateway_name(from), message));
+            }
+            // The operating system keeps the message until the process goes on.
+            Event::Message { .. } => self.schedule(50 * MS, event),
+            Event::Entry(entry) => {
+                let mut sets = (**self.states.last().unwrap()).clone();
+                sets.apply(&entry);
+                self.states.push(Arc::new(sets));
+            }
+        }
+    }
+
+    fn step_gateway(&mut self, index: usize) {
+        if self.gateways[index].replicator.is_none() || self.gateways[index].stopped {
+            return;
+        }
+        while self.is_write_due(index) {
+            if let Some(shard) = self.complete_write(index) {
+                self.handle(index, Input::Persisted(shard));
+            }
+        }
+        // The replica sets arrive late, and at each gateway at another time.
+        if self.random_below(4) == 0 && !self.gateways[index].ignores_changes {
+            self.deliver_state(index);
+        }
+        let replicator = self.gateways[index].replicator.as_ref();
+        let deadline = replicator.map(Replicator::next_deadline);
+        if deadline.is_some_and(|deadline| deadline <= self.now) {
+            self.handle(index, Input::Tick);
+        }
+    }
+
+    fn is_write_due(&self, index: usize) -> bool {
+        let gateway = &self.gateways[index];
+        let next = gateway.writes.front();
+        !gateway.disk_full && next.is_some_and(|(at, _)| *at <= self.now)
+    }
+
+    /// Appends a record at one gateway, and returns its waiter.
+    pub(super) fn append_at(
+        &mut self,
+        index: usize,
+        shard: ShardId,
+        record: Option<Vec<u8>>,
+        min_replicas: usize,
+    ) -> u64 {
+        self.last_waiter += 1;
+        let waiter = self.last_waiter;
+        let bytes = record.unwrap_or_else(|| waiter.to_le_bytes().to_vec());
+        let appended = AppendedRecord {
+            shard,
+            bytes: bytes.clone(),
+        };
+        self.appended.insert(waiter, appended);
+        let input = Input::Append {
+            shard,
+            waiter,
+            record: bytes,
+            min_replicas,
+        };
+        self.handle(index, input);
+        waiter
+    }
+
+    /// Appends a record of a random shard at all gateways that regard themselves as its primary.
+    pub(super) fn append(&mut self, min_replicas: usize) {
+        let shard = 1 + self.random_below(u64::from(SHARDS)) as ShardId;
+        for index in 0..self.gateways.len() {
+            if self.is_primary(index, shard) && !self.gateways[index].stopped {
+                self.append_at(index, shard, None, min_replicas);
+            }
+        }
+    }
+
+    /// Appends records for a span.
+    pub(super) fn run_traffic(&mut self, span: Micros) {
+        let end = self.now + span;
+        while self.now < end {
+            self.append(self.replicas);
+            self.run(10 * MS);
+        }
+    }
+
+    /// Returns whether a gateway regards itself as the primary of a shard.
+    pub(super) fn is_primary(&self, index: usize, shard: ShardId) -> bool {
+        let replicator = self.gateways[index].replicator.as_ref();
+        replicator.is_some_and(|replicator| replicator.is_primary(shard))
+    }
+
+    /// Returns the number of shards of which a gateway regards itself as the primary.
+    pub(super) fn primary_count(&self, index: usize) -> usize {
+        (1..=SHARDS)
+            .filter(|shard| self.is_primary(index, *shard))
+            .count()
+    }
+
+    /// Returns the agreed state.
+    pub(super) fn replica_sets(&self) -> &ReplicaSets {
+        self.states.last().unwrap()
+    }
+
+    /// Returns the agreed set of a shard.
+    pub(super) fn replica_set(&self, shard: ShardId) -> ReplicaSet {
+        self.replica_sets().replica_set(shard)
+    }
+
+    /// Returns the agreed members of a shard.
+    pub(super) fn members(&self, shard: ShardId) -> BTreeSet<Name> {
+        self.replica_set(shard).members
+    }
+
+    /// Returns the agreed primary of a shard.
+    pub(super) fn agreed_primary(&self, shard: ShardId) -> usize {
+        gateway_index(&self.replica_set(shard).primary.unwrap())
+    }
+
+    /// Counts the events of the histories that match.
+    pub(super) fn count_events(&self, matches: impl Fn(&HistoryEvent) -> bool) -> usize {
+        self.history
+            .iter()
+            .filter(|(_, event)| matches(event))
+            .count()
+    }
+}
--- a/src/replication/wire.rs
+++ b/src/replication/wire.rs
@@ -1,51 +1,115 @@
-//! What gateways say to one another of shards; carried and sealed by the council's frames.
+//! Messages between gateways about shards; consensus frames carry and seal them.
+//!
+//! Postcard encodes them, so the order of variants and fields is part of the format.
 
 use serde::{Deserialize, Serialize};
 
 use super::error::{Declined, ReplicationError};
 use super::{Epoch, LogPosition, SequenceNumber, ShardId};
 
-/// Bytes of a record at most.
+/// The maximum size of a record.
 pub const MAX_RECORD_BYTES: usize = 512 << 10;
-/// Bytes of one part of a snapshot.
+/// The size of one part of a snapshot.
 pub const SNAPSHOT_PART_BYTES: usize = 256 << 10;
-/// Bytes of a snapshot at most.
+/// The maximum size of a snapshot.
 pub const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
 
-/// What a frame says.
+/// A message between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Nothing but that it is there.
+    /// The sender is reachable.
     Heartbeat,
-    /// The primary asks how far a copy has come.
+    /// The primary queries how far a replica has come.
     QueryPosition(ShardId, Epoch),
-    /// How far it has come, and which process says so.
-    Position(ShardId, Epoch, LogPosition, u64),
-    /// A record, and the place before it.
-    Record(ShardId, Epoch, LogPosition, Vec<u8>),
-    /// A copy has all up to this on its disk, and which process says so.
-    Acknowledge(ShardId, Epoch, SequenceNumber, u64),
-    /// A part of a snapshot as of a place: which part, whether it is the last, its bytes.
-    SnapshotPart(ShardId, Epoch, LogPosition, u32, bool, Vec<u8>),
-    /// A copy has taken a part of a snapshot.
-    SnapshotPartReceived(ShardId, Epoch, u32),
-    /// A copy does not take what was sent.
+    /// A replica reports its position.
+    Position {
+        /// The shard.
+        shard: ShardId,
+        /// The epoch of the query.
+        epoch: Epoch,
+        /// The position of the replica.
+        position: LogPosition,
+        /// The process that reports it.
+        process: u64,
+    },
+    /// The primary sends a record.
+    Record(RecordMessage),
+    /// A replica has all records up to a number on its disk.
+    Acknowledge {
+        /// The shard.
+        shard: ShardId,
+        /// The epoch under which the last record came.
+        epoch: Epoch,
+        /// The number of the last record.
+        number: SequenceNumber,
+        /// The process that acknowledges it.
+        process: u64,
+    },
+    /// The primary sends a part of a snapshot.
+    SnapshotPart(SnapshotPartMessage),
+    /// A replica has received a part of a snapshot.
+    SnapshotPartReceived {
+        /// The shard.
+        shard: ShardId,
+        /// The epoch under which it came.
+        epoch: Epoch,
+        /// The index of the part.
+        part: u32,
+    },
+    /// A replica does not take what was sent.
     Declined(ShardId, Declined),
-    /// A question for a shard's primary, under a number of who asks.
-    Request(ShardId, u64, Vec<u8>),
-    /// Its answer.
+    /// A request to a shard's primary.
+    Request {
+        /// The shard.
+        shard: ShardId,
+        /// The sender's number of the request.
+        number: u64,
+        /// The request.
+        request: Vec<u8>,
+    },
+    /// The response to a request, by its number.
     Reply(u64, RequestOutcome),
-    /// What a copy's disk holds is not what was written: it counts for nothing until it has a snapshot.
+    /// A replica's disk is damaged: it does not count until it has a snapshot.
     Corrupt(ShardId, Epoch),
 }
 
-/// What a primary answers.
+/// A record for a replica.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct RecordMessage {
+    /// The shard.
+    pub shard: ShardId,
+    /// The primary's epoch.
+    pub epoch: Epoch,
+    /// The position before the record.
+    pub before: LogPosition,
+    /// The record.
+    pub bytes: Vec<u8>,
+}
+
+/// A part of a snapshot for a replica.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct SnapshotPartMessage {
+    /// The shard.
+    pub shard: ShardId,
+    /// The primary's epoch.
+    pub epoch: Epoch,
+    /// The position of the snapshot.
+    pub position: LogPosition,
+    /// The index of the part.
+    pub part: u32,
+    /// Whether this is the last part.
+    pub is_last: bool,
+    /// The part's bytes.
+    pub bytes: Vec<u8>,
+}
+
+/// The outcome of a request to a primary.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// It is promised, and stands on so many machines.
+    /// The record is committed, on this many replicas.
     Committed(u8),
-    /// It is not.
+    /// The record is not committed.
     Rejected(ReplicationError),
-    /// Something was asked for and is told.
+    /// The content that was requested.
     Content(Vec<u8>),
 }
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -15,7 +15,7 @@
 use molelug::lease::{LeaseHolder, LeaseName};
 use molelug::load_coordination::Word;
 use molelug::replication::placement::{replica_order, Host};
-use molelug::replication::sets::{self, Disk, MembershipChange, ReplicaSet, ReplicaSets};
+use molelug::replication::replica_sets::{self, Disk, MembershipChange, ReplicaSet, ReplicaSets};
 use molelug::replication::{shard_of, Epoch, LogPosition, Name, ShardId};
 use molelug::tenancy::replicated::state as tenants;
 use molelug::tenancy::replicated::Origin;
@@ -64,29 +64,29 @@
     }
 }
 
-fn begun() -> sets::Entry {
-    sets::Entry::RegisterDisk {
+fn begun() -> replica_sets::Entry {
+    replica_sets::Entry::RegisterDisk {
         name: "n1".into(),
         disk: disk(),
     }
 }
 
-fn change() -> sets::Entry {
+fn change() -> replica_sets::Entry {
     let members = names(&["n1", "n2"]);
-    sets::Entry::LegacyChange {
+    replica_sets::Entry::LegacyChange {
         shard: 3,
-        was: 0,
-        by: "n4".into(),
+        previous_epoch: 0,
+        proposer: "n4".into(),
         primary: "n1".into(),
         process: 9001,
         members,
     }
 }
 
-fn moved(joins: Option<(Name, u64)>) -> sets::Entry {
+fn moved(joins: Option<(Name, u64)>) -> replica_sets::Entry {
     let (by, primary) = ("n4".into(), "n1".into());
     let members = names(&["n1", "n2", "n5"]);
-    sets::Entry::ChangeMembers(MembershipChange {
+    replica_sets::Entry::ChangeMembers(MembershipChange {
         shard: 3,
         previous_epoch: 6,
         proposer: by,
--- a/tests/stored_data/histories.rs
+++ b/tests/stored_data/histories.rs
@@ -171,7 +171,10 @@
     pins.json("recalled", &HistoryEvent::RecoveredFromFormer { shard: 3 });
     pins.json("lost", &HistoryEvent::DataLost { shard: 4 });
     let chain: replication::ChainDigest = std::array::from_fn(|at| at as u8);
-    pins.line("digest cut to eight bytes", &short_digest(&chain).to_string());
+    pins.line(
+        "digest cut to eight bytes",
+        &short_digest(&chain).to_string(),
+    );
     pins.finish();
 }
 
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -12,8 +12,12 @@
 use molelug::lease::LeaseHolder;
 use molelug::load_coordination::Word as LoadWord;
 use molelug::replication::error::{Declined, ReplicationError};
-use molelug::replication::sets::{Disk, Entry as SetEntry, MembershipChange, ReplicaSet, ReplicaSets};
-use molelug::replication::wire::{Message as ReplicationBody, RequestOutcome};
+use molelug::replication::replica_sets::{
+    Disk, Entry as SetEntry, MembershipChange, ReplicaSet, ReplicaSets,
+};
+use molelug::replication::wire::{
+    Message as ReplicationBody, RecordMessage, RequestOutcome, SnapshotPartMessage,
+};
 use molelug::replication::LogPosition;
 use molelug::tenancy::replicated::state::{
     Answer as KeptAnswer, Entry as TenantEntry, Follows, Line, Tenants,
@@ -145,8 +149,8 @@
             "sets-change",
             Entry::ReplicaSets(SetEntry::LegacyChange {
                 shard: 9,
-                was: 3,
-                by: ALPHA.into(),
+                previous_epoch: 3,
+                proposer: ALPHA.into(),
                 primary: BETA.into(),
                 process: 77,
                 members: names(&[ALPHA, BETA, "gamma"]),
@@ -280,7 +284,10 @@
                 want: 2,
             },
         ),
-        ("unreached", ReplicationError::PrimaryUnreachable { shard: 9 }),
+        (
+            "unreached",
+            ReplicationError::PrimaryUnreachable { shard: 9 },
+        ),
         ("busy", ReplicationError::TooManyRequests { open: 4096 }),
         (
             "behind",
@@ -293,7 +300,7 @@
             "too-long",
             ReplicationError::TooLong {
                 bytes: 600_000,
-                most: 524_288,
+                max: 524_288,
             },
         ),
         ("seen", ReplicationError::DuplicateIdentity),
@@ -301,7 +308,7 @@
         (
             "unknown",
             ReplicationError::Unknown {
-                what: "class".into(),
+                subject: "class".into(),
             },
         ),
         ("full", ReplicationError::PrimaryOverloaded),
@@ -313,19 +320,51 @@
     let mut bodies: Vec<(String, ReplicationBody)> = vec![
         ("here".into(), ReplicationBody::Heartbeat),
         ("where".into(), ReplicationBody::QueryPosition(9, 5)),
-        ("at".into(), ReplicationBody::Position(9, 5, place(), 77)),
+        (
+            "at".into(),
+            ReplicationBody::Position {
+                shard: 9,
+                epoch: 5,
+                position: place(),
+                process: 77,
+            },
+        ),
         (
             "record".into(),
-            ReplicationBody::Record(9, 5, place(), b"a record".to_vec()),
+            ReplicationBody::Record(RecordMessage {
+                shard: 9,
+                epoch: 5,
+                before: place(),
+                bytes: b"a record".to_vec(),
+            }),
+        ),
+        (
+            "has".into(),
+            ReplicationBody::Acknowledge {
+                shard: 9,
+                epoch: 5,
+                number: 301,
+                process: 77,
+            },
         ),
-        ("has".into(), ReplicationBody::Acknowledge(9, 5, 301, 77)),
         (
             "part".into(),
-            ReplicationBody::SnapshotPart(9, 5, place(), 2, true, b"a part".to_vec()),
+            ReplicationBody::SnapshotPart(SnapshotPartMessage {
+                shard: 9,
+                epoch: 5,
+                position: place(),
+                part: 2,
+                is_last: true,
+                bytes: b"a part".to_vec(),
+            }),
         ),
         (
             "took".into(),
-            ReplicationBody::SnapshotPartReceived(9, 5, 2),
+            ReplicationBody::SnapshotPartReceived {
+                shard: 9,
+                epoch: 5,
+                part: 2,
+            },
         ),
         (
             "declined-stale".into(),
@@ -344,13 +383,17 @@
                 9,
                 Declined::TooLong {
                     shard: 9,
-                    most: 64 << 20,
+                    max: 64 << 20,
                 },
             ),
         ),
         (
             "ask".into(),
-            ReplicationBody::Request(9, 15, b"a question".to_vec()),
+            ReplicationBody::Request {
+                shard: 9,
+                number: 15,
+                request: b"a question".to_vec(),
+            },
         ),
         (
             "told-promised".into(),
