--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -11,7 +11,7 @@
 use crate::delivery::EndpointId;
 use crate::front::http::{plain, response, Bad, Request};
 use crate::identity::{Gate, Role};
-use crate::store::records::Op;
+use crate::store::operations::Op;
 use crate::tenancy::{Registry, TenantError};
 
 pub mod consensus;
@@ -206,7 +206,7 @@
         ("GET", ["v1", "peers"]) => Ok(Done::Now(Handled::new(200, cx.fleet.take()))),
         ("GET", ["v1", "council" | "duties"]) => consensus::show(cx),
         ("POST", ["v1", "council", "voters"]) => now(consensus::exchange(r, cx)),
-        ("GET", ["v1", "store"]) => Ok(Done::Ask(Op::Stat)),
+        ("GET", ["v1", "store"]) => Ok(Done::Ask(Op::Stats)),
         (_, ["v1", "tenants"]) => now(tenants::list(r, cx)),
         (_, ["v1", "tenants", name]) => now(tenants::one(r, cx, name)),
         ("POST", ["v1", "tenants", name, "secrets"]) => now(tenants::rotate(r, cx, name)),
--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -11,7 +11,7 @@
 use crate::consensus::config::{bootstrap, fresh, state_of, File};
 use crate::consensus::kept::Record;
 use crate::store::disk::Disk;
-use crate::store::records::Op;
+use crate::store::operations::Op;
 
 /// A council: its disks, which no gateway may hold meanwhile, and what a running gateway knows of it
 #[derive(Clone, Debug, Bpaf)]
@@ -164,7 +164,7 @@
         .into());
     }
     let (mut disk, _) = Disk::open(path, 0, now())?;
-    let kept = disk.commit([Op::Log(Box::new(record))], now())?;
+    let kept = disk.commit([Op::AppendLog(Box::new(record))], now())?;
     Ok(kept.into_iter().try_for_each(|k| k.map(|_| ()))?)
 }
 
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -25,7 +25,8 @@
 use crate::lease::{LeaseName, Term};
 use crate::membership::keys::Keys;
 use crate::store::disk::Disk;
-use crate::store::records::{Op, StoreError};
+use crate::store::error::StoreError;
+use crate::store::operations::Op;
 use crate::store::writer::Writer;
 
 /// Bytes read from one gateway before they are looked at.
@@ -173,7 +174,7 @@
         ));
     }
     let (disk, found) = match Disk::open(path, 0, 0) {
-        Err(StoreError::Held) => return Ok(None),
+        Err(StoreError::Locked) => return Ok(None),
         other => other.map_err(|e| fail(&e))?,
     };
     let kept = PersistentState::found(found.log.0, found.log.1).map_err(|e| fail(&e))?;
@@ -467,7 +468,7 @@
                     .as_ref()
                     .and_then(|h| h.writer.as_ref())
                 {
-                    writer.ask(number, Op::Log(record));
+                    writer.submit(number, Op::AppendLog(record));
                 }
             }
             Output::LeaseBegan(duty, term) => {
@@ -490,7 +491,7 @@
                 self.loads_heard(now, &duty, &from, &content);
             }
             Output::SubsystemChanged => {
-                self.copies_agreed();
+                self.update_replica_sets();
                 self.tenants_agreed(now);
             }
             Output::Record(note) => {
@@ -510,7 +511,7 @@
 
     /// Connections to those whom the member wants to speak with.
     fn meet(&mut self, now: Micros) {
-        let copies = self.copies_peers();
+        let copies = self.replication_peers();
         let Some(hall) = &mut self.cluster.consensus else {
             return;
         };
@@ -571,7 +572,7 @@
             hall.member
                 .handle(uptime(), Input::Disconnected(name.clone()));
         }
-        self.tell_copies(crate::replication::machine::Input::Disconnected(
+        self.notify_replicator(crate::replication::replicator::Input::Disconnected(
             name.clone(),
         ));
     }
@@ -671,7 +672,7 @@
                 self.push(key, &body, net::KEPT_FRAME);
             }
             if let Some(Body::Replication(body)) = body {
-                self.copies_frame(name, body);
+                self.receive_replication_message(name, body);
             } else if let (Some(body), Some(hall)) = (body, &mut self.cluster.consensus) {
                 hall.member.handle(uptime(), Input::Frame(name, body));
             }
@@ -736,7 +737,7 @@
     }
 
     /// What is agreed of shards, as far as it is known here.
-    pub(super) fn agreed_sets(&self) -> Option<crate::replication::sets::ReplicaSets> {
+    pub(super) fn agreed_sets(&self) -> Option<crate::replication::replica_sets::ReplicaSets> {
         self.cluster
             .consensus
             .as_ref()
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -8,9 +8,9 @@
 use calloop::channel;
 use slotmap::{new_key_type, SecondaryMap, SlotMap};
 
-use super::replication::{step, Asked, Waits as Question};
+use super::replication::{fault_injection_point, PrimaryRequest, RequestOrigin};
 use super::*;
-use crate::api::{Arrival, Effect, RequestId};
+use crate::api::Effect;
 use crate::config::{ConfigError, Webhooks};
 use crate::core::Call;
 use crate::delivery::egress::EgressPolicy;
@@ -25,13 +25,18 @@
 use crate::net::KEPT_FRAME;
 use crate::replication::error::ReplicationError;
 use crate::replication::wire::RequestOutcome;
-use crate::replication::{Epoch, LogPosition, Name, ShardId};
+use crate::replication::{Epoch, Name, ShardId};
 use crate::store::disk::Disk;
-use crate::store::keyspace::Memory;
-use crate::store::records::*;
-use crate::store::recovery::{fate, RecoveryAction};
-use crate::store::shared::Shared;
-use crate::store::tables::{Found, Tables};
+use crate::store::error::StoreError;
+use crate::store::keyspace::MemoryKeyspace;
+use crate::store::operations::{
+    AcceptCall, ApplyRetention, BeginAttempt, CompleteCall, FinishAttempt, Op, Reply,
+    RetentionResult,
+};
+use crate::store::records::{AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord};
+use crate::store::recovery::RecoveryAction;
+use crate::store::replicated_op::ReplicatedOp;
+use crate::store::tables::{RecoveredState, Tables};
 use crate::store::writer::Writer;
 use crate::tenancy::{Endpoint, COMPLETED};
 
@@ -41,6 +46,8 @@
 mod shards;
 mod start;
 
+pub(super) use shards::IncomingCall;
+
 new_key_type! {
     /// The slot of a call that came as a webhook.
     pub(super) struct JobKey;
@@ -58,12 +65,12 @@
 const RETAIN_SOON: Micros = 50_000;
 const RETAIN_LATER: Micros = 5_000_000;
 /// Questions to the store that may be open before nothing new is taken.
-const MOST_ASKED: usize = 8192;
+const MAX_PENDING_STORE_OPS: usize = 8192;
 /// How long after the last call the disk is waited for at the end.
 const LAST_WORD: Micros = 2_000_000;
 
 /// Identities of one shard that are remembered at most.
-pub(super) const MOST_MARKS: usize = 65_536;
+pub(super) const MAX_IDENTITIES: usize = 65_536;
 
 /// Who is owed the word that a call is taken.
 #[derive(Clone, Debug)]
@@ -172,7 +179,7 @@
 }
 
 enum Backend {
-    Memory(Box<(Memory, Tables)>),
+    Memory(Box<(MemoryKeyspace, Tables)>),
     Disk(Writer),
 }
 
@@ -220,7 +227,7 @@
     /// Callbacks that wait in memory; those in a file need no room here.
     fn waiting(&self) -> usize {
         match &self.backend {
-            Backend::Memory(both) => both.1.stat().waiting as usize,
+            Backend::Memory(both) => both.1.stats().waiting as usize,
             Backend::Disk(_) => 0,
         }
     }
@@ -238,15 +245,15 @@
         self.last_ask += 1;
         let number = self.last_ask;
         self.asked.insert(number, ask);
-        if let (Some(shard), Some(shared)) = (op.shard(), Shared::of(&op)) {
-            match shared.pack() {
+        if let (Some(shard), Some(shared)) = (op.shard(), ReplicatedOp::from_op(&op)) {
+            match shared.encode() {
                 Ok(bytes) => self.shared.push_back((number, shard, bytes, want)),
                 Err(e) => self.replies.push_back((number, Err(e))),
             }
             return;
         }
         match &mut self.backend {
-            Backend::Disk(writer) => writer.ask(number, op),
+            Backend::Disk(writer) => writer.submit(number, op),
             Backend::Memory(both) => {
                 let (space, tables) = &mut **both;
                 let reply = tables.apply(space, op);
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -37,10 +37,10 @@
                             .as_ref()
                             .map_or(0, |s| s.shard_of(&mark)),
                     );
-                    self.ask_primary(
+                    self.send_to_primary(
                         shard,
-                        &Asked::State(serial, id.clone()),
-                        Question::State(key, id),
+                        &PrimaryRequest::CallState(serial, id.clone()),
+                        RequestOrigin::CallState(key, id),
                     );
                     None
                 }
@@ -49,17 +49,18 @@
                         conn: key,
                         id: id.to_owned(),
                     };
-                    hooks.ask(ask, Op::Call(serial, id.to_owned()));
+                    hooks.ask(ask, Op::GetCall(serial, id.to_owned()));
                     None
                 }
                 Err(bad) => Some(refuse(&bad, stays)),
             };
         }
         // Taken only with room for what follows: what got a 202 is owed a callback.
-        let full =
-            hooks.jobs.len() + hooks.waiting() + hooks.asked.len().saturating_sub(MOST_ASKED)
-                >= hooks.pending;
-        let taken = if full || hooks.asked.len() >= MOST_ASKED {
+        let full = hooks.jobs.len()
+            + hooks.waiting()
+            + hooks.asked.len().saturating_sub(MAX_PENDING_STORE_OPS)
+            >= hooks.pending;
+        let taken = if full || hooks.asked.len() >= MAX_PENDING_STORE_OPS {
             Err(plain(503, "too many calls under way"))
         } else {
             hooks.inbound.take(r, tenants, &self.config.names, now)
@@ -83,7 +84,7 @@
                     expires: a.expires_at,
                     work: a.expected_work,
                     memory_mb: a.memory_mb,
-                    lanes: a.concurrency_per_copy,
+                    concurrency_per_copy: a.concurrency_per_copy,
                     load_time: a.load_duration,
                     body: call.body.to_vec(),
                     order: job.order.clone(),
@@ -91,15 +92,15 @@
                 };
                 if let Some(shard) = self.cluster.replication.as_ref().map(|s| s.shard_of(&mark)) {
                     let left = record.expires.saturating_sub(now);
-                    let asked = Asked::Take(
-                        Box::new(CallRecord {
+                    let request = PrimaryRequest::AcceptCall {
+                        call: Box::new(CallRecord {
                             expires: left,
                             ..record
                         }),
-                        mark,
-                        until,
-                    );
-                    self.ask_primary(shard, &asked, Question::Take(key, mark));
+                        identity: mark,
+                        valid_until: until,
+                    };
+                    self.send_to_primary(shard, &request, RequestOrigin::AcceptCall(key, mark));
                     return None;
                 }
                 let ask = Ask::Take {
@@ -108,7 +109,12 @@
                     seq,
                     mark,
                 };
-                hooks.ask(ask, Op::Take(Box::new(record), mark, until));
+                let accept = AcceptCall {
+                    call: Box::new(record),
+                    identity: mark,
+                    valid_until: until,
+                };
+                hooks.ask(ask, Op::AcceptCall(accept));
                 None
             }
             Err(bad) => {
@@ -146,12 +152,12 @@
                 }
                 (Caller::Gateway(to, number), e) => {
                     let shard = seq.shard();
-                    self.forget_mark(shard, &mark);
+                    self.remove_identity(shard, &mark);
                     let why = match e {
-                        StoreError::NotPromised(why) => why,
-                        _ => ReplicationError::Unreached { shard },
+                        StoreError::NotCommitted(why) => why,
+                        _ => ReplicationError::PrimaryUnreachable { shard },
                     };
-                    self.tell_asker(to, number, RequestOutcome::Rejected(why));
+                    self.respond_to_request(to, number, RequestOutcome::Rejected(why));
                 }
             };
         }
@@ -174,13 +180,13 @@
                 });
             }
             Caller::Gateway(to, number) => {
-                step("call promised");
-                let disks = self.disks_of(seq.shard());
-                self.tell_asker(to, number, RequestOutcome::Committed(disks));
+                fault_injection_point("call promised");
+                let disks = self.replica_count(seq.shard());
+                self.respond_to_request(to, number, RequestOutcome::Committed(disks));
             }
         }
         let request = self.core.call(now, call.with(Origin::Webhook(job)));
-        self.runs(job, request);
+        self.set_call_request(job, request);
     }
 
     /// An attempt of a call that must not run twice waits until it is recorded that it leaves.
@@ -219,7 +225,7 @@
         };
         hooks.guarded.insert(*attempt, id.clone());
         hooks.unrecorded.insert(*attempt, waits);
-        hooks.ask(Ask::Go(*attempt), Op::Sent(seq, now));
+        hooks.ask(Ask::Go(*attempt), Op::SetSent(seq, now));
         true
     }
 
@@ -245,7 +251,7 @@
                 SendProgress::Unsent,
             ));
         }
-        step("intent promised");
+        fault_injection_point("intent promised");
         self.go(
             now, attempt, w.worker, w.id, w.class, w.function, w.expires, &w.body,
         );
@@ -262,11 +268,11 @@
         let Some(guard) = hooks.guards.get_mut(&id) else {
             return;
         };
-        step("attempt answered");
+        fault_injection_point("attempt answered");
         guard.ran |= !never_ran;
         let (seq, ran) = (guard.seq, guard.ran);
         if !ran {
-            hooks.ask(Ask::Quiet, Op::Unsent(seq));
+            hooks.ask(Ask::Quiet, Op::ClearSent(seq));
         }
     }
 
@@ -291,7 +297,7 @@
             .filter(|e| e.wants(COMPLETED))
         {
             let shard = held.seq.shard();
-            let mut m = new_message(hooks.seq_in(shard), e, COMPLETED, now, &body);
+            let mut m = new_message(hooks.next_sequence_number(shard), e, COMPLETED, now, &body);
             m.id = format!("msg_{}", held.id);
             (m.tenant, m.serial) = (held.job.tenant.clone(), held.job.serial);
             m.waiting.effect = held.job.effect;
@@ -310,7 +316,11 @@
         }
         hooks.ask(
             Ask::Publish,
-            Op::Answer(held.seq, outcome.name().into(), messages),
+            Op::CompleteCall(CompleteCall {
+                call: held.seq,
+                outcome: outcome.name().into(),
+                messages,
+            }),
         );
     }
 
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -162,7 +162,7 @@
     }
 
     pub(super) fn portal_ended(&mut self, now: Micros, seq: Seq, report: DeliveryReport) {
-        step("callback answered");
+        fault_injection_point("callback answered");
         if let Some(hooks) = &mut self.secondary.hooks {
             hooks.delivery.handle(now, Input::AttemptEnded(seq, report));
         }
@@ -200,7 +200,7 @@
             .as_mut()
             .ok_or(plain(404, "webhooks are off"))?;
         let limit = match &op {
-            Op::Messages(filter) => Some(filter.limit),
+            Op::ListMessages(filter) => Some(filter.limit),
             _ => None,
         };
         hooks.ask(Ask::Admin { conn, limit, key }, op);
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -50,19 +50,21 @@
                 seq,
                 mark,
             } => self.taken(now, caller, *call, seq, mark, reply),
-            Ask::Disk => self.disk_began(reply),
+            Ask::Disk => self.disk_registered(reply),
             Ask::Record(shard, ticket) => self.record_stored(shard, ticket, reply),
             Ask::Shard(shard, to) => self.shard_read(shard, to, reply),
-            Ask::Lead(shard, epoch) => self.shard_taken_up(now, shard, epoch, reply),
+            Ask::Lead(shard, epoch) => self.shard_state_loaded(now, shard, epoch, reply),
             Ask::Verify => {
                 let found = match reply {
                     Ok(Reply::Verified(found)) => Some(found),
                     _ => None,
                 };
-                self.tell_copies(crate::replication::machine::Input::Verified(found));
+                self.notify_replicator(crate::replication::replicator::Input::Verified(found));
             }
             Ask::Accept(shard) => {
-                self.tell_copies(crate::replication::machine::Input::Accepted(shard));
+                self.notify_replicator(crate::replication::replicator::Input::DamageAccepted(
+                    shard,
+                ));
             }
             Ask::Settled(w, state) => {
                 if reply.is_ok() && state == State::Waiting {
@@ -76,16 +78,16 @@
                         RequestOutcome::Content(postcard::to_stdvec(&state).unwrap_or_default())
                     }
                     _ => RequestOutcome::Rejected(ReplicationError::Unknown {
-                        what: "call".into(),
+                        subject: "call".into(),
                     }),
                 };
-                self.tell_asker(to, number, told);
+                self.respond_to_request(to, number, told);
             }
             Ask::Go(attempt) => self.recorded(now, attempt, reply.is_ok()),
             Ask::Publish | Ask::Quiet => self.now_wait(now, reply),
             Ask::Begin(seq) => match reply {
-                Ok(Reply::Begun(Some(both))) => {
-                    step("callback's intent promised");
+                Ok(Reply::Attempt(Some(both))) => {
+                    fault_injection_point("callback's intent promised");
                     self.attempt(now, both.0, &both.1)
                 }
                 Ok(_) => hooks.delivery.handle(now, Input::MessageRemoved(seq)),
@@ -94,7 +96,7 @@
                     .handle(now, Input::AttemptEnded(seq, DeliveryReport::VOID)),
             },
             Ask::Fetch(id) => match reply {
-                Ok(Reply::Fetched(all, next)) => {
+                Ok(Reply::Due(all, next)) => {
                     hooks.delivery.handle(now, Input::Fetched(id, all, next))
                 }
                 // The disk is sick: asked again after a while, and nothing known is lost by it.
@@ -104,15 +106,19 @@
             },
             Ask::Purge(id) => {
                 if matches!(reply, Ok(Reply::More(true))) {
-                    hooks.ask(Ask::Purge(id), Op::Purge(id, RETAINED));
+                    hooks.ask(Ask::Purge(id), Op::PurgeEndpoint(id, RETAINED));
                 }
             }
             Ask::Retain => {
-                let (expired, forward, more) = match reply {
-                    Ok(Reply::Retained(expired, forward, more)) => (expired, forward, more),
-                    _ => (Vec::new(), Vec::new(), false),
+                let RetentionResult {
+                    expired,
+                    released,
+                    more,
+                } = match reply {
+                    Ok(Reply::Retained(result)) => result,
+                    _ => RetentionResult::default(),
                 };
-                forward
+                released
                     .into_iter()
                     .for_each(|w| hooks.delivery.handle(now, Input::MessagePending(w)));
                 for seq in expired {
@@ -131,10 +137,10 @@
             }
             Ask::Admin { conn, limit, key } => {
                 let waits = match &reply {
-                    Ok(Reply::Waits(all)) => all.clone(),
+                    Ok(Reply::Queued(all)) => all.clone(),
                     _ => Vec::new(),
                 };
-                self.now_wait(now, Ok(Reply::Waits(waits)));
+                self.now_wait(now, Ok(Reply::Queued(waits)));
                 self.answer_asked(now, conn, limit, key, reply);
             }
         }
@@ -165,7 +171,7 @@
     }
 
     pub(super) fn now_wait(&mut self, now: Micros, reply: Result<Reply, StoreError>) {
-        let (Some(hooks), Ok(Reply::Waits(all))) = (&mut self.secondary.hooks, reply) else {
+        let (Some(hooks), Ok(Reply::Queued(all))) = (&mut self.secondary.hooks, reply) else {
             return;
         };
         all.into_iter()
@@ -177,8 +183,14 @@
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
-        let (age, bytes) = hooks.retention;
-        hooks.ask(Ask::Retain, Op::Retain(now, age, bytes, RETAINED));
+        let (max_age, max_bytes) = hooks.retention;
+        let retention = ApplyRetention {
+            now,
+            max_age,
+            max_bytes,
+            limit: RETAINED,
+        };
+        hooks.ask(Ask::Retain, Op::ApplyRetention(retention));
     }
 
     pub(super) fn deliver(&mut self, now: Micros, output: Output) {
@@ -187,10 +199,15 @@
         };
         match output {
             Output::Begin { seq, recorded, .. } => {
-                hooks.ask(Ask::Begin(seq), Op::Begin(seq, recorded, now))
+                let begin = BeginAttempt {
+                    message: seq,
+                    durable: recorded,
+                    at: now,
+                };
+                hooks.ask(Ask::Begin(seq), Op::BeginAttempt(begin))
             }
-            Output::Fetch(id, limit) => hooks.ask(Ask::Fetch(id), Op::Fetch(id, limit)),
-            Output::Purge(id) => hooks.ask(Ask::Purge(id), Op::Purge(id, RETAINED)),
+            Output::Fetch(id, limit) => hooks.ask(Ask::Fetch(id), Op::FetchDue(id, limit)),
+            Output::Purge(id) => hooks.ask(Ask::Purge(id), Op::PurgeEndpoint(id, RETAINED)),
             Output::Persist {
                 message,
                 state,
@@ -218,7 +235,14 @@
                         "an attempt has ended"
                     );
                 }
-                hooks.ask(Ask::Publish, Op::Ended(Box::new(message), state, attempt));
+                hooks.ask(
+                    Ask::Publish,
+                    Op::FinishAttempt(FinishAttempt {
+                        waiting: Box::new(message),
+                        state,
+                        attempt,
+                    }),
+                );
                 if state.is_over() {
                     self.count(&message, state);
                     let record =
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -12,8 +12,12 @@
 use molelug::lease::LeaseHolder;
 use molelug::load_coordination::Word as LoadWord;
 use molelug::replication::error::{Declined, ReplicationError};
-use molelug::replication::sets::{Disk, Entry as SetEntry, Move, ReplicaSet, ReplicaSets};
-use molelug::replication::wire::{Body as ReplicationBody, RequestOutcome};
+use molelug::replication::replica_sets::{
+    Disk, Entry as SetEntry, MembershipChange, ReplicaSet, ReplicaSets,
+};
+use molelug::replication::wire::{
+    Message as ReplicationBody, RecordMessage, RequestOutcome, SnapshotPartMessage,
+};
 use molelug::replication::LogPosition;
 use molelug::tenancy::replicated::state::{
     Answer as KeptAnswer, Entry as TenantEntry, Follows, Line, Tenants,
@@ -56,7 +60,7 @@
 fn disk() -> Disk {
     Disk {
         id: 0xd15c,
-        boot: 4,
+        incarnation: 4,
         process: 77,
     }
 }
@@ -103,14 +107,14 @@
 }
 
 fn set_move(joins: Option<(Arc<str>, u64)>) -> SetEntry {
-    SetEntry::Move(Move {
+    SetEntry::ChangeMembers(MembershipChange {
         shard: 9,
-        was: 4,
-        by: ALPHA.into(),
+        previous_epoch: 4,
+        proposer: ALPHA.into(),
         primary: BETA.into(),
         process: 77,
         members: names(&[ALPHA, BETA]),
-        joins,
+        joining: joins,
     })
 }
 
@@ -136,17 +140,17 @@
         ("voters", Entry::Voters(voters())),
         (
             "sets-begun",
-            Entry::ReplicaSets(SetEntry::Begun {
+            Entry::ReplicaSets(SetEntry::RegisterDisk {
                 name: ALPHA.into(),
                 disk: disk(),
             }),
         ),
         (
             "sets-change",
-            Entry::ReplicaSets(SetEntry::Change {
+            Entry::ReplicaSets(SetEntry::LegacyChange {
                 shard: 9,
-                was: 3,
-                by: ALPHA.into(),
+                previous_epoch: 3,
+                proposer: ALPHA.into(),
                 primary: BETA.into(),
                 process: 77,
                 members: names(&[ALPHA, BETA, "gamma"]),
@@ -178,8 +182,8 @@
         primary: Some(ALPHA.into()),
         process: 77,
         members: names(&[ALPHA, BETA]),
-        former: BTreeMap::from([("gamma".into(), 4)]),
-        whole: 3,
+        former_members: BTreeMap::from([("gamma".into(), 4)]),
+        full_size: 3,
     };
     let sets = ReplicaSets {
         disks: BTreeMap::from([(ALPHA.into(), disk())]),
@@ -266,7 +270,7 @@
         ),
         (
             "deposed",
-            ReplicationError::Deposed {
+            ReplicationError::Superseded {
                 shard: 9,
                 ours: 4,
                 theirs: 5,
@@ -274,17 +278,20 @@
         ),
         (
             "fewer",
-            ReplicationError::Fewer {
+            ReplicationError::TooFewReplicas {
                 shard: 9,
                 have: 1,
                 want: 2,
             },
         ),
-        ("unreached", ReplicationError::Unreached { shard: 9 }),
-        ("busy", ReplicationError::Busy { open: 4096 }),
+        (
+            "unreached",
+            ReplicationError::PrimaryUnreachable { shard: 9 },
+        ),
+        ("busy", ReplicationError::TooManyRequests { open: 4096 }),
         (
             "behind",
-            ReplicationError::Behind {
+            ReplicationError::ReplicationLag {
                 shard: 9,
                 bytes: 70_000,
             },
@@ -293,19 +300,19 @@
             "too-long",
             ReplicationError::TooLong {
                 bytes: 600_000,
-                most: 524_288,
+                max: 524_288,
             },
         ),
-        ("seen", ReplicationError::Seen),
-        ("late", ReplicationError::Late { shard: 9 }),
+        ("seen", ReplicationError::DuplicateIdentity),
+        ("late", ReplicationError::IdentityExpired { shard: 9 }),
         (
             "unknown",
             ReplicationError::Unknown {
-                what: "class".into(),
+                subject: "class".into(),
             },
         ),
-        ("full", ReplicationError::Full),
-        ("leaving", ReplicationError::Leaving),
+        ("full", ReplicationError::PrimaryOverloaded),
+        ("leaving", ReplicationError::ShuttingDown),
     ]
 }
 
@@ -313,19 +320,51 @@
     let mut bodies: Vec<(String, ReplicationBody)> = vec![
         ("here".into(), ReplicationBody::Heartbeat),
         ("where".into(), ReplicationBody::QueryPosition(9, 5)),
-        ("at".into(), ReplicationBody::Position(9, 5, place(), 77)),
+        (
+            "at".into(),
+            ReplicationBody::Position {
+                shard: 9,
+                epoch: 5,
+                position: place(),
+                process: 77,
+            },
+        ),
         (
             "record".into(),
-            ReplicationBody::Record(9, 5, place(), b"a record".to_vec()),
+            ReplicationBody::Record(RecordMessage {
+                shard: 9,
+                epoch: 5,
+                before: place(),
+                bytes: b"a record".to_vec(),
+            }),
+        ),
+        (
+            "has".into(),
+            ReplicationBody::Acknowledge {
+                shard: 9,
+                epoch: 5,
+                number: 301,
+                process: 77,
+            },
         ),
-        ("has".into(), ReplicationBody::Acknowledge(9, 5, 301, 77)),
         (
             "part".into(),
-            ReplicationBody::SnapshotPart(9, 5, place(), 2, true, b"a part".to_vec()),
+            ReplicationBody::SnapshotPart(SnapshotPartMessage {
+                shard: 9,
+                epoch: 5,
+                position: place(),
+                part: 2,
+                is_last: true,
+                bytes: b"a part".to_vec(),
+            }),
         ),
         (
             "took".into(),
-            ReplicationBody::SnapshotPartReceived(9, 5, 2),
+            ReplicationBody::SnapshotPartReceived {
+                shard: 9,
+                epoch: 5,
+                part: 2,
+            },
         ),
         (
             "declined-stale".into(),
@@ -344,13 +383,17 @@
                 9,
                 Declined::TooLong {
                     shard: 9,
-                    most: 64 << 20,
+                    max: 64 << 20,
                 },
             ),
         ),
         (
             "ask".into(),
-            ReplicationBody::Request(9, 15, b"a question".to_vec()),
+            ReplicationBody::Request {
+                shard: 9,
+                number: 15,
+                request: b"a question".to_vec(),
+            },
         ),
         (
             "told-promised".into(),
