--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -9,7 +9,7 @@
 
 use super::ask::{at, plain, At};
 use crate::consensus::config::{bootstrap, fresh, state_of, File};
-use crate::consensus::kept::Record;
+use crate::consensus::persistent_state::Record;
 use crate::store::disk::Disk;
 use crate::store::records::Op;
 
--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -7,7 +7,7 @@
 
 use serde::Deserialize;
 
-use super::kept::{Head, LogLine, PersistentState, Record};
+use super::persistent_state::{Head, LogLine, PersistentState, Record};
 use super::state::State;
 use super::{bootstrap_voter, ReplicaId, MAX_VOTERS};
 use crate::config::ConfigError;
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -1,24 +1,20 @@
 //! The agreed log: a few gateways, the voters, agree on one order of entries; all others follow. No I/O.
 //!
-//! [`machine`] is the value that a voter drives: the registry's `raft` with pre-vote and quorum check, fed with `now` and
-//! messages, its records handed out to be kept before anything is said on their ground. [`kept`] is what a voter's disk
-//! holds; [`state`] what the entries come to; [`memory`] what voters remember of one another, and with it the refusal of one
-//! whose disk is not the one it had; [`wire`] the frames; [`follow`] how members that do not vote keep up.
+//! [`voter`] is the value that a voter drives: the registry's `raft` with pre-vote and quorum check, fed with `now` and
+//! messages, its records handed out to be kept before anything is said on their ground. [`persistent_state`] is what a voter's disk
+//! holds; [`state`] what the entries come to; [`peer_memory`] what voters remember of one another, and with it the refusal of one
+//! whose disk is not the one it had; [`wire`] the frames; [`learners`] how members that do not vote keep up.
 //!
 //! Nothing here is on a call's way. What is kept by id: voters (at most [`MAX_VOTERS`]), duties (the ledger's bound), members
-//! that follow (at most [`follow::MAX_LEARNERS`], let go of when silent), entries (a snapshot every [`machine::ENTRIES_PER_SNAPSHOT`]).
+//! that follow (at most [`learners::MAX_LEARNERS`], let go of when silent), entries (a snapshot every [`voter::ENTRIES_PER_SNAPSHOT`]).
 
 pub mod config;
-pub mod follow;
-pub mod kept;
-pub mod machine;
-pub mod member;
-#[cfg(test)]
-mod member_tests;
-pub mod memory;
+pub mod learners;
+pub mod participant;
+pub mod peer_memory;
+pub mod persistent_state;
 pub mod state;
-#[cfg(test)]
-mod tests;
+pub mod voter;
 pub mod wire;
 
 /// A voter's seat: a number drawn when its disk was made. A new disk is a new seat, whatever its name.
--- a/src/consensus/member.rs
+++ b/src/consensus/participant/mod.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::follow::{CatchUp, Learner, LearnerProgress, MAX_CATCH_UP_ENTRIES};
-use super::kept::{PersistentState, Record};
-use super::machine::{self, DisabledVoterGuards, Voter};
-use super::memory::KnownState;
-use super::state::{Entry, State, SubsystemEntry};
-use super::wire::{Body, Forwarded, LeaseEffect, LeaseReport};
-use super::ReplicaId;
 use crate::api::Micros;
+use crate::consensus::learners::{CatchUp, Learner, LearnerProgress, MAX_CATCH_UP_ENTRIES};
+use crate::consensus::peer_memory::KnownState;
+use crate::consensus::persistent_state::{PersistentState, Record};
+use crate::consensus::state::{Entry, State, SubsystemEntry};
+use crate::consensus::voter::{self, DisabledVoterGuards, Voter};
+use crate::consensus::wire::{Body, Forwarded, LeaseEffect, LeaseReport};
+use crate::consensus::ReplicaId;
 use crate::lease::fence::{Fence, FenceError};
 use crate::lease::grantor::{self, GrantReason, LeaseGrantor};
 use crate::lease::holder::{self, HolderState, RenewReply, RenewRequest};
@@ -35,7 +35,7 @@
     /// How long leases last.
     pub lease: crate::lease::Settings,
     /// How the voters keep time.
-    pub voter: machine::Settings,
+    pub voter: voter::Settings,
     /// Draws spans.
     pub seed: u64,
     /// Guards taken out, for tests.
@@ -467,7 +467,7 @@
                     self.follower.lost(now);
                 }
             }
-            Input::Persisted(number) => self.council_handle(now, machine::Input::Persisted(number)),
+            Input::Persisted(number) => self.council_handle(now, voter::Input::Persisted(number)),
             Input::SetEligible(able) => self.holder.handle(now, holder::Input::SetEligible(able)),
             Input::Act(duty, content) => self.act(now, duty, content),
             Input::Report(duty, content) => {
@@ -494,17 +494,17 @@
                         .map(|(s, _)| *s)
                 };
                 let leaves = leaves.and_then(old);
-                self.council_handle(now, machine::Input::Exchange { joins, leaves });
+                self.council_handle(now, voter::Input::Exchange { joins, leaves });
             }
             Input::Tick => {}
         }
-        self.council_handle(now, machine::Input::Tick);
+        self.council_handle(now, voter::Input::Tick);
         self.grantor.handle(now, grantor::Input::Tick);
         self.holder.handle(now, holder::Input::Tick);
         self.settle(now);
     }
 
-    fn council_handle(&mut self, now: Micros, input: machine::Input<'_>) {
+    fn council_handle(&mut self, now: Micros, input: voter::Input<'_>) {
         if let Some(c) = &mut self.voter {
             c.handle(now, input);
         }
@@ -528,7 +528,7 @@
                 self.settings
                     .contacts
                     .iter()
-                    .find(|n| super::bootstrap_voter(generation, n) == seat)
+                    .find(|n| crate::consensus::bootstrap_voter(generation, n) == seat)
                     .cloned()
             })
             .or_else(|| self.heard.get(&seat).cloned())
@@ -544,7 +544,10 @@
             .voter
             .as_ref()
             .is_some_and(|c| c.state().voters.is_empty());
-        if new && self.heard.len() < super::MAX_VOTERS && self.settings.contacts.contains(name) {
+        if new
+            && self.heard.len() < crate::consensus::MAX_VOTERS
+            && self.settings.contacts.contains(name)
+        {
             self.heard.insert(seat, name.clone());
         }
         new
@@ -571,7 +574,7 @@
                 if generation == self.generation() && self.is_seat_of(seat, from) {
                     self.council_handle(
                         now,
-                        machine::Input::Message {
+                        voter::Input::Message {
                             from: seat,
                             boots,
                             process,
@@ -582,13 +585,13 @@
             }
             Body::RecallRequest(generation, seat, own) => {
                 if generation == self.generation() && self.is_seat_of(seat, from) {
-                    self.council_handle(now, machine::Input::RecallRequest { from: seat, own });
+                    self.council_handle(now, voter::Input::RecallRequest { from: seat, own });
                 }
             }
             Body::RecallReply(generation, seat, known, by) => {
                 let own = self.voter.as_ref().map(Voter::seat) == Some(seat);
                 if generation == self.generation() && own && self.is_seat_of(by, from) {
-                    self.council_handle(now, machine::Input::RecallReply { from: by, known });
+                    self.council_handle(now, voter::Input::RecallReply { from: by, known });
                 }
             }
             Body::RenewLeases(ask, via) => self.asked(now, from, ask, via.map(Into::into)),
@@ -899,36 +902,36 @@
         }
     }
 
-    fn of_council(&mut self, now: Micros, output: machine::Output) {
+    fn of_council(&mut self, now: Micros, output: voter::Output) {
         let Some(c) = &self.voter else { return };
         let (generation, seat) = (self.generation(), c.seat());
         match output {
-            machine::Output::Send(to, bytes) => {
+            voter::Output::Send(to, bytes) => {
                 let (boots, process) = (c.boots(), c.process());
                 if let Some(to) = self.name_of(to) {
                     self.say(to, Body::Raft(generation, seat, boots, process, bytes));
                 }
             }
-            machine::Output::Recall(own) => {
+            voter::Output::Recall(own) => {
                 for to in self.peers() {
                     self.say(to, Body::RecallRequest(generation, seat, own));
                 }
             }
-            machine::Output::Recalled(to, known) => {
+            voter::Output::Recalled(to, known) => {
                 let known: KnownState = known;
                 if let Some(name) = self.name_of(to) {
                     self.say(name, Body::RecallReply(generation, to, known, seat));
                 }
             }
-            machine::Output::Persist(number, record) => {
+            voter::Output::Persist(number, record) => {
                 self.outputs.push_back(Output::Persist(number, record))
             }
-            machine::Output::Applied(_, Entry::ReplicaSets(_) | Entry::Tenants(_), _)
+            voter::Output::Applied(_, Entry::ReplicaSets(_) | Entry::Tenants(_), _)
                 if self.voted =>
             {
                 self.outputs.push_back(Output::SubsystemChanged)
             }
-            machine::Output::Applied(index, entry, held) => {
+            voter::Output::Applied(index, entry, held) => {
                 if let (Entry::Lease(entry), true) = (entry, held) {
                     self.grantor
                         .handle(now, grantor::Input::Applied(entry.clone()));
@@ -937,7 +940,7 @@
                     }
                 }
             }
-            machine::Output::Restored => {
+            voter::Output::Restored => {
                 let (index, ledger) = (c.state().applied, c.state().leases.clone());
                 self.grantor
                     .handle(now, grantor::Input::Restored(ledger.clone()));
@@ -947,30 +950,30 @@
                     self.outputs.push_back(Output::SubsystemChanged);
                 }
             }
-            machine::Output::BecameLeader => {
+            voter::Output::BecameLeader => {
                 let term = c.term();
                 self.note(HistoryEvent::Leads { term });
                 self.grantor.handle(now, grantor::Input::BecameLeader);
             }
-            machine::Output::LostLeadership => {
+            voter::Output::LostLeadership => {
                 self.note(HistoryEvent::Follows);
                 self.grantor.handle(now, grantor::Input::LostLeadership);
                 self.routes.clear();
             }
-            machine::Output::Confirmed(number) => {
+            voter::Output::Confirmed(number) => {
                 self.grantor.handle(now, grantor::Input::Confirmed(number))
             }
-            machine::Output::Retired(why) => self.note(HistoryEvent::Retired { why }),
+            voter::Output::Retired(why) => self.note(HistoryEvent::Retired { why }),
         }
     }
 
     fn of_grantor(&mut self, now: Micros, output: grantor::Output) {
         match output {
             grantor::Output::Confirm(number) => {
-                self.council_handle(now, machine::Input::Confirm(number))
+                self.council_handle(now, voter::Input::Confirm(number))
             }
             grantor::Output::Propose(entry) => {
-                self.council_handle(now, machine::Input::Propose(Entry::Lease(entry)))
+                self.council_handle(now, voter::Input::Propose(Entry::Lease(entry)))
             }
             grantor::Output::Reply(answer) => {
                 let via = self.routes.get(&answer.to).and_then(|(_, via)| via.clone());
@@ -1030,3 +1033,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/consensus/member_tests.rs
+++ b/src/consensus/participant/tests.rs
@@ -3,12 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::config::{bootstrap, fresh, kept_of};
-use super::kept::{PersistentState, Record};
-use super::machine;
-use super::member::{DisabledGuards, HistoryEvent, Input, Output, Participant, Settings};
-use super::wire::{Body, LeaseEffect};
 use crate::api::Micros;
+use crate::consensus::config::{bootstrap, fresh, kept_of};
+use crate::consensus::participant::{
+    DisabledGuards, HistoryEvent, Input, Output, Participant, Settings,
+};
+use crate::consensus::persistent_state::{PersistentState, Record};
+use crate::consensus::voter;
+use crate::consensus::wire::{Body, LeaseEffect};
 use crate::lease::{LeaseName, Term};
 
 const MS: Micros = 1_000;
@@ -75,7 +77,7 @@
                 duration: LEASE,
                 drift_ppm: 1_000,
             },
-            voter: machine::Settings { tick: 20 * MS },
+            voter: voter::Settings { tick: 20 * MS },
             seed: n as u64 * 77 + 5,
             disabled_guards: self.guards,
         };
@@ -479,7 +481,8 @@
     let state = rig.members[owner].as_ref().unwrap().state().clone();
     let record = bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).unwrap();
     let anew = kept_of(&record);
-    let state: super::state::State = postcard::from_bytes(&anew.head.snapshot.3).unwrap();
+    let state: crate::consensus::state::State =
+        postcard::from_bytes(&anew.head.snapshot.3).unwrap();
     let stands = state.leases.record(&duty());
     assert!(stands.holder.is_none() && stands.term > term + 1_000_000);
     assert!(
--- a/src/consensus/machine.rs
+++ b/src/consensus/voter/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Around `raft`'s `RawNode`, which is a machine without I/O: its records are numbered and handed out, and what it says on
 //! their ground waits until the driver reports them kept; its random spans are replaced by spans that follow from the seed
-//! and the term, so that the emulator replays exactly; a new process says nothing before [`super::memory`] has cleared it; and
+//! and the term, so that the emulator replays exactly; a new process says nothing before [`crate::consensus::peer_memory`] has cleared it; and
 //! a panic of `raft`'s own, which a damaged disk can cause, ends the voting and not the gateway.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -14,11 +14,11 @@
 use raft::eraftpb::{ConfChange, ConfChangeType, EntryType, Message, MessageType};
 use raft::{Config, RawNode, StateRole, Storage};
 
-use super::kept::{DamagedState, Head, LogLine, PersistentState, Record};
-use super::memory::{compare, KnownState, PeerMemory, Probation, StateLoss};
-use super::state::{Entry, State};
-use super::{ReplicaId, MAX_VOTERS};
 use crate::api::Micros;
+use crate::consensus::peer_memory::{compare, KnownState, PeerMemory, Probation, StateLoss};
+use crate::consensus::persistent_state::{DamagedState, Head, LogLine, PersistentState, Record};
+use crate::consensus::state::{Entry, State};
+use crate::consensus::{ReplicaId, MAX_VOTERS};
 
 /// Ticks without a leader's word after which a voter asks for votes, at least; at most twice as many.
 const ELECTION: usize = 10;
@@ -768,3 +768,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/consensus/tests.rs
+++ b/src/consensus/voter/tests.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use super::kept::{DamagedState, Head, LogLine, PersistentState, Record};
-use super::machine::{
+use crate::api::Micros;
+use crate::consensus::peer_memory::KnownState;
+use crate::consensus::persistent_state::{DamagedState, Head, LogLine, PersistentState, Record};
+use crate::consensus::state::Entry;
+use crate::consensus::voter::{
     DisabledVoterGuards, Input, Output, Settings, Voter, VoterError, ENTRIES_PER_SNAPSHOT,
 };
-use super::memory::KnownState;
-use super::state::Entry;
-use super::*;
-use crate::api::Micros;
+use crate::consensus::{bootstrap_voter, config, ReplicaId};
 use crate::lease::ledger;
 use crate::lease::LeaseHolder;
 
@@ -488,18 +488,18 @@
         term: 3,
         kept: (3, 9),
     };
-    assert!(super::memory::compare(own(4, 1), own(3, 9)).is_ok());
-    assert!(super::memory::compare(own(4, 1), own(4, 1)).is_ok());
-    assert!(super::memory::compare(own(4, 1), own(4, 2)).is_err());
-    assert!(super::memory::compare(own(4, 1), own(5, 2)).is_err());
+    assert!(crate::consensus::peer_memory::compare(own(4, 1), own(3, 9)).is_ok());
+    assert!(crate::consensus::peer_memory::compare(own(4, 1), own(4, 1)).is_ok());
+    assert!(crate::consensus::peer_memory::compare(own(4, 1), own(4, 2)).is_err());
+    assert!(crate::consensus::peer_memory::compare(own(4, 1), own(5, 2)).is_err());
     // Written over since: entries kept in an older term need not be there any more.
     let later = KnownState {
         term: 5,
         kept: (5, 8),
         ..own(4, 1)
     };
-    assert!(super::memory::compare(later, own(3, 9)).is_ok());
-    assert!(super::memory::compare(
+    assert!(crate::consensus::peer_memory::compare(later, own(3, 9)).is_ok());
+    assert!(crate::consensus::peer_memory::compare(
         KnownState {
             kept: (3, 8),
             ..own(4, 1)
--- a/src/consensus/wire.rs
+++ b/src/consensus/wire/mod.rs
@@ -11,9 +11,9 @@
 use prost::Message as _;
 use serde::{Deserialize, Serialize};
 
-use super::memory::KnownState;
-use super::state::{Entry, State, SubsystemEntry};
-use super::ReplicaId;
+use crate::consensus::peer_memory::KnownState;
+use crate::consensus::state::{Entry, State, SubsystemEntry};
+use crate::consensus::ReplicaId;
 use crate::lease::holder::{RenewReply, RenewRequest};
 use crate::lease::{LeaseName, Term};
 use crate::membership::is_name;
@@ -331,78 +331,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::membership::keys::tests::each;
-
-    fn both() -> (Session, Session) {
-        let mut a = Session::connector("a", "b", challenge("a", 1, 1));
-        let b = Session::acceptor("b", challenge("b", 2, 1));
-        assert_eq!(
-            a.take(&each(0, 2), &challenge("b", 2, 1)),
-            Ok(Some((CHALLENGE_BYTES, None)))
-        );
-        (a, b)
-    }
-
-    fn effect(number: u64) -> Body {
-        Body::Effect(LeaseEffect {
-            lease: "d".into(),
-            term: 3,
-            holder: "a".into(),
-            number,
-            content: vec![7; 9],
-        })
-    }
-
-    #[test]
-    fn a_frame_counts_once_on_its_connection_for_whom_it_was_meant() {
-        let (ka, kb) = (each(0, 2), each(1, 2));
-        let (mut a, mut b) = both();
-        let one = a.pack(&ka, &effect(1)).unwrap();
-        let two = a.pack(&ka, &effect(2)).unwrap();
-        for cut in 0..one.len() {
-            assert_eq!(b.clone().take(&kb, &one[..cut]), Ok(None));
-        }
-        assert_eq!(b.take(&kb, &one), Ok(Some((one.len(), Some(effect(1))))));
-        assert_eq!(b.clone().take(&kb, &one), Err(FrameError::Replayed));
-        // One that was taken back is missing; the next counts.
-        let three = a.pack(&ka, &effect(3)).unwrap();
-        let mut later = b.clone();
-        assert!(later.take(&kb, &three).is_ok());
-        assert_eq!(later.take(&kb, &two), Err(FrameError::Replayed));
-        // Answers go back; one's own frame sent back does not count.
-        let back = b.pack(&kb, &effect(9)).unwrap();
-        assert_eq!(
-            a.clone().take(&ka, &back),
-            Ok(Some((back.len(), Some(effect(9)))))
-        );
-        assert!(a.take(&ka, &two).is_err());
-        // On another connection it is refused, and by another reader.
-        let mut other = Session::acceptor("b", challenge("b", 2, 2));
-        assert_eq!(other.take(&kb, &one), Err(FrameError::Seal));
-        let mut other = Session::acceptor("c", challenge("b", 2, 1));
-        assert_eq!(other.take(&kb, &one), Err(FrameError::Other));
-    }
-
-    #[test]
-    fn strangers_garbage_and_what_is_too_long_are_refused_by_name() {
-        let (ka, kb) = (each(0, 2), each(1, 2));
-        let (mut a, b) = both();
-        let mut frame = a.pack(&ka, &effect(1)).unwrap();
-        let long = [&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes()[..], &[0; 9]].concat();
-        assert_eq!(b.clone().take(&kb, &long), Err(FrameError::TooLong));
-        assert_eq!(
-            b.clone().take(&kb, &[3, 0, 0, 0, 0xff, 0xff, 0xff]),
-            Err(FrameError::Garbled)
-        );
-        for at in 4..frame.len() {
-            frame[at] ^= 1;
-            assert!(b.clone().take(&kb, &frame).is_err(), "byte {at} changed");
-            frame[at] ^= 1;
-        }
-        assert!(b.clone().take(&kb, &frame).is_ok());
-        let huge = Body::Raft(1, 1, 1, 1, vec![0; MAX_FRAME_BYTES]);
-        assert_eq!(a.pack(&ka, &huge), None);
-    }
-}
+mod tests;
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -16,11 +16,11 @@
 use super::*;
 use crate::config::ConfigError;
 use crate::consensus::config;
-use crate::consensus::kept::PersistentState;
-use crate::consensus::machine;
-use crate::consensus::member::{
+use crate::consensus::participant::{
     DisabledGuards, HistoryEvent, Input, Output, Participant, Settings,
 };
+use crate::consensus::persistent_state::PersistentState;
+use crate::consensus::voter;
 use crate::consensus::wire::{self, Body, LeaseEffect, Session, MAX_FRAME_BYTES};
 use crate::lease::{LeaseName, Term};
 use crate::membership::keys::Keys;
@@ -983,7 +983,7 @@
             duration: f.lease_ms * 1_000,
             drift_ppm: f.drift_ppm,
         },
-        voter: machine::Settings {
+        voter: voter::Settings {
             tick: f.tick_ms * 1_000,
         },
         seed: seed ^ process,
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -1,7 +1,7 @@
 //! Drives the duty `trials`: own outcomes, the list and the owner's word in; pings, reports and advice out. It decides nothing.
 
 use super::*;
-use crate::consensus::member::Input as Say;
+use crate::consensus::participant::Input as Say;
 use crate::health_checks::{Input, Output, Trials, NAME};
 use crate::membership::group::Observed;
 
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -1,7 +1,7 @@
 //! Drives the duties `loads-...`: the module's orders wait for the word of a shard's owner. It decides nothing.
 
 use super::*;
-use crate::consensus::member::Input as Say;
+use crate::consensus::participant::Input as Say;
 use crate::lease::LeaseName;
 use crate::load_coordination::{Input, Loads, Output, Word, LONGEST, PREFIX};
 
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::config::ConfigError;
 use crate::consensus::state::SubsystemEntry;
-use crate::consensus::{member, wire as frames};
+use crate::consensus::{participant, wire as frames};
 use crate::replication::config::{self, Guards, WhenFewer};
 use crate::replication::error::ReplicationError;
 use crate::replication::history::HistoryEvent;
@@ -265,9 +265,9 @@
         match output {
             Output::Send(to, body) => self.say(now, &to, frames::Body::Replication(body)),
             Output::Propose(entry) => {
-                self.tell_member_of_council(member::Input::Submit(SubsystemEntry::ReplicaSets(
-                    entry,
-                )));
+                self.tell_member_of_council(participant::Input::Submit(
+                    SubsystemEntry::ReplicaSets(entry),
+                ));
             }
             Output::Store(shard, place, bytes, ticket) => {
                 hooks.keep_record(shard, place, &bytes, ticket)
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -5,7 +5,7 @@
 
 use crate::admin::{self, Change, Handled};
 use crate::api::Micros;
-use crate::consensus::member::Input as Say;
+use crate::consensus::participant::Input as Say;
 use crate::consensus::state::SubsystemEntry;
 use crate::delivery::EndpointId;
 use crate::front::http::{plain, Bad};
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -3,11 +3,11 @@
 use super::keyspace::{Space, Table};
 use super::records::StoreError;
 use super::tables::{key, number, pack, unpack, TOP};
-use crate::consensus::kept::{Head, LogLine, Record};
+use crate::consensus::persistent_state::{Head, LogLine, Record};
 
 const SEAT: &[u8] = b"seat";
 
-/// Keeps a change, as [`crate::consensus::kept::PersistentState::apply`] makes it in memory.
+/// Keeps a change, as [`crate::consensus::persistent_state::PersistentState::apply`] makes it in memory.
 pub fn keep(space: &mut dyn Space, record: &Record) -> Result<(), StoreError> {
     if record.anew {
         drop_range(space, &[], &TOP)?;
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::{Effect, Micros};
-use crate::consensus::kept::Record;
+use crate::consensus::persistent_state::Record;
 use crate::delivery::response::State;
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::error::ReplicationError;
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -26,7 +26,7 @@
 use super::recovery::settled_with;
 use super::shards;
 use crate::api::{Effect, Micros};
-use crate::consensus::kept::{Head as Seat, LogLine};
+use crate::consensus::persistent_state::{Head as Seat, LogLine};
 use crate::delivery::response::{Dead, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::{LogPosition, ShardId};
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -16,9 +16,9 @@
 use molelug::api::*;
 use molelug::completion::{CloseReason, SendProgress};
 use molelug::consensus::config::{bootstrap, kept_of};
-use molelug::consensus::kept::{PersistentState, Record};
-use molelug::consensus::machine;
-use molelug::consensus::member::{self, DisabledGuards, Output, Participant};
+use molelug::consensus::participant::{self, DisabledGuards, Output, Participant};
+use molelug::consensus::persistent_state::{PersistentState, Record};
+use molelug::consensus::voter;
 use molelug::consensus::wire::{self, Body};
 use molelug::core::{Answer, AttemptKey, AttemptReply, Call, Command, Core, OrderKey, ProbeKey};
 use molelug::health_checks::{self, Trials};
@@ -396,7 +396,7 @@
     fn start(&mut self, n: usize) {
         self.processes += 1;
         let s = &self.scenario;
-        let settings = member::Settings {
+        let settings = participant::Settings {
             name: name(n),
             process: self.processes,
             contacts: (0..s.voters).map(name).collect(),
@@ -405,7 +405,7 @@
                 duration: s.lease_ms * MS,
                 drift_ppm: 1_000,
             },
-            voter: machine::Settings {
+            voter: voter::Settings {
                 tick: s.tick_ms * MS,
             },
             seed: self.ran.seed ^ ((n as u64) << 20),
@@ -587,7 +587,7 @@
                     return;
                 }
                 if let Some(m) = i.member.as_mut() {
-                    m.handle(now, member::Input::Frame(sender, body));
+                    m.handle(now, participant::Input::Frame(sender, body));
                 }
                 self.drive(to);
             }
@@ -603,7 +603,7 @@
                         l.handle(now, load_coordination::Input::Tick);
                     }
                     if let Some(m) = i.member.as_mut() {
-                        m.handle(now, member::Input::Tick);
+                        m.handle(now, participant::Input::Tick);
                     }
                     self.drive(n);
                 }
@@ -630,7 +630,7 @@
                     });
                 }
                 if let Some(m) = i.member.as_mut() {
-                    m.handle(now, member::Input::Persisted(number));
+                    m.handle(now, participant::Input::Persisted(number));
                 }
                 self.drive(who);
             }
@@ -920,12 +920,12 @@
         match output {
             load_coordination::Output::Report(duty, word) => {
                 if let Some(m) = i.member.as_mut() {
-                    m.handle(now, member::Input::Report(duty, text(&word)));
+                    m.handle(now, participant::Input::Report(duty, text(&word)));
                 }
             }
             load_coordination::Output::Tell(duty, word) => {
                 if let Some(m) = i.member.as_mut() {
-                    m.handle(now, member::Input::Act(duty, text(&word)));
+                    m.handle(now, participant::Input::Act(duty, text(&word)));
                 }
             }
             load_coordination::Output::Give(number) => {
@@ -992,15 +992,15 @@
         let duty = || health_checks::NAME.into();
         let input = match output {
             health_checks::Output::Report(w) => {
-                member::Input::Report(duty(), w.0.to_le_bytes().to_vec())
+                participant::Input::Report(duty(), w.0.to_le_bytes().to_vec())
             }
             health_checks::Output::Tell(verdicts) => {
                 let plain = verdicts
                     .into_iter()
                     .flat_map(|(w, ill)| [w.0, u32::from(ill)]);
-                member::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
+                participant::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
             }
-            health_checks::Output::Able(able) => member::Input::SetEligible(able),
+            health_checks::Output::Able(able) => participant::Input::SetEligible(able),
             health_checks::Output::Advise(w, until) => return i.core.rumour(now, w, until),
             health_checks::Output::Try(w) => {
                 let probe = i.core.probe(now, w);
@@ -1093,7 +1093,8 @@
             Output::Record(note) => {
                 if matches!(
                     note,
-                    member::HistoryEvent::Agreed { .. } | member::HistoryEvent::Restored { .. }
+                    participant::HistoryEvent::Agreed { .. }
+                        | participant::HistoryEvent::Restored { .. }
                 ) {
                     self.know_loads(n);
                 }
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use molelug::consensus::kept::{DamagedState, Head, LogLine, PersistentState, Record};
-use molelug::consensus::machine::{DisabledVoterGuards, Settings, Voter};
-use molelug::consensus::memory::KnownState;
+use molelug::consensus::peer_memory::KnownState;
+use molelug::consensus::persistent_state::{DamagedState, Head, LogLine, PersistentState, Record};
 use molelug::consensus::state::{Entry, State, SubsystemEntry};
+use molelug::consensus::voter::{DisabledVoterGuards, Settings, Voter};
 use molelug::consensus::wire::{challenge, LeaseEffect, LeaseReport, Poll};
 use molelug::consensus::{bootstrap_voter, ReplicaId};
 use molelug::lease::fence::Fence;
--- a/tests/stored_data/histories.rs
+++ b/tests/stored_data/histories.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use molelug::consensus::member;
+use molelug::consensus::participant;
 use molelug::lease::LeaseHolder;
 use molelug::replication;
 use molelug::tenancy::replicated;
@@ -11,7 +11,7 @@
 
 #[test]
 fn council_notes_are_written_as_before() {
-    use member::HistoryEvent;
+    use participant::HistoryEvent;
     let duty: Arc<str> = "loads-3".into();
     let owner = LeaseHolder {
         name: "n2".into(),
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -4,7 +4,7 @@
 use std::fmt::Debug;
 use std::sync::Arc;
 
-use molelug::consensus::memory::KnownState;
+use molelug::consensus::peer_memory::KnownState;
 use molelug::consensus::state::{Entry, State, SubsystemEntry};
 use molelug::consensus::wire::{challenge, Body, LeaseEffect, LeaseReport, Poll, Session};
 use molelug::lease::holder::{RenewReply, RenewRequest};
