--- a/src/admin/consensus.rs
+++ b/src/admin/consensus.rs
@@ -1,4 +1,4 @@
-//! The council and its duties as an operator sees them, and the exchange of voters.
+//! Consensus and its leases as an operator sees them, and the exchange of voters.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -10,29 +10,42 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Exchange {
-    /// Who is to vote; it has a seat and follows.
+    /// The gateway to add; it has a replica and polls the leader.
     joins: Option<String>,
-    /// Who is to vote no more.
+    /// The gateway to remove.
     leaves: Option<String>,
 }
 
-fn on(view: &mut Value) -> Result<Value, Bad> {
+/// Takes the view, which is null while consensus is off.
+fn take_view(view: &mut Value) -> Result<Value, Bad> {
     match view.take() {
         Value::Null => Err(plain(404, "the council is off")),
         view => Ok(view),
     }
 }
 
-/// What can be seen.
-pub fn show(cx: &mut Context<'_>) -> Result<Done, Bad> {
-    Ok(Done::Now(Handled::new(200, on(&mut cx.fleet)?)))
+/// Answers with the view of consensus or of leases.
+pub fn show(context: &mut Context<'_>) -> Result<Done, Bad> {
+    let view = take_view(&mut context.fleet)?;
+    Ok(Done::Now(Handled::new(200, view)))
 }
 
-/// One gateway votes from now on, or another no more; one change at a time, the one who comes first.
-pub fn exchange(r: &Request<'_>, cx: &mut Context<'_>) -> Result<Handled, Bad> {
-    let view = on(&mut cx.fleet)?;
-    let Exchange { joins, leaves } = body(r, "not an exchange of voters")?;
-    if joins.iter().chain(&leaves).any(|n| !is_name(n)) || joins.is_none() && leaves.is_none() {
+/// Adds a voter, removes one, or both; consensus makes one change at a time, the addition first.
+pub fn exchange(request: &Request<'_>, context: &mut Context<'_>) -> Result<Handled, Bad> {
+    let view = take_view(&mut context.fleet)?;
+    let exchange: Exchange = body(request, "not an exchange of voters")?;
+    check_exchange(&exchange, &view)?;
+    let mut handled = Handled::new(202, view);
+    let Exchange { joins, leaves } = exchange;
+    handled.changes.push(Change::Voters { joins, leaves });
+    Ok(handled)
+}
+
+fn check_exchange(exchange: &Exchange, view: &Value) -> Result<(), Bad> {
+    let Exchange { joins, leaves } = exchange;
+    let are_names = joins.iter().chain(leaves).all(|name| is_name(name));
+    let is_empty = joins.is_none() && leaves.is_none();
+    if !are_names || is_empty {
         return Err(plain(
             422,
             "names of gateways: who joins, who leaves, or both",
@@ -44,24 +57,16 @@
             "this gateway does not lead the council; 'leader' in GET /v1/council does",
         ));
     }
-    let votes = |n: &String| {
-        view["voters"]
-            .as_object()
-            .is_some_and(|v| v.contains_key(n))
-    };
-    if leaves.as_ref().is_some_and(|n| !votes(n)) {
+    let is_voter = |name: &String| view["voters"].get(name).is_some();
+    if leaves.as_ref().is_some_and(|name| !is_voter(name)) {
         return Err(plain(422, "who is to leave does not vote"));
     }
-    if joins
-        .as_ref()
-        .is_some_and(|n| view["seats"].get(n).is_none())
-    {
+    let has_replica = |name: &String| view["seats"].get(name).is_some();
+    if joins.as_ref().is_some_and(|name| !has_replica(name)) {
         return Err(plain(
             409,
             "who is to join has no seat, or does not follow here",
         ));
     }
-    let mut handled = Handled::new(202, view);
-    handled.changes.push(Change::Voters { joins, leaves });
-    Ok(handled)
+    Ok(())
 }
--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -1,15 +1,18 @@
-//! `molelug council` and `molelug duties`: found a council, make a seat, exchange voters, and see who owns what.
+//! `molelug council` and `molelug duties`: bootstrap voters, make a replica, exchange voters, and show consensus and leases.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use bpaf::Bpaf;
-use serde_json::Value;
+use serde_json::{json, Value};
 
 use super::ask::{at, plain, At};
-use crate::consensus::config::{bootstrap, fresh, state_of, File};
+use crate::consensus::bootstrap::{bootstrap, new_replica, recover_state};
+use crate::consensus::config::File;
 use crate::consensus::persistent_state::Record;
+use crate::consensus::replica_from_hash;
+use crate::consensus::state::State;
 use crate::store::disk::Disk;
 use crate::store::records::Op;
 
@@ -17,11 +20,11 @@
 #[derive(Clone, Debug, Bpaf)]
 pub enum Council {
     /// Make the disk of a founder; to be done once at each founder, with the same names
-    #[bpaf(command)]
-    Found {
+    #[bpaf(command("found"))]
+    Bootstrap {
         /// The council file
-        #[bpaf(long, argument("FILE"))]
-        council: PathBuf,
+        #[bpaf(long("council"), argument("FILE"))]
+        config: PathBuf,
         /// The gateway's name, if the file has none
         #[bpaf(long, argument("NAME"))]
         name: Option<String>,
@@ -36,16 +39,16 @@
         names: Vec<String>,
     },
     /// Make the disk of a seat that nobody has made a voter yet
-    #[bpaf(command)]
-    Seat {
+    #[bpaf(command("seat"))]
+    Replica {
         /// The council file
-        #[bpaf(long, argument("FILE"))]
-        council: PathBuf,
+        #[bpaf(long("council"), argument("FILE"))]
+        config: PathBuf,
     },
     /// Print what a gateway knows of the council
     #[bpaf(command)]
     Show(
-        #[allow(missing_docs)]
+        #[allow(missing_docs)] // A doc comment would become part of the help text.
         #[bpaf(external(at))]
         At,
     ),
@@ -58,7 +61,7 @@
         /// Who is to vote no more
         #[bpaf(long, argument("NAME"))]
         leaves: Option<String>,
-        #[allow(missing_docs)]
+        #[allow(missing_docs)] // A doc comment would become part of the help text.
         #[bpaf(external(at))]
         at: At,
     },
@@ -71,15 +74,19 @@
     /// Say why nobody owns a duty
     #[bpaf(long)]
     explain: bool,
-    #[allow(missing_docs)]
+    #[allow(missing_docs)] // A doc comment would become part of the help text.
     #[bpaf(external(at))]
     at: At,
 }
 
-/// Prints the duties.
-pub fn duties(what: &Duties) -> Result<(), Box<dyn Error>> {
-    let view = what.at.ask("GET", "/v1/duties", "")?;
-    if what.at.json {
+/// Prints the leases.
+///
+/// # Errors
+///
+/// If the gateway cannot be asked.
+pub fn duties(command: &Duties) -> Result<(), Box<dyn Error>> {
+    let view = command.at.ask("GET", "/v1/duties", "")?;
+    if command.at.json {
         println!("{view}");
         return Ok(());
     }
@@ -88,35 +95,41 @@
         plain(&view["name"]),
         plain(&view["leader"])
     );
-    for d in view["duties"].as_array().into_iter().flatten() {
-        print!(
-            "{}  term {}  owner {}",
-            plain(&d["duty"]),
-            plain(&d["term"]),
-            plain(&d["owner"])
-        );
-        if d["mine"] == true {
-            print!("  its own for {} ms more", plain(&d["lease_left_ms"]));
-        }
-        println!();
-        if what.explain && d["why_nobody"] != Value::Null {
-            println!("  {}", why(&plain(&d["why_nobody"])));
-        }
+    for lease in view["duties"].as_array().into_iter().flatten() {
+        print_lease(lease, command.explain);
     }
-    let trials = &view["trials"];
-    if *trials != Value::Null {
+    let health_checks = &view["trials"];
+    if *health_checks != Value::Null {
         println!(
             "trials made here {}, workers held for ill: {}",
-            plain(&trials["trials"]),
-            trials["ill"]
+            plain(&health_checks["trials"]),
+            health_checks["ill"]
         );
     }
     Ok(())
 }
 
-/// Why nobody owns a duty, in a sentence.
-fn why(name: &str) -> &str {
-    match name {
+fn print_lease(lease: &Value, explain: bool) {
+    print!(
+        "{}  term {}  owner {}",
+        plain(&lease["duty"]),
+        plain(&lease["term"]),
+        plain(&lease["owner"])
+    );
+    if lease["mine"] == true {
+        let remaining = plain(&lease["lease_left_ms"]);
+        print!("  its own for {remaining} ms more");
+    }
+    println!();
+    let reason = &lease["why_nobody"];
+    if explain && *reason != Value::Null {
+        println!("  {}", explain_vacancy(&plain(reason)));
+    }
+}
+
+/// Why nobody holds a lease, as a sentence.
+fn explain_vacancy(reason: &str) -> &str {
+    match reason {
         "WaitsOut" => "its last owner's lease may still run, and is waited out",
         "NobodyOffers" => "no gateway that can do it has offered to",
         "Proposed" => "a grant is proposed, and a majority has not agreed to it yet",
@@ -127,8 +140,8 @@
     }
 }
 
-fn show(view: &Value) {
-    let line = |what: &str, key: &str| println!("{what:<18}{}", plain(&view[key]));
+fn print_consensus(view: &Value) {
+    let line = |label: &str, key: &str| println!("{label:<18}{}", plain(&view[key]));
     line("name", "name");
     line("generation", "generation");
     line("leader", "leader");
@@ -140,103 +153,122 @@
     line("followers", "followers");
     line("reached", "reached");
     line("frames refused", "refused");
-    for (name, seat) in view["voters"].as_object().into_iter().flatten() {
-        println!("voter             {name}  seat {}", plain(seat));
+    for (name, replica) in view["voters"].as_object().into_iter().flatten() {
+        println!("voter             {name}  seat {}", plain(replica));
     }
-    for (name, seat) in view["seats"].as_object().into_iter().flatten() {
-        println!("could vote        {name}  seat {}", plain(seat));
+    for (name, replica) in view["seats"].as_object().into_iter().flatten() {
+        println!("could vote        {name}  seat {}", plain(replica));
     }
 }
 
-fn now() -> u64 {
+/// Microseconds since 1970.
+fn unix_micros() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as u64)
+        .map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// Writes a disk that is not there yet: one that is has a seat that others know.
-fn make(path: &Path, record: Record) -> Result<(), Box<dyn Error>> {
+/// Writes a new disk; an existing one has a replica that others know.
+fn make_disk(path: &Path, record: Record) -> Result<(), Box<dyn Error>> {
     if path.exists() {
-        return Err(format!(
-            "{} is there already; a new seat wants a new disk",
-            path.display()
-        )
-        .into());
+        let path = path.display();
+        return Err(format!("{path} is there already; a new seat wants a new disk").into());
+    }
+    let (mut disk, _) = Disk::open(path, 0, unix_micros())?;
+    for result in disk.commit([Op::Log(Box::new(record))], unix_micros())? {
+        result?;
     }
-    let (mut disk, _) = Disk::open(path, 0, now())?;
-    let kept = disk.commit([Op::Log(Box::new(record))], now())?;
-    Ok(kept.into_iter().try_for_each(|k| k.map(|_| ()))?)
+    Ok(())
 }
 
-fn seat_file(file: &File) -> Result<PathBuf, Box<dyn Error>> {
-    file.seat
+fn replica_disk(file: &File) -> Result<PathBuf, Box<dyn Error>> {
+    file.replica_disk
         .clone()
         .ok_or_else(|| "the council file names no disk for a seat".into())
 }
 
-/// Does it.
-pub fn run(what: Council) -> Result<(), Box<dyn Error>> {
-    match what {
-        Council::Found {
-            council,
+/// Reads the state of a survivor's disk.
+fn read_state(path: &Path) -> Result<State, Box<dyn Error>> {
+    if !path.exists() {
+        return Err(format!("there is no {}", path.display()).into());
+    }
+    let (_, stored) = Disk::open(path, 0, unix_micros())?;
+    let (metadata, log) = stored.log;
+    let metadata = metadata.ok_or("the disk has no seat")?;
+    let state = recover_state(&metadata, &log).ok_or("the disk's state cannot be read")?;
+    Ok(state)
+}
+
+fn run_bootstrap(
+    config: &Path,
+    name: Option<String>,
+    generation: u32,
+    from: Option<&Path>,
+    names: &[String],
+) -> Result<(), Box<dyn Error>> {
+    let file = File::read(config)?;
+    let own_name = name
+        .or_else(|| file.name.clone())
+        .ok_or("no name: give one by --name or in the file")?;
+    let old = from.map(read_state).transpose()?;
+    let path = replica_disk(&file)?;
+    make_disk(
+        &path,
+        bootstrap(generation, &own_name, names, old.as_ref())?,
+    )?;
+    println!(
+        "{own_name} is a founder of generation {generation}, with {} in all",
+        names.len()
+    );
+    Ok(())
+}
+
+fn run_new_replica(config: &Path) -> Result<(), Box<dyn Error>> {
+    let file = File::read(config)?;
+    let path = replica_disk(&file)?;
+    let parts = [
+        &unix_micros().to_le_bytes()[..],
+        &std::process::id().to_le_bytes(),
+        path.as_os_str().as_encoded_bytes(),
+    ];
+    let hash = blake3::derive_key("molelug council seat 1", &parts.concat());
+    make_disk(&path, new_replica(replica_from_hash(&hash)))?;
+    println!("a seat was made; it votes once a council has made it a voter");
+    Ok(())
+}
+
+/// Runs a sub-command of `molelug council`.
+///
+/// # Errors
+///
+/// If a file or a disk cannot be used, or the gateway cannot be asked.
+pub fn run(command: Council) -> Result<(), Box<dyn Error>> {
+    match command {
+        Council::Bootstrap {
+            config,
             name,
             generation,
             from,
             names,
-        } => {
-            let file = File::read(&council)?;
-            let me = name
-                .or_else(|| file.name.clone())
-                .ok_or("no name: give one by --name or in the file")?;
-            let old = match from {
-                Some(path) if !path.exists() => {
-                    return Err(format!("there is no {}", path.display()).into())
-                }
-                Some(path) => {
-                    let (_, found) = Disk::open(&path, 0, now())?;
-                    let head = found.log.0.ok_or("the disk has no seat")?;
-                    Some(state_of(&head, &found.log.1).ok_or("the disk's state cannot be read")?)
-                }
-                None => None,
-            };
-            let path = seat_file(&file)?;
-            make(&path, bootstrap(generation, &me, &names, old.as_ref())?)?;
-            println!(
-                "{me} is a founder of generation {generation}, with {} in all",
-                names.len()
-            );
-        }
+        } => run_bootstrap(&config, name, generation, from.as_deref(), &names),
+        Council::Replica { config } => run_new_replica(&config),
         Council::Show(at) => {
             let view = at.ask("GET", "/v1/council", "")?;
             if at.json {
                 println!("{view}");
             } else {
-                show(&view);
+                print_consensus(&view);
             }
+            Ok(())
         }
         Council::Exchange { joins, leaves, at } => {
-            let body = serde_json::json!({ "joins": joins, "leaves": leaves });
+            let body = json!({ "joins": joins, "leaves": leaves });
             let view = at.ask("POST", "/v1/council/voters", &body.to_string())?;
             println!(
                 "asked of {}; 'molelug council show' tells when it has been agreed",
                 plain(&view["name"])
             );
-        }
-        Council::Seat { council } => {
-            let file = File::read(&council)?;
-            let path = seat_file(&file)?;
-            let drawn = [
-                &now().to_le_bytes()[..],
-                &std::process::id().to_le_bytes(),
-                path.as_os_str().as_encoded_bytes(),
-            ];
-            let hash = blake3::derive_key("molelug council seat 1", &drawn.concat());
-            let seat = hash
-                .first_chunk::<8>()
-                .map_or(1, |b| u64::from_le_bytes(*b).max(1));
-            make(&path, fresh(seat))?;
-            println!("a seat was made; it votes once a council has made it a voter");
+            Ok(())
         }
     }
-    Ok(())
 }
--- /dev/null
+++ b/src/consensus/learners/learner.rs
@@ -0,0 +1,141 @@
+//! The learner's side: which voter it polls and what it has learned.
+
+use std::sync::Arc;
+
+use super::ANSWER_TIMEOUT;
+use crate::api::Micros;
+use crate::consensus::state::{AppliedEntry, Entry, State};
+use crate::consensus::wire::{ForwardedEffects, LeaseEffect, Poll};
+use crate::consensus::ReplicaId;
+
+/// A gateway that follows the agreed log without a vote.
+#[derive(Clone, Debug)]
+pub struct Learner {
+    state: State,
+    /// The voter's process that forwarded effects last, and how many it had forwarded.
+    effects: (u64, u64),
+    voters: Vec<Arc<str>>,
+    /// The index of the voter to poll.
+    source: usize,
+    /// When the outstanding poll was sent.
+    polled_at: Option<Micros>,
+    replica: Option<ReplicaId>,
+}
+
+/// What a learner learns from one answer.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct CatchUp {
+    /// The entries that were applied.
+    pub applied: Vec<AppliedEntry>,
+    /// Whether the state was replaced.
+    pub restored: bool,
+    /// The effects that the voter forwarded.
+    pub effects: Vec<LeaseEffect>,
+}
+
+impl Learner {
+    /// Creates a learner that knows only which voters to poll.
+    pub fn new(voters: Vec<Arc<str>>, replica: Option<ReplicaId>, seed: u64) -> Learner {
+        let source = (seed as usize).checked_rem(voters.len()).unwrap_or(0);
+        Learner {
+            state: State::default(),
+            effects: (0, 0),
+            voters,
+            source,
+            polled_at: None,
+            replica,
+        }
+    }
+
+    /// The state as far as it was learned.
+    pub fn state(&self) -> &State {
+        &self.state
+    }
+
+    /// The voter that it polls.
+    pub fn source(&self) -> Option<&Arc<str>> {
+        self.voters.get(self.source)
+    }
+
+    /// When [`Learner::poll`] has to be called again.
+    pub fn next_deadline(&self, now: Micros) -> Micros {
+        self.polled_at.map_or(now, |at| at + ANSWER_TIMEOUT)
+    }
+
+    /// The poll to send now, if one is due, and whether the previous poll timed out.
+    pub fn poll(&mut self, now: Micros) -> Option<(Poll, bool)> {
+        let timed_out = self.polled_at.is_some_and(|at| now >= at + ANSWER_TIMEOUT);
+        if self.polled_at.is_some() && !timed_out {
+            return None;
+        }
+        if timed_out {
+            self.next_source();
+        }
+        self.polled_at = Some(now);
+        let poll = Poll {
+            generation: self.state.generation,
+            applied: self.state.applied,
+            effects: self.effects,
+            replica: self.replica,
+        };
+        Some((poll, timed_out))
+    }
+
+    /// The connection to the polled voter closed.
+    pub fn on_disconnected(&mut self, now: Micros) {
+        self.next_source();
+        // A short pause: all voters may be down, and refuse connections one after the other.
+        self.polled_at = Some(now.saturating_sub(ANSWER_TIMEOUT * 9 / 10));
+    }
+
+    fn next_source(&mut self) {
+        self.source = (self.source + 1)
+            .checked_rem(self.voters.len())
+            .unwrap_or(0);
+    }
+
+    /// Applies an answer with entries.
+    pub fn on_entries(
+        &mut self,
+        generation: u32,
+        entries: Vec<(u64, Entry)>,
+        effects: ForwardedEffects,
+    ) -> CatchUp {
+        self.polled_at = None;
+        let mut catch_up = CatchUp::default();
+        if generation == self.state.generation {
+            for (index, entry) in entries {
+                // An entry that was requested twice arrives twice.
+                if index == self.state.applied + 1 {
+                    let took_effect = self.state.apply(index, &entry);
+                    let applied = AppliedEntry {
+                        index,
+                        entry,
+                        took_effect,
+                    };
+                    catch_up.applied.push(applied);
+                }
+            }
+        }
+        self.take_effects(effects, &mut catch_up);
+        catch_up
+    }
+
+    /// Applies an answer with a state.
+    pub fn on_state(&mut self, state: State, effects: ForwardedEffects) -> CatchUp {
+        self.polled_at = None;
+        let mut catch_up = CatchUp::default();
+        let known = (self.state.generation, self.state.applied);
+        if (state.generation, state.applied) > known {
+            self.state = state;
+            catch_up.restored = true;
+        }
+        self.take_effects(effects, &mut catch_up);
+        catch_up
+    }
+
+    fn take_effects(&mut self, forwarded: ForwardedEffects, catch_up: &mut CatchUp) {
+        self.effects = (forwarded.process, forwarded.count);
+        catch_up.effects = forwarded.effects;
+    }
+}
--- /dev/null
+++ b/src/consensus/learners/progress.rs
@@ -0,0 +1,126 @@
+//! The learners at one voter: their polls and the effects to forward.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+
+use super::{MAX_FORWARDED_EFFECTS, MAX_LEARNERS, POLL_HOLD_TIMEOUT};
+use crate::api::Micros;
+use crate::consensus::state::State;
+use crate::consensus::wire::{ForwardedEffects, LeaseEffect, Poll};
+use crate::consensus::ReplicaId;
+
+/// The polls that a voter holds, and the effects that it forwards.
+#[derive(Clone, Debug, Default)]
+pub struct LearnerProgress {
+    polls: BTreeMap<Arc<str>, HeldPoll>,
+    effects: VecDeque<LeaseEffect>,
+    /// The number of effects forwarded so far.
+    effect_count: u64,
+    /// The replicas of learners that have one, by name: these could become voters.
+    replicas: BTreeMap<Arc<str>, ReplicaId>,
+}
+
+#[derive(Clone, Debug)]
+struct HeldPoll {
+    poll: Poll,
+    answer_deadline: Micros,
+}
+
+impl LearnerProgress {
+    /// Adds an effect to forward.
+    pub fn forward(&mut self, effect: LeaseEffect) {
+        self.effects.push_back(effect);
+        self.effect_count += 1;
+        if self.effects.len() > MAX_FORWARDED_EFFECTS {
+            self.effects.pop_front();
+        }
+    }
+
+    /// Holds the poll of a learner, in place of its previous one.
+    pub fn on_poll(&mut self, now: Micros, name: &str, poll: Poll) {
+        let name: Arc<str> = name.into();
+        match poll.replica {
+            Some(replica) if self.replicas.len() < MAX_LEARNERS => {
+                self.replicas.insert(name.clone(), replica);
+            }
+            _ => {
+                self.replicas.remove(&name);
+            }
+        }
+        let answer_deadline = if self.polls.len() < MAX_LEARNERS {
+            now + POLL_HOLD_TIMEOUT
+        } else {
+            now
+        };
+        let held = HeldPoll {
+            poll,
+            answer_deadline,
+        };
+        self.polls.insert(name, held);
+    }
+
+    /// The replica of a learner, if it has one.
+    pub fn replica(&self, name: &str) -> Option<ReplicaId> {
+        self.replicas.get(name).copied()
+    }
+
+    /// The replicas of all learners that have one.
+    pub fn replicas(&self) -> impl Iterator<Item = (&Arc<str>, ReplicaId)> {
+        self.replicas.iter().map(|(name, replica)| (name, *replica))
+    }
+
+    /// Whether it holds a poll of a learner.
+    pub fn contains(&self, name: &str) -> bool {
+        self.polls.contains_key(name)
+    }
+
+    /// The number of polls held.
+    pub fn len(&self) -> usize {
+        self.polls.len()
+    }
+
+    /// Whether no poll is held.
+    pub fn is_empty(&self) -> bool {
+        self.polls.is_empty()
+    }
+
+    /// When the next answer is due even if nothing is new.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.polls.values().map(|held| held.answer_deadline).min()
+    }
+
+    /// Removes and returns the polls to be answered now.
+    pub fn due(&mut self, now: Micros, process: u64, state: &State) -> Vec<(Arc<str>, Poll)> {
+        let is_behind = |poll: &Poll| {
+            poll.generation != state.generation
+                || poll.applied != state.applied
+                || poll.effects != (process, self.effect_count)
+        };
+        let due: Vec<Arc<str>> = self
+            .polls
+            .iter()
+            .filter(|(_, held)| now >= held.answer_deadline || is_behind(&held.poll))
+            .map(|(name, _)| name.clone())
+            .collect();
+        due.into_iter()
+            .filter_map(|name| self.polls.remove(&name).map(|held| (name, held.poll)))
+            .collect()
+    }
+
+    /// The effects that the sender of a poll does not have yet.
+    pub fn effects_since(&self, process: u64, poll: &Poll) -> ForwardedEffects {
+        let (known_process, known_count) = poll.effects;
+        let known = if known_process == process {
+            known_count.min(self.effect_count)
+        } else {
+            0
+        };
+        let missing = (self.effect_count - known).min(self.effects.len() as u64) as usize;
+        let first = self.effects.len() - missing;
+        ForwardedEffects {
+            process,
+            count: self.effect_count,
+            effects: self.effects.iter().skip(first).cloned().collect(),
+        }
+    }
+}
--- a/src/consensus/learners/tests.rs
+++ b/src/consensus/learners/tests.rs
@@ -1,4 +1,9 @@
-use super::*;
+//! Tests of learners and of the polls that a voter holds.
+
+use super::{Learner, LearnerProgress, ANSWER_TIMEOUT, MAX_FORWARDED_EFFECTS, POLL_HOLD_TIMEOUT};
+use crate::api::Micros;
+use crate::consensus::state::{AppliedEntry, Entry, State};
+use crate::consensus::wire::{ForwardedEffects, LeaseEffect, Poll};
 use crate::lease::ledger;
 
 const SECOND: Micros = 1_000_000;
@@ -24,42 +29,64 @@
     }
 }
 
+fn no_effects() -> ForwardedEffects {
+    ForwardedEffects {
+        process: 1,
+        ..ForwardedEffects::default()
+    }
+}
+
 #[test]
-fn a_silent_voter_is_left_for_the_next_and_one_question_is_out_at_a_time() {
-    let mut f = Learner::new(vec!["a".into(), "b".into()], None, 0);
-    assert!(f.poll(0).is_some() && f.poll(1).is_none());
-    assert_eq!(&**f.asks().unwrap(), "a");
-    assert!(f.poll(SILENT).is_some_and(|(_, silent)| silent));
-    assert_eq!(&**f.asks().unwrap(), "b");
-    f.entries(0, Vec::new(), (1, 0, Vec::new()));
-    assert!(f.poll(SILENT + 1).is_some_and(|(_, silent)| !silent));
-    f.lost(SILENT + 2);
-    assert_eq!(&**f.asks().unwrap(), "a");
-    assert!(f.poll(SILENT + 3).is_none(), "not at once: all may be away");
-    assert!(f.poll(SILENT + SECOND).is_some());
+fn silent_voter_is_replaced_and_one_poll_outstanding() {
+    let mut learner = Learner::new(vec!["a".into(), "b".into()], None, 0);
+    assert!(learner.poll(0).is_some() && learner.poll(1).is_none());
+    assert_eq!(&**learner.source().unwrap(), "a");
+    assert!(learner
+        .poll(ANSWER_TIMEOUT)
+        .is_some_and(|(_, silent)| silent));
+    assert_eq!(&**learner.source().unwrap(), "b");
+    learner.on_entries(0, Vec::new(), no_effects());
+    assert!(learner
+        .poll(ANSWER_TIMEOUT + 1)
+        .is_some_and(|(_, silent)| !silent));
+    learner.on_disconnected(ANSWER_TIMEOUT + 2);
+    assert_eq!(&**learner.source().unwrap(), "a");
+    assert!(
+        learner.poll(ANSWER_TIMEOUT + 3).is_none(),
+        "not at once: all may be away"
+    );
+    assert!(learner.poll(ANSWER_TIMEOUT + SECOND).is_some());
 }
 
 #[test]
 fn entries_are_applied_once_and_in_order() {
-    let mut f = Learner::new(vec!["a".into()], None, 0);
+    let mut learner = Learner::new(vec!["a".into()], None, 0);
     let state = State {
         generation: 1,
         applied: 4,
         ..State::default()
     };
-    assert!(f.restored(state.clone(), (1, 0, Vec::new())).restored);
+    assert!(learner.on_state(state.clone(), no_effects()).restored);
     assert!(
-        !f.restored(state, (1, 0, Vec::new())).restored,
+        !learner.on_state(state, no_effects()).restored,
         "the same again is no news"
     );
-    let news = f.entries(
+    let catch_up = learner.on_entries(
         1,
         vec![(4, entry(9)), (5, entry(1)), (7, entry(3))],
-        (1, 0, Vec::new()),
+        no_effects(),
+    );
+    assert_eq!(
+        catch_up.applied,
+        [AppliedEntry {
+            index: 5,
+            entry: entry(1),
+            took_effect: true,
+        }]
     );
-    assert_eq!(news.applied, [(5, entry(1), true)]);
     assert_eq!(
-        f.entries(2, vec![(6, entry(2))], (1, 0, Vec::new()))
+        learner
+            .on_entries(2, vec![(6, entry(2))], no_effects())
             .applied,
         [],
         "of another generation"
@@ -69,12 +96,12 @@
         applied: 3,
         ..State::default()
     };
-    assert!(!f.restored(older, (1, 0, Vec::new())).restored);
+    assert!(!learner.on_state(older, no_effects()).restored);
 }
 
 #[test]
-fn an_answer_waits_for_news_and_no_longer_than_it_may() {
-    let (mut v, state) = (
+fn poll_is_held_until_news_or_timeout() {
+    let (mut progress, state) = (
         LearnerProgress::default(),
         State {
             applied: 5,
@@ -84,46 +111,59 @@
     let poll = Poll {
         generation: 0,
         applied: 5,
-        passed: (9, 0),
-        seat: None,
+        effects: (9, 0),
+        replica: None,
     };
-    v.asked(0, "f", poll.clone());
-    assert!(v.due(1, 9, &state).is_empty());
-    assert_eq!(v.next_deadline(), Some(WAITS));
-    assert_eq!(v.due(WAITS, 9, &state).len(), 1);
-    v.asked(0, "f", poll.clone());
-    v.pass(effect(1));
-    let due = v.due(1, 9, &state);
+    progress.on_poll(0, "f", poll.clone());
+    assert!(progress.due(1, 9, &state).is_empty());
+    assert_eq!(progress.next_deadline(), Some(POLL_HOLD_TIMEOUT));
+    assert_eq!(progress.due(POLL_HOLD_TIMEOUT, 9, &state).len(), 1);
+    progress.on_poll(0, "f", poll.clone());
+    progress.forward(effect(1));
+    let due = progress.due(1, 9, &state);
     assert_eq!(due.len(), 1);
-    assert_eq!(v.since(9, &due[0].1), (9, 1, vec![effect(1)]));
+    assert_eq!(
+        progress.effects_since(9, &due[0].1),
+        ForwardedEffects {
+            process: 9,
+            count: 1,
+            effects: vec![effect(1)],
+        }
+    );
     // One that has it, one of another process, and one that was away for long.
     assert_eq!(
-        v.since(
-            9,
-            &Poll {
-                passed: (9, 1),
-                ..poll.clone()
-            }
-        )
-        .2,
+        progress
+            .effects_since(
+                9,
+                &Poll {
+                    effects: (9, 1),
+                    ..poll.clone()
+                }
+            )
+            .effects,
         []
     );
     assert_eq!(
-        v.since(
-            9,
-            &Poll {
-                passed: (8, 70),
-                ..poll.clone()
-            }
-        )
-        .2
-        .len(),
+        progress
+            .effects_since(
+                9,
+                &Poll {
+                    effects: (8, 70),
+                    ..poll.clone()
+                }
+            )
+            .effects
+            .len(),
         1
     );
-    (2..200).for_each(|n| v.pass(effect(n)));
-    let (_, number, passed) = v.since(9, &poll);
+    (2..200).for_each(|n| progress.forward(effect(n)));
+    let forwarded = progress.effects_since(9, &poll);
     assert_eq!(
-        (number, passed.len(), passed[0].number),
+        (
+            forwarded.count,
+            forwarded.effects.len(),
+            forwarded.effects[0].number
+        ),
         (199, MAX_FORWARDED_EFFECTS, 136)
     );
 }
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -1,13 +1,15 @@
-//! The agreed log: a few gateways, the voters, agree on one order of entries; all others follow. No I/O.
+//! Consensus: a few gateways, the voters, agree on one log of entries; all others learn it. No I/O.
 //!
-//! [`voter`] is the value that a voter drives: the registry's `raft` with pre-vote and quorum check, fed with `now` and
-//! messages, its records handed out to be kept before anything is said on their ground. [`persistent_state`] is what a voter's disk
-//! holds; [`state`] what the entries come to; [`peer_memory`] what voters remember of one another, and with it the refusal of one
-//! whose disk is not the one it had; [`wire`] the frames; [`learners`] how members that do not vote keep up.
+//! [`participant`] is one gateway's part as a whole, and what a driver uses. [`voter`] wraps the `raft` library, with
+//! [`persistent_state`] as its storage; [`state`] is what the entries come to. [`peer_memory`] keeps a voter with an outdated
+//! disk from voting; [`learners`] is how gateways without a vote keep up; [`wire`] are the frames; [`config`] is the
+//! operator's file and [`bootstrap`] the content of new disks.
 //!
-//! Nothing here is on a call's way. What is kept by id: voters (at most [`MAX_VOTERS`]), duties (the ledger's bound), members
-//! that follow (at most [`learners::MAX_LEARNERS`], let go of when silent), entries (a snapshot every [`voter::ENTRIES_PER_SNAPSHOT`]).
+//! No request waits for anything here. What is stored by key is bounded: voters ([`MAX_VOTERS`]), leases (the bound of the
+//! lease table), learners ([`learners::MAX_LEARNERS`], removed when silent), entries (a snapshot every
+//! [`voter::ENTRIES_PER_SNAPSHOT`]).
 
+pub mod bootstrap;
 pub mod config;
 pub mod learners;
 pub mod participant;
@@ -17,18 +19,21 @@
 pub mod voter;
 pub mod wire;
 
-/// A voter's seat: a number drawn when its disk was made. A new disk is a new seat, whatever its name.
+/// The identity of a voter's disk: a number drawn when the disk was made. A new disk is a new replica, whatever its name.
 pub type ReplicaId = u64;
 
-/// Voters at most.
+/// The maximum number of voters.
 pub const MAX_VOTERS: usize = 7;
 
-/// The seat of a founder, the same at every founder so that they know one another: of a generation and a name.
+/// The replica of a bootstrap voter. It follows from the generation and the name, so that bootstrap voters know one another.
 pub fn bootstrap_voter(generation: u32, name: &str) -> ReplicaId {
     let content = [&generation.to_le_bytes()[..], name.as_bytes()].concat();
     let hash = blake3::derive_key("molelug council founder's seat 1", &content);
-    u64::from_le_bytes([
-        hash[0], hash[1], hash[2], hash[3], hash[4], hash[5], hash[6], hash[7],
-    ])
-    .max(1)
+    replica_from_hash(&hash)
+}
+
+/// A replica from the first bytes of a hash; 0 stands for no replica.
+pub fn replica_from_hash(hash: &[u8; 32]) -> ReplicaId {
+    let first = hash.first_chunk::<8>();
+    first.map_or(1, |bytes| u64::from_le_bytes(*bytes).max(1))
 }
--- a/src/consensus/participant/tests.rs
+++ b/src/consensus/participant/tests.rs
@@ -1,10 +1,10 @@
-//! Members together: who owns a duty, how it moves, and what becomes of effects that come late.
+//! Participants together: who holds a lease, how it moves, and how late effects are rejected.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
 use crate::api::Micros;
-use crate::consensus::config::{bootstrap, fresh, kept_of};
+use crate::consensus::bootstrap::{bootstrap, initial_state, new_replica};
 use crate::consensus::participant::{
     DisabledGuards, HistoryEvent, Input, Output, Participant, Settings,
 };
@@ -20,50 +20,50 @@
     format!("n{n}").into()
 }
 
-fn duty() -> LeaseName {
+fn lease() -> LeaseName {
     "d".into()
 }
 
-struct Rig {
+struct Simulation {
     now: Micros,
     process: u64,
-    members: Vec<Option<Participant>>,
+    participants: Vec<Option<Participant>>,
     disks: Vec<Option<PersistentState>>,
     writes: Vec<VecDeque<(u64, Record)>>,
-    way: VecDeque<(Micros, usize, Arc<str>, Body)>,
+    in_flight: VecDeque<(Micros, usize, Arc<str>, Body)>,
     stopped: BTreeSet<usize>,
-    /// Those from whom nothing leaves, and to whom nothing comes; what would have is held.
-    cut: BTreeSet<(usize, usize)>,
-    held: Vec<(usize, Arc<str>, Body)>,
-    notes: Vec<(usize, HistoryEvent)>,
-    taken: Vec<(usize, Term, u64)>,
+    /// Pairs of sender and receiver between which frames are delayed.
+    blocked: BTreeSet<(usize, usize)>,
+    delayed: Vec<(usize, Arc<str>, Body)>,
+    events: Vec<(usize, HistoryEvent)>,
+    accepted: Vec<(usize, Term, u64)>,
     voters: usize,
     guards: DisabledGuards,
 }
 
-impl Rig {
-    fn new(members: usize, voters: usize, guards: DisabledGuards) -> Rig {
+impl Simulation {
+    fn new(participants: usize, voters: usize, guards: DisabledGuards) -> Simulation {
         let names: Vec<String> = (0..voters).map(|n| name(n).to_string()).collect();
         let disk = |n: usize| {
-            (n < voters).then(|| kept_of(&bootstrap(1, &names[n], &names, None).unwrap()))
+            (n < voters).then(|| initial_state(&bootstrap(1, &names[n], &names, None).unwrap()))
         };
-        let mut rig = Rig {
+        let mut sim = Simulation {
             now: 1_000 * MS,
             process: 0,
-            members: (0..members).map(|_| None).collect(),
-            disks: (0..members).map(disk).collect(),
-            writes: (0..members).map(|_| VecDeque::new()).collect(),
-            way: VecDeque::new(),
+            participants: (0..participants).map(|_| None).collect(),
+            disks: (0..participants).map(disk).collect(),
+            writes: (0..participants).map(|_| VecDeque::new()).collect(),
+            in_flight: VecDeque::new(),
             stopped: BTreeSet::new(),
-            cut: BTreeSet::new(),
-            held: Vec::new(),
-            notes: Vec::new(),
-            taken: Vec::new(),
+            blocked: BTreeSet::new(),
+            delayed: Vec::new(),
+            events: Vec::new(),
+            accepted: Vec::new(),
             voters,
             guards,
         };
-        (0..members).for_each(|n| rig.start(n));
-        rig
+        (0..participants).for_each(|n| sim.start(n));
+        sim
     }
 
     fn start(&mut self, n: usize) {
@@ -72,7 +72,7 @@
             name: name(n),
             process: self.process,
             contacts: (0..self.voters + 1).map(name).collect(),
-            leases: BTreeSet::from([duty()]),
+            leases: BTreeSet::from([lease()]),
             lease: crate::lease::Settings {
                 duration: LEASE,
                 drift_ppm: 1_000,
@@ -81,31 +81,31 @@
             seed: n as u64 * 77 + 5,
             disabled_guards: self.guards,
         };
-        self.members[n] = Some(Participant::new(settings, self.disks[n].clone(), self.now));
+        self.participants[n] = Some(Participant::new(settings, self.disks[n].clone(), self.now));
     }
 
     fn kill(&mut self, n: usize) {
-        self.members[n] = None;
+        self.participants[n] = None;
         self.writes[n].clear();
     }
 
     fn post(&mut self, from: usize, to: &Arc<str>, body: Body) {
-        let Some(to) = (0..self.members.len()).find(|n| name(*n) == *to) else {
+        let Some(to) = (0..self.participants.len()).find(|n| name(*n) == *to) else {
             return;
         };
-        if self.cut.contains(&(from, to)) {
-            return self.held.push((to, name(from), body));
+        if self.blocked.contains(&(from, to)) {
+            return self.delayed.push((to, name(from), body));
         }
-        self.way
+        self.in_flight
             .push_back((self.now + 2 * MS, to, name(from), body));
     }
 
     fn drain(&mut self, n: usize) {
-        while let Some(output) = self.members[n].as_mut().and_then(Participant::output) {
+        while let Some(output) = self.participants[n].as_mut().and_then(Participant::output) {
             match output {
                 Output::Send(to, body) => self.post(n, &to, body),
                 Output::SendOwn(to, effect) => {
-                    if self.members[n].as_ref().unwrap().still_holds(
+                    if self.participants[n].as_ref().unwrap().still_holds(
                         self.now,
                         &effect.lease,
                         effect.term,
@@ -114,11 +114,11 @@
                     }
                 }
                 Output::Persist(number, record) => self.writes[n].push_back((number, *record)),
-                Output::EffectReceived(e) => self.taken.push((n, e.term, e.number)),
-                Output::Record(note) => self.notes.push((n, note)),
+                Output::EffectReceived(e) => self.accepted.push((n, e.term, e.number)),
+                Output::Record(event) => self.events.push((n, event)),
                 Output::ReportReceived(..)
-                | Output::LeaseBegan(..)
-                | Output::LeaseEnded(..)
+                | Output::LeaseAcquired(..)
+                | Output::LeaseLost(..)
                 | Output::SubsystemChanged => {}
             }
         }
@@ -126,7 +126,7 @@
 
     fn handle(&mut self, n: usize, input: Input) {
         let now = self.now;
-        if let Some(m) = self.members[n].as_mut() {
+        if let Some(m) = self.participants[n].as_mut() {
             m.handle(now, input);
         }
         self.drain(n);
@@ -134,15 +134,19 @@
 
     fn step(&mut self) {
         self.now += MS;
-        while self.way.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let Some((_, to, from, body)) = self.way.pop_front() else {
+        while self
+            .in_flight
+            .front()
+            .is_some_and(|(at, ..)| *at <= self.now)
+        {
+            let Some((_, to, from, body)) = self.in_flight.pop_front() else {
                 break;
             };
             if !self.stopped.contains(&to) {
                 self.handle(to, Input::Frame(from, body));
             }
         }
-        for n in (0..self.members.len())
+        for n in (0..self.participants.len())
             .filter(|n| !self.stopped.contains(n))
             .collect::<Vec<_>>()
         {
@@ -153,7 +157,7 @@
                 }
                 self.handle(n, Input::Persisted(number));
             }
-            if self.members[n]
+            if self.participants[n]
                 .as_ref()
                 .is_some_and(|m| m.next_deadline(self.now) <= self.now)
             {
@@ -162,38 +166,38 @@
         }
     }
 
-    fn until(&mut self, what: &str, holds: impl Fn(&Rig) -> bool) {
+    fn until(&mut self, event: &str, holds: impl Fn(&Simulation) -> bool) {
         for _ in 0..30_000 {
             if holds(self) {
                 return;
             }
             self.step();
         }
-        panic!("{what} did not come: {:?}", self.members);
+        panic!("{event} did not come: {:?}", self.participants);
     }
 
-    fn owner(&self) -> Option<(usize, Term)> {
+    fn lease_holder(&self) -> Option<(usize, Term)> {
         let of = |n: usize| {
-            self.members[n]
+            self.participants[n]
                 .as_ref()
-                .and_then(|m| m.held_term(self.now, &duty()))
+                .and_then(|m| m.held_term(self.now, &lease()))
                 .map(|t| (n, t))
         };
-        (0..self.members.len())
+        (0..self.participants.len())
             .filter(|n| !self.stopped.contains(n))
             .filter_map(of)
             .max_by_key(|(_, t)| *t)
     }
 
-    fn owned_after(&mut self, term: Term) -> (usize, Term) {
-        self.until("the next owner", |r| {
-            r.owner().is_some_and(|(_, t)| t > term)
+    fn held_after(&mut self, term: Term) -> (usize, Term) {
+        self.until("the next holder", |r| {
+            r.lease_holder().is_some_and(|(_, t)| t > term)
         });
-        self.owner().unwrap()
+        self.lease_holder().unwrap()
     }
 
     fn act(&mut self, n: usize) {
-        self.handle(n, Input::Act(duty(), vec![1]));
+        self.handle(n, Input::Act(lease(), vec![1]));
     }
 
     fn run(&mut self, span: Micros) {
@@ -203,10 +207,10 @@
         }
     }
 
-    /// What was taken, by each: terms never go back.
-    fn stale(&self) -> bool {
+    /// Whether a participant accepted an effect of an older term than before.
+    fn accepted_stale_effect(&self) -> bool {
         let mut highest: BTreeMap<usize, Term> = BTreeMap::new();
-        self.taken.iter().any(|(n, term, _)| {
+        self.accepted.iter().any(|(n, term, _)| {
             let h = highest.entry(*n).or_default();
             let stale = term < h;
             *h = (*h).max(*term);
@@ -216,110 +220,119 @@
 }
 
 #[test]
-fn one_owns_the_duty_and_all_take_what_it_does() {
-    let mut rig = Rig::new(9, 5, DisabledGuards::default());
-    let (owner, term) = rig.owned_after(0);
-    rig.act(owner);
-    rig.until("its effect everywhere", |r| r.taken.len() == 8);
-    assert!(rig
-        .taken
+fn single_holder_acts_and_all_accept_its_effects() {
+    let mut sim = Simulation::new(9, 5, DisabledGuards::default());
+    let (holder, term) = sim.held_after(0);
+    sim.act(holder);
+    sim.until("its effect everywhere", |r| r.accepted.len() == 8);
+    assert!(sim
+        .accepted
         .iter()
-        .all(|(n, t, number)| *n != owner && *t == term && *number == 1));
+        .all(|(n, t, number)| *n != holder && *t == term && *number == 1));
     // It stays where it is, and nothing is written meanwhile.
-    let writes = |r: &Rig| {
+    let writes = |r: &Simulation| {
         r.disks
             .iter()
             .flatten()
             .map(|d| d.last())
             .collect::<Vec<_>>()
     };
-    let before = writes(&rig);
-    rig.run(5 * LEASE);
-    assert_eq!((rig.owner(), writes(&rig)), (Some((owner, term)), before));
+    let before = writes(&sim);
+    sim.run(5 * LEASE);
+    assert_eq!(
+        (sim.lease_holder(), writes(&sim)),
+        (Some((holder, term)), before)
+    );
 }
 
 #[test]
-fn an_owner_stopped_past_its_lease_does_nothing_when_it_wakes() {
-    for without in [false, true] {
-        let mut rig = Rig::new(
+fn holder_stopped_past_its_lease_does_not_act() {
+    for guard_disabled in [false, true] {
+        let mut sim = Simulation::new(
             5,
             5,
             DisabledGuards {
-                lease: without,
+                lease: guard_disabled,
                 ..DisabledGuards::default()
             },
         );
-        let (owner, term) = rig.owned_after(0);
-        rig.stopped.insert(owner);
-        let (next, later) = rig.owned_after(term);
-        assert_ne!(next, owner);
-        rig.act(next);
-        rig.run(20 * MS);
-        rig.stopped.clear();
+        let (holder, term) = sim.held_after(0);
+        sim.stopped.insert(holder);
+        let (next, later) = sim.held_after(term);
+        assert_ne!(next, holder);
+        sim.act(next);
+        sim.run(20 * MS);
+        sim.stopped.clear();
         // It has not heard anything yet, and is asked to act at once.
-        rig.handle(owner, Input::Act(duty(), vec![2]));
-        let acted = rig
-            .notes
+        sim.handle(holder, Input::Act(lease(), vec![2]));
+        let acted = sim
+            .events
             .iter()
-            .any(|(n, note)| *n == owner && matches!(note, HistoryEvent::Acted { .. }));
+            .any(|(n, event)| *n == holder && matches!(event, HistoryEvent::Acted { .. }));
         assert_eq!(
-            acted, without,
+            acted, guard_disabled,
             "the look at the lease is what holds it back"
         );
-        rig.run(LEASE);
+        sim.run(LEASE);
         // And whatever it did, nobody took it.
-        assert!(!rig.stale() && rig.owner().is_some_and(|(_, t)| t >= later));
+        assert!(
+            !sim.accepted_stale_effect() && sim.lease_holder().is_some_and(|(_, t)| t >= later)
+        );
     }
 }
 
 #[test]
-fn what_was_held_on_its_way_is_refused_behind_the_next_owners_first() {
-    for without in [false, true] {
-        let mut rig = Rig::new(
+fn delayed_effect_is_rejected_after_next_holders_first() {
+    for guard_disabled in [false, true] {
+        let mut sim = Simulation::new(
             5,
             5,
             DisabledGuards {
-                terms: without,
+                terms: guard_disabled,
                 ..DisabledGuards::default()
             },
         );
-        let (owner, term) = rig.owned_after(0);
-        rig.cut.extend((0..5).map(|to| (owner, to)));
-        rig.act(owner);
-        let (next, _) = rig.owned_after(term);
-        rig.act(next);
-        rig.run(20 * MS);
-        rig.cut.clear();
-        for (to, from, body) in std::mem::take(&mut rig.held) {
+        let (holder, term) = sim.held_after(0);
+        sim.blocked.extend((0..5).map(|to| (holder, to)));
+        sim.act(holder);
+        let (next, _) = sim.held_after(term);
+        sim.act(next);
+        sim.run(20 * MS);
+        sim.blocked.clear();
+        for (to, from, body) in std::mem::take(&mut sim.delayed) {
             if matches!(body, Body::Effect(_)) {
-                rig.handle(to, Input::Frame(from, body));
+                sim.handle(to, Input::Frame(from, body));
             }
         }
-        assert_eq!(rig.stale(), without, "the terms are what refuses it");
-        let refused = rig
-            .notes
+        assert_eq!(
+            sim.accepted_stale_effect(),
+            guard_disabled,
+            "the terms are what refuses it"
+        );
+        let refused = sim
+            .events
             .iter()
-            .filter(|(_, n)| matches!(n, HistoryEvent::Refused { .. }))
+            .filter(|(_, n)| matches!(n, HistoryEvent::Rejected { .. }))
             .count();
-        assert_eq!(refused > 0, !without);
+        assert_eq!(refused > 0, !guard_disabled);
     }
 }
 
 #[test]
-fn an_effect_whose_lease_ends_before_its_bytes_are_queued_does_not_leave() {
-    for without in [false, true] {
-        let rig = &mut Rig::new(
+fn effect_is_not_sent_if_lease_ends_before_queueing() {
+    for guard_disabled in [false, true] {
+        let sim = &mut Simulation::new(
             5,
             5,
             DisabledGuards {
-                queue: without,
+                queue: guard_disabled,
                 ..DisabledGuards::default()
             },
         );
-        let (owner, _) = rig.owned_after(0);
-        let now = rig.now;
-        let m = rig.members[owner].as_mut().unwrap();
-        m.handle(now, Input::Act(duty(), vec![1]));
+        let (holder, _) = sim.held_after(0);
+        let now = sim.now;
+        let m = sim.participants[holder].as_mut().unwrap();
+        m.handle(now, Input::Act(lease(), vec![1]));
         let outputs: Vec<Output> = std::iter::from_fn(|| m.output()).collect();
         let own: Vec<LeaseEffect> = outputs
             .into_iter()
@@ -337,127 +350,142 @@
         let leaves = own
             .iter()
             .any(|e| m.still_holds(now + 2 * LEASE, &e.lease, e.term));
-        assert_eq!(leaves, without, "the second look is what holds it back");
+        assert_eq!(
+            leaves, guard_disabled,
+            "the second look is what holds it back"
+        );
     }
 }
 
 #[test]
-fn a_duty_given_back_is_owned_again_within_a_few_round_trips() {
-    let mut rig = Rig::new(5, 5, DisabledGuards::default());
-    let (owner, term) = rig.owned_after(0);
-    let begun = rig.now;
-    rig.handle(owner, Input::SetEligible(false));
+fn released_lease_is_granted_again_within_round_trips() {
+    let mut sim = Simulation::new(5, 5, DisabledGuards::default());
+    let (holder, term) = sim.held_after(0);
+    let released_at = sim.now;
+    sim.handle(holder, Input::SetEligible(false));
     assert!(
-        rig.members[owner]
+        sim.participants[holder]
             .as_ref()
             .unwrap()
-            .held_term(rig.now, &duty())
+            .held_term(sim.now, &lease())
             .is_none(),
         "it stops first"
     );
-    let (next, _) = rig.owned_after(term);
+    let (next, _) = sim.held_after(term);
     assert!(
-        next != owner && rig.now - begun < LEASE / 4,
+        next != holder && sim.now - released_at < LEASE / 4,
         "{} us",
-        rig.now - begun
+        sim.now - released_at
     );
 }
 
 #[test]
-fn a_new_process_under_an_old_name_has_nothing_of_the_old_ones() {
-    let mut rig = Rig::new(5, 5, DisabledGuards::default());
-    let (owner, term) = rig.owned_after(0);
-    rig.kill(owner);
-    rig.start(owner);
-    let at = rig.now;
-    let (_, later) = rig.owned_after(term);
+fn new_process_of_same_name_waits_out_old_lease() {
+    let mut sim = Simulation::new(5, 5, DisabledGuards::default());
+    let (holder, term) = sim.held_after(0);
+    sim.kill(holder);
+    sim.start(holder);
+    let at = sim.now;
+    let (_, later) = sim.held_after(term);
     assert!(
-        later > term && rig.now - at >= LEASE / 2,
+        later > term && sim.now - at >= LEASE / 2,
         "the old process's lease was not waited out"
     );
 }
 
+fn forged_raft(generation: u32, message: Vec<u8>) -> Body {
+    Body::Raft {
+        generation,
+        from: 99,
+        boots: 1,
+        process: 1,
+        message,
+    }
+}
+
 #[test]
-fn forged_questions_answers_and_effects_change_nothing() {
-    let mut rig = Rig::new(6, 5, DisabledGuards::default());
-    let (owner, term) = rig.owned_after(0);
-    let (other, outsider) = ((owner + 1) % 5, name(5));
+fn forged_requests_replies_and_effects_change_nothing() {
+    let mut sim = Simulation::new(6, 5, DisabledGuards::default());
+    let (holder, term) = sim.held_after(0);
+    let (other, outsider) = ((holder + 1) % 5, name(5));
     let effect = |from: &Arc<str>| LeaseEffect {
-        lease: duty(),
+        lease: lease(),
         term: term + 5,
         holder: from.clone(),
         number: 1,
         content: vec![],
     };
-    // One that does not vote speaks for the owner.
-    rig.handle(
+    // One that does not vote speaks for the holder.
+    sim.handle(
         other,
-        Input::Frame(outsider.clone(), Body::Effect(effect(&name(owner)))),
+        Input::Frame(outsider.clone(), Body::Effect(effect(&name(holder)))),
     );
     let back = crate::lease::holder::RenewRequest {
         from: crate::lease::LeaseHolder {
-            name: name(owner),
+            name: name(holder),
             incarnation: 1,
         },
         stamp: 1,
         eligible: false,
         held: vec![],
-        released: vec![(duty(), term)],
+        released: vec![(lease(), term)],
     };
     for n in 0..5 {
-        rig.handle(
+        sim.handle(
             n,
             Input::Frame(outsider.clone(), Body::RenewLeases(back.clone(), None)),
         );
-        rig.handle(
+        sim.handle(
             n,
             Input::Frame(
                 outsider.clone(),
                 Body::RenewLeases(back.clone(), Some(name(0).to_string())),
             ),
         );
-        rig.handle(
+        sim.handle(
             n,
-            Input::Frame(outsider.clone(), Body::Raft(1, 99, 1, 1, vec![8, 1])),
-        );
-        rig.handle(
-            n,
-            Input::Frame(outsider.clone(), Body::Raft(7, 99, 1, 1, vec![])),
+            Input::Frame(outsider.clone(), forged_raft(1, vec![8, 1])),
         );
+        sim.handle(n, Input::Frame(outsider.clone(), forged_raft(7, vec![])));
     }
-    rig.run(2 * LEASE);
-    assert_eq!((rig.owner(), rig.taken.len()), (Some((owner, term)), 0));
+    sim.run(2 * LEASE);
+    assert_eq!(
+        (sim.lease_holder(), sim.accepted.len()),
+        (Some((holder, term)), 0)
+    );
 }
 
 #[test]
-fn a_seat_made_later_votes_once_it_is_made_a_voter_and_outlives_its_maker() {
-    let mut rig = Rig::new(4, 3, DisabledGuards::default());
-    rig.disks[3] = Some(kept_of(&fresh(4711)));
-    rig.kill(3);
-    rig.start(3);
-    let (_, term) = rig.owned_after(0);
-    rig.until("a leader", |r| {
-        r.members.iter().flatten().any(Participant::leads)
+fn replica_added_later_votes_and_outlives_its_leader() {
+    let mut sim = Simulation::new(4, 3, DisabledGuards::default());
+    sim.disks[3] = Some(initial_state(&new_replica(4711)));
+    sim.kill(3);
+    sim.start(3);
+    let (_, term) = sim.held_after(0);
+    sim.until("a leader", |r| {
+        r.participants.iter().flatten().any(Participant::leads)
     });
-    let leader = |r: &Rig| (0..4).find(|n| r.members[*n].as_ref().is_some_and(Participant::leads));
+    let leader = |r: &Simulation| {
+        (0..4).find(|n| r.participants[*n].as_ref().is_some_and(Participant::leads))
+    };
     let joins = Input::Exchange {
         joins: Some(name(3)),
         leaves: None,
     };
-    rig.run(2 * LEASE);
-    // It follows at some voter: that one knows its seat, and so the leader once it asks there.
+    sim.run(2 * LEASE);
+    // It polls some voter, which then knows its replica; the leader has to be that voter.
     for _ in 0..20 {
-        if let Some(l) = leader(&rig) {
-            rig.handle(l, joins.clone());
+        if let Some(l) = leader(&sim) {
+            sim.handle(l, joins.clone());
         }
-        rig.run(LEASE);
-        if rig.members[3].as_ref().is_some_and(Participant::votes) {
+        sim.run(LEASE);
+        if sim.participants[3].as_ref().is_some_and(Participant::votes) {
             break;
         }
-        rig.handle(
+        sim.handle(
             3,
             Input::Disconnected(
-                rig.members[3]
+                sim.participants[3]
                     .as_ref()
                     .unwrap()
                     .catch_up_source()
@@ -466,24 +494,24 @@
             ),
         );
     }
-    assert!(rig.members[3].as_ref().unwrap().votes());
-    assert_eq!(rig.members[3].as_ref().unwrap().state().generation, 1);
+    assert!(sim.participants[3].as_ref().unwrap().votes());
+    assert_eq!(sim.participants[3].as_ref().unwrap().state().generation, 1);
     // Two of the first three go: with the fourth and one left there is no majority of four; with two left there is.
-    let gone = leader(&rig).filter(|l| *l != 3).unwrap_or(0);
-    rig.kill(gone);
-    rig.owned_after(term);
+    let gone = leader(&sim).filter(|l| *l != 3).unwrap_or(0);
+    sim.kill(gone);
+    sim.held_after(term);
 }
 
 #[test]
-fn a_council_founded_anew_refuses_all_that_the_old_one_granted() {
-    let mut rig = Rig::new(3, 3, DisabledGuards::default());
-    let (owner, term) = rig.owned_after(0);
-    let state = rig.members[owner].as_ref().unwrap().state().clone();
+fn new_generation_starts_above_all_granted_terms() {
+    let mut sim = Simulation::new(3, 3, DisabledGuards::default());
+    let (holder, term) = sim.held_after(0);
+    let state = sim.participants[holder].as_ref().unwrap().state().clone();
     let record = bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).unwrap();
-    let anew = kept_of(&record);
+    let bootstrapped = initial_state(&record);
     let state: crate::consensus::state::State =
-        postcard::from_bytes(&anew.head.snapshot.3).unwrap();
-    let stands = state.leases.record(&duty());
+        postcard::from_bytes(&bootstrapped.metadata.snapshot.data).unwrap();
+    let stands = state.leases.record(&lease());
     assert!(stands.holder.is_none() && stands.term > term + 1_000_000);
     assert!(
         bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).is_err(),
--- a/src/consensus/peer_memory.rs
+++ b/src/consensus/peer_memory.rs
@@ -1,125 +1,124 @@
-//! What voters remember of one another, and the refusal of one whose disk is not the one it had.
+//! What voters remember of one another, and the rejection of a voter whose disk was restored from an older copy.
 //!
-//! A voter that comes back with yesterday's disk has forgotten votes it gave and entries it took. Were it let vote, one term
-//! could have two leaders, and what was agreed could be lost. Its disk alone cannot tell; those it spoke with can. So a voter
-//! that begins asks the others what they know of its seat, and takes part once none of them knows of more than its disk does:
-//! at once when a majority of all voters has answered besides itself, as every majority that it was part of then has one
-//! among them; and when fewer can answer, after [`PATIENCE`] questions, with as many as make a majority with itself. A disk
-//! that is found out is marked and never votes again under this seat; the way back is a new seat
-//! (`docs/operators/council.md`).
+//! A voter that comes back with yesterday's disk has forgotten votes that it gave and entries that it stored. If it voted,
+//! one term could have two leaders, and committed entries could be lost. Its disk alone cannot show this, but the voters
+//! that it exchanged messages with can. So a voter that starts first asks the others what they know of its replica, and
+//! takes part once none of them knows of more than its disk does. It starts at once when a majority of all voters besides
+//! itself has answered, as every majority that it was part of shares a voter with them. When fewer can answer, it starts
+//! after [`MAX_RECALL_REQUESTS`] requests with as many as make a majority with itself. A disk that is found to be older is
+//! marked and its replica never votes again; a new replica has to be made (`docs/operators/council.md`).
 //!
-//! What this cannot tell: a copy made within its last run, when all who could tell have begun anew since or cannot be reached
-//! all the while.
+//! This cannot detect a copy made within the last run, if all voters that could tell have restarted since or stay
+//! unreachable.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
 use super::ReplicaId;
 
-/// What one voter knows of another's seat, or a seat of itself.
+/// Requests after which a majority that counts the voter itself is enough.
+pub const MAX_RECALL_REQUESTS: u32 = 40;
+
+/// What a voter knows of a replica: of another one, or of its own by its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownState {
-    /// Which start of its disk, and which process that was.
+    /// How often a process has started on its disk.
     pub boots: u64,
-    /// Which process.
+    /// The process of the last start.
     pub process: u64,
-    /// The highest term in which it spoke.
+    /// The highest term in which it sent a message.
     pub term: u64,
-    /// The last entry that it told to have kept, behind the term in which it did; of its disk, behind that entry's term.
-    pub kept: (u64, u64),
+    /// The last entry that it acknowledged: the term of the message and the index. For its own disk, the term of the last
+    /// entry and its index.
+    pub acknowledged: (u64, u64),
 }
 
-/// Why a seat must not vote.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a replica must not vote: its disk has lost state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateLoss {
-    /// The disk was started as often as, or less than, others have seen: it is a copy, or an older one.
+    /// The disk is a copy or an older version: another process has started as often on it, or more often.
+    #[error("its disk was started less often than others have seen")]
     Boots,
-    /// It has spoken in a later term than its disk knows.
+    /// The replica sent messages in a later term than its disk has.
+    #[error("it spoke in a later term than its disk knows")]
     Term,
-    /// It has told to have kept entries that its disk does not hold.
+    /// The replica acknowledged entries that its disk does not have.
+    #[error("it told to have kept entries that its disk does not hold")]
     Entries,
 }
 
-impl StateLoss {
-    /// Its name.
-    pub fn name(&self) -> &'static str {
-        match self {
-            StateLoss::Boots => "its disk was started less often than others have seen",
-            StateLoss::Term => "it spoke in a later term than its disk knows",
-            StateLoss::Entries => "it told to have kept entries that its disk does not hold",
-        }
-    }
-}
-
-/// What is remembered of the others; one line a seat, for seats of the operator's list of voters and those agreed on.
+/// What a voter remembers of the others: one record for each configured or agreed voter.
 #[derive(Clone, Debug, Default)]
 pub struct PeerMemory(BTreeMap<ReplicaId, KnownState>);
 
 impl PeerMemory {
-    /// A seat spoke.
-    pub fn heard(&mut self, seat: ReplicaId, heard: KnownState) {
-        let known = self.0.entry(seat).or_default();
-        if heard.boots > known.boots {
-            (known.boots, known.process) = (heard.boots, heard.process);
+    /// Records what a message of a replica shows.
+    pub fn observe(&mut self, replica: ReplicaId, observed: KnownState) {
+        let known = self.0.entry(replica).or_default();
+        if observed.boots > known.boots {
+            known.boots = observed.boots;
+            known.process = observed.process;
         }
-        (known.term, known.kept) = (known.term.max(heard.term), known.kept.max(heard.kept));
+        known.term = known.term.max(observed.term);
+        known.acknowledged = known.acknowledged.max(observed.acknowledged);
     }
 
-    /// What is known of a seat.
-    pub fn of(&self, seat: ReplicaId) -> KnownState {
-        self.0.get(&seat).copied().unwrap_or_default()
+    /// What is known of a replica.
+    pub fn known(&self, replica: ReplicaId) -> KnownState {
+        self.0.get(&replica).copied().unwrap_or_default()
     }
 
-    /// Forgets all seats but these.
-    pub fn keep(&mut self, seats: impl Fn(&ReplicaId) -> bool) {
-        self.0.retain(|s, _| seats(s));
+    /// Forgets the replicas for which `is_voter` is false.
+    pub fn retain(&mut self, is_voter: impl Fn(&ReplicaId) -> bool) {
+        self.0.retain(|replica, _| is_voter(replica));
     }
 }
 
-/// Compares what one's own disk says with what another remembers.
-pub fn compare(own: KnownState, theirs: KnownState) -> Result<(), StateLoss> {
-    if theirs.boots > own.boots || theirs.boots == own.boots && theirs.process != own.process {
+/// Compares what a voter's own disk says with what another voter remembers.
+pub fn compare(own: KnownState, remembered: KnownState) -> Result<(), StateLoss> {
+    let same_boot_of_other_process =
+        remembered.boots == own.boots && remembered.process != own.process;
+    if remembered.boots > own.boots || same_boot_of_other_process {
         return Err(StateLoss::Boots);
     }
-    if theirs.term > own.term {
+    if remembered.term > own.term {
         return Err(StateLoss::Term);
     }
-    // What it kept in an older term than that of its last entry may have been written over since.
-    if theirs.kept.1 > own.kept.1 && own.kept.0 <= theirs.kept.0 {
+    // An entry acknowledged in an older term than that of the last entry may have been overwritten since.
+    let (own_term, own_index) = own.acknowledged;
+    let (remembered_term, remembered_index) = remembered.acknowledged;
+    if remembered_index > own_index && own_term <= remembered_term {
         return Err(StateLoss::Entries);
     }
     Ok(())
 }
 
-/// Questions after which a majority that counts oneself is enough.
-pub const PATIENCE: u32 = 40;
-
-/// A voter between its start and its first word.
+/// A voter between its start and its first message.
 #[derive(Clone, Debug, Default)]
 pub struct Probation {
-    answered: std::collections::BTreeSet<ReplicaId>,
-    asked: u32,
+    replied: BTreeSet<ReplicaId>,
+    requests: u32,
 }
 
 impl Probation {
-    /// Another has answered, and knows of nothing that the disk does not.
-    pub fn answered(&mut self, by: ReplicaId) {
-        self.answered.insert(by);
+    /// A voter has replied, and knows of nothing that the disk does not have.
+    pub fn on_reply(&mut self, from: ReplicaId) {
+        self.replied.insert(from);
     }
 
-    /// It asks once more.
-    pub fn asked(&mut self) {
-        self.asked = self.asked.saturating_add(1);
+    /// The requests are sent once more.
+    pub fn on_request(&mut self) {
+        self.requests = self.requests.saturating_add(1);
     }
 
-    /// Whether it may take part, among so many voters.
+    /// Whether the voter may take part, given the number of voters.
     pub fn is_over(&self, voters: usize) -> bool {
-        let others = if self.asked > PATIENCE {
+        let required = if self.requests > MAX_RECALL_REQUESTS {
             voters / 2
         } else {
             (voters / 2 + 1).min(voters.saturating_sub(1))
         };
-        self.answered.len() >= others
+        self.replied.len() >= required
     }
 }
--- a/src/consensus/persistent_state.rs
+++ b/src/consensus/persistent_state.rs
@@ -1,8 +1,7 @@
-//! What a voter's disk holds: its seat, how often it was started, its vote, the entries and the last snapshot.
+//! What a voter's disk holds: its replica, the number of starts, its vote, the log and the last snapshot.
 //!
-//! In memory it is the same value with the changes applied that are on their way to the disk; `raft` reads it as its storage.
-
-use std::fmt;
+//! In memory it is the same value, with the records applied that are on their way to the disk; the `raft` library reads it as
+//! its storage.
 
 use protobuf::Message as _;
 use raft::eraftpb;
@@ -11,196 +10,233 @@
 
 use super::ReplicaId;
 
-/// One change of what is kept. All of it is kept at once or nothing.
+/// A change of the persistent state, written atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What is kept but for entries, if it changed.
-    pub head: Option<Head>,
-    /// Entries, in order; those at and behind their first index that were there are dropped.
-    pub entries: Vec<LogLine>,
-    /// Entries below this are dropped.
-    pub from: Option<u64>,
-    /// All entries that were there are dropped, as a snapshot stands in their place.
-    pub anew: bool,
+    /// The metadata, if it changed.
+    pub metadata: Option<Metadata>,
+    /// New entries in order; stored entries at and behind the first index are dropped.
+    pub entries: Vec<LogEntry>,
+    /// Entries below this index are dropped.
+    pub compact_before: Option<u64>,
+    /// All stored entries are dropped, as a snapshot replaces them.
+    pub reset: bool,
 }
 
 impl Record {
     /// Whether nothing changes.
     pub fn is_empty(&self) -> bool {
-        self.head.is_none() && self.entries.is_empty() && self.from.is_none() && !self.anew
+        self.metadata.is_none()
+            && self.entries.is_empty()
+            && self.compact_before.is_none()
+            && !self.reset
     }
 }
 
-/// All but entries.
+/// The persistent state without the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
-    /// Drawn when the disk was made.
-    pub seat: ReplicaId,
-    /// How often a process has begun on this disk.
+pub struct Metadata {
+    /// The replica, drawn when the disk was made.
+    pub replica: ReplicaId,
+    /// How often a process has started on this disk.
     pub boots: u64,
-    /// Why this seat must not vote any more, once that was found out.
+    /// Why this replica must not vote any more, if so.
     pub retired: Option<String>,
-    /// The term it knows of, whom it voted for in it, and what it knows to be agreed.
-    pub hard: (u64, ReplicaId, u64),
-    /// Who votes.
+    /// The state that the raft protocol requires to be durable.
+    pub hard_state: HardState,
+    /// The voters.
     pub voters: Vec<ReplicaId>,
-    /// The snapshot: its index, its term, its voters and the state there.
-    pub snapshot: (u64, u64, Vec<ReplicaId>, Vec<u8>),
+    /// The last snapshot.
+    pub snapshot: Snapshot,
+}
+
+/// The state that the raft protocol requires to be durable.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HardState {
+    /// The current term.
+    pub term: u64,
+    /// The replica that was voted for in the term; 0 if none.
+    pub vote: ReplicaId,
+    /// The index of the last entry known to be committed.
+    pub commit: u64,
+}
+
+/// A snapshot of the replicated state.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Snapshot {
+    /// The index of the last entry in it.
+    pub index: u64,
+    /// The term of that entry.
+    pub term: u64,
+    /// The voters at that entry.
+    pub voters: Vec<ReplicaId>,
+    /// The encoded state.
+    pub data: Vec<u8>,
 }
 
-/// An entry as it is kept.
+/// An entry of the log as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LogLine {
-    /// Its place.
+pub struct LogEntry {
+    /// Its index.
     pub index: u64,
-    /// Whose term it was written in.
+    /// The term in which it was proposed.
     pub term: u64,
-    /// Whether it changes who votes.
-    pub voters: bool,
+    /// Whether it changes the voters.
+    pub is_conf_change: bool,
     /// Its content.
     pub data: Vec<u8>,
-    /// What a change of voters carries besides.
+    /// Additional content of a change of voters.
     pub context: Vec<u8>,
 }
 
-/// Why what a disk holds cannot be a voter's.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why the content of a disk cannot be used by a voter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DamagedState {
-    /// It has no head.
+    /// There is no metadata.
+    #[error("no seat was founded on this disk")]
     Empty,
-    /// An entry is missing among the others, or is there twice.
+    /// An entry is missing between others, or stored twice.
+    #[error("entry {0} of the log is missing")]
     Gap(u64),
-    /// Entries that it had told to be agreed are missing at the end.
-    Cut {
-        /// The last that is there.
+    /// Committed entries are missing at the end.
+    #[error("the log ends at {last}, and {committed} was agreed")]
+    Truncated {
+        /// The last stored entry.
         last: u64,
-        /// The last that was agreed.
-        agreed: u64,
+        /// The last committed entry.
+        committed: u64,
     },
 }
 
-impl fmt::Display for DamagedState {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            DamagedState::Empty => f.write_str("no seat was founded on this disk"),
-            DamagedState::Gap(at) => write!(f, "entry {at} of the log is missing"),
-            DamagedState::Cut { last, agreed } => {
-                write!(f, "the log ends at {last}, and {agreed} was agreed")
-            }
-        }
-    }
-}
-
-impl std::error::Error for DamagedState {}
-
-/// What is kept.
+/// The metadata and the log of one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
-    /// All but entries.
-    pub head: Head,
-    /// Entries behind the snapshot, in order.
-    lines: Vec<LogLine>,
+    /// The state without the log.
+    pub metadata: Metadata,
+    /// The entries behind the snapshot, in order.
+    log: Vec<LogEntry>,
 }
 
 impl PersistentState {
-    /// What a disk was found to hold.
-    pub fn found(head: Option<Head>, lines: Vec<LogLine>) -> Result<PersistentState, DamagedState> {
-        let head = head.ok_or(DamagedState::Empty)?;
-        let mut next = head.snapshot.0 + 1;
-        for line in &lines {
-            if line.index != next {
+    /// Checks what was read from a disk.
+    ///
+    /// # Errors
+    ///
+    /// [`DamagedState`] if the disk is empty or entries are missing.
+    pub fn from_disk(
+        metadata: Option<Metadata>,
+        log: Vec<LogEntry>,
+    ) -> Result<PersistentState, DamagedState> {
+        let metadata = metadata.ok_or(DamagedState::Empty)?;
+        let mut next = metadata.snapshot.index + 1;
+        for entry in &log {
+            if entry.index != next {
                 return Err(DamagedState::Gap(next));
             }
             next += 1;
         }
-        if next <= head.hard.2 {
-            return Err(DamagedState::Cut {
+        let committed = metadata.hard_state.commit;
+        if next <= committed {
+            return Err(DamagedState::Truncated {
                 last: next - 1,
-                agreed: head.hard.2,
+                committed,
             });
         }
-        Ok(PersistentState { head, lines })
+        Ok(PersistentState { metadata, log })
     }
 
-    /// The last entry's place.
+    /// The index of the last entry.
     pub fn last(&self) -> u64 {
-        self.lines.last().map_or(self.head.snapshot.0, |l| l.index)
+        self.log
+            .last()
+            .map_or(self.metadata.snapshot.index, |entry| entry.index)
     }
 
     /// The entries behind the snapshot, in order.
-    pub fn lines(&self) -> &[LogLine] {
-        &self.lines
+    pub fn log(&self) -> &[LogEntry] {
+        &self.log
     }
 
-    /// How many entries are kept.
+    /// The number of entries behind the snapshot.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.log.len()
     }
 
-    /// Whether no entry is kept.
+    /// Whether there are no entries behind the snapshot.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.log.is_empty()
     }
 
-    /// Changes it in memory as [`Record`] will on the disk.
+    /// Changes the state in memory as the record will change it on the disk.
     pub fn apply(&mut self, record: &Record) {
-        if record.anew {
-            self.lines.clear();
+        if record.reset {
+            self.log.clear();
         }
         if let Some(first) = record.entries.first() {
-            self.lines.retain(|l| l.index < first.index);
-            self.lines.extend(record.entries.iter().cloned());
+            self.log.retain(|entry| entry.index < first.index);
+            self.log.extend(record.entries.iter().cloned());
         }
-        if let Some(from) = record.from {
-            self.lines.retain(|l| l.index >= from);
+        if let Some(first) = record.compact_before {
+            self.log.retain(|entry| entry.index >= first);
         }
-        if let Some(head) = &record.head {
-            self.head.clone_from(head);
+        if let Some(metadata) = &record.metadata {
+            self.metadata.clone_from(metadata);
         }
     }
 
-    fn line(&self, index: u64) -> Option<&LogLine> {
-        let at = index.checked_sub(self.head.snapshot.0 + 1)?;
-        self.lines.get(usize::try_from(at).ok()?)
+    fn entry(&self, index: u64) -> Option<&LogEntry> {
+        let offset = index.checked_sub(self.metadata.snapshot.index + 1)?;
+        self.log.get(usize::try_from(offset).ok()?)
     }
 }
 
-impl LogLine {
-    /// From what `raft` hands out.
-    pub fn of(e: &eraftpb::Entry) -> LogLine {
-        LogLine {
-            index: e.index,
-            term: e.term,
-            voters: e.get_entry_type() != eraftpb::EntryType::EntryNormal,
-            data: e.data.to_vec(),
-            context: e.context.to_vec(),
+impl From<&eraftpb::Entry> for LogEntry {
+    fn from(entry: &eraftpb::Entry) -> LogEntry {
+        LogEntry {
+            index: entry.index,
+            term: entry.term,
+            is_conf_change: entry.get_entry_type() != eraftpb::EntryType::EntryNormal,
+            data: entry.data.to_vec(),
+            context: entry.context.to_vec(),
         }
     }
+}
 
-    fn entry(&self) -> eraftpb::Entry {
-        let mut e = eraftpb::Entry::default();
-        (e.index, e.term) = (self.index, self.term);
-        if self.voters {
-            e.set_entry_type(eraftpb::EntryType::EntryConfChange);
+impl From<&LogEntry> for eraftpb::Entry {
+    fn from(stored: &LogEntry) -> eraftpb::Entry {
+        let mut entry = eraftpb::Entry {
+            index: stored.index,
+            term: stored.term,
+            data: stored.data.clone().into(),
+            context: stored.context.clone().into(),
+            ..eraftpb::Entry::default()
+        };
+        if stored.is_conf_change {
+            entry.set_entry_type(eraftpb::EntryType::EntryConfChange);
         }
-        e.data = self.data.clone().into();
-        e.context = self.context.clone().into();
-        e
+        entry
     }
 }
 
-fn conf(voters: &[ReplicaId]) -> eraftpb::ConfState {
-    let mut conf = eraftpb::ConfState::default();
-    conf.set_voters(voters.to_vec());
-    conf
+fn conf_state(voters: &[ReplicaId]) -> eraftpb::ConfState {
+    let mut conf_state = eraftpb::ConfState::default();
+    conf_state.set_voters(voters.to_vec());
+    conf_state
 }
 
 impl Storage for PersistentState {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let (term, vote, commit) = self.head.hard;
-        let mut hard = eraftpb::HardState::default();
-        (hard.term, hard.vote, hard.commit) = (term, vote, commit.max(self.head.snapshot.0));
-        Ok(RaftState::new(hard, conf(&self.head.voters)))
+        let stored = self.metadata.hard_state;
+        let hard_state = eraftpb::HardState {
+            term: stored.term,
+            vote: stored.vote,
+            commit: stored.commit.max(self.metadata.snapshot.index),
+            ..eraftpb::HardState::default()
+        };
+        Ok(RaftState::new(
+            hard_state,
+            conf_state(&self.metadata.voters),
+        ))
     }
 
     fn entries(
@@ -210,40 +246,41 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        if low <= self.head.snapshot.0 {
+        if low <= self.metadata.snapshot.index {
             return Err(StorageError::Compacted.into());
         }
         if high > self.last() + 1 {
             return Err(StorageError::Unavailable.into());
         }
-        let all = (low..high).filter_map(|i| self.line(i)).map(LogLine::entry);
-        let (most, mut size) = (max_size.into().unwrap_or(u64::MAX), 0);
-        let mut found: Vec<eraftpb::Entry> = Vec::new();
-        for e in all {
-            size += u64::from(e.compute_size());
-            if size > most && !found.is_empty() {
+        let max_bytes = max_size.into().unwrap_or(u64::MAX);
+        let mut bytes = 0;
+        let mut entries: Vec<eraftpb::Entry> = Vec::new();
+        for stored in (low..high).filter_map(|index| self.entry(index)) {
+            let entry = eraftpb::Entry::from(stored);
+            bytes += u64::from(entry.compute_size());
+            if bytes > max_bytes && !entries.is_empty() {
                 break;
             }
-            found.push(e);
+            entries.push(entry);
         }
-        Ok(found)
+        Ok(entries)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        let (at, term, ..) = self.head.snapshot;
-        if index == at {
-            return Ok(term);
+        let snapshot = &self.metadata.snapshot;
+        if index == snapshot.index {
+            return Ok(snapshot.term);
         }
-        if index < at {
+        if index < snapshot.index {
             return Err(StorageError::Compacted.into());
         }
-        self.line(index)
-            .map(|l| l.term)
+        self.entry(index)
+            .map(|entry| entry.term)
             .ok_or_else(|| StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.head.snapshot.0 + 1)
+        Ok(self.metadata.snapshot.index + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
@@ -251,17 +288,18 @@
     }
 
     fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
-        let (index, term, voters, data) = &self.head.snapshot;
-        if *index < request_index {
+        let stored = &self.metadata.snapshot;
+        if stored.index < request_index {
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
         let mut snapshot = eraftpb::Snapshot {
-            data: data.clone().into(),
+            data: stored.data.clone().into(),
             ..eraftpb::Snapshot::default()
         };
-        let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (*index, *term);
-        meta.set_conf_state(conf(voters));
+        let metadata = snapshot.mut_metadata();
+        metadata.index = stored.index;
+        metadata.term = stored.term;
+        metadata.set_conf_state(conf_state(&stored.voters));
         Ok(snapshot)
     }
 }
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -1,4 +1,4 @@
-//! What the entries of the agreed log come to; applied in the log's order it is the same at every instance.
+//! The replicated state: applied in the order of the log, the entries give the same state at every gateway.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,107 +10,135 @@
 use crate::replication::sets::{self, ReplicaSets};
 use crate::tenancy::replicated::state as tenants;
 
-/// An entry.
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A leader's first: it says nothing but that all before it is agreed.
+    /// The first entry of a leader, without content.
     Noop,
-    /// Of duties.
+    /// An entry about a lease.
     Lease(ledger::Entry),
-    /// Who votes from here on.
+    /// The voters from this entry on.
     Voters(BTreeMap<ReplicaId, Arc<str>>),
-    /// Of shards and the disks that hold them.
+    /// An entry about shards and the disks that hold them.
     ReplicaSets(sets::Entry),
-    /// Of tenants.
+    /// An entry about tenants.
     Tenants(Box<tenants::Entry>),
 }
 
-/// An entry that another subsystem brings; the council knows no more of it than whose word it is.
+/// An entry that another subsystem proposes; consensus reads nothing of it but its proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubsystemEntry {
-    /// Of shards and the disks that hold them.
+    /// An entry about shards and the disks that hold them.
     ReplicaSets(sets::Entry),
-    /// Of tenants.
+    /// An entry about tenants.
     Tenants(Box<tenants::Entry>),
 }
 
 impl SubsystemEntry {
-    /// Whose word it is.
-    pub fn by(&self) -> &Arc<str> {
+    /// The name of the gateway that proposes it.
+    pub fn proposer(&self) -> &Arc<str> {
         match self {
-            SubsystemEntry::ReplicaSets(e) => e.by(),
-            SubsystemEntry::Tenants(e) => &e.by,
+            SubsystemEntry::ReplicaSets(entry) => entry.by(),
+            SubsystemEntry::Tenants(entry) => &entry.by,
         }
     }
 
-    /// As the log has it.
-    pub fn entry(self) -> Entry {
+    /// The entry of the log.
+    pub fn into_entry(self) -> Entry {
         match self {
-            SubsystemEntry::ReplicaSets(e) => Entry::ReplicaSets(e),
-            SubsystemEntry::Tenants(e) => Entry::Tenants(e),
+            SubsystemEntry::ReplicaSets(entry) => Entry::ReplicaSets(entry),
+            SubsystemEntry::Tenants(entry) => Entry::Tenants(entry),
         }
     }
 }
 
-/// The state at one place in the log.
+/// An entry that was applied to the state.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AppliedEntry {
+    /// Its index in the log.
+    pub index: u64,
+    /// The entry.
+    pub entry: Entry,
+    /// Whether it changed the state; an entry that contradicts an earlier one does not.
+    pub took_effect: bool,
+}
+
+/// The state at one index of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Counts how often a council was founded anew after most of its voters were lost.
+    /// Counts how often the voters were bootstrapped again after most of them were lost.
     pub generation: u32,
-    /// The last entry that is in it.
+    /// The index of the last entry that was applied.
     pub applied: u64,
-    /// Who votes.
+    /// The voters, by replica.
     pub voters: BTreeMap<ReplicaId, Arc<str>>,
-    /// Duties.
+    /// The leases.
     pub leases: LeaseTable,
-    /// Shards.
+    /// The shards and the disks that hold them.
     pub replica_sets: ReplicaSets,
-    /// Tenants as they were changed.
+    /// The tenants that were changed at run time.
     pub tenants: tenants::Tenants,
 }
 
-/// The state as disks have it that were written before there were shards.
-type First = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, LeaseTable);
-/// As they have it that were written before there were tenants.
-type Second = (
-    u32,
-    u64,
-    BTreeMap<ReplicaId, Arc<str>>,
-    LeaseTable,
-    sets::Earlier,
-);
+/// The state as versions before shards stored it.
+#[derive(Deserialize)]
+struct StateWithoutShards {
+    generation: u32,
+    applied: u64,
+    voters: BTreeMap<ReplicaId, Arc<str>>,
+    leases: LeaseTable,
+}
+
+/// The state as versions before tenants stored it.
+#[derive(Deserialize)]
+struct StateWithoutTenants {
+    generation: u32,
+    applied: u64,
+    voters: BTreeMap<ReplicaId, Arc<str>>,
+    leases: LeaseTable,
+    replica_sets: sets::Earlier,
+}
+
+impl From<StateWithoutShards> for State {
+    fn from(stored: StateWithoutShards) -> State {
+        State {
+            generation: stored.generation,
+            applied: stored.applied,
+            voters: stored.voters,
+            leases: stored.leases,
+            ..State::default()
+        }
+    }
+}
+
+impl From<StateWithoutTenants> for State {
+    fn from(stored: StateWithoutTenants) -> State {
+        State {
+            generation: stored.generation,
+            applied: stored.applied,
+            voters: stored.voters,
+            leases: stored.leases,
+            replica_sets: stored.replica_sets.into(),
+            tenants: tenants::Tenants::default(),
+        }
+    }
+}
 
 impl State {
-    /// Reads a snapshot's bytes, also those of an earlier version.
-    pub fn read(bytes: &[u8]) -> Result<State, postcard::Error> {
-        postcard::from_bytes(bytes).or_else(|e| {
-            let tenants = tenants::Tenants::default();
-            if let Ok((generation, applied, voters, ledger, sets)) =
-                postcard::from_bytes::<Second>(bytes)
-            {
-                return Ok(State {
-                    generation,
-                    applied,
-                    voters,
-                    leases: ledger,
-                    replica_sets: sets.into(),
-                    tenants,
-                });
-            }
-            let (generation, applied, voters, ledger): First =
-                postcard::from_bytes(bytes).map_err(|_| e)?;
-            Ok(State {
-                generation,
-                applied,
-                voters,
-                leases: ledger,
-                replica_sets: ReplicaSets::default(),
-                tenants,
-            })
-        })
+    /// Decodes a snapshot of this version or of an earlier one.
+    pub fn decode(bytes: &[u8]) -> Result<State, postcard::Error> {
+        let error = match postcard::from_bytes::<State>(bytes) {
+            Ok(state) => return Ok(state),
+            Err(error) => error,
+        };
+        if let Ok(stored) = postcard::from_bytes::<StateWithoutTenants>(bytes) {
+            return Ok(stored.into());
+        }
+        let stored: StateWithoutShards = postcard::from_bytes(bytes).map_err(|_| error)?;
+        Ok(stored.into())
     }
 
-    /// Applies the entry at an index; tells whether it took hold.
+    /// Applies the entry at an index; returns whether it took effect.
     pub fn apply(&mut self, index: u64, entry: &Entry) -> bool {
         self.applied = index;
         match entry {
--- /dev/null
+++ b/src/consensus/voter/recall.rs
@@ -0,0 +1,142 @@
+//! Messages of other voters, and the probation of a new process.
+
+use protobuf::Message as _;
+use raft::eraftpb::{Message, MessageType};
+use raft::Storage as _;
+
+use super::{Output, Voter, MAX_PENDING_RECORDS};
+use crate::consensus::peer_memory::{compare, KnownState, StateLoss};
+use crate::consensus::persistent_state::{Metadata, PersistentState};
+use crate::consensus::ReplicaId;
+
+/// Whether the library can take a message: a heartbeat that commits an entry which is not stored would panic.
+fn is_consistent(persistent: &PersistentState, message: &Message) -> bool {
+    let commits = matches!(message.get_msg_type(), MessageType::MsgHeartbeat);
+    !commits || message.commit <= persistent.last()
+}
+
+/// What a message shows of its sender's state.
+fn observed_state(message: &Message, boots: u64, process: u64) -> KnownState {
+    let kind = message.get_msg_type();
+    let acknowledged = match kind {
+        MessageType::MsgAppendResponse if !message.reject => (message.term, message.index),
+        _ => (0, 0),
+    };
+    let is_pre_vote = matches!(
+        kind,
+        MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
+    );
+    // A pre-vote carries a term that no voter is in yet.
+    let term = if is_pre_vote { 0 } else { message.term };
+    KnownState {
+        boots,
+        process,
+        term,
+        acknowledged,
+    }
+}
+
+/// Whether a replica needs no recall: it is the only voter, or has never taken part.
+fn has_nothing_to_recall(metadata: &Metadata) -> bool {
+    metadata.voters.len() == 1 || metadata.voters.is_empty() && metadata.hard_state.term == 0
+}
+
+impl Voter {
+    pub(super) fn on_message(&mut self, from: ReplicaId, boots: u64, process: u64, bytes: &[u8]) {
+        let Ok(message) = Message::parse_from_bytes(bytes) else {
+            return;
+        };
+        if message.from != from || message.to != self.replica() {
+            return;
+        }
+        let observed = observed_state(&message, boots, process);
+        self.memory.observe(from, observed);
+        if !self.votes() || self.pending_records.len() > MAX_PENDING_RECORDS {
+            return;
+        }
+        let consistent = self
+            .raw
+            .as_ref()
+            .is_some_and(|raw| is_consistent(raw.store(), &message));
+        if !consistent {
+            return self.retire(StateLoss::Entries.to_string());
+        }
+        // The library answers or drops what it rejects.
+        self.with_raft(|raw| drop(raw.step(message)));
+    }
+
+    pub(super) fn on_recall_request(&mut self, from: ReplicaId, own: KnownState) {
+        let known = self.memory.known(from);
+        let observed = KnownState {
+            term: 0,
+            acknowledged: (0, 0),
+            ..own
+        };
+        self.memory.observe(from, observed);
+        self.outputs.push_back(Output::Recalled(from, known));
+    }
+
+    pub(super) fn on_recall_reply(&mut self, from: ReplicaId, known: KnownState) {
+        let Some(raw) = &self.raw else { return };
+        let voters = &raw.store().metadata.voters;
+        let from_voter = voters.contains(&from) || voters.is_empty();
+        if !from_voter || self.disabled_guards.probation {
+            return;
+        }
+        // Also checked after the probation: a voter that was unreachable then may know more.
+        if let Err(loss) = compare(self.own_state(), known) {
+            return self.retire(loss.to_string());
+        }
+        if let Some(probation) = &mut self.probation {
+            probation.on_reply(from);
+        }
+        self.update_probation();
+    }
+
+    /// What the disk says of this replica.
+    fn own_state(&self) -> KnownState {
+        let Some(raw) = &self.raw else {
+            return KnownState::default();
+        };
+        let store = raw.store();
+        let last = store.last();
+        KnownState {
+            boots: store.metadata.boots,
+            process: self.identity.process,
+            term: store.metadata.hard_state.term,
+            acknowledged: (store.term(last).unwrap_or(0), last),
+        }
+    }
+
+    fn update_probation(&mut self) {
+        let voters = self
+            .raw
+            .as_ref()
+            .map_or(0, |raw| raw.store().metadata.voters.len());
+        self.probation
+            .take_if(|probation| probation.is_over(voters));
+    }
+
+    /// Repeats the recall requests of a voter on probation; returns whether the library may tick.
+    pub(super) fn tick_probation(&mut self) -> bool {
+        let nothing_to_recall = self
+            .raw
+            .as_ref()
+            .is_some_and(|raw| has_nothing_to_recall(&raw.store().metadata));
+        if nothing_to_recall {
+            self.probation = None;
+            return true;
+        }
+        // The number of starts has to be durable first: killed now, this process would later be taken for a copy of its disk.
+        if !self.pending_records.is_empty() {
+            return false;
+        }
+        let own = self.own_state();
+        if let Some(probation) = &mut self.probation {
+            probation.on_request();
+        }
+        self.outputs.push_back(Output::Recall(own));
+        self.update_probation();
+        false
+    }
+}
--- /dev/null
+++ b/src/consensus/voter/tests/mod.rs
@@ -0,0 +1,5 @@
+//! Tests of voters: agreement under faults, and disks that lose state.
+
+mod agreement;
+mod disks;
+mod simulation;
--- /dev/null
+++ b/src/consensus/wire/session.rs
@@ -0,0 +1,267 @@
+//! One end of a connection between gateways: seals and opens frames.
+
+use prost::Message as _;
+
+use super::{Body, CHALLENGE_BYTES, MAX_FRAME_BYTES, VERSION};
+use crate::membership::is_name;
+use crate::membership::keys::Keys;
+
+/// The kind of a sealed frame; membership's kinds are 1 to 4.
+const FRAME_KIND: u8 = 5;
+/// The size of a frame's length.
+const LENGTH_BYTES: usize = 4;
+/// Estimated size of an envelope's tags and lengths, number and seal, and of the frame's length.
+const ENVELOPE_OVERHEAD_BYTES: usize = 64;
+
+/// Bytes that each end sends once per connection.
+pub type Challenge = [u8; CHALLENGE_BYTES];
+
+#[derive(Clone, PartialEq, prost::Message)]
+struct Envelope {
+    #[prost(uint32, tag = "1")]
+    version: u32,
+    #[prost(string, tag = "2")]
+    from: String,
+    #[prost(string, tag = "3")]
+    to: String,
+    #[prost(bytes = "vec", tag = "4")]
+    challenge: Vec<u8>,
+    #[prost(uint64, tag = "5")]
+    number: u64,
+    #[prost(bytes = "vec", tag = "6")]
+    body: Vec<u8>,
+    #[prost(bytes = "vec", tag = "7")]
+    seal: Vec<u8>,
+}
+
+/// Why a frame is rejected; its connection ends. The texts are the keys under which rejected frames are counted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// It is longer than [`MAX_FRAME_BYTES`].
+    #[error("too_long")]
+    TooLong,
+    /// It cannot be decoded.
+    #[error("garbled")]
+    Malformed,
+    /// It has another version.
+    #[error("version")]
+    Version,
+    /// No key is accepted for its sender.
+    #[error("stranger")]
+    UnknownSender,
+    /// Its receiver is another gateway.
+    #[error("other")]
+    WrongReceiver,
+    /// Its seal does not match.
+    #[error("seal")]
+    InvalidSeal,
+    /// It was received before, or belongs to another connection.
+    #[error("replayed")]
+    Replayed,
+}
+
+/// Which end of the connection sent a frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Side {
+    Connector,
+    Acceptor,
+}
+
+impl Side {
+    fn other(self) -> Side {
+        match self {
+            Side::Connector => Side::Acceptor,
+            Side::Acceptor => Side::Connector,
+        }
+    }
+}
+
+/// The bytes that the seal of a frame covers.
+fn sealed_content(envelope: &Envelope, acceptor_challenge: &Challenge, sender: Side) -> Vec<u8> {
+    let mut content = Vec::with_capacity(envelope.body.len() + 128);
+    for part in [
+        envelope.from.as_bytes(),
+        envelope.to.as_bytes(),
+        &envelope.challenge,
+        acceptor_challenge,
+        &envelope.body,
+    ] {
+        content.extend((part.len() as u64).to_le_bytes());
+        content.extend(part);
+    }
+    content.extend(envelope.number.to_le_bytes());
+    content.extend(envelope.version.to_le_bytes());
+    content.push(u8::from(sender == Side::Connector));
+    content
+}
+
+/// A challenge that was never used before: of a unique process and a number that it uses once.
+pub fn challenge(name: &str, process: u64, number: u64) -> Challenge {
+    let content = [
+        name.as_bytes(),
+        &[0],
+        &process.to_le_bytes(),
+        &number.to_le_bytes(),
+    ]
+    .concat();
+    let hash = blake3::derive_key("molelug council word 1", &content);
+    let mut challenge = [0; CHALLENGE_BYTES];
+    challenge.copy_from_slice(&hash[..CHALLENGE_BYTES]);
+    challenge
+}
+
+/// The state of one end of a connection.
+#[derive(Clone, Debug)]
+pub struct Session {
+    name: String,
+    side: Side,
+    /// The acceptor's challenge, once known.
+    acceptor_challenge: Option<Challenge>,
+    /// The connector's challenge, known to the acceptor with the first frame.
+    connector_challenge: Option<Challenge>,
+    peer: Option<String>,
+    /// The number of the last frame sent.
+    sent: u64,
+    /// The number of the last frame received.
+    received: u64,
+}
+
+impl Session {
+    /// The end that connects to `peer`.
+    pub fn connector(name: &str, peer: &str, challenge: Challenge) -> Session {
+        Session {
+            name: name.into(),
+            side: Side::Connector,
+            acceptor_challenge: None,
+            connector_challenge: Some(challenge),
+            peer: Some(peer.into()),
+            sent: 0,
+            received: 0,
+        }
+    }
+
+    /// The end that accepts; its challenge is the first thing it sends.
+    pub fn acceptor(name: &str, challenge: Challenge) -> Session {
+        Session {
+            name: name.into(),
+            side: Side::Acceptor,
+            acceptor_challenge: Some(challenge),
+            connector_challenge: None,
+            peer: None,
+            sent: 0,
+            received: 0,
+        }
+    }
+
+    /// The gateway at the other end: the intended one for a connector, the authenticated one for an acceptor.
+    pub fn peer(&self) -> Option<&str> {
+        self.peer.as_deref()
+    }
+
+    /// Whether frames can be sealed, as both challenges are known.
+    pub fn is_open(&self) -> bool {
+        self.acceptor_challenge.is_some()
+            && self.connector_challenge.is_some()
+            && self.peer.is_some()
+    }
+
+    /// Seals a frame; `None` while the session is not open, or if the frame would be too long.
+    pub fn pack(&mut self, keys: &Keys, body: &Body) -> Option<Vec<u8>> {
+        let acceptor_challenge = self.acceptor_challenge?;
+        let connector_challenge = self.connector_challenge?;
+        let to = self.peer.clone()?;
+        let body = postcard::to_stdvec(body).ok()?;
+        self.sent += 1;
+        let mut envelope = Envelope {
+            version: VERSION,
+            from: self.name.clone(),
+            to,
+            challenge: connector_challenge.to_vec(),
+            number: self.sent,
+            body,
+            seal: Vec::new(),
+        };
+        let content = sealed_content(&envelope, &acceptor_challenge, self.side);
+        envelope.seal = keys.seal(FRAME_KIND, &content);
+        let bytes = envelope.encode_to_vec();
+        if bytes.len() > MAX_FRAME_BYTES {
+            return None;
+        }
+        let length = (bytes.len() as u32).to_le_bytes();
+        Some([&length[..], &bytes].concat())
+    }
+
+    /// Takes the first complete message of the input: its size in bytes, and its body unless it is a challenge.
+    pub fn take(
+        &mut self,
+        keys: &Keys,
+        bytes: &[u8],
+    ) -> Result<Option<(usize, Option<Body>)>, FrameError> {
+        if self.acceptor_challenge.is_none() {
+            let Some(challenge) = bytes.first_chunk::<CHALLENGE_BYTES>() else {
+                return Ok(None);
+            };
+            self.acceptor_challenge = Some(*challenge);
+            return Ok(Some((CHALLENGE_BYTES, None)));
+        }
+        let Some(length) = bytes.first_chunk::<LENGTH_BYTES>() else {
+            return Ok(None);
+        };
+        let length = u32::from_le_bytes(*length) as usize;
+        if length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong);
+        }
+        let end = LENGTH_BYTES + length;
+        let Some(frame) = bytes.get(LENGTH_BYTES..end) else {
+            return Ok(None);
+        };
+        let body = self.open(keys, frame)?;
+        Ok(Some((end, Some(body))))
+    }
+
+    fn open(&mut self, keys: &Keys, frame: &[u8]) -> Result<Body, FrameError> {
+        let envelope = Envelope::decode(frame).map_err(|_| FrameError::Malformed)?;
+        if envelope.version != VERSION {
+            return Err(FrameError::Version);
+        }
+        if !self.accepts_sender(keys, &envelope.from) {
+            return Err(FrameError::UnknownSender);
+        }
+        if envelope.to != self.name {
+            return Err(FrameError::WrongReceiver);
+        }
+        let challenge: Challenge = envelope
+            .challenge
+            .as_slice()
+            .try_into()
+            .map_err(|_| FrameError::Malformed)?;
+        let other_connection = self
+            .connector_challenge
+            .is_some_and(|known| known != challenge);
+        // Numbers may have gaps: a frame that was withdrawn before it left is missing.
+        if other_connection || envelope.number <= self.received {
+            return Err(FrameError::Replayed);
+        }
+        let acceptor_challenge = self.acceptor_challenge.ok_or(FrameError::Malformed)?;
+        let content = sealed_content(&envelope, &acceptor_challenge, self.side.other());
+        if !keys.check(&envelope.from, FRAME_KIND, &content, &envelope.seal) {
+            return Err(FrameError::InvalidSeal);
+        }
+        let body = postcard::from_bytes(&envelope.body).map_err(|_| FrameError::Malformed)?;
+        self.connector_challenge = Some(challenge);
+        self.peer = Some(envelope.from);
+        self.received = envelope.number;
+        Ok(body)
+    }
+
+    fn accepts_sender(&self, keys: &Keys, from: &str) -> bool {
+        let is_peer = self.peer.as_ref().is_none_or(|peer| peer == from);
+        is_name(from) && keys.knows(from) && is_peer
+    }
+}
+
+/// The size in bytes of a frame between two gateways that share a key; for the emulator's figures.
+pub fn encoded_size(from: &str, to: &str, body: &Body) -> usize {
+    let body_bytes = postcard::to_stdvec(body).map_or(0, |bytes| bytes.len());
+    body_bytes + from.len() + to.len() + CHALLENGE_BYTES + ENVELOPE_OVERHEAD_BYTES
+}
--- a/src/consensus/wire/tests.rs
+++ b/src/consensus/wire/tests.rs
@@ -1,7 +1,9 @@
-use super::*;
+//! Tests of sealed frames and of the sessions that seal them.
+
+use super::{challenge, Body, FrameError, LeaseEffect, Session, CHALLENGE_BYTES, MAX_FRAME_BYTES};
 use crate::membership::keys::tests::each;
 
-fn both() -> (Session, Session) {
+fn session_pair() -> (Session, Session) {
     let mut a = Session::connector("a", "b", challenge("a", 1, 1));
     let b = Session::acceptor("b", challenge("b", 2, 1));
     assert_eq!(
@@ -22,9 +24,9 @@
 }
 
 #[test]
-fn a_frame_counts_once_on_its_connection_for_whom_it_was_meant() {
+fn frame_counts_once_on_its_connection_for_its_receiver() {
     let (ka, kb) = (each(0, 2), each(1, 2));
-    let (mut a, mut b) = both();
+    let (mut a, mut b) = session_pair();
     let one = a.pack(&ka, &effect(1)).unwrap();
     let two = a.pack(&ka, &effect(2)).unwrap();
     for cut in 0..one.len() {
@@ -38,29 +40,29 @@
     assert!(later.take(&kb, &three).is_ok());
     assert_eq!(later.take(&kb, &two), Err(FrameError::Replayed));
     // Answers go back; one's own frame sent back does not count.
-    let back = b.pack(&kb, &effect(9)).unwrap();
+    let reply = b.pack(&kb, &effect(9)).unwrap();
     assert_eq!(
-        a.clone().take(&ka, &back),
-        Ok(Some((back.len(), Some(effect(9)))))
+        a.clone().take(&ka, &reply),
+        Ok(Some((reply.len(), Some(effect(9)))))
     );
     assert!(a.take(&ka, &two).is_err());
     // On another connection it is refused, and by another reader.
     let mut other = Session::acceptor("b", challenge("b", 2, 2));
-    assert_eq!(other.take(&kb, &one), Err(FrameError::Seal));
+    assert_eq!(other.take(&kb, &one), Err(FrameError::InvalidSeal));
     let mut other = Session::acceptor("c", challenge("b", 2, 1));
-    assert_eq!(other.take(&kb, &one), Err(FrameError::Other));
+    assert_eq!(other.take(&kb, &one), Err(FrameError::WrongReceiver));
 }
 
 #[test]
-fn strangers_garbage_and_what_is_too_long_are_refused_by_name() {
+fn malformed_oversized_and_tampered_frames_are_rejected() {
     let (ka, kb) = (each(0, 2), each(1, 2));
-    let (mut a, b) = both();
+    let (mut a, b) = session_pair();
     let mut frame = a.pack(&ka, &effect(1)).unwrap();
     let long = [&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes()[..], &[0; 9]].concat();
     assert_eq!(b.clone().take(&kb, &long), Err(FrameError::TooLong));
     assert_eq!(
         b.clone().take(&kb, &[3, 0, 0, 0, 0xff, 0xff, 0xff]),
-        Err(FrameError::Garbled)
+        Err(FrameError::Malformed)
     );
     for at in 4..frame.len() {
         frame[at] ^= 1;
@@ -68,6 +70,12 @@
         frame[at] ^= 1;
     }
     assert!(b.clone().take(&kb, &frame).is_ok());
-    let huge = Body::Raft(1, 1, 1, 1, vec![0; MAX_FRAME_BYTES]);
+    let huge = Body::Raft {
+        generation: 1,
+        from: 1,
+        boots: 1,
+        process: 1,
+        message: vec![0; MAX_FRAME_BYTES],
+    };
     assert_eq!(a.pack(&ka, &huge), None);
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -320,7 +320,7 @@
             node.set_up_gossip(now, g, ready.clone())?;
         }
         if let Some(c) = &extras.consensus {
-            node.set_up_council(now, c, ready)?;
+            node.set_up_consensus(now, c, ready)?;
         }
         if let Some(c) = &extras.replication {
             node.set_up_copies(now, c)?;
@@ -525,7 +525,7 @@
         self.pump();
         let now = self.clock.now();
         self.step_gossip(now);
-        self.step_council(now);
+        self.step_consensus(now);
         // Advice may have moved the module to something.
         self.pump();
         let hooks = self.secondary.hooks.as_ref().is_none_or(|h| h.is_idle(now));
@@ -557,7 +557,7 @@
                 DELIVER => self.tick_webhooks(now),
                 RETAIN => self.retain(now),
                 GOSSIP => self.tick_gossip(now),
-                COUNCIL => self.tick_council(),
+                COUNCIL => self.tick_consensus(),
                 COPIES => self.tick_copies(),
                 TENANTS => self.tick_tenants(now),
                 TRIALS => self.tick_trials(now),
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -244,7 +244,7 @@
                 .hang(self.ops.life.accepts_until().unwrap_or(now), DRAIN_OVER);
             self.thin_out(now);
             self.write_word(now);
-            self.give_duties_back(now);
+            self.release_leases(now);
         }
     }
 
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -15,7 +15,7 @@
                 self.perform(now, command);
             } else if self.step_webhooks(now) || self.step_copies(now) || self.step_tenants(now) {
             } else if let Some(key) = self.dirty.pop() {
-                self.look_at_leases(key);
+                self.withdraw_expired_effects(key);
                 let Some((conn, _)) = self.connections.get_mut(key) else {
                     continue;
                 };
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -102,14 +102,14 @@
             Role::Worker(_) => worker::READ_LIMIT,
             Role::Board(_) => discovery::READ_LIMIT,
             Role::Line => operator_console::READ_LIMIT,
-            Role::Peer(_) => consensus::READ_LIMIT,
+            Role::Peer(_) => consensus::READ_LIMIT_BYTES,
         };
         let read = conn.read(limit);
         if !was_up {
             let next = match role {
                 Role::Worker(_) => now + self.config.conn_idle * 4 / 5,
                 Role::Portal(_) => conn.deadline.unwrap_or(now),
-                Role::Peer(_) => now + consensus::SILENT,
+                Role::Peer(_) => now + consensus::PEER_SILENCE_TIMEOUT,
                 _ => now + BOARD_SILENT,
             };
             self.set_deadline(key, Some(next));
--- /dev/null
+++ b/src/gateway/consensus/eligibility.rs
@@ -0,0 +1,85 @@
+//! Whether this gateway is eligible to hold leases.
+
+use super::transport::MIN_FREE_DESCRIPTORS;
+use crate::api::Micros;
+use crate::consensus::participant::Input;
+use crate::gateway::Gateway;
+
+/// What decides whether this gateway is eligible.
+#[derive(Debug)]
+pub(super) struct Eligibility {
+    /// Whether the subsystems that work under leases can do so here.
+    subsystems_able: bool,
+    has_free_descriptors: bool,
+    /// Whether the process is to end.
+    draining: bool,
+    /// What the participant was told last.
+    pub(super) announced: bool,
+}
+
+impl Default for Eligibility {
+    fn default() -> Eligibility {
+        Eligibility {
+            subsystems_able: true,
+            has_free_descriptors: true,
+            draining: false,
+            announced: true,
+        }
+    }
+}
+
+impl Eligibility {
+    /// Notes the number of free descriptors; with hysteresis, so that one descriptor does not move leases back and forth.
+    fn set_free_descriptors(&mut self, free: usize) {
+        let required = if self.has_free_descriptors {
+            MIN_FREE_DESCRIPTORS
+        } else {
+            MIN_FREE_DESCRIPTORS + MIN_FREE_DESCRIPTORS / 4
+        };
+        self.has_free_descriptors = free >= required;
+    }
+
+    fn is_eligible(&self) -> bool {
+        self.subsystems_able && self.has_free_descriptors && !self.draining
+    }
+}
+
+impl Gateway {
+    /// Notes whether the subsystems that work under leases can do so here.
+    pub(in crate::gateway) fn set_subsystems_able(&mut self, able: bool) {
+        if let Some(driver) = &mut self.cluster.consensus {
+            driver.eligibility.subsystems_able = able;
+        }
+        self.update_eligibility();
+    }
+
+    /// Tells the participant if this gateway has become eligible to hold leases, or no longer is.
+    pub(super) fn update_eligibility(&mut self) {
+        let free = self.sockets().saturating_sub(self.connections.len());
+        let Some(driver) = &mut self.cluster.consensus else {
+            return;
+        };
+        let eligibility = &mut driver.eligibility;
+        eligibility.set_free_descriptors(free);
+        let eligible = eligibility.is_eligible();
+        if std::mem::replace(&mut eligibility.announced, eligible) == eligible {
+            return;
+        }
+        tracing::warn!(
+            eligible,
+            has_free_descriptors = eligibility.has_free_descriptors,
+            draining = eligibility.draining,
+            "lease eligibility changed"
+        );
+        self.handle_consensus(Input::SetEligible(eligible));
+    }
+
+    /// Releases the leases, as the process is to end.
+    pub(in crate::gateway) fn release_leases(&mut self, now: Micros) {
+        if let Some(driver) = &mut self.cluster.consensus {
+            driver.eligibility.draining = true;
+        }
+        self.update_eligibility();
+        self.step_consensus(now);
+    }
+}
--- /dev/null
+++ b/src/gateway/consensus/outputs.rs
@@ -0,0 +1,100 @@
+//! Carries out what the participant asks for, and passes leases and effects to the subsystems that work under them.
+
+use super::setup::lease_names;
+use crate::api::Micros;
+use crate::consensus::participant::{HistoryEvent, Input, Output};
+use crate::consensus::persistent_state::Record;
+use crate::gateway::Gateway;
+use crate::lease::{LeaseName, Term};
+use crate::store::records::Op;
+
+impl Gateway {
+    pub(super) fn on_consensus_output(&mut self, now: Micros, output: Output) {
+        match output {
+            Output::Send(to, body) => self.send_frame(now, &to, body),
+            Output::SendOwn(to, effect) => self.send_own_effect(&to, effect),
+            Output::Persist(number, record) => self.write_record(number, record),
+            Output::LeaseAcquired(lease, term) => self.on_lease_acquired(now, &lease, term),
+            Output::LeaseLost(lease, term) => self.on_lease_lost(now, &lease, term),
+            Output::EffectReceived(effect) => {
+                self.trials_told(now, &effect.lease, &effect.content);
+                self.loads_told(now, &effect.lease, &effect.content);
+            }
+            Output::ReportReceived(lease, from, content) => {
+                self.trials_heard(now, &lease, &content);
+                self.loads_heard(now, &lease, &from, &content);
+            }
+            Output::SubsystemChanged => {
+                self.copies_agreed();
+                self.tenants_agreed(now);
+            }
+            Output::Record(event) => self.on_history_event(now, &event),
+        }
+    }
+
+    fn write_record(&mut self, number: u64, record: Box<Record>) {
+        let driver = self.cluster.consensus.as_ref();
+        if let Some(writer) = driver.and_then(|driver| driver.writer.as_ref()) {
+            writer.ask(number, Op::Log(record));
+        }
+    }
+
+    fn on_lease_acquired(&mut self, now: Micros, lease: &LeaseName, term: Term) {
+        tracing::info!(lease = &**lease, term, "lease acquired");
+        self.trials_owned(now, lease, true);
+        self.loads_owned(now, lease, true);
+    }
+
+    fn on_lease_lost(&mut self, now: Micros, lease: &LeaseName, term: Term) {
+        tracing::info!(lease = &**lease, term, "lease lost");
+        self.withdraw_effects(lease, term);
+        self.trials_owned(now, lease, false);
+        self.loads_owned(now, lease, false);
+    }
+
+    fn on_history_event(&mut self, now: Micros, event: &HistoryEvent) {
+        match event {
+            HistoryEvent::Agreed { lease, holder, .. } => {
+                self.loads_known(now, lease, holder.is_some());
+            }
+            HistoryEvent::Restored { .. } => self.update_known_load_holders(now),
+            _ => {}
+        }
+        if let Some(driver) = &mut self.cluster.consensus {
+            driver.record(event);
+        }
+    }
+
+    /// Tells load coordination which of its leases have a holder in the agreed state.
+    pub(super) fn update_known_load_holders(&mut self, now: Micros) {
+        let Some(driver) = &self.cluster.consensus else {
+            return;
+        };
+        let leases = &driver.participant.state().leases;
+        let known: Vec<(LeaseName, bool)> = lease_names(&driver.file)
+            .into_iter()
+            .map(|lease| {
+                let is_held = leases.record(&lease).holder.is_some();
+                (lease, is_held)
+            })
+            .collect();
+        for (lease, is_held) in known {
+            self.loads_known(now, &lease, is_held);
+        }
+    }
+
+    /// An operator adds or removes a voter.
+    pub(in crate::gateway) fn exchange_voters(
+        &mut self,
+        now: Micros,
+        joins: Option<String>,
+        leaves: Option<String>,
+    ) {
+        tracing::info!(?joins, ?leaves, "voter exchange requested");
+        self.handle_consensus(Input::Exchange {
+            joins: joins.map(Into::into),
+            leaves: leaves.map(Into::into),
+        });
+        self.step_consensus(now);
+    }
+}
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -104,7 +104,7 @@
             match output {
                 Output::Report(worker) => {
                     let content = postcard::to_stdvec(&worker.0).unwrap_or_default();
-                    self.tell_member_of_council(Say::Report(NAME.into(), content));
+                    self.handle_consensus(Say::Report(NAME.into(), content));
                 }
                 Output::Try(worker) => {
                     let probe = self.core.probe(now, worker);
@@ -113,10 +113,10 @@
                     }
                 }
                 Output::Tell(verdicts) => {
-                    self.tell_member_of_council(Say::Act(NAME.into(), word(verdicts)))
+                    self.handle_consensus(Say::Act(NAME.into(), word(verdicts)))
                 }
                 Output::Advise(worker, until) => self.core.rumour(now, worker, until),
-                Output::Able(able) => self.set_able(able),
+                Output::Able(able) => self.set_subsystems_able(able),
             }
         }
         let Some(side) = &mut self.cluster.health_checks else {
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -144,13 +144,13 @@
         {
             match output {
                 Output::Report(duty, word) => {
-                    self.tell_member_of_council(Say::Report(
+                    self.handle_consensus(Say::Report(
                         duty,
                         postcard::to_stdvec(&word).unwrap_or_default(),
                     ));
                 }
                 Output::Tell(duty, word) => {
-                    self.tell_member_of_council(Say::Act(
+                    self.handle_consensus(Say::Act(
                         duty,
                         postcard::to_stdvec(&word).unwrap_or_default(),
                     ));
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -13,7 +13,7 @@
         };
         let now = self.clock.now();
         self.reload_gossip(now);
-        self.reload_council();
+        self.reload_consensus();
         if self.config.fixed() != fresh.fixed() {
             tracing::warn!(
                 "only the notice board is taken from the new configuration before a restart"
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -94,7 +94,12 @@
                 "absent, and copies need it".into(),
             )))
         };
-        let Some((name, process, history)) = self.council_identity() else {
+        let Some(consensus::Identity {
+            name,
+            process,
+            history,
+        }) = self.consensus_identity()
+        else {
             return needs("--council");
         };
         if !self
@@ -126,7 +131,7 @@
             ask: settings.ask,
             without_agreed: settings.without.agreed,
         };
-        self.know_addresses(
+        self.add_peer_addresses(
             file.members
                 .iter()
                 .map(|(n, m)| (n.as_str().into(), m.address)),
@@ -162,7 +167,7 @@
         if self.cluster.replication.is_none() {
             return;
         }
-        if let Some(sets) = self.agreed_sets() {
+        if let Some(sets) = self.agreed_replica_sets() {
             self.tell_copies(Input::SetsChanged(std::sync::Arc::new(sets)));
         }
     }
@@ -263,11 +268,11 @@
             return;
         };
         match output {
-            Output::Send(to, body) => self.say(now, &to, frames::Body::Replication(body)),
+            Output::Send(to, body) => self.send_frame(now, &to, frames::Body::Replication(body)),
             Output::Propose(entry) => {
-                self.tell_member_of_council(participant::Input::Submit(
-                    SubsystemEntry::ReplicaSets(entry),
-                ));
+                self.handle_consensus(participant::Input::Submit(SubsystemEntry::ReplicaSets(
+                    entry,
+                )));
             }
             Output::Store(shard, place, bytes, ticket) => {
                 hooks.keep_record(shard, place, &bytes, ticket)
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -220,8 +220,8 @@
         let before = self.secondary.tenants.clone();
         let fleet = match r.path {
             "/v1/peers" => self.peers(now),
-            "/v1/council" | "/v1/council/voters" => self.council_view(),
-            "/v1/duties" => self.duties_view(),
+            "/v1/council" | "/v1/council/voters" => self.consensus_view(),
+            "/v1/duties" => self.leases_view(),
             _ => serde_json::Value::Null,
         };
         let hooks = &self.secondary.hooks;
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -98,7 +98,12 @@
         let Some(side) = &self.cluster.tenants else {
             return;
         };
-        let Some(hall) = self.cluster.consensus.as_ref().map(|h| h.member().state()) else {
+        let Some(hall) = self
+            .cluster
+            .consensus
+            .as_ref()
+            .map(|h| h.participant().state())
+        else {
             return;
         };
         // Most changes of what is agreed are of shards.
@@ -120,7 +125,7 @@
             .cluster
             .consensus
             .as_ref()
-            .is_some_and(|h| h.member().is_caught_up());
+            .is_some_and(|h| h.participant().is_caught_up());
         if side.heard {
             Ok(())
         } else {
@@ -231,9 +236,7 @@
         {
             match output {
                 Output::Propose(entry) => {
-                    self.tell_member_of_council(Say::Submit(SubsystemEntry::Tenants(Box::new(
-                        entry,
-                    ))));
+                    self.handle_consensus(Say::Submit(SubsystemEntry::Tenants(Box::new(entry))));
                 }
                 Output::Removals(removals) => self.secondary.tenants.set_removals(removals),
                 Output::Adopt(tenant, kept) => {
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -3,13 +3,13 @@
 use super::keyspace::{Space, Table};
 use super::records::StoreError;
 use super::tables::{key, number, pack, unpack, TOP};
-use crate::consensus::persistent_state::{Head, LogLine, Record};
+use crate::consensus::persistent_state::{LogEntry, Metadata, Record};
 
 const SEAT: &[u8] = b"seat";
 
 /// Keeps a change, as [`crate::consensus::persistent_state::PersistentState::apply`] makes it in memory.
 pub fn keep(space: &mut dyn Space, record: &Record) -> Result<(), StoreError> {
-    if record.anew {
+    if record.reset {
         drop_range(space, &[], &TOP)?;
     }
     if let Some(first) = record.entries.first() {
@@ -18,11 +18,11 @@
     for line in &record.entries {
         space.put(Table::Log, &key(&[line.index]), &pack(line)?)?;
     }
-    if let Some(from) = record.from {
+    if let Some(from) = record.compact_before {
         drop_range(space, &[], &key(&[from]))?;
     }
-    if let Some(head) = &record.head {
-        space.put(Table::Meta, SEAT, &pack(head)?)?;
+    if let Some(metadata) = &record.metadata {
+        space.put(Table::Meta, SEAT, &pack(metadata)?)?;
     }
     Ok(())
 }
@@ -35,14 +35,14 @@
 }
 
 /// What is kept. An entry under another's index cannot be read.
-pub fn read(space: &dyn Space) -> Result<(Option<Head>, Vec<LogLine>), StoreError> {
+pub fn read(space: &dyn Space) -> Result<(Option<Metadata>, Vec<LogEntry>), StoreError> {
     let head = space
         .get(Table::Meta, SEAT)?
         .map(|b| unpack(&b, "a seat"))
         .transpose()?;
     let mut lines = Vec::new();
     for (k, v) in space.scan(Table::Log, &[], &TOP, usize::MAX, false)? {
-        let line: LogLine = unpack(&v, "an entry of the log")?;
+        let line: LogEntry = unpack(&v, "an entry of the log")?;
         if line.index != number(&k, 0) {
             return Err(StoreError::Damaged("an entry of the log"));
         }
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -26,7 +26,7 @@
 use super::recovery::settled_with;
 use super::shards;
 use crate::api::{Effect, Micros};
-use crate::consensus::persistent_state::{Head as Seat, LogLine};
+use crate::consensus::persistent_state::{LogEntry, Metadata};
 use crate::delivery::response::{Dead, State};
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::{LogPosition, ShardId};
@@ -70,7 +70,7 @@
     /// Callbacks of which nobody can tell whether they arrived.
     pub unknown: u64,
     /// A voter's seat and log, if the file has one.
-    pub log: (Option<Seat>, Vec<LogLine>),
+    pub log: (Option<Metadata>, Vec<LogEntry>),
 }
 
 /// The logic over one space.
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -15,7 +15,7 @@
 
 use molelug::api::*;
 use molelug::completion::{CloseReason, SendProgress};
-use molelug::consensus::config::{bootstrap, kept_of};
+use molelug::consensus::bootstrap::{bootstrap, initial_state};
 use molelug::consensus::participant::{self, DisabledGuards, Output, Participant};
 use molelug::consensus::persistent_state::{PersistentState, Record};
 use molelug::consensus::voter;
@@ -322,7 +322,9 @@
         for n in 0..scenario.instances {
             let votes = n < scenario.voters;
             let disk = match votes {
-                true => kept_of(&bootstrap(1, &names[n], &names, None).map_err(Error::other)?),
+                true => {
+                    initial_state(&bootstrap(1, &names[n], &names, None).map_err(Error::other)?)
+                }
                 false => PersistentState::default(),
             };
             instances.push(Instance {
@@ -523,7 +525,7 @@
         let Some(to) = to.strip_prefix("gw-").and_then(|n| n.parse::<usize>().ok()) else {
             return;
         };
-        self.instances[from].bytes += wire::size(&name(from), &name(to), &body) as u64;
+        self.instances[from].bytes += wire::encoded_size(&name(from), &name(to), &body) as u64;
         self.ran.frames += 1;
         let net = self.scenario.network;
         if self.instances[from].cut.0 || self.random.next_u32() % 100 < net.lost {
@@ -1046,8 +1048,8 @@
                     },
                 );
             }
-            Output::LeaseBegan(duty, _) => self.owns(n, duty, true),
-            Output::LeaseEnded(duty, _) => self.owns(n, duty, false),
+            Output::LeaseAcquired(duty, _) => self.owns(n, duty, true),
+            Output::LeaseLost(duty, _) => self.owns(n, duty, false),
             Output::EffectReceived(effect) => {
                 if self.tell_loads(
                     n,
--- a/testbed/src/lease_trials.rs
+++ b/testbed/src/lease_trials.rs
@@ -258,7 +258,7 @@
         std::fs::write(self.folder.0.join("shared.keys"), lines.join("\n"))?;
         for gateway in self.gateways.iter_mut().flatten() {
             gateway.reload()?;
-            gateway.line("of the council were read anew")?;
+            gateway.line("consensus addresses and keys reloaded")?;
         }
         Ok(())
     }
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -230,9 +230,9 @@
     let mut out = Values::default();
     out.add("listen", file.listen);
     out.add("name", &file.name);
-    out.add("seat", &file.seat);
+    out.add("seat", &file.replica_disk);
     out.add("voters", &file.voters);
-    out.add("duties", &file.duties);
+    out.add("duties", &file.leases);
     out.add("lease_ms", file.lease_ms);
     out.add("drift_ppm", file.drift_ppm);
     out.add("tick_ms", file.tick_ms);
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -4,9 +4,11 @@
 use std::sync::Arc;
 
 use molelug::consensus::peer_memory::KnownState;
-use molelug::consensus::persistent_state::{DamagedState, Head, LogLine, PersistentState, Record};
+use molelug::consensus::persistent_state::{
+    DamagedState, HardState, LogEntry, Metadata, PersistentState, Record, Snapshot,
+};
 use molelug::consensus::state::{Entry, State, SubsystemEntry};
-use molelug::consensus::voter::{DisabledVoterGuards, Settings, Voter};
+use molelug::consensus::voter::{DisabledVoterGuards, Identity, Settings, Voter};
 use molelug::consensus::wire::{challenge, LeaseEffect, LeaseReport, Poll};
 use molelug::consensus::{bootstrap_voter, ReplicaId};
 use molelug::lease::fence::Fence;
@@ -262,8 +264,8 @@
         &Poll {
             generation: 2,
             applied: 256,
-            passed: (9001, 8),
-            seat: Some(13),
+            effects: (9001, 8),
+            replica: Some(13),
         },
     );
     pins.postcard("poll without seat", &Poll::default());
@@ -305,7 +307,7 @@
     pins.postcard("state without tenants", &second);
     pins.finish();
 
-    let encoded = |bytes: Result<Vec<u8>, _>| State::read(&bytes.expect("it encodes"));
+    let encoded = |bytes: Result<Vec<u8>, _>| State::decode(&bytes.expect("it encodes"));
     assert_eq!(encoded(postcard::to_stdvec(&now)), Ok(now.clone()));
     let without_tenants = State {
         tenants: tenants::Tenants::default(),
@@ -335,27 +337,36 @@
 }
 
 /// A voter alone, so that it leads and applies all by itself.
-fn head() -> Head {
+fn metadata() -> Metadata {
     let alone = State {
         voters: [(11, "n1".into())].into(),
         ..state()
     };
     let snapshot = postcard::to_stdvec(&alone).expect("it encodes");
-    Head {
-        seat: 11,
+    Metadata {
+        replica: 11,
         boots: 4,
         retired: None,
-        hard: (8, 11, 258),
+        hard_state: HardState {
+            term: 8,
+            vote: 11,
+            commit: 258,
+        },
         voters: vec![11],
-        snapshot: (256, 7, vec![11], snapshot),
+        snapshot: Snapshot {
+            index: 256,
+            term: 7,
+            voters: vec![11],
+            data: snapshot,
+        },
     }
 }
 
-fn lines() -> Vec<LogLine> {
-    let line = |index, entry: &Entry| LogLine {
+fn lines() -> Vec<LogEntry> {
+    let line = |index, entry: &Entry| LogEntry {
         index,
         term: 8,
-        voters: false,
+        is_conf_change: false,
         data: postcard::to_stdvec(entry).expect("it encodes"),
         context: Vec::new(),
     };
@@ -369,10 +380,10 @@
 /// A voter's disk with a snapshot and entries behind it.
 pub fn voter_record() -> Record {
     Record {
-        head: Some(head()),
+        metadata: Some(metadata()),
         entries: lines(),
-        from: None,
-        anew: false,
+        compact_before: None,
+        reset: false,
     }
 }
 
@@ -381,14 +392,20 @@
     let mut pins = Pins::of("voter-records.txt");
     pins.postcard("record", &voter_record());
     let retired = Some("its disk is an older one".to_owned());
-    pins.postcard("retired head", &Head { retired, ..head() });
+    pins.postcard(
+        "retired head",
+        &Metadata {
+            retired,
+            ..metadata()
+        },
+    );
     let context = postcard::to_stdvec(&Entry::Voters(voters())).expect("it encodes");
     pins.postcard(
         "change of voters",
-        &LogLine {
+        &LogEntry {
             index: 9,
             term: 3,
-            voters: true,
+            is_conf_change: true,
             data: vec![1, 2],
             context,
         },
@@ -396,8 +413,8 @@
     pins.postcard(
         "record that drops",
         &Record {
-            from: Some(200),
-            anew: true,
+            compact_before: Some(200),
+            reset: true,
             ..Record::default()
         },
     );
@@ -407,7 +424,7 @@
             boots: 4,
             process: 9001,
             term: 8,
-            kept: (8, 258),
+            acknowledged: (8, 258),
         },
     );
     pins.finish();
@@ -422,27 +439,30 @@
         .find_map(|line| line.strip_prefix("record: "))
         .expect("the record");
     let record: Record = postcard::from_bytes(&crate::pins::from_hex(hex)).expect("it decodes");
-    let cut = PersistentState::found(record.head.clone(), record.entries[..1].to_vec());
+    let cut = PersistentState::from_disk(record.metadata.clone(), record.entries[..1].to_vec());
     assert_eq!(
         cut,
-        Err(DamagedState::Cut {
+        Err(DamagedState::Truncated {
             last: 257,
-            agreed: 258
+            committed: 258
         })
     );
-    let kept = PersistentState::found(record.head, record.entries).expect("the log is whole");
+    let kept =
+        PersistentState::from_disk(record.metadata, record.entries).expect("the log is whole");
     assert_eq!((kept.last(), kept.len()), (258, 2));
 
     let voter = Voter::new(
         Settings::default(),
         kept,
-        9001,
-        1,
+        Identity {
+            process: 9001,
+            seed: 1,
+        },
         0,
         DisabledVoterGuards::default(),
     )
     .expect("it begins");
-    assert_eq!((voter.seat(), voter.boots(), voter.term()), (11, 5, 8));
+    assert_eq!((voter.replica(), voter.boots(), voter.term()), (11, 5, 8));
     let state = voter.state();
     assert_eq!((state.applied, state.generation), (258, 2));
     assert_eq!(
--- a/tests/stored_data/histories.rs
+++ b/tests/stored_data/histories.rs
@@ -20,31 +20,31 @@
     let mut pins = Pins::of("history-council.txt");
     let agreed = |owner| HistoryEvent::Agreed {
         index: 12,
-        duty: duty.clone(),
+        lease: duty.clone(),
         term: 5,
-        owner,
+        holder: owner,
     };
     pins.json("agreed", &agreed(Some(owner)));
     pins.json("agreed without owner", &agreed(None));
     pins.json("restored", &HistoryEvent::Restored { index: 256 });
     pins.json(
         "began",
-        &HistoryEvent::Began {
-            duty: duty.clone(),
+        &HistoryEvent::LeaseAcquired {
+            lease: duty.clone(),
             term: 5,
         },
     );
     pins.json(
         "ended",
-        &HistoryEvent::Ended {
-            duty: duty.clone(),
+        &HistoryEvent::LeaseLost {
+            lease: duty.clone(),
             term: 6,
         },
     );
     pins.json(
         "acted",
         &HistoryEvent::Acted {
-            duty: duty.clone(),
+            lease: duty.clone(),
             term: 5,
             number: 9,
         },
@@ -52,7 +52,7 @@
     pins.json(
         "sent",
         &HistoryEvent::Sent {
-            duty: duty.clone(),
+            lease: duty.clone(),
             term: 5,
             number: 10,
         },
@@ -60,37 +60,37 @@
     pins.json(
         "accepted",
         &HistoryEvent::Accepted {
-            duty: duty.clone(),
+            lease: duty.clone(),
             term: 5,
-            owner: "n2".into(),
+            holder: "n2".into(),
             number: 11,
         },
     );
     let why = "term 4 is over".to_owned();
     pins.json(
         "refused",
-        &HistoryEvent::Refused {
-            duty: duty.clone(),
+        &HistoryEvent::Rejected {
+            lease: duty.clone(),
             term: 4,
-            owner: "n1".into(),
+            holder: "n1".into(),
             number: 3,
-            why,
+            reason: why,
         },
     );
     pins.json(
         "taken back",
-        &HistoryEvent::TakenBack {
-            duty,
+        &HistoryEvent::Withdrawn {
+            lease: duty,
             term: 5,
             number: 12,
         },
     );
-    pins.json("leads", &HistoryEvent::Leads { term: 8 });
-    pins.json("follows", &HistoryEvent::Follows);
+    pins.json("leads", &HistoryEvent::BecameLeader { term: 8 });
+    pins.json("follows", &HistoryEvent::LostLeadership);
     pins.json(
         "retired",
         &HistoryEvent::Retired {
-            why: "its disk is an older one".into(),
+            reason: "its disk is an older one".into(),
         },
     );
     pins.finish();
--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -321,7 +321,7 @@
 
 fn assert_shards_are_found(found: &Found) {
     let record = voter_record();
-    assert_eq!(found.log, (record.head, record.entries));
+    assert_eq!(found.log, (record.metadata, record.entries));
     let of_shards = SHARDS
         .iter()
         .flat_map(|shard| (1..4).map(|of| shard_mark(*shard, of)));
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -6,7 +6,9 @@
 
 use molelug::consensus::peer_memory::KnownState;
 use molelug::consensus::state::{Entry, State, SubsystemEntry};
-use molelug::consensus::wire::{challenge, Body, LeaseEffect, LeaseReport, Poll, Session};
+use molelug::consensus::wire::{
+    challenge, Body, ForwardedEffects, LeaseEffect, LeaseReport, Poll, Session,
+};
 use molelug::lease::holder::{RenewReply, RenewRequest};
 use molelug::lease::ledger::{Entry as DutyEntry, LeaseTable};
 use molelug::lease::LeaseHolder;
@@ -40,7 +42,7 @@
         boots: 3,
         process: 0x1122_3344_5566,
         term: 9,
-        kept: (8, 1234),
+        acknowledged: (8, 1234),
     }
 }
 
@@ -374,7 +376,11 @@
 
 /// One body of each kind, and of each kind of what it carries.
 fn bodies() -> Vec<(String, Body)> {
-    let passed = || (77, 13, vec![effect()]);
+    let passed = || ForwardedEffects {
+        process: 77,
+        count: 13,
+        effects: vec![effect()],
+    };
     let ask = RenewRequest {
         from: owner(BETA),
         stamp: 99,
@@ -396,16 +402,40 @@
     let poll = Poll {
         generation: 2,
         applied: 40,
-        passed: (77, 12),
-        seat: Some(22),
+        effects: (77, 12),
+        replica: Some(22),
     };
     let numbered = (40..)
         .zip(entries().into_iter().map(|(_, entry)| entry))
         .collect();
     let mut bodies: Vec<(String, Body)> = vec![
-        ("raft".into(), Body::Raft(2, 11, 3, 77, raft_message())),
-        ("recall".into(), Body::RecallRequest(2, 11, known())),
-        ("recalled".into(), Body::RecallReply(2, 11, known(), 22)),
+        (
+            "raft".into(),
+            Body::Raft {
+                generation: 2,
+                from: 11,
+                boots: 3,
+                process: 77,
+                message: raft_message(),
+            },
+        ),
+        (
+            "recall".into(),
+            Body::RecallRequest {
+                generation: 2,
+                from: 11,
+                own: known(),
+            },
+        ),
+        (
+            "recalled".into(),
+            Body::RecallReply {
+                generation: 2,
+                about: 11,
+                known: known(),
+                from: 22,
+            },
+        ),
         ("ask".into(), Body::RenewLeases(ask.clone(), None)),
         (
             "ask-through-voter".into(),
@@ -414,7 +444,14 @@
         ("answer".into(), Body::RenewReply(answer)),
         ("poll".into(), Body::Poll(poll)),
         ("poll-without-seat".into(), Body::Poll(Poll::default())),
-        ("entries".into(), Body::Entries(2, numbered, passed())),
+        (
+            "entries".into(),
+            Body::Entries {
+                generation: 2,
+                entries: numbered,
+                effects: passed(),
+            },
+        ),
         ("state".into(), Body::State(Box::new(state()), passed())),
         ("effect".into(), Body::Effect(effect())),
         ("report".into(), Body::Report(report.clone(), false)),
@@ -485,7 +522,7 @@
 fn state_snapshot_matches_its_recorded_bytes() {
     check_packed("wire/state_snapshot.txt", &[("state".to_owned(), state())]);
     assert_eq!(
-        State::read(&packed(&state())).expect("a snapshot can be read"),
+        State::decode(&packed(&state())).expect("a snapshot can be read"),
         state()
     );
 }
