--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -18,7 +18,7 @@
 
 /// A council: its disks, which no gateway may hold meanwhile, and what a running gateway knows of it
 #[derive(Clone, Debug, Bpaf)]
-pub enum Council {
+pub enum ConsensusCommand {
     /// Make the disk of a founder; to be done once at each founder, with the same names
     #[bpaf(command("found"))]
     Bootstrap {
@@ -69,8 +69,8 @@
 
 /// Who owns each duty, under which term, and for how long; as a gateway knows it.
 #[derive(Clone, Debug, Bpaf)]
-#[bpaf(generate(duties_command))]
-pub struct Duties {
+#[bpaf(generate(leases_command))]
+pub struct LeasesCommand {
     /// Say why nobody owns a duty
     #[bpaf(long)]
     explain: bool,
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// If the gateway cannot be asked.
-pub fn duties(command: &Duties) -> Result<(), Box<dyn Error>> {
+pub fn print_leases(command: &LeasesCommand) -> Result<(), Box<dyn Error>> {
     let view = command.at.ask("GET", "/v1/duties", "")?;
     if command.at.json {
         println!("{view}");
@@ -242,17 +242,17 @@
 /// # Errors
 ///
 /// If a file or a disk cannot be used, or the gateway cannot be asked.
-pub fn run(command: Council) -> Result<(), Box<dyn Error>> {
+pub fn run(command: ConsensusCommand) -> Result<(), Box<dyn Error>> {
     match command {
-        Council::Bootstrap {
+        ConsensusCommand::Bootstrap {
             config,
             name,
             generation,
             from,
             names,
         } => run_bootstrap(&config, name, generation, from.as_deref(), &names),
-        Council::Replica { config } => run_new_replica(&config),
-        Council::Show(at) => {
+        ConsensusCommand::Replica { config } => run_new_replica(&config),
+        ConsensusCommand::Show(at) => {
             let view = at.ask("GET", "/v1/council", "")?;
             if at.json {
                 println!("{view}");
@@ -261,7 +261,7 @@
             }
             Ok(())
         }
-        Council::Exchange { joins, leaves, at } => {
+        ConsensusCommand::Exchange { joins, leaves, at } => {
             let body = json!({ "joins": joins, "leaves": leaves });
             let view = at.ask("POST", "/v1/council/voters", &body.to_string())?;
             println!(
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -19,7 +19,7 @@
 mod store;
 mod webhook;
 pub use ask::At;
-pub use consensus::{Council, Duties};
+pub use consensus::{ConsensusCommand, LeasesCommand};
 pub use log::{Format, Logging};
 pub use store::Store;
 pub use webhook::Webhook;
@@ -76,15 +76,15 @@
     #[bpaf(command("council"))]
     Council(
         #[allow(missing_docs)]
-        #[bpaf(external(consensus::council))]
-        Council,
+        #[bpaf(external(consensus::consensus_command))]
+        ConsensusCommand,
     ),
     /// Who owns which duty on behalf of the fleet
     #[bpaf(command("duties"))]
     Duties(
         #[allow(missing_docs)]
-        #[bpaf(external(consensus::duties_command))]
-        Duties,
+        #[bpaf(external(consensus::leases_command))]
+        LeasesCommand,
     ),
     /// Print the version
     #[bpaf(command)]
@@ -117,8 +117,8 @@
     let result = match command {
         Command::Webhook(what) => accepted(webhook::run(what)),
         Command::Store(what) => accepted(store::run(what)),
-        Command::Council(what) => consensus::run(what),
-        Command::Duties(what) => consensus::duties(&what),
+        Command::Council(command) => consensus::run(command),
+        Command::Duties(command) => consensus::print_leases(&command),
         Command::Serve {
             operator,
             gossip,
--- a/src/consensus/bootstrap.rs
+++ b/src/consensus/bootstrap.rs
@@ -6,7 +6,7 @@
 use super::persistent_state::{HardState, LogEntry, Metadata, PersistentState, Record, Snapshot};
 use super::state::{Entry, State};
 use super::{bootstrap_voter, ReplicaId, MAX_VOTERS};
-use crate::lease::ledger::LeaseTable;
+use crate::lease::table::LeaseTable;
 use crate::membership::is_name;
 
 /// The index of a bootstrap state in its log, and its term.
--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use crate::config::ConfigError;
-use crate::lease::ledger::MAX_LEASES;
+use crate::lease::table::MAX_LEASES;
 use crate::membership::config::read_keys;
 use crate::membership::is_name;
 use crate::membership::keys::Keys;
--- a/src/consensus/learners/mod.rs
+++ b/src/consensus/learners/mod.rs
@@ -1,7 +1,7 @@
 //! Learners: gateways that do not vote follow the agreed log by polling a voter.
 //!
 //! The cost of one learner does not depend on how many there are. A learner polls one voter; the voter holds the poll until
-//! there is something new, or for [`POLL_HOLD_TIMEOUT`]. A voter that does not answer is given up for the next. Effects that
+//! there is something new, or for [`POLL_WAIT_TIMEOUT`]. A voter that does not answer is given up for the next. Effects that
 //! voters accepted are forwarded with the answers.
 
 mod learner;
@@ -21,6 +21,6 @@
 /// Entries in one answer.
 pub const MAX_CATCH_UP_ENTRIES: u64 = 128;
 /// How long a voter holds a poll while nothing is new.
-const POLL_HOLD_TIMEOUT: Micros = 500_000;
+const POLL_WAIT_TIMEOUT: Micros = 500_000;
 /// How long a learner waits for an answer before it polls another voter.
 const ANSWER_TIMEOUT: Micros = 2_000_000;
--- a/src/consensus/learners/progress.rs
+++ b/src/consensus/learners/progress.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use super::{MAX_FORWARDED_EFFECTS, MAX_LEARNERS, POLL_HOLD_TIMEOUT};
+use super::{MAX_FORWARDED_EFFECTS, MAX_LEARNERS, POLL_WAIT_TIMEOUT};
 use crate::api::Micros;
 use crate::consensus::state::State;
 use crate::consensus::wire::{ForwardedEffects, LeaseEffect, Poll};
@@ -12,7 +12,7 @@
 /// The polls that a voter holds, and the effects that it forwards.
 #[derive(Clone, Debug, Default)]
 pub struct LearnerProgress {
-    polls: BTreeMap<Arc<str>, HeldPoll>,
+    polls: BTreeMap<Arc<str>, WaitingPoll>,
     effects: VecDeque<LeaseEffect>,
     /// The number of effects forwarded so far.
     effect_count: u64,
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct HeldPoll {
+struct WaitingPoll {
     poll: Poll,
     answer_deadline: Micros,
 }
@@ -48,11 +48,11 @@
             }
         }
         let answer_deadline = if self.polls.len() < MAX_LEARNERS {
-            now + POLL_HOLD_TIMEOUT
+            now + POLL_WAIT_TIMEOUT
         } else {
             now
         };
-        let held = HeldPoll {
+        let held = WaitingPoll {
             poll,
             answer_deadline,
         };
--- a/src/consensus/learners/tests.rs
+++ b/src/consensus/learners/tests.rs
@@ -1,15 +1,15 @@
 //! Tests of learners and of the polls that a voter holds.
 
-use super::{Learner, LearnerProgress, ANSWER_TIMEOUT, MAX_FORWARDED_EFFECTS, POLL_HOLD_TIMEOUT};
+use super::{Learner, LearnerProgress, ANSWER_TIMEOUT, MAX_FORWARDED_EFFECTS, POLL_WAIT_TIMEOUT};
 use crate::api::Micros;
 use crate::consensus::state::{AppliedEntry, Entry, State};
 use crate::consensus::wire::{ForwardedEffects, LeaseEffect, Poll};
-use crate::lease::ledger;
+use crate::lease::table;
 
-const SECOND: Micros = 1_000_000;
+const ONE_SECOND: Micros = 1_000_000;
 
 fn entry(term: u64) -> Entry {
-    Entry::Lease(ledger::Entry::Grant {
+    Entry::Lease(table::Entry::Grant {
         lease: "d".into(),
         holder: crate::lease::LeaseHolder {
             name: "a".into(),
@@ -55,7 +55,7 @@
         learner.poll(ANSWER_TIMEOUT + 3).is_none(),
         "not at once: all may be away"
     );
-    assert!(learner.poll(ANSWER_TIMEOUT + SECOND).is_some());
+    assert!(learner.poll(ANSWER_TIMEOUT + ONE_SECOND).is_some());
 }
 
 #[test]
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn poll_is_held_until_news_or_timeout() {
+fn poll_waits_for_changes_or_timeout() {
     let (mut progress, state) = (
         LearnerProgress::default(),
         State {
@@ -116,8 +116,8 @@
     };
     progress.on_poll(0, "f", poll.clone());
     assert!(progress.due(1, 9, &state).is_empty());
-    assert_eq!(progress.next_deadline(), Some(POLL_HOLD_TIMEOUT));
-    assert_eq!(progress.due(POLL_HOLD_TIMEOUT, 9, &state).len(), 1);
+    assert_eq!(progress.next_deadline(), Some(POLL_WAIT_TIMEOUT));
+    assert_eq!(progress.due(POLL_WAIT_TIMEOUT, 9, &state).len(), 1);
     progress.on_poll(0, "f", poll.clone());
     progress.forward(effect(1));
     let due = progress.due(1, 9, &state);
@@ -130,32 +130,30 @@
             effects: vec![effect(1)],
         }
     );
-    // One that has it, one of another process, and one that was away for long.
-    assert_eq!(
-        progress
-            .effects_since(
-                9,
-                &Poll {
-                    effects: (9, 1),
-                    ..poll.clone()
-                }
-            )
-            .effects,
-        []
-    );
-    assert_eq!(
-        progress
-            .effects_since(
-                9,
-                &Poll {
-                    effects: (8, 70),
-                    ..poll.clone()
-                }
-            )
-            .effects
-            .len(),
-        1
-    );
+}
+
+#[test]
+fn learner_gets_the_effects_that_it_misses() {
+    let mut progress = LearnerProgress::default();
+    progress.forward(effect(1));
+    let poll = Poll {
+        generation: 0,
+        applied: 5,
+        effects: (9, 0),
+        replica: None,
+    };
+    // A learner that has the effect, one of another process, and one that was away for long.
+    let up_to_date = Poll {
+        effects: (9, 1),
+        ..poll.clone()
+    };
+    assert_eq!(progress.effects_since(9, &up_to_date).effects, []);
+    let of_other_process = Poll {
+        effects: (8, 70),
+        ..poll.clone()
+    };
+    let effects = progress.effects_since(9, &of_other_process).effects;
+    assert_eq!(effects.len(), 1);
     (2..200).for_each(|n| progress.forward(effect(n)));
     let forwarded = progress.effects_since(9, &poll);
     assert_eq!(
--- a/src/consensus/participant/frames.rs
+++ b/src/consensus/participant/frames.rs
@@ -11,7 +11,7 @@
 impl Participant {
     pub(super) fn on_frame(&mut self, now: Micros, from: &Arc<str>, body: Body) {
         match body {
-            Body::Raft { .. } | Body::RecallRequest { .. } | Body::RecallReply { .. } => {
+            Body::Raft { .. } | Body::KnownStateRequest { .. } | Body::KnownStateReply { .. } => {
                 self.on_voter_frame(now, from, body);
             }
             Body::RenewLeases(request, via) => {
@@ -82,17 +82,17 @@
                     self.handle_voter(now, message);
                 }
             }
-            Body::RecallRequest {
+            Body::KnownStateRequest {
                 generation,
                 from: replica,
                 own,
             } => {
-                let request = voter::Input::RecallRequest { from: replica, own };
+                let request = voter::Input::KnownStateRequest { from: replica, own };
                 if generation == self.generation() && self.is_replica_of(replica, from) {
                     self.handle_voter(now, request);
                 }
             }
-            Body::RecallReply {
+            Body::KnownStateReply {
                 generation,
                 about,
                 known,
@@ -100,7 +100,7 @@
             } => {
                 let own = self.voter.as_ref().map(Voter::replica) == Some(about);
                 if generation == self.generation() && own && self.is_replica_of(replica, from) {
-                    let reply = voter::Input::RecallReply {
+                    let reply = voter::Input::KnownStateReply {
                         from: replica,
                         known,
                     };
--- a/src/consensus/participant/leading.rs
+++ b/src/consensus/participant/leading.rs
@@ -10,7 +10,7 @@
 use crate::consensus::voter;
 use crate::consensus::wire::Body;
 use crate::consensus::ReplicaId;
-use crate::lease::holder::{RenewReply, RenewRequest};
+use crate::lease::renewal::{RenewReply, RenewRequest};
 use crate::lease::{grantor, holder, LeaseHolder};
 
 /// Remembered routes to holders; a holder whose route was evicted asks again.
@@ -100,8 +100,8 @@
     pub(super) fn on_voter_output(&mut self, now: Micros, output: voter::Output) {
         match output {
             voter::Output::Send(to, message) => self.send_raft(to, message),
-            voter::Output::Recall(own) => self.send_recall_requests(own),
-            voter::Output::Recalled(to, known) => self.send_recall_reply(to, known),
+            voter::Output::RequestKnownState(own) => self.send_known_state_requests(own),
+            voter::Output::SendKnownState(to, known) => self.send_known_state_reply(to, known),
             voter::Output::Persist(number, record) => {
                 self.outputs.push_back(Output::Persist(number, record));
             }
@@ -140,13 +140,13 @@
         self.send(name, body);
     }
 
-    fn send_recall_requests(&mut self, own: KnownState) {
+    fn send_known_state_requests(&mut self, own: KnownState) {
         let Some(from) = self.voter.as_ref().map(voter::Voter::replica) else {
             return;
         };
         let generation = self.generation();
         for peer in self.peers() {
-            let body = Body::RecallRequest {
+            let body = Body::KnownStateRequest {
                 generation,
                 from,
                 own,
@@ -155,11 +155,11 @@
         }
     }
 
-    fn send_recall_reply(&mut self, about: ReplicaId, known: KnownState) {
+    fn send_known_state_reply(&mut self, about: ReplicaId, known: KnownState) {
         let (Some(voter), Some(name)) = (&self.voter, self.name_of(about)) else {
             return;
         };
-        let body = Body::RecallReply {
+        let body = Body::KnownStateReply {
             generation: self.generation(),
             about,
             known,
@@ -220,14 +220,14 @@
     pub(super) fn on_holder_output(&mut self, now: Micros, output: holder::Output) {
         match output {
             holder::Output::Renew(request) => self.request_leases(now, request),
-            holder::Output::Began(lease, term) => {
+            holder::Output::Acquired(lease, term) => {
                 self.record(HistoryEvent::LeaseAcquired {
                     lease: lease.clone(),
                     term,
                 });
                 self.outputs.push_back(Output::LeaseAcquired(lease, term));
             }
-            holder::Output::Ended(lease, term) => {
+            holder::Output::Lost(lease, term) => {
                 self.record(HistoryEvent::LeaseLost {
                     lease: lease.clone(),
                     term,
--- a/src/consensus/participant/learning.rs
+++ b/src/consensus/participant/learning.rs
@@ -5,7 +5,7 @@
 use crate::consensus::learners::{CatchUp, MAX_CATCH_UP_ENTRIES};
 use crate::consensus::state::Entry;
 use crate::consensus::wire::Body;
-use crate::lease::{holder, ledger};
+use crate::lease::{holder, table};
 
 impl Participant {
     /// Polls the chosen voter, if a poll is due.
@@ -47,9 +47,9 @@
     }
 
     /// A lease entry took effect in the state that this participant follows.
-    pub(super) fn on_lease_entry(&mut self, now: Micros, index: u64, entry: ledger::Entry) {
+    pub(super) fn on_lease_entry(&mut self, now: Micros, index: u64, entry: table::Entry) {
         let event = match entry.clone() {
-            ledger::Entry::Grant {
+            table::Entry::Grant {
                 lease,
                 holder,
                 term,
@@ -59,7 +59,7 @@
                 term,
                 holder: Some(holder),
             },
-            ledger::Entry::Released { lease, term } => HistoryEvent::Agreed {
+            table::Entry::Released { lease, term } => HistoryEvent::Agreed {
                 index,
                 lease,
                 term,
--- a/src/consensus/participant/tests.rs
+++ b/src/consensus/participant/tests/mod.rs
@@ -1,223 +1,16 @@
 //! Participants together: who holds a lease, how it moves, and how late effects are rejected.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+mod simulation;
+
 use std::sync::Arc;
 
-use crate::api::Micros;
 use crate::consensus::bootstrap::{bootstrap, initial_state, new_replica};
-use crate::consensus::participant::{
-    DisabledGuards, HistoryEvent, Input, Output, Participant, Settings,
-};
-use crate::consensus::persistent_state::{PersistentState, Record};
-use crate::consensus::voter;
+use crate::consensus::participant::{DisabledGuards, HistoryEvent, Input, Output, Participant};
+use crate::consensus::state::State;
 use crate::consensus::wire::{Body, LeaseEffect};
-use crate::lease::{LeaseName, Term};
-
-const MS: Micros = 1_000;
-const LEASE: Micros = 600 * MS;
-
-fn name(n: usize) -> Arc<str> {
-    format!("n{n}").into()
-}
-
-fn lease() -> LeaseName {
-    "d".into()
-}
-
-struct Simulation {
-    now: Micros,
-    process: u64,
-    participants: Vec<Option<Participant>>,
-    disks: Vec<Option<PersistentState>>,
-    writes: Vec<VecDeque<(u64, Record)>>,
-    in_flight: VecDeque<(Micros, usize, Arc<str>, Body)>,
-    stopped: BTreeSet<usize>,
-    /// Pairs of sender and receiver between which frames are delayed.
-    blocked: BTreeSet<(usize, usize)>,
-    delayed: Vec<(usize, Arc<str>, Body)>,
-    events: Vec<(usize, HistoryEvent)>,
-    accepted: Vec<(usize, Term, u64)>,
-    voters: usize,
-    guards: DisabledGuards,
-}
-
-impl Simulation {
-    fn new(participants: usize, voters: usize, guards: DisabledGuards) -> Simulation {
-        let names: Vec<String> = (0..voters).map(|n| name(n).to_string()).collect();
-        let disk = |n: usize| {
-            (n < voters).then(|| initial_state(&bootstrap(1, &names[n], &names, None).unwrap()))
-        };
-        let mut sim = Simulation {
-            now: 1_000 * MS,
-            process: 0,
-            participants: (0..participants).map(|_| None).collect(),
-            disks: (0..participants).map(disk).collect(),
-            writes: (0..participants).map(|_| VecDeque::new()).collect(),
-            in_flight: VecDeque::new(),
-            stopped: BTreeSet::new(),
-            blocked: BTreeSet::new(),
-            delayed: Vec::new(),
-            events: Vec::new(),
-            accepted: Vec::new(),
-            voters,
-            guards,
-        };
-        (0..participants).for_each(|n| sim.start(n));
-        sim
-    }
-
-    fn start(&mut self, n: usize) {
-        self.process += 1;
-        let settings = Settings {
-            name: name(n),
-            process: self.process,
-            contacts: (0..self.voters + 1).map(name).collect(),
-            leases: BTreeSet::from([lease()]),
-            lease: crate::lease::Settings {
-                duration: LEASE,
-                drift_ppm: 1_000,
-            },
-            voter: voter::Settings { tick: 20 * MS },
-            seed: n as u64 * 77 + 5,
-            disabled_guards: self.guards,
-        };
-        self.participants[n] = Some(Participant::new(settings, self.disks[n].clone(), self.now));
-    }
-
-    fn kill(&mut self, n: usize) {
-        self.participants[n] = None;
-        self.writes[n].clear();
-    }
-
-    fn post(&mut self, from: usize, to: &Arc<str>, body: Body) {
-        let Some(to) = (0..self.participants.len()).find(|n| name(*n) == *to) else {
-            return;
-        };
-        if self.blocked.contains(&(from, to)) {
-            return self.delayed.push((to, name(from), body));
-        }
-        self.in_flight
-            .push_back((self.now + 2 * MS, to, name(from), body));
-    }
-
-    fn drain(&mut self, n: usize) {
-        while let Some(output) = self.participants[n].as_mut().and_then(Participant::output) {
-            match output {
-                Output::Send(to, body) => self.post(n, &to, body),
-                Output::SendOwn(to, effect) => {
-                    if self.participants[n].as_ref().unwrap().still_holds(
-                        self.now,
-                        &effect.lease,
-                        effect.term,
-                    ) {
-                        self.post(n, &to, Body::Effect(effect));
-                    }
-                }
-                Output::Persist(number, record) => self.writes[n].push_back((number, *record)),
-                Output::EffectReceived(e) => self.accepted.push((n, e.term, e.number)),
-                Output::Record(event) => self.events.push((n, event)),
-                Output::ReportReceived(..)
-                | Output::LeaseAcquired(..)
-                | Output::LeaseLost(..)
-                | Output::SubsystemChanged => {}
-            }
-        }
-    }
-
-    fn handle(&mut self, n: usize, input: Input) {
-        let now = self.now;
-        if let Some(m) = self.participants[n].as_mut() {
-            m.handle(now, input);
-        }
-        self.drain(n);
-    }
-
-    fn step(&mut self) {
-        self.now += MS;
-        while self
-            .in_flight
-            .front()
-            .is_some_and(|(at, ..)| *at <= self.now)
-        {
-            let Some((_, to, from, body)) = self.in_flight.pop_front() else {
-                break;
-            };
-            if !self.stopped.contains(&to) {
-                self.handle(to, Input::Frame(from, body));
-            }
-        }
-        for n in (0..self.participants.len())
-            .filter(|n| !self.stopped.contains(n))
-            .collect::<Vec<_>>()
-        {
-            self.drain(n);
-            if let Some((number, record)) = self.writes[n].pop_front() {
-                if let Some(disk) = &mut self.disks[n] {
-                    disk.apply(&record);
-                }
-                self.handle(n, Input::Persisted(number));
-            }
-            if self.participants[n]
-                .as_ref()
-                .is_some_and(|m| m.next_deadline(self.now) <= self.now)
-            {
-                self.handle(n, Input::Tick);
-            }
-        }
-    }
-
-    fn until(&mut self, event: &str, holds: impl Fn(&Simulation) -> bool) {
-        for _ in 0..30_000 {
-            if holds(self) {
-                return;
-            }
-            self.step();
-        }
-        panic!("{event} did not come: {:?}", self.participants);
-    }
-
-    fn lease_holder(&self) -> Option<(usize, Term)> {
-        let of = |n: usize| {
-            self.participants[n]
-                .as_ref()
-                .and_then(|m| m.held_term(self.now, &lease()))
-                .map(|t| (n, t))
-        };
-        (0..self.participants.len())
-            .filter(|n| !self.stopped.contains(n))
-            .filter_map(of)
-            .max_by_key(|(_, t)| *t)
-    }
-
-    fn held_after(&mut self, term: Term) -> (usize, Term) {
-        self.until("the next holder", |r| {
-            r.lease_holder().is_some_and(|(_, t)| t > term)
-        });
-        self.lease_holder().unwrap()
-    }
-
-    fn act(&mut self, n: usize) {
-        self.handle(n, Input::Act(lease(), vec![1]));
-    }
-
-    fn run(&mut self, span: Micros) {
-        let until = self.now + span;
-        while self.now < until {
-            self.step();
-        }
-    }
-
-    /// Whether a participant accepted an effect of an older term than before.
-    fn accepted_stale_effect(&self) -> bool {
-        let mut highest: BTreeMap<usize, Term> = BTreeMap::new();
-        self.accepted.iter().any(|(n, term, _)| {
-            let h = highest.entry(*n).or_default();
-            let stale = term < h;
-            *h = (*h).max(*term);
-            stale
-        })
-    }
-}
+use crate::lease::renewal::RenewRequest;
+use crate::lease::LeaseHolder;
+use simulation::{lease, name, Simulation, LEASE, MS};
 
 #[test]
 fn single_holder_acts_and_all_accept_its_effects() {
@@ -420,8 +213,8 @@
         other,
         Input::Frame(outsider.clone(), Body::Effect(effect(&name(holder)))),
     );
-    let back = crate::lease::holder::RenewRequest {
-        from: crate::lease::LeaseHolder {
+    let back = RenewRequest {
+        from: LeaseHolder {
             name: name(holder),
             incarnation: 1,
         },
@@ -509,8 +302,7 @@
     let state = sim.participants[holder].as_ref().unwrap().state().clone();
     let record = bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).unwrap();
     let bootstrapped = initial_state(&record);
-    let state: crate::consensus::state::State =
-        postcard::from_bytes(&bootstrapped.metadata.snapshot.data).unwrap();
+    let state: State = postcard::from_bytes(&bootstrapped.metadata.snapshot.data).unwrap();
     let stands = state.leases.record(&lease());
     assert!(stands.holder.is_none() && stands.term > term + 1_000_000);
     assert!(
--- a/src/consensus/peer_memory.rs
+++ b/src/consensus/peer_memory.rs
@@ -5,7 +5,7 @@
 //! that it exchanged messages with can. So a voter that starts first asks the others what they know of its replica, and
 //! takes part once none of them knows of more than its disk does. It starts at once when a majority of all voters besides
 //! itself has answered, as every majority that it was part of shares a voter with them. When fewer can answer, it starts
-//! after [`MAX_RECALL_REQUESTS`] requests with as many as make a majority with itself. A disk that is found to be older is
+//! after [`MAX_KNOWN_STATE_REQUESTS`] requests with as many as make a majority with itself. A disk that is found to be older is
 //! marked and its replica never votes again; a new replica has to be made (`docs/operators/council.md`).
 //!
 //! This cannot detect a copy made within the last run, if all voters that could tell have restarted since or stay
@@ -18,7 +18,7 @@
 use super::ReplicaId;
 
 /// Requests after which a majority that counts the voter itself is enough.
-pub const MAX_RECALL_REQUESTS: u32 = 40;
+pub const MAX_KNOWN_STATE_REQUESTS: u32 = 40;
 
 /// What a voter knows of a replica: of another one, or of its own by its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -114,7 +114,7 @@
 
     /// Whether the voter may take part, given the number of voters.
     pub fn is_over(&self, voters: usize) -> bool {
-        let required = if self.requests > MAX_RECALL_REQUESTS {
+        let required = if self.requests > MAX_KNOWN_STATE_REQUESTS {
             voters / 2
         } else {
             (voters / 2 + 1).min(voters.saturating_sub(1))
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::ReplicaId;
-use crate::lease::ledger::{self, LeaseTable};
+use crate::lease::table::{self, LeaseTable};
 use crate::replication::sets::{self, ReplicaSets};
 use crate::tenancy::replicated::state as tenants;
 
@@ -16,7 +16,7 @@
     /// The first entry of a leader, without content.
     Noop,
     /// An entry about a lease.
-    Lease(ledger::Entry),
+    Lease(table::Entry),
     /// The voters from this entry on.
     Voters(BTreeMap<ReplicaId, Arc<str>>),
     /// An entry about shards and the disks that hold them.
--- a/src/consensus/voter/messages.rs
+++ b/src/consensus/voter/messages.rs
@@ -36,7 +36,7 @@
 pub struct DisabledVoterGuards {
     /// Pre-vote and the leader's quorum check.
     pub pre_vote: bool,
-    /// The recall requests of a new process before its first message.
+    /// The requests for known state of a new process before its first message.
     pub probation: bool,
     /// The wait for the disk before a message that rests on a record is sent.
     pub persistence: bool,
@@ -57,14 +57,14 @@
         bytes: &'a [u8],
     },
     /// Another voter asks what is known of its replica.
-    RecallRequest {
+    KnownStateRequest {
         /// The sender.
         from: ReplicaId,
         /// What the sender's disk says.
         own: KnownState,
     },
     /// Another voter replies with what it knows of this replica.
-    RecallReply {
+    KnownStateReply {
         /// The sender.
         from: ReplicaId,
         /// What it knows.
@@ -93,9 +93,9 @@
     /// Send a message to a voter; a lost one is repeated.
     Send(ReplicaId, Vec<u8>),
     /// Ask all other voters what they know of this replica.
-    Recall(KnownState),
+    RequestKnownState(KnownState),
     /// Tell a voter what is known of its replica.
-    Recalled(ReplicaId, KnownState),
+    SendKnownState(ReplicaId, KnownState),
     /// Persist the record, then report its number.
     Persist(u64, Box<Record>),
     /// An entry was committed and applied.
--- a/src/consensus/voter/mod.rs
+++ b/src/consensus/voter/mod.rs
@@ -9,7 +9,7 @@
 mod log;
 mod membership;
 mod messages;
-mod recall;
+mod probation;
 #[cfg(test)]
 mod tests;
 
@@ -116,7 +116,7 @@
 }
 
 impl Voter {
-    /// Starts a voter on what its disk holds. It sends recall requests before any other message.
+    /// Starts a voter on what its disk holds. It sends requests for known state before any other message.
     ///
     /// # Errors
     ///
@@ -246,8 +246,8 @@
                 process,
                 bytes,
             } => self.on_message(from, boots, process, bytes),
-            Input::RecallRequest { from, own } => self.on_recall_request(from, own),
-            Input::RecallReply { from, known } => self.on_recall_reply(from, known),
+            Input::KnownStateRequest { from, own } => self.on_known_state_request(from, own),
+            Input::KnownStateReply { from, known } => self.on_known_state_reply(from, known),
             Input::Persisted(number) => self.on_persisted(number),
             Input::Propose(entry) => self.propose(&entry),
             Input::Confirm(number) => {
--- a/src/consensus/voter/recall.rs
+++ b/src/consensus/voter/probation.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Whether a replica needs no recall: it is the only voter, or has never taken part.
-fn has_nothing_to_recall(metadata: &Metadata) -> bool {
+/// Whether a replica needs no probation: it is the only voter, or has never taken part.
+fn can_skip_probation(metadata: &Metadata) -> bool {
     metadata.voters.len() == 1 || metadata.voters.is_empty() && metadata.hard_state.term == 0
 }
 
@@ -65,7 +65,7 @@
         self.with_raft(|raw| drop(raw.step(message)));
     }
 
-    pub(super) fn on_recall_request(&mut self, from: ReplicaId, own: KnownState) {
+    pub(super) fn on_known_state_request(&mut self, from: ReplicaId, own: KnownState) {
         let known = self.memory.known(from);
         let observed = KnownState {
             term: 0,
@@ -73,10 +73,10 @@
             ..own
         };
         self.memory.observe(from, observed);
-        self.outputs.push_back(Output::Recalled(from, known));
+        self.outputs.push_back(Output::SendKnownState(from, known));
     }
 
-    pub(super) fn on_recall_reply(&mut self, from: ReplicaId, known: KnownState) {
+    pub(super) fn on_known_state_reply(&mut self, from: ReplicaId, known: KnownState) {
         let Some(raw) = &self.raw else { return };
         let voters = &raw.store().metadata.voters;
         let from_voter = voters.contains(&from) || voters.is_empty();
@@ -117,13 +117,13 @@
             .take_if(|probation| probation.is_over(voters));
     }
 
-    /// Repeats the recall requests of a voter on probation; returns whether the library may tick.
+    /// Repeats the requests for known state of a voter on probation; returns whether the library may tick.
     pub(super) fn tick_probation(&mut self) -> bool {
-        let nothing_to_recall = self
+        let can_skip = self
             .raw
             .as_ref()
-            .is_some_and(|raw| has_nothing_to_recall(&raw.store().metadata));
-        if nothing_to_recall {
+            .is_some_and(|raw| can_skip_probation(&raw.store().metadata));
+        if can_skip {
             self.probation = None;
             return true;
         }
@@ -135,7 +135,7 @@
         if let Some(probation) = &mut self.probation {
             probation.on_request();
         }
-        self.outputs.push_back(Output::Recall(own));
+        self.outputs.push_back(Output::RequestKnownState(own));
         self.update_probation();
         false
     }
--- a/src/consensus/voter/tests/simulation.rs
+++ b/src/consensus/voter/tests/simulation.rs
@@ -12,7 +12,7 @@
     DisabledVoterGuards, Identity, Input, Output, Settings, Voter, VoterError,
 };
 use crate::consensus::{bootstrap_voter, ReplicaId};
-use crate::lease::ledger;
+use crate::lease::table;
 use crate::lease::LeaseHolder;
 
 pub(super) const MS: Micros = 1_000;
@@ -47,8 +47,8 @@
 
 pub(super) enum Packet {
     Message(u64, u64, Vec<u8>),
-    RecallRequest(KnownState),
-    RecallReply(KnownState),
+    KnownStateRequest(KnownState),
+    KnownStateReply(KnownState),
 }
 
 pub(super) struct Simulation {
@@ -169,16 +169,18 @@
                 Output::Send(to, bytes) => {
                     self.post(n, to, || Packet::Message(boots, process, bytes.clone()))
                 }
-                Output::Recall(own) => {
+                Output::RequestKnownState(own) => {
                     for to in 0..self.voters.len() {
                         if to != n {
                             self.post(n, bootstrap_voter(1, &name(to)), || {
-                                Packet::RecallRequest(own)
+                                Packet::KnownStateRequest(own)
                             });
                         }
                     }
                 }
-                Output::Recalled(to, known) => self.post(n, to, || Packet::RecallReply(known)),
+                Output::SendKnownState(to, known) => {
+                    self.post(n, to, || Packet::KnownStateReply(known))
+                }
                 Output::Persist(number, record) => {
                     self.voters[n].writes.push_back((number, *record))
                 }
@@ -239,8 +241,12 @@
                         bytes: &bytes,
                     },
                 ),
-                Packet::RecallRequest(own) => self.handle(to, Input::RecallRequest { from, own }),
-                Packet::RecallReply(known) => self.handle(to, Input::RecallReply { from, known }),
+                Packet::KnownStateRequest(own) => {
+                    self.handle(to, Input::KnownStateRequest { from, own })
+                }
+                Packet::KnownStateReply(known) => {
+                    self.handle(to, Input::KnownStateReply { from, known })
+                }
             }
         }
         for n in 0..self.voters.len() {
@@ -285,7 +291,7 @@
     }
 
     pub(super) fn propose(&mut self, n: usize, owner: u64) {
-        let entry = ledger::Entry::Grant {
+        let entry = table::Entry::Grant {
             lease: "d".into(),
             holder: LeaseHolder {
                 name: "x".into(),
--- a/src/consensus/wire/messages.rs
+++ b/src/consensus/wire/messages.rs
@@ -7,7 +7,7 @@
 use crate::consensus::peer_memory::KnownState;
 use crate::consensus::state::{Entry, State, SubsystemEntry};
 use crate::consensus::ReplicaId;
-use crate::lease::holder::{RenewReply, RenewRequest};
+use crate::lease::renewal::{RenewReply, RenewRequest};
 use crate::lease::{LeaseName, Term};
 use crate::replication;
 
@@ -54,7 +54,7 @@
         message: Vec<u8>,
     },
     /// A voter asks what is known about its replica.
-    RecallRequest {
+    KnownStateRequest {
         /// The generation of the sender's state.
         generation: u32,
         /// The sender.
@@ -63,7 +63,7 @@
         own: KnownState,
     },
     /// What a voter knows about another replica.
-    RecallReply {
+    KnownStateReply {
         /// The generation of the sender's state.
         generation: u32,
         /// The replica that asked.
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -52,13 +52,13 @@
             }
             Exchange::Order(key) => {
                 self.load_orders.remove(key);
-                self.order_given_ended(now, key, done.copies);
+                self.on_load_order_ended(now, key, done.copies);
                 self.core
                     .order_ended(now, key, done.ending, done.left, done.copies);
             }
             Exchange::Probe(key) => {
                 self.health_checks.remove(key);
-                self.trial_ended(now, key, done.ending);
+                self.on_health_check_probe_ended(now, key, done.ending);
                 self.core
                     .probe_ended(now, key, done.ending, done.back.load_report);
             }
@@ -130,11 +130,11 @@
                     function,
                     copies,
                 };
-                if !self.order_waits(now, order) {
+                if !self.delay_order(now, order) {
                     self.stage(now, order);
                 }
             }
-            Command::AbandonLoad { order } if self.order_forgotten(now, order) => {
+            Command::AbandonLoad { order } if self.cancel_delayed_order(now, order) => {
                 self.done.push_back(Completed::plain(
                     Exchange::Order(order),
                     CloseReason::TimedOut,
--- a/src/gateway/consensus/mod.rs
+++ b/src/gateway/consensus/mod.rs
@@ -133,8 +133,8 @@
         }
         self.accept_peers(now);
         self.update_eligibility();
-        self.step_trials(now);
-        self.step_loads(now);
+        self.step_health_checks(now);
+        self.step_load_coordination(now);
         while let Some(output) = self
             .cluster
             .consensus
@@ -143,8 +143,8 @@
         {
             self.on_consensus_output(now, output);
             // An output may have given the lease holders' subsystems something to do.
-            self.step_trials(now);
-            self.step_loads(now);
+            self.step_health_checks(now);
+            self.step_load_coordination(now);
         }
         self.update_peer_connections(now);
         self.schedule_consensus(now);
--- a/src/gateway/consensus/outputs.rs
+++ b/src/gateway/consensus/outputs.rs
@@ -17,12 +17,12 @@
             Output::LeaseAcquired(lease, term) => self.on_lease_acquired(now, &lease, term),
             Output::LeaseLost(lease, term) => self.on_lease_lost(now, &lease, term),
             Output::EffectReceived(effect) => {
-                self.trials_told(now, &effect.lease, &effect.content);
-                self.loads_told(now, &effect.lease, &effect.content);
+                self.on_health_check_effect(now, &effect.lease, &effect.content);
+                self.on_load_effect(now, &effect.lease, &effect.content);
             }
             Output::ReportReceived(lease, from, content) => {
-                self.trials_heard(now, &lease, &content);
-                self.loads_heard(now, &lease, &from, &content);
+                self.on_health_check_report(now, &lease, &content);
+                self.on_load_report(now, &lease, &from, &content);
             }
             Output::SubsystemChanged => {
                 self.copies_agreed();
@@ -41,21 +41,21 @@
 
     fn on_lease_acquired(&mut self, now: Micros, lease: &LeaseName, term: Term) {
         tracing::info!(lease = &**lease, term, "lease acquired");
-        self.trials_owned(now, lease, true);
-        self.loads_owned(now, lease, true);
+        self.set_health_check_lease(now, lease, true);
+        self.set_load_lease(now, lease, true);
     }
 
     fn on_lease_lost(&mut self, now: Micros, lease: &LeaseName, term: Term) {
         tracing::info!(lease = &**lease, term, "lease lost");
         self.withdraw_effects(lease, term);
-        self.trials_owned(now, lease, false);
-        self.loads_owned(now, lease, false);
+        self.set_health_check_lease(now, lease, false);
+        self.set_load_lease(now, lease, false);
     }
 
     fn on_history_event(&mut self, now: Micros, event: &HistoryEvent) {
         match event {
             HistoryEvent::Agreed { lease, holder, .. } => {
-                self.loads_known(now, lease, holder.is_some());
+                self.set_load_holder_known(now, lease, holder.is_some());
             }
             HistoryEvent::Restored { .. } => self.update_known_load_holders(now),
             _ => {}
@@ -79,7 +79,7 @@
             })
             .collect();
         for (lease, is_held) in known {
-            self.loads_known(now, &lease, is_held);
+            self.set_load_holder_known(now, &lease, is_held);
         }
     }
 
--- a/src/gateway/consensus/setup.rs
+++ b/src/gateway/consensus/setup.rs
@@ -19,7 +19,7 @@
 use crate::consensus::{config, replica_from_hash, voter};
 use crate::gateway::{Gateway, GatewayError};
 use crate::lease::{self, LeaseName};
-use crate::load_coordination::Loads;
+use crate::load_coordination::LoadCoordinator;
 use crate::{health_checks, membership};
 
 /// A number that no other process has.
@@ -188,10 +188,10 @@
         ready: BTreeSet<WorkerId>,
     ) {
         if file.leases.contains(health_checks::NAME) {
-            self.set_up_trials(now, ready);
+            self.set_up_health_checks(now, ready);
         }
-        if let Some(loads) = Loads::new(name.into(), &lease_names(file)) {
-            self.set_up_loads(now, loads);
+        if let Some(coordinator) = LoadCoordinator::new(name.into(), &lease_names(file)) {
+            self.set_up_load_coordination(now, coordinator);
         }
         self.update_known_load_holders(now);
     }
--- a/src/gateway/consensus/views.rs
+++ b/src/gateway/consensus/views.rs
@@ -20,7 +20,7 @@
         let participant = &self.participant;
         let table = &participant.state().leases;
         let mut names = lease_names(&self.file);
-        names.extend(table.duties().map(|(lease, _)| lease.clone()));
+        names.extend(table.iter().map(|(lease, _)| lease.clone()));
         let held_until: BTreeMap<&LeaseName, Option<Micros>> = participant
             .held_leases()
             .map(|(lease, _, until)| (lease, until))
@@ -110,8 +110,8 @@
             "leads": participant.leads(),
             "leader": participant.leader(),
             "duties": driver.lease_views(),
-            "trials": self.trials_view(),
-            "loads": self.loads_view(),
+            "trials": self.health_checks_view(),
+            "loads": self.load_coordination_view(),
         })
     }
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -169,7 +169,7 @@
             }
         }
         let ready = ready.clone();
-        self.trials_ready(now, ready.clone());
+        self.set_health_check_workers(now, ready.clone());
         if let Some(talk) = &mut self.cluster.gossip {
             talk.group.handle(now, Input::Ready(ready));
         }
@@ -186,7 +186,7 @@
         let (Some(worker), Some(seen)) = (worker, ending.seen(left)) else {
             return;
         };
-        self.trials_outcome(now, worker, seen);
+        self.observe_for_health_checks(now, worker, seen);
         if let Some(talk) = &mut self.cluster.gossip {
             talk.group.handle(now, Input::Outcome(worker, seen));
         }
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -1,158 +1,198 @@
-//! Drives the duty `trials`: own outcomes, the list and the owner's word in; pings, reports and advice out. It decides nothing.
+//! Drives health checks: own outcomes, the worker list and verdicts in; probes, reports and advice out. It decides nothing.
 
-use super::*;
-use crate::consensus::participant::Input as Say;
-use crate::health_checks::{Input, Output, Trials, NAME};
+use std::collections::{BTreeMap, BTreeSet};
+
+use serde_json::{json, Value};
+
+use super::{Gateway, TRIALS};
+use crate::api::{Micros, WorkerId};
+use crate::completion::CloseReason;
+use crate::consensus::participant;
+use crate::core::ProbeKey;
+use crate::health_checks::{HealthChecker, Input, Output, ProbeResult, Verdict, NAME};
 use crate::membership::group::Observed;
 
-/// The duty, while it is on the operator's list.
+#[cfg(test)]
+mod fixture_tests;
+
+/// The driver, while the lease is configured.
 #[derive(Debug)]
 pub(super) struct HealthCheckDriver {
-    trials: Trials,
+    checker: HealthChecker,
+    /// Probes of the lease holder in progress.
     probes: BTreeMap<ProbeKey, WorkerId>,
-    hung: Option<Micros>,
+    /// When the scheduled deadline is due.
+    scheduled_at: Option<Micros>,
+}
+
+/// Encodes verdicts for the other gateways, as pairs of a worker's number and whether it is unhealthy.
+fn encode_verdicts(verdicts: Vec<Verdict>) -> Vec<u8> {
+    let pairs: Vec<(u32, bool)> = verdicts
+        .into_iter()
+        .map(|verdict| (verdict.worker.0, verdict.unhealthy))
+        .collect();
+    // Pairs always encode.
+    postcard::to_stdvec(&pairs).unwrap_or_default()
 }
 
-fn word(verdicts: Vec<(WorkerId, bool)>) -> Vec<u8> {
-    let plain: Vec<(u32, bool)> = verdicts.into_iter().map(|(w, ill)| (w.0, ill)).collect();
-    // Always packs.
-    postcard::to_stdvec(&plain).unwrap_or_default()
+/// Decodes verdicts; none if they cannot be decoded.
+fn decode_verdicts(content: &[u8]) -> Vec<Verdict> {
+    let pairs: Vec<(u32, bool)> = postcard::from_bytes(content).unwrap_or_default();
+    pairs
+        .into_iter()
+        .map(|(worker, unhealthy)| Verdict {
+            worker: WorkerId(worker),
+            unhealthy,
+        })
+        .collect()
 }
 
 impl Gateway {
-    /// Begins the duty, with the workers that are ready.
-    pub(super) fn set_up_trials(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
-        let mut trials = Trials::default();
-        trials.handle(now, Input::Ready(ready));
+    /// Starts health checks, with the workers that are ready.
+    pub(super) fn set_up_health_checks(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
+        let mut checker = HealthChecker::default();
+        checker.handle(now, Input::Ready(ready));
         self.cluster.health_checks = Some(HealthCheckDriver {
-            trials,
+            checker,
             probes: BTreeMap::new(),
-            hung: None,
+            scheduled_at: None,
         });
     }
 
-    fn tell_trials(&mut self, now: Micros, input: Input) {
-        if let Some(side) = &mut self.cluster.health_checks {
-            side.trials.handle(now, input);
+    fn handle_health_checks(&mut self, now: Micros, input: Input) {
+        if let Some(driver) = &mut self.cluster.health_checks {
+            driver.checker.handle(now, input);
         }
     }
 
-    pub(super) fn trials_ready(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
-        self.tell_trials(now, Input::Ready(ready));
+    /// The workers that are ready have changed.
+    pub(super) fn set_health_check_workers(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
+        self.handle_health_checks(now, Input::Ready(ready));
     }
 
-    pub(super) fn trials_outcome(&mut self, now: Micros, worker: WorkerId, seen: Observed) {
-        self.tell_trials(now, Input::Outcome(worker, seen));
+    /// A request of this gateway has shown whether a worker answers.
+    pub(super) fn observe_for_health_checks(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        observed: Observed,
+    ) {
+        self.handle_health_checks(now, Input::Outcome(worker, observed));
     }
 
-    /// Whether this gateway owns the duty has changed.
-    pub(super) fn trials_owned(&mut self, now: Micros, duty: &str, owns: bool) {
-        if duty == NAME {
-            self.tell_trials(now, Input::Owns(owns));
+    /// This gateway has acquired or lost a lease.
+    pub(super) fn set_health_check_lease(&mut self, now: Micros, lease: &str, held: bool) {
+        if lease == NAME {
+            self.handle_health_checks(now, Input::LeaseHeld(held));
         }
     }
 
-    /// The owner's word.
-    pub(super) fn trials_told(&mut self, now: Micros, duty: &str, content: &[u8]) {
-        if duty != NAME {
-            return;
+    /// The holder of a lease has announced verdicts.
+    pub(super) fn on_health_check_effect(&mut self, now: Micros, lease: &str, content: &[u8]) {
+        if lease == NAME {
+            let verdicts = decode_verdicts(content);
+            self.handle_health_checks(now, Input::Verdicts(verdicts));
         }
-        // What cannot be read tells nothing.
-        let verdicts: Vec<(u32, bool)> = postcard::from_bytes(content).unwrap_or_default();
-        self.tell_trials(
-            now,
-            Input::Verdicts(
-                verdicts
-                    .into_iter()
-                    .map(|(w, ill)| (WorkerId(w), ill))
-                    .collect(),
-            ),
-        );
     }
 
-    /// Another gateway's word, for the owner.
-    pub(super) fn trials_heard(&mut self, now: Micros, duty: &str, content: &[u8]) {
-        if duty != NAME {
+    /// Another gateway has reported a worker to the holder of a lease.
+    pub(super) fn on_health_check_report(&mut self, now: Micros, lease: &str, content: &[u8]) {
+        if lease != NAME {
             return;
         }
         if let Ok(worker) = postcard::from_bytes::<u32>(content) {
-            self.tell_trials(now, Input::Heard(WorkerId(worker)));
+            let report = Input::ReportReceived(WorkerId(worker));
+            self.handle_health_checks(now, report);
         }
     }
 
-    /// A probe has ended outside; whether it was a trial.
-    pub(super) fn trial_ended(&mut self, now: Micros, key: ProbeKey, ending: CloseReason) {
-        let Some(worker) = self
-            .cluster
-            .health_checks
-            .as_mut()
-            .and_then(|side| side.probes.remove(&key))
-        else {
+    /// A probe has ended; it counts here if it was one of the lease holder.
+    pub(super) fn on_health_check_probe_ended(
+        &mut self,
+        now: Micros,
+        key: ProbeKey,
+        reason: CloseReason,
+    ) {
+        let driver = self.cluster.health_checks.as_mut();
+        let Some(worker) = driver.and_then(|driver| driver.probes.remove(&key)) else {
             return;
         };
-        self.tell_trials(now, Input::Tried(worker, ending == CloseReason::Served));
+        let result = if reason == CloseReason::Served {
+            ProbeResult::Answered
+        } else {
+            ProbeResult::Failed
+        };
+        self.handle_health_checks(now, Input::ProbeEnded(worker, result));
     }
 
-    /// Does what follows.
-    pub(super) fn step_trials(&mut self, now: Micros) {
+    /// Carries out what the checker asks for.
+    pub(super) fn step_health_checks(&mut self, now: Micros) {
         while let Some(output) = self
             .cluster
             .health_checks
             .as_mut()
-            .and_then(|side| side.trials.output())
+            .and_then(|driver| driver.checker.output())
         {
-            match output {
-                Output::Report(worker) => {
-                    let content = postcard::to_stdvec(&worker.0).unwrap_or_default();
-                    self.handle_consensus(Say::Report(NAME.into(), content));
-                }
-                Output::Try(worker) => {
-                    let probe = self.core.probe(now, worker);
-                    if let Some(side) = &mut self.cluster.health_checks {
-                        side.probes.insert(probe, worker);
-                    }
-                }
-                Output::Tell(verdicts) => {
-                    self.handle_consensus(Say::Act(NAME.into(), word(verdicts)))
-                }
-                Output::Advise(worker, until) => self.core.rumour(now, worker, until),
-                Output::Able(able) => self.set_subsystems_able(able),
-            }
+            self.on_health_check_output(now, output);
         }
-        let Some(side) = &mut self.cluster.health_checks else {
+        let Some(driver) = &mut self.cluster.health_checks else {
             return;
         };
-        // A probe that the core gave up has no word of its own; the trial has its own bound.
+        // The core does not report probes that it gave up; the checker has a timeout of its own for them.
         let core = &self.core;
-        side.probes.retain(|key, _| core.has_probe(*key));
-        let next = side.trials.next_deadline().map(|t| t.max(now));
-        if next != side.hung {
-            if let Some(old) = side.hung.take() {
-                self.core.unhang(old, TRIALS);
+        driver.probes.retain(|key, _| core.has_probe(*key));
+        let next = driver.checker.next_deadline().map(|at| at.max(now));
+        if next == driver.scheduled_at {
+            return;
+        }
+        let previous = std::mem::replace(&mut driver.scheduled_at, next);
+        if let Some(at) = previous {
+            self.core.unhang(at, TRIALS);
+        }
+        if let Some(at) = next {
+            self.core.hang(at, TRIALS);
+        }
+    }
+
+    fn on_health_check_output(&mut self, now: Micros, output: Output) {
+        match output {
+            Output::Report(worker) => {
+                let content = postcard::to_stdvec(&worker.0).unwrap_or_default();
+                self.handle_consensus(participant::Input::Report(NAME.into(), content));
+            }
+            Output::Probe(worker) => {
+                let key = self.core.probe(now, worker);
+                if let Some(driver) = &mut self.cluster.health_checks {
+                    driver.probes.insert(key, worker);
+                }
             }
-            side.hung = next;
-            if let Some(at) = next {
-                self.core.hang(at, TRIALS);
+            Output::Announce(verdicts) => {
+                let content = encode_verdicts(verdicts);
+                self.handle_consensus(participant::Input::Act(NAME.into(), content));
             }
+            Output::Advise(worker, until) => self.core.rumour(now, worker, until),
+            Output::SetAble(able) => self.set_subsystems_able(able),
         }
     }
 
-    pub(super) fn tick_trials(&mut self, now: Micros) {
-        if let Some(side) = &mut self.cluster.health_checks {
-            side.hung = None;
+    /// The deadline has passed.
+    pub(super) fn tick_health_checks(&mut self, now: Micros) {
+        if let Some(driver) = &mut self.cluster.health_checks {
+            driver.scheduled_at = None;
         }
-        self.tell_trials(now, Input::Tick);
+        self.handle_health_checks(now, Input::Tick);
     }
 
-    /// What can be seen of the duty.
-    pub(super) fn trials_view(&self) -> serde_json::Value {
-        let Some(side) = &self.cluster.health_checks else {
-            return serde_json::Value::Null;
+    /// What operators see of health checks; null while the lease is not configured.
+    pub(super) fn health_checks_view(&self) -> Value {
+        let Some(driver) = &self.cluster.health_checks else {
+            return Value::Null;
         };
-        let ill: Vec<String> = side.trials.ill().map(|w| format!("{:08x}", w.0)).collect();
-        serde_json::json!({ "ill": ill, "trials": side.trials.trials })
+        let unhealthy: Vec<String> = driver
+            .checker
+            .unhealthy()
+            .map(|worker| format!("{:08x}", worker.0))
+            .collect();
+        json!({ "ill": unhealthy, "trials": driver.checker.probes })
     }
 }
-
-#[cfg(test)]
-mod fixture_tests;
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -1,11 +1,21 @@
-//! Drives the duties `loads-...`: the module's orders wait for the word of a shard's owner. It decides nothing.
+//! Drives load coordination: the module's orders wait for the holder of a shard. It decides nothing.
 
-use super::*;
-use crate::consensus::participant::Input as Say;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use serde_json::{json, Value};
+
+use super::{Gateway, LOADS};
+use crate::api::{FunctionId, LoadRateLimit, Micros, WorkerId};
+use crate::completion::{CloseReason, SendProgress};
+use crate::consensus::participant;
+use crate::core::OrderKey;
 use crate::lease::LeaseName;
-use crate::load_coordination::{Input, Loads, Output, Word, LONGEST, PREFIX};
+use crate::load_coordination::{
+    CopyKey, Input, LoadCoordinator, LoadMessage, Output, MAX_ORDER_DELAY, PREFIX,
+};
 
-/// An order of the module's.
+/// An order of the decision module.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Order {
     pub(super) key: OrderKey,
@@ -14,222 +24,246 @@
     pub(super) copies: u8,
 }
 
-/// The duties, while there are shards on the operator's list.
+/// The driver, while shards are configured.
 #[derive(Debug)]
 pub(super) struct LoadDriver {
-    loads: Loads,
-    /// Orders that wait or were given, by their numbers.
+    coordinator: LoadCoordinator,
+    /// Orders that wait or were made, by number.
     orders: BTreeMap<u64, Order>,
     numbers: BTreeMap<OrderKey, u64>,
-    number: u64,
-    hung: Option<Micros>,
+    last_number: u64,
+    /// When the scheduled deadline is due.
+    scheduled_at: Option<Micros>,
+}
+
+/// Encodes a message for other gateways.
+fn encode(message: &LoadMessage) -> Vec<u8> {
+    // Messages always encode.
+    postcard::to_stdvec(message).unwrap_or_default()
+}
+
+/// Decodes a message under a lease of load coordination.
+fn decode(lease: &str, content: &[u8]) -> Option<LoadMessage> {
+    if !lease.starts_with(PREFIX) {
+        return None;
+    }
+    postcard::from_bytes(content).ok()
 }
 
 impl Gateway {
-    /// Begins the duties. An order may leave later than it was decided on: the ration's window is longer by that.
-    pub(super) fn set_up_loads(&mut self, now: Micros, loads: Loads) {
+    /// Starts load coordination. An order may leave later than it was decided on, so the rate limit's window grows by the
+    /// maximum delay.
+    pub(super) fn set_up_load_coordination(&mut self, now: Micros, coordinator: LoadCoordinator) {
         let settings = &self.config.settings;
-        if let Some(ration) = settings.load_rate_limit {
+        if let Some(limit) = settings.load_rate_limit {
             let longer = LoadRateLimit {
-                window: ration.window + LONGEST,
-                ..ration
+                window: limit.window + MAX_ORDER_DELAY,
+                ..limit
             };
             self.core
                 .limits(now, Some(longer), settings.overload_multiple, 0.0);
         }
-        let (orders, numbers) = (BTreeMap::new(), BTreeMap::new());
         self.cluster.loads = Some(LoadDriver {
-            loads,
-            orders,
-            numbers,
-            number: 0,
-            hung: None,
+            coordinator,
+            orders: BTreeMap::new(),
+            numbers: BTreeMap::new(),
+            last_number: 0,
+            scheduled_at: None,
         });
     }
 
-    fn tell_loads(&mut self, now: Micros, input: Input) {
-        if let Some(side) = &mut self.cluster.loads {
-            side.loads.handle(now, input);
+    fn handle_load_coordination(&mut self, now: Micros, input: Input) {
+        if let Some(driver) = &mut self.cluster.loads {
+            driver.coordinator.handle(now, input);
         }
     }
 
-    /// The module orders copies; whether that waits for an owner's word.
-    pub(super) fn order_waits(&mut self, now: Micros, order: Order) -> bool {
-        // A question is no order.
-        let Some(side) = self.cluster.loads.as_mut().filter(|_| order.copies > 0) else {
+    /// The module orders copies; returns whether the order waits for a holder's answer.
+    pub(super) fn delay_order(&mut self, now: Micros, order: Order) -> bool {
+        // An order of no copies only asks for the worker's state.
+        if order.copies == 0 {
+            return false;
+        }
+        let Some(driver) = &mut self.cluster.loads else {
             return false;
         };
-        side.number += 1;
-        let number = side.number;
-        side.orders.insert(number, order);
-        side.numbers.insert(order.key, number);
-        side.loads
-            .handle(now, Input::Order(number, (order.worker, order.function)));
+        driver.last_number += 1;
+        let number = driver.last_number;
+        driver.orders.insert(number, order);
+        driver.numbers.insert(order.key, number);
+        let copy = CopyKey {
+            worker: order.worker,
+            function: order.function,
+        };
+        driver.coordinator.handle(now, Input::Order(number, copy));
         true
     }
 
-    /// The module needs an order no more; whether it had not been given yet.
-    pub(super) fn order_forgotten(&mut self, now: Micros, order: OrderKey) -> bool {
-        let Some(side) = &mut self.cluster.loads else {
+    /// The module no longer needs an order; returns whether the order still waited.
+    pub(super) fn cancel_delayed_order(&mut self, now: Micros, order: OrderKey) -> bool {
+        let Some(driver) = &mut self.cluster.loads else {
             return false;
         };
-        let Some(number) = side.numbers.get(&order).copied() else {
+        let Some(number) = driver.numbers.get(&order).copied() else {
             return false;
         };
-        // One that was given ends by itself, and the owner hears of it.
+        // An order that was made ends by itself, and the holder is told.
         if self.load_orders.contains_key(order) {
             return false;
         }
-        side.loads.handle(now, Input::Forget(number));
-        side.numbers.remove(&order);
-        side.orders.remove(&number);
+        driver.coordinator.handle(now, Input::Cancel(number));
+        driver.numbers.remove(&order);
+        driver.orders.remove(&number);
         true
     }
 
-    /// An order has ended outside.
-    pub(super) fn order_given_ended(&mut self, now: Micros, order: OrderKey, copies: u32) {
-        let Some(side) = &mut self.cluster.loads else {
+    /// An order that was made has ended.
+    pub(super) fn on_load_order_ended(&mut self, now: Micros, order: OrderKey, copies: u32) {
+        let Some(driver) = &mut self.cluster.loads else {
             return;
         };
-        if let Some(number) = side.numbers.remove(&order) {
-            side.orders.remove(&number);
-            side.loads.handle(now, Input::Ended(number, copies));
+        if let Some(number) = driver.numbers.remove(&order) {
+            driver.orders.remove(&number);
+            driver.coordinator.handle(now, Input::Ended(number, copies));
         }
     }
 
-    pub(super) fn loads_owned(&mut self, now: Micros, duty: &LeaseName, owns: bool) {
-        if duty.starts_with(PREFIX) {
-            self.tell_loads(now, Input::Owns(duty.clone(), owns));
+    /// This gateway has acquired or lost a lease.
+    pub(super) fn set_load_lease(&mut self, now: Micros, lease: &LeaseName, held: bool) {
+        if lease.starts_with(PREFIX) {
+            self.handle_load_coordination(now, Input::LeaseHeld(lease.clone(), held));
         }
     }
 
-    /// Whether anybody owns a shard, as far as the log says here.
-    pub(super) fn loads_known(&mut self, now: Micros, duty: &LeaseName, owned: bool) {
-        if duty.starts_with(PREFIX) {
-            self.tell_loads(now, Input::Owned(duty.clone(), owned));
+    /// The agreed state shows whether a lease has a holder.
+    pub(super) fn set_load_holder_known(&mut self, now: Micros, lease: &LeaseName, known: bool) {
+        if lease.starts_with(PREFIX) {
+            self.handle_load_coordination(now, Input::HolderKnown(lease.clone(), known));
         }
     }
 
-    pub(super) fn loads_told(&mut self, now: Micros, duty: &str, content: &[u8]) {
-        if let (true, Ok(word)) = (
-            duty.starts_with(PREFIX),
-            postcard::from_bytes::<Word>(content),
-        ) {
-            self.tell_loads(now, Input::Told(word));
+    /// The holder of a lease has announced a message.
+    pub(super) fn on_load_effect(&mut self, now: Micros, lease: &str, content: &[u8]) {
+        if let Some(message) = decode(lease, content) {
+            self.handle_load_coordination(now, Input::Announced(message));
         }
     }
 
-    pub(super) fn loads_heard(
+    /// Another gateway has sent a message to the holder of a lease.
+    pub(super) fn on_load_report(
         &mut self,
         now: Micros,
-        duty: &str,
-        from: &std::sync::Arc<str>,
+        lease: &str,
+        from: &Arc<str>,
         content: &[u8],
     ) {
-        if let (true, Ok(word)) = (
-            duty.starts_with(PREFIX),
-            postcard::from_bytes::<Word>(content),
-        ) {
-            self.tell_loads(now, Input::Heard(from.clone(), word));
+        if let Some(message) = decode(lease, content) {
+            let report = Input::ReportReceived(from.clone(), message);
+            self.handle_load_coordination(now, report);
         }
     }
 
-    /// Does what follows.
-    pub(super) fn step_loads(&mut self, now: Micros) {
+    /// Carries out what the coordinator asks for.
+    pub(super) fn step_load_coordination(&mut self, now: Micros) {
         while let Some(output) = self
             .cluster
             .loads
             .as_mut()
-            .and_then(|side| side.loads.output())
+            .and_then(|driver| driver.coordinator.output())
         {
-            match output {
-                Output::Report(duty, word) => {
-                    self.handle_consensus(Say::Report(
-                        duty,
-                        postcard::to_stdvec(&word).unwrap_or_default(),
-                    ));
-                }
-                Output::Tell(duty, word) => {
-                    self.handle_consensus(Say::Act(
-                        duty,
-                        postcard::to_stdvec(&word).unwrap_or_default(),
-                    ));
-                }
-                Output::Give(number) => {
-                    let order = self
-                        .cluster
-                        .loads
-                        .as_ref()
-                        .and_then(|side| side.orders.get(&number))
-                        .copied();
-                    if let Some(order) = order {
-                        self.give_order(now, order);
-                    }
-                }
-                Output::Stands(number, copies) => {
-                    let Some(side) = &mut self.cluster.loads else {
-                        return;
-                    };
-                    if let Some(Order { key, .. }) = side.orders.remove(&number) {
-                        side.numbers.remove(&key);
-                        self.core.order_ended(
-                            now,
-                            key,
-                            CloseReason::Served,
-                            SendProgress::Unsent,
-                            copies,
-                        );
-                    }
-                }
-            }
+            self.on_load_output(now, output);
         }
-        let Some(side) = &mut self.cluster.loads else {
+        let Some(driver) = &mut self.cluster.loads else {
             return;
         };
-        let next = side.loads.next_deadline().map(|t| t.max(now));
-        if next != side.hung {
-            if let Some(old) = side.hung.take() {
-                self.core.unhang(old, LOADS);
+        let next = driver.coordinator.next_deadline().map(|at| at.max(now));
+        if next == driver.scheduled_at {
+            return;
+        }
+        let previous = std::mem::replace(&mut driver.scheduled_at, next);
+        if let Some(at) = previous {
+            self.core.unhang(at, LOADS);
+        }
+        if let Some(at) = next {
+            self.core.hang(at, LOADS);
+        }
+    }
+
+    fn on_load_output(&mut self, now: Micros, output: Output) {
+        match output {
+            Output::Report(lease, message) => {
+                let report = participant::Input::Report(lease, encode(&message));
+                self.handle_consensus(report);
+            }
+            Output::Announce(lease, message) => {
+                let effect = participant::Input::Act(lease, encode(&message));
+                self.handle_consensus(effect);
+            }
+            Output::Load(number) => {
+                let driver = self.cluster.loads.as_ref();
+                let order = driver
+                    .and_then(|driver| driver.orders.get(&number))
+                    .copied();
+                if let Some(order) = order {
+                    self.make_delayed_order(now, order);
+                }
             }
-            side.hung = next;
-            if let Some(at) = next {
-                self.core.hang(at, LOADS);
+            Output::AlreadyResident(number, copies) => {
+                self.on_already_resident(now, number, copies);
             }
         }
     }
 
-    /// An order that waited leaves now, unless its worker has been told of as gone or draining meanwhile.
-    fn give_order(&mut self, now: Micros, order: Order) {
-        if self
-            .cluster
-            .ready
-            .as_ref()
-            .is_some_and(|ready| !ready.contains(&order.worker))
-        {
-            self.order_given_ended(now, order.key, 0);
-            return self.core.order_ended(
-                now,
-                order.key,
-                CloseReason::Withdrawn,
-                SendProgress::Unsent,
-                0,
-            );
+    /// An order is not needed, as a copy of another gateway is resident.
+    fn on_already_resident(&mut self, now: Micros, number: u64, copies: u32) {
+        let Some(driver) = &mut self.cluster.loads else {
+            return;
+        };
+        let Some(order) = driver.orders.remove(&number) else {
+            return;
+        };
+        driver.numbers.remove(&order.key);
+        self.core.order_ended(
+            now,
+            order.key,
+            CloseReason::Served,
+            SendProgress::Unsent,
+            copies,
+        );
+    }
+
+    /// Makes an order that waited, unless its worker has gone or started to drain meanwhile.
+    fn make_delayed_order(&mut self, now: Micros, order: Order) {
+        let ready = self.cluster.ready.as_ref();
+        if ready.is_none_or(|ready| ready.contains(&order.worker)) {
+            return self.stage(now, order);
         }
-        self.stage(now, order);
+        self.on_load_order_ended(now, order.key, 0);
+        self.core.order_ended(
+            now,
+            order.key,
+            CloseReason::Withdrawn,
+            SendProgress::Unsent,
+            0,
+        );
     }
 
-    pub(super) fn tick_loads(&mut self, now: Micros) {
-        if let Some(side) = &mut self.cluster.loads {
-            side.hung = None;
+    /// The deadline has passed.
+    pub(super) fn tick_load_coordination(&mut self, now: Micros) {
+        if let Some(driver) = &mut self.cluster.loads {
+            driver.scheduled_at = None;
         }
-        self.tell_loads(now, Input::Tick);
+        self.handle_load_coordination(now, Input::Tick);
     }
 
-    /// What can be seen of the duties.
-    pub(super) fn loads_view(&self) -> serde_json::Value {
-        let Some(side) = &self.cluster.loads else {
-            return serde_json::Value::Null;
+    /// What operators see of load coordination; null while no shards are configured.
+    pub(super) fn load_coordination_view(&self) -> Value {
+        let Some(driver) = &self.cluster.loads else {
+            return Value::Null;
         };
-        serde_json::json!({ "orders_waiting_or_out": side.orders.len(), "orders_spared": side.loads.spared })
+        json!({
+            "orders_waiting_or_out": driver.orders.len(),
+            "orders_spared": driver.coordinator.avoided_orders,
+        })
     }
 }
--- /dev/null
+++ b/src/health_checks/mod.rs
@@ -0,0 +1,385 @@
+//! Health checks by a lease holder: one gateway probes a worker that does not answer, for all gateways.
+//!
+//! Each gateway observes the outcomes of its own requests. One that got no answer from a worker reports to the holder of the
+//! lease [`NAME`]. The holder probes the worker itself. If that fails too, it announces the worker as unhealthy, probes it
+//! again with growing pauses, and announces when it answers. The decision module takes the announcements as advice: an
+//! unhealthy worker is tried last for a while, a healthy one may be used at once. While nobody holds the lease, or the holder
+//! cannot be reached, nothing is announced, earlier announcements expire, and each gateway relies on its own observations.
+//!
+//! Late or repeated messages do no harm: a probe is a ping, and a verdict only moves a worker in the order for
+//! [`VERDICT_TIMEOUT`].
+
+#[cfg(test)]
+mod tests;
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use crate::api::{Micros, WorkerId};
+use crate::membership::group::Observed;
+
+/// The name of the lease.
+pub const NAME: &str = "trials";
+/// Consecutive failures before the holder is told. One: in a large fleet each gateway meets a silent worker once, and the
+/// holder's probe shows whether it is unhealthy.
+const REPORT_FAILURES: u32 = 1;
+/// Consecutive failures of own requests that make a worker count as bad when the gateway checks itself.
+const SELF_CHECK_FAILURES: u32 = 2;
+/// The pause after the first failed probe; it doubles with each further one. The same as the module's for outliers.
+const INITIAL_BACKOFF: Micros = 250_000;
+/// How often the pause doubles at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// A probe without an answer by then has failed.
+const PROBE_TIMEOUT: Micros = 500_000;
+/// How often the holder repeats which workers are unhealthy, so that a gateway that has just started learns it too.
+const ANNOUNCE_INTERVAL: Micros = 1_000_000;
+/// How long a verdict counts after it was received: three may get lost.
+pub const VERDICT_TIMEOUT: Micros = 4_000_000;
+/// How often the holder is told of the same worker.
+const REPORT_INTERVAL: Micros = 1_000_000;
+/// Workers that the holder checks at once; the gateways rely on their own observations for further ones.
+const MAX_CHECKED_WORKERS: usize = 256;
+/// With fewer workers than this, a gateway does not check itself.
+const MIN_SELF_CHECK_WORKERS: usize = 4;
+
+/// Whether a probe was answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProbeResult {
+    /// The worker answered.
+    Answered,
+    /// The worker did not answer, or not in time.
+    Failed,
+}
+
+/// The health of a worker as the lease holder announces it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Verdict {
+    /// The worker.
+    pub worker: WorkerId,
+    /// Whether it is unhealthy.
+    pub unhealthy: bool,
+}
+
+/// An event for a health checker.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Input {
+    /// A request of this gateway ended.
+    Outcome(WorkerId, Observed),
+    /// The workers that are ready.
+    Ready(BTreeSet<WorkerId>),
+    /// Whether this gateway holds the lease.
+    LeaseHeld(bool),
+    /// Another gateway got no answer from a worker.
+    ReportReceived(WorkerId),
+    /// The holder announces the health of workers.
+    Verdicts(Vec<Verdict>),
+    /// A probe of this gateway ended.
+    ProbeEnded(WorkerId, ProbeResult),
+    /// A deadline has passed.
+    Tick,
+}
+
+/// An action that a health checker asks for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Output {
+    /// Report a worker to the lease holder.
+    Report(WorkerId),
+    /// Probe a worker.
+    Probe(WorkerId),
+    /// Announce the health of workers to all gateways.
+    Announce(Vec<Verdict>),
+    /// Advise the decision module: unhealthy until then, or healthy.
+    Advise(WorkerId, Option<Micros>),
+    /// Whether this gateway can do the checks.
+    SetAble(bool),
+}
+
+/// A worker that the lease holder checks.
+#[derive(Clone, Debug)]
+struct CheckedWorker {
+    next_probe_at: Micros,
+    failures: u32,
+    /// When the probe in progress was sent.
+    probed_at: Option<Micros>,
+}
+
+impl CheckedWorker {
+    fn is_unhealthy(&self) -> bool {
+        self.failures > 0
+    }
+
+    fn deadline(&self) -> Micros {
+        self.probed_at
+            .map_or(self.next_probe_at, |at| at + PROBE_TIMEOUT)
+    }
+}
+
+/// Consecutive failures of own requests to one worker.
+#[derive(Clone, Debug, Default)]
+struct FailedRequests {
+    count: u32,
+    reported_at: Option<Micros>,
+}
+
+/// One gateway's part in health checks.
+#[derive(Clone, Debug, Default)]
+pub struct HealthChecker {
+    lease_held: bool,
+    ready: BTreeSet<WorkerId>,
+    failed_requests: BTreeMap<WorkerId, FailedRequests>,
+    /// The workers that this gateway checks as the lease holder.
+    checked: BTreeMap<WorkerId, CheckedWorker>,
+    /// The workers that the holder announced as unhealthy, and until when that counts.
+    announced: BTreeMap<WorkerId, Micros>,
+    able: Option<bool>,
+    /// When the holder repeats its announcement.
+    next_announcement_at: Option<Micros>,
+    /// The number of probes made.
+    pub probes: u64,
+    outputs: VecDeque<Output>,
+}
+
+impl HealthChecker {
+    /// The workers that are unhealthy by own probes as the holder, or by the holder's announcements.
+    pub fn unhealthy(&self) -> impl Iterator<Item = WorkerId> + '_ {
+        let announced = self
+            .announced
+            .keys()
+            .filter(|worker| !self.checked.contains_key(worker));
+        self.checked.keys().chain(announced).copied()
+    }
+
+    /// When [`Input::Tick`] is due, if ever.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.checked
+            .values()
+            .map(CheckedWorker::deadline)
+            .chain(self.announced.values().copied())
+            .chain(self.next_announcement_at)
+            .min()
+    }
+
+    /// The next action, if any.
+    pub fn output(&mut self) -> Option<Output> {
+        self.outputs.pop_front()
+    }
+
+    /// Handles one event.
+    pub fn handle(&mut self, now: Micros, input: Input) {
+        match input {
+            Input::Outcome(worker, Observed::Answered) => self.on_answer(worker),
+            Input::Outcome(worker, _) => self.on_failure(now, worker),
+            Input::Ready(ready) => self.set_ready(ready),
+            Input::LeaseHeld(held) => self.set_lease_held(now, held),
+            Input::ReportReceived(worker) => {
+                if self.lease_held {
+                    self.start_checking(now, worker);
+                }
+            }
+            Input::Verdicts(verdicts) => {
+                for verdict in verdicts {
+                    self.on_verdict(now, verdict);
+                }
+            }
+            Input::ProbeEnded(worker, result) => {
+                if self.is_being_probed(worker) {
+                    self.on_probe_ended(now, worker, result);
+                }
+            }
+            Input::Tick => {}
+        }
+        self.tick(now);
+        self.check_self();
+    }
+
+    fn on_answer(&mut self, worker: WorkerId) {
+        self.failed_requests.remove(&worker);
+        self.set_healthy(worker);
+        // An own observation counts more than an announcement.
+        if self.announced.remove(&worker).is_some() {
+            self.outputs.push_back(Output::Advise(worker, None));
+        }
+    }
+
+    fn on_failure(&mut self, now: Micros, worker: WorkerId) {
+        if !self.ready.contains(&worker) {
+            return;
+        }
+        let failed = self.failed_requests.entry(worker).or_default();
+        failed.count = failed.count.saturating_add(1);
+        let reported_lately = failed
+            .reported_at
+            .is_some_and(|at| now < at + REPORT_INTERVAL);
+        if failed.count < REPORT_FAILURES || reported_lately {
+            return;
+        }
+        failed.reported_at = Some(now.max(1));
+        if self.lease_held {
+            self.start_checking(now, worker);
+        } else {
+            self.outputs.push_back(Output::Report(worker));
+        }
+    }
+
+    fn set_ready(&mut self, ready: BTreeSet<WorkerId>) {
+        self.failed_requests
+            .retain(|worker, _| ready.contains(worker));
+        self.checked.retain(|worker, _| ready.contains(worker));
+        self.announced.retain(|worker, _| ready.contains(worker));
+        self.ready = ready;
+    }
+
+    /// Drops the state of the last tenure, so that nothing is announced late; a new holder starts with what was announced.
+    fn set_lease_held(&mut self, now: Micros, held: bool) {
+        self.lease_held = held;
+        self.checked.clear();
+        if !held {
+            return;
+        }
+        let announced: Vec<WorkerId> = self.announced.keys().copied().collect();
+        for worker in announced {
+            self.start_checking(now, worker);
+        }
+    }
+
+    fn on_verdict(&mut self, now: Micros, verdict: Verdict) {
+        let worker = verdict.worker;
+        if !self.ready.contains(&worker) {
+            return;
+        }
+        let expires_at = now + VERDICT_TIMEOUT;
+        if verdict.unhealthy {
+            self.announced.insert(worker, expires_at);
+        } else {
+            self.announced.remove(&worker);
+        }
+        self.failed_requests.remove(&worker);
+        let until = verdict.unhealthy.then_some(expires_at);
+        self.outputs.push_back(Output::Advise(worker, until));
+    }
+
+    /// Probes a worker before it is announced: a report alone may be a fault of the reporting gateway.
+    fn start_checking(&mut self, now: Micros, worker: WorkerId) {
+        let is_known = self.checked.contains_key(&worker);
+        let is_full = self.checked.len() >= MAX_CHECKED_WORKERS;
+        if !self.ready.contains(&worker) || is_known || is_full {
+            return;
+        }
+        let checked = CheckedWorker {
+            next_probe_at: now,
+            failures: 0,
+            probed_at: None,
+        };
+        self.checked.insert(worker, checked);
+    }
+
+    fn set_healthy(&mut self, worker: WorkerId) {
+        let checked = self.checked.remove(&worker);
+        if !checked.is_some_and(|checked| checked.is_unhealthy()) {
+            return;
+        }
+        let verdict = Verdict {
+            worker,
+            unhealthy: false,
+        };
+        self.outputs.push_back(Output::Announce(vec![verdict]));
+        self.outputs.push_back(Output::Advise(worker, None));
+    }
+
+    fn is_being_probed(&self, worker: WorkerId) -> bool {
+        self.checked
+            .get(&worker)
+            .is_some_and(|checked| checked.probed_at.is_some())
+    }
+
+    fn on_probe_ended(&mut self, now: Micros, worker: WorkerId, result: ProbeResult) {
+        if result == ProbeResult::Answered {
+            return self.set_healthy(worker);
+        }
+        let Some(checked) = self.checked.get_mut(&worker) else {
+            return;
+        };
+        let doublings = checked.failures.min(MAX_BACKOFF_DOUBLINGS);
+        checked.next_probe_at = now + (INITIAL_BACKOFF << doublings);
+        checked.failures = checked.failures.saturating_add(1);
+        checked.probed_at = None;
+        if checked.failures == 1 {
+            let verdict = Verdict {
+                worker,
+                unhealthy: true,
+            };
+            self.outputs.push_back(Output::Announce(vec![verdict]));
+        }
+        let until = now + VERDICT_TIMEOUT + (INITIAL_BACKOFF << MAX_BACKOFF_DOUBLINGS);
+        self.outputs.push_back(Output::Advise(worker, Some(until)));
+    }
+
+    fn tick(&mut self, now: Micros) {
+        self.fail_late_probes(now);
+        for (worker, checked) in &mut self.checked {
+            if checked.probed_at.is_none() && now >= checked.next_probe_at {
+                checked.probed_at = Some(now);
+                self.probes += 1;
+                self.outputs.push_back(Output::Probe(*worker));
+            }
+        }
+        self.announced.retain(|_, expires_at| now < *expires_at);
+        self.repeat_announcement(now);
+    }
+
+    fn fail_late_probes(&mut self, now: Micros) {
+        let is_late = |checked: &CheckedWorker| {
+            let probed_at = checked.probed_at;
+            probed_at.is_some_and(|at| now >= at + PROBE_TIMEOUT)
+        };
+        let late: Vec<WorkerId> = self
+            .checked
+            .iter()
+            .filter(|(_, checked)| is_late(checked))
+            .map(|(worker, _)| *worker)
+            .collect();
+        for worker in late {
+            self.on_probe_ended(now, worker, ProbeResult::Failed);
+        }
+    }
+
+    fn repeat_announcement(&mut self, now: Micros) {
+        let verdicts: Vec<Verdict> = self
+            .checked
+            .iter()
+            .filter(|(_, checked)| checked.is_unhealthy())
+            .map(|(worker, _)| Verdict {
+                worker: *worker,
+                unhealthy: true,
+            })
+            .collect();
+        if verdicts.is_empty() {
+            self.next_announcement_at = None;
+            return;
+        }
+        let next = now + ANNOUNCE_INTERVAL;
+        if now >= *self.next_announcement_at.get_or_insert(next) {
+            self.next_announcement_at = Some(next);
+            self.outputs.push_back(Output::Announce(verdicts));
+        }
+    }
+
+    /// A gateway that finds more than half of all workers bad is more likely to be cut off itself.
+    fn check_self(&mut self) {
+        let bad = self
+            .ready
+            .iter()
+            .filter(|worker| self.is_bad(worker))
+            .count();
+        let able = self.ready.len() < MIN_SELF_CHECK_WORKERS || 2 * bad <= self.ready.len();
+        if self.able.replace(able) != Some(able) {
+            self.outputs.push_back(Output::SetAble(able));
+        }
+    }
+
+    fn is_bad(&self, worker: &WorkerId) -> bool {
+        let failed = self.failed_requests.get(worker);
+        let checked = self.checked.get(worker);
+        failed.is_some_and(|failed| failed.count >= SELF_CHECK_FAILURES)
+            || checked.is_some_and(CheckedWorker::is_unhealthy)
+    }
+}
--- a/src/lease/fence.rs
+++ b/src/lease/fence.rs
@@ -1,53 +1,50 @@
-//! At whoever receives an effect: terms below the highest seen are refused.
+//! The fence of a receiver of effects: it rejects terms below the highest seen.
 
 use std::collections::BTreeMap;
-use std::fmt;
+
+use serde::{Deserialize, Serialize};
 
 use super::{LeaseName, Term};
 
-/// Duties whose terms are kept; effects of further ones are refused. They come from the operator's list, so that more of
-/// them are a fault.
+/// Leases whose terms are stored; effects under further ones are rejected. Leases are configured, so more of them are a
+/// fault.
 pub const MAX_FENCED_LEASES: usize = 1024;
 
-/// Why an effect is refused.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why an effect is rejected.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FenceError {
-    /// A later owner's effect has been seen.
+    /// An effect of a later holder was seen.
+    #[error("term {term} has ended, {seen} was seen")]
     Stale {
-        /// The term that it came under.
+        /// The term of the effect.
         term: Term,
-        /// The highest seen.
+        /// The highest term seen.
         seen: Term,
     },
-    /// No grant has the term 0.
+    /// The effect has the term 0, which is never granted.
+    #[error("no grant has the term 0")]
     NoTerm,
-    /// More duties than are kept.
+    /// There are more leases than are stored.
+    #[error("more than {MAX_FENCED_LEASES} duties")]
     TooMany,
 }
 
-impl fmt::Display for FenceError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FenceError::Stale { term, seen } => write!(f, "term {term} has ended, {seen} was seen"),
-            FenceError::NoTerm => f.write_str("no grant has the term 0"),
-            FenceError::TooMany => write!(f, "more than {MAX_FENCED_LEASES} duties"),
-        }
-    }
-}
-
-impl std::error::Error for FenceError {}
-
 /// The highest terms seen.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fence {
     seen: BTreeMap<LeaseName, Term>,
 }
 
 impl Fence {
-    /// Admits an effect or refuses it. `true` if its term is a new one: where the effect lasts over a restart, so must what
-    /// is kept here, and the effect waits until it does.
-    pub fn admit(&mut self, duty: &LeaseName, term: Term) -> Result<bool, FenceError> {
-        let seen = self.seen.get(duty).copied().unwrap_or(0);
+    /// Admits or rejects an effect; `true` if its term is new.
+    ///
+    /// Where an effect outlives a restart, the fence has to as well, and the effect waits until the fence is persisted.
+    ///
+    /// # Errors
+    ///
+    /// [`FenceError`] if the effect is rejected.
+    pub fn admit(&mut self, lease: &LeaseName, term: Term) -> Result<bool, FenceError> {
+        let seen = self.seen(lease);
         if term == 0 {
             return Err(FenceError::NoTerm);
         }
@@ -57,14 +54,15 @@
         if seen == 0 && self.seen.len() >= MAX_FENCED_LEASES {
             return Err(FenceError::TooMany);
         }
-        if term > seen {
-            self.seen.insert(duty.clone(), term);
+        let is_new = term > seen;
+        if is_new {
+            self.seen.insert(lease.clone(), term);
         }
-        Ok(term > seen)
+        Ok(is_new)
     }
 
-    /// The highest term seen of a duty; 0 if none was.
-    pub fn seen(&self, duty: &LeaseName) -> Term {
-        self.seen.get(duty).copied().unwrap_or(0)
+    /// The highest term seen of a lease; 0 if there was none.
+    pub fn seen(&self, lease: &LeaseName) -> Term {
+        self.seen.get(lease).copied().unwrap_or(0)
     }
 }
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -1,307 +1,314 @@
-//! At each instance: which duties it may do now.
+//! The holder's side: the leases for which a gateway may act now.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::ledger::{Entry, LeaseTable};
+use super::renewal::{RenewReply, RenewRequest};
+use super::table::{Entry, LeaseTable};
 use super::{LeaseHolder, LeaseName, Settings, Term};
 use crate::api::Micros;
 
-/// Questions whose answers still count; older ones are forgotten.
-const MOST_ASKED: usize = 8;
+/// Requests whose replies still count; older ones are forgotten.
+const MAX_OUTSTANDING_REQUESTS: usize = 8;
 
-/// What happens to a holder.
+/// An event for a holder.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// An entry of the agreed log took hold.
+    /// An entry of the agreed log took effect.
     Applied(Entry),
-    /// The state of all duties, in place of entries that were never seen here.
+    /// The state of all leases was replaced.
     Restored(LeaseTable),
-    /// A grantor's answer.
+    /// A reply of the grantor.
     Reply(RenewReply),
-    /// Whether the instance can do duties at all: not while it is cut off from its own zone, has no descriptors, drains.
+    /// Whether the gateway can hold leases: not while it is cut off from its zone, short of descriptors, or draining.
     SetEligible(bool),
-    /// A duty is to be given back: its own owner cannot do it, or it is to move.
+    /// Release a lease: its holder cannot do the work, or it is to move.
     Release(LeaseName),
-    /// A deadline fell due.
+    /// A deadline has passed.
     Tick,
 }
 
-/// A question to whoever leads the log.
-#[derive(
-    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
-)]
-pub struct RenewRequest {
-    /// Who asks.
-    pub from: LeaseHolder,
-    /// Which question; it means something to its asker alone.
-    pub stamp: u64,
-    /// Whether it would take duties.
-    pub eligible: bool,
-    /// The duties and terms for which it asks a lease.
-    pub held: Vec<(LeaseName, Term)>,
-    /// Those that it does not do any more.
-    pub released: Vec<(LeaseName, Term)>,
-}
-
-/// The answer to a question.
-#[derive(
-    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
-)]
-pub struct RenewReply {
-    /// Whom it is for.
-    pub to: LeaseHolder,
-    /// Which question it answers.
-    pub stamp: u64,
-    /// Of what was asked for, that of which the lease runs on.
-    pub renewed: Vec<(LeaseName, Term)>,
-    /// Those that are to be given back, as they are to move.
-    pub recalled: Vec<(LeaseName, Term)>,
-}
-
-/// What is to be done.
+/// An action that a holder asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// To whoever leads the log.
+    /// Send the request to the leader of the log.
     Renew(RenewRequest),
-    /// From now on the instance may act under this term.
-    Began(LeaseName, Term),
-    /// It may not any more; what is queued under it is taken back.
-    Ended(LeaseName, Term),
+    /// The gateway may act under this term from now on.
+    Acquired(LeaseName, Term),
+    /// The gateway may not act any more; effects that are still queued have to be withdrawn.
+    Lost(LeaseName, Term),
 }
 
+/// A lease of which this gateway is the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct OwnLease {
     term: Term,
-    /// Until when it may act; none before the first answer.
-    until: Option<Micros>,
-    /// Whether `Began` was told and `Ended` was not.
-    acts: bool,
+    /// When the right to act ends; `None` before the first reply.
+    expires_at: Option<Micros>,
+    /// Whether [`Output::Acquired`] was put out and [`Output::Lost`] was not yet.
+    active: bool,
 }
 
-/// One instance's duties.
+impl OwnLease {
+    /// A granted lease gives no right to act before the first reply: the grant may have been learned late.
+    fn granted(term: Term) -> OwnLease {
+        OwnLease {
+            term,
+            expires_at: None,
+            active: false,
+        }
+    }
+}
+
+/// The leases of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HolderState {
     settings: Settings,
-    me: LeaseHolder,
-    able: bool,
-    held: BTreeMap<LeaseName, Held>,
-    /// Given back, until the log says so.
-    back: BTreeMap<LeaseName, Term>,
-    /// When each question was asked, before it left.
-    asked: VecDeque<(u64, Micros)>,
-    stamp: u64,
-    next: Micros,
+    own: LeaseHolder,
+    eligible: bool,
+    leases: BTreeMap<LeaseName, OwnLease>,
+    /// Released leases, until the log contains the release.
+    released: BTreeMap<LeaseName, Term>,
+    /// The numbers of outstanding requests and when each was made.
+    requests: VecDeque<(u64, Micros)>,
+    last_stamp: u64,
+    next_request_at: Micros,
     outputs: VecDeque<Output>,
 }
 
 impl HolderState {
-    /// One that has nothing.
-    pub fn new(settings: Settings, me: LeaseHolder, now: Micros) -> HolderState {
+    /// A holder without leases.
+    pub fn new(settings: Settings, own: LeaseHolder, now: Micros) -> HolderState {
         HolderState {
             settings,
-            me,
-            able: true,
-            held: BTreeMap::new(),
-            back: BTreeMap::new(),
-            asked: VecDeque::new(),
-            stamp: 0,
-            next: now,
+            own,
+            eligible: true,
+            leases: BTreeMap::new(),
+            released: BTreeMap::new(),
+            requests: VecDeque::new(),
+            last_stamp: 0,
+            next_request_at: now,
             outputs: VecDeque::new(),
         }
     }
 
-    /// Whose it is.
-    pub fn me(&self) -> &LeaseHolder {
-        &self.me
+    /// The identity of this gateway's process.
+    pub fn own(&self) -> &LeaseHolder {
+        &self.own
     }
 
-    /// The term under which a duty may be done now, if it may. To be asked when an effect is decided on and again when its
-    /// bytes are queued to leave: it looks at the clock and at nothing that a stopped process could have missed.
-    pub fn held_term(&self, now: Micros, duty: &LeaseName) -> Option<Term> {
-        let held = self.held.get(duty)?;
-        held.until.filter(|until| now < *until).map(|_| held.term)
+    /// The term under which the gateway may act now, if it may.
+    ///
+    /// To be called when an effect is decided on and again when its bytes are queued. It depends on the clock and on nothing
+    /// that a stopped process could have missed.
+    pub fn held_term(&self, now: Micros, lease: &LeaseName) -> Option<Term> {
+        let own_lease = self.leases.get(lease)?;
+        let valid = own_lease.expires_at.is_some_and(|at| now < at);
+        valid.then_some(own_lease.term)
     }
 
     /// Whether an effect of this term may still leave.
-    pub fn still_holds(&self, now: Micros, duty: &LeaseName, term: Term) -> bool {
-        self.held_term(now, duty) == Some(term)
+    pub fn still_holds(&self, now: Micros, lease: &LeaseName, term: Term) -> bool {
+        self.held_term(now, lease) == Some(term)
     }
 
-    /// What it holds: the duty, its term, and until when it may act.
+    /// The leases of this gateway: name, term, and when the right to act ends.
     pub fn held_leases(&self) -> impl Iterator<Item = (&LeaseName, Term, Option<Micros>)> {
-        self.held.iter().map(|(d, h)| (d, h.term, h.until))
+        self.leases
+            .iter()
+            .map(|(name, lease)| (name, lease.term, lease.expires_at))
     }
 
-    /// When `Tick` is due.
+    /// When [`Input::Tick`] is due.
     pub fn next_deadline(&self) -> Micros {
-        let ends = self
-            .held
+        self.leases
             .values()
-            .filter(|h| h.acts)
-            .filter_map(|h| h.until)
-            .min();
-        ends.map_or(self.next, |e| e.min(self.next))
+            .filter(|lease| lease.active)
+            .filter_map(|lease| lease.expires_at)
+            .fold(self.next_request_at, Micros::min)
     }
 
-    /// The next thing to be done, if any.
+    /// The next action, if any.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// Takes what happened.
+    /// Handles one event.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             Input::Applied(Entry::Grant {
-                lease: duty,
-                holder: owner,
+                lease,
+                holder,
                 term,
-            }) => {
-                self.back.remove(&duty);
-                self.drop_held(&duty, |held| held < term);
-                if owner == self.me {
-                    // No lease runs yet: this may be heard of long after it was granted.
-                    self.held.insert(
-                        duty.clone(),
-                        Held {
-                            term,
-                            until: None,
-                            acts: false,
-                        },
-                    );
-                    self.next = now;
-                    // Granted on an older word of its.
-                    if !self.able {
-                        self.give_back(now, &duty);
-                    }
-                }
-            }
-            Input::Applied(Entry::Released { lease: duty, term }) => {
-                self.back.remove(&duty);
-                self.drop_held(&duty, |held| held <= term);
-            }
-            Input::Restored(ledger) => self.restored(now, &ledger),
-            Input::Reply(answer) => self.answered(now, answer),
-            Input::SetEligible(able) => {
-                if std::mem::replace(&mut self.able, able) != able {
-                    self.next = now;
-                }
-                if !able {
-                    let all: Vec<LeaseName> = self.held.keys().cloned().collect();
-                    all.into_iter().for_each(|d| self.give_back(now, &d));
-                }
+            }) => self.on_grant(now, lease, &holder, term),
+            Input::Applied(Entry::Released { lease, term }) => {
+                self.released.remove(&lease);
+                self.end_if(&lease, |held| held <= term);
             }
-            Input::Release(duty) => self.give_back(now, &duty),
+            Input::Restored(table) => self.on_restored(now, &table),
+            Input::Reply(reply) => self.on_reply(now, reply),
+            Input::SetEligible(eligible) => self.set_eligible(now, eligible),
+            Input::Release(lease) => self.release(now, &lease),
             Input::Tick => {}
         }
-        self.tick(now);
+        self.end_expired(now);
+        if now >= self.next_request_at {
+            self.request_renewal(now);
+        }
+    }
+
+    fn on_grant(&mut self, now: Micros, lease: LeaseName, holder: &LeaseHolder, term: Term) {
+        self.released.remove(&lease);
+        self.end_if(&lease, |held| held < term);
+        if *holder != self.own {
+            return;
+        }
+        self.leases.insert(lease.clone(), OwnLease::granted(term));
+        self.next_request_at = now;
+        // The grant rests on an older request, from when the gateway was eligible.
+        if !self.eligible {
+            self.release(now, &lease);
+        }
     }
 
-    /// What it holds by the same term runs on; all else ends, or begins without a lease.
-    fn restored(&mut self, now: Micros, ledger: &LeaseTable) {
-        let mine = |d: &LeaseName| {
-            Some(ledger.record(d))
-                .filter(|s| s.holder.as_ref() == Some(&self.me))
-                .map(|s| s.term)
+    fn set_eligible(&mut self, now: Micros, eligible: bool) {
+        if std::mem::replace(&mut self.eligible, eligible) != eligible {
+            self.next_request_at = now;
+        }
+        if eligible {
+            return;
+        }
+        let leases: Vec<LeaseName> = self.leases.keys().cloned().collect();
+        for lease in leases {
+            self.release(now, &lease);
+        }
+    }
+
+    /// Keeps the leases that have the same term in the new state; all others end, or start without the right to act.
+    fn on_restored(&mut self, now: Micros, table: &LeaseTable) {
+        let own_term = |lease: &LeaseName| {
+            let record = table.record(lease);
+            let is_own = record.holder.as_ref() == Some(&self.own);
+            is_own.then_some(record.term)
         };
-        let gone: Vec<LeaseName> = self
-            .held
+        let ended: Vec<LeaseName> = self
+            .leases
             .iter()
-            .filter(|(d, h)| mine(d) != Some(h.term))
-            .map(|(d, _)| d.clone())
+            .filter(|(name, lease)| own_term(name) != Some(lease.term))
+            .map(|(name, _)| name.clone())
             .collect();
-        gone.iter().for_each(|d| self.drop_held(d, |_| true));
-        self.back.retain(|d, t| {
-            ledger.record(d).term == *t && ledger.record(d).holder.as_ref() == Some(&self.me)
-        });
-        for (duty, stands) in ledger.duties() {
-            let back = self.back.contains_key(duty);
-            if stands.holder.as_ref() == Some(&self.me) && !self.held.contains_key(duty) && !back {
-                self.held.insert(
-                    duty.clone(),
-                    Held {
-                        term: stands.term,
-                        until: None,
-                        acts: false,
-                    },
-                );
-                self.next = now;
+        self.released
+            .retain(|lease, term| own_term(lease) == Some(*term));
+        for lease in ended {
+            self.end_if(&lease, |_| true);
+        }
+        for (lease, record) in table.iter() {
+            let is_own = record.holder.as_ref() == Some(&self.own);
+            let is_known = self.leases.contains_key(lease) || self.released.contains_key(lease);
+            if is_own && !is_known {
+                let granted = OwnLease::granted(record.term);
+                self.leases.insert(lease.clone(), granted);
+                self.next_request_at = now;
             }
         }
     }
 
-    fn answered(&mut self, now: Micros, answer: RenewReply) {
-        let Some(at) = self.asked.iter().position(|(s, _)| *s == answer.stamp) else {
+    fn on_reply(&mut self, now: Micros, reply: RenewReply) {
+        let is_request = |(stamp, _): &(u64, Micros)| *stamp == reply.stamp;
+        let Some(position) = self.requests.iter().position(is_request) else {
             return;
         };
-        if answer.to != self.me {
+        if reply.to != self.own {
             return;
         }
-        // What was asked before is answered by this one, or lost.
-        let Some((_, asked)) = self.asked.drain(..=at).next_back() else {
+        // Earlier requests are superseded by this reply, or lost.
+        let Some((_, requested_at)) = self.requests.drain(..=position).next_back() else {
             return;
         };
-        for (duty, term) in answer.renewed {
-            let Some(held) = self.held.get_mut(&duty).filter(|h| h.term == term) else {
-                continue;
-            };
-            // From before the question left. An answer that comes late gives what is left of it, or nothing.
-            let until = asked + self.settings.duration;
-            held.until = Some(held.until.map_or(until, |u| u.max(until)));
-            if now < until && !std::mem::replace(&mut held.acts, true) {
-                self.outputs.push_back(Output::Began(duty, term));
-            }
+        // Counted from before the request left: a late reply gives the remaining time, or none.
+        let expires_at = requested_at + self.settings.duration;
+        for (name, term) in reply.renewed {
+            self.renew(now, name, term, expires_at);
         }
-        for (duty, term) in answer.recalled {
-            if self.held.get(&duty).is_some_and(|h| h.term == term) {
-                self.give_back(now, &duty);
+        for (name, term) in reply.recalled {
+            if self
+                .leases
+                .get(&name)
+                .is_some_and(|lease| lease.term == term)
+            {
+                self.release(now, &name);
             }
         }
     }
 
-    /// Stops acting first, and then says so.
-    fn give_back(&mut self, now: Micros, duty: &LeaseName) {
-        let Some(term) = self.held.get(duty).map(|h| h.term) else {
+    fn renew(&mut self, now: Micros, name: LeaseName, term: Term, expires_at: Micros) {
+        let Some(lease) = self.leases.get_mut(&name) else {
             return;
         };
-        self.drop_held(duty, |_| true);
-        self.back.insert(duty.clone(), term);
-        self.next = now;
+        if lease.term != term {
+            return;
+        }
+        lease.expires_at = lease.expires_at.max(Some(expires_at));
+        if now < expires_at && !lease.active {
+            lease.active = true;
+            self.outputs.push_back(Output::Acquired(name, term));
+        }
     }
 
-    fn drop_held(&mut self, duty: &LeaseName, ends: impl Fn(Term) -> bool) {
-        if self.held.get(duty).is_some_and(|h| ends(h.term)) {
-            if let Some(h) = self.held.remove(duty).filter(|h| h.acts) {
-                self.outputs.push_back(Output::Ended(duty.clone(), h.term));
-            }
+    /// Stops acting first, and then requests the release.
+    fn release(&mut self, now: Micros, lease: &LeaseName) {
+        let Some(term) = self.leases.get(lease).map(|own_lease| own_lease.term) else {
+            return;
+        };
+        self.end_if(lease, |_| true);
+        self.released.insert(lease.clone(), term);
+        self.next_request_at = now;
+    }
+
+    /// Ends a lease if its term matches.
+    fn end_if(&mut self, name: &LeaseName, ends: impl Fn(Term) -> bool) {
+        if !self.leases.get(name).is_some_and(|lease| ends(lease.term)) {
+            return;
+        }
+        if let Some(lease) = self.leases.remove(name).filter(|lease| lease.active) {
+            let lost = Output::Lost(name.clone(), lease.term);
+            self.outputs.push_back(lost);
         }
     }
 
-    fn tick(&mut self, now: Micros) {
-        for (duty, held) in &mut self.held {
-            if held.acts && held.until.is_none_or(|u| now >= u) {
-                held.acts = false;
-                self.outputs
-                    .push_back(Output::Ended(duty.clone(), held.term));
+    fn end_expired(&mut self, now: Micros) {
+        for (name, lease) in &mut self.leases {
+            let expired = lease.expires_at.is_none_or(|at| now >= at);
+            if lease.active && expired {
+                lease.active = false;
+                let lost = Output::Lost(name.clone(), lease.term);
+                self.outputs.push_back(lost);
             }
         }
-        if now < self.next {
-            return;
-        }
-        self.next = now + self.settings.renew_interval();
-        self.stamp += 1;
-        self.asked.push_back((self.stamp, now));
-        while self.asked.len() > MOST_ASKED {
-            self.asked.pop_front();
+    }
+
+    fn request_renewal(&mut self, now: Micros) {
+        self.next_request_at = now + self.settings.renew_interval();
+        self.last_stamp += 1;
+        self.requests.push_back((self.last_stamp, now));
+        while self.requests.len() > MAX_OUTSTANDING_REQUESTS {
+            self.requests.pop_front();
         }
-        let holds = self.held.iter().map(|(d, h)| (d.clone(), h.term)).collect();
-        let back = self.back.iter().map(|(d, t)| (d.clone(), *t)).collect();
-        let (from, stamp, able) = (self.me.clone(), self.stamp, self.able);
+        let held = self
+            .leases
+            .iter()
+            .map(|(name, lease)| (name.clone(), lease.term))
+            .collect();
+        let released = self
+            .released
+            .iter()
+            .map(|(name, term)| (name.clone(), *term))
+            .collect();
         self.outputs.push_back(Output::Renew(RenewRequest {
-            from,
-            stamp,
-            eligible: able,
-            held: holds,
-            released: back,
+            from: self.own.clone(),
+            stamp: self.last_stamp,
+            eligible: self.eligible,
+            held,
+            released,
         }));
     }
 }
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -1,70 +1,70 @@
-//! Duties: named pieces of work on behalf of the fleet, each with at most one owner at a time; no I/O.
+//! Leases: named pieces of work on behalf of all gateways, each with at most one holder at a time. No I/O.
 //!
-//! [`ledger`] is what the agreed log says of owners and terms; [`grantor`] decides, at whoever leads the log, who is to have
-//! a duty and for how long; [`holder`] tells an instance what it may do now; [`fence`] stands at whoever receives what an
-//! owner did.
+//! [`table`] is the agreed state: holders and terms. [`grantor`] decides, at the leader of the log, who holds a lease and for
+//! how long. [`holder`] tells a gateway for which leases it may act now, with the messages of [`renewal`]. [`fence`] protects
+//! the receivers of effects.
 //!
 //! Three guards, each of which holds without the others:
 //!
-//! - **Terms.** Each grant has a term, one above the last. An effect carries its duty and term, and who receives it refuses
-//!   a term below the highest seen. It needs no clock at all.
-//! - **Leases.** A grant alone gives no right to act. Its owner asks for a lease and counts it from before it asked; the
-//!   grantor counts from when it answered, and answers only once a majority has confirmed, after the question came, that it
-//!   still leads. So the grantor's count ends later, whichever leader it is, as long as no clock runs faster than another by
-//!   more than [`Settings::drift_ppm`]. No two clocks are ever compared.
-//! - **The log.** Grants and duties given back are entries of the agreed log; an entry that does not follow from the state
-//!   before it has no effect, the same at every instance.
+//! - **Terms.** Each grant has a term, one above the last. An effect carries its lease and term, and receivers reject a term
+//!   below the highest seen. This needs no clock.
+//! - **Leases.** A grant alone gives no right to act. The holder requests a renewal and counts its time from before the
+//!   request. The grantor counts from its reply, and replies only once a majority has confirmed, after the request came, that
+//!   it still leads. So the grantor's time ends later, whichever leader it is, as long as no clock runs faster than another
+//!   by more than [`Settings::drift_ppm`]. Clocks are never compared.
+//! - **The log.** Grants and releases are entries of the agreed log; an entry that does not follow from the state before it
+//!   has no effect, the same at every gateway.
 //!
-//! Renewals go through no log and write to no disk.
+//! Renewals use no log and no disk.
 
 pub mod fence;
 pub mod grantor;
 pub mod holder;
-pub mod ledger;
-#[cfg(test)]
-mod model;
+pub mod renewal;
+pub mod table;
 #[cfg(test)]
 mod tests;
 
 use std::sync::Arc;
 
+use serde::{Deserialize, Serialize};
+
 use crate::api::Micros;
 
-/// A duty's name, as the operator's file has it.
+/// The name of a lease, as configured.
 pub type LeaseName = Arc<str>;
 
-/// Counts the grants of one duty; it only grows.
+/// Counts the grants of one lease; it only grows.
 pub type Term = u64;
 
-/// One process of an instance. A new process under the same name is another owner: it knows nothing of what the old one
-/// has under way.
-#[derive(
-    Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
-)]
+/// One process of a gateway. A new process of the same name is another holder: it knows nothing of what the previous one has
+/// in progress.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseHolder {
-    /// The instance's name.
+    /// The gateway's name.
     pub name: Arc<str>,
-    /// Which of its processes.
+    /// The number of the process.
     pub incarnation: u64,
 }
 
-/// How long leases last.
+/// The duration of leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How long an owner may act after it asked, microseconds.
+    /// How long a holder may act after its request, in microseconds.
     pub duration: Micros,
-    /// By how many parts in a million two clocks may run apart at most.
+    /// The maximum drift between two clocks, in parts per million.
     pub drift_ppm: u32,
 }
 
 impl Settings {
-    /// How long a grantor waits from its answer, until the lease that it gave has surely ended.
+    /// How long after its reply a grantor waits until the lease has certainly ended.
     pub fn grant_delay(&self) -> Micros {
-        // The owner's clock may be slow, and the grantor's fast.
-        self.duration + (self.duration / 1000 * Micros::from(self.drift_ppm)).div_ceil(500) + 1
+        // The holder's clock may be slow while the grantor's is fast: twice the drift.
+        let double_drift = (self.duration / 1000 * Micros::from(self.drift_ppm)).div_ceil(500);
+        self.duration + double_drift + 1
     }
 
-    /// How often an owner asks: twice more before a lease ends if the first question is lost.
+    /// How often a holder requests a renewal: twice more before a lease ends if the first request is lost.
     pub fn renew_interval(&self) -> Micros {
         (self.duration / 3).max(1)
     }
--- a/src/lease/model.rs
+++ b/src/lease/tests/model.rs
@@ -1,38 +1,40 @@
-//! The duties' own values under a model checker: every order of messages lost, doubled and late, of stopped processes, of
-//! leaders that do not know that they were voted out, at small bounds.
+//! Leases under a model checker: every order of lost, duplicated and late messages, of stopped processes, and of leaders that
+//! do not know that they lost leadership, at small bounds.
 //!
 //! Time is one number that all processes read when they do something; a stopped process is one that does nothing while it
-//! grows. A question or an answer may come at any later time or never, and some of them twice. Play begins with a grant that
-//! nobody but the leader has heard of yet.
+//! grows. A request or a reply may arrive at any later time or never, and some of them twice. A run starts with a grant that
+//! only the leader knows of.
 
 use std::collections::BTreeSet;
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-use super::fence::Fence;
-use super::grantor::{self, LeaseGrantor};
-use super::holder::{self, HolderState, RenewReply, RenewRequest};
-use super::ledger::Entry;
-use super::*;
+use crate::api::Micros;
+use crate::lease::fence::Fence;
+use crate::lease::grantor::{self, LeaseGrantor};
+use crate::lease::holder::{self, HolderState};
+use crate::lease::renewal::{RenewReply, RenewRequest};
+use crate::lease::table::Entry;
+use crate::lease::{LeaseHolder, LeaseName, Settings, Term};
 
-/// What is played, and which guard is taken out.
+/// What is explored, and which guard is switched off.
 #[derive(Clone, Debug)]
-struct Play {
-    /// Times at most.
+struct Scenario {
+    /// The number of instants.
     times: Micros,
-    /// Leaders voted in after the first.
+    /// Elections after the first leader.
     elections: u8,
-    /// What an owner believes of its lease.
-    owner: Settings,
-    /// What a grantor waits for.
+    /// The settings of the holders.
+    holder: Settings,
+    /// The settings of the grantors.
     grantor: Settings,
-    /// Whether only a leader hears that it leads.
+    /// Whether only the leader is confirmed.
     confirms: bool,
-    /// Whether who receives refuses old terms.
+    /// Whether receivers reject old terms.
     fences: bool,
-    /// Messages that come twice at most.
-    doubles: u8,
-    /// Whether an effect may be on its way for any time; else it is received as it is sent.
+    /// The number of messages that may arrive twice.
+    duplicates: u8,
+    /// Whether an effect may arrive at any later time; else it arrives at once.
     late_effects: bool,
 }
 
@@ -44,12 +46,12 @@
     log: Vec<Entry>,
     leader: usize,
     elected: u8,
-    asks: BTreeSet<RenewRequest>,
-    answers: BTreeSet<RenewReply>,
-    /// Messages that may yet come twice.
-    doubles: u8,
-    /// Rounds that a majority has answered, by grantor and number.
-    heard: BTreeSet<(usize, u64)>,
+    requests: BTreeSet<RenewRequest>,
+    replies: BTreeSet<RenewReply>,
+    /// Messages that may still arrive twice.
+    duplicates: u8,
+    /// Confirmed rounds, by grantor and number.
+    confirmed: BTreeSet<(usize, u64)>,
     effects: BTreeSet<Term>,
     fence: Fence,
     last: Term,
@@ -60,43 +62,43 @@
 enum Step {
     Time,
     Holder(usize),
-    HolderHears(usize),
-    GrantorHears(usize),
-    /// To which grantor, and whether it stays on its way.
-    Ask(usize, RenewRequest, bool),
-    Answer(RenewReply, bool),
+    HolderApplies(usize),
+    GrantorApplies(usize),
+    /// The grantor, the request, and whether it may arrive once more.
+    Request(usize, RenewRequest, bool),
+    Reply(RenewReply, bool),
     Confirmed(usize, u64),
     Elect(usize),
     Effect(usize),
     Received(Term),
 }
 
-fn duty() -> LeaseName {
+fn lease() -> LeaseName {
     "trials".into()
 }
 
-fn owner(i: usize) -> LeaseHolder {
+fn gateway(i: usize) -> LeaseHolder {
     LeaseHolder {
         name: format!("n{i}").into(),
         incarnation: 1,
     }
 }
 
-impl Play {
-    fn guarded(times: Micros, elections: u8, lease: Micros) -> Play {
+impl Scenario {
+    fn guarded(times: Micros, elections: u8, lease: Micros) -> Scenario {
         let settings = Settings {
             duration: lease,
             drift_ppm: 0,
         };
-        let (owner, grantor) = (settings, settings);
-        Play {
+
+        Scenario {
             times,
             elections,
-            owner,
-            grantor,
+            holder: settings,
+            grantor: settings,
             confirms: true,
             fences: true,
-            doubles: 0,
+            duplicates: 0,
             late_effects: false,
         }
     }
@@ -105,16 +107,16 @@
         for i in 0..s.holders.len() {
             while let Some(output) = s.holders[i].0.output() {
                 match output {
-                    // That somebody would take a duty is known at once: nothing rests on it.
+                    // Eligibility is known at once: nothing depends on it.
                     holder::Output::Renew(ask) if ask.held.is_empty() => {
                         s.grantors[s.leader]
                             .0
                             .handle(s.now, grantor::Input::Renew(ask));
                     }
-                    // Of one's questions, and of the answers to them, one is on its way: the last.
+                    // Of a holder's requests, and of the replies to them, the last one is in flight.
                     holder::Output::Renew(ask) => {
-                        s.asks.retain(|a| a.from != ask.from);
-                        s.asks.insert(ask);
+                        s.requests.retain(|a| a.from != ask.from);
+                        s.requests.insert(ask);
                     }
                     _ => {}
                 }
@@ -123,16 +125,16 @@
         for g in 0..s.grantors.len() {
             while let Some(output) = s.grantors[g].0.output() {
                 match output {
-                    // A majority's word comes when it comes; one that is none's leader any more gets none.
+                    // A confirmation may come at any time; a former leader gets none.
                     grantor::Output::Confirm(n) if s.leader == g || !self.confirms => {
-                        s.heard.insert((g, n));
+                        s.confirmed.insert((g, n));
                     }
                     grantor::Output::Confirm(_) => {}
                     grantor::Output::Reply(a) => {
-                        s.answers.retain(|b| a.to != b.to);
-                        s.answers.insert(a);
+                        s.replies.retain(|b| a.to != b.to);
+                        s.replies.insert(a);
                     }
-                    // Agreed at once, or lost with a leader that is none.
+                    // Committed at once, or lost with a former leader.
                     grantor::Output::Propose(e) if s.leader == g => s.log.push(e),
                     grantor::Output::Propose(_) => {}
                 }
@@ -141,25 +143,25 @@
     }
 
     fn receive(&self, s: &mut State, term: Term) {
-        if !self.fences || s.fence.admit(&duty(), term).is_ok() {
+        if !self.fences || s.fence.admit(&lease(), term).is_ok() {
             s.broken |= term < s.last;
             s.last = s.last.max(term);
         }
     }
 }
 
-impl Model for Play {
+impl Model for Scenario {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let new = |i| HolderState::new(self.owner, owner(i), 0);
+        let new = |i| HolderState::new(self.holder, gateway(i), 0);
         let grant = Entry::Grant {
-            lease: duty(),
-            holder: owner(0),
+            lease: lease(),
+            holder: gateway(0),
             term: 1,
         };
-        let mut first = LeaseGrantor::new(self.grantor, BTreeSet::from([duty()]));
+        let mut first = LeaseGrantor::new(self.grantor, BTreeSet::from([lease()]));
         first.handle(0, grantor::Input::Applied(grant.clone()));
         let second = first.clone();
         first.handle(0, grantor::Input::BecameLeader);
@@ -170,10 +172,10 @@
             log: vec![grant],
             leader: 0,
             elected: 0,
-            asks: BTreeSet::new(),
-            answers: BTreeSet::new(),
-            doubles: self.doubles,
-            heard: BTreeSet::new(),
+            requests: BTreeSet::new(),
+            replies: BTreeSet::new(),
+            duplicates: self.duplicates,
+            confirmed: BTreeSet::new(),
             effects: BTreeSet::new(),
             fence: Fence::default(),
             last: 0,
@@ -190,9 +192,9 @@
                 out.push(Step::Holder(i));
             }
             if *heard < s.log.len() {
-                out.push(Step::HolderHears(i));
+                out.push(Step::HolderApplies(i));
             }
-            if h.held_term(s.now, &duty())
+            if h.held_term(s.now, &lease())
                 .is_some_and(|t| !s.effects.contains(&t))
             {
                 out.push(Step::Effect(i));
@@ -200,25 +202,29 @@
         }
         for (g, (_, heard)) in s.grantors.iter().enumerate() {
             if *heard < s.log.len() {
-                out.push(Step::GrantorHears(g));
+                out.push(Step::GrantorApplies(g));
             }
             if g != s.leader && s.elected < self.elections {
                 out.push(Step::Elect(g));
             }
             for stays in [false, true]
                 .into_iter()
-                .take(1 + usize::from(s.doubles > 0))
+                .take(1 + usize::from(s.duplicates > 0))
             {
-                out.extend(s.asks.iter().map(|a| Step::Ask(g, a.clone(), stays)));
+                out.extend(
+                    s.requests
+                        .iter()
+                        .map(|a| Step::Request(g, a.clone(), stays)),
+                );
             }
         }
         for stays in [false, true]
             .into_iter()
-            .take(1 + usize::from(s.doubles > 0))
+            .take(1 + usize::from(s.duplicates > 0))
         {
-            out.extend(s.answers.iter().map(|a| Step::Answer(a.clone(), stays)));
+            out.extend(s.replies.iter().map(|a| Step::Reply(a.clone(), stays)));
         }
-        out.extend(s.heard.iter().map(|(g, n)| Step::Confirmed(*g, *n)));
+        out.extend(s.confirmed.iter().map(|(g, n)| Step::Confirmed(*g, *n)));
         if self.late_effects {
             out.extend(s.effects.iter().map(|t| Step::Received(*t)));
         }
@@ -230,7 +236,7 @@
         match step {
             Step::Time => {
                 s.now += 1;
-                // Late or not, these change nothing that a guard rests on: who has nothing offers, and who leads decides.
+                // These change nothing that a guard depends on: idle holders stay candidates, and the leader places leases.
                 for (h, _) in s
                     .holders
                     .iter_mut()
@@ -241,35 +247,35 @@
                 s.grantors[s.leader].0.handle(s.now, grantor::Input::Tick);
             }
             Step::Holder(i) => s.holders[i].0.handle(now, holder::Input::Tick),
-            Step::HolderHears(i) => {
+            Step::HolderApplies(i) => {
                 let entry = s.log[s.holders[i].1].clone();
                 s.holders[i].1 += 1;
                 s.holders[i].0.handle(now, holder::Input::Applied(entry));
             }
-            Step::GrantorHears(g) => {
+            Step::GrantorApplies(g) => {
                 let entry = s.log[s.grantors[g].1].clone();
                 s.grantors[g].1 += 1;
                 s.grantors[g].0.handle(now, grantor::Input::Applied(entry));
             }
-            Step::Ask(g, ask, stays) => {
+            Step::Request(g, ask, stays) => {
                 if stays {
-                    s.doubles -= 1;
+                    s.duplicates -= 1;
                 } else {
-                    s.asks.remove(&ask);
+                    s.requests.remove(&ask);
                 }
                 s.grantors[g].0.handle(now, grantor::Input::Renew(ask));
             }
-            Step::Answer(answer, stays) => {
+            Step::Reply(answer, stays) => {
                 if stays {
-                    s.doubles -= 1;
+                    s.duplicates -= 1;
                 } else {
-                    s.answers.remove(&answer);
+                    s.replies.remove(&answer);
                 }
-                let i = s.holders.iter().position(|(h, _)| *h.me() == answer.to)?;
+                let i = s.holders.iter().position(|(h, _)| *h.own() == answer.to)?;
                 s.holders[i].0.handle(now, holder::Input::Reply(answer));
             }
             Step::Confirmed(g, n) => {
-                s.heard.remove(&(g, n));
+                s.confirmed.remove(&(g, n));
                 s.grantors[g].0.handle(now, grantor::Input::Confirmed(n));
             }
             Step::Elect(g) => {
@@ -282,7 +288,7 @@
                 s.grantors[g].0.handle(now, grantor::Input::BecameLeader);
             }
             Step::Effect(i) => {
-                let term = s.holders[i].0.held_term(now, &duty())?;
+                let term = s.holders[i].0.held_term(now, &lease())?;
                 s.effects.insert(term);
                 if !self.late_effects {
                     self.receive(&mut s, term);
@@ -299,7 +305,7 @@
             Property::always("one at a time", |_, s: &State| {
                 s.holders
                     .iter()
-                    .filter(|(h, _)| h.held_term(s.now, &duty()).is_some())
+                    .filter(|(h, _)| h.held_term(s.now, &lease()).is_some())
                     .count()
                     <= 1
             }),
@@ -309,16 +315,16 @@
     }
 }
 
-/// More states than any play here has.
-const MOST_STATES: usize = 4_000_000;
+/// More states than any scenario here has.
+const MAX_STATES: usize = 4_000_000;
 
-/// Plays it through; the names of the properties that do not hold, and how many states there are.
-fn violated(play: Play) -> (Vec<&'static str>, usize) {
+/// Explores all states; returns the names of the properties that do not hold, and the number of states.
+fn violated(scenario: Scenario) -> (Vec<&'static str>, usize) {
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(4));
-    let checker = play
+    let checker = scenario
         .checker()
         .threads(threads)
-        .target_state_count(MOST_STATES);
+        .target_state_count(MAX_STATES);
     let checker = checker
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
@@ -334,39 +340,39 @@
     )
 }
 
-fn holds(play: Play) {
-    let (violated, states) = violated(play.clone());
-    println!("{states} states: {play:?}");
+fn holds(scenario: Scenario) {
+    let (violated, states) = violated(scenario.clone());
+    println!("{states} states: {scenario:?}");
     assert_eq!(violated, Vec::<&str>::new());
-    assert!(states < MOST_STATES, "not played through");
+    assert!(states < MAX_STATES, "not played through");
 }
 
 #[test]
-fn no_two_owners_whatever_is_late_or_lost() {
-    holds(Play::guarded(2, 1, 1));
+fn single_holder_despite_late_or_lost_messages() {
+    holds(Scenario::guarded(2, 1, 1));
 }
 
 #[test]
-fn no_two_owners_whatever_comes_twice() {
-    holds(Play {
-        doubles: 1,
-        ..Play::guarded(2, 0, 1)
+fn single_holder_despite_duplicated_messages() {
+    holds(Scenario {
+        duplicates: 1,
+        ..Scenario::guarded(2, 0, 1)
     });
 }
 
 #[test]
-fn an_effect_on_its_way_for_any_time_is_refused() {
-    holds(Play {
+fn effect_delayed_for_any_time_is_rejected() {
+    holds(Scenario {
         late_effects: true,
-        ..Play::guarded(3, 0, 2)
+        ..Scenario::guarded(3, 0, 2)
     });
 }
 
-/// Each guard taken out: the checker must find what it guards against.
+/// With each guard switched off, the checker must find what it prevents.
 #[test]
-fn each_guard_taken_out_is_found() {
-    let guarded = Play::guarded(3, 0, 2);
-    let (found, _) = violated(Play {
+fn each_disabled_guard_is_detected() {
+    let guarded = Scenario::guarded(3, 0, 2);
+    let (found, _) = violated(Scenario {
         fences: false,
         late_effects: true,
         ..guarded.clone()
@@ -379,17 +385,17 @@
         duration: 4,
         drift_ppm: 0,
     };
-    let (found, _) = violated(Play {
-        owner: long,
+    let (found, _) = violated(Scenario {
+        holder: long,
         ..guarded.clone()
     });
     assert!(
         found.contains(&"one at a time"),
         "without the grantor's margin: {found:?}"
     );
-    let (found, _) = violated(Play {
+    let (found, _) = violated(Scenario {
         confirms: false,
-        ..Play::guarded(2, 1, 1)
+        ..Scenario::guarded(2, 1, 1)
     });
     assert!(
         found.contains(&"one at a time"),
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -21,9 +21,9 @@
 use molelug::consensus::voter;
 use molelug::consensus::wire::{self, Body};
 use molelug::core::{Answer, AttemptKey, AttemptReply, Call, Command, Core, OrderKey, ProbeKey};
-use molelug::health_checks::{self, Trials};
+use molelug::health_checks::{self, HealthChecker, ProbeResult, Verdict};
 use molelug::lease::LeaseName;
-use molelug::load_coordination::{self, Loads, Word};
+use molelug::load_coordination::{self, CopyKey, LoadCoordinator, LoadMessage};
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -217,8 +217,8 @@
     name: Arc<str>,
     core: Core<u64>,
     member: Option<Participant>,
-    trials: Trials,
-    loads: Option<Loads>,
+    health_checker: HealthChecker,
+    loads: Option<LoadCoordinator>,
     orders: BTreeMap<u64, (OrderKey, WorkerId, FunctionId, u8)>,
     numbers: BTreeMap<OrderKey, u64>,
     given: BTreeSet<OrderKey>,
@@ -331,7 +331,7 @@
                 name: name(n),
                 core: Core::new(settings(scenario.instances), seed ^ n as u64, 0),
                 member: None,
-                trials: Trials::default(),
+                health_checker: HealthChecker::default(),
                 loads: None,
                 orders: BTreeMap::new(),
                 numbers: BTreeMap::new(),
@@ -425,13 +425,13 @@
             ListUpdate::Snapshot,
             (0..all as u32).map(member).collect(),
         );
-        i.trials = Trials::default();
-        i.trials.handle(
+        i.health_checker = HealthChecker::default();
+        i.health_checker.handle(
             now,
             health_checks::Input::Ready((0..all as u32).map(WorkerId).collect()),
         );
         i.loads = council
-            .then(|| Loads::new(name(n), &duties(shards)))
+            .then(|| LoadCoordinator::new(name(n), &duties(shards)))
             .flatten();
         i.orders.clear();
         i.numbers.clear();
@@ -600,7 +600,7 @@
                 }
                 if i.up {
                     i.core.tick(now, &mut Vec::new());
-                    i.trials.handle(now, health_checks::Input::Tick);
+                    i.health_checker.handle(now, health_checks::Input::Tick);
                     if let Some(l) = i.loads.as_mut() {
                         l.handle(now, load_coordination::Input::Tick);
                     }
@@ -688,7 +688,10 @@
                 let i = &mut self.instances[who];
                 if i.process == process && i.up {
                     if let Some(w) = i.probes.remove(&probe) {
-                        i.trials.handle(now, health_checks::Input::Tried(w, true));
+                        i.health_checker.handle(
+                            now,
+                            health_checks::Input::ProbeEnded(w, ProbeResult::Answered),
+                        );
                     }
                     i.core.probe_ended(now, probe, CloseReason::Served, None);
                     self.drive(who);
@@ -739,7 +742,8 @@
         let i = &mut self.instances[n];
         if let Some(w) = i.out.remove(&attempt) {
             if let Some(seen) = ending.seen(left) {
-                i.trials.handle(now, health_checks::Input::Outcome(w, seen));
+                i.health_checker
+                    .handle(now, health_checks::Input::Outcome(w, seen));
             }
         }
         i.core
@@ -752,9 +756,13 @@
         loop {
             if let Some(command) = self.instances[n].core.command() {
                 self.perform(n, command);
-            } else if let Some(output) = self.instances[n].trials.output() {
+            } else if let Some(output) = self.instances[n].health_checker.output() {
                 self.of_trials(n, output);
-            } else if let Some(output) = self.instances[n].loads.as_mut().and_then(Loads::output) {
+            } else if let Some(output) = self.instances[n]
+                .loads
+                .as_mut()
+                .and_then(LoadCoordinator::output)
+            {
                 self.of_loads(n, output);
             } else if let Some(output) = self.instances[n]
                 .member
@@ -768,10 +776,10 @@
         }
         let i = &mut self.instances[n];
         let member = i.member.as_ref().map(|m| m.next_deadline(now));
-        let loads = i.loads.as_ref().and_then(Loads::next_deadline);
+        let loads = i.loads.as_ref().and_then(LoadCoordinator::next_deadline);
         let next = [
             i.core.next_deadline(),
-            i.trials.next_deadline(),
+            i.health_checker.next_deadline(),
             loads,
             member,
         ]
@@ -837,7 +845,7 @@
                     i.numbers.insert(order, self.number);
                     l.handle(
                         now,
-                        load_coordination::Input::Order(self.number, (worker, function)),
+                        load_coordination::Input::Order(self.number, CopyKey { worker, function }),
                     );
                 } else {
                     self.stage(n, order, worker, function, copies);
@@ -871,7 +879,7 @@
                     let input = if given {
                         load_coordination::Input::Ended(number, 0)
                     } else {
-                        load_coordination::Input::Forget(number)
+                        load_coordination::Input::Cancel(number)
                     };
                     l.handle(now, input);
                 }
@@ -918,24 +926,24 @@
     fn of_loads(&mut self, n: usize, output: load_coordination::Output) {
         let now = self.now;
         let i = &mut self.instances[n];
-        let text = |w: &Word| serde_json::to_vec(w).unwrap_or_default();
+        let text = |w: &LoadMessage| serde_json::to_vec(w).unwrap_or_default();
         match output {
             load_coordination::Output::Report(duty, word) => {
                 if let Some(m) = i.member.as_mut() {
                     m.handle(now, participant::Input::Report(duty, text(&word)));
                 }
             }
-            load_coordination::Output::Tell(duty, word) => {
+            load_coordination::Output::Announce(duty, word) => {
                 if let Some(m) = i.member.as_mut() {
                     m.handle(now, participant::Input::Act(duty, text(&word)));
                 }
             }
-            load_coordination::Output::Give(number) => {
+            load_coordination::Output::Load(number) => {
                 if let Some((order, worker, function, copies)) = i.orders.get(&number).copied() {
                     self.stage(n, order, worker, function, copies);
                 }
             }
-            load_coordination::Output::Stands(number, copies) => {
+            load_coordination::Output::AlreadyResident(number, copies) => {
                 if let Some((order, ..)) = i.orders.remove(&number) {
                     i.numbers.remove(&order);
                     self.ran.spared += 1;
@@ -956,7 +964,7 @@
         &mut self,
         n: usize,
         duty: &str,
-        input: impl FnOnce(Word) -> load_coordination::Input,
+        input: impl FnOnce(LoadMessage) -> load_coordination::Input,
         content: &[u8],
     ) -> bool {
         let now = self.now;
@@ -984,7 +992,7 @@
             .filter(|d| d.starts_with(load_coordination::PREFIX))
         {
             let owned = m.state().leases.record(&duty).holder.is_some();
-            l.handle(now, load_coordination::Input::Owned(duty, owned));
+            l.handle(now, load_coordination::Input::HolderKnown(duty, owned));
         }
     }
 
@@ -996,15 +1004,15 @@
             health_checks::Output::Report(w) => {
                 participant::Input::Report(duty(), w.0.to_le_bytes().to_vec())
             }
-            health_checks::Output::Tell(verdicts) => {
+            health_checks::Output::Announce(verdicts) => {
                 let plain = verdicts
                     .into_iter()
-                    .flat_map(|(w, ill)| [w.0, u32::from(ill)]);
+                    .flat_map(|verdict| [verdict.worker.0, u32::from(verdict.unhealthy)]);
                 participant::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
             }
-            health_checks::Output::Able(able) => participant::Input::SetEligible(able),
+            health_checks::Output::SetAble(able) => participant::Input::SetEligible(able),
             health_checks::Output::Advise(w, until) => return i.core.rumour(now, w, until),
-            health_checks::Output::Try(w) => {
+            health_checks::Output::Probe(w) => {
                 let probe = i.core.probe(now, w);
                 i.probes.insert(probe, w);
                 return;
@@ -1019,9 +1027,10 @@
         let now = self.now;
         let i = &mut self.instances[n];
         if *duty == *health_checks::NAME {
-            i.trials.handle(now, health_checks::Input::Owns(owns));
+            i.health_checker
+                .handle(now, health_checks::Input::LeaseHeld(owns));
         } else if let Some(l) = i.loads.as_mut() {
-            l.handle(now, load_coordination::Input::Owns(duty, owns));
+            l.handle(now, load_coordination::Input::LeaseHeld(duty, owns));
         }
     }
 
@@ -1054,7 +1063,7 @@
                 if self.tell_loads(
                     n,
                     &effect.lease,
-                    load_coordination::Input::Told,
+                    load_coordination::Input::Announced,
                     &effect.content,
                 ) {
                     return;
@@ -1071,24 +1080,28 @@
                     .collect();
                 let verdicts = words
                     .chunks_exact(2)
-                    .map(|p| (WorkerId(p[0]), p[1] == 1))
+                    .map(|pair| Verdict {
+                        worker: WorkerId(pair[0]),
+                        unhealthy: pair[1] == 1,
+                    })
                     .collect();
                 self.instances[n]
-                    .trials
+                    .health_checker
                     .handle(now, health_checks::Input::Verdicts(verdicts));
             }
             Output::ReportReceived(duty, from, content) => {
                 if self.tell_loads(
                     n,
                     &duty,
-                    |word| load_coordination::Input::Heard(from, word),
+                    |word| load_coordination::Input::ReportReceived(from, word),
                     &content,
                 ) {
                     return;
                 }
                 if let Some(w) = content.first_chunk::<4>() {
-                    let heard = health_checks::Input::Heard(WorkerId(u32::from_le_bytes(*w)));
-                    self.instances[n].trials.handle(now, heard);
+                    let heard =
+                        health_checks::Input::ReportReceived(WorkerId(u32::from_le_bytes(*w)));
+                    self.instances[n].health_checker.handle(now, heard);
                 }
             }
             Output::SubsystemChanged => {}
--- a/tests/operator_answers.rs
+++ b/tests/operator_answers.rs
@@ -380,8 +380,8 @@
     let enabled = json!([Enabled::Yes, Enabled::ByHand, Enabled::ByFailure]);
     assert_eq!(enabled, json!(["yes", "by_hand", "by_failure"]));
     let without_holder = json!([
-        GrantReason::WaitsOut,
-        GrantReason::NobodyOffers,
+        GrantReason::AwaitingExpiry,
+        GrantReason::NoCandidate,
         GrantReason::Proposed
     ]);
     assert_eq!(
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -12,10 +12,10 @@
 use molelug::consensus::wire::{challenge, LeaseEffect, LeaseReport, Poll};
 use molelug::consensus::{bootstrap_voter, ReplicaId};
 use molelug::lease::fence::Fence;
-use molelug::lease::holder::{RenewReply, RenewRequest};
-use molelug::lease::ledger::{self, LeaseTable};
+use molelug::lease::renewal::{RenewReply, RenewRequest};
+use molelug::lease::table::{self, LeaseTable};
 use molelug::lease::{LeaseHolder, LeaseName};
-use molelug::load_coordination::Word;
+use molelug::load_coordination::LoadMessage;
 use molelug::replication::placement::{order, Host};
 use molelug::replication::sets::{self, Disk, Move, ReplicaSet, ReplicaSets};
 use molelug::replication::{shard_of, Epoch, LogPosition, Name, ShardId};
@@ -51,16 +51,16 @@
     }
 }
 
-fn grant() -> ledger::Entry {
-    ledger::Entry::Grant {
+fn grant() -> table::Entry {
+    table::Entry::Grant {
         lease: duty(),
         holder: owner("n2"),
         term: 1,
     }
 }
 
-fn given_back() -> ledger::Entry {
-    ledger::Entry::Released {
+fn given_back() -> table::Entry {
+    table::Entry::Released {
         lease: duty(),
         term: 1,
     }
@@ -129,12 +129,12 @@
 fn ledger() -> LeaseTable {
     let mut ledger = LeaseTable::default();
     assert!(ledger.apply(&grant()));
-    assert!(ledger.apply(&ledger::Entry::Grant {
+    assert!(ledger.apply(&table::Entry::Grant {
         lease: "loads-4".into(),
         holder: owner("n1"),
         term: 1
     }));
-    assert!(ledger.apply(&ledger::Entry::Released {
+    assert!(ledger.apply(&table::Entry::Released {
         lease: "loads-4".into(),
         term: 1
     }));
@@ -236,10 +236,10 @@
     let mut fence = Fence::default();
     assert_eq!(fence.admit(&duty(), 5), Ok(true));
     pins.postcard("fence", &fence);
-    pins.postcard("load wanted", &Word::Wants(7, 1001));
-    pins.postcard("load ended", &Word::Ended(7, 1001, 2));
-    pins.postcard("load ordered", &Word::Orders(7, 1001, "n2".into()));
-    pins.postcard("load stands", &Word::Stands(7, 1001, 3));
+    pins.postcard("load wanted", &LoadMessage::Request(7, 1001));
+    pins.postcard("load ended", &LoadMessage::Ended(7, 1001, 2));
+    pins.postcard("load ordered", &LoadMessage::Assigned(7, 1001, "n2".into()));
+    pins.postcard("load stands", &LoadMessage::Resident(7, 1001, 3));
     let (from, content) = (Arc::from("n2"), b"content".to_vec());
     pins.postcard(
         "report",
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -9,10 +9,10 @@
 use molelug::consensus::wire::{
     challenge, Body, ForwardedEffects, LeaseEffect, LeaseReport, Poll, Session,
 };
-use molelug::lease::holder::{RenewReply, RenewRequest};
-use molelug::lease::ledger::{Entry as DutyEntry, LeaseTable};
+use molelug::lease::renewal::{RenewReply, RenewRequest};
+use molelug::lease::table::{Entry as DutyEntry, LeaseTable};
 use molelug::lease::LeaseHolder;
-use molelug::load_coordination::Word as LoadWord;
+use molelug::load_coordination::LoadMessage;
 use molelug::replication::error::{Declined, ReplicationError};
 use molelug::replication::sets::{Disk, Entry as SetEntry, Move, ReplicaSet, ReplicaSets};
 use molelug::replication::wire::{Body as ReplicationBody, RequestOutcome};
@@ -421,7 +421,7 @@
         ),
         (
             "recall".into(),
-            Body::RecallRequest {
+            Body::KnownStateRequest {
                 generation: 2,
                 from: 11,
                 own: known(),
@@ -429,7 +429,7 @@
         ),
         (
             "recalled".into(),
-            Body::RecallReply {
+            Body::KnownStateReply {
                 generation: 2,
                 about: 11,
                 known: known(),
@@ -530,13 +530,13 @@
 #[test]
 fn load_duty_words_match_their_recorded_bytes() {
     let words = vec![
-        ("wants", LoadWord::Wants(7, 0x0123_4567_89ab_cdef)),
-        ("ended", LoadWord::Ended(7, 0x0123_4567_89ab_cdef, 2)),
+        ("wants", LoadMessage::Request(7, 0x0123_4567_89ab_cdef)),
+        ("ended", LoadMessage::Ended(7, 0x0123_4567_89ab_cdef, 2)),
         (
             "orders",
-            LoadWord::Orders(7, 0x0123_4567_89ab_cdef, BETA.into()),
+            LoadMessage::Assigned(7, 0x0123_4567_89ab_cdef, BETA.into()),
         ),
-        ("stands", LoadWord::Stands(7, 0x0123_4567_89ab_cdef, 3)),
+        ("stands", LoadMessage::Resident(7, 0x0123_4567_89ab_cdef, 3)),
     ];
     check_packed("wire/load_duty_words.txt", &named(words));
 }
