--- /dev/null
+++ b/src/consensus/participant/mod.rs
@@ -0,0 +1,260 @@
+//! One gateway's part in consensus, as one value without I/O.
+//!
+//! A participant is a voter or a learner, grants leases while it leads, holds leases, and fences the effects of other lease
+//! holders. The gateway's driver, the emulator and the tests drive the same value.
+
+mod effects;
+mod frames;
+mod history;
+mod leading;
+mod learning;
+mod messages;
+mod settings;
+#[cfg(test)]
+mod tests;
+mod view;
+
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+
+pub use history::HistoryEvent;
+pub use messages::{Input, Output};
+pub use settings::{DisabledGuards, Settings};
+
+use crate::api::Micros;
+use crate::consensus::learners::{Learner, LearnerProgress};
+use crate::consensus::persistent_state::PersistentState;
+use crate::consensus::voter::{self, Voter, VoterError};
+use crate::consensus::wire::Body;
+use crate::consensus::ReplicaId;
+use crate::lease::fence::Fence;
+use crate::lease::grantor::{self, LeaseGrantor};
+use crate::lease::holder::{self, HolderState};
+use crate::lease::{LeaseHolder, LeaseName, Term};
+use leading::ReplyRoutes;
+
+/// The state of one gateway.
+#[derive(Debug)]
+pub struct Participant {
+    settings: Settings,
+    voter: Option<Voter>,
+    voter_error: Option<String>,
+    learner: Learner,
+    learner_progress: LearnerProgress,
+    grantor: LeaseGrantor,
+    holder: HolderState,
+    fence: Fence,
+    /// The last effect accepted for each lease, by term and number.
+    last_accepted: BTreeMap<LeaseName, (Term, u64)>,
+    /// The last effect decided on under each lease of this gateway, by term and number.
+    last_acted: BTreeMap<LeaseName, (Term, u64)>,
+    reply_routes: ReplyRoutes,
+    /// Names of replicas that sent frames before this replica knew the voters.
+    unconfirmed_peers: BTreeMap<ReplicaId, Arc<str>>,
+    /// The generation that the configured voters use, until this replica has a state of its own.
+    adopted_generation: u32,
+    /// Whether it voted when it was last checked.
+    voted: bool,
+    outputs: VecDeque<Output>,
+}
+
+impl Participant {
+    /// Creates a participant that votes if `persistent` allows it, and learns otherwise.
+    ///
+    /// A disk that cannot be used is reported by [`Participant::voter_error`]; the gateway still learns.
+    pub fn new(
+        settings: Settings,
+        persistent: Option<PersistentState>,
+        now: Micros,
+    ) -> Participant {
+        let voter = persistent.map(|persistent| start_voter(&settings, persistent, now));
+        let (voter, voter_error) = match voter.transpose() {
+            Ok(voter) => (voter, None),
+            Err(error) => (None, Some(error.to_string())),
+        };
+        let own = LeaseHolder {
+            name: settings.name.clone(),
+            incarnation: settings.process,
+        };
+        let other_contacts: Vec<Arc<str>> = settings
+            .contacts
+            .iter()
+            .filter(|contact| **contact != settings.name)
+            .cloned()
+            .collect();
+        let replica = voter.as_ref().map(Voter::replica);
+        let mut participant = Participant {
+            learner: Learner::new(other_contacts, replica, settings.seed),
+            learner_progress: LearnerProgress::default(),
+            grantor: LeaseGrantor::new(settings.lease, settings.leases.clone()),
+            holder: HolderState::new(settings.lease, own, now),
+            fence: Fence::default(),
+            last_accepted: BTreeMap::new(),
+            last_acted: BTreeMap::new(),
+            reply_routes: ReplyRoutes::default(),
+            unconfirmed_peers: BTreeMap::new(),
+            adopted_generation: 0,
+            voted: false,
+            outputs: VecDeque::new(),
+            settings,
+            voter,
+            voter_error,
+        };
+        participant.restore_grantor(now);
+        if let Some(reason) = participant.voter_error.clone() {
+            participant.record(HistoryEvent::Retired { reason });
+        }
+        participant.settle(now);
+        participant
+    }
+
+    /// Starts to vote, once the previous process has released the disk of the replica.
+    pub fn begin_voting(&mut self, now: Micros, persistent: PersistentState) {
+        match start_voter(&self.settings, persistent, now) {
+            Ok(voter) => {
+                self.voter = Some(voter);
+                self.restore_grantor(now);
+            }
+            Err(error) => {
+                let reason = error.to_string();
+                self.voter_error = Some(reason.clone());
+                self.record(HistoryEvent::Retired { reason });
+            }
+        }
+        self.settle(now);
+    }
+
+    /// Gives the grantor the leases of the voter's snapshot; the entries behind the snapshot follow.
+    fn restore_grantor(&mut self, now: Micros) {
+        if let Some(voter) = &self.voter {
+            let leases = voter.state().leases.clone();
+            self.grantor.handle(now, grantor::Input::Restored(leases));
+        }
+    }
+
+    /// When [`Input::Tick`] is due.
+    pub fn next_deadline(&self, now: Micros) -> Micros {
+        let voter = self.voter.as_ref().and_then(Voter::next_deadline);
+        let learner = (!self.voted).then(|| self.learner.next_deadline(now));
+        let deadlines = [
+            voter,
+            learner,
+            self.grantor.next_deadline(now),
+            self.learner_progress.next_deadline(),
+        ];
+        deadlines
+            .into_iter()
+            .flatten()
+            .fold(self.holder.next_deadline(), Micros::min)
+    }
+
+    /// The next action for the driver, if any.
+    pub fn output(&mut self) -> Option<Output> {
+        self.outputs.pop_front()
+    }
+
+    /// Handles one event.
+    pub fn handle(&mut self, now: Micros, input: Input) {
+        match input {
+            Input::Frame(from, body) => self.on_frame(now, &from, body),
+            Input::Disconnected(name) => {
+                if self.catch_up_source() == Some(&name) {
+                    self.learner.on_disconnected(now);
+                }
+            }
+            Input::Persisted(number) => self.handle_voter(now, voter::Input::Persisted(number)),
+            Input::SetEligible(eligible) => {
+                self.holder
+                    .handle(now, holder::Input::SetEligible(eligible));
+            }
+            Input::Act(lease, content) => self.act(now, lease, content),
+            Input::Report(lease, content) => self.report_own(lease, content),
+            Input::Submit(entry) => self.submit(entry, false),
+            Input::Exchange { joins, leaves } => self.exchange(now, joins, leaves),
+            Input::Tick => {}
+        }
+        self.handle_voter(now, voter::Input::Tick);
+        self.grantor.handle(now, grantor::Input::Tick);
+        self.holder.handle(now, holder::Input::Tick);
+        self.settle(now);
+    }
+
+    /// Proposes a change of voters, with the replicas of the named gateways.
+    fn exchange(&mut self, now: Micros, joins: Option<Arc<str>>, leaves: Option<Arc<str>>) {
+        let joins = joins.and_then(|name| Some((self.learner_progress.replica(&name)?, name)));
+        // A name may have an old replica that votes and a new one that does not vote yet.
+        let joining = joins.as_ref().map(|(replica, _)| *replica);
+        let voters = &self.state().voters;
+        let replica_of = |leaving: Arc<str>| {
+            voters
+                .iter()
+                .find(|(replica, name)| **name == leaving && Some(**replica) != joining)
+                .map(|(replica, _)| *replica)
+        };
+        let leaves = leaves.and_then(replica_of);
+        self.handle_voter(now, voter::Input::Exchange { joins, leaves });
+    }
+
+    fn handle_voter(&mut self, now: Micros, input: voter::Input<'_>) {
+        if let Some(voter) = &mut self.voter {
+            voter.handle(now, input);
+        }
+    }
+
+    fn record(&mut self, event: HistoryEvent) {
+        self.outputs.push_back(Output::Record(event));
+    }
+
+    fn send(&mut self, to: Arc<str>, body: Body) {
+        self.outputs.push_back(Output::Send(to, body));
+    }
+
+    /// Passes the outputs of each part to the others, until there are none left.
+    fn settle(&mut self, now: Micros) {
+        loop {
+            if let Some(output) = self.voter.as_mut().and_then(Voter::output) {
+                self.on_voter_output(now, output);
+            } else if let Some(output) = self.grantor.output() {
+                self.on_grantor_output(now, output);
+            } else if let Some(output) = self.holder.output() {
+                self.on_holder_output(now, output);
+            } else {
+                break;
+            }
+            self.update_voted(now);
+        }
+        self.update_voted(now);
+        if self.voted {
+            self.answer_learners(now);
+        } else {
+            self.poll_voter(now);
+        }
+    }
+
+    /// Switches the source of the agreed state: its own log while it votes, another voter while it does not.
+    fn update_voted(&mut self, now: Micros) {
+        let votes = self.votes();
+        if std::mem::replace(&mut self.voted, votes) == votes {
+            return;
+        }
+        let leases = self.state().leases.clone();
+        self.holder.handle(now, holder::Input::Restored(leases));
+        self.outputs.push_back(Output::SubsystemChanged);
+        if !votes {
+            self.learner_progress = LearnerProgress::default();
+        }
+    }
+}
+
+fn start_voter(
+    settings: &Settings,
+    persistent: PersistentState,
+    now: Micros,
+) -> Result<Voter, VoterError> {
+    let identity = voter::Identity {
+        process: settings.process,
+        seed: settings.seed,
+    };
+    let guards = settings.disabled_guards.voter;
+    Voter::new(settings.voter, persistent, identity, now, guards)
+}
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -319,7 +319,7 @@
             node.set_up_gossip(now, g, ready.clone())?;
         }
         if let Some(c) = &extras.consensus {
-            node.set_up_council(now, c, ready)?;
+            node.set_up_consensus(now, c, ready)?;
         }
         if let Some(c) = &extras.replication {
             node.start_replication(now, c)?;
@@ -524,7 +524,7 @@
         self.pump();
         let now = self.clock.now();
         self.step_gossip(now);
-        self.step_council(now);
+        self.step_consensus(now);
         // Advice may have moved the module to something.
         self.pump();
         let hooks = self.secondary.hooks.as_ref().is_none_or(|h| h.is_idle(now));
@@ -560,11 +560,11 @@
                 DELIVER => self.tick_webhooks(now),
                 RETAIN => self.retain(now),
                 GOSSIP => self.tick_gossip(now),
-                COUNCIL => self.tick_council(),
+                COUNCIL => self.tick_consensus(),
                 COPIES => self.tick_replication(),
                 TENANTS => self.tick_tenants(now),
-                TRIALS => self.tick_trials(now),
-                LOADS => self.tick_loads(now),
+                TRIALS => self.tick_health_checks(now),
+                LOADS => self.tick_load_coordination(now),
                 LINE_AGAIN => self.accept_lines_again(),
                 HANDOVER => self.look_at_others(now),
                 Token { number, .. } => self.on_deadline(now, KeyData::from_ffi(number).into()),
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -104,9 +104,14 @@
         now: Micros,
         file: &ReplicationFile,
     ) -> Result<(), GatewayError> {
-        let Some((name, process, history_path)) = self.council_identity() else {
+        let Some(identity) = self.consensus_identity() else {
             return Err(missing_setting("--council"));
         };
+        let consensus::Identity {
+            name,
+            process,
+            history: history_path,
+        } = identity;
         let webhooks = self.secondary.hooks.as_ref();
         if !webhooks.is_some_and(webhooks::WebhookDriver::durable) {
             return Err(missing_setting("webhooks.store"));
@@ -132,7 +137,9 @@
             without_agreed: settings.disabled_guards.tenant_agreement,
         };
         let addresses = file.members.iter();
-        self.know_addresses(addresses.map(|(name, member)| (name.as_str().into(), member.address)));
+        self.add_peer_addresses(
+            addresses.map(|(name, member)| (name.as_str().into(), member.address)),
+        );
         self.cluster.replication = Some(ReplicationDriver {
             replicator: Replicator::new(settings, consensus::uptime()),
             file: file.clone(),
@@ -165,7 +172,7 @@
         if self.cluster.replication.is_none() {
             return;
         }
-        if let Some(sets) = self.agreed_sets() {
+        if let Some(sets) = self.agreed_replica_sets() {
             self.notify_replicator(Input::SetsChanged(Arc::new(sets)));
         }
     }
--- a/src/gateway/replication/outputs.rs
+++ b/src/gateway/replication/outputs.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Micros;
 use crate::consensus::state::SubsystemEntry;
-use crate::consensus::{member, wire as frames};
+use crate::consensus::{participant, wire as frames};
 use crate::gateway::{consensus, Gateway};
 use crate::replication::history::HistoryEvent;
 use crate::replication::replicator::Output;
@@ -19,11 +19,11 @@
         };
         match output {
             Output::Send(to, message) => {
-                self.say(now, &to, frames::Body::Replication(message));
+                self.send_frame(now, &to, frames::Body::Replication(message));
             }
             Output::Propose(entry) => {
                 let entry = SubsystemEntry::ReplicaSets(entry);
-                self.tell_member_of_council(member::Input::Submit(entry));
+                self.handle_consensus(participant::Input::Submit(entry));
             }
             Output::StoreRecord {
                 shard,
--- a/src/store/consensus_log.rs
+++ b/src/store/consensus_log.rs
@@ -3,18 +3,18 @@
 use super::error::StoreError;
 use super::keys::{decode, encode, key, key_part, KEY_END};
 use super::keyspace::{Keyspace, KeyspaceReader, Table};
-use crate::consensus::kept::{Head, LogLine, Record};
+use crate::consensus::persistent_state::{LogEntry, Metadata, Record};
 
 /// The key of the voter's state in [`Table::Meta`].
 const VOTER_KEY: &[u8] = b"seat";
 const ENTRY: &str = "an entry of the log";
 
 /// What the disk holds of a voter.
-pub type VoterState = (Option<Head>, Vec<LogLine>);
+pub type VoterState = (Option<Metadata>, Vec<LogEntry>);
 
-/// Persists a change, as [`crate::consensus::kept::PersistentState::apply`] makes it in memory.
+/// Persists a change, as [`crate::consensus::persistent_state::PersistentState::apply`] makes it in memory.
 pub(super) fn append(keyspace: &mut dyn Keyspace, record: &Record) -> Result<(), StoreError> {
-    if record.anew {
+    if record.reset {
         remove_range(keyspace, &[], &KEY_END)?;
     }
     if let Some(first) = record.entries.first() {
@@ -23,11 +23,11 @@
     for entry in &record.entries {
         keyspace.put(Table::Log, &key(&[entry.index]), &encode(entry)?)?;
     }
-    if let Some(first_index) = record.from {
+    if let Some(first_index) = record.compact_before {
         remove_range(keyspace, &[], &key(&[first_index]))?;
     }
-    if let Some(head) = &record.head {
-        keyspace.put(Table::Meta, VOTER_KEY, &encode(head)?)?;
+    if let Some(metadata) = &record.metadata {
+        keyspace.put(Table::Meta, VOTER_KEY, &encode(metadata)?)?;
     }
     Ok(())
 }
@@ -41,17 +41,17 @@
 
 /// Reads the voter's state and its log. An entry that is stored under another index is unreadable.
 pub(super) fn read(reader: &dyn KeyspaceReader) -> Result<VoterState, StoreError> {
-    let head = reader
+    let metadata = reader
         .get(Table::Meta, VOTER_KEY)?
         .map(|bytes| decode(&bytes, "a seat"))
         .transpose()?;
     let mut entries = Vec::new();
     for (entry_key, value) in reader.scan_all(Table::Log, &[], &KEY_END)? {
-        let entry: LogLine = decode(&value, ENTRY)?;
+        let entry: LogEntry = decode(&value, ENTRY)?;
         if entry.index != key_part(&entry_key, 0) {
             return Err(StoreError::Unreadable(ENTRY));
         }
         entries.push(entry);
     }
-    Ok((head, entries))
+    Ok((metadata, entries))
 }
--- a/src/store/operations.rs
+++ b/src/store/operations.rs
@@ -7,7 +7,7 @@
     AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord, StoreStats,
 };
 use crate::api::Micros;
-use crate::consensus::kept::Record;
+use crate::consensus::persistent_state::Record;
 use crate::delivery::response::State;
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::{LogPosition, ShardId};
