--- a/examples/toy_worker.rs
+++ b/examples/toy_worker.rs
@@ -16,7 +16,9 @@
             return Ok(());
         }
         held.extend(&chunk[..n]);
-        while let Some((words, size)) = parse_array(&held).map_err(std::io::Error::other)? {
+        while let Some(array) = parse_array(&held).map_err(std::io::Error::other)? {
+            let words = array.strings;
+            let size = array.size_bytes;
             let word = |i: usize| words.get(i).copied().unwrap_or_default();
             println!(
                 "{}",
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -1,21 +1,21 @@
-//! Every way in which a connection, an attempt or an order can end, and the one place where that becomes
-//! the module's [`Outcome`].
+//! Every way in which a connection, an attempt, a load order or a health check can end, and the one place where that
+//! becomes the decision module's [`Outcome`].
 
 use crate::api::Outcome;
 use crate::membership::group::Observed;
 
-/// How a connection, or something that was out on it, ended.
+/// Why a connection, or an exchange on it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
     /// A worker answered `200`.
     Served,
     /// A worker answered `404`: the function is not loaded there.
     NotLoaded,
-    /// A worker answered `503`: no room.
+    /// A worker answered `503`: it is at capacity.
     AtCapacity,
     /// A worker answered `500`.
     Failed,
-    /// A worker answered `504`: the request was over before it began.
+    /// A worker answered `504`: the request expired before it started.
     Expired,
     /// A connection was refused.
     Refused,
@@ -29,34 +29,34 @@
     Malformed,
     /// The deadline passed.
     TimedOut,
-    /// The module called it off.
+    /// It was cancelled, by the decision module or with its client.
     Cancelled,
-    /// Its worker drains, is gone or has started anew; what had not left was taken back.
+    /// Its worker is draining, removed or restarted, so it was withdrawn before it was sent.
     Withdrawn,
-    /// Nothing was open on the connection for so long that this side closed it.
+    /// Nothing was in flight on the connection for so long that this side closed it.
     Idle,
-    /// This side has no descriptor or no room left for it.
+    /// This process has no descriptor or memory left for it.
     LocalLimit,
-    /// All connections to this worker carry as much as they may.
+    /// All connections to the worker carry as much as they may.
     ConnectionsFull,
-    /// This side is shutting down.
+    /// This process is shutting down.
     Shutdown,
 }
 
-/// How much of a command had left this machine when it ended.
+/// How much of an exchange had been sent when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
-    /// Not one byte: the worker cannot have heard of it.
+    /// Not one byte: the worker cannot have seen it.
     Unsent,
     /// Some or all: it may have run.
     Started,
 }
 
 impl CloseReason {
-    /// The module's word for this ending. Guards the rule on double effects: what has left and was not
-    /// answered may have run, whatever followed; what has not left never ran.
-    pub fn outcome(self, left: SendProgress) -> Outcome {
-        match (self, left) {
+    /// The outcome that the decision module is told. Guards against running a request twice: one that was sent and not
+    /// answered may have run, whatever followed; one that was not sent never ran.
+    pub fn outcome(self, progress: SendProgress) -> Outcome {
+        match (self, progress) {
             (CloseReason::Served, _) => Outcome::Ok,
             (CloseReason::NotLoaded, _) => Outcome::Miss,
             (CloseReason::AtCapacity, _) => Outcome::Rejected,
@@ -64,7 +64,7 @@
             (CloseReason::Expired, _) => Outcome::NotSent,
             (CloseReason::Refused | CloseReason::ConnectTimeout, _) => Outcome::ConnectFailed,
             (CloseReason::ConnectionsFull, SendProgress::Unsent) => Outcome::Rejected,
-            // What this side did or lacks tells nothing of the worker.
+            // What this process did or lacks says nothing about the worker.
             (
                 CloseReason::TimedOut
                 | CloseReason::Cancelled
@@ -80,9 +80,9 @@
         }
     }
 
-    /// What instances that talk are told of a worker by this ending; none where it tells nothing of it.
-    pub fn observation(self, left: SendProgress) -> Option<Observed> {
-        match (self, left) {
+    /// What gossip tells other instances about the worker; `None` where the reason says nothing about it.
+    pub fn observation(self, progress: SendProgress) -> Option<Observed> {
+        match (self, progress) {
             (
                 CloseReason::Served
                 | CloseReason::NotLoaded
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A short name for counters and logs.
+    /// A short name for counters and log lines; dashboards read it.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::Served => "served",
--- a/src/completion/tests.rs
+++ b/src/completion/tests.rs
@@ -1,24 +1,24 @@
-//! What each way to end means to the decision module and to other instances.
+//! What each close reason means to the decision module and to other instances.
 
 use super::*;
 use crate::policy::never_ran;
 
-/// What this side did itself tells others nothing of the worker.
+/// What this process did itself says nothing about the worker.
 #[test]
-fn others_are_told_only_what_the_worker_did() {
+fn own_decisions_are_not_reported_to_peers() {
     use CloseReason::*;
-    for e in [Withdrawn, Idle, LocalLimit, ConnectionsFull, Shutdown] {
+    for reason in [Withdrawn, Idle, LocalLimit, ConnectionsFull, Shutdown] {
         assert!(
-            e.observation(SendProgress::Started).is_none()
-                && e.observation(SendProgress::Unsent).is_none(),
-            "{e:?}"
+            reason.observation(SendProgress::Started).is_none()
+                && reason.observation(SendProgress::Unsent).is_none(),
+            "{reason:?}"
         );
     }
-    for e in [TimedOut, Cancelled, Reset, Closed] {
+    for reason in [TimedOut, Cancelled, Reset, Closed] {
         assert!(
-            e.observation(SendProgress::Unsent).is_none()
-                && e.observation(SendProgress::Started).is_some(),
-            "{e:?}"
+            reason.observation(SendProgress::Unsent).is_none()
+                && reason.observation(SendProgress::Started).is_some(),
+            "{reason:?}"
         );
     }
     assert_eq!(
@@ -31,9 +31,9 @@
 }
 
 #[test]
-fn only_what_never_left_or_was_turned_away_is_proved_not_to_have_run() {
+fn only_unsent_or_rejected_attempts_never_ran() {
     use CloseReason::*;
-    for e in [
+    for reason in [
         Reset,
         Closed,
         Malformed,
@@ -46,25 +46,31 @@
         Shutdown,
     ] {
         assert!(
-            never_ran(e.outcome(SendProgress::Unsent)),
-            "{e:?} before a byte left"
+            never_ran(reason.outcome(SendProgress::Unsent)),
+            "{reason:?} before a byte was sent"
         );
         assert!(
-            !never_ran(e.outcome(SendProgress::Started)),
-            "{e:?} after a byte left"
+            !never_ran(reason.outcome(SendProgress::Started)),
+            "{reason:?} after a byte was sent"
         );
     }
-    for e in [NotLoaded, AtCapacity, Expired, Refused, ConnectTimeout] {
-        assert!(never_ran(e.outcome(SendProgress::Started)), "{e:?}");
+    for reason in [NotLoaded, AtCapacity, Expired, Refused, ConnectTimeout] {
+        assert!(
+            never_ran(reason.outcome(SendProgress::Started)),
+            "{reason:?}"
+        );
     }
-    for e in [Served, Failed] {
-        assert!(!never_ran(e.outcome(SendProgress::Started)), "{e:?}");
+    for reason in [Served, Failed] {
+        assert!(
+            !never_ran(reason.outcome(SendProgress::Started)),
+            "{reason:?}"
+        );
     }
 }
 
 /// Guards workers against this side's own limits: a gateway without descriptors must not take all workers for dead.
 #[test]
-fn what_this_side_lacks_is_not_put_down_to_the_worker() {
+fn local_limits_are_not_blamed_on_workers() {
     assert_eq!(
         CloseReason::LocalLimit.outcome(SendProgress::Unsent),
         Outcome::NotSent
--- /dev/null
+++ b/src/discovery/watch_event.rs
@@ -0,0 +1,135 @@
+//! One numbered update of the list of workers, read from JSON.
+
+use std::net::SocketAddr;
+
+use serde_json::Value;
+
+use super::DiscoveryError;
+use crate::api::{CellId, Micros, WorkerStatus, ZoneId};
+use crate::names::Names;
+
+/// The zone of a worker whose zone the settings do not name.
+const UNKNOWN_ZONE: usize = u8::MAX as usize;
+/// The capacity of a worker whose update states none.
+const DEFAULT_CAPACITY: f64 = 1.0;
+
+/// One worker as an update describes it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Endpoint {
+    /// Its name.
+    pub name: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its zone.
+    pub zone: ZoneId,
+    /// Its cell.
+    pub cell: CellId,
+    /// Its status.
+    pub status: WorkerStatus,
+    /// Its size against others'.
+    pub capacity: f64,
+    /// When its process started, where the update states it.
+    pub started_at: Option<Micros>,
+}
+
+/// One numbered update.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WatchEvent {
+    /// Its number.
+    pub revision: u64,
+    /// Whether it is the complete list.
+    pub snapshot: bool,
+    /// The workers that it describes.
+    pub endpoints: Vec<Endpoint>,
+}
+
+impl WatchEvent {
+    /// Reads an update's text.
+    ///
+    /// # Errors
+    ///
+    /// [`DiscoveryError`] says what is missing or unreadable.
+    pub fn parse(text: &str, names: &Names) -> Result<WatchEvent, DiscoveryError> {
+        let value: Value =
+            serde_json::from_str(text).map_err(|error| DiscoveryError::Json(error.to_string()))?;
+        WatchEvent::from_value(&value, names)
+    }
+
+    /// Reads an update from JSON.
+    ///
+    /// # Errors
+    ///
+    /// [`DiscoveryError`] says what is missing or unreadable.
+    pub fn from_value(value: &Value, names: &Names) -> Result<WatchEvent, DiscoveryError> {
+        let revision = value
+            .get("rev")
+            .and_then(Value::as_u64)
+            .ok_or(DiscoveryError::Field("rev"))?;
+        let pool = value.get("pool").ok_or(DiscoveryError::Field("pool"))?;
+        let snapshot = pool
+            .get("snapshot")
+            .and_then(Value::as_bool)
+            .ok_or(DiscoveryError::Field("snapshot"))?;
+        let list = pool
+            .get("endpoints")
+            .and_then(Value::as_array)
+            .ok_or(DiscoveryError::Field("endpoints"))?;
+        let endpoints = list
+            .iter()
+            .map(|endpoint| Endpoint::from_value(endpoint, names))
+            .collect::<Result<_, _>>()?;
+        Ok(WatchEvent {
+            revision,
+            snapshot,
+            endpoints,
+        })
+    }
+}
+
+impl Endpoint {
+    fn from_value(value: &Value, names: &Names) -> Result<Endpoint, DiscoveryError> {
+        let text = |field: &'static str| value.get(field).and_then(Value::as_str);
+        let name = text("name")
+            .filter(|name| !name.is_empty())
+            .ok_or(DiscoveryError::Field("name"))?;
+        let address = text("address").ok_or(DiscoveryError::Field("address"))?;
+        let status = text("status").ok_or(DiscoveryError::Field("status"))?;
+        let status = parse_status(name, status)?;
+        let zone = text("zone")
+            .and_then(|zone| Names::place(&names.zones, zone))
+            .unwrap_or(UNKNOWN_ZONE);
+        let cell = value.get("group").and_then(Value::as_u64).unwrap_or(0);
+        let capacity = value.get("weight").and_then(Value::as_f64);
+        Ok(Endpoint {
+            name: name.to_owned(),
+            address: parse_address(name, address)?,
+            zone: ZoneId(zone as u8),
+            cell: CellId(cell as u16),
+            status,
+            capacity: capacity.unwrap_or(DEFAULT_CAPACITY),
+            started_at: parse_started_at(value),
+        })
+    }
+}
+
+fn parse_status(name: &str, status: &str) -> Result<WorkerStatus, DiscoveryError> {
+    match status {
+        "SERVING" => Ok(WorkerStatus::Ready),
+        "DRAINING" => Ok(WorkerStatus::Draining),
+        "DELETED" => Ok(WorkerStatus::Removed),
+        other => Err(DiscoveryError::Entry(format!(
+            "{name} has the state '{other}'"
+        ))),
+    }
+}
+
+fn parse_address(name: &str, address: &str) -> Result<SocketAddr, DiscoveryError> {
+    address
+        .parse()
+        .map_err(|_| DiscoveryError::Entry(format!("{name} has the address '{address}'")))
+}
+
+fn parse_started_at(value: &Value) -> Option<Micros> {
+    let since_ms = value.get("since_ms").and_then(Value::as_f64)?;
+    (since_ms > 0.0).then_some((since_ms * 1000.0) as Micros)
+}
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -313,7 +313,7 @@
                 .endpoints
                 .iter()
                 .map(|e| e.name.as_str())
-                .zip(self.endpoints.apply(notice).0);
+                .zip(self.endpoints.apply(notice).workers);
             let told = self.ops.upkeep.list(notice.snapshot, lines);
             members.extend(told.into_iter().map(|m| (m.worker, m)));
             self.last_revision = self.last_revision.max(notice.revision);
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -344,7 +344,7 @@
             .ok_or(CloseReason::Withdrawn)?;
         let stream = net::connect(address).map_err(|e| match e.kind() {
             io::ErrorKind::ConnectionRefused => CloseReason::Refused,
-            _ if net::is_own_limit(&e) => CloseReason::LocalLimit,
+            _ if net::is_local_limit(&e) => CloseReason::LocalLimit,
             _ => CloseReason::ConnectTimeout,
         })?;
         let role = Role::Worker(WorkerConnection::new(worker, now));
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -66,14 +66,18 @@
             return false;
         }
         (self.last_revision, self.revision_gap) = (notice.revision, None);
-        let (listed, moved) = self.endpoints.apply(notice);
-        let lines = notice.endpoints.iter().map(|e| e.name.as_str()).zip(listed);
+        let applied = self.endpoints.apply(notice);
+        let lines = notice
+            .endpoints
+            .iter()
+            .map(|e| e.name.as_str())
+            .zip(applied.workers);
         let members = self.ops.upkeep.list(notice.snapshot, lines);
         for m in &members {
             self.on_member(m);
         }
         self.tell_ready(now, notice.snapshot, &members);
-        for worker in moved {
+        for worker in applied.readdressed {
             self.retire(worker, None);
         }
         if notice.snapshot {
--- /dev/null
+++ b/src/worker/connection.rs
@@ -0,0 +1,349 @@
+//! What is in flight on one connection to a worker. It reads and writes buffers, never a socket.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
+
+use slotmap::Key;
+
+use super::reply::Reply;
+use super::resp::{encode_array, parse_array};
+use super::{AttemptCommand, Completed, Exchange, RespError};
+use crate::api::{FunctionId, Micros, WorkerId};
+use crate::completion::{CloseReason, SendProgress};
+use crate::core::{AttemptReply, HealthCheckKey, LoadOrderKey};
+use crate::net::{Buffer, Outbox, UNTAGGED_FRAME};
+
+/// How long a worker's reply may come a second time.
+pub(super) const DUPLICATE_REPLY_WINDOW: Micros = 250_000;
+
+/// An exchange in flight.
+#[derive(Clone, Copy, Debug)]
+struct OpenExchange {
+    exchange: Exchange,
+    /// The tag of its frame.
+    tag: u64,
+    /// Whether its call must not run twice.
+    must_run_once: bool,
+}
+
+/// An exchange that is about to be queued.
+struct Outgoing {
+    identity: Rc<str>,
+    exchange: Exchange,
+    must_run_once: bool,
+    bytes: Vec<u8>,
+}
+
+/// The exchanges in flight on one connection to a worker.
+#[derive(Debug)]
+pub struct WorkerConnection {
+    /// The worker.
+    pub worker: WorkerId,
+    /// When the connection was opened.
+    pub opened_at: Micros,
+    /// When anything was last received on it.
+    pub last_received_at: Micros,
+    /// When an exchange last began on it with no other in flight.
+    pub last_active_at: Micros,
+    /// Since when a reply has been received in part.
+    pub partial_reply_since: Option<Micros>,
+    /// Whether nothing new is sent on it: it was silent for too long, or its worker is draining or removed.
+    pub retired: bool,
+    open: BTreeMap<Rc<str>, OpenExchange>,
+    /// Identities whose cancelled attempt may still be replied to, and until when.
+    cancelled: VecDeque<(Rc<str>, Micros)>,
+    /// Identities of calls that must not run twice whose attempt was rejected, and until when that reply may be
+    /// received again.
+    rejected: VecDeque<(Rc<str>, Micros)>,
+    next_tag: u64,
+}
+
+impl WorkerConnection {
+    /// A connection to a worker, just opened.
+    pub fn new(worker: WorkerId, now: Micros) -> WorkerConnection {
+        WorkerConnection {
+            worker,
+            opened_at: now,
+            last_received_at: now,
+            last_active_at: now,
+            partial_reply_since: None,
+            retired: false,
+            open: BTreeMap::new(),
+            cancelled: VecDeque::new(),
+            rejected: VecDeque::new(),
+            next_tag: UNTAGGED_FRAME + 1,
+        }
+    }
+
+    /// How many exchanges are in flight on it.
+    pub fn open(&self) -> usize {
+        self.open.len()
+    }
+
+    /// Whether an attempt under this identity may be sent here. Guards a retry: the reply to a cancelled attempt may
+    /// still come under the same identity, and only on its own connection.
+    pub fn accepts(&self, identity: &str, max_open: usize) -> bool {
+        !self.retired
+            && self.open.len() < max_open
+            && !self.open.contains_key(identity)
+            && !self.cancelled.iter().any(|(other, _)| &**other == identity)
+    }
+
+    /// Whether a rejection of this identity may be the first attempt's, received a second time; true once for each.
+    /// Guards calls that must not run twice: taken for the reply to the next attempt, it would say that this one never
+    /// ran. If it is that one's own after all, the call ends with its deadline.
+    fn is_duplicate_rejection(&mut self, now: Micros, identity: &[u8]) -> bool {
+        let place = self
+            .rejected
+            .iter()
+            .position(|(other, until)| other.as_bytes() == identity && now < *until);
+        place
+            .and_then(|place| self.rejected.remove(place))
+            .is_some()
+    }
+
+    fn enqueue(&mut self, outbox: &mut Outbox, outgoing: Outgoing) {
+        let tag = self.next_tag;
+        self.next_tag += 1;
+        let open = OpenExchange {
+            exchange: outgoing.exchange,
+            tag,
+            must_run_once: outgoing.must_run_once,
+        };
+        self.open.insert(outgoing.identity, open);
+        match outgoing.exchange {
+            Exchange::Attempt(_) => outbox.push_counted(tag, outgoing.bytes),
+            Exchange::LoadOrder(_) | Exchange::HealthCheck(_) => outbox.push(tag, outgoing.bytes),
+        }
+    }
+
+    /// Queues an attempt.
+    pub fn send_attempt(&mut self, outbox: &mut Outbox, command: AttemptCommand<'_>) {
+        let class = command.class;
+        let function = command.function.0;
+        let wait_ms = command.wait_ms.max(1);
+        let fields = format!("profile={class},thing={function:016x},max={wait_ms}");
+        let bytes = encode_array(&[
+            b"go",
+            command.identity.as_bytes(),
+            fields.as_bytes(),
+            command.body,
+        ]);
+        let outgoing = Outgoing {
+            identity: command.identity,
+            exchange: Exchange::Attempt(command.attempt),
+            must_run_once: command.must_run_once,
+            bytes,
+        };
+        self.enqueue(outbox, outgoing);
+    }
+
+    /// Queues a load order.
+    pub fn send_load(
+        &mut self,
+        outbox: &mut Outbox,
+        order: LoadOrderKey,
+        function: FunctionId,
+        copies: u8,
+    ) {
+        let identity: Rc<str> = format!("o{:x}", order.data().as_ffi()).into();
+        let fields = format!("thing={:016x},copies={copies}", function.0);
+        let bytes = encode_array(&[b"stage", identity.as_bytes(), fields.as_bytes()]);
+        let outgoing = Outgoing {
+            identity,
+            exchange: Exchange::LoadOrder(order),
+            must_run_once: false,
+            bytes,
+        };
+        self.enqueue(outbox, outgoing);
+    }
+
+    /// Queues a health check, whose reply carries a load report.
+    pub fn send_health_check(&mut self, outbox: &mut Outbox, check: HealthCheckKey) {
+        let identity: Rc<str> = format!("p{:x}", check.data().as_ffi()).into();
+        let bytes = encode_array(&[b"stat", identity.as_bytes()]);
+        let outgoing = Outgoing {
+            identity,
+            exchange: Exchange::HealthCheck(check),
+            must_run_once: false,
+            bytes,
+        };
+        self.enqueue(outbox, outgoing);
+    }
+
+    /// Queues the order to unload a function's idle copies.
+    pub fn send_unload(&mut self, outbox: &mut Outbox, function: FunctionId) {
+        let function = format!("{:016x}", function.0);
+        let bytes = encode_array(&[b"purge", function.as_bytes()]);
+        outbox.push(UNTAGGED_FRAME, bytes);
+    }
+
+    /// Cancels an exchange: takes it back unsent, or tells the worker. Until `until`, its identity is not sent here
+    /// again before its reply has been received.
+    pub fn cancel(
+        &mut self,
+        outbox: &mut Outbox,
+        exchange: Exchange,
+        now: Micros,
+        until: Micros,
+    ) -> SendProgress {
+        let Some((identity, tag)) = self.find(exchange) else {
+            return SendProgress::Started;
+        };
+        self.open.remove(&identity);
+        if outbox.withdraw(tag) {
+            return SendProgress::Unsent;
+        }
+        if let Exchange::Attempt(_) = exchange {
+            let bytes = encode_array(&[b"halt", identity.as_bytes()]);
+            outbox.push(UNTAGGED_FRAME, bytes);
+        }
+        while self
+            .cancelled
+            .front()
+            .is_some_and(|(_, until)| *until < now)
+        {
+            self.cancelled.pop_front();
+        }
+        self.cancelled.push_back((identity, until));
+        SendProgress::Started
+    }
+
+    /// The identity of an exchange in flight and the tag of its frame.
+    fn find(&self, exchange: Exchange) -> Option<(Rc<str>, u64)> {
+        self.open
+            .iter()
+            .find(|(_, open)| open.exchange == exchange)
+            .map(|(identity, open)| (identity.clone(), open.tag))
+    }
+
+    /// Withdraws an exchange if none of its bytes have been sent; tells whether it was withdrawn.
+    pub fn withdraw(&mut self, outbox: &mut Outbox, exchange: Exchange) -> bool {
+        let Some((identity, tag)) = self.find(exchange) else {
+            return false;
+        };
+        let unsent = outbox.withdraw(tag);
+        if unsent {
+            self.open.remove(&identity);
+        }
+        unsent
+    }
+
+    /// Withdraws every exchange of which no byte has been sent. Guards the rules on draining workers, loads and slow
+    /// start for what is queued here.
+    pub fn withdraw_unsent(&mut self, outbox: &mut Outbox, done: &mut Vec<Completed>) {
+        self.open.retain(|_, open| {
+            let unsent = outbox.withdraw(open.tag);
+            if unsent {
+                done.push(Completed::without_reply(
+                    open.exchange,
+                    CloseReason::Withdrawn,
+                    SendProgress::Unsent,
+                ));
+            }
+            !unsent
+        });
+    }
+
+    /// The connection has ended, and with it every exchange in flight on it.
+    pub fn complete_all(
+        &mut self,
+        outbox: &Outbox,
+        reason: CloseReason,
+        done: &mut Vec<Completed>,
+    ) {
+        for open in std::mem::take(&mut self.open).into_values() {
+            let progress = if outbox.is_unsent(open.tag) {
+                SendProgress::Unsent
+            } else {
+                SendProgress::Started
+            };
+            done.push(Completed::without_reply(open.exchange, reason, progress));
+        }
+    }
+
+    /// Reads the complete replies; returns how many matched no exchange in flight.
+    ///
+    /// # Errors
+    ///
+    /// [`RespError`]: the connection is of no more use.
+    pub fn read_replies(
+        &mut self,
+        now: Micros,
+        input: &mut Buffer,
+        done: &mut Vec<Completed>,
+    ) -> Result<u64, RespError> {
+        let mut unmatched = 0;
+        while let Some(array) = parse_array(input.bytes())? {
+            self.last_received_at = now;
+            self.partial_reply_since = None;
+            let reply = Reply::from_strings(&array.strings)?;
+            if !self.handle_reply(now, &reply, done)? {
+                unmatched += 1;
+            }
+            input.consume(array.size_bytes);
+        }
+        if !input.bytes().is_empty() {
+            self.partial_reply_since.get_or_insert(now);
+        }
+        Ok(unmatched)
+    }
+
+    /// Handles one reply; tells whether it matched an exchange in flight.
+    fn handle_reply(
+        &mut self,
+        now: Micros,
+        reply: &Reply<'_>,
+        done: &mut Vec<Completed>,
+    ) -> Result<bool, RespError> {
+        let open = std::str::from_utf8(reply.identity)
+            .ok()
+            .and_then(|identity| self.open.get(identity))
+            .copied();
+        let Some(open) = open else {
+            self.cancelled
+                .retain(|(identity, _)| identity.as_bytes() != reply.identity);
+            return Ok(false);
+        };
+        let reason = reply.close_reason(open.exchange)?;
+        let rejected = matches!(
+            reason,
+            CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired
+        );
+        let may_be_repeated = open.must_run_once && rejected;
+        if may_be_repeated && self.is_duplicate_rejection(now, reply.identity) {
+            return Ok(false);
+        }
+        let fields = reply.read_fields();
+        done.push(Completed {
+            exchange: open.exchange,
+            reason,
+            progress: SendProgress::Started,
+            reply: AttemptReply {
+                body: reply.body.to_vec(),
+                copy_start: fields.copy_start,
+                function_in_flight: fields.function_in_flight,
+                load_report: fields.load_report,
+            },
+            copies: fields.copies,
+        });
+        let identity = self.remove_open(reply.identity);
+        if let Some(identity) = identity.filter(|_| may_be_repeated) {
+            self.rejected
+                .push_back((identity, now + DUPLICATE_REPLY_WINDOW));
+        }
+        while self
+            .rejected
+            .front()
+            .is_some_and(|(_, until)| *until <= now)
+        {
+            self.rejected.pop_front();
+        }
+        Ok(true)
+    }
+
+    fn remove_open(&mut self, identity: &[u8]) -> Option<Rc<str>> {
+        let identity = std::str::from_utf8(identity).ok()?;
+        self.open.remove_entry(identity).map(|(key, _)| key)
+    }
+}
--- /dev/null
+++ b/src/worker/mod.rs
@@ -0,0 +1,13 @@
+//! The workers' side of the wire: RESP arrays of bulk strings on connections that carry many exchanges at once.
+
+mod connection;
+mod exchange;
+mod reply;
+mod resp;
+
+pub use connection::WorkerConnection;
+pub use exchange::{AttemptCommand, Completed, Exchange};
+pub use resp::{encode_array, parse_array, CompleteArray, RespError, READ_LIMIT_BYTES};
+
+#[cfg(test)]
+mod tests;
--- a/testbed/src/fakes/worker.rs
+++ b/testbed/src/fakes/worker.rs
@@ -72,8 +72,10 @@
         let mut chunk = [0; 16 * 1024];
         let mut seen = 0u32;
         loop {
-            while let Ok(Some((words, size))) = parse_array(&held) {
-                let words: Vec<String> = words
+            while let Ok(Some(array)) = parse_array(&held) {
+                let size = array.size_bytes;
+                let words: Vec<String> = array
+                    .strings
                     .iter()
                     .map(|w| String::from_utf8_lossy(w).into_owned())
                     .collect();
--- a/tests/common/by_hand.rs
+++ b/tests/common/by_hand.rs
@@ -26,9 +26,10 @@
     /// The next message; none once the gateway has closed.
     pub fn next(&mut self) -> Option<Said> {
         let message = read_message(&mut self.stream, &mut self.held, resp_length)?;
-        let (words, _) = molelug::worker::parse_array(&message)
+        let words = molelug::worker::parse_array(&message)
             .expect("RESP")
-            .expect("a whole array");
+            .expect("a whole array")
+            .strings;
         let text = |n: usize| {
             words
                 .get(n)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -387,7 +387,7 @@
 pub fn resp_length(bytes: &[u8]) -> Option<usize> {
     molelug::worker::parse_array(bytes)
         .expect("RESP")
-        .map(|(_, n)| n)
+        .map(|array| array.size_bytes)
 }
 
 /// One HTTP exchange on a connection of its own: status and body.
@@ -458,7 +458,10 @@
     fn serve(&self, mut stream: TcpStream) {
         let mut held = Vec::new();
         while let Some(message) = read_message(&mut stream, &mut held, resp_length) {
-            let (words, _) = molelug::worker::parse_array(&message).unwrap().unwrap();
+            let words = molelug::worker::parse_array(&message)
+                .unwrap()
+                .unwrap()
+                .strings;
             let words: Vec<String> = words
                 .iter()
                 .map(|w| String::from_utf8_lossy(w).into_owned())
--- a/tests/wire_formats/board.rs
+++ b/tests/wire_formats/board.rs
@@ -1,7 +1,9 @@
 //! What is asked of the notice board and read from it. The events are written by hand, not by `UPDATE_FIXTURES`.
 
 use molelug::api::{CellId, WorkerId, WorkerStatus, ZoneId};
-use molelug::discovery::{Endpoint, EndpointList, ServerSentEvent, WatchEvent, WatchStream};
+use molelug::discovery::{
+    AppliedUpdate, Endpoint, EndpointList, ServerSentEvent, WatchEvent, WatchStream,
+};
 use molelug::names::Names;
 use molelug::net::Buffer;
 
@@ -93,14 +95,17 @@
 #[test]
 fn workers_keep_numbers_made_of_names() {
     let mut roster = EndpointList::default();
-    let (members, moved) = roster.apply(&notice(41, SNAPSHOT));
-    let numbers: Vec<WorkerId> = members.iter().map(|m| m.worker).collect();
+    let AppliedUpdate {
+        workers,
+        readdressed,
+    } = roster.apply(&notice(41, SNAPSHOT));
+    let numbers: Vec<WorkerId> = workers.iter().map(|entry| entry.worker).collect();
     assert_eq!(numbers[0], WorkerId(0x00c4_1f7a));
-    assert_eq!((numbers.len(), moved.len()), (2, 0));
+    assert_eq!((numbers.len(), readdressed.len()), (2, 0));
     let number = format!("plain {:08x}", numbers[1].0);
     check_lines("wire/worker_numbers.txt", &[number]);
     assert_eq!(
-        roster.apply(&notice(42, DELTA)).1,
+        roster.apply(&notice(42, DELTA)).readdressed,
         [WorkerId(0x00c4_1f7a)],
         "it has another address"
     );
--- a/tests/wire_formats/worker.rs
+++ b/tests/wire_formats/worker.rs
@@ -7,9 +7,9 @@
 use molelug::core::{AttemptKey, HealthCheckKey, LoadOrderKey};
 use molelug::net::{Buffer, Outbox};
 use molelug::worker::{
-    encode_array, key_from_number, parse_array, AttemptCommand, Completed, Exchange,
-    WorkerConnection,
+    encode_array, parse_array, AttemptCommand, Completed, Exchange, WorkerConnection,
 };
+use slotmap::KeyData;
 
 use crate::fixtures::check_lines;
 use crate::hex::hex_line;
@@ -26,7 +26,7 @@
     let mut link = WorkerConnection::new(WorkerId(1), 0);
     let mut outbox = Outbox::default();
     let go = AttemptCommand {
-        attempt: key_from_number::<AttemptKey>(ATTEMPT),
+        attempt: AttemptKey::from(KeyData::from_ffi(ATTEMPT)),
         identity: Rc::from(IDENTITY),
         class: "checkout",
         function: FUNCTION,
@@ -38,12 +38,12 @@
     let call = outbox.drain();
     link.send_load(
         &mut outbox,
-        key_from_number::<LoadOrderKey>(ORDER),
+        LoadOrderKey::from(KeyData::from_ffi(ORDER)),
         FUNCTION,
         2,
     );
     let load = outbox.drain();
-    link.send_health_check(&mut outbox, key_from_number::<HealthCheckKey>(PROBE));
+    link.send_health_check(&mut outbox, HealthCheckKey::from(KeyData::from_ffi(PROBE)));
     let probe = outbox.drain();
     link.send_unload(&mut outbox, FUNCTION);
     let unload = outbox.drain();
@@ -60,11 +60,11 @@
 
 /// Whole words of an array, read by the gateway's own reader.
 fn words(bytes: &[u8]) -> Vec<Vec<u8>> {
-    let (words, size) = parse_array(bytes)
+    let array = parse_array(bytes)
         .expect("it can be read")
         .expect("it is whole");
-    assert_eq!(size, bytes.len());
-    words.into_iter().map(<[u8]>::to_vec).collect()
+    assert_eq!(array.size_bytes, bytes.len());
+    array.strings.into_iter().map(<[u8]>::to_vec).collect()
 }
 
 fn answered(link: &mut WorkerConnection, answer: &[&[u8]]) -> Completed {
@@ -78,7 +78,7 @@
 fn worker_commands_match_their_recorded_bytes() {
     let (mut link, mut commands) = busy_link();
     let mut outbox = Outbox::default();
-    let attempt = Exchange::Attempt(key_from_number::<AttemptKey>(ATTEMPT));
+    let attempt = Exchange::Attempt(AttemptKey::from(KeyData::from_ffi(ATTEMPT)));
     // Its bytes have left already, so that the worker is told.
     assert_eq!(
         link.cancel(&mut outbox, attempt, 5, 100),
@@ -133,7 +133,7 @@
     let done = answered(&mut link, &[IDENTITY.as_bytes(), b"200", fields, b"body"]);
     assert_eq!(
         done.exchange,
-        Exchange::Attempt(key_from_number::<AttemptKey>(ATTEMPT))
+        Exchange::Attempt(AttemptKey::from(KeyData::from_ffi(ATTEMPT)))
     );
     assert_eq!(
         (done.reason, done.progress, done.copies),
