--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -179,7 +179,7 @@
         ("listens", node.address()),
         ("takes webhooks", node.webhook_address()),
         ("is administered", node.admin_address()),
-        ("is asked line by line", node.line_address()),
+        ("is asked line by line", node.console_address()),
     ];
     for (what, at) in listeners
         .iter()
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -1,49 +1,76 @@
 //! The platform's clients: accepting, requests and answers, and the orderly end.
 
-use super::*;
+use std::io;
+
+use super::listeners::LISTEN_BACKLOG;
+use super::{ConnKey, Gateway, GatewayDeadline, ListenerKind, Origin, PendingResponse, Role};
+use crate::api::Micros;
+use crate::completion::CloseReason;
+use crate::core::Answer;
+use crate::front::http::READ_LIMIT;
+use crate::front::platform;
+use crate::front::platform::Ask;
+use crate::net;
+
+/// A client's connection without a pending request is closed after this; the platform's clients close theirs after 4 s,
+/// but for those that send one request and stay.
+pub(super) const CLIENT_IDLE_TIMEOUT: Micros = 4_500_000;
+/// A client has this long to send a complete request, counted from its connect or from the request's first byte.
+const CLIENT_REQUEST_TIMEOUT: Micros = 2_000_000;
+/// While no slot is free, a connection that has been idle for this long may be closed for a new one: long enough for a
+/// request that is on its way to have come.
+const MIN_IDLE_BEFORE_EVICTION: Micros = 150_000;
+/// Connections accepted from one listener in one turn.
+const MAX_ACCEPTS_PER_TURN: usize = 256;
+/// How long a connection that is to be closed may go on with a request that has come in part.
+const PARTIAL_REQUEST_TIMEOUT: Micros = 200_000;
+/// Answers larger than this are counted against [`MAX_UNSENT_BYTES`].
+const LARGE_ANSWER_BYTES: usize = 16 << 10;
+/// Bytes that may wait to be written to all clients before a large answer closes its connection instead.
+const MAX_UNSENT_BYTES: usize = 48 << 20;
+/// How long a connection that was rejected may still send.
+pub(super) const LINGER_TIMEOUT: Micros = 1_000_000;
+/// How long accepting pauses when the machine has no descriptor or memory for a connection.
+pub(super) const ACCEPT_RETRY_INTERVAL: Micros = 50_000;
+/// `Retry-After` of a call that is rejected because too many are pending.
+const OVERLOAD_RETRY_AFTER: Micros = 1_000_000;
 
 /// What is left in a listener's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Queue {
+enum AcceptOutcome {
     /// Nothing.
     Empty,
     /// Perhaps more than one turn takes.
     More,
     /// Somebody for whom there is no room now; it is tried again.
-    Stuck,
+    NoCapacity,
 }
 
 impl Gateway {
     pub(super) fn accept_all(&mut self) {
-        self.accept = false;
-        if !self.ops.life.accepts(self.clock.now()) {
+        self.listeners.accept_pending = false;
+        if !self.ops.lifecycle.accepts(self.clock.now()) {
             return;
         }
-        for at in 0..self.listeners.len() {
+        for at in 0..self.listeners.sockets.len() {
             // Guards all others against a flood: who is left waits for the next turn.
-            self.accept |= self.accept_from(at) == Queue::More;
+            self.listeners.accept_pending |= self.accept_from(at) == AcceptOutcome::More;
         }
     }
 
     /// Accepts from one listener until its queue is empty, as many as one turn has room for.
-    fn accept_from(&mut self, at: usize) -> Queue {
-        for _ in 0..MOST_ACCEPTS {
-            let Some(listener) = self.listeners.get(at) else {
-                return Queue::Empty;
+    fn accept_from(&mut self, at: usize) -> AcceptOutcome {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            let Some(listener) = self.listeners.sockets.get(at) else {
+                return AcceptOutcome::Empty;
             };
             let kind = listener.kind;
             // What is not accepted waits in the machine's queue until a connection has ended. The platform's
             // clients keep their room whatever comes to the other listeners.
-            let room = match kind {
-                Kind::Platform => {
-                    self.clients - self.secondary_clients
-                        < self.max_clients - self.max_secondary_clients
-                }
-                _ => self.secondary_clients < self.max_secondary_clients,
-            };
+            let has_slot = self.client_slots.has_free(kind);
             let socket = listener.socket.clone();
-            if !room && !self.make_room(kind) {
-                return Queue::Stuck;
+            if !has_slot && !self.evict_idle_client(kind) {
+                return AcceptOutcome::NoCapacity;
             }
             match socket.accept() {
                 Ok((stream, _)) => {
@@ -52,52 +79,52 @@
                         .and_then(|()| stream.set_nodelay(true));
                     let role = Role::Client {
                         kind,
-                        open: None,
-                        keep: true,
+                        pending: None,
+                        keep_alive: true,
                     };
-                    let Ok(key) = ready.and_then(|()| self.add(stream, true, role)) else {
+                    let Ok(key) = ready.and_then(|()| self.add_connection(stream, true, role))
+                    else {
                         continue;
                     };
-                    self.clients += 1;
-                    self.secondary_clients += usize::from(kind != Kind::Platform);
+                    self.client_slots.occupy(kind);
                     self.core.counters.accepted += 1;
                     let now = self.clock.now();
                     let by = self
                         .ops
-                        .life
+                        .lifecycle
                         .first_request_by(now)
-                        .unwrap_or(now + CLIENT_SLOW);
+                        .unwrap_or(now + CLIENT_REQUEST_TIMEOUT);
                     self.set_deadline(key, Some(by));
                     self.on_ready(key);
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Queue::Empty,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return AcceptOutcome::Empty,
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
                     // Out of descriptors or memory: the queue stays, and so would the event. Tried again
                     // after a pause, or this would be a busy loop.
-                    let at = self.clock.now() + ACCEPT_PAUSE;
+                    let at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
                     self.core.schedule(at, GatewayDeadline::AcceptRetry.into());
-                    return Queue::Stuck;
+                    return AcceptOutcome::NoCapacity;
                 }
             }
         }
-        Queue::More
+        AcceptOutcome::More
     }
 
     /// All places are taken: closes the connection that has had nothing open for longest. Guards the places
     /// against clients that ask once and stay, or that connect and say nothing. Where none has been idle for
     /// long enough, it is tried again once one has.
-    fn make_room(&mut self, kind: Kind) -> bool {
+    fn evict_idle_client(&mut self, kind: ListenerKind) -> bool {
         let idle = self
             .connections
             .iter()
             .filter_map(|(key, (conn, role))| match role {
                 Role::Client {
                     kind: k,
-                    open: None,
+                    pending: None,
                     ..
-                } if (*k == Kind::Platform) == (kind == Kind::Platform) => {
+                } if (*k == ListenerKind::Platform) == (kind == ListenerKind::Platform) => {
                     Some((conn.idle_since, key))
                 }
                 _ => None,
@@ -105,9 +132,11 @@
         let Some((since, key)) = idle.min() else {
             return false;
         };
-        if self.clock.now() < since + CLIENT_YIELDS {
-            self.core
-                .schedule(since + CLIENT_YIELDS, GatewayDeadline::AcceptRetry.into());
+        if self.clock.now() < since + MIN_IDLE_BEFORE_EVICTION {
+            self.core.schedule(
+                since + MIN_IDLE_BEFORE_EVICTION,
+                GatewayDeadline::AcceptRetry.into(),
+            );
             return false;
         }
         self.core.counters.evicted_idle += 1;
@@ -115,9 +144,10 @@
         true
     }
 
-    pub(super) fn on_client(&mut self, key: ConnKey, now: Micros) {
+    pub(super) fn read_client_requests(&mut self, key: ConnKey, now: Micros) {
         loop {
-            let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else {
+            let Some((conn, Role::Client { pending: open, .. })) = self.connections.get_mut(key)
+            else {
                 return;
             };
             if open.is_some() || conn.closing || conn.pause_if_backlogged() {
@@ -135,7 +165,7 @@
                         self.ready.push(key);
                     }
                     // A request that comes by and by has its time from its first byte on.
-                    let due = now + CLIENT_SLOW;
+                    let due = now + CLIENT_REQUEST_TIMEOUT;
                     if !conn.input.bytes().is_empty() && conn.deadline.is_none_or(|t| t > due) {
                         self.set_deadline(key, Some(due));
                     }
@@ -147,24 +177,30 @@
                         .push(net::UNTAGGED_FRAME, platform::turn_away(&bad, false));
                     (conn.closing, conn.linger) = (true, true);
                     self.dirty.push(key);
-                    return self.set_deadline(key, Some(now + LINGER));
+                    return self.set_deadline(key, Some(now + LINGER_TIMEOUT));
                 }
             };
             conn.input.consume(taken.size);
             conn.idle_since = now;
             // A whole request came: the time for the next one begins anew.
-            self.set_deadline(key, Some(now + CLIENT_IDLE));
-            let Some((conn, Role::Client { keep, .. })) = self.connections.get_mut(key) else {
+            self.set_deadline(key, Some(now + CLIENT_IDLE_TIMEOUT));
+            let Some((
+                conn,
+                Role::Client {
+                    keep_alive: keep, ..
+                },
+            )) = self.connections.get_mut(key)
+            else {
                 return;
             };
-            let stays = taken.keep && self.ops.life.keeps(now);
+            let stays = taken.keep && self.ops.lifecycle.keeps(now);
             *keep = stays;
             match taken.ask {
                 Ok(Ask::Call(call)) if self.core.pending_requests() >= self.config.most_held => {
                     // As the platform does beyond `mostHeld`: turned away before the module.
                     self.core.count_rejected(call.arrival.class);
                     let answer = Answer::Rejected {
-                        retry_after: 1_000_000,
+                        retry_after: OVERLOAD_RETRY_AFTER,
                     };
                     conn.outbox
                         .push(net::UNTAGGED_FRAME, platform::answer(&answer, stays));
@@ -182,13 +218,19 @@
                 Ok(Ask::Call(call)) => {
                     self.set_deadline(key, None);
                     let request = self.core.submit(now, call.with_origin(Origin::Client(key)));
-                    if let Some((_, Role::Client { open, .. })) = self.connections.get_mut(key) {
+                    if let Some((_, Role::Client { pending: open, .. })) =
+                        self.connections.get_mut(key)
+                    {
                         *open = Some(PendingResponse::Call(request));
                     }
                     return;
                 }
                 Ok(Ask::Ping) => {
-                    let status = if self.ops.life.is_emptied() { 503 } else { 200 };
+                    let status = if self.ops.lifecycle.is_emptied() {
+                        503
+                    } else {
+                        200
+                    };
                     conn.outbox.push(
                         net::UNTAGGED_FRAME,
                         crate::front::http::response(status, "", b"", stays),
@@ -209,7 +251,7 @@
 
     pub(super) fn answer_client(&mut self, key: ConnKey, answer: &Answer) {
         let now = self.clock.now();
-        let accepting = self.ops.life.keeps(now);
+        let accepting = self.ops.lifecycle.keeps(now);
         if let Answer::Served(body) = answer {
             // Guards memory against clients that ask for much and read nothing.
             let waiting = || {
@@ -218,11 +260,19 @@
                     .map(|(c, _)| c.outbox.len())
                     .sum::<usize>()
             };
-            if body.len() > LARGE && waiting() > MOST_WAITING {
+            if body.len() > LARGE_ANSWER_BYTES && waiting() > MAX_UNSENT_BYTES {
                 return self.close(key, CloseReason::LocalLimit);
             }
         }
-        let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else {
+        let Some((
+            conn,
+            Role::Client {
+                pending: open,
+                keep_alive: keep,
+                ..
+            },
+        )) = self.connections.get_mut(key)
+        else {
             return;
         };
         *open = None;
@@ -231,24 +281,24 @@
         conn.outbox
             .push(net::UNTAGGED_FRAME, platform::answer(answer, stays));
         conn.closing = !stays;
-        self.set_deadline(key, Some(now + CLIENT_IDLE));
+        self.set_deadline(key, Some(now + CLIENT_IDLE_TIMEOUT));
         self.dirty.push(key);
         // A client may have sent its next request already.
-        self.on_client(key, now);
+        self.read_client_requests(key, now);
     }
 
     /// SIGTERM.
     pub(super) fn drain(&mut self) {
         let now = self.clock.now();
         // Another process may have become ready since the last look.
-        self.look(now);
-        if self.ops.life.end(now, self.is_taken_over()) {
+        self.read_siblings(now);
+        if self.ops.lifecycle.end(now, self.is_taken_over()) {
             self.core.schedule(
-                self.ops.life.accepts_until().unwrap_or(now),
+                self.ops.lifecycle.accepts_until().unwrap_or(now),
                 GatewayDeadline::StopAccepting.into(),
             );
-            self.thin_out(now);
-            self.write_word(now);
+            self.schedule_idle_closes(now);
+            self.write_state(now);
             self.give_duties_back(now);
         }
     }
@@ -257,62 +307,67 @@
     /// machine has accepted already: the end of a listener resets them. Where another process shares the socket,
     /// they are that one's.
     pub(super) fn stop_accepting(&mut self, now: Micros) -> bool {
-        let waits = self.ops.life.takes_rest(now) && self.accept_rest();
+        let waits = self.ops.lifecycle.takes_rest(now) && self.accept_remaining();
         if waits {
-            self.core
-                .schedule(now + ACCEPT_PAUSE, GatewayDeadline::StopAccepting.into());
+            self.core.schedule(
+                now + ACCEPT_RETRY_INTERVAL,
+                GatewayDeadline::StopAccepting.into(),
+            );
             return false;
         }
-        for listener in std::mem::take(&mut self.listeners) {
+        for listener in std::mem::take(&mut self.listeners.sockets) {
             self.handle.remove(listener.token);
         }
-        self.thin_out(now);
+        self.schedule_idle_closes(now);
         true
     }
 
     /// Accepts all that the machine has accepted; tells whether somebody is left who has no room yet.
-    fn accept_rest(&mut self) -> bool {
+    fn accept_remaining(&mut self) -> bool {
         let mut waits = false;
-        for at in 0..self.listeners.len() {
-            let mut queue = Queue::More;
+        for at in 0..self.listeners.sockets.len() {
+            let mut queue = AcceptOutcome::More;
             // A whole queue at the most, or a flood would keep the listener open.
-            for _ in 0..=BACKLOG_CONNECTS as usize / MOST_ACCEPTS {
-                if queue == Queue::More {
+            for _ in 0..=LISTEN_BACKLOG as usize / MAX_ACCEPTS_PER_TURN {
+                if queue == AcceptOutcome::More {
                     queue = self.accept_from(at);
                 }
             }
-            waits |= queue == Queue::Stuck;
+            waits |= queue == AcceptOutcome::NoCapacity;
         }
         waits
     }
 
     /// Gives idle connections the time by which they are closed, if they are to be, the longest idle first.
-    pub(super) fn thin_out(&mut self, now: Micros) {
+    pub(super) fn schedule_idle_closes(&mut self, now: Micros) {
         let mut idle: Vec<(Micros, ConnKey)> = Vec::new();
-        let leaves = self.ops.life.idle_until(now, 0, 1).is_some();
+        let leaves = self.ops.lifecycle.idle_until(now, 0, 1).is_some();
         for (key, (conn, role)) in self.connections.iter_mut() {
             match role {
                 // Half a request has its own time, and its answer ends the connection.
-                Role::Client { open: None, .. }
+                Role::Client { pending: None, .. }
                     if !conn.input.bytes().is_empty() && !conn.closing => {}
-                Role::Client { open: None, .. } if conn.outbox.is_empty() => {
+                Role::Client { pending: None, .. } if conn.outbox.is_empty() => {
                     idle.push((conn.idle_since, key))
                 }
-                Role::Client { open: None, .. } => conn.closing |= leaves,
+                Role::Client { pending: None, .. } => conn.closing |= leaves,
                 _ => {}
             }
         }
         idle.sort();
         let all = idle.len();
         for (rank, (since, key)) in idle.into_iter().enumerate() {
-            let by = self.ops.life.idle_until(now, rank, all);
-            self.set_deadline(key, Some(by.unwrap_or(since.max(now) + CLIENT_IDLE)));
+            let by = self.ops.lifecycle.idle_until(now, rank, all);
+            self.set_deadline(
+                key,
+                Some(by.unwrap_or(since.max(now) + CLIENT_IDLE_TIMEOUT)),
+            );
         }
     }
 
     /// A client's connection has been idle, or within a request, for as long as it may.
-    pub(super) fn end_idle(&mut self, key: ConnKey, now: Micros) {
-        if self.last_look(key, now) {
+    pub(super) fn close_idle_client(&mut self, key: ConnKey, now: Micros) {
+        if self.read_before_close(key, now) {
             return;
         }
         let Some((conn, _)) = self.connections.get_mut(key) else {
@@ -330,7 +385,7 @@
 
     /// An idle connection is about to be closed: what has come on it by now still counts. Tells whether the
     /// connection stays for it.
-    fn last_look(&mut self, key: ConnKey, now: Micros) -> bool {
+    fn read_before_close(&mut self, key: ConnKey, now: Micros) -> bool {
         let Some((conn, _)) = self.connections.get_mut(key) else {
             return false;
         };
@@ -342,12 +397,12 @@
             return false;
         }
         self.on_input(key, now);
-        let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else {
+        let Some((conn, Role::Client { pending: open, .. })) = self.connections.get_mut(key) else {
             return true;
         };
         if open.is_none() && !conn.closing && !conn.input.bytes().is_empty() {
             // Half a request: it may come whole yet, soon.
-            self.set_deadline(key, Some(now + LAST_LOOK));
+            self.set_deadline(key, Some(now + PARTIAL_REQUEST_TIMEOUT));
         }
         true
     }
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -1,9 +1,23 @@
 //! Connections from their start to their end: what becomes readable, what falls due, what ends with one.
 
-use super::*;
+use std::io;
+use std::rc::Rc;
+
+use calloop::generic::Generic;
+use calloop::{Interest, Mode, PostAction};
+
+use super::endpoint_updates::{DISCOVERY_RECONNECT_INTERVAL, DISCOVERY_SILENCE_TIMEOUT};
+use super::worker_connections::{PARTIAL_REPLY_TIMEOUT, RETIRED_CHECK_INTERVAL};
+use super::{consensus, ConnKey, Gateway, GatewayDeadline, ListenerKind, PendingResponse, Role};
+use crate::api::Micros;
+use crate::completion::CloseReason;
+use crate::front::http::READ_LIMIT;
+use crate::front::operator_console;
+use crate::net::{Connection, SharedStream};
+use crate::{discovery, worker};
 
 impl Gateway {
-    pub(super) fn add(
+    pub(super) fn add_connection(
         &mut self,
         stream: std::net::TcpStream,
         up: bool,
@@ -47,15 +61,18 @@
         self.handle.remove(conn.token);
         let now = self.clock.now();
         match role {
-            Role::Client { kind, open, .. } => {
-                self.clients -= 1;
-                self.secondary_clients -= usize::from(kind != Kind::Platform);
-                self.accept |= !self.listeners.is_empty();
+            Role::Client {
+                kind,
+                pending: open,
+                ..
+            } => {
+                self.client_slots.release(kind);
+                self.listeners.accept_pending |= !self.listeners.sockets.is_empty();
                 if let Some(PendingResponse::Call(request)) = open {
                     self.core.client_disconnected(now, request);
                 }
             }
-            Role::Line => self.ops.line_closed(key),
+            Role::Console => self.ops.console_client_closed(key),
             Role::Peer(peer) => self.peer_closed(now, key, &peer),
             Role::Worker(mut link) => {
                 tracing::debug!(
@@ -66,16 +83,11 @@
                 );
                 let mut done = Vec::new();
                 link.complete_all(&conn.outbox, ending, &mut done);
-                self.done.extend(done);
-                if let Some(keys) = self.worker_connections.get_mut(&link.worker) {
-                    keys.retain(|k| *k != key);
-                    if keys.is_empty() {
-                        self.worker_connections.remove(&link.worker);
-                    }
-                }
+                self.completed.extend(done);
+                self.routes.remove(link.worker, key);
             }
-            Role::Board(_) => self.core.schedule(
-                now + BOARD_PAUSE,
+            Role::Discovery(_) => self.core.schedule(
+                now + DISCOVERY_RECONNECT_INTERVAL,
                 GatewayDeadline::DiscoveryReconnect.into(),
             ),
             Role::Portal(link) => {
@@ -100,8 +112,8 @@
             Role::Client { .. } => READ_LIMIT,
             Role::Portal(_) => crate::front::webhook::answer::READ_LIMIT,
             Role::Worker(_) => worker::READ_LIMIT_BYTES,
-            Role::Board(_) => discovery::READ_LIMIT_BYTES,
-            Role::Line => operator_console::READ_LIMIT,
+            Role::Discovery(_) => discovery::READ_LIMIT_BYTES,
+            Role::Console => operator_console::READ_LIMIT,
             Role::Peer(_) => consensus::READ_LIMIT,
         };
         let read = conn.read(limit);
@@ -110,7 +122,7 @@
                 Role::Worker(_) => now + self.config.conn_idle * 4 / 5,
                 Role::Portal(_) => conn.deadline.unwrap_or(now),
                 Role::Peer(_) => now + consensus::SILENT,
-                _ => now + BOARD_SILENT,
+                _ => now + DISCOVERY_SILENCE_TIMEOUT,
             };
             self.set_deadline(key, Some(next));
         }
@@ -137,21 +149,23 @@
         };
         match role {
             Role::Client {
-                kind: Kind::Platform,
+                kind: ListenerKind::Platform,
                 ..
-            } => self.on_client(key, now),
-            Role::Client { .. } => self.on_second(key, now),
+            } => self.read_client_requests(key, now),
+            Role::Client { .. } => self.read_secondary_requests(key, now),
             Role::Portal(_) => self.on_portal(key, now),
-            Role::Line => self.on_line(key, now),
+            Role::Console => self.read_console_request(key, now),
             Role::Peer(_) => self.on_peer(key, now),
             Role::Worker(link) => {
                 let mut done = Vec::new();
                 let result = link.read_replies(now, &mut conn.input, &mut done);
-                self.done.extend(done);
+                self.completed.extend(done);
                 match result {
                     Ok(unmatched) => {
                         self.core.counters.unmatched += unmatched;
-                        let due = link.partial_reply_since.map(|since| since + ANSWER_SLOW);
+                        let due = link
+                            .partial_reply_since
+                            .map(|since| since + PARTIAL_REPLY_TIMEOUT);
                         if due.is_some() && due < conn.deadline {
                             self.set_deadline(key, due);
                         }
@@ -167,19 +181,19 @@
                     }
                 }
             }
-            Role::Board(feed) => {
+            Role::Discovery(feed) => {
                 let mut events = Vec::new();
                 let result = feed.read_events(&mut conn.input, &mut events);
                 let ended = feed.has_ended();
                 let answered = feed.has_answered();
-                self.set_deadline(key, Some(now + BOARD_SILENT));
+                self.set_deadline(key, Some(now + DISCOVERY_SILENCE_TIMEOUT));
                 for event in events {
-                    if !self.on_event(now, &event) {
+                    if !self.read_watch_event(now, &event) {
                         return self.close(key, CloseReason::Malformed);
                     }
                 }
                 if answered {
-                    self.heard_board(now);
+                    self.note_discovery_answer(now);
                 }
                 if let Err(e) = result {
                     self.core.counters.unreadable += 1;
@@ -199,14 +213,16 @@
         };
         conn.deadline = None;
         match role {
-            Role::Client { open: Some(_), .. } => {}
-            Role::Client { .. } => self.end_idle(key, now),
+            Role::Client {
+                pending: Some(_), ..
+            } => {}
+            Role::Client { .. } => self.close_idle_client(key, now),
             Role::Worker(_) if !conn.connected => self.close(key, CloseReason::ConnectTimeout),
             // Guards what waits behind an answer that stopped short: nothing after it can be told apart.
             Role::Worker(link)
                 if link
                     .partial_reply_since
-                    .is_some_and(|since| now >= since + ANSWER_SLOW) =>
+                    .is_some_and(|since| now >= since + PARTIAL_REPLY_TIMEOUT) =>
             {
                 self.core.counters.unreadable += 1;
                 self.close(key, CloseReason::Malformed)
@@ -218,16 +234,16 @@
             }
             Role::Worker(link) => {
                 let next = match link.open() {
-                    _ if link.partial_reply_since.is_some() => now + ANSWER_SLOW,
-                    _ if link.retired => now + RETIRED_AGAIN,
+                    _ if link.partial_reply_since.is_some() => now + PARTIAL_REPLY_TIMEOUT,
+                    _ if link.retired => now + RETIRED_CHECK_INTERVAL,
                     0 => link.last_received_at + idle,
                     _ => now + idle,
                 };
                 self.set_deadline(key, Some(next));
             }
             Role::Portal(link) if link.is_idle() => self.close(key, CloseReason::Idle),
-            Role::Line | Role::Peer(_) => self.close(key, CloseReason::Idle),
-            Role::Board(_) | Role::Portal(_) => {
+            Role::Console | Role::Peer(_) => self.close(key, CloseReason::Idle),
+            Role::Discovery(_) | Role::Portal(_) => {
                 let ending = if conn.connected {
                     CloseReason::TimedOut
                 } else {
--- a/src/gateway/consensus.rs
+++ b/src/gateway/consensus.rs
@@ -207,7 +207,7 @@
                 hall.accept = true;
             }
         };
-        match self.listening(address, note) {
+        match self.bind_listener(address, note) {
             Ok((socket, _)) => {
                 tracing::info!("meets the council on {address}");
                 Ok(Some(socket))
@@ -378,7 +378,9 @@
 
     /// One that has hardly a descriptor left, that finds itself cut off, or that is to end, leaves duties to others.
     fn look_at_able(&mut self) {
-        let left = self.sockets().saturating_sub(self.connections.len());
+        let left = self
+            .max_descriptors()
+            .saturating_sub(self.connections.len());
         let Some(hall) = &mut self.cluster.consensus else {
             return;
         };
@@ -551,10 +553,11 @@
             queued: Vec::new(),
         };
         // Descriptors are the calls' first.
-        if self.connections.len() + FEW_SOCKETS / 2 >= self.sockets() {
+        if self.connections.len() + FEW_SOCKETS / 2 >= self.max_descriptors() {
             return;
         }
-        let added = net::connect(address).and_then(|s| self.add(s, false, Role::Peer(peer)));
+        let added =
+            net::connect(address).and_then(|s| self.add_connection(s, false, Role::Peer(peer)));
         match added {
             Ok(key) => {
                 self.set_deadline(key, Some(now + 1_000_000));
@@ -613,7 +616,8 @@
         let ready = stream
             .set_nonblocking(true)
             .and_then(|()| stream.set_nodelay(true));
-        let Ok(key) = ready.and_then(|()| self.add(stream, true, Role::Peer(peer))) else {
+        let Ok(key) = ready.and_then(|()| self.add_connection(stream, true, Role::Peer(peer)))
+        else {
             return;
         };
         self.set_deadline(key, Some(now + SILENT));
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -1,40 +1,54 @@
 //! The notice board's connection and what its events change.
 
-use super::*;
+use super::{Gateway, GatewayDeadline, Role};
+use crate::api::{ListUpdate, Micros, WorkerEntry, WorkerId, WorkerStatus};
+use crate::discovery::{WatchEvent, WatchStream};
+use crate::{discovery, net};
+
+/// Service discovery sends a comment every second; after so long a silence it is connected to again.
+pub(super) const DISCOVERY_SILENCE_TIMEOUT: Micros = 2_200_000;
+/// How long a connection to service discovery may take to be established.
+const DISCOVERY_CONNECT_TIMEOUT: Micros = 1_000_000;
+/// How long a new connection to service discovery waits after the end of the last.
+pub(super) const DISCOVERY_RECONNECT_INTERVAL: Micros = 100_000;
 
 impl Gateway {
-    pub(super) fn open_board(&mut self, now: Micros) {
+    pub(super) fn connect_discovery(&mut self, now: Micros) {
         let Some(address) = self.config.board else {
             return;
         };
         if self
             .connections
             .values()
-            .any(|(_, role)| matches!(role, Role::Board(_)))
+            .any(|(_, role)| matches!(role, Role::Discovery(_)))
         {
             return;
         }
         let opened = net::connect(address)
-            .and_then(|s| self.add(s, false, Role::Board(WatchStream::default())));
+            .and_then(|s| self.add_connection(s, false, Role::Discovery(WatchStream::default())));
         match opened {
             Ok(key) => {
                 if let Some((conn, _)) = self.connections.get_mut(key) {
                     conn.outbox.push(
                         net::UNTAGGED_FRAME,
-                        WatchStream::request(address, self.last_revision),
+                        WatchStream::request(address, self.discovery.last_revision),
                     );
                 }
-                self.set_deadline(key, Some(now + 1_000_000));
+                self.set_deadline(key, Some(now + DISCOVERY_CONNECT_TIMEOUT));
             }
             Err(_) => self.core.schedule(
-                now + BOARD_PAUSE,
+                now + DISCOVERY_RECONNECT_INTERVAL,
                 GatewayDeadline::DiscoveryReconnect.into(),
             ),
         }
     }
 
     /// Takes one event; `false` if the board is to be asked anew for what was missed.
-    pub(super) fn on_event(&mut self, now: Micros, event: &discovery::ServerSentEvent) -> bool {
+    pub(super) fn read_watch_event(
+        &mut self,
+        now: Micros,
+        event: &discovery::ServerSentEvent,
+    ) -> bool {
         let notice = match WatchEvent::parse(&event.data, &self.config.names) {
             Ok(notice) => notice,
             Err(e) => {
@@ -42,55 +56,56 @@
                 // have been spoilt on the way. Unreadable again, it is passed over.
                 self.core.counters.unreadable += 1;
                 tracing::warn!(event = ?event.id, "a notice cannot be read: {e}");
-                let again = self.revision_gap == Some(self.last_revision);
-                self.revision_gap = Some(self.last_revision);
+                let again = self.discovery.revision_gap == Some(self.discovery.last_revision);
+                self.discovery.revision_gap = Some(self.discovery.last_revision);
                 return again;
             }
         };
-        self.on_notice(now, &notice)
+        self.apply_watch_event(now, &notice)
     }
 
     /// Takes one notice; `false` if one before it was missed. One that is older than the list held is passed
     /// over: a board may write an event twice, and an old whole list would bring back workers that have gone.
-    pub(super) fn on_notice(&mut self, now: Micros, notice: &WatchEvent) -> bool {
-        if notice.revision < self.last_revision
-            || notice.revision == self.last_revision && !notice.snapshot
+    pub(super) fn apply_watch_event(&mut self, now: Micros, notice: &WatchEvent) -> bool {
+        if notice.revision < self.discovery.last_revision
+            || notice.revision == self.discovery.last_revision && !notice.snapshot
         {
             return true;
         }
         if !notice.snapshot
-            && notice.revision > self.last_revision + 1
-            && self.revision_gap != Some(self.last_revision)
+            && notice.revision > self.discovery.last_revision + 1
+            && self.discovery.revision_gap != Some(self.discovery.last_revision)
         {
-            self.revision_gap = Some(self.last_revision);
+            self.discovery.revision_gap = Some(self.discovery.last_revision);
             return false;
         }
-        (self.last_revision, self.revision_gap) = (notice.revision, None);
-        let applied = self.endpoints.apply(notice);
+        (self.discovery.last_revision, self.discovery.revision_gap) = (notice.revision, None);
+        let applied = self.discovery.endpoints.apply(notice);
         let lines = notice
             .endpoints
             .iter()
             .map(|e| e.name.as_str())
             .zip(applied.workers);
-        let members = self.ops.upkeep.list(notice.snapshot, lines);
+        let members = self.ops.overrides.list(notice.snapshot, lines);
         for m in &members {
-            self.on_member(m);
+            self.apply_worker_status(m);
         }
         self.tell_ready(now, notice.snapshot, &members);
         for worker in applied.readdressed {
-            self.retire(worker, None);
+            self.retire_connections(worker, None);
         }
         if notice.snapshot {
             let listed = |w: &WorkerId| members.iter().any(|m| m.worker == *w);
             let gone: Vec<WorkerId> = self
-                .worker_connections
+                .routes
+                .connections
                 .keys()
                 .filter(|w| !listed(w))
                 .copied()
                 .collect();
             for worker in gone {
-                self.endpoints.set_draining(worker, true);
-                self.retire(worker, None);
+                self.discovery.endpoints.set_draining(worker, true);
+                self.retire_connections(worker, None);
             }
         }
         let kind = if notice.snapshot {
@@ -103,45 +118,25 @@
             .filter(|m| !notice.snapshot || m.status != WorkerStatus::Removed)
             .collect();
         self.core.update_workers(now, kind, told);
-        let links = &self.worker_connections;
-        self.endpoints
+        let links = &self.routes.connections;
+        self.discovery
+            .endpoints
             .forget_removed(|worker| links.contains_key(worker));
         true
     }
 
-    pub(super) fn on_member(&mut self, m: &WorkerEntry) {
-        self.endpoints
+    pub(super) fn apply_worker_status(&mut self, m: &WorkerEntry) {
+        self.discovery
+            .endpoints
             .set_draining(m.worker, m.status != WorkerStatus::Ready);
         match (m.status, m.started_at) {
-            (WorkerStatus::Ready, Some(started)) => self.retire(m.worker, Some(started)),
-            (WorkerStatus::Ready, None) => {}
-            (WorkerStatus::Draining | WorkerStatus::Removed, _) => self.retire(m.worker, None),
-        }
-    }
-
-    /// Nothing more goes out on a worker's connections opened before a time (or on any): what is queued is
-    /// taken back, what is out may still be answered.
-    pub(super) fn retire(&mut self, worker: WorkerId, before: Option<Micros>) {
-        let mut done = Vec::new();
-        for key in self
-            .worker_connections
-            .get(&worker)
-            .cloned()
-            .unwrap_or_default()
-        {
-            let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
-                continue;
-            };
-            if before.is_some_and(|t| link.opened_at >= t) {
-                continue;
+            (WorkerStatus::Ready, Some(started)) => {
+                self.retire_connections(m.worker, Some(started))
             }
-            link.withdraw_unsent(&mut conn.outbox, &mut done);
-            link.retired = true;
-            if link.open() == 0 {
-                let soon = self.clock.now() + RETIRED_AGAIN;
-                self.set_deadline(key, Some(soon));
+            (WorkerStatus::Ready, None) => {}
+            (WorkerStatus::Draining | WorkerStatus::Removed, _) => {
+                self.retire_connections(m.worker, None)
             }
         }
-        self.done.extend(done);
     }
 }
--- /dev/null
+++ b/src/gateway/event_loop.rs
@@ -0,0 +1,149 @@
+//! The gateway's turns: what is ready and due is done, then the event loop waits.
+
+use std::time::Duration;
+
+use calloop::signals::{Event, Signal, Signals};
+use calloop::{EventLoop, LoopHandle};
+
+use super::{Gateway, GatewayDeadline, GatewayError};
+use crate::api::Micros;
+
+impl Gateway {
+    /// Has SIGTERM and SIGINT drain the gateway, SIGHUP reload the configuration and SIGUSR1 print the counters. It is
+    /// to be called before the gateway is said to be ready, as an unhandled signal ends the process, and before
+    /// [`Gateway::new`]: the store's thread inherits the signal mask of the thread that starts it.
+    ///
+    /// # Errors
+    ///
+    /// [`GatewayError::Loop`]: the signals cannot be registered with the event loop.
+    pub fn watch_signals(handle: &LoopHandle<'static, Gateway>) -> Result<(), GatewayError> {
+        let source = Signals::new(&[
+            Signal::SIGTERM,
+            Signal::SIGINT,
+            Signal::SIGHUP,
+            Signal::SIGUSR1,
+        ])?;
+        let callback = |event: Event, _: &mut (), gateway: &mut Gateway| {
+            gateway.signals.push(event.signal());
+        };
+        handle
+            .insert_source(source, callback)
+            .map_err(|error| GatewayError::Loop(error.error))?;
+        Ok(())
+    }
+
+    /// Serves until told to stop; then every accepted call has been answered.
+    ///
+    /// # Errors
+    ///
+    /// [`GatewayError::Loop`]: the event loop failed.
+    pub fn run(&mut self, events: &mut EventLoop<'static, Gateway>) -> Result<(), GatewayError> {
+        while !self.stop {
+            self.run_once();
+            if self.stop {
+                break;
+            }
+            let timeout = self.wait_timeout();
+            events.dispatch(timeout, self)?;
+        }
+        Ok(())
+    }
+
+    /// How long the event loop may wait for events; `None` if nothing falls due.
+    fn wait_timeout(&mut self) -> Option<Duration> {
+        let now = self.clock.now();
+        let has_work = !self.ready.is_empty()
+            || self.listeners.accept_pending
+            || self.ops.is_busy()
+            || self.cluster.busy();
+        if has_work {
+            return Some(Duration::ZERO);
+        }
+        let next = self.core.next_deadline()?;
+        Some(Duration::from_micros(next.saturating_sub(now)))
+    }
+
+    /// Does all that is ready and due.
+    fn run_once(&mut self) {
+        self.handle_signals();
+        self.serve_console();
+        for key in std::mem::take(&mut self.ready) {
+            self.on_ready(key);
+        }
+        // A reply that has been read counts before a deadline that has passed in the same turn.
+        while let Some(completed) = self.completed.pop_front() {
+            let now = self.clock.now();
+            self.report_completed(now, completed);
+        }
+        self.tick();
+        if self.listeners.accept_pending {
+            self.accept_all();
+        }
+        self.run_commands();
+        let now = self.clock.now();
+        self.step_gossip(now);
+        self.step_council(now);
+        // What peers advise may have caused further commands.
+        self.run_commands();
+        self.stop_if_drained(now);
+    }
+
+    fn handle_signals(&mut self) {
+        for signal in std::mem::take(&mut self.signals) {
+            match signal {
+                Signal::SIGUSR1 => eprintln!("counters {}", self.core.counters),
+                Signal::SIGHUP => self.reload(),
+                _ => self.drain(),
+            }
+        }
+    }
+
+    /// Stops once a draining gateway has no listener, no client and no webhook left, and its copies are handed over.
+    fn stop_if_drained(&mut self, now: Micros) {
+        let webhooks = self.secondary.hooks.as_ref();
+        let webhooks_idle = webhooks.is_none_or(|webhooks| webhooks.is_idle(now));
+        let drained = self.ops.lifecycle.is_ending()
+            && self.listeners.sockets.is_empty()
+            && self.client_slots.is_empty()
+            && webhooks_idle;
+        if drained {
+            let late = webhooks.is_some_and(|webhooks| webhooks.is_late(now));
+            self.stop = self.copies_left() || late;
+        }
+    }
+
+    /// Handles the deadlines that have fallen due.
+    fn tick(&mut self) {
+        let now = self.clock.now();
+        let mut due = Vec::new();
+        self.core.tick(now, &mut due);
+        for deadline in due {
+            self.handle_deadline(now, GatewayDeadline::from(deadline));
+        }
+    }
+
+    fn handle_deadline(&mut self, now: Micros, deadline: GatewayDeadline) {
+        match deadline {
+            GatewayDeadline::DiscoveryReconnect => self.connect_discovery(now),
+            GatewayDeadline::StopAccepting => {
+                if self.stop_accepting(now) {
+                    self.stop_webhooks(now);
+                    self.leave_group(now);
+                }
+            }
+            GatewayDeadline::AcceptRetry => self.listeners.accept_pending = true,
+            GatewayDeadline::BundleReload => self.load_bundle(now),
+            GatewayDeadline::Delivery => self.tick_webhooks(now),
+            GatewayDeadline::Retention => self.retain(now),
+            GatewayDeadline::Gossip => self.tick_gossip(now),
+            GatewayDeadline::Consensus => self.tick_council(),
+            GatewayDeadline::Replication => self.tick_copies(),
+            GatewayDeadline::Tenants => self.tick_tenants(now),
+            GatewayDeadline::HealthChecks => self.tick_trials(now),
+            GatewayDeadline::LoadCoordination => self.tick_loads(now),
+            GatewayDeadline::ConsoleAcceptRetry => self.retry_console_accept(),
+            GatewayDeadline::HotRestart => self.step_hot_restart(now),
+            GatewayDeadline::Connection(key) => self.on_deadline(now, key),
+        }
+    }
+}
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -4,43 +4,47 @@
 //! In the folder each process has `PID.lock`, locked while it lives, and `PID.word`, written beside and renamed. Both stay
 //! at its end: what it was told last is heard by whoever lives or starts next, who then clears them away.
 
+use std::collections::BTreeMap;
+use std::io;
+
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-use super::*;
+use super::{Gateway, GatewayDeadline};
+use crate::api::Micros;
 use crate::operations::hot_restart::{
     SiblingProcesses, SiblingState, State, MAX_STATE_BYTES, WRITE_INTERVAL,
 };
 
 /// How often the others' words are looked at: well within the grace that the rules give after a call.
-const LOOK: Micros = 100_000;
+const SIBLING_READ_INTERVAL: Micros = 100_000;
 /// A new process that has not heard from the notice board by then serves with the list that it was given.
-const BOARD_PATIENCE: Micros = 1_500_000;
+const DISCOVERY_START_TIMEOUT: Micros = 1_500_000;
 
 /// The handover, while the clients' socket is one that the platform holds.
 #[derive(Debug)]
-pub(super) struct Handover {
+pub(super) struct HotRestartDriver {
     /// The folder, and the lock of this process; none if there is no place for it.
     folder: Option<(PathBuf, File)>,
     pid: u32,
-    others: SiblingProcesses,
+    siblings: SiblingProcesses,
     /// The word files read last, by process: when written and how long.
     read: BTreeMap<u32, (SystemTime, u64)>,
     written: (String, Micros),
-    begun: Micros,
+    started_at: Micros,
     /// Whether the board has answered since the start.
-    board: bool,
+    discovery_answered: bool,
 }
 
-impl Handover {
+impl HotRestartDriver {
     pub(super) fn others(&self) -> &SiblingProcesses {
-        &self.others
+        &self.siblings
     }
 }
 
-fn begin(folder: PathBuf, pid: u32) -> io::Result<(PathBuf, File)> {
+fn create_lock(folder: PathBuf, pid: u32) -> io::Result<(PathBuf, File)> {
     fs::create_dir_all(&folder)?;
     // Locked before it gets its name: another process takes a file without a lock for a dead one's.
     let fresh = folder.join(format!("{pid}.fresh"));
@@ -53,44 +57,47 @@
 impl Gateway {
     /// Begins the handover, before any list is taken over: bans that another process holds bind from the first
     /// moment.
-    pub(super) fn begin_handover(&mut self, now: Micros) {
+    pub(super) fn start_hot_restart(&mut self, now: Micros) {
         let pid = std::process::id();
         let place = std::env::var_os("TMPDIR").filter(|t| !t.is_empty());
-        let folder = match place.map(|t| begin(PathBuf::from(t).join("molelug-handover"), pid)) {
-            Some(Ok(folder)) => Some(folder),
-            Some(Err(e)) => {
-                tracing::error!("nothing is handed over between processes: {e}");
-                None
-            }
-            None => {
-                tracing::error!("nothing is handed over between processes: TMPDIR is not set");
-                None
-            }
-        };
-        let handover = Handover {
+        let folder =
+            match place.map(|t| create_lock(PathBuf::from(t).join("molelug-handover"), pid)) {
+                Some(Ok(folder)) => Some(folder),
+                Some(Err(e)) => {
+                    tracing::error!("nothing is handed over between processes: {e}");
+                    None
+                }
+                None => {
+                    tracing::error!("nothing is handed over between processes: TMPDIR is not set");
+                    None
+                }
+            };
+        let handover = HotRestartDriver {
             folder,
             pid,
-            others: SiblingProcesses::default(),
+            siblings: SiblingProcesses::default(),
             read: BTreeMap::new(),
             written: (String::new(), 0),
-            begun: now,
-            board: false,
+            started_at: now,
+            discovery_answered: false,
         };
-        self.ops.handover = Some(handover);
-        self.look(now);
+        self.ops.hot_restart = Some(handover);
+        self.read_siblings(now);
     }
 
     /// Looks at what the other processes tell, and again in a while.
-    pub(super) fn look_at_others(&mut self, now: Micros) {
-        self.look(now);
+    pub(super) fn step_hot_restart(&mut self, now: Micros) {
+        self.read_siblings(now);
         self.check_start(now);
-        self.write_word(now);
-        self.core
-            .schedule(now + LOOK, GatewayDeadline::HotRestart.into());
+        self.write_state(now);
+        self.core.schedule(
+            now + SIBLING_READ_INTERVAL,
+            GatewayDeadline::HotRestart.into(),
+        );
     }
 
-    pub(super) fn look(&mut self, now: Micros) {
-        let Some(handover) = &mut self.ops.handover else {
+    pub(super) fn read_siblings(&mut self, now: Micros) {
+        let Some(handover) = &mut self.ops.hot_restart else {
             return;
         };
         let Some((folder, _)) = &handover.folder else {
@@ -145,42 +152,49 @@
             }
         }
         handover.read.retain(|pid, _| living.contains(pid));
-        let changed = handover.others.only(&living);
+        let changed = handover.siblings.only(&living);
         let mut bans = Vec::new();
         for (pid, alive, word) in heard {
-            word.seen.iter().for_each(|name| self.ops.upkeep.see(name));
+            word.seen
+                .iter()
+                .for_each(|name| self.ops.overrides.see(name));
             bans.extend(
                 word.bans
                     .iter()
                     .map(|(name, (ban, at))| (name.clone(), *ban, *at)),
             );
             if alive {
-                handover.others.heard(pid, word);
+                handover.siblings.heard(pid, word);
             }
         }
-        let processes = handover.others.processes();
-        let learnt = handover.others.bears() > self.core.observed_capacity() * 1e6;
+        let processes = handover.siblings.processes();
+        let learnt = handover.siblings.bears() > self.core.observed_capacity() * 1e6;
         for (name, ban, at) in bans {
-            if let Some(member) = self.ops.upkeep.merge(&name, ban, at, now) {
+            if let Some(member) = self.ops.overrides.merge(&name, ban, at, now) {
                 tracing::info!(worker = name, out = ban, "upkeep, told by another process");
-                self.tell_member(now, member);
+                self.announce_worker(now, member);
             }
         }
         if changed {
             tracing::info!(processes, "processes of this gateway");
         }
         if changed || learnt {
-            self.share_limits(now);
+            self.update_client_limits(now);
         }
         if !dead.is_empty() {
             // Its bans are in this process's own word before its files go.
-            self.write_word(now);
-            self.clear_away(&dead);
+            self.write_state(now);
+            self.remove_files_of(&dead);
         }
     }
 
-    fn clear_away(&self, dead: &[u32]) {
-        let Some((folder, _)) = self.ops.handover.as_ref().and_then(|h| h.folder.as_ref()) else {
+    fn remove_files_of(&self, dead: &[u32]) {
+        let Some((folder, _)) = self
+            .ops
+            .hot_restart
+            .as_ref()
+            .and_then(|h| h.folder.as_ref())
+        else {
             return;
         };
         for (pid, kind) in dead
@@ -193,24 +207,24 @@
     }
 
     /// Tells the others what has changed here, if anything has or the last word has become old.
-    pub(super) fn write_word(&mut self, now: Micros) {
-        let life = &self.ops.life;
+    pub(super) fn write_state(&mut self, now: Micros) {
+        let life = &self.ops.lifecycle;
         let state = match (life.is_ending(), life.has_started()) {
             (true, _) => State::Ending,
             (false, true) => State::Ready,
             (false, false) => State::Starting,
         };
-        let Some(handover) = &mut self.ops.handover else {
+        let Some(handover) = &mut self.ops.hot_restart else {
             return;
         };
         let Some((folder, _)) = &handover.folder else {
             return;
         };
-        let upkeep = &self.ops.upkeep;
+        let upkeep = &self.ops.overrides;
         let word = SiblingState {
             gateway: self.config.name.clone(),
             state,
-            rev: self.last_revision,
+            rev: self.discovery.last_revision,
             bears: (self.core.observed_capacity() * 1e6).min(1e5),
             bans: upkeep.bans().clone(),
             seen: upkeep.seen().map(str::to_owned).collect(),
@@ -230,45 +244,50 @@
     }
 
     /// The board has answered.
-    pub(super) fn heard_board(&mut self, now: Micros) {
-        if let Some(handover) = self.ops.handover.as_mut().filter(|h| !h.board) {
-            handover.board = true;
+    pub(super) fn note_discovery_answer(&mut self, now: Micros) {
+        if let Some(handover) = self
+            .ops
+            .hot_restart
+            .as_mut()
+            .filter(|h| !h.discovery_answered)
+        {
+            handover.discovery_answered = true;
             self.check_start(now);
         }
     }
 
     /// A process that was handed its socket takes connections once it knows what the others know.
     pub(super) fn check_start(&mut self, now: Micros) {
-        let Some(handover) = &self.ops.handover else {
+        let Some(handover) = &self.ops.hot_restart else {
             return;
         };
-        if self.ops.life.has_started() {
+        if self.ops.lifecycle.has_started() {
             return;
         }
-        let told = self.config.board.is_none() || handover.board;
-        if told && self.last_revision >= handover.others.rev()
-            || now >= handover.begun + BOARD_PATIENCE
+        let told = self.config.board.is_none() || handover.discovery_answered;
+        if told && self.discovery.last_revision >= handover.siblings.rev()
+            || now >= handover.started_at + DISCOVERY_START_TIMEOUT
         {
-            self.ops.life.start();
-            self.accept = true;
-            tracing::info!(rev = self.last_revision, "takes connections");
-            self.write_word(now);
+            self.ops.lifecycle.start();
+            self.listeners.accept_pending = true;
+            tracing::info!(rev = self.discovery.last_revision, "takes connections");
+            self.write_state(now);
         }
     }
 
     /// Whether another process takes the connections once this one stops.
     pub(super) fn is_taken_over(&self) -> bool {
         self.ops
-            .handover
+            .hot_restart
             .as_ref()
-            .is_some_and(|h| h.others.take_over())
+            .is_some_and(|h| h.siblings.take_over())
     }
 
     /// Processes that share one gateway's limits.
-    pub(super) fn processes(&self) -> usize {
+    pub(super) fn process_count(&self) -> usize {
         self.ops
-            .handover
+            .hot_restart
             .as_ref()
-            .map_or(1, |h| h.others.processes())
+            .map_or(1, |h| h.siblings.processes())
     }
 }
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -77,7 +77,7 @@
             return false;
         };
         // One that was given ends by itself, and the owner hears of it.
-        if self.load_orders.contains_key(order) {
+        if self.routes.load_orders.contains_key(order) {
             return false;
         }
         side.loads.handle(now, Input::Forget(number));
@@ -217,7 +217,7 @@
                 0,
             );
         }
-        self.stage(now, order);
+        self.send_load_order(now, order);
     }
 
     pub(super) fn tick_loads(&mut self, now: Micros) {
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -1,6 +1,7 @@
 //! SIGHUP: the configuration read anew while calls go on.
 
-use super::*;
+use super::{ConnKey, Gateway, Role};
+use crate::completion::CloseReason;
 
 impl Gateway {
     /// Reads the configuration's file again and moves to the notice board that it names, from the version
@@ -21,20 +22,20 @@
         }
         for notice in &fresh.known {
             // One that was missed in between is asked of the board.
-            if !self.on_notice(now, notice) {
+            if !self.apply_watch_event(now, notice) {
                 break;
             }
         }
         let boards = self
             .connections
             .iter()
-            .filter(|(_, (_, role))| matches!(role, Role::Board(_)));
+            .filter(|(_, (_, role))| matches!(role, Role::Discovery(_)));
         let boards: Vec<ConnKey> = boards.map(|(key, _)| key).collect();
         self.config.board = fresh.board;
         boards
             .into_iter()
             .for_each(|key| self.close(key, CloseReason::Shutdown));
-        self.open_board(now);
+        self.connect_discovery(now);
         let to = fresh.board.map_or("none".to_owned(), |b| b.to_string());
         tracing::info!("the configuration was read anew; notice board: {to}");
     }
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -1,17 +1,22 @@
 //! The second front's listeners: requests off their connections, and the administration API.
 
+use std::collections::BTreeSet;
+
 use std::fs::OpenOptions;
 use std::io::Write;
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
+use super::clients::{CLIENT_IDLE_TIMEOUT, LINGER_TIMEOUT};
 use super::tenants;
 use super::webhooks::{refuse, WebhookDriver};
-use super::*;
+use super::{ConnKey, Gateway, GatewayDeadline, GatewayError, ListenerKind, PendingResponse, Role};
 use crate::admin::{
     self, idempotency::Keys, idempotency::Known, Change, Context, Done as Handling,
 };
+use crate::api::Micros;
 use crate::config::ConfigError;
+use crate::config::Operator;
 use crate::front::http::{self, plain, Bad};
 use crate::identity::Gate;
 use crate::net::UNTAGGED_FRAME;
@@ -27,12 +32,12 @@
     /// Where tenants are kept.
     state: Option<PathBuf>,
     pub(super) hooks: Option<WebhookDriver>,
-    admin: Option<AdminSide>,
+    admin: Option<AdminApi>,
 }
 
 /// The administration API, while it is on.
 #[derive(Debug)]
-struct AdminSide {
+struct AdminApi {
     gate: Gate,
     bundle: PathBuf,
     refresh: Micros,
@@ -80,13 +85,13 @@
             let gate = Gate::new(&a.trust_domain, &a.audience, a.roles())
                 .map_err(GatewayError::Identity)?;
             let refresh = a.refresh_s.max(1) * 1_000_000;
-            self.secondary.admin = Some(AdminSide {
+            self.secondary.admin = Some(AdminApi {
                 gate,
                 bundle: a.bundle,
                 refresh,
                 keys: Keys::default(),
             });
-            self.listen(Kind::Admin, a.listen)?;
+            self.listen(ListenerKind::Admin, a.listen)?;
             self.load_bundle(now);
         }
         Ok(())
@@ -107,9 +112,16 @@
     }
 
     /// Answers what has come on a webhook's or administrator's connection.
-    pub(super) fn on_second(&mut self, key: ConnKey, now: Micros) {
+    pub(super) fn read_secondary_requests(&mut self, key: ConnKey, now: Micros) {
         loop {
-            let Some((conn, Role::Client { kind, keep, open })) = self.connections.get_mut(key)
+            let Some((
+                conn,
+                Role::Client {
+                    kind,
+                    keep_alive: keep,
+                    pending: open,
+                },
+            )) = self.connections.get_mut(key)
             else {
                 return;
             };
@@ -117,7 +129,7 @@
                 return;
             }
             let kind = *kind;
-            let accepting = self.ops.life.keeps(now);
+            let accepting = self.ops.lifecycle.keeps(now);
             // The request borrows the connection's buffer, which is put back once it is answered.
             let mut input = std::mem::take(&mut conn.input);
             let (size, bytes, stays, malformed) = match http::request(input.bytes()) {
@@ -135,7 +147,7 @@
                     let stays = r.keep && accepting;
                     *keep = stays;
                     let bytes = match kind {
-                        Kind::Admin => self.administer(key, &r, stays, now),
+                        ListenerKind::Admin => self.administer(key, &r, stays, now),
                         _ => self.take_webhook(key, &r, stays, now),
                     };
                     (r.size, bytes, stays, false)
@@ -146,7 +158,8 @@
                 }
             };
             input.consume(size);
-            let Some((conn, Role::Client { open, .. })) = self.connections.get_mut(key) else {
+            let Some((conn, Role::Client { pending: open, .. })) = self.connections.get_mut(key)
+            else {
                 return;
             };
             conn.input = input;
@@ -159,7 +172,13 @@
             self.dirty.push(key);
             self.set_deadline(
                 key,
-                Some(now + if malformed { LINGER } else { CLIENT_IDLE }),
+                Some(
+                    now + if malformed {
+                        LINGER_TIMEOUT
+                    } else {
+                        CLIENT_IDLE_TIMEOUT
+                    },
+                ),
             );
         }
     }
@@ -215,7 +234,7 @@
         // Another gateway may have answered it.
         if let Some(answer) = digests.and_then(|(whose, what)| self.answered_before(&whose, &what))
         {
-            self.end_key(key.map(|k| (who, k.to_owned())), false, &[]);
+            self.finish_idempotency_key(key.map(|k| (who, k.to_owned())), false, &[]);
             return Some(answer.unwrap_or_else(|bad| admin::answer(&Err(bad), stays)));
         }
         let before = self.secondary.tenants.clone();
@@ -270,7 +289,7 @@
             }
             return None;
         }
-        if !changes.is_empty() && !self.keep_tenants() {
+        if !changes.is_empty() && !self.persist_tenants() {
             // A change that would be forgotten is not made.
             self.secondary.tenants = before;
             handled = Err(plain(500, "the change could not be kept"));
@@ -280,10 +299,10 @@
             }
             changes
                 .into_iter()
-                .for_each(|change| self.follow(now, change));
+                .for_each(|change| self.apply_change(now, change));
         }
         let bytes = admin::answer(&handled, stays);
-        self.end_key(
+        self.finish_idempotency_key(
             key,
             handled
                 .as_ref()
@@ -293,7 +312,7 @@
         Some(bytes)
     }
 
-    pub(super) fn end_key(
+    pub(super) fn finish_idempotency_key(
         &mut self,
         key: Option<(String, String)>,
         final_answer: bool,
@@ -305,7 +324,7 @@
     }
 
     /// What the store said makes an administrator's answer.
-    pub(super) fn answer_asked(
+    pub(super) fn answer_stored(
         &mut self,
         now: Micros,
         conn: ConnKey,
@@ -318,7 +337,7 @@
             .as_ref()
             .map_or_else(|bad| bad.status < 500, |_| true);
         let bytes = admin::answer(&handled, true);
-        self.end_key(key, good, &bytes);
+        self.finish_idempotency_key(key, good, &bytes);
         self.answer_second(conn, now, |stays| {
             if stays {
                 bytes
@@ -328,7 +347,7 @@
         });
     }
 
-    pub(super) fn follow(&mut self, now: Micros, change: Change) {
+    pub(super) fn apply_change(&mut self, now: Micros, change: Change) {
         match change {
             Change::Share(tenant, per_s) => self.core.set_tenant_quota(now, tenant, per_s),
             Change::Endpoints(tenant) => self.tell_endpoints(now, &tenant),
@@ -346,11 +365,11 @@
     }
 
     /// Writes the tenants to their file, if they have one; `false` if that failed.
-    pub(super) fn keep_tenants(&self) -> bool {
+    pub(super) fn persist_tenants(&self) -> bool {
         let Some(path) = &self.secondary.state else {
             return true;
         };
-        match keep(path, &self.secondary.tenants.state()) {
+        match write_private_file(path, &self.secondary.tenants.state()) {
             Ok(()) => true,
             Err(e) => {
                 tracing::error!(file = %path.display(), "cannot be written: {e}");
@@ -361,7 +380,7 @@
 }
 
 /// Writes a file for its owner alone, whole or not at all.
-fn keep(path: &Path, text: &str) -> std::io::Result<()> {
+fn write_private_file(path: &Path, text: &str) -> std::io::Result<()> {
     let fresh = path.with_extension("new");
     let mut file = OpenOptions::new()
         .write(true)
--- /dev/null
+++ b/src/gateway/startup.rs
@@ -0,0 +1,170 @@
+//! The start of a gateway: its listeners, the list of workers it was given, and its subsystems.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::TcpListener;
+
+use calloop::LoopHandle;
+use slotmap::SlotMap;
+
+use super::{
+    ClientSlots, ClusterDrivers, DiscoveryState, Gateway, GatewayDeadline, GatewayError,
+    ListenerKind, Listeners, OperationsDriver, OptionalSubsystems, SecondaryListeners,
+    WorkerRoutes,
+};
+use crate::api::{ListUpdate, Micros, WorkerEntry, WorkerId, WorkerStatus};
+use crate::clock::Clock;
+use crate::config::{Config, Operator};
+use crate::core::Core;
+
+/// Microseconds of a second, between the core's rates and those that processes tell each other.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+impl Gateway {
+    /// Listens and takes over the known list of workers; serves once [`Gateway::run`] is called.
+    ///
+    /// # Errors
+    ///
+    /// [`GatewayError`]: an address, a file or the event loop cannot be used.
+    pub fn new(
+        config: Config,
+        operator: Operator,
+        subsystems: OptionalSubsystems,
+        inherited: Option<TcpListener>,
+        handle: LoopHandle<'static, Gateway>,
+        mut clock: Clock,
+    ) -> Result<Gateway, GatewayError> {
+        let now = clock.now();
+        let has_secondary = operator.webhooks.is_some() || operator.admin.is_some();
+        let mut gateway = Gateway {
+            handle,
+            clock,
+            core: Core::new(config.settings.clone(), config.seed, now),
+            discovery: DiscoveryState {
+                last_revision: config.known_rev,
+                ..DiscoveryState::default()
+            },
+            config,
+            connections: SlotMap::with_key(),
+            routes: WorkerRoutes::default(),
+            listeners: Listeners::default(),
+            client_slots: ClientSlots::new(has_secondary),
+            secondary: SecondaryListeners::default(),
+            cluster: ClusterDrivers::default(),
+            ops: OperationsDriver::default(),
+            ready: Vec::new(),
+            dirty: Vec::new(),
+            completed: VecDeque::new(),
+            signals: Vec::new(),
+            stop: false,
+        };
+        gateway.listen_for_platform(now, inherited)?;
+        let ready = gateway.apply_known_events(now);
+        gateway.update_client_limits(now);
+        gateway
+            .core
+            .schedule(now, GatewayDeadline::DiscoveryReconnect.into());
+        gateway.set_up_console()?;
+        gateway.set_up(now, operator)?;
+        gateway.set_up_subsystems(now, &subsystems, ready)?;
+        Ok(gateway)
+    }
+
+    /// Listens for the platform's clients, on a socket that was handed over if there is one.
+    fn listen_for_platform(
+        &mut self,
+        now: Micros,
+        inherited: Option<TcpListener>,
+    ) -> Result<(), GatewayError> {
+        let Some(socket) = inherited else {
+            self.listen(ListenerKind::Platform, self.config.listen)?;
+            self.ops.lifecycle.start();
+            return Ok(());
+        };
+        self.listen_on_inherited(socket)?;
+        self.start_hot_restart(now);
+        self.core.schedule(now, GatewayDeadline::HotRestart.into());
+        Ok(())
+    }
+
+    /// Sets up what runs between gateways.
+    fn set_up_subsystems(
+        &mut self,
+        now: Micros,
+        subsystems: &OptionalSubsystems,
+        ready: BTreeSet<WorkerId>,
+    ) -> Result<(), GatewayError> {
+        if subsystems.gossip.is_some() || subsystems.consensus.is_some() {
+            self.cluster.ready = Some(ready.clone());
+        }
+        if let Some(gossip) = &subsystems.gossip {
+            self.set_up_gossip(now, gossip, ready.clone())?;
+        }
+        if let Some(consensus) = &subsystems.consensus {
+            self.set_up_council(now, consensus, ready)?;
+        }
+        if let Some(replication) = &subsystems.replication {
+            self.set_up_copies(now, replication)?;
+        }
+        Ok(())
+    }
+
+    /// Applies the updates known at the start; returns the workers that are ready.
+    fn apply_known_events(&mut self, now: Micros) -> BTreeSet<WorkerId> {
+        let mut workers: BTreeMap<WorkerId, WorkerEntry> = BTreeMap::new();
+        for event in &self.config.known {
+            if event.snapshot {
+                workers.clear();
+            }
+            let names = event
+                .endpoints
+                .iter()
+                .map(|endpoint| endpoint.name.as_str());
+            let applied = self.discovery.endpoints.apply(event);
+            let overridden = self
+                .ops
+                .overrides
+                .list(event.snapshot, names.zip(applied.workers));
+            workers.extend(overridden.into_iter().map(|entry| (entry.worker, entry)));
+            self.discovery.last_revision = self.discovery.last_revision.max(event.revision);
+        }
+        for entry in workers.values() {
+            let draining = entry.status != WorkerStatus::Ready;
+            self.discovery
+                .endpoints
+                .set_draining(entry.worker, draining);
+        }
+        let ready = workers
+            .values()
+            .filter(|entry| entry.status == WorkerStatus::Ready)
+            .map(|entry| entry.worker)
+            .collect();
+        let listed = workers
+            .into_values()
+            .filter(|entry| entry.status != WorkerStatus::Removed)
+            .collect();
+        self.core.update_workers(now, ListUpdate::Cached, listed);
+        ready
+    }
+
+    /// Sets this process's part of the gateway's limits, while other processes of the same gateway live.
+    pub(super) fn update_client_limits(&mut self, now: Micros) {
+        if let Some(hot_restart) = &self.ops.hot_restart {
+            let siblings = hot_restart.others();
+            let (load_rate_limit, overload_multiple) = siblings.limits(&self.config.settings);
+            let observed_capacity = siblings.bears() / MICROS_PER_SECOND;
+            self.core.set_instance_limits(
+                now,
+                load_rate_limit,
+                overload_multiple,
+                observed_capacity,
+            );
+        }
+        self.client_slots
+            .set_max_descriptors(self.max_descriptors());
+    }
+
+    /// Descriptors that this process may hold.
+    pub(super) fn max_descriptors(&self) -> usize {
+        self.config.limits.sockets / self.process_count()
+    }
+}
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -251,7 +251,7 @@
         }
         if adopted {
             // What is agreed holds, whatever becomes of the file; a failure was told.
-            self.keep_tenants();
+            self.persist_tenants();
         }
         let Some(side) = &mut self.cluster.tenants else {
             return;
@@ -322,9 +322,9 @@
         changes
             .into_iter()
             .filter(told)
-            .for_each(|c| self.follow(now, c));
+            .for_each(|c| self.apply_change(now, c));
         let bytes = admin::answer(&Ok(handled.clone()), true);
-        self.end_key(key.map(|(key, ..)| (who, key)), true, &bytes);
+        self.finish_idempotency_key(key.map(|(key, ..)| (who, key)), true, &bytes);
         self.answer_second(conn, now, |stays| {
             if stays {
                 bytes
@@ -345,7 +345,7 @@
             Some(Waits::Asker(asker)) => {
                 let Asker { conn, who, key, .. } = *asker;
                 // It may be made again under the same key, whatever became of it.
-                self.end_key(key.map(|(key, ..)| (who, key)), false, &[]);
+                self.finish_idempotency_key(key.map(|(key, ..)| (who, key)), false, &[]);
                 let (status, text) = (why.status(), why.to_string());
                 self.answer_second(conn, now, |stays| {
                     admin::problem(status, &text, Some(why.remedy()), stays)
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -358,8 +358,16 @@
         now: Micros,
         bytes: impl FnOnce(bool) -> Vec<u8>,
     ) {
-        let accepting = self.ops.life.keeps(now);
-        let Some((conn, Role::Client { open, keep, .. })) = self.connections.get_mut(key) else {
+        let accepting = self.ops.lifecycle.keeps(now);
+        let Some((
+            conn,
+            Role::Client {
+                pending: open,
+                keep_alive: keep,
+                ..
+            },
+        )) = self.connections.get_mut(key)
+        else {
             return;
         };
         *open = None;
@@ -367,8 +375,8 @@
         let stays = *keep && accepting;
         conn.outbox.push(UNTAGGED_FRAME, bytes(stays));
         conn.closing = !stays;
-        self.set_deadline(key, Some(now + CLIENT_IDLE));
+        self.set_deadline(key, Some(now + CLIENT_IDLE_TIMEOUT));
         self.dirty.push(key);
-        self.on_second(key, now);
+        self.read_secondary_requests(key, now);
     }
 }
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -226,7 +226,7 @@
             return;
         };
         if !kept || now > waiting.since + STALE {
-            return self.done.push_back(Completed::without_reply(
+            return self.completed.push_back(Completed::without_reply(
                 Exchange::Attempt(attempt),
                 CloseReason::Withdrawn,
                 SendProgress::Unsent,
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -43,7 +43,8 @@
                     current: None,
                     status: None,
                 };
-                net::connect(address).and_then(|s| self.add(s, false, Role::Portal(link)))
+                net::connect(address)
+                    .and_then(|s| self.add_connection(s, false, Role::Portal(link)))
             }
         };
         match key {
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -135,7 +135,7 @@
                     _ => Vec::new(),
                 };
                 self.now_wait(now, Ok(Reply::Waits(waits)));
-                self.answer_asked(now, conn, limit, key, reply);
+                self.answer_stored(now, conn, limit, key, reply);
             }
         }
     }
@@ -234,7 +234,7 @@
                     return;
                 };
                 tracing::warn!(tenant, endpoint = name, why, "an endpoint is switched off");
-                self.keep_tenants();
+                self.persist_tenants();
                 self.agree_on_disabled(now, &tenant, id);
                 let data = serde_json::json!({ "endpoint": name, "why": why });
                 self.tell_tenant(now, &tenant, None, "endpoint.disabled", &data);
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -113,7 +113,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         names.iter().for_each(|name| self.tell_endpoints(now, name));
-        self.listen(Kind::Webhook, w.listen)?;
+        self.listen(ListenerKind::Webhook, w.listen)?;
         self.recover(now, found);
         if durable {
             self.core
