--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -1,125 +1,99 @@
-//! The core's commands carried out on worker connections, and their endings reported.
+//! The core's commands carried out on workers' connections, and completed exchanges reported to it.
 
 use super::load_coordination::Order;
 use super::{ConnKey, Gateway, Origin, Role};
-use crate::api::{ClassId, Effect, Micros};
+use crate::api::{ClassId, Effect, FunctionId, Micros, WorkerId};
 use crate::completion::{CloseReason, SendProgress};
-use crate::core::AttemptDispatch;
-use crate::core::Command;
+use crate::core::{AttemptDispatch, AttemptKey, Command, HealthCheckKey, LoadOrderKey};
 use crate::front::webhook::message::Outcome;
+use crate::policy::never_ran;
 use crate::worker::{AttemptCommand, Completed, Exchange};
 
 impl Gateway {
-    /// Carries out commands and reports endings until there is nothing left; then writes.
+    /// Carries out commands and reports completed exchanges until there is nothing left; then writes.
     pub(super) fn run_commands(&mut self) {
         loop {
             let now = self.clock.now();
-            if let Some(done) = self.completed.pop_front() {
-                self.report_completed(now, done);
+            if let Some(completed) = self.completed.pop_front() {
+                self.report_completed(now, completed);
             } else if let Some(command) = self.core.next_command() {
                 self.perform_command(now, command);
             } else if self.step_webhooks(now) || self.step_copies(now) || self.step_tenants(now) {
+                continue;
             } else if let Some(key) = self.dirty.pop() {
                 self.look_at_leases(key);
-                let Some((conn, _)) = self.connections.get_mut(key) else {
-                    continue;
-                };
-                let flushed = conn.flush();
-                self.core.counters.written += conn.outbox.take_written();
-                match flushed {
-                    Ok(true) if conn.closing && (!conn.linger || conn.shut_down_write()) => {
-                        self.close(key, CloseReason::Closed)
-                    }
-                    Ok(true) if conn.paused => {
-                        conn.paused = false;
-                        self.ready.push(key);
-                    }
-                    Ok(_) => {}
-                    Err(ending) => self.close(key, ending),
-                }
+                self.flush_connection(key);
             } else {
                 return;
             }
         }
     }
 
-    pub(super) fn report_completed(&mut self, now: Micros, done: Completed) {
-        match done.exchange {
+    /// Writes what a connection's peer takes, and closes a connection that is to be closed once all is written.
+    fn flush_connection(&mut self, key: ConnKey) {
+        let Some((connection, _)) = self.connections.get_mut(key) else {
+            return;
+        };
+        let flushed = connection.flush();
+        self.core.counters.written += connection.outbox.take_written();
+        match flushed {
+            Ok(true)
+                if connection.closing && (!connection.linger || connection.shut_down_write()) =>
+            {
+                self.close(key, CloseReason::Closed)
+            }
+            Ok(true) if connection.paused => {
+                connection.paused = false;
+                self.ready.push(key);
+            }
+            Ok(_) => {}
+            Err(reason) => self.close(key, reason),
+        }
+    }
+
+    /// Tells the core, and whoever else follows exchanges, that one has ended.
+    pub(super) fn report_completed(&mut self, now: Micros, completed: Completed) {
+        let reason = completed.reason;
+        let progress = completed.progress;
+        match completed.exchange {
             Exchange::Attempt(key) => {
                 self.routes.attempts.remove(key);
-                self.guarded_ended(
-                    key,
-                    crate::policy::never_ran(done.reason.outcome(done.progress)),
-                );
+                self.guarded_ended(key, never_ran(reason.outcome(progress)));
                 let worker = self.core.worker_of(key);
-                self.tell_outcome(now, worker, done.reason, done.progress);
+                self.tell_outcome(now, worker, reason, progress);
                 self.core
-                    .attempt_ended(now, key, done.reason, done.progress, done.reply);
+                    .attempt_ended(now, key, reason, progress, completed.reply);
             }
             Exchange::LoadOrder(key) => {
                 self.routes.load_orders.remove(key);
-                self.order_given_ended(now, key, done.copies);
+                self.order_given_ended(now, key, completed.copies);
                 self.core
-                    .load_ended(now, key, done.reason, done.progress, done.copies);
+                    .load_ended(now, key, reason, progress, completed.copies);
             }
             Exchange::HealthCheck(key) => {
                 self.routes.health_checks.remove(key);
-                self.trial_ended(now, key, done.reason);
+                self.trial_ended(now, key, reason);
                 self.core
-                    .health_check_ended(now, key, done.reason, done.reply.load_report);
+                    .health_check_ended(now, key, reason, completed.reply.load_report);
             }
         }
     }
 
-    pub(super) fn perform_command(&mut self, now: Micros, command: Command<Origin>) {
+    fn perform_command(&mut self, now: Micros, command: Command<Origin>) {
         match command {
-            Command::Answer {
-                origin: Origin::Client(key),
-                answer,
-            } => self.answer_client(key, &answer),
-            Command::Answer {
-                origin: Origin::Webhook(job),
-                answer,
-            } => self.call_back(now, job, &Outcome::Answered(answer)),
+            Command::Answer { origin, answer } => match origin {
+                Origin::Client(key) => self.answer_client(key, &answer),
+                Origin::Webhook(job) => self.call_back(now, job, &Outcome::Answered(answer)),
+            },
             Command::Dispatch(dispatch) => {
                 if let Some(dispatch) = self.defer_until_recorded(now, dispatch) {
                     self.send_attempt(now, dispatch);
                 }
             }
-            Command::Cancel {
-                attempt,
-                reason: why,
-            } if self.unrecorded(attempt) => {
-                self.completed.push_back(Completed::without_reply(
-                    Exchange::Attempt(attempt),
-                    why,
-                    SendProgress::Unsent,
-                ));
-            }
-            Command::Cancel {
-                attempt,
-                reason: why,
-            } => {
-                let left = self.routes.attempts.get(attempt).copied();
-                let left = left.map_or(SendProgress::Started, |key| {
-                    self.cancel_exchange(now, key, Exchange::Attempt(attempt))
-                });
-                self.completed.push_back(Completed::without_reply(
-                    Exchange::Attempt(attempt),
-                    why,
-                    left,
-                ));
-            }
-            Command::Withdraw {
-                attempt,
-                reason: why,
-            } => {
+            Command::Cancel { attempt, reason } => self.cancel_attempt(now, attempt, reason),
+            Command::Withdraw { attempt, reason } => {
                 if self.unrecorded(attempt) || self.withdraw_attempt(attempt) {
-                    self.completed.push_back(Completed::without_reply(
-                        Exchange::Attempt(attempt),
-                        why,
-                        SendProgress::Unsent,
-                    ));
+                    self.complete_unsent(Exchange::Attempt(attempt), reason);
                 }
             }
             Command::Load {
@@ -138,81 +112,93 @@
                     self.send_load_order(now, order);
                 }
             }
-            Command::AbandonLoad { order } if self.order_forgotten(now, order) => {
-                self.completed.push_back(Completed::without_reply(
-                    Exchange::LoadOrder(order),
-                    CloseReason::TimedOut,
-                    SendProgress::Unsent,
-                ));
-            }
-            Command::AbandonLoad { order } => {
-                let left = self.routes.load_orders.get(order).copied();
-                let left = left.map_or(SendProgress::Started, |key| {
-                    self.cancel_exchange(now, key, Exchange::LoadOrder(order))
-                });
-                self.completed.push_back(Completed::without_reply(
-                    Exchange::LoadOrder(order),
-                    CloseReason::TimedOut,
-                    left,
-                ));
-            }
-            Command::Unload { worker, function } => {
-                if let Ok(key) = self.connection_to(now, worker, "") {
-                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
-                        return;
-                    };
-                    link.send_unload(&mut conn.outbox, function);
-                    self.dirty.push(key);
-                }
-            }
-            Command::HealthCheck {
-                check: probe,
-                worker,
-            } => match self.connection_to(now, worker, "") {
-                Ok(key) => {
-                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
-                        return;
-                    };
-                    link.send_health_check(&mut conn.outbox, probe);
-                    self.routes.health_checks.insert(probe, key);
-                    self.dirty.push(key);
-                }
-                Err(ending) => {
-                    self.completed.push_back(Completed::without_reply(
-                        Exchange::HealthCheck(probe),
-                        ending,
-                        SendProgress::Unsent,
-                    ));
-                }
-            },
+            Command::AbandonLoad { order } => self.abandon_load_order(now, order),
+            Command::Unload { worker, function } => self.send_unload(now, worker, function),
+            Command::HealthCheck { check, worker } => self.send_health_check(now, check, worker),
         }
     }
 
-    /// Sends an order to load.
+    /// Reports an exchange of which no byte was sent.
+    fn complete_unsent(&mut self, exchange: Exchange, reason: CloseReason) {
+        let completed = Completed::without_reply(exchange, reason, SendProgress::Unsent);
+        self.completed.push_back(completed);
+    }
+
+    fn cancel_attempt(&mut self, now: Micros, attempt: AttemptKey, reason: CloseReason) {
+        let exchange = Exchange::Attempt(attempt);
+        if self.unrecorded(attempt) {
+            return self.complete_unsent(exchange, reason);
+        }
+        let connection_key = self.routes.attempts.get(attempt).copied();
+        let progress = connection_key.map_or(SendProgress::Started, |key| {
+            self.cancel_exchange(now, key, exchange)
+        });
+        self.completed
+            .push_back(Completed::without_reply(exchange, reason, progress));
+    }
+
+    fn abandon_load_order(&mut self, now: Micros, order: LoadOrderKey) {
+        let exchange = Exchange::LoadOrder(order);
+        if self.order_forgotten(now, order) {
+            return self.complete_unsent(exchange, CloseReason::TimedOut);
+        }
+        let connection_key = self.routes.load_orders.get(order).copied();
+        let progress = connection_key.map_or(SendProgress::Started, |key| {
+            self.cancel_exchange(now, key, exchange)
+        });
+        self.completed.push_back(Completed::without_reply(
+            exchange,
+            CloseReason::TimedOut,
+            progress,
+        ));
+    }
+
+    /// Has a worker unload a function's idle copies; without a connection they stay.
+    fn send_unload(&mut self, now: Micros, worker: WorkerId, function: FunctionId) {
+        let Ok(key) = self.connection_to(now, worker, "") else {
+            return;
+        };
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
+            return;
+        };
+        worker.send_unload(&mut connection.outbox, function);
+        self.dirty.push(key);
+    }
+
+    fn send_health_check(&mut self, now: Micros, check: HealthCheckKey, worker: WorkerId) {
+        let key = match self.connection_to(now, worker, "") {
+            Ok(key) => key,
+            Err(reason) => return self.complete_unsent(Exchange::HealthCheck(check), reason),
+        };
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
+            return;
+        };
+        worker.send_health_check(&mut connection.outbox, check);
+        self.routes.health_checks.insert(check, key);
+        self.dirty.push(key);
+    }
+
+    /// Sends a load order, unless its worker is draining.
     pub(super) fn send_load_order(&mut self, now: Micros, order: Order) {
+        let exchange = Exchange::LoadOrder(order.key);
         if self.discovery.endpoints.is_draining(order.worker) {
-            let done = Completed::without_reply(
-                Exchange::LoadOrder(order.key),
-                CloseReason::Withdrawn,
-                SendProgress::Unsent,
-            );
-            return self.completed.push_back(done);
-        }
-        match self.connection_to(now, order.worker, "") {
-            Ok(key) => {
-                let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
-                    return;
-                };
-                link.send_load(&mut conn.outbox, order.key, order.function, order.copies);
-                self.routes.load_orders.insert(order.key, key);
-                self.dirty.push(key);
-            }
-            Err(ending) => self.completed.push_back(Completed::without_reply(
-                Exchange::LoadOrder(order.key),
-                ending,
-                SendProgress::Unsent,
-            )),
+            return self.complete_unsent(exchange, CloseReason::Withdrawn);
         }
+        let key = match self.connection_to(now, order.worker, "") {
+            Ok(key) => key,
+            Err(reason) => return self.complete_unsent(exchange, reason),
+        };
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
+            return;
+        };
+        worker.send_load(
+            &mut connection.outbox,
+            order.key,
+            order.function,
+            order.copies,
+        );
+        self.routes.load_orders.insert(order.key, key);
+        self.dirty.push(key);
     }
 
     /// Sends an attempt on a connection to its worker.
@@ -220,13 +206,7 @@
         let attempt = dispatch.attempt;
         let connection_key = match self.connection_for(now, &dispatch) {
             Ok(key) => key,
-            Err(reason) => {
-                return self.completed.push_back(Completed::without_reply(
-                    Exchange::Attempt(attempt),
-                    reason,
-                    SendProgress::Unsent,
-                ))
-            }
+            Err(reason) => return self.complete_unsent(Exchange::Attempt(attempt), reason),
         };
         let must_run_once = self.runs_once(dispatch.class);
         let Some((connection, Role::Worker(worker))) = self.connections.get_mut(connection_key)
@@ -265,15 +245,10 @@
         self.connection_to(now, dispatch.worker, &dispatch.identity)
     }
 
-    /// Whether a call of this class must not run twice.
+    /// Whether a call of this class must not run twice; true for an unknown class.
     fn runs_once(&self, class: ClassId) -> bool {
-        match self
-            .config
-            .settings
-            .classes
-            .get(class.0 as usize)
-            .map(|c| c.effect)
-        {
+        let class = self.config.settings.classes.get(usize::from(class.0));
+        match class.map(|class| class.effect) {
             Some(Effect::Idempotent) => false,
             Some(Effect::Keyed { .. } | Effect::NonIdempotent) | None => true,
         }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -23,6 +23,7 @@
 use crate::net::{self, Connection};
 use crate::worker::{Completed, Exchange, WorkerConnection};
 
+mod accepting;
 mod client_slots;
 mod clients;
 mod commands;
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -7,7 +7,8 @@
 
 use std::fs::File;
 
-use super::clients::{ACCEPT_RETRY_INTERVAL, LINGER_TIMEOUT};
+use super::accepting::ACCEPT_RETRY_INTERVAL;
+use super::clients::LINGER_TIMEOUT;
 use super::hot_restart::HotRestartDriver;
 use super::{ConnKey, Gateway, GatewayDeadline, GatewayError, Role};
 use crate::api::{ListUpdate, Micros, WorkerEntry};
--- a/src/gateway/worker_connections.rs
+++ b/src/gateway/worker_connections.rs
@@ -27,68 +27,78 @@
 const RESERVED_DESCRIPTORS: usize = 24;
 
 impl Gateway {
-    /// Takes an attempt back if none of its bytes have left; tells whether it has.
+    /// Withdraws an attempt if none of its bytes have been sent; tells whether it was withdrawn.
     pub(super) fn withdraw_attempt(&mut self, attempt: AttemptKey) -> bool {
         let Some(key) = self.routes.attempts.get(attempt) else {
             return false;
         };
-        let Some((conn, Role::Worker(link))) = self.connections.get_mut(*key) else {
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(*key) else {
             return false;
         };
-        link.withdraw(&mut conn.outbox, Exchange::Attempt(attempt))
+        worker.withdraw(&mut connection.outbox, Exchange::Attempt(attempt))
     }
 
-    /// Gives up what is open on a connection. One that has said nothing since takes nothing new: its machine
-    /// may have vanished, and then only a new connection shows whether it is back.
+    /// Cancels an exchange on a connection. A connection that has been silent since takes nothing new: its machine may
+    /// have vanished, and then only a new connection shows whether it is back.
     pub(super) fn cancel_exchange(
         &mut self,
         now: Micros,
         key: ConnKey,
-        what: Exchange,
+        exchange: Exchange,
     ) -> SendProgress {
-        let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
             return SendProgress::Started;
         };
-        let left = link.cancel(&mut conn.outbox, what, now, now + CANCELLED_IDENTITY_WINDOW);
-        if left == SendProgress::Started
-            && now > link.last_received_at.max(link.last_active_at) + WORKER_SILENCE_TIMEOUT
-        {
-            link.retired = true;
+        let until = now + CANCELLED_IDENTITY_WINDOW;
+        let progress = worker.cancel(&mut connection.outbox, exchange, now, until);
+        let last_sign_of_life = worker.last_received_at.max(worker.last_active_at);
+        let silent = now > last_sign_of_life + WORKER_SILENCE_TIMEOUT;
+        if progress == SendProgress::Started && silent {
+            worker.retired = true;
         }
-        if link.retired && link.open() == 0 {
+        if worker.retired && worker.open() == 0 {
             self.set_deadline(key, Some(now + RETIRED_CLOSE_DELAY));
         }
         self.dirty.push(key);
-        left
+        progress
     }
 
-    /// A connection to a worker that takes this, opened if need be.
+    /// A connection to a worker that takes an exchange under this identity; opened if there is none.
     pub(super) fn connection_to(
         &mut self,
         now: Micros,
         worker: WorkerId,
-        id: &str,
+        identity: &str,
     ) -> Result<ConnKey, CloseReason> {
-        let streams = self.config.streams;
+        // An empty entry stays where no connection can be opened: the worker counts as in use by the list.
         let keys = self.routes.connections.entry(worker).or_default();
-        let fits = |key: &&ConnKey| match self.connections.get(**key) {
-            Some((conn, Role::Worker(link))) => {
-                link.accepts(id, streams) && conn.outbox.len() < MAX_WORKER_BACKLOG_BYTES
-            }
-            _ => false,
+        let open_connections = keys.len();
+        let max_open = self.config.streams;
+        let accepting = keys.iter().copied().find(|key| {
+            let Some((connection, Role::Worker(worker))) = self.connections.get(*key) else {
+                return false;
+            };
+            worker.accepts(identity, max_open) && connection.outbox.len() < MAX_WORKER_BACKLOG_BYTES
+        });
+        let Some(key) = accepting else {
+            return self.open_connection_to(now, worker, open_connections);
         };
-        if let Some(key) = keys.iter().copied().find(|key| fits(&key)) {
-            if let Some((_, Role::Worker(link))) = self.connections.get_mut(key) {
-                link.last_active_at = if link.open() == 0 {
-                    now
-                } else {
-                    link.last_active_at
-                };
+        if let Some((_, Role::Worker(worker))) = self.connections.get_mut(key) {
+            if worker.open() == 0 {
+                worker.last_active_at = now;
             }
-            return Ok(key);
         }
-        let keys_held = keys.len();
-        if keys_held >= MAX_CONNECTIONS_PER_WORKER {
+        Ok(key)
+    }
+
+    /// Opens a connection to a worker that has so many open already.
+    fn open_connection_to(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        open_connections: usize,
+    ) -> Result<ConnKey, CloseReason> {
+        if open_connections >= MAX_CONNECTIONS_PER_WORKER {
             return Err(CloseReason::ConnectionsFull);
         }
         if self.connections.len() >= self.max_descriptors().saturating_sub(RESERVED_DESCRIPTORS) {
@@ -100,9 +110,9 @@
             .addresses
             .get(&worker)
             .ok_or(CloseReason::Withdrawn)?;
-        let stream = net::connect(address).map_err(|e| match e.kind() {
+        let stream = net::connect(address).map_err(|error| match error.kind() {
             io::ErrorKind::ConnectionRefused => CloseReason::Refused,
-            _ if net::is_local_limit(&e) => CloseReason::LocalLimit,
+            _ if net::is_local_limit(&error) => CloseReason::LocalLimit,
             _ => CloseReason::ConnectTimeout,
         })?;
         let role = Role::Worker(WorkerConnection::new(worker, now));
@@ -110,36 +120,35 @@
             .add_connection(stream, false, role)
             .map_err(|_| CloseReason::ConnectTimeout)?;
         self.core.counters.connects += 1;
-        tracing::debug!(worker = worker.0, links = keys_held + 1, "connects");
+        tracing::debug!(
+            worker = worker.0,
+            connections = open_connections + 1,
+            "worker connection opened"
+        );
         self.routes.add(worker, key);
         self.set_deadline(key, Some(now + self.config.connect_limit));
         Ok(key)
     }
 
-    /// Nothing more goes out on a worker's connections opened before a time (or on any): what is queued is
-    /// taken back, what is out may still be answered.
+    /// Retires a worker's connections that were opened before an instant (or all): what was not sent is withdrawn, what
+    /// was sent may still be replied to, and nothing new is sent.
     pub(super) fn retire_connections(&mut self, worker: WorkerId, before: Option<Micros>) {
-        let mut done = Vec::new();
-        for key in self
-            .routes
-            .connections
-            .get(&worker)
-            .cloned()
-            .unwrap_or_default()
-        {
-            let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+        let mut completed = Vec::new();
+        let keys = self.routes.connections.get(&worker).cloned();
+        for key in keys.unwrap_or_default() {
+            let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
                 continue;
             };
-            if before.is_some_and(|t| link.opened_at >= t) {
+            if before.is_some_and(|before| worker.opened_at >= before) {
                 continue;
             }
-            link.withdraw_unsent(&mut conn.outbox, &mut done);
-            link.retired = true;
-            if link.open() == 0 {
-                let soon = self.clock.now() + RETIRED_CHECK_INTERVAL;
-                self.set_deadline(key, Some(soon));
+            worker.withdraw_unsent(&mut connection.outbox, &mut completed);
+            worker.retired = true;
+            if worker.open() == 0 {
+                let check_at = self.clock.now() + RETIRED_CHECK_INTERVAL;
+                self.set_deadline(key, Some(check_at));
             }
         }
-        self.completed.extend(done);
+        self.completed.extend(completed);
     }
 }
