--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! The notice board's connection and what its events change.
+//! The connection to service discovery, and what its updates change.
 
 use super::{Gateway, GatewayDeadline, Role};
 use crate::api::{ListUpdate, Micros, WorkerEntry, WorkerId, WorkerStatus};
@@ -13,6 +13,7 @@
 pub(super) const DISCOVERY_RECONNECT_INTERVAL: Micros = 100_000;
 
 impl Gateway {
+    /// Connects to service discovery, if there is one and no connection to it.
     pub(super) fn connect_discovery(&mut self, now: Micros) {
         let Some(address) = self.config.board else {
             return;
@@ -28,8 +29,8 @@
             .and_then(|s| self.add_connection(s, false, Role::Discovery(WatchStream::default())));
         match opened {
             Ok(key) => {
-                if let Some((conn, _)) = self.connections.get_mut(key) {
-                    conn.outbox.push(
+                if let Some((connection, _)) = self.connections.get_mut(key) {
+                    connection.outbox.push(
                         net::UNTAGGED_FRAME,
                         WatchStream::request(address, self.discovery.last_revision),
                     );
@@ -43,99 +44,115 @@
         }
     }
 
-    /// Takes one event; `false` if the board is to be asked anew for what was missed.
+    /// Handles one event; `false` if service discovery is to be asked again for what was missed.
     pub(super) fn read_watch_event(
         &mut self,
         now: Micros,
         event: &discovery::ServerSentEvent,
     ) -> bool {
-        let notice = match WatchEvent::parse(&event.data, &self.config.names) {
-            Ok(notice) => notice,
-            Err(e) => {
-                // The list held stays as it is, and so does its number: the event is asked for once more, as it may
-                // have been spoilt on the way. Unreadable again, it is passed over.
+        let update = match WatchEvent::parse(&event.data, &self.config.names) {
+            Ok(update) => update,
+            Err(error) => {
+                // The list stays as it is, and so does its revision: the event is asked for once more, as it may have
+                // been damaged on the way. Unreadable again, it is skipped.
                 self.core.counters.unreadable += 1;
-                tracing::warn!(event = ?event.id, "a notice cannot be read: {e}");
-                let again = self.discovery.revision_gap == Some(self.discovery.last_revision);
+                tracing::warn!(revision = ?event.id, %error, "watch event cannot be read");
+                let asked_before =
+                    self.discovery.revision_gap == Some(self.discovery.last_revision);
                 self.discovery.revision_gap = Some(self.discovery.last_revision);
-                return again;
+                return asked_before;
             }
         };
-        self.apply_watch_event(now, &notice)
+        self.apply_watch_event(now, &update)
     }
 
-    /// Takes one notice; `false` if one before it was missed. One that is older than the list held is passed
-    /// over: a board may write an event twice, and an old whole list would bring back workers that have gone.
-    pub(super) fn apply_watch_event(&mut self, now: Micros, notice: &WatchEvent) -> bool {
-        if notice.revision < self.discovery.last_revision
-            || notice.revision == self.discovery.last_revision && !notice.snapshot
+    /// Applies one update; `false` if one before it was missed. One that is older than the list is skipped: an event may
+    /// be sent twice, and an old snapshot would bring back workers that were removed.
+    pub(super) fn apply_watch_event(&mut self, now: Micros, update: &WatchEvent) -> bool {
+        if update.revision < self.discovery.last_revision
+            || update.revision == self.discovery.last_revision && !update.snapshot
         {
             return true;
         }
-        if !notice.snapshot
-            && notice.revision > self.discovery.last_revision + 1
+        if !update.snapshot
+            && update.revision > self.discovery.last_revision + 1
             && self.discovery.revision_gap != Some(self.discovery.last_revision)
         {
             self.discovery.revision_gap = Some(self.discovery.last_revision);
             return false;
         }
-        (self.discovery.last_revision, self.discovery.revision_gap) = (notice.revision, None);
-        let applied = self.discovery.endpoints.apply(notice);
-        let lines = notice
+        self.discovery.last_revision = update.revision;
+        self.discovery.revision_gap = None;
+        let applied = self.discovery.endpoints.apply(update);
+        let names = update
             .endpoints
             .iter()
-            .map(|e| e.name.as_str())
-            .zip(applied.workers);
-        let members = self.ops.overrides.list(notice.snapshot, lines);
-        for m in &members {
-            self.apply_worker_status(m);
+            .map(|endpoint| endpoint.name.as_str());
+        let workers = self
+            .ops
+            .overrides
+            .list(update.snapshot, names.zip(applied.workers));
+        for worker in &workers {
+            self.apply_worker_status(worker);
         }
-        self.tell_ready(now, notice.snapshot, &members);
+        self.tell_ready(now, update.snapshot, &workers);
         for worker in applied.readdressed {
             self.retire_connections(worker, None);
         }
-        if notice.snapshot {
-            let listed = |w: &WorkerId| members.iter().any(|m| m.worker == *w);
-            let gone: Vec<WorkerId> = self
-                .routes
-                .connections
-                .keys()
-                .filter(|w| !listed(w))
-                .copied()
-                .collect();
-            for worker in gone {
-                self.discovery.endpoints.set_draining(worker, true);
-                self.retire_connections(worker, None);
-            }
+        if update.snapshot {
+            self.retire_unlisted(&workers);
         }
-        let kind = if notice.snapshot {
+        self.update_core_workers(now, update.snapshot, workers);
+        let connections = &self.routes.connections;
+        self.discovery
+            .endpoints
+            .forget_removed(|worker| connections.contains_key(worker));
+        true
+    }
+
+    /// Retires the connections to workers that a snapshot does not list.
+    fn retire_unlisted(&mut self, listed: &[WorkerEntry]) {
+        let is_listed = |worker: &WorkerId| listed.iter().any(|entry| entry.worker == *worker);
+        let unlisted: Vec<WorkerId> = self
+            .routes
+            .connections
+            .keys()
+            .filter(|worker| !is_listed(worker))
+            .copied()
+            .collect();
+        for worker in unlisted {
+            self.discovery.endpoints.set_draining(worker, true);
+            self.retire_connections(worker, None);
+        }
+    }
+
+    /// Tells the core of an update; a snapshot without the workers that it removes.
+    fn update_core_workers(&mut self, now: Micros, snapshot: bool, workers: Vec<WorkerEntry>) {
+        let update = if snapshot {
             ListUpdate::Snapshot
         } else {
             ListUpdate::Delta
         };
-        let told = members
+        let told = workers
             .into_iter()
-            .filter(|m| !notice.snapshot || m.status != WorkerStatus::Removed)
+            .filter(|entry| !snapshot || entry.status != WorkerStatus::Removed)
             .collect();
-        self.core.update_workers(now, kind, told);
-        let links = &self.routes.connections;
-        self.discovery
-            .endpoints
-            .forget_removed(|worker| links.contains_key(worker));
-        true
+        self.core.update_workers(now, update, told);
     }
 
-    pub(super) fn apply_worker_status(&mut self, m: &WorkerEntry) {
+    /// Notes a worker's status, and retires connections to it that are of no more use.
+    pub(super) fn apply_worker_status(&mut self, entry: &WorkerEntry) {
+        let worker = entry.worker;
         self.discovery
             .endpoints
-            .set_draining(m.worker, m.status != WorkerStatus::Ready);
-        match (m.status, m.started_at) {
-            (WorkerStatus::Ready, Some(started)) => {
-                self.retire_connections(m.worker, Some(started))
+            .set_draining(worker, entry.status != WorkerStatus::Ready);
+        match (entry.status, entry.started_at) {
+            (WorkerStatus::Ready, Some(started_at)) => {
+                self.retire_connections(worker, Some(started_at));
             }
             (WorkerStatus::Ready, None) => {}
             (WorkerStatus::Draining | WorkerStatus::Removed, _) => {
-                self.retire_connections(m.worker, None)
+                self.retire_connections(worker, None);
             }
         }
     }
--- a/src/gateway/history.rs
+++ b/src/gateway/history.rs
@@ -1,4 +1,4 @@
-//! Where a subsystem's notes go, for a checker apart from the program: a line each, with the process's name and number.
+//! Histories: what a subsystem did, a line of JSON each with the process's name and id, for a separate checker.
 
 use std::fs::File;
 use std::io::Write;
@@ -7,7 +7,7 @@
 
 use serde::Serialize;
 
-/// A history; none is written if there is no file.
+/// A subsystem's history; nothing is written if there is no file.
 #[derive(Debug, Default)]
 pub(super) struct History {
     file: Option<File>,
@@ -16,33 +16,37 @@
 }
 
 impl History {
-    /// Appends to a file beside the council's.
+    /// Appends to a file beside the consensus group's, with its own extension.
+    ///
+    /// # Errors
+    ///
+    /// The system's, where the file cannot be opened.
     pub(super) fn beside(
-        council: Option<&Path>,
-        what: &str,
+        consensus_file: Option<&Path>,
+        extension: &str,
         name: &Arc<str>,
         process: u64,
     ) -> std::io::Result<History> {
-        let open = |p: &Path| {
+        let open = |path: &Path| {
             File::options()
                 .create(true)
                 .append(true)
-                .open(p.with_extension(what))
+                .open(path.with_extension(extension))
         };
         Ok(History {
-            file: council.map(open).transpose()?,
+            file: consensus_file.map(open).transpose()?,
             name: Some(name.clone()),
             process,
         })
     }
 
-    /// Writes a note in one write, which a kill does not cut. A history that cannot be written is a worse check and no reason
-    /// to stop.
-    pub(super) fn record(&mut self, note: &impl Serialize) {
+    /// Writes an event in one write, which a kill does not cut. A history that cannot be written weakens the check and is
+    /// no reason to stop.
+    pub(super) fn record(&mut self, event: &impl Serialize) {
         let Some(file) = &mut self.file else { return };
-        let line = serde_json::json!({ "name": self.name, "process": self.process, "note": note });
-        if let Err(e) = file.write_all(format!("{line}\n").as_bytes()) {
-            tracing::warn!("a history is not written any more: {e}");
+        let line = serde_json::json!({ "name": self.name, "process": self.process, "note": event });
+        if let Err(error) = file.write_all(format!("{line}\n").as_bytes()) {
+            tracing::warn!(%error, "history is not written any more");
             self.file = None;
         }
     }
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -1,52 +1,146 @@
-//! Drives the handover between processes of one gateway: its folder in `$TMPDIR`, its files, and the socket that
-//! both hold. What the words mean is decided in `operations::hot_restart` and `operations::upkeep`.
+//! Drives the hot restart between processes of one gateway: its folder in `$TMPDIR`, its files, and the socket that both
+//! hold. What their states mean is decided in `operations::hot_restart` and `operations::overrides`.
 //!
-//! In the folder each process has `PID.lock`, locked while it lives, and `PID.word`, written beside and renamed. Both stay
-//! at its end: what it was told last is heard by whoever lives or starts next, who then clears them away.
+//! In the folder each process has `PID.lock`, locked while it lives, and `PID.word` with its state, written beside and
+//! renamed. Both stay at its end: its last state is read by the process that lives or starts next, which removes them.
 
 use std::collections::BTreeMap;
 use std::io;
 
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
+use super::startup::MICROS_PER_SECOND;
 use super::{Gateway, GatewayDeadline};
 use crate::api::Micros;
 use crate::operations::hot_restart::{
     SiblingProcesses, SiblingState, State, MAX_STATE_BYTES, WRITE_INTERVAL,
 };
 
-/// How often the others' words are looked at: well within the grace that the rules give after a call.
+/// How often the other processes' states are read: well within the grace that the rules give after a call.
 const SIBLING_READ_INTERVAL: Micros = 100_000;
-/// A new process that has not heard from the notice board by then serves with the list that it was given.
+/// A new process that has not heard from service discovery by then serves with the list that it was given.
 const DISCOVERY_START_TIMEOUT: Micros = 1_500_000;
 
-/// The handover, while the clients' socket is one that the platform holds.
+/// The most that a worker is told to have served, in answers a second.
+const MAX_TOLD_CAPACITY_PER_S: f64 = 1e5;
+
+/// The hot restart, while the clients' socket is one that the platform holds.
 #[derive(Debug)]
 pub(super) struct HotRestartDriver {
     /// The folder, and the lock of this process; none if there is no place for it.
     folder: Option<(PathBuf, File)>,
     pid: u32,
     siblings: SiblingProcesses,
-    /// The word files read last, by process: when written and how long.
+    /// The state files read last, by process: when each was written and how long it is.
     read: BTreeMap<u32, (SystemTime, u64)>,
     written: (String, Micros),
     started_at: Micros,
-    /// Whether the board has answered since the start.
+    /// Whether service discovery has answered since the start.
     discovery_answered: bool,
 }
 
+/// What the files of other processes hold.
+#[derive(Debug, Default)]
+struct SiblingReadings {
+    living: BTreeSet<u32>,
+    dead: Vec<u32>,
+    /// The states that have changed since the last time.
+    states: Vec<SiblingReading>,
+}
+
+/// The state of one other process.
+#[derive(Debug)]
+struct SiblingReading {
+    pid: u32,
+    alive: bool,
+    state: SiblingState,
+}
+
 impl HotRestartDriver {
-    pub(super) fn others(&self) -> &SiblingProcesses {
+    /// Reads the files of other processes; `None` if there is no folder for them.
+    fn read_files(&mut self, gateway: &str) -> Option<SiblingReadings> {
+        let (folder, _) = self.folder.as_ref()?;
+        let folder = folder.clone();
+        let mut readings = SiblingReadings::default();
+        for pid in sibling_pids(&folder, self.pid) {
+            let alive = is_locked(&folder.join(format!("{pid}.lock")));
+            if alive {
+                readings.living.insert(pid);
+            } else {
+                readings.dead.push(pid);
+            }
+            let path = folder.join(format!("{pid}.word"));
+            match self.read_state(pid, &path, gateway, alive) {
+                Ok(Some(state)) => readings.states.push(SiblingReading { pid, alive, state }),
+                Ok(None) => {}
+                Err(error) => tracing::error!(pid, %error, "process state cannot be read"),
+            }
+        }
+        self.read.retain(|pid, _| readings.living.contains(pid));
+        Some(readings)
+    }
+
+    /// The state that another process has written; `None` if there is none, or none since the last time.
+    fn read_state(
+        &mut self,
+        pid: u32,
+        path: &Path,
+        gateway: &str,
+        alive: bool,
+    ) -> io::Result<Option<SiblingState>> {
+        let Ok(metadata) = fs::metadata(path) else {
+            return Ok(None);
+        };
+        let modified = metadata.modified().unwrap_or(SystemTime::UNIX_EPOCH);
+        let version = (modified, metadata.len());
+        if self.read.insert(pid, version) == Some(version) {
+            return Ok(None);
+        }
+        let age = SystemTime::now()
+            .duration_since(modified)
+            .map_or(0, |age| age.as_micros() as Micros);
+        let bytes = if metadata.len() > MAX_STATE_BYTES as u64 {
+            Vec::new()
+        } else {
+            fs::read(path)?
+        };
+        match SiblingState::read(&bytes, gateway, alive, age) {
+            Ok(state) => Ok(Some(state)),
+            Err(error) => Err(io::Error::other(error.to_string())),
+        }
+    }
+    pub(super) fn siblings(&self) -> &SiblingProcesses {
         &self.siblings
     }
 }
 
+/// The other processes that have a file in the folder.
+fn sibling_pids(folder: &Path, own: u32) -> BTreeSet<u32> {
+    let mut pids = BTreeSet::new();
+    for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
+        let name = entry.file_name();
+        let pid = name
+            .to_str()
+            .and_then(|name| name.split_once('.'))
+            .and_then(|(pid, _)| pid.parse::<u32>().ok());
+        pids.extend(pid.filter(|pid| *pid != own));
+    }
+    pids
+}
+
+/// Whether a living process holds a lock. A missing file, or one without a lock, is left by a process that has died, at
+/// whatever step.
+fn is_locked(path: &Path) -> bool {
+    File::open(path)
+        .is_ok_and(|file| matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)))
+}
+
 fn create_lock(folder: PathBuf, pid: u32) -> io::Result<(PathBuf, File)> {
     fs::create_dir_all(&folder)?;
-    // Locked before it gets its name: another process takes a file without a lock for a dead one's.
+    // Locked before it gets its name: another process takes a file without a lock for that of a dead process.
     let fresh = folder.join(format!("{pid}.fresh"));
     let file = File::create(&fresh)?;
     file.try_lock().map_err(io::Error::other)?;
@@ -55,24 +149,23 @@
 }
 
 impl Gateway {
-    /// Begins the handover, before any list is taken over: bans that another process holds bind from the first
-    /// moment.
+    /// Begins the hot restart, before any list is taken over: the bans of another process apply from the first moment.
     pub(super) fn start_hot_restart(&mut self, now: Micros) {
         let pid = std::process::id();
         let place = std::env::var_os("TMPDIR").filter(|t| !t.is_empty());
         let folder =
             match place.map(|t| create_lock(PathBuf::from(t).join("molelug-handover"), pid)) {
                 Some(Ok(folder)) => Some(folder),
-                Some(Err(e)) => {
-                    tracing::error!("nothing is handed over between processes: {e}");
+                Some(Err(error)) => {
+                    tracing::error!(%error, "hot restart has no folder");
                     None
                 }
                 None => {
-                    tracing::error!("nothing is handed over between processes: TMPDIR is not set");
+                    tracing::error!(error = "TMPDIR is not set", "hot restart has no folder");
                     None
                 }
             };
-        let handover = HotRestartDriver {
+        let hot_restart = HotRestartDriver {
             folder,
             pid,
             siblings: SiblingProcesses::default(),
@@ -81,11 +174,11 @@
             started_at: now,
             discovery_answered: false,
         };
-        self.ops.hot_restart = Some(handover);
+        self.ops.hot_restart = Some(hot_restart);
         self.read_siblings(now);
     }
 
-    /// Looks at what the other processes tell, and again in a while.
+    /// Reads the other processes' states and writes the own, and again after [`SIBLING_READ_INTERVAL`].
     pub(super) fn step_hot_restart(&mut self, now: Micros) {
         self.read_siblings(now);
         self.check_start(now);
@@ -96,95 +189,50 @@
         );
     }
 
+    /// Reads what the other processes have written since the last time, and applies it.
     pub(super) fn read_siblings(&mut self, now: Micros) {
-        let Some(handover) = &mut self.ops.hot_restart else {
+        let Some(hot_restart) = &mut self.ops.hot_restart else {
             return;
         };
-        let Some((folder, _)) = &handover.folder else {
+        let Some(readings) = hot_restart.read_files(&self.config.name) else {
             return;
         };
-        let mut pids = BTreeSet::new();
-        for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
-            let name = entry.file_name();
-            let pid = name
-                .to_str()
-                .and_then(|n| n.split_once('.'))
-                .and_then(|(pid, _)| pid.parse::<u32>().ok());
-            pids.extend(pid.filter(|pid| *pid != handover.pid));
-        }
-        let mut living = BTreeSet::new();
-        let mut heard = Vec::new();
-        let mut dead = Vec::new();
-        for pid in pids {
-            // A lock that cannot be had is held by a living process; no file, or one without a lock, is left
-            // by one that has died, at whatever step.
-            let lock = File::open(folder.join(format!("{pid}.lock")));
-            let alive =
-                lock.is_ok_and(|f| matches!(f.try_lock_shared(), Err(TryLockError::WouldBlock)));
-            if alive {
-                living.insert(pid);
-            } else {
-                dead.push(pid);
-            }
-            let path = folder.join(format!("{pid}.word"));
-            let Ok(meta) = fs::metadata(&path) else {
-                continue;
-            };
-            let modified = meta.modified().unwrap_or(SystemTime::UNIX_EPOCH);
-            let mark = (modified, meta.len());
-            if handover.read.get(&pid) == Some(&mark) {
-                continue;
-            }
-            handover.read.insert(pid, mark);
-            let age = SystemTime::now()
-                .duration_since(modified)
-                .map_or(0, |d| d.as_micros() as Micros);
-            let bytes = if meta.len() > MAX_STATE_BYTES as u64 {
-                Ok(Vec::new())
-            } else {
-                fs::read(&path)
-            };
-            let word = bytes.map(|b| SiblingState::read(&b, &self.config.name, alive, age));
-            match word {
-                Ok(Ok(word)) => heard.push((pid, alive, word)),
-                Ok(Err(e)) => tracing::error!(pid, "what another process left is passed over: {e}"),
-                Err(e) => tracing::error!(pid, "what another process left cannot be read: {e}"),
-            }
-        }
-        handover.read.retain(|pid, _| living.contains(pid));
-        let changed = handover.siblings.only(&living);
+        let changed = hot_restart.siblings.only(&readings.living);
         let mut bans = Vec::new();
-        for (pid, alive, word) in heard {
-            word.seen
-                .iter()
-                .for_each(|name| self.ops.overrides.see(name));
+        for reading in readings.states {
+            for name in &reading.state.seen {
+                self.ops.overrides.see(name);
+            }
             bans.extend(
-                word.bans
+                reading
+                    .state
+                    .bans
                     .iter()
-                    .map(|(name, (ban, at))| (name.clone(), *ban, *at)),
+                    .map(|(name, (banned, at))| (name.clone(), *banned, *at)),
             );
-            if alive {
-                handover.siblings.heard(pid, word);
+            if reading.alive {
+                hot_restart.siblings.heard(reading.pid, reading.state);
             }
         }
-        let processes = handover.siblings.processes();
-        let learnt = handover.siblings.bears() > self.core.observed_capacity() * 1e6;
-        for (name, ban, at) in bans {
-            if let Some(member) = self.ops.overrides.merge(&name, ban, at, now) {
-                tracing::info!(worker = name, out = ban, "upkeep, told by another process");
-                self.announce_worker(now, member);
+        let processes = hot_restart.siblings.processes();
+        let own_capacity = self.core.observed_capacity() * MICROS_PER_SECOND;
+        let capacity_learnt = hot_restart.siblings.bears() > own_capacity;
+        for (name, banned, at) in bans {
+            if let Some(worker) = self.ops.overrides.merge(&name, banned, at, now) {
+                tracing::info!(worker = name, excluded = banned, "worker override received");
+                self.announce_worker(now, worker);
             }
         }
         if changed {
-            tracing::info!(processes, "processes of this gateway");
+            tracing::info!(processes, "processes of this gateway changed");
         }
-        if changed || learnt {
+        if changed || capacity_learnt {
             self.update_client_limits(now);
         }
-        if !dead.is_empty() {
-            // Its bans are in this process's own word before its files go.
+        if !readings.dead.is_empty() {
+            // The dead processes' bans are in this process's own state before their files are removed.
             self.write_state(now);
-            self.remove_files_of(&dead);
+            self.remove_files_of(&readings.dead);
         }
     }
 
@@ -201,12 +249,12 @@
             .iter()
             .flat_map(|pid| ["fresh", "new", "word", "lock"].map(|k| (pid, k)))
         {
-            // Most are not there.
+            // Most do not exist.
             let _ = fs::remove_file(folder.join(format!("{pid}.{kind}")));
         }
     }
 
-    /// Tells the others what has changed here, if anything has or the last word has become old.
+    /// Writes this process's state for the others, if it has changed or was written long ago.
     pub(super) fn write_state(&mut self, now: Micros) {
         let life = &self.ops.lifecycle;
         let state = match (life.is_ending(), life.has_started()) {
@@ -214,10 +262,10 @@
             (false, true) => State::Ready,
             (false, false) => State::Starting,
         };
-        let Some(handover) = &mut self.ops.hot_restart else {
+        let Some(hot_restart) = &mut self.ops.hot_restart else {
             return;
         };
-        let Some((folder, _)) = &handover.folder else {
+        let Some((folder, _)) = &hot_restart.folder else {
             return;
         };
         let upkeep = &self.ops.overrides;
@@ -225,52 +273,55 @@
             gateway: self.config.name.clone(),
             state,
             rev: self.discovery.last_revision,
-            bears: (self.core.observed_capacity() * 1e6).min(1e5),
+            bears: (self.core.observed_capacity() * MICROS_PER_SECOND).min(MAX_TOLD_CAPACITY_PER_S),
             bans: upkeep.bans().clone(),
             seen: upkeep.seen().map(str::to_owned).collect(),
         };
         let text = word.text();
-        if text == handover.written.0 && now < handover.written.1 + WRITE_INTERVAL {
+        if text == hot_restart.written.0 && now < hot_restart.written.1 + WRITE_INTERVAL {
             return;
         }
         let (fresh, path) = (
-            folder.join(format!("{}.new", handover.pid)),
-            folder.join(format!("{}.word", handover.pid)),
+            folder.join(format!("{}.new", hot_restart.pid)),
+            folder.join(format!("{}.word", hot_restart.pid)),
         );
         match fs::write(&fresh, &text).and_then(|()| fs::rename(&fresh, &path)) {
-            Ok(()) => handover.written = (text, now),
-            Err(e) => tracing::error!("another process will not hear of this: {e}"),
+            Ok(()) => hot_restart.written = (text, now),
+            Err(error) => tracing::error!(%error, "process state cannot be written"),
         }
     }
 
-    /// The board has answered.
+    /// Service discovery has answered.
     pub(super) fn note_discovery_answer(&mut self, now: Micros) {
-        if let Some(handover) = self
+        if let Some(hot_restart) = self
             .ops
             .hot_restart
             .as_mut()
             .filter(|h| !h.discovery_answered)
         {
-            handover.discovery_answered = true;
+            hot_restart.discovery_answered = true;
             self.check_start(now);
         }
     }
 
-    /// A process that was handed its socket takes connections once it knows what the others know.
+    /// A process that inherited its socket accepts connections once it knows what the others know.
     pub(super) fn check_start(&mut self, now: Micros) {
-        let Some(handover) = &self.ops.hot_restart else {
+        let Some(hot_restart) = &self.ops.hot_restart else {
             return;
         };
         if self.ops.lifecycle.has_started() {
             return;
         }
-        let told = self.config.board.is_none() || handover.discovery_answered;
-        if told && self.discovery.last_revision >= handover.siblings.rev()
-            || now >= handover.started_at + DISCOVERY_START_TIMEOUT
+        let told = self.config.board.is_none() || hot_restart.discovery_answered;
+        if told && self.discovery.last_revision >= hot_restart.siblings.rev()
+            || now >= hot_restart.started_at + DISCOVERY_START_TIMEOUT
         {
             self.ops.lifecycle.start();
             self.listeners.accept_pending = true;
-            tracing::info!(rev = self.discovery.last_revision, "takes connections");
+            tracing::info!(
+                revision = self.discovery.last_revision,
+                "accepting connections"
+            );
             self.write_state(now);
         }
     }
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -1,4 +1,4 @@
-//! Drives day-to-day running: the second address and what its calls change. It decides nothing.
+//! Drives the operator console and what its commands change. It decides nothing.
 
 use std::collections::VecDeque;
 use std::io;
@@ -19,16 +19,16 @@
 use crate::operations::metrics::{self, Gauges};
 use crate::operations::overrides::{OverrideError, WorkerOverrides};
 
-/// Callers of the second address at once; beyond it the longest silent one yields.
+/// Clients of the operator console at once; beyond it the oldest is closed.
 const MAX_CONSOLE_CLIENTS: usize = 16;
-/// Callers accepted in one turn.
+/// Console clients accepted in one turn.
 const MAX_CONSOLE_ACCEPTS_PER_TURN: usize = 64;
-/// A caller that says nothing is let go after this.
+/// A console client that sends nothing is closed after this.
 const CONSOLE_IDLE_TIMEOUT: Micros = 5_000_000;
-/// Descriptors held for the second address, for when the machine has none left.
+/// Descriptors reserved for the operator console, for when the machine has none left.
 const SPARE_DESCRIPTORS: usize = 2;
 
-/// All that belongs to day-to-day running.
+/// The operator console, and the state that operators change.
 #[derive(Debug, Default)]
 pub(super) struct OperationsDriver {
     pub(super) lifecycle: Lifecycle,
@@ -37,20 +37,20 @@
     pub(super) hot_restart: Option<HotRestartDriver>,
 }
 
-/// The second address, while it is on.
+/// The operator console, while it is on.
 #[derive(Debug)]
 struct OperatorConsole {
     socket: Rc<TcpListener>,
     accept: bool,
-    /// The callers, in the order in which they came.
-    callers: VecDeque<ConnKey>,
+    /// The clients, in the order in which they connected.
+    clients: VecDeque<ConnKey>,
     spares: Vec<File>,
 }
 
 impl OperatorConsole {
     fn refill_spares(&mut self) {
         while self.spares.len() < SPARE_DESCRIPTORS {
-            // Fails only while there are none to spare; tried again when a caller has gone.
+            // Fails only while there are none to spare; tried again when a client has disconnected.
             let Ok(file) = File::open("/dev/null") else {
                 return;
             };
@@ -61,74 +61,80 @@
 
 impl OperationsDriver {
     pub(super) fn console_client_closed(&mut self, key: ConnKey) {
-        if let Some(side) = &mut self.console {
-            side.callers.retain(|k| *k != key);
-            side.refill_spares();
+        if let Some(console) = &mut self.console {
+            console.clients.retain(|k| *k != key);
+            console.refill_spares();
         }
     }
 
-    /// Whether callers wait to be accepted.
+    /// Whether clients wait to be accepted.
     pub(super) fn is_busy(&self) -> bool {
-        self.console.as_ref().is_some_and(|side| side.accept)
+        self.console.as_ref().is_some_and(|console| console.accept)
     }
 }
 
 impl Gateway {
-    /// Listens on the second address, if there is to be one.
+    /// Listens for the operator console, if there is to be one.
+    ///
+    /// # Errors
+    ///
+    /// [`GatewayError`]: its address cannot be listened on.
     pub(super) fn set_up_console(&mut self) -> Result<(), GatewayError> {
         let Some(address) = self.config.admin_addr else {
             return Ok(());
         };
-        let (socket, _) = self.bind_listener(address, |node| {
-            if let Some(side) = &mut node.ops.console {
-                side.accept = true;
+        let (socket, _) = self.bind_listener(address, |gateway| {
+            if let Some(console) = &mut gateway.ops.console {
+                console.accept = true;
             }
         })?;
-        let mut side = OperatorConsole {
+        let mut console = OperatorConsole {
             socket,
             accept: true,
-            callers: VecDeque::new(),
+            clients: VecDeque::new(),
             spares: Vec::new(),
         };
-        side.refill_spares();
-        self.ops.console = Some(side);
+        console.refill_spares();
+        self.ops.console = Some(console);
         Ok(())
     }
 
-    /// Where the second address listens, if it does.
+    /// Where the operator console listens, if it is on.
     pub fn console_address(&self) -> Option<SocketAddr> {
         self.ops
             .console
             .as_ref()
-            .and_then(|side| side.socket.local_addr().ok())
+            .and_then(|console| console.socket.local_addr().ok())
     }
 
-    /// Accepts callers and answers those that have called, before anything else in a turn.
+    /// Accepts console clients and answers their requests, before anything else in a turn.
     pub(super) fn serve_console(&mut self) {
         if self.ops.console.is_none() {
             return;
         }
-        let is_line =
+        let is_console_client =
             |key: &ConnKey| matches!(self.connections.get(*key), Some((_, Role::Console)));
-        let (lines, others) = std::mem::take(&mut self.ready)
+        let (console_clients, others) = std::mem::take(&mut self.ready)
             .into_iter()
-            .partition(is_line);
+            .partition(is_console_client);
         self.ready = others;
-        let lines: Vec<ConnKey> = lines;
-        lines.into_iter().for_each(|key| self.on_ready(key));
+        let console_clients: Vec<ConnKey> = console_clients;
+        for key in console_clients {
+            self.on_ready(key);
+        }
         for _ in 0..MAX_CONSOLE_ACCEPTS_PER_TURN {
-            let Some(side) = self.ops.console.as_mut().filter(|side| side.accept) else {
+            let Some(console) = self.ops.console.as_mut().filter(|console| console.accept) else {
                 return;
             };
-            match side.socket.accept() {
+            match console.socket.accept() {
                 Ok((stream, _)) => self.add_console_client(stream),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => side.accept = false,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => console.accept = false,
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                // Out of descriptors: those held for this are let go, one caller each.
-                Err(_) if side.spares.pop().is_some() => {}
+                // Out of descriptors: a reserved one is freed for each client.
+                Err(_) if console.spares.pop().is_some() => {}
                 Err(_) => {
-                    side.accept = false;
+                    console.accept = false;
                     let at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
                     self.core
                         .schedule(at, GatewayDeadline::ConsoleAcceptRetry.into());
@@ -138,10 +144,10 @@
         }
     }
 
-    /// Accepting callers is tried again after the machine had no descriptor for one.
+    /// Accepting console clients is tried again after the machine had no descriptor for one.
     pub(super) fn retry_console_accept(&mut self) {
-        if let Some(side) = &mut self.ops.console {
-            side.accept = true;
+        if let Some(console) = &mut self.ops.console {
+            console.accept = true;
         }
     }
 
@@ -154,16 +160,16 @@
         };
         let now = self.clock.now();
         self.set_deadline(key, Some(now + CONSOLE_IDLE_TIMEOUT));
-        let Some(side) = &mut self.ops.console else {
+        let Some(console) = &mut self.ops.console else {
             return;
         };
-        side.callers.push_back(key);
-        // Guards the places against callers that say nothing and linger.
-        let oldest = side
-            .callers
+        console.clients.push_back(key);
+        // Guards the descriptors against clients that send nothing and stay.
+        let oldest = console
+            .clients
             .front()
             .copied()
-            .filter(|_| side.callers.len() > MAX_CONSOLE_CLIENTS);
+            .filter(|_| console.clients.len() > MAX_CONSOLE_CLIENTS);
         if let Some(oldest) = oldest {
             self.close(oldest, CloseReason::LocalLimit);
         }
@@ -171,22 +177,27 @@
     }
 
     pub(super) fn read_console_request(&mut self, key: ConnKey, now: Micros) {
-        let Some((conn, _)) = self.connections.get(key).filter(|(conn, _)| !conn.closing) else {
+        let Some((connection, _)) = self
+            .connections
+            .get(key)
+            .filter(|(connection, _)| !connection.closing)
+        else {
             return;
         };
-        let bytes = match operator_console::take(conn.input.bytes(), conn.peer_closed) {
+        let bytes = match operator_console::take(connection.input.bytes(), connection.peer_closed) {
             Ok(None) => return,
             Ok(Some(ask)) => self.answer_console(now, ask),
             Err(e) => operator_console::answer(false, e),
         };
         self.set_deadline(key, Some(now + LINGER_TIMEOUT));
-        let Some((conn, _)) = self.connections.get_mut(key) else {
+        let Some((connection, _)) = self.connections.get_mut(key) else {
             return;
         };
-        conn.outbox.push(net::UNTAGGED_FRAME, bytes);
-        (conn.closing, conn.linger) = (true, true);
-        // At once, not when the turn's other work is done.
-        let _ = conn.flush();
+        connection.outbox.push(net::UNTAGGED_FRAME, bytes);
+        connection.closing = true;
+        connection.linger = true;
+        // Written at once, not when the turn's other work is done; an error shows at the next read.
+        let _ = connection.flush();
         self.dirty.push(key);
     }
 
@@ -214,14 +225,14 @@
             }
             Ask::Evacuate => {
                 if self.ops.lifecycle.evacuate(now) {
-                    tracing::info!("is being emptied");
+                    tracing::info!("evacuation began");
                     self.schedule_idle_closes(now);
                 }
                 operator_console::answer(true, "no connection stays")
             }
             Ask::Activate => {
                 if self.ops.lifecycle.is_emptied() {
-                    tracing::info!("serves again");
+                    tracing::info!("evacuation ended");
                     self.ops.lifecycle.activate();
                     self.schedule_idle_closes(now);
                 }
@@ -230,7 +241,7 @@
         }
     }
 
-    /// What staff changed of a worker is told to all that asks for the list; then the answer may say so.
+    /// Applies an operator's change of a worker, and tells other processes, before the answer says so.
     fn apply_override(
         &mut self,
         now: Micros,
@@ -240,15 +251,16 @@
         match change {
             Err(refusal) => operator_console::answer(false, refusal),
             Ok(change) => {
-                let out = self.ops.overrides.is_banned(name);
-                tracing::info!(worker = name, out, changed = change.is_some(), "upkeep");
-                if let Some(member) = change {
-                    self.announce_worker(now, member);
+                let excluded = self.ops.overrides.is_banned(name);
+                let changed = change.is_some();
+                tracing::info!(worker = name, excluded, changed, "worker override set");
+                if let Some(worker) = change {
+                    self.announce_worker(now, worker);
                 }
                 self.write_state(now);
                 operator_console::answer(
                     true,
-                    if out {
+                    if excluded {
                         "gets nothing new"
                     } else {
                         "may be used"
@@ -258,11 +270,12 @@
         }
     }
 
-    pub(super) fn announce_worker(&mut self, now: Micros, member: WorkerEntry) {
-        self.apply_worker_status(&member);
-        self.tell_ready(now, false, std::slice::from_ref(&member));
+    /// Tells the core and the subsystems of a worker whose status an operator changed.
+    pub(super) fn announce_worker(&mut self, now: Micros, worker: WorkerEntry) {
+        self.apply_worker_status(&worker);
+        self.tell_ready(now, false, std::slice::from_ref(&worker));
         self.core
-            .update_workers(now, ListUpdate::Delta, vec![member]);
+            .update_workers(now, ListUpdate::Delta, vec![worker]);
     }
 
     fn gauges(&self) -> Gauges {
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -1,16 +1,16 @@
-//! SIGHUP: the configuration read anew while calls go on.
+//! SIGHUP: the configuration reloaded while calls go on.
 
 use super::{ConnKey, Gateway, Role};
 use crate::completion::CloseReason;
 
 impl Gateway {
-    /// Reads the configuration's file again and moves to the notice board that it names, from the version
-    /// held. A file that cannot be used changes nothing. What calls are under way under (names, limits, the
-    /// module's settings) stays until a restart, and a file that would change it is said to.
+    /// Reads the configuration's file again and moves to the discovery service that it names, from the revision at hand.
+    /// A file that cannot be used changes nothing. What pending calls depend on (names, limits, the decision module's
+    /// settings) stays until a restart; a file that would change it is logged.
     pub(super) fn reload(&mut self) {
         let fresh = match self.config.again() {
             Ok(fresh) => fresh,
-            Err(e) => return tracing::error!("the settings stay as they are: {e}"),
+            Err(error) => return tracing::error!(%error, "the settings stay as they are"),
         };
         let now = self.clock.now();
         self.reload_gossip(now);
@@ -20,23 +20,26 @@
                 "only the notice board is taken from the new configuration before a restart"
             );
         }
-        for notice in &fresh.known {
-            // One that was missed in between is asked of the board.
-            if !self.apply_watch_event(now, notice) {
+        for update in &fresh.known {
+            // An update that was missed in between is asked of service discovery.
+            if !self.apply_watch_event(now, update) {
                 break;
             }
         }
-        let boards = self
+        let open: Vec<ConnKey> = self
             .connections
             .iter()
-            .filter(|(_, (_, role))| matches!(role, Role::Discovery(_)));
-        let boards: Vec<ConnKey> = boards.map(|(key, _)| key).collect();
+            .filter(|(_, (_, role))| matches!(role, Role::Discovery(_)))
+            .map(|(key, _)| key)
+            .collect();
         self.config.board = fresh.board;
-        boards
-            .into_iter()
-            .for_each(|key| self.close(key, CloseReason::Shutdown));
+        for key in open {
+            self.close(key, CloseReason::Shutdown);
+        }
         self.connect_discovery(now);
-        let to = fresh.board.map_or("none".to_owned(), |b| b.to_string());
-        tracing::info!("the configuration was read anew; notice board: {to}");
+        let address = fresh
+            .board
+            .map_or("none".to_owned(), |address| address.to_string());
+        tracing::info!(discovery = %address, "the configuration was read anew");
     }
 }
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -17,7 +17,7 @@
 use crate::core::Core;
 
 /// Microseconds of a second, between the core's rates and those that processes tell each other.
-const MICROS_PER_SECOND: f64 = 1e6;
+pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Gateway {
     /// Listens and takes over the known list of workers; serves once [`Gateway::run`] is called.
@@ -149,7 +149,7 @@
     /// Sets this process's part of the gateway's limits, while other processes of the same gateway live.
     pub(super) fn update_client_limits(&mut self, now: Micros) {
         if let Some(hot_restart) = &self.ops.hot_restart {
-            let siblings = hot_restart.others();
+            let siblings = hot_restart.siblings();
             let (load_rate_limit, overload_multiple) = siblings.limits(&self.config.settings);
             let observed_capacity = siblings.bears() / MICROS_PER_SECOND;
             self.core.set_instance_limits(
