--- /dev/null
+++ b/src/gateway/admin_api.rs
@@ -0,0 +1,337 @@
+//! The administration API: its callers, their idempotency keys, and what their requests change.
+
+use std::path::PathBuf;
+
+use super::{tenants, ConnKey, Gateway, GatewayDeadline, GatewayError, ListenerKind};
+use crate::admin::idempotency::{Keys, Known};
+use crate::admin::{self, Change, Context, Done, Handled};
+use crate::api::Micros;
+use crate::config::Admin;
+use crate::front::http::{self, plain, Bad};
+use crate::identity::Gate;
+use crate::store::records::{Reply, StoreError};
+use crate::tenancy::Registry;
+
+/// The administration API, while it is on.
+#[derive(Debug)]
+pub(super) struct AdminApi {
+    gate: Gate,
+    /// The file of the trust bundle.
+    bundle: PathBuf,
+    /// How often the trust bundle is read again.
+    refresh_interval: Micros,
+    /// Idempotency keys that are in use or answered.
+    keys: Keys,
+}
+
+/// A caller's request that passed admission.
+struct AdmittedRequest<'a> {
+    connection: ConnKey,
+    request: &'a http::Request<'a>,
+    caller: String,
+    /// The idempotency key, if the request has one.
+    key: Option<String>,
+    /// The digests of the key and of the request, if it has a key.
+    digests: Option<([u8; 32], [u8; 32])>,
+    /// Whether the connection stays open after the response.
+    stays: bool,
+    now: Micros,
+}
+
+impl AdmittedRequest<'_> {
+    fn caller_and_key(&self) -> Option<(String, String)> {
+        let key = self.key.clone()?;
+        Some((self.caller.clone(), key))
+    }
+}
+
+impl Gateway {
+    /// Sets up the administration API.
+    pub(super) fn set_up_admin(&mut self, now: Micros, config: Admin) -> Result<(), GatewayError> {
+        let gate = Gate::new(&config.trust_domain, &config.audience, config.roles())
+            .map_err(GatewayError::Identity)?;
+        self.secondary.admin = Some(AdminApi {
+            gate,
+            bundle: config.bundle,
+            refresh_interval: config.refresh_s.max(1) * 1_000_000,
+            keys: Keys::default(),
+        });
+        self.listen(ListenerKind::Admin, config.listen)?;
+        self.load_bundle(now);
+        Ok(())
+    }
+
+    /// Reads the trust bundle, and again after a while, as its keys rotate. One that cannot be read leaves the keys as
+    /// they are.
+    pub(super) fn load_bundle(&mut self, now: Micros) {
+        let Some(admin) = &mut self.secondary.admin else {
+            return;
+        };
+        let text = std::fs::read_to_string(&admin.bundle).map_err(|error| error.to_string());
+        let loaded =
+            text.and_then(|text| admin.gate.load(&text).map_err(|error| error.to_string()));
+        if let Err(error) = loaded {
+            tracing::warn!(bundle = %admin.bundle.display(), %error, "the trust bundle stays as it is");
+        }
+        let again = now + admin.refresh_interval;
+        self.core
+            .schedule(again, GatewayDeadline::BundleReload.into());
+    }
+
+    /// Handles an administrator's request; the response, unless it waits for the store or for other gateways.
+    pub(super) fn administer(
+        &mut self,
+        connection: ConnKey,
+        request: &http::Request<'_>,
+        stays: bool,
+        now: Micros,
+    ) -> Option<Vec<u8>> {
+        let caller = match self.admit_caller(request, now) {
+            Ok(caller) => caller,
+            Err(bad) => return Some(admin::answer(&Err(bad), stays)),
+        };
+        if let Some(response) = self.reject_before_tenants_known(request, stays) {
+            return Some(response);
+        }
+        let key = request
+            .header("Idempotency-Key")
+            .filter(|_| request.method == "POST");
+        let contents = [request.path.as_bytes(), b"\n", request.body].concat();
+        let admitted = AdmittedRequest {
+            connection,
+            request,
+            digests: key.map(|key| tenants::digests(&caller, key, &contents)),
+            key: key.map(str::to_owned),
+            caller,
+            stays,
+            now,
+        };
+        match self.begin_idempotency_key(&admitted, &contents) {
+            Ok(None) => self.handle_admitted(&admitted),
+            Ok(Some(response)) => Some(response),
+            Err(bad) => Some(admin::answer(&Err(bad), stays)),
+        }
+    }
+
+    fn admit_caller(&self, request: &http::Request<'_>, now: Micros) -> Result<String, Bad> {
+        let Some(admin) = &self.secondary.admin else {
+            return Err(plain(404, "off"));
+        };
+        admin::admit(request, &admin.gate, now)
+    }
+
+    /// The response to a request on tenants while this gateway does not know the fleet's tenants.
+    fn reject_before_tenants_known(
+        &mut self,
+        request: &http::Request<'_>,
+        stays: bool,
+    ) -> Option<Vec<u8>> {
+        let refusal = self.knows_tenants().err()?;
+        admin::tenant_of(request.path)?;
+        let detail = refusal.to_string();
+        let remedy = Some(refusal.remedy());
+        Some(admin::problem(refusal.status(), &detail, remedy, stays))
+    }
+
+    /// Begins the request's idempotency key, if it has one; the response, if the request has been answered before.
+    fn begin_idempotency_key(
+        &mut self,
+        admitted: &AdmittedRequest<'_>,
+        contents: &[u8],
+    ) -> Result<Option<Vec<u8>>, Bad> {
+        let Some(key) = &admitted.key else {
+            return Ok(None);
+        };
+        if !Keys::usable(key) {
+            return Err(plain(422, "an Idempotency-Key is 1 to 128 bytes"));
+        }
+        let Some(admin) = &mut self.secondary.admin else {
+            return Err(plain(404, "off"));
+        };
+        match admin
+            .keys
+            .begin(&admitted.caller, key, contents, admitted.now)
+        {
+            Known::New => {}
+            Known::Answered(response) => return Ok(Some(response)),
+            Known::Conflict => {
+                return Err(plain(
+                    409,
+                    "the Idempotency-Key is in use for another request",
+                ))
+            }
+        }
+        // Another gateway may have answered it.
+        let answered = admitted
+            .digests
+            .and_then(|(key, request)| self.answered_before(&key, &request));
+        let Some(answered) = answered else {
+            return Ok(None);
+        };
+        self.finish_idempotency_key(admitted.caller_and_key(), false, &[]);
+        let response = answered.unwrap_or_else(|bad| admin::answer(&Err(bad), admitted.stays));
+        Ok(Some(response))
+    }
+
+    fn handle_admitted(&mut self, admitted: &AdmittedRequest<'_>) -> Option<Vec<u8>> {
+        let tenants_before = self.secondary.tenants.clone();
+        let mut handled = match self.handle_admin_request(admitted) {
+            Ok(Done::Ask(operation)) => {
+                let key = admitted.caller_and_key();
+                match self.ask_for_admin(admitted.connection, operation, key) {
+                    Ok(()) => return None,
+                    Err(bad) => Err(bad),
+                }
+            }
+            Ok(Done::Now(handled)) => Ok(handled),
+            Err(bad) => Err(bad),
+        };
+        let changes = handled
+            .as_mut()
+            .map_or(Vec::new(), |handled| std::mem::take(&mut handled.changes));
+        if self.cluster.tenants.is_some() && changes.iter().any(Change::is_kept) {
+            if let Ok(handled) = handled {
+                self.agree_on_change(admitted, tenants_before, handled, changes);
+            }
+            return None;
+        }
+        let handled = self.apply_changes(admitted, tenants_before, handled, changes);
+        let response = admin::answer(&handled, admitted.stays);
+        let key = admitted.caller_and_key();
+        self.finish_idempotency_key(key, is_final(&handled), &response);
+        Some(response)
+    }
+
+    fn handle_admin_request(&mut self, admitted: &AdmittedRequest<'_>) -> Result<Done, Bad> {
+        let fleet = match admitted.request.path {
+            "/v1/peers" => self.peers(admitted.now),
+            "/v1/council" | "/v1/council/voters" => self.council_view(),
+            "/v1/duties" => self.duties_view(),
+            _ => serde_json::Value::Null,
+        };
+        let webhooks = &self.secondary.hooks;
+        let health = |id| webhooks.as_ref().and_then(|webhooks| webhooks.health(id));
+        let mut context = Context {
+            tenants: &mut self.secondary.tenants,
+            counters: &self.core.counters,
+            health: &health,
+            fleet,
+            now: admitted.now,
+        };
+        admin::handle(admitted.request, &admitted.caller, &mut context)
+    }
+
+    /// Proposes a change of tenants to the fleet. Until it is agreed on, the tenants stay as they were.
+    fn agree_on_change(
+        &mut self,
+        admitted: &AdmittedRequest<'_>,
+        tenants_before: Registry,
+        handled: Handled,
+        changes: Vec<Change>,
+    ) {
+        let Some(tenant) = admin::tenant_of(admitted.request.path) else {
+            return;
+        };
+        let changed = self.secondary.tenants.told(tenant, admitted.now);
+        self.secondary.tenants = tenants_before;
+        let key = admitted
+            .key
+            .clone()
+            .zip(admitted.digests)
+            .map(|(key, (key_digest, request_digest))| (key, key_digest, request_digest));
+        let asker = tenants::Asker {
+            conn: admitted.connection,
+            who: admitted.caller.clone(),
+            key,
+            handled,
+            changes,
+        };
+        self.agree_on(tenant, changed, asker);
+    }
+
+    /// Writes the changed tenants to their file and applies what follows; a change that cannot be written is undone.
+    fn apply_changes(
+        &mut self,
+        admitted: &AdmittedRequest<'_>,
+        tenants_before: Registry,
+        handled: Result<Handled, Bad>,
+        changes: Vec<Change>,
+    ) -> Result<Handled, Bad> {
+        if changes.is_empty() {
+            return handled;
+        }
+        if !self.persist_tenants() {
+            self.secondary.tenants = tenants_before;
+            return Err(plain(500, "the change could not be kept"));
+        }
+        tracing::info!(
+            caller = admitted.caller,
+            method = admitted.request.method,
+            path = admitted.request.path,
+            "administered"
+        );
+        for change in changes {
+            self.apply_change(admitted.now, change);
+        }
+        handled
+    }
+
+    /// Ends a caller's idempotency key, with the response if it is final.
+    pub(super) fn finish_idempotency_key(
+        &mut self,
+        key: Option<(String, String)>,
+        is_final: bool,
+        response: &[u8],
+    ) {
+        if let (Some((caller, key)), Some(admin)) = (key, &mut self.secondary.admin) {
+            admin.keys.end(&caller, &key, is_final.then_some(response));
+        }
+    }
+
+    /// Answers an administrator's request with the store's reply.
+    pub(super) fn answer_stored(
+        &mut self,
+        now: Micros,
+        conn: ConnKey,
+        limit: Option<usize>,
+        key: Option<(String, String)>,
+        reply: Result<Reply, StoreError>,
+    ) {
+        let handled = admin::messages::answer(limit, reply);
+        let bytes = admin::answer(&handled, true);
+        self.finish_idempotency_key(key, is_final(&handled), &bytes);
+        self.answer_second(conn, now, |stays| {
+            if stays {
+                bytes
+            } else {
+                admin::answer(&handled, false)
+            }
+        });
+    }
+
+    /// Applies what follows from a change of tenants.
+    pub(super) fn apply_change(&mut self, now: Micros, change: Change) {
+        match change {
+            Change::Share(tenant, per_s) => self.core.set_tenant_quota(now, tenant, per_s),
+            Change::Endpoints(tenant) => self.tell_endpoints(now, &tenant),
+            Change::Voters { joins, leaves } => self.exchange_voters(now, joins, leaves),
+            Change::Removed(ids) => self.forget_endpoints(now, &ids),
+            Change::Rotated(tenant, endpoint) => {
+                let data = serde_json::json!({ "endpoint": endpoint });
+                self.tell_tenant(now, &tenant, None, "secret.rotated", &data);
+            }
+            Change::Test(tenant, endpoint) => {
+                let data = serde_json::json!({ "endpoint": endpoint });
+                self.tell_tenant(now, &tenant, Some(&endpoint), "endpoint.test", &data);
+            }
+        }
+    }
+}
+
+/// Whether a request with the same idempotency key gets the same response from now on.
+fn is_final(handled: &Result<Handled, Bad>) -> bool {
+    match handled {
+        Ok(_) => true,
+        Err(bad) => bad.status < 500,
+    }
+}
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -26,7 +26,7 @@
 
 /// Whether reading a client's requests goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ReadProgress {
+pub(super) enum ReadProgress {
     Continue,
     Stop,
 }
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -4,11 +4,9 @@
 //! In the folder each process has `PID.lock`, locked while it lives, and `PID.word` with its state, written beside and
 //! renamed. Both stay at its end: its last state is read by the process that lives or starts next, which removes them.
 
-use std::collections::BTreeMap;
-use std::io;
-
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File, TryLockError};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -24,6 +24,7 @@
 use crate::worker::{Completed, Exchange, WorkerConnection};
 
 mod accepting;
+mod admin_api;
 mod client_slots;
 mod clients;
 mod commands;
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -1,12 +1,11 @@
 //! Drives the operator console and what its commands change. It decides nothing.
 
 use std::collections::VecDeque;
+use std::fs::File;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-use std::fs::File;
-
 use super::accepting::ACCEPT_RETRY_INTERVAL;
 use super::clients::LINGER_TIMEOUT;
 use super::hot_restart::HotRestartDriver;
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -1,367 +1,191 @@
-//! The second front's listeners: requests off their connections, and the administration API.
+//! The secondary listeners, for webhooks and the administration API: requests off their connections, and the tenants.
 
 use std::collections::BTreeSet;
-
 use std::fs::OpenOptions;
 use std::io::Write;
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-use super::clients::{CLIENT_IDLE_TIMEOUT, LINGER_TIMEOUT};
-use super::tenants;
+use super::admin_api::AdminApi;
+use super::clients::{ReadProgress, CLIENT_IDLE_TIMEOUT, LINGER_TIMEOUT};
 use super::webhooks::{refuse, WebhookDriver};
-use super::{ConnKey, Gateway, GatewayDeadline, GatewayError, ListenerKind, PendingResponse, Role};
-use crate::admin::{
-    self, idempotency::Keys, idempotency::Known, Change, Context, Done as Handling,
-};
+use super::{ConnKey, Gateway, GatewayError, ListenerKind, PendingResponse, Role};
 use crate::api::Micros;
-use crate::config::ConfigError;
-use crate::config::Operator;
-use crate::front::http::{self, plain, Bad};
-use crate::identity::Gate;
+use crate::config::{ConfigError, Operator};
+use crate::front::http;
 use crate::net::UNTAGGED_FRAME;
-use crate::store::records::{Reply, StoreError};
 use crate::tenancy::{Registry, TenantError};
 
-/// All that belongs to the second front.
+/// The tenants, and what is reached through the secondary listeners.
 #[derive(Debug, Default)]
 pub(super) struct SecondaryListeners {
     pub(super) tenants: Registry,
     /// Tenants that the operator's file names.
     pub(super) listed: BTreeSet<String>,
-    /// Where tenants are kept.
+    /// The file that tenants are written to.
     state: Option<PathBuf>,
     pub(super) hooks: Option<WebhookDriver>,
-    admin: Option<AdminApi>,
+    pub(super) admin: Option<AdminApi>,
 }
 
-/// The administration API, while it is on.
-#[derive(Debug)]
-struct AdminApi {
-    gate: Gate,
-    bundle: PathBuf,
-    refresh: Micros,
-    keys: Keys,
+/// A request of a secondary listener's client that has been handled.
+struct HandledRequest {
+    /// The bytes that the request takes up.
+    size_bytes: usize,
+    /// The response; `None` while it waits for the store or for other gateways.
+    response: Option<Vec<u8>>,
+    /// Whether the connection stays open after the response.
+    stays: bool,
+    /// Whether it could not be read as a request.
+    malformed: bool,
 }
 
 impl Gateway {
     /// Sets up what an operator's file asks for.
     pub(super) fn set_up(&mut self, now: Micros, operator: Operator) -> Result<(), GatewayError> {
-        let shares = self.config.settings.tenants.iter().map(|t| t.quota_per_s);
-        let platform: Vec<_> = self
-            .config
-            .names
-            .tenants
-            .iter()
-            .cloned()
-            .zip(shares)
-            .collect();
-        self.secondary.tenants = operator
-            .registry(&platform)
-            .map_err(GatewayError::Operator)?;
-        self.secondary.listed = self
-            .secondary
-            .tenants
-            .iter()
-            .map(|(name, _)| name.clone())
-            .collect();
-        self.secondary.state = operator.state;
-        if let Some(path) = self.secondary.state.as_ref().filter(|p| p.exists()) {
-            let text = std::fs::read_to_string(path);
-            let text =
-                text.map_err(|e| GatewayError::Operator(ConfigError::Read(path.clone(), e)))?;
-            let bad = |e: TenantError| {
-                GatewayError::Operator(ConfigError::Parse(path.clone(), e.to_string()))
-            };
-            self.secondary.tenants.restore(&text).map_err(bad)?;
+        self.load_tenants(&operator)?;
+        for (tenant, quota_per_s) in self.secondary.tenants.shares() {
+            self.core.set_tenant_quota(now, tenant, quota_per_s);
         }
-        for (tenant, per_s) in self.secondary.tenants.shares() {
-            self.core.set_tenant_quota(now, tenant, per_s);
+        if let Some(webhooks) = operator.webhooks {
+            self.set_up_webhooks(now, webhooks)?;
         }
-        if let Some(w) = operator.webhooks {
-            self.set_up_webhooks(now, w)?;
-        }
-        if let Some(a) = operator.admin {
-            let gate = Gate::new(&a.trust_domain, &a.audience, a.roles())
-                .map_err(GatewayError::Identity)?;
-            let refresh = a.refresh_s.max(1) * 1_000_000;
-            self.secondary.admin = Some(AdminApi {
-                gate,
-                bundle: a.bundle,
-                refresh,
-                keys: Keys::default(),
-            });
-            self.listen(ListenerKind::Admin, a.listen)?;
-            self.load_bundle(now);
+        if let Some(admin) = operator.admin {
+            self.set_up_admin(now, admin)?;
         }
         Ok(())
     }
 
-    /// Reads the trust bundle, now and again: keys rotate. One that cannot be read leaves the keys held.
-    pub(super) fn load_bundle(&mut self, now: Micros) {
-        let Some(admin) = &mut self.secondary.admin else {
-            return;
+    /// Takes over the tenants of the settings, of the operator's file and of the file that they were written to.
+    fn load_tenants(&mut self, operator: &Operator) -> Result<(), GatewayError> {
+        let names = self.config.names.tenants.iter().cloned();
+        let settings = self.config.settings.tenants.iter();
+        let quotas = settings.map(|tenant| tenant.quota_per_s);
+        let platform: Vec<_> = names.zip(quotas).collect();
+        let secondary = &mut self.secondary;
+        secondary.tenants = operator
+            .registry(&platform)
+            .map_err(GatewayError::Operator)?;
+        secondary.listed = secondary
+            .tenants
+            .iter()
+            .map(|(name, _)| name.clone())
+            .collect();
+        secondary.state = operator.state.clone();
+        let Some(path) = secondary.state.as_ref().filter(|path| path.exists()) else {
+            return Ok(());
         };
-        let text = std::fs::read_to_string(&admin.bundle).map_err(|e| e.to_string());
-        if let Err(e) = text.and_then(|t| admin.gate.load(&t).map_err(|e| e.to_string())) {
-            tracing::warn!(bundle = %admin.bundle.display(), "the trust bundle stays as it is: {e}");
-        }
-        let again = now + admin.refresh;
-        self.core
-            .schedule(again, GatewayDeadline::BundleReload.into());
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| GatewayError::Operator(ConfigError::Read(path.clone(), error)))?;
+        let parse_error = |error: TenantError| {
+            GatewayError::Operator(ConfigError::Parse(path.clone(), error.to_string()))
+        };
+        secondary.tenants.restore(&text).map_err(parse_error)
     }
 
-    /// Answers what has come on a webhook's or administrator's connection.
+    /// Handles the requests that have come on a webhook's or administrator's connection, until one waits for its answer.
     pub(super) fn read_secondary_requests(&mut self, key: ConnKey, now: Micros) {
-        loop {
-            let Some((
-                conn,
-                Role::Client {
-                    kind,
-                    keep_alive: keep,
-                    pending: open,
-                },
-            )) = self.connections.get_mut(key)
-            else {
-                return;
-            };
-            if open.is_some() || conn.closing || conn.pause_if_backlogged() {
-                return;
-            }
-            let kind = *kind;
-            let accepting = self.ops.lifecycle.keeps(now);
-            // The request borrows the connection's buffer, which is put back once it is answered.
-            let mut input = std::mem::take(&mut conn.input);
-            let (size, bytes, stays, malformed) = match http::request(input.bytes()) {
-                Ok(None) => {
-                    conn.input = input;
-                    if conn.refill(http::READ_LIMIT) {
-                        continue;
-                    }
-                    if conn.peer_closed {
-                        self.ready.push(key);
-                    }
-                    return;
-                }
-                Ok(Some(r)) => {
-                    let stays = r.keep && accepting;
-                    *keep = stays;
-                    let bytes = match kind {
-                        ListenerKind::Admin => self.administer(key, &r, stays, now),
-                        _ => self.take_webhook(key, &r, stays, now),
-                    };
-                    (r.size, bytes, stays, false)
-                }
-                Err(bad) => {
-                    self.core.counters.bad_requests += 1;
-                    (0, Some(refuse(&bad, false)), false, true)
-                }
-            };
-            input.consume(size);
-            let Some((conn, Role::Client { pending: open, .. })) = self.connections.get_mut(key)
-            else {
-                return;
-            };
-            conn.input = input;
-            let Some(bytes) = bytes else {
-                *open = Some(PendingResponse::Store);
-                return self.set_deadline(key, None);
-            };
-            conn.outbox.push(UNTAGGED_FRAME, bytes);
-            (conn.closing, conn.linger) = (!stays, malformed);
-            self.dirty.push(key);
-            self.set_deadline(
-                key,
-                Some(
-                    now + if malformed {
-                        LINGER_TIMEOUT
-                    } else {
-                        CLIENT_IDLE_TIMEOUT
-                    },
-                ),
-            );
-        }
+        while self.read_secondary_request(key, now) == ReadProgress::Continue {}
     }
 
-    fn administer(
-        &mut self,
-        conn: ConnKey,
-        r: &http::Request<'_>,
-        stays: bool,
-        now: Micros,
-    ) -> Option<Vec<u8>> {
-        let problem = |bad: Bad| Some(admin::answer(&Err(bad), stays));
-        let admitted = self
-            .secondary
-            .admin
-            .as_ref()
-            .map(|side| admin::admit(r, &side.gate, now));
-        let who = match admitted.unwrap_or(Err(plain(404, "off"))) {
-            Ok(who) => who,
-            Err(bad) => return problem(bad),
+    fn read_secondary_request(&mut self, key: ConnKey, now: Micros) -> ReadProgress {
+        let Some((connection, Role::Client { kind, pending, .. })) = self.connections.get_mut(key)
+        else {
+            return ReadProgress::Stop;
         };
-        if let Err(why) = self.knows_tenants() {
-            if admin::tenant_of(r.path).is_some() {
-                return Some(admin::problem(
-                    why.status(),
-                    &why.to_string(),
-                    Some(why.remedy()),
-                    stays,
-                ));
-            }
+        if pending.is_some() || connection.closing || connection.pause_if_backlogged() {
+            return ReadProgress::Stop;
         }
-        let key = r.header("Idempotency-Key").filter(|_| r.method == "POST");
-        let request = [r.path.as_bytes(), b"\n", r.body].concat();
-        let digests = key.map(|key| tenants::digests(&who, key, &request));
-        if let Some(key) = key {
-            if !Keys::usable(key) {
-                return problem(plain(422, "an Idempotency-Key is 1 to 128 bytes"));
+        let kind = *kind;
+        // The request borrows the connection's buffer, which is put back once it is answered.
+        let mut input = std::mem::take(&mut connection.input);
+        let handled = match http::request(input.bytes()) {
+            Ok(None) => {
+                connection.input = input;
+                return self.read_on(key);
             }
-            let Some(side) = &mut self.secondary.admin else {
-                return problem(plain(404, "off"));
-            };
-            match side.keys.begin(&who, key, &request, now) {
-                Known::New => {}
-                Known::Answered(bytes) => return Some(bytes),
-                Known::Conflict => {
-                    return problem(plain(
-                        409,
-                        "the Idempotency-Key is in use for another request",
-                    ))
+            Ok(Some(request)) => self.handle_secondary_request(key, kind, &request, now),
+            Err(bad) => {
+                self.core.counters.bad_requests += 1;
+                HandledRequest {
+                    size_bytes: 0,
+                    response: Some(refuse(&bad, false)),
+                    stays: false,
+                    malformed: true,
                 }
             }
-        }
-        // Another gateway may have answered it.
-        if let Some(answer) = digests.and_then(|(whose, what)| self.answered_before(&whose, &what))
-        {
-            self.finish_idempotency_key(key.map(|k| (who, k.to_owned())), false, &[]);
-            return Some(answer.unwrap_or_else(|bad| admin::answer(&Err(bad), stays)));
-        }
-        let before = self.secondary.tenants.clone();
-        let fleet = match r.path {
-            "/v1/peers" => self.peers(now),
-            "/v1/council" | "/v1/council/voters" => self.council_view(),
-            "/v1/duties" => self.duties_view(),
-            _ => serde_json::Value::Null,
         };
-        let hooks = &self.secondary.hooks;
-        let health = |id| hooks.as_ref().and_then(|h| h.health(id));
-        let counters = &self.core.counters;
-        let mut cx = Context {
-            tenants: &mut self.secondary.tenants,
-            counters,
-            health: &health,
-            fleet,
-            now,
-        };
-        let handled = admin::handle(r, &who, &mut cx);
-        let key = key.map(|key| (who.clone(), key.to_owned()));
-        let mut handled = match handled {
-            Ok(Handling::Ask(op)) => match self.ask_for_admin(conn, op, key.clone()) {
-                Ok(()) => return None,
-                Err(bad) => Err(bad),
-            },
-            Ok(Handling::Now(handled)) => Ok(handled),
-            Err(bad) => Err(bad),
-        };
-        let changes = handled
-            .as_mut()
-            .map_or(Vec::new(), |h| std::mem::take(&mut h.changes));
-        if self.cluster.tenants.is_some() && changes.iter().any(Change::is_kept) {
-            if let (Ok(handled), Some(tenant)) = (handled, admin::tenant_of(r.path)) {
-                // As it would be; it is so once all agree.
-                let kept = self.secondary.tenants.told(tenant, now);
-                self.secondary.tenants = before;
-                let key = key
-                    .zip(digests)
-                    .map(|((_, key), (whose, what))| (key, whose, what));
-                self.agree_on(
-                    tenant,
-                    kept,
-                    tenants::Asker {
-                        conn,
-                        who,
-                        key,
-                        handled,
-                        changes,
-                    },
-                );
-            }
-            return None;
+        input.consume(handled.size_bytes);
+        if let Some((connection, _)) = self.connections.get_mut(key) {
+            connection.input = input;
         }
-        if !changes.is_empty() && !self.persist_tenants() {
-            // A change that would be forgotten is not made.
-            self.secondary.tenants = before;
-            handled = Err(plain(500, "the change could not be kept"));
-        } else {
-            if !changes.is_empty() {
-                tracing::info!(who, method = r.method, path = r.path, "administered");
-            }
-            changes
-                .into_iter()
-                .for_each(|change| self.apply_change(now, change));
-        }
-        let bytes = admin::answer(&handled, stays);
-        self.finish_idempotency_key(
-            key,
-            handled
-                .as_ref()
-                .map_or_else(|bad| bad.status < 500, |_| true),
-            &bytes,
-        );
-        Some(bytes)
+        self.respond_to_secondary(key, now, handled)
     }
 
-    pub(super) fn finish_idempotency_key(
-        &mut self,
-        key: Option<(String, String)>,
-        final_answer: bool,
-        bytes: &[u8],
-    ) {
-        if let (Some((who, key)), Some(side)) = (key, &mut self.secondary.admin) {
-            side.keys.end(&who, &key, final_answer.then_some(bytes));
+    /// The input ends within a request: reads on, or waits for the rest.
+    fn read_on(&mut self, key: ConnKey) -> ReadProgress {
+        let Some((connection, _)) = self.connections.get_mut(key) else {
+            return ReadProgress::Stop;
+        };
+        if connection.refill(http::READ_LIMIT) {
+            return ReadProgress::Continue;
+        }
+        if connection.peer_closed {
+            self.ready.push(key);
         }
+        ReadProgress::Stop
     }
 
-    /// What the store said makes an administrator's answer.
-    pub(super) fn answer_stored(
+    fn handle_secondary_request(
         &mut self,
+        key: ConnKey,
+        kind: ListenerKind,
+        request: &http::Request<'_>,
         now: Micros,
-        conn: ConnKey,
-        limit: Option<usize>,
-        key: Option<(String, String)>,
-        reply: Result<Reply, StoreError>,
-    ) {
-        let handled = admin::messages::answer(limit, reply);
-        let good = handled
-            .as_ref()
-            .map_or_else(|bad| bad.status < 500, |_| true);
-        let bytes = admin::answer(&handled, true);
-        self.finish_idempotency_key(key, good, &bytes);
-        self.answer_second(conn, now, |stays| {
-            if stays {
-                bytes
-            } else {
-                admin::answer(&handled, false)
+    ) -> HandledRequest {
+        let stays = request.keep && self.ops.lifecycle.keeps(now);
+        if let Some((_, Role::Client { keep_alive, .. })) = self.connections.get_mut(key) {
+            *keep_alive = stays;
+        }
+        let response = match kind {
+            ListenerKind::Admin => self.administer(key, request, stays, now),
+            ListenerKind::Platform | ListenerKind::Webhook => {
+                self.take_webhook(key, request, stays, now)
             }
-        });
+        };
+        HandledRequest {
+            size_bytes: request.size,
+            response,
+            stays,
+            malformed: false,
+        }
     }
 
-    pub(super) fn apply_change(&mut self, now: Micros, change: Change) {
-        match change {
-            Change::Share(tenant, per_s) => self.core.set_tenant_quota(now, tenant, per_s),
-            Change::Endpoints(tenant) => self.tell_endpoints(now, &tenant),
-            Change::Voters { joins, leaves } => self.exchange_voters(now, joins, leaves),
-            Change::Removed(ids) => self.forget_endpoints(now, &ids),
-            Change::Rotated(tenant, endpoint) => {
-                let data = serde_json::json!({ "endpoint": endpoint });
-                self.tell_tenant(now, &tenant, None, "secret.rotated", &data);
-            }
-            Change::Test(tenant, endpoint) => {
-                let data = serde_json::json!({ "endpoint": endpoint });
-                self.tell_tenant(now, &tenant, Some(&endpoint), "endpoint.test", &data);
-            }
-        }
+    fn respond_to_secondary(
+        &mut self,
+        key: ConnKey,
+        now: Micros,
+        handled: HandledRequest,
+    ) -> ReadProgress {
+        let Some((connection, Role::Client { pending, .. })) = self.connections.get_mut(key) else {
+            return ReadProgress::Stop;
+        };
+        let Some(response) = handled.response else {
+            *pending = Some(PendingResponse::Store);
+            self.set_deadline(key, None);
+            return ReadProgress::Stop;
+        };
+        connection.outbox.push(UNTAGGED_FRAME, response);
+        connection.closing = !handled.stays;
+        connection.linger = handled.malformed;
+        self.dirty.push(key);
+        let timeout = if handled.malformed {
+            LINGER_TIMEOUT
+        } else {
+            CLIENT_IDLE_TIMEOUT
+        };
+        self.set_deadline(key, Some(now + timeout));
+        ReadProgress::Continue
     }
 
     /// Writes the tenants to their file, if they have one; `false` if that failed.
@@ -371,15 +195,15 @@
         };
         match write_private_file(path, &self.secondary.tenants.state()) {
             Ok(()) => true,
-            Err(e) => {
-                tracing::error!(file = %path.display(), "cannot be written: {e}");
+            Err(error) => {
+                tracing::error!(file = %path.display(), %error, "tenants cannot be written");
                 false
             }
         }
     }
 }
 
-/// Writes a file for its owner alone, whole or not at all.
+/// Writes a file for its owner alone, completely or not at all.
 fn write_private_file(path: &Path, text: &str) -> std::io::Result<()> {
     let fresh = path.with_extension("new");
     let mut file = OpenOptions::new()
