--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -113,7 +113,7 @@
     extras(r.header("X-Extras").unwrap_or_default(), &mut arrival)?;
     Ok(Ask::Call(Call {
         origin: (),
-        id: id.into(),
+        identity: id.into(),
         body: Rc::from(r.body),
         arrival,
     }))
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -23,7 +23,7 @@
     };
     let a = &call.arrival;
     assert_eq!(
-        (taken.size, taken.keep, &*call.id, &*call.body),
+        (taken.size, taken.keep, &*call.identity, &*call.body),
         (GOOD.len(), true, "9b1f03aa5c7e2d41", &b"abc"[..])
     );
     assert_eq!(
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -1,124 +1,102 @@
-//! The core's commands carried out on worker connections, and their endings reported.
+//! The core's commands carried out on workers' connections, and completed exchanges reported to it.
 
 use super::load_coordination::Order;
-use super::*;
+use super::{ConnKey, Gateway, Origin, Role};
+use crate::api::{ClassId, Effect, FunctionId, Micros, WorkerId};
+use crate::completion::{CloseReason, SendProgress};
+use crate::core::{AttemptDispatch, AttemptKey, Command, HealthCheckKey, LoadOrderKey};
 use crate::front::webhook::message::Outcome;
+use crate::policy::never_ran;
+use crate::worker::{AttemptCommand, Completed, Exchange};
 
 impl Gateway {
-    /// Carries out commands and reports endings until there is nothing left; then writes.
-    pub(super) fn pump(&mut self) {
+    /// Carries out commands and reports completed exchanges until there is nothing left; then writes.
+    pub(super) fn run_commands(&mut self) {
         loop {
             let now = self.clock.now();
-            if let Some(done) = self.done.pop_front() {
-                self.report(now, done);
-            } else if let Some(command) = self.core.command() {
-                self.perform(now, command);
+            if let Some(completed) = self.completed.pop_front() {
+                self.report_completed(now, completed);
+            } else if let Some(command) = self.core.next_command() {
+                self.perform_command(now, command);
             } else if self.step_webhooks(now)
                 || self.step_replication(now)
                 || self.step_tenants(now)
             {
+                continue;
             } else if let Some(key) = self.dirty.pop() {
                 self.withdraw_expired_effects(key);
-                let Some((conn, _)) = self.connections.get_mut(key) else {
-                    continue;
-                };
-                let flushed = conn.flush();
-                self.core.counters.written += conn.out.take_whole();
-                match flushed {
-                    Ok(true) if conn.closing && (!conn.linger || conn.hang_up()) => {
-                        self.close(key, CloseReason::Closed)
-                    }
-                    Ok(true) if conn.paused => {
-                        conn.paused = false;
-                        self.ready.push(key);
-                    }
-                    Ok(_) => {}
-                    Err(ending) => self.close(key, ending),
-                }
+                self.flush_connection(key);
             } else {
                 return;
             }
         }
     }
 
-    pub(super) fn report(&mut self, now: Micros, done: Completed) {
-        match done.what {
+    /// Writes what a connection's peer takes, and closes a connection that is to be closed once all is written.
+    fn flush_connection(&mut self, key: ConnKey) {
+        let Some((connection, _)) = self.connections.get_mut(key) else {
+            return;
+        };
+        let flushed = connection.flush();
+        self.core.counters.written += connection.outbox.take_written();
+        match flushed {
+            Ok(true)
+                if connection.closing && (!connection.linger || connection.shut_down_write()) =>
+            {
+                self.close(key, CloseReason::Closed)
+            }
+            Ok(true) if connection.paused => {
+                connection.paused = false;
+                self.ready.push(key);
+            }
+            Ok(_) => {}
+            Err(reason) => self.close(key, reason),
+        }
+    }
+
+    /// Tells the core, and whoever else follows exchanges, that one has ended.
+    pub(super) fn report_completed(&mut self, now: Micros, completed: Completed) {
+        let reason = completed.reason;
+        let progress = completed.progress;
+        match completed.exchange {
             Exchange::Attempt(key) => {
-                self.attempts.remove(key);
-                self.guarded_ended(
-                    key,
-                    crate::policy::never_ran(done.ending.outcome(done.left)),
-                );
+                self.routes.attempts.remove(key);
+                self.guarded_ended(key, never_ran(reason.outcome(progress)));
                 let worker = self.core.worker_of(key);
-                self.tell_outcome(now, worker, done.ending, done.left);
-                self.core.ended(now, key, done.ending, done.left, done.back);
+                self.tell_outcome(now, worker, reason, progress);
+                self.core
+                    .attempt_ended(now, key, reason, progress, completed.reply);
             }
-            Exchange::Order(key) => {
-                self.load_orders.remove(key);
-                self.on_load_order_ended(now, key, done.copies);
+            Exchange::LoadOrder(key) => {
+                self.routes.load_orders.remove(key);
+                self.on_load_order_ended(now, key, completed.copies);
                 self.core
-                    .order_ended(now, key, done.ending, done.left, done.copies);
+                    .load_ended(now, key, reason, progress, completed.copies);
             }
-            Exchange::Probe(key) => {
-                self.health_checks.remove(key);
-                self.on_health_check_probe_ended(now, key, done.ending);
+            Exchange::HealthCheck(key) => {
+                self.routes.health_checks.remove(key);
+                self.on_health_check_probe_ended(now, key, reason);
                 self.core
-                    .probe_ended(now, key, done.ending, done.back.load_report);
+                    .health_check_ended(now, key, reason, completed.reply.load_report);
             }
         }
     }
 
-    pub(super) fn perform(&mut self, now: Micros, command: Command<Origin>) {
+    fn perform_command(&mut self, now: Micros, command: Command<Origin>) {
         match command {
-            Command::Answer {
-                origin: Origin::Client(key),
-                answer,
-            } => self.answer_client(key, &answer),
-            Command::Answer {
-                origin: Origin::Webhook(job),
-                answer,
-            } => self.call_back(now, job, &Outcome::Answered(answer)),
-            command @ Command::Dispatch { .. } if self.wait_for_record(now, &command) => {}
-            Command::Dispatch {
-                attempt,
-                worker,
-                id,
-                class,
-                function,
-                expires_at: expires,
-                body,
-            } => self.go(now, attempt, worker, id, class, function, expires, &body),
-            Command::Cancel {
-                attempt,
-                reason: why,
-            } if self.unrecorded(attempt) => {
-                self.done.push_back(Completed::plain(
-                    Exchange::Attempt(attempt),
-                    why,
-                    SendProgress::Unsent,
-                ));
-            }
-            Command::Cancel {
-                attempt,
-                reason: why,
-            } => {
-                let left = self.attempts.get(attempt).copied();
-                let left = left.map_or(SendProgress::Started, |key| {
-                    self.give_up(now, key, Exchange::Attempt(attempt))
-                });
-                self.done
-                    .push_back(Completed::plain(Exchange::Attempt(attempt), why, left));
+            Command::Answer { origin, answer } => match origin {
+                Origin::Client(key) => self.answer_client(key, &answer),
+                Origin::Webhook(job) => self.call_back(now, job, &Outcome::Answered(answer)),
+            },
+            Command::Dispatch(dispatch) => {
+                if let Some(dispatch) = self.defer_until_recorded(now, dispatch) {
+                    self.send_attempt(now, dispatch);
+                }
             }
-            Command::Withdraw {
-                attempt,
-                reason: why,
-            } => {
-                if self.unrecorded(attempt) || self.recall(attempt) {
-                    self.done.push_back(Completed::plain(
-                        Exchange::Attempt(attempt),
-                        why,
-                        SendProgress::Unsent,
-                    ));
+            Command::Cancel { attempt, reason } => self.cancel_attempt(now, attempt, reason),
+            Command::Withdraw { attempt, reason } => {
+                if self.unrecorded(attempt) || self.withdraw_attempt(attempt) {
+                    self.complete_unsent(Exchange::Attempt(attempt), reason);
                 }
             }
             Command::Load {
@@ -134,228 +112,148 @@
                     copies,
                 };
                 if !self.delay_order(now, order) {
-                    self.stage(now, order);
+                    self.send_load_order(now, order);
                 }
             }
-            Command::AbandonLoad { order } if self.cancel_delayed_order(now, order) => {
-                self.done.push_back(Completed::plain(
-                    Exchange::Order(order),
-                    CloseReason::TimedOut,
-                    SendProgress::Unsent,
-                ));
-            }
-            Command::AbandonLoad { order } => {
-                let left = self.load_orders.get(order).copied();
-                let left = left.map_or(SendProgress::Started, |key| {
-                    self.give_up(now, key, Exchange::Order(order))
-                });
-                self.done.push_back(Completed::plain(
-                    Exchange::Order(order),
-                    CloseReason::TimedOut,
-                    left,
-                ));
-            }
-            Command::Unload { worker, function } => {
-                if let Ok(key) = self.link(now, worker, "") {
-                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
-                        return;
-                    };
-                    link.send_unload(&mut conn.out, function);
-                    self.dirty.push(key);
-                }
-            }
-            Command::HealthCheck {
-                check: probe,
-                worker,
-            } => match self.link(now, worker, "") {
-                Ok(key) => {
-                    let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
-                        return;
-                    };
-                    link.send_health_check(&mut conn.out, probe);
-                    self.health_checks.insert(probe, key);
-                    self.dirty.push(key);
-                }
-                Err(ending) => {
-                    self.done.push_back(Completed::plain(
-                        Exchange::Probe(probe),
-                        ending,
-                        SendProgress::Unsent,
-                    ));
-                }
-            },
+            Command::AbandonLoad { order } => self.abandon_load_order(now, order),
+            Command::Unload { worker, function } => self.send_unload(now, worker, function),
+            Command::HealthCheck { check, worker } => self.send_health_check(now, check, worker),
         }
     }
 
-    /// Sends an order to load.
-    pub(super) fn stage(&mut self, now: Micros, order: Order) {
-        if self.endpoints.is_draining(order.worker) {
-            let done = Completed::plain(
-                Exchange::Order(order.key),
-                CloseReason::Withdrawn,
-                SendProgress::Unsent,
-            );
-            return self.done.push_back(done);
+    /// Reports an exchange of which no byte was sent.
+    fn complete_unsent(&mut self, exchange: Exchange, reason: CloseReason) {
+        let completed = Completed::without_reply(exchange, reason, SendProgress::Unsent);
+        self.completed.push_back(completed);
+    }
+
+    fn cancel_attempt(&mut self, now: Micros, attempt: AttemptKey, reason: CloseReason) {
+        let exchange = Exchange::Attempt(attempt);
+        if self.unrecorded(attempt) {
+            return self.complete_unsent(exchange, reason);
         }
-        match self.link(now, order.worker, "") {
-            Ok(key) => {
-                let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
-                    return;
-                };
-                link.send_load(&mut conn.out, order.key, order.function, order.copies);
-                self.load_orders.insert(order.key, key);
-                self.dirty.push(key);
-            }
-            Err(ending) => self.done.push_back(Completed::plain(
-                Exchange::Order(order.key),
-                ending,
-                SendProgress::Unsent,
-            )),
+        let connection_key = self.routes.attempts.get(attempt).copied();
+        let progress = connection_key.map_or(SendProgress::Started, |key| {
+            self.cancel_exchange(now, key, exchange)
+        });
+        self.completed
+            .push_back(Completed::without_reply(exchange, reason, progress));
+    }
+
+    fn abandon_load_order(&mut self, now: Micros, order: LoadOrderKey) {
+        let exchange = Exchange::LoadOrder(order);
+        if self.cancel_delayed_order(now, order) {
+            return self.complete_unsent(exchange, CloseReason::TimedOut);
         }
+        let connection_key = self.routes.load_orders.get(order).copied();
+        let progress = connection_key.map_or(SendProgress::Started, |key| {
+            self.cancel_exchange(now, key, exchange)
+        });
+        self.completed.push_back(Completed::without_reply(
+            exchange,
+            CloseReason::TimedOut,
+            progress,
+        ));
     }
 
-    /// Sends an attempt.
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn go(
-        &mut self,
-        now: Micros,
-        attempt: AttemptKey,
-        worker: WorkerId,
-        id: Rc<str>,
-        class: ClassId,
-        function: FunctionId,
-        expires: Micros,
-        body: &[u8],
-    ) {
-        let linked = match self.endpoints.is_draining(worker) {
-            true => Err(CloseReason::Withdrawn),
-            false => self.link(now, worker, &id),
+    /// Has a worker unload a function's idle copies; without a connection they stay.
+    fn send_unload(&mut self, now: Micros, worker: WorkerId, function: FunctionId) {
+        let Ok(key) = self.connection_to(now, worker, "") else {
+            return;
         };
-        let key = match linked {
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
+            return;
+        };
+        worker.send_unload(&mut connection.outbox, function);
+        self.dirty.push(key);
+    }
+
+    fn send_health_check(&mut self, now: Micros, check: HealthCheckKey, worker: WorkerId) {
+        let key = match self.connection_to(now, worker, "") {
             Ok(key) => key,
-            Err(ending) => {
-                return self.done.push_back(Completed::plain(
-                    Exchange::Attempt(attempt),
-                    ending,
-                    SendProgress::Unsent,
-                ))
-            }
+            Err(reason) => return self.complete_unsent(Exchange::HealthCheck(check), reason),
         };
-        let once = self.runs_once(class);
-        let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
             return;
         };
-        let class = self
-            .config
-            .names
-            .classes
-            .get(class.0 as usize)
-            .map_or("", String::as_str);
-        let wait_ms = expires.saturating_sub(now) / 1000;
-        link.send_attempt(
-            &mut conn.out,
-            AttemptCommand {
-                attempt,
-                id,
-                class,
-                function,
-                wait_ms,
-                body,
-                once,
-            },
-        );
-        self.attempts.insert(attempt, key);
+        worker.send_health_check(&mut connection.outbox, check);
+        self.routes.health_checks.insert(check, key);
         self.dirty.push(key);
     }
 
-    /// Whether a call of this class must not run twice.
-    fn runs_once(&self, class: ClassId) -> bool {
-        match self
-            .config
-            .settings
-            .classes
-            .get(class.0 as usize)
-            .map(|c| c.effect)
-        {
-            Some(Effect::Idempotent) => false,
-            Some(Effect::Keyed { .. } | Effect::NonIdempotent) | None => true,
+    /// Sends a load order, unless its worker is draining.
+    pub(super) fn send_load_order(&mut self, now: Micros, order: Order) {
+        let exchange = Exchange::LoadOrder(order.key);
+        if self.discovery.endpoints.is_draining(order.worker) {
+            return self.complete_unsent(exchange, CloseReason::Withdrawn);
         }
-    }
-
-    /// Takes an attempt back if none of its bytes have left; tells whether it has.
-    fn recall(&mut self, attempt: AttemptKey) -> bool {
-        let Some(key) = self.attempts.get(attempt) else {
-            return false;
+        let key = match self.connection_to(now, order.worker, "") {
+            Ok(key) => key,
+            Err(reason) => return self.complete_unsent(exchange, reason),
         };
-        let Some((conn, Role::Worker(link))) = self.connections.get_mut(*key) else {
-            return false;
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
+            return;
         };
-        link.withdraw(&mut conn.out, Exchange::Attempt(attempt))
+        worker.send_load(
+            &mut connection.outbox,
+            order.key,
+            order.function,
+            order.copies,
+        );
+        self.routes.load_orders.insert(order.key, key);
+        self.dirty.push(key);
     }
 
-    /// Gives up what is open on a connection. One that has said nothing since takes nothing new: its machine
-    /// may have vanished, and then only a new connection shows whether it is back.
-    pub(super) fn give_up(&mut self, now: Micros, key: ConnKey, what: Exchange) -> SendProgress {
-        let Some((conn, Role::Worker(link))) = self.connections.get_mut(key) else {
-            return SendProgress::Started;
+    /// Sends an attempt on a connection to its worker.
+    pub(super) fn send_attempt(&mut self, now: Micros, dispatch: AttemptDispatch) {
+        let attempt = dispatch.attempt;
+        let connection_key = match self.connection_for(now, &dispatch) {
+            Ok(key) => key,
+            Err(reason) => return self.complete_unsent(Exchange::Attempt(attempt), reason),
         };
-        let left = link.cancel(&mut conn.out, what, now, now + 10_000_000);
-        if left == SendProgress::Started && now > link.heard.max(link.busy) + SILENT {
-            link.suspect = true;
-        }
-        if link.suspect && link.open() == 0 {
-            self.set_deadline(key, Some(now + 100_000));
-        }
-        self.dirty.push(key);
-        left
+        let must_run_once = self.runs_once(dispatch.class);
+        let Some((connection, Role::Worker(worker))) = self.connections.get_mut(connection_key)
+        else {
+            return;
+        };
+        let class = self
+            .config
+            .names
+            .classes
+            .get(usize::from(dispatch.class.0))
+            .map_or("", String::as_str);
+        let command = AttemptCommand {
+            attempt,
+            identity: dispatch.identity,
+            class,
+            function: dispatch.function,
+            wait_ms: dispatch.expires_at.saturating_sub(now) / 1000,
+            body: &dispatch.body,
+            must_run_once,
+        };
+        worker.send_attempt(&mut connection.outbox, command);
+        self.routes.attempts.insert(attempt, connection_key);
+        self.dirty.push(connection_key);
     }
 
-    /// A connection to a worker that takes this, opened if need be.
-    pub(super) fn link(
+    /// The connection for an attempt, unless its worker is draining.
+    fn connection_for(
         &mut self,
         now: Micros,
-        worker: WorkerId,
-        id: &str,
+        dispatch: &AttemptDispatch,
     ) -> Result<ConnKey, CloseReason> {
-        let streams = self.config.streams;
-        let keys = self.worker_connections.entry(worker).or_default();
-        let fits = |key: &&ConnKey| match self.connections.get(**key) {
-            Some((conn, Role::Worker(link))) => {
-                link.accepts(id, streams) && conn.out.len() < BACKLOG
-            }
-            _ => false,
-        };
-        if let Some(key) = keys.iter().copied().find(|key| fits(&key)) {
-            if let Some((_, Role::Worker(link))) = self.connections.get_mut(key) {
-                link.busy = if link.open() == 0 { now } else { link.busy };
-            }
-            return Ok(key);
-        }
-        let keys_held = keys.len();
-        if keys_held >= MOST_LINKS {
-            return Err(CloseReason::ConnectionsFull);
+        if self.discovery.endpoints.is_draining(dispatch.worker) {
+            return Err(CloseReason::Withdrawn);
         }
-        if self.connections.len() >= self.sockets().saturating_sub(SPARE_DESCRIPTORS) {
-            return Err(CloseReason::LocalLimit);
+        self.connection_to(now, dispatch.worker, &dispatch.identity)
+    }
+
+    /// Whether a call of this class must not run twice; true for an unknown class.
+    fn runs_once(&self, class: ClassId) -> bool {
+        let class = self.config.settings.classes.get(usize::from(class.0));
+        match class.map(|class| class.effect) {
+            Some(Effect::Idempotent) => false,
+            Some(Effect::Keyed { .. } | Effect::NonIdempotent) | None => true,
         }
-        let address = *self
-            .endpoints
-            .addresses
-            .get(&worker)
-            .ok_or(CloseReason::Withdrawn)?;
-        let stream = net::connect(address).map_err(|e| match e.kind() {
-            io::ErrorKind::ConnectionRefused => CloseReason::Refused,
-            _ if net::is_own_limit(&e) => CloseReason::LocalLimit,
-            _ => CloseReason::ConnectTimeout,
-        })?;
-        let role = Role::Worker(WorkerConnection::new(worker, now));
-        let key = self
-            .add(stream, false, role)
-            .map_err(|_| CloseReason::ConnectTimeout)?;
-        self.core.counters.connects += 1;
-        tracing::debug!(worker = worker.0, links = keys_held + 1, "connects");
-        self.worker_connections.entry(worker).or_default().push(key);
-        self.set_deadline(key, Some(now + self.config.connect_limit));
-        Ok(key)
     }
 }
--- a/src/gateway/consensus/effects.rs
+++ b/src/gateway/consensus/effects.rs
@@ -85,7 +85,7 @@
             let was_queued = self
                 .connections
                 .values_mut()
-                .any(|(conn, role)| matches!(role, Role::Peer(_)) && conn.out.withdraw(tag));
+                .any(|(conn, role)| matches!(role, Role::Peer(_)) && conn.outbox.withdraw(tag));
             let Some(effect) = driver.own_effects.queued.remove(&tag) else {
                 continue;
             };
@@ -100,7 +100,7 @@
     pub(in crate::gateway) fn withdraw_expired_effects(&mut self, key: ConnKey) {
         let has_output = matches!(
             self.connections.get(key),
-            Some((conn, Role::Peer(_))) if !conn.out.is_empty()
+            Some((conn, Role::Peer(_))) if !conn.outbox.is_empty()
         );
         if !has_output {
             return;
--- a/src/gateway/consensus/eligibility.rs
+++ b/src/gateway/consensus/eligibility.rs
@@ -55,7 +55,9 @@
 
     /// Tells the participant if this gateway has become eligible to hold leases, or no longer is.
     pub(super) fn update_eligibility(&mut self) {
-        let free = self.sockets().saturating_sub(self.connections.len());
+        let free = self
+            .max_descriptors()
+            .saturating_sub(self.connections.len());
         let Some(driver) = &mut self.cluster.consensus else {
             return;
         };
--- a/src/gateway/consensus/mod.rs
+++ b/src/gateway/consensus/mod.rs
@@ -20,7 +20,7 @@
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::json;
 
-use super::{Gateway, COUNCIL};
+use super::{Gateway, GatewayDeadline};
 use crate::api::Micros;
 use crate::consensus::config;
 use crate::consensus::participant::{HistoryEvent, Input, Participant};
@@ -168,9 +168,10 @@
             return;
         }
         if let Some(current) = driver.scheduled_at.replace(next) {
-            self.core.unhang(current, COUNCIL);
+            self.core
+                .unschedule(current, GatewayDeadline::Consensus.into());
         }
-        self.core.hang(next, COUNCIL);
+        self.core.schedule(next, GatewayDeadline::Consensus.into());
     }
 
     /// Who this gateway is to others; `None` while consensus is off.
--- a/src/gateway/consensus/setup.rs
+++ b/src/gateway/consensus/setup.rs
@@ -110,7 +110,7 @@
                 driver.peers.accept_pending = true;
             }
         };
-        match self.listening(address, on_connection) {
+        match self.bind_listener(address, on_connection) {
             Ok((socket, _)) => {
                 tracing::info!(%address, "consensus listener started");
                 Ok(Some(socket))
--- a/src/gateway/consensus/transport.rs
+++ b/src/gateway/consensus/transport.rs
@@ -150,11 +150,11 @@
         let session = Session::connector(driver.participant.name(), name, challenge);
         let peer = Peer::new(session, Some(name.clone()));
         // Requests have priority for descriptors.
-        if self.connections.len() + MIN_FREE_DESCRIPTORS / 2 >= self.sockets() {
+        if self.connections.len() + MIN_FREE_DESCRIPTORS / 2 >= self.max_descriptors() {
             return;
         }
-        let added =
-            net::connect(address).and_then(|stream| self.add(stream, false, Role::Peer(peer)));
+        let added = net::connect(address)
+            .and_then(|stream| self.add_connection(stream, false, Role::Peer(peer)));
         match added {
             Ok(key) => {
                 self.set_deadline(key, Some(now + CONNECT_TIMEOUT));
@@ -209,12 +209,13 @@
         let configured = stream
             .set_nonblocking(true)
             .and_then(|()| stream.set_nodelay(true));
-        let Ok(key) = configured.and_then(|()| self.add(stream, true, Role::Peer(peer))) else {
+        let Ok(key) = configured.and_then(|()| self.add_connection(stream, true, Role::Peer(peer)))
+        else {
             return;
         };
         self.set_deadline(key, Some(now + PEER_SILENCE_TIMEOUT));
         if let Some((conn, _)) = self.connections.get_mut(key) {
-            conn.out.push(net::KEPT_FRAME, challenge.to_vec());
+            conn.outbox.push(net::UNTAGGED_FRAME, challenge.to_vec());
         }
         self.dirty.push(key);
         self.add_unidentified(key);
@@ -268,7 +269,7 @@
                 self.identify_peer(key, &name);
             }
             for body in waiting {
-                self.push_frame(key, &body, net::KEPT_FRAME);
+                self.push_frame(key, &body, net::UNTAGGED_FRAME);
             }
             match body {
                 Some(Body::Replication(body)) => self.receive_replication_message(name, body),
@@ -326,11 +327,11 @@
         let Some(driver) = &self.cluster.consensus else {
             return;
         };
-        if conn.out.len() > MAX_QUEUED_BYTES {
+        if conn.outbox.len() > MAX_QUEUED_BYTES {
             return;
         }
         if let Some(bytes) = peer.session.pack(&driver.keys, body) {
-            conn.out.push(tag, bytes);
+            conn.outbox.push(tag, bytes);
             self.dirty.push(key);
         }
     }
@@ -376,7 +377,7 @@
             return;
         };
         if peer.session.is_open() {
-            return self.push_frame(key, &body, net::KEPT_FRAME);
+            return self.push_frame(key, &body, net::UNTAGGED_FRAME);
         }
         if peer.waiting.len() < MAX_WAITING_FRAMES {
             peer.waiting.push(body);
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -4,11 +4,11 @@
 
 use serde_json::{json, Value};
 
-use super::{Gateway, TRIALS};
+use super::{Gateway, GatewayDeadline};
 use crate::api::{Micros, WorkerId};
 use crate::completion::CloseReason;
 use crate::consensus::participant;
-use crate::core::ProbeKey;
+use crate::core::HealthCheckKey;
 use crate::health_checks::{HealthChecker, Input, Output, ProbeResult, Verdict, NAME};
 use crate::membership::group::Observed;
 
@@ -20,7 +20,7 @@
 pub(super) struct HealthCheckDriver {
     checker: HealthChecker,
     /// Probes of the lease holder in progress.
-    probes: BTreeMap<ProbeKey, WorkerId>,
+    probes: BTreeMap<HealthCheckKey, WorkerId>,
     /// When the scheduled deadline is due.
     scheduled_at: Option<Micros>,
 }
@@ -110,7 +110,7 @@
     pub(super) fn on_health_check_probe_ended(
         &mut self,
         now: Micros,
-        key: ProbeKey,
+        key: HealthCheckKey,
         reason: CloseReason,
     ) {
         let driver = self.cluster.health_checks.as_mut();
@@ -140,17 +140,18 @@
         };
         // The core does not report probes that it gave up; the checker has a timeout of its own for them.
         let core = &self.core;
-        driver.probes.retain(|key, _| core.has_probe(*key));
+        driver.probes.retain(|key, _| core.has_health_check(*key));
         let next = driver.checker.next_deadline().map(|at| at.max(now));
         if next == driver.scheduled_at {
             return;
         }
         let previous = std::mem::replace(&mut driver.scheduled_at, next);
         if let Some(at) = previous {
-            self.core.unhang(at, TRIALS);
+            self.core
+                .unschedule(at, GatewayDeadline::HealthChecks.into());
         }
         if let Some(at) = next {
-            self.core.hang(at, TRIALS);
+            self.core.schedule(at, GatewayDeadline::HealthChecks.into());
         }
     }
 
@@ -161,7 +162,7 @@
                 self.handle_consensus(participant::Input::Report(NAME.into(), content));
             }
             Output::Probe(worker) => {
-                let key = self.core.probe(now, worker);
+                let key = self.core.start_health_check(now, worker);
                 if let Some(driver) = &mut self.cluster.health_checks {
                     driver.probes.insert(key, worker);
                 }
@@ -170,7 +171,7 @@
                 let content = encode_verdicts(verdicts);
                 self.handle_consensus(participant::Input::Act(NAME.into(), content));
             }
-            Output::Advise(worker, until) => self.core.rumour(now, worker, until),
+            Output::Advise(worker, until) => self.core.update_peer_health(now, worker, until),
             Output::SetAble(able) => self.set_subsystems_able(able),
         }
     }
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -1,48 +1,144 @@
-//! Drives the handover between processes of one gateway: its folder in `$TMPDIR`, its files, and the socket that
-//! both hold. What the words mean is decided in `operations::hot_restart` and `operations::upkeep`.
+//! Drives the hot restart between processes of one gateway: its folder in `$TMPDIR`, its files, and the socket that both
+//! hold. What their states mean is decided in `operations::hot_restart` and `operations::overrides`.
 //!
-//! In the folder each process has `PID.lock`, locked while it lives, and `PID.word`, written beside and renamed. Both stay
-//! at its end: what it was told last is heard by whoever lives or starts next, who then clears them away.
+//! In the folder each process has `PID.lock`, locked while it lives, and `PID.word` with its state, written beside and
+//! renamed. Both stay at its end: its last state is read by the process that lives or starts next, which removes them.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File, TryLockError};
-use std::path::PathBuf;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-use super::*;
+use super::startup::MICROS_PER_SECOND;
+use super::{Gateway, GatewayDeadline};
+use crate::api::Micros;
 use crate::operations::hot_restart::{
     ProcessState, SiblingProcesses, SiblingState, MAX_STATE_BYTES, WRITE_INTERVAL,
 };
 
-/// How often the others' words are looked at: well within the grace that the rules give after a call.
-const LOOK: Micros = 100_000;
-/// A new process that has not heard from the notice board by then serves with the list that it was given.
-const BOARD_PATIENCE: Micros = 1_500_000;
+/// How often the other processes' states are read: well within the grace that the rules give after a call.
+const SIBLING_READ_INTERVAL: Micros = 100_000;
+/// A new process that has not heard from service discovery by then serves with the list that it was given.
+const DISCOVERY_START_TIMEOUT: Micros = 1_500_000;
 
-/// The handover, while the clients' socket is one that the platform holds.
+/// The most that a worker is told to have served, in answers a second.
+const MAX_TOLD_CAPACITY_PER_S: f64 = 1e5;
+
+/// The hot restart, while the clients' socket is one that the platform holds.
 #[derive(Debug)]
-pub(super) struct Handover {
+pub(super) struct HotRestartDriver {
     /// The folder, and the lock of this process; none if there is no place for it.
     folder: Option<(PathBuf, File)>,
     pid: u32,
-    others: SiblingProcesses,
-    /// The word files read last, by process: when written and how long.
+    siblings: SiblingProcesses,
+    /// The state files read last, by process: when each was written and how long it is.
     read: BTreeMap<u32, (SystemTime, u64)>,
     written: (String, Micros),
-    begun: Micros,
-    /// Whether the board has answered since the start.
-    board: bool,
+    started_at: Micros,
+    /// Whether service discovery has answered since the start.
+    discovery_answered: bool,
+}
+
+/// What the files of other processes hold.
+#[derive(Debug, Default)]
+struct SiblingReadings {
+    living: BTreeSet<u32>,
+    dead: Vec<u32>,
+    /// The states that have changed since the last time.
+    states: Vec<SiblingReading>,
+}
+
+/// The state of one other process.
+#[derive(Debug)]
+struct SiblingReading {
+    pid: u32,
+    alive: bool,
+    state: SiblingState,
+}
+
+impl HotRestartDriver {
+    /// Reads the files of other processes; `None` if there is no folder for them.
+    fn read_files(&mut self, gateway: &str) -> Option<SiblingReadings> {
+        let (folder, _) = self.folder.as_ref()?;
+        let folder = folder.clone();
+        let mut readings = SiblingReadings::default();
+        for pid in sibling_pids(&folder, self.pid) {
+            let alive = is_locked(&folder.join(format!("{pid}.lock")));
+            if alive {
+                readings.living.insert(pid);
+            } else {
+                readings.dead.push(pid);
+            }
+            let path = folder.join(format!("{pid}.word"));
+            match self.read_state(pid, &path, gateway, alive) {
+                Ok(Some(state)) => readings.states.push(SiblingReading { pid, alive, state }),
+                Ok(None) => {}
+                Err(error) => tracing::error!(pid, %error, "process state cannot be read"),
+            }
+        }
+        self.read.retain(|pid, _| readings.living.contains(pid));
+        Some(readings)
+    }
+
+    /// The state that another process has written; `None` if there is none, or none since the last time.
+    fn read_state(
+        &mut self,
+        pid: u32,
+        path: &Path,
+        gateway: &str,
+        alive: bool,
+    ) -> io::Result<Option<SiblingState>> {
+        let Ok(metadata) = fs::metadata(path) else {
+            return Ok(None);
+        };
+        let modified = metadata.modified().unwrap_or(SystemTime::UNIX_EPOCH);
+        let version = (modified, metadata.len());
+        if self.read.insert(pid, version) == Some(version) {
+            return Ok(None);
+        }
+        let age = SystemTime::now()
+            .duration_since(modified)
+            .map_or(0, |age| age.as_micros() as Micros);
+        let bytes = if metadata.len() > MAX_STATE_BYTES as u64 {
+            Vec::new()
+        } else {
+            fs::read(path)?
+        };
+        match SiblingState::decode(&bytes, gateway, alive, age) {
+            Ok(state) => Ok(Some(state)),
+            Err(error) => Err(io::Error::other(error.to_string())),
+        }
+    }
+    pub(super) fn siblings(&self) -> &SiblingProcesses {
+        &self.siblings
+    }
 }
 
-impl Handover {
-    pub(super) fn others(&self) -> &SiblingProcesses {
-        &self.others
+/// The other processes that have a file in the folder.
+fn sibling_pids(folder: &Path, own: u32) -> BTreeSet<u32> {
+    let mut pids = BTreeSet::new();
+    for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
+        let name = entry.file_name();
+        let pid = name
+            .to_str()
+            .and_then(|name| name.split_once('.'))
+            .and_then(|(pid, _)| pid.parse::<u32>().ok());
+        pids.extend(pid.filter(|pid| *pid != own));
     }
+    pids
 }
 
-fn begin(folder: PathBuf, pid: u32) -> io::Result<(PathBuf, File)> {
+/// Whether a living process holds a lock. A missing file, or one without a lock, is left by a process that has died, at
+/// whatever step.
+fn is_locked(path: &Path) -> bool {
+    File::open(path)
+        .is_ok_and(|file| matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)))
+}
+
+fn create_lock(folder: PathBuf, pid: u32) -> io::Result<(PathBuf, File)> {
     fs::create_dir_all(&folder)?;
-    // Locked before it gets its name: another process takes a file without a lock for a dead one's.
+    // Locked before it gets its name: another process takes a file without a lock for that of a dead process.
     let fresh = folder.join(format!("{pid}.fresh"));
     let file = File::create(&fresh)?;
     file.try_lock().map_err(io::Error::other)?;
@@ -51,225 +147,197 @@
 }
 
 impl Gateway {
-    /// Begins the handover, before any list is taken over: bans that another process holds bind from the first
-    /// moment.
-    pub(super) fn begin_handover(&mut self, now: Micros) {
+    /// Begins the hot restart, before any list is taken over: the bans of another process apply from the first moment.
+    pub(super) fn start_hot_restart(&mut self, now: Micros) {
         let pid = std::process::id();
         let place = std::env::var_os("TMPDIR").filter(|t| !t.is_empty());
-        let folder = match place.map(|t| begin(PathBuf::from(t).join("molelug-handover"), pid)) {
-            Some(Ok(folder)) => Some(folder),
-            Some(Err(e)) => {
-                tracing::error!("nothing is handed over between processes: {e}");
-                None
-            }
-            None => {
-                tracing::error!("nothing is handed over between processes: TMPDIR is not set");
-                None
-            }
-        };
-        let handover = Handover {
+        let folder =
+            match place.map(|t| create_lock(PathBuf::from(t).join("molelug-handover"), pid)) {
+                Some(Ok(folder)) => Some(folder),
+                Some(Err(error)) => {
+                    tracing::error!(%error, "hot restart has no folder");
+                    None
+                }
+                None => {
+                    tracing::error!(error = "TMPDIR is not set", "hot restart has no folder");
+                    None
+                }
+            };
+        let hot_restart = HotRestartDriver {
             folder,
             pid,
-            others: SiblingProcesses::default(),
+            siblings: SiblingProcesses::default(),
             read: BTreeMap::new(),
             written: (String::new(), 0),
-            begun: now,
-            board: false,
+            started_at: now,
+            discovery_answered: false,
         };
-        self.ops.handover = Some(handover);
-        self.look(now);
+        self.ops.hot_restart = Some(hot_restart);
+        self.read_siblings(now);
     }
 
-    /// Looks at what the other processes tell, and again in a while.
-    pub(super) fn look_at_others(&mut self, now: Micros) {
-        self.look(now);
+    /// Reads the other processes' states and writes the own, and again after [`SIBLING_READ_INTERVAL`].
+    pub(super) fn step_hot_restart(&mut self, now: Micros) {
+        self.read_siblings(now);
         self.check_start(now);
-        self.write_word(now);
-        self.core.hang(now + LOOK, HANDOVER);
+        self.write_state(now);
+        self.core.schedule(
+            now + SIBLING_READ_INTERVAL,
+            GatewayDeadline::HotRestart.into(),
+        );
     }
 
-    pub(super) fn look(&mut self, now: Micros) {
-        let Some(handover) = &mut self.ops.handover else {
+    /// Reads what the other processes have written since the last time, and applies it.
+    pub(super) fn read_siblings(&mut self, now: Micros) {
+        let Some(hot_restart) = &mut self.ops.hot_restart else {
             return;
         };
-        let Some((folder, _)) = &handover.folder else {
+        let Some(readings) = hot_restart.read_files(&self.config.name) else {
             return;
         };
-        let mut pids = BTreeSet::new();
-        for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
-            let name = entry.file_name();
-            let pid = name
-                .to_str()
-                .and_then(|n| n.split_once('.'))
-                .and_then(|(pid, _)| pid.parse::<u32>().ok());
-            pids.extend(pid.filter(|pid| *pid != handover.pid));
-        }
-        let mut living = BTreeSet::new();
-        let mut heard = Vec::new();
-        let mut dead = Vec::new();
-        for pid in pids {
-            // A lock that cannot be had is held by a living process; no file, or one without a lock, is left
-            // by one that has died, at whatever step.
-            let lock = File::open(folder.join(format!("{pid}.lock")));
-            let alive =
-                lock.is_ok_and(|f| matches!(f.try_lock_shared(), Err(TryLockError::WouldBlock)));
-            if alive {
-                living.insert(pid);
-            } else {
-                dead.push(pid);
-            }
-            let path = folder.join(format!("{pid}.word"));
-            let Ok(meta) = fs::metadata(&path) else {
-                continue;
-            };
-            let modified = meta.modified().unwrap_or(SystemTime::UNIX_EPOCH);
-            let mark = (modified, meta.len());
-            if handover.read.get(&pid) == Some(&mark) {
-                continue;
-            }
-            handover.read.insert(pid, mark);
-            let age = SystemTime::now()
-                .duration_since(modified)
-                .map_or(0, |d| d.as_micros() as Micros);
-            let bytes = if meta.len() > MAX_STATE_BYTES as u64 {
-                Ok(Vec::new())
-            } else {
-                fs::read(&path)
-            };
-            let word = bytes.map(|b| SiblingState::decode(&b, &self.config.name, alive, age));
-            match word {
-                Ok(Ok(word)) => heard.push((pid, alive, word)),
-                Ok(Err(e)) => tracing::error!(pid, "what another process left is passed over: {e}"),
-                Err(e) => tracing::error!(pid, "what another process left cannot be read: {e}"),
-            }
-        }
-        handover.read.retain(|pid, _| living.contains(pid));
-        let changed = handover.others.retain_living(&living);
+        let changed = hot_restart.siblings.retain_living(&readings.living);
         let mut bans = Vec::new();
-        for (pid, alive, word) in heard {
-            word.known_workers
-                .iter()
-                .for_each(|name| self.ops.upkeep.remember(name));
+        for reading in readings.states {
+            for name in &reading.state.known_workers {
+                self.ops.overrides.remember(name);
+            }
             bans.extend(
-                word.exclusions
+                reading
+                    .state
+                    .exclusions
                     .iter()
-                    .map(|(name, (ban, at))| (name.clone(), *ban, *at)),
+                    .map(|(name, (banned, at))| (name.clone(), *banned, *at)),
             );
-            if alive {
-                handover.others.update(pid, word);
+            if reading.alive {
+                hot_restart.siblings.update(reading.pid, reading.state);
             }
         }
-        let processes = handover.others.process_count();
-        let learnt = handover.others.bears() > self.core.bears() * 1e6;
-        for (name, ban, at) in bans {
-            if let Some(member) = self.ops.upkeep.merge(&name, ban, at, now) {
-                tracing::info!(worker = name, out = ban, "upkeep, told by another process");
-                self.tell_member(now, member);
+        let processes = hot_restart.siblings.process_count();
+        let own_capacity = self.core.observed_capacity() * MICROS_PER_SECOND;
+        let capacity_learnt = hot_restart.siblings.bears() > own_capacity;
+        for (name, banned, at) in bans {
+            if let Some(worker) = self.ops.overrides.merge(&name, banned, at, now) {
+                tracing::info!(worker = name, excluded = banned, "worker override received");
+                self.announce_worker(now, worker);
             }
         }
         if changed {
-            tracing::info!(processes, "processes of this gateway");
+            tracing::info!(processes, "processes of this gateway changed");
         }
-        if changed || learnt {
-            self.share_limits(now);
+        if changed || capacity_learnt {
+            self.update_client_limits(now);
         }
-        if !dead.is_empty() {
-            // Its bans are in this process's own word before its files go.
-            self.write_word(now);
-            self.clear_away(&dead);
+        if !readings.dead.is_empty() {
+            // The dead processes' bans are in this process's own state before their files are removed.
+            self.write_state(now);
+            self.remove_files_of(&readings.dead);
         }
     }
 
-    fn clear_away(&self, dead: &[u32]) {
-        let Some((folder, _)) = self.ops.handover.as_ref().and_then(|h| h.folder.as_ref()) else {
+    fn remove_files_of(&self, dead: &[u32]) {
+        let Some((folder, _)) = self
+            .ops
+            .hot_restart
+            .as_ref()
+            .and_then(|h| h.folder.as_ref())
+        else {
             return;
         };
         for (pid, kind) in dead
             .iter()
             .flat_map(|pid| ["fresh", "new", "word", "lock"].map(|k| (pid, k)))
         {
-            // Most are not there.
+            // Most do not exist.
             let _ = fs::remove_file(folder.join(format!("{pid}.{kind}")));
         }
     }
 
-    /// Tells the others what has changed here, if anything has or the last word has become old.
-    pub(super) fn write_word(&mut self, now: Micros) {
-        let life = &self.ops.life;
+    /// Writes this process's state for the others, if it has changed or was written long ago.
+    pub(super) fn write_state(&mut self, now: Micros) {
+        let life = &self.ops.lifecycle;
         let state = match (life.is_shutting_down(), life.has_started()) {
             (true, _) => ProcessState::Stopping,
             (false, true) => ProcessState::Ready,
             (false, false) => ProcessState::Starting,
         };
-        let Some(handover) = &mut self.ops.handover else {
+        let Some(hot_restart) = &mut self.ops.hot_restart else {
             return;
         };
-        let Some((folder, _)) = &handover.folder else {
+        let Some((folder, _)) = &hot_restart.folder else {
             return;
         };
-        let upkeep = &self.ops.upkeep;
+        let upkeep = &self.ops.overrides;
         let word = SiblingState {
             gateway: self.config.name.clone(),
             state,
-            list_revision: self.last_revision,
-            observed_capacity: (self.core.bears() * 1e6).min(1e5),
+            list_revision: self.discovery.last_revision,
+            observed_capacity: (self.core.observed_capacity() * MICROS_PER_SECOND)
+                .min(MAX_TOLD_CAPACITY_PER_S),
             exclusions: upkeep.bans().clone(),
             known_workers: upkeep.seen().map(str::to_owned).collect(),
         };
         let text = word.encode();
-        if text == handover.written.0 && now < handover.written.1 + WRITE_INTERVAL {
+        if text == hot_restart.written.0 && now < hot_restart.written.1 + WRITE_INTERVAL {
             return;
         }
         let (fresh, path) = (
-            folder.join(format!("{}.new", handover.pid)),
-            folder.join(format!("{}.word", handover.pid)),
+            folder.join(format!("{}.new", hot_restart.pid)),
+            folder.join(format!("{}.word", hot_restart.pid)),
         );
         match fs::write(&fresh, &text).and_then(|()| fs::rename(&fresh, &path)) {
-            Ok(()) => handover.written = (text, now),
-            Err(e) => tracing::error!("another process will not hear of this: {e}"),
+            Ok(()) => hot_restart.written = (text, now),
+            Err(error) => tracing::error!(%error, "process state cannot be written"),
         }
     }
 
-    /// The board has answered.
-    pub(super) fn heard_board(&mut self, now: Micros) {
-        if let Some(handover) = self.ops.handover.as_mut().filter(|h| !h.board) {
-            handover.board = true;
+    /// Service discovery has answered.
+    pub(super) fn note_discovery_answer(&mut self, now: Micros) {
+        if let Some(hot_restart) = self
+            .ops
+            .hot_restart
+            .as_mut()
+            .filter(|h| !h.discovery_answered)
+        {
+            hot_restart.discovery_answered = true;
             self.check_start(now);
         }
     }
 
-    /// A process that was handed its socket takes connections once it knows what the others know.
+    /// A process that inherited its socket accepts connections once it knows what the others know.
     pub(super) fn check_start(&mut self, now: Micros) {
-        let Some(handover) = &self.ops.handover else {
+        let Some(hot_restart) = &self.ops.hot_restart else {
             return;
         };
-        if self.ops.life.has_started() {
+        if self.ops.lifecycle.has_started() {
             return;
         }
-        let told = self.config.board.is_none() || handover.board;
-        if told && self.last_revision >= handover.others.latest_list_revision()
-            || now >= handover.begun + BOARD_PATIENCE
+        let told = self.config.board.is_none() || hot_restart.discovery_answered;
+        if told && self.discovery.last_revision >= hot_restart.siblings.latest_list_revision()
+            || now >= hot_restart.started_at + DISCOVERY_START_TIMEOUT
         {
-            self.ops.life.start();
-            self.accept = true;
-            tracing::info!(rev = self.last_revision, "takes connections");
-            self.write_word(now);
+            self.ops.lifecycle.start();
+            self.listeners.accept_pending = true;
+            tracing::info!(
+                revision = self.discovery.last_revision,
+                "accepting connections"
+            );
+            self.write_state(now);
         }
     }
 
     /// Whether another process takes the connections once this one stops.
     pub(super) fn is_taken_over(&self) -> bool {
         self.ops
-            .handover
+            .hot_restart
             .as_ref()
-            .is_some_and(|h| h.others.any_is_ready())
+            .is_some_and(|h| h.siblings.any_is_ready())
     }
 
     /// Processes that share one gateway's limits.
-    pub(super) fn processes(&self) -> usize {
+    pub(super) fn process_count(&self) -> usize {
         self.ops
-            .handover
+            .hot_restart
             .as_ref()
-            .map_or(1, |h| h.others.process_count())
+            .map_or(1, |h| h.siblings.process_count())
     }
 }
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -5,11 +5,11 @@
 
 use serde_json::{json, Value};
 
-use super::{Gateway, LOADS};
+use super::{Gateway, GatewayDeadline};
 use crate::api::{FunctionId, LoadRateLimit, Micros, WorkerId};
 use crate::completion::{CloseReason, SendProgress};
 use crate::consensus::participant;
-use crate::core::OrderKey;
+use crate::core::LoadOrderKey;
 use crate::lease::LeaseName;
 use crate::load_coordination::{
     CopyKey, Input, LoadCoordinator, LoadMessage, Output, MAX_ORDER_DELAY, PREFIX,
@@ -18,7 +18,7 @@
 /// An order of the decision module.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Order {
-    pub(super) key: OrderKey,
+    pub(super) key: LoadOrderKey,
     pub(super) worker: WorkerId,
     pub(super) function: FunctionId,
     pub(super) copies: u8,
@@ -30,7 +30,7 @@
     coordinator: LoadCoordinator,
     /// Orders that wait or were made, by number.
     orders: BTreeMap<u64, Order>,
-    numbers: BTreeMap<OrderKey, u64>,
+    numbers: BTreeMap<LoadOrderKey, u64>,
     last_number: u64,
     /// When the scheduled deadline is due.
     scheduled_at: Option<Micros>,
@@ -61,7 +61,7 @@
                 ..limit
             };
             self.core
-                .limits(now, Some(longer), settings.overload_multiple, 0.0);
+                .set_instance_limits(now, Some(longer), settings.overload_multiple, 0.0);
         }
         self.cluster.loads = Some(LoadDriver {
             coordinator,
@@ -100,7 +100,7 @@
     }
 
     /// The module no longer needs an order; returns whether the order still waited.
-    pub(super) fn cancel_delayed_order(&mut self, now: Micros, order: OrderKey) -> bool {
+    pub(super) fn cancel_delayed_order(&mut self, now: Micros, order: LoadOrderKey) -> bool {
         let Some(driver) = &mut self.cluster.loads else {
             return false;
         };
@@ -108,7 +108,7 @@
             return false;
         };
         // An order that was made ends by itself, and the holder is told.
-        if self.load_orders.contains_key(order) {
+        if self.routes.load_orders.contains_key(order) {
             return false;
         }
         driver.coordinator.handle(now, Input::Cancel(number));
@@ -118,7 +118,7 @@
     }
 
     /// An order that was made has ended.
-    pub(super) fn on_load_order_ended(&mut self, now: Micros, order: OrderKey, copies: u32) {
+    pub(super) fn on_load_order_ended(&mut self, now: Micros, order: LoadOrderKey, copies: u32) {
         let Some(driver) = &mut self.cluster.loads else {
             return;
         };
@@ -182,10 +182,12 @@
         }
         let previous = std::mem::replace(&mut driver.scheduled_at, next);
         if let Some(at) = previous {
-            self.core.unhang(at, LOADS);
+            self.core
+                .unschedule(at, GatewayDeadline::LoadCoordination.into());
         }
         if let Some(at) = next {
-            self.core.hang(at, LOADS);
+            self.core
+                .schedule(at, GatewayDeadline::LoadCoordination.into());
         }
     }
 
@@ -223,7 +225,7 @@
             return;
         };
         driver.numbers.remove(&order.key);
-        self.core.order_ended(
+        self.core.load_ended(
             now,
             order.key,
             CloseReason::Served,
@@ -236,10 +238,10 @@
     fn make_delayed_order(&mut self, now: Micros, order: Order) {
         let ready = self.cluster.ready.as_ref();
         if ready.is_none_or(|ready| ready.contains(&order.worker)) {
-            return self.stage(now, order);
+            return self.send_load_order(now, order);
         }
         self.on_load_order_ended(now, order.key, 0);
-        self.core.order_ended(
+        self.core.load_ended(
             now,
             order.key,
             CloseReason::Withdrawn,
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use super::history::History;
-use super::{consensus, webhooks, Gateway, GatewayError, COPIES};
+use super::{consensus, webhooks, Gateway, GatewayDeadline, GatewayError};
 use crate::api::Micros;
 use crate::config::ConfigError;
 use crate::replication::config::{DisabledGuards, ReplicationFile, WhenFewer};
@@ -257,8 +257,10 @@
             return;
         }
         if let Some(at) = driver.tick_at.replace(next) {
-            self.core.unhang(at, COPIES);
+            self.core
+                .unschedule(at, GatewayDeadline::Replication.into());
         }
-        self.core.hang(next, COPIES);
+        self.core
+            .schedule(next, GatewayDeadline::Replication.into());
     }
 }
--- a/src/gateway/replication/outputs.rs
+++ b/src/gateway/replication/outputs.rs
@@ -76,7 +76,7 @@
             return;
         };
         for request in webhooks.resign_shard(now, shard) {
-            self.core.caller_gone(now, request);
+            self.core.client_disconnected(now, request);
         }
     }
 
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -11,7 +11,7 @@
 use crate::front::http::{plain, Bad};
 use crate::gateway::consensus::uptime;
 use crate::gateway::history::History;
-use crate::gateway::{ConnKey, Gateway, TENANTS};
+use crate::gateway::{ConnKey, Gateway, GatewayDeadline};
 use crate::tenancy::replicated::changes::{
     ChangeRequest, Changes, Input, Output, Settings, Ticket,
 };
@@ -254,7 +254,7 @@
         }
         if adopted {
             // What is agreed holds, whatever becomes of the file; a failure was told.
-            self.keep_tenants();
+            self.persist_tenants();
         }
         let Some(side) = &mut self.cluster.tenants else {
             return;
@@ -265,11 +265,11 @@
             .next_deadline()
             .map(|t| now + t.saturating_sub(up).max(1));
         if let Some(old) = side.hung.take() {
-            self.core.unhang(old, TENANTS);
+            self.core.unschedule(old, GatewayDeadline::Tenants.into());
         }
         side.hung = next;
         if let Some(at) = next {
-            self.core.hang(at, TENANTS);
+            self.core.schedule(at, GatewayDeadline::Tenants.into());
         }
     }
 
@@ -281,7 +281,8 @@
                     removed = kept.is_none(),
                     "took over a tenant as it is agreed on"
                 );
-                self.core.share(now, adopted.share.0, adopted.share.1);
+                self.core
+                    .set_tenant_quota(now, adopted.share.0, adopted.share.1);
                 self.forget_endpoints(now, &adopted.gone);
                 self.tell_endpoints(now, tenant);
             }
@@ -324,9 +325,9 @@
         changes
             .into_iter()
             .filter(told)
-            .for_each(|c| self.follow(now, c));
+            .for_each(|c| self.apply_change(now, c));
         let bytes = admin::answer(&Ok(handled.clone()), true);
-        self.end_key(key.map(|(key, ..)| (who, key)), true, &bytes);
+        self.finish_idempotency_key(key.map(|(key, ..)| (who, key)), true, &bytes);
         self.answer_second(conn, now, |stays| {
             if stays {
                 bytes
@@ -347,7 +348,7 @@
             Some(Waits::Asker(asker)) => {
                 let Asker { conn, who, key, .. } = *asker;
                 // It may be made again under the same key, whatever became of it.
-                self.end_key(key.map(|(key, ..)| (who, key)), false, &[]);
+                self.finish_idempotency_key(key.map(|(key, ..)| (who, key)), false, &[]);
                 let (status, text) = (why.status(), why.to_string());
                 self.answer_second(conn, now, |stays| {
                     admin::problem(status, &text, Some(why.remedy()), stays)
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -46,7 +46,8 @@
                     current: None,
                     status: None,
                 };
-                net::connect(address).and_then(|s| self.add(s, false, Role::Portal(link)))
+                net::connect(address)
+                    .and_then(|s| self.add_connection(s, false, Role::Portal(link)))
             }
         };
         match key {
@@ -55,7 +56,7 @@
                     return;
                 };
                 (link.current, link.status) = (Some((seq, now)), None);
-                conn.out.push(seq.0, bytes);
+                conn.outbox.push(seq.0, bytes);
                 self.set_deadline(key, Some(deadline));
                 self.dirty.push(key);
             }
@@ -98,8 +99,10 @@
                 (link.current, link.status) = (None, None);
                 let (id, address) = (link.endpoint, link.address);
                 // An answer ahead of the request's end: what is left of it would be read as the next request.
-                let clean =
-                    keep && conn.out.is_empty() && conn.input.bytes().is_empty() && !conn.ended;
+                let clean = keep
+                    && conn.outbox.is_empty()
+                    && conn.input.bytes().is_empty()
+                    && !conn.peer_closed;
                 self.portal_ended(now, seq, answered(status, advice));
                 let Some(hooks) = &mut self.secondary.hooks else {
                     return;
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -21,11 +21,11 @@
         let next = hooks.delivery.next_deadline();
         if next != hooks.hung {
             if let Some(old) = hooks.hung {
-                self.core.unhang(old, DELIVER);
+                self.core.unschedule(old, GatewayDeadline::Delivery.into());
             }
             hooks.hung = next;
             if let Some(at) = next {
-                self.core.hang(at, DELIVER);
+                self.core.schedule(at, GatewayDeadline::Delivery.into());
             }
         }
         false
@@ -125,8 +125,10 @@
                     hooks.delivery.handle(now, Input::MessageRemoved(seq));
                     self.core.counters.callbacks_undelivered += 1;
                 }
-                self.core
-                    .hang(now + if more { RETAIN_SOON } else { RETAIN_LATER }, RETAIN);
+                self.core.schedule(
+                    now + if more { RETAIN_SOON } else { RETAIN_LATER },
+                    GatewayDeadline::Retention.into(),
+                );
             }
             Ask::Call { conn, id } => {
                 let body = match reply {
@@ -141,7 +143,7 @@
                     _ => Vec::new(),
                 };
                 self.now_wait(now, Ok(Reply::Queued(waits)));
-                self.answer_asked(now, conn, limit, key, reply);
+                self.answer_stored(now, conn, limit, key, reply);
             }
         }
     }
@@ -259,7 +261,7 @@
                     return;
                 };
                 tracing::warn!(tenant, endpoint = name, why, "an endpoint is switched off");
-                self.keep_tenants();
+                self.persist_tenants();
                 self.agree_on_disabled(now, &tenant, id);
                 let data = serde_json::json!({ "endpoint": name, "why": why });
                 self.tell_tenant(now, &tenant, None, "endpoint.disabled", &data);
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -232,7 +232,9 @@
                     let seq = call.seq;
                     webhooks.guards.insert(id, Guard { seq, ran: false });
                 }
-                let request = self.core.call(now, runnable.with(Origin::Webhook(key)));
+                let request = self
+                    .core
+                    .submit(now, runnable.with_origin(Origin::Webhook(key)));
                 self.set_call_request(key, request);
                 RecoveryAction::Run
             }
@@ -274,7 +276,7 @@
         };
         Some(Call {
             origin: job_of(call),
-            id: call.worker_id.as_str().into(),
+            identity: call.worker_id.as_str().into(),
             body: call.body.clone().into(),
             arrival,
         })
@@ -321,7 +323,7 @@
 
     /// Confirms a caller's call that the primary of its shard has committed.
     pub(in crate::gateway) fn confirm_call(&mut self, now: Micros, conn: ConnKey, replicas: u8) {
-        self.core.counters.webhooks_taken += 1;
+        self.core.counters.webhooks_accepted += 1;
         let head = format!("X-Kept-In: store\r\nX-Copies: {replicas}\r\n");
         self.answer_second(conn, now, |stays| http::response(202, &head, b"", stays));
     }
@@ -338,7 +340,7 @@
         if let Some(webhooks) = self.secondary.hooks.as_mut().filter(|_| !is_duplicate) {
             webhooks.inbound.replays.forget(identity);
         }
-        self.core.counters.webhooks_refused += 1;
+        self.core.counters.webhooks_rejected += 1;
         let (status, problem) = problem_of(error);
         tracing::debug!(%error, remedy = error.remedy(), "a call is not committed");
         self.answer_second(conn, now, |stays| refuse(&plain(status, problem), stays));
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -113,10 +113,11 @@
             .map(|(name, _)| name.clone())
             .collect();
         names.iter().for_each(|name| self.tell_endpoints(now, name));
-        self.listen(Kind::Webhook, w.listen)?;
+        self.listen(ListenerKind::Webhook, w.listen)?;
         self.recover(now, found);
         if durable {
-            self.core.hang(now + RETAIN_SOON, RETAIN);
+            self.core
+                .schedule(now + RETAIN_SOON, GatewayDeadline::Retention.into());
         }
         Ok(())
     }
--- a/src/operations/metrics.rs
+++ b/src/operations/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use crate::counters::Ends;
+use crate::counters::FinalAnswerCounts;
 
 /// Values that are read from the state when the metrics are asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -16,14 +16,19 @@
 }
 
 /// Writes the metrics as text. Every class is included from the start.
-pub fn encode(classes: &[String], ends: &[Ends], attempts: u64, gauges: Gauges) -> String {
+pub fn encode(
+    classes: &[String],
+    ends: &[FinalAnswerCounts],
+    attempts: u64,
+    gauges: Gauges,
+) -> String {
     let mut out = String::new();
-    let none = Ends::default();
+    let none = FinalAnswerCounts::default();
     for (index, class) in classes.iter().enumerate() {
         let ends_of_class = ends.get(index).unwrap_or(&none);
         for (outcome, count) in [
             ("completed", ends_of_class.served),
-            ("rejected", ends_of_class.refused),
+            ("rejected", ends_of_class.rejected),
             ("failed", ends_of_class.failed),
         ] {
             // Writing to a string does not fail.
--- a/src/operations/metrics/tests.rs
+++ b/src/operations/metrics/tests.rs
@@ -9,9 +9,9 @@
         members: 3,
         unavailable: 1,
     };
-    let ends = [Ends {
+    let ends = [FinalAnswerCounts {
         served: 812,
-        refused: 2,
+        rejected: 2,
         failed: 0,
     }];
     let text = encode(&["a".into(), "b-c".into()], &ends, 9, gauges);
