--- a/src/replication/replicator.rs
+++ b/src/replication/replicator.rs
@@ -17,6 +17,7 @@
 mod integrity;
 mod membership;
 mod messages;
+mod proposals;
 mod reconfiguration;
 mod records;
 mod requests;
@@ -178,7 +179,7 @@
                 }
             }
             Input::Verified(ranges) => self.disk_verified(now, ranges),
-            Input::Corrupt(shard, ranges) => self.mark_corrupt(shard, ranges),
+            Input::Corrupt(shard, ranges) => self.set_corrupt(shard, ranges),
             Input::DamageAccepted(shard) => self.damage_accepted(shard),
             Input::Request {
                 shard,
--- a/src/replication/replicator/integrity.rs
+++ b/src/replication/replicator/integrity.rs
@@ -40,13 +40,13 @@
         self.verify_at = Some(now + self.settings.verify_interval);
         for (shard, ranges) in verified.into_iter().flatten() {
             if !ranges.is_empty() {
-                self.mark_corrupt(shard, ranges);
+                self.set_corrupt(shard, ranges);
             }
         }
     }
 
     /// Marks a shard as damaged, unless a snapshot on its way to the disk repairs it.
-    pub(super) fn mark_corrupt(&mut self, shard: ShardId, ranges: Vec<u8>) {
+    pub(super) fn set_corrupt(&mut self, shard: ShardId, ranges: Vec<u8>) {
         let is_check_disabled = self.settings.disabled_guards.integrity_check;
         let Some(replica) = self.shards.get_mut(&shard) else {
             return;
@@ -95,7 +95,7 @@
         }
         if is_only_member {
             if can_propose {
-                self.note_proposal(now, shard);
+                self.record_proposal(now, shard);
                 self.outputs.push_back(Output::AcceptDamage(shard));
             }
         } else {
--- a/src/replication/replicator/membership.rs
+++ b/src/replication/replicator/membership.rs
@@ -1,12 +1,12 @@
-//! Changes of replica sets that this process proposes: repair, takeover, and graceful handover.
+//! Review of replica sets: creation, takeover, repair, and removal of replicas that lag.
 
 use std::collections::BTreeSet;
 
-use super::{Output, Replicator};
+use super::Replicator;
 use crate::api::Micros;
 use crate::replication::placement;
 use crate::replication::primary::Primary;
-use crate::replication::replica_sets::{Entry, MembershipChange, ReplicaSet};
+use crate::replication::replica_sets::ReplicaSet;
 use crate::replication::{Name, ShardId};
 
 /// Acknowledgement timeouts after which a replica that lags is given up, although no other has
@@ -334,97 +334,4 @@
         };
         placement::next_replica(id, &self.settings.hosts, members, is_eligible)
     }
-
-    /// Returns whether no recent proposal of a shard is waiting to be agreed on.
-    pub(super) fn can_propose(&self, now: Micros, id: ShardId) -> bool {
-        let interval = self.settings.acknowledgement_timeout / 2;
-        self.primary(id).is_some_and(|primary| {
-            primary
-                .proposed_at
-                .is_none_or(|proposed_at| proposed_at + interval <= now)
-        })
-    }
-
-    /// Notes the time of a proposal.
-    pub(super) fn note_proposal(&mut self, now: Micros, id: ShardId) {
-        if let Some(primary) = self.primary_mut(id) {
-            primary.proposed_at = Some(now);
-        }
-    }
-
-    /// Returns the set of a shard of which this process is the primary.
-    fn own_set(&self, id: ShardId) -> ReplicaSet {
-        self.primary(id)
-            .map_or_else(ReplicaSet::default, |primary| ReplicaSet {
-                epoch: primary.epoch,
-                primary: Some(self.settings.name.clone()),
-                members: primary.members.clone(),
-                ..ReplicaSet::default()
-            })
-    }
-
-    /// Hands a shard over to a reachable member that has the whole log, if there is one.
-    fn hand_over_to_successor(&mut self, now: Micros, id: ShardId) {
-        let Some(primary) = self.primary(id) else {
-            return;
-        };
-        let successor = primary
-            .successor(&self.settings.name)
-            .filter(|name| self.is_reachable(now, name));
-        if let Some(successor) = successor.filter(|_| self.can_propose(now, id)) {
-            self.hand_over_to(now, id, successor);
-        }
-    }
-
-    /// Proposes another member as the primary. Its process is not known here, so it proposes an
-    /// epoch of its own then.
-    pub(super) fn hand_over_to(&mut self, now: Micros, shard: ShardId, successor: Name) {
-        let Some(primary) = self.primary_mut(shard) else {
-            return;
-        };
-        primary.proposed_at = Some(now);
-        let change = MembershipChange {
-            shard,
-            previous_epoch: primary.epoch,
-            members: primary.members.clone(),
-            proposer: self.settings.name.clone(),
-            primary: successor,
-            process: 0,
-            joining: None,
-        };
-        self.outputs
-            .push_back(Output::Propose(Entry::ChangeMembers(change)));
-    }
-
-    /// Proposes this process as the primary of a shard with the given members.
-    fn propose(
-        &mut self,
-        now: Micros,
-        shard: ShardId,
-        current: &ReplicaSet,
-        members: BTreeSet<Name>,
-    ) {
-        self.note_proposal(now, shard);
-        let me = self.settings.name.clone();
-        // The disk that has caught up is named, because it may be lost before the change is agreed
-        // on.
-        let added = members
-            .difference(&current.members)
-            .find(|name| **name != me);
-        let joining = added.and_then(|name| {
-            let disk = self.sets.disks.get(name)?;
-            Some((name.clone(), disk.id))
-        });
-        let change = MembershipChange {
-            shard,
-            previous_epoch: current.epoch,
-            proposer: me.clone(),
-            primary: me,
-            process: self.settings.process,
-            members,
-            joining,
-        };
-        self.outputs
-            .push_back(Output::Propose(Entry::ChangeMembers(change)));
-    }
 }
--- a/src/replication/tests/faults.rs
+++ b/src/replication/tests/faults.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn only_complete_sets_commit_without_quorum() {
+fn only_complete_sets_commit_during_quorum_loss() {
     let mut simulation = Simulation::new(4, 2, 3, DisabledGuards::default());
     simulation.run(4_000 * MS);
     simulation.has_quorum = false;
--- a/src/replication/tests/model.rs
+++ b/src/replication/tests/model.rs
@@ -61,21 +61,21 @@
             if !gateway.writes.is_empty() {
                 steps.push(Step::CompleteWrite(index));
             }
-            if cluster.faults_left.isolations > 0 {
+            if cluster.remaining_faults.isolations > 0 {
                 steps.push(Step::Isolate(index));
             }
-            if cluster.faults_left.restarts > 0 {
+            if cluster.remaining_faults.restarts > 0 {
                 steps.push(Step::Restart(index));
                 if !gateway.writes.is_empty() {
                     steps.push(Step::RestartAfterWrites(index));
                 }
             }
-            if cluster.faults_left.losses > 0 {
+            if cluster.remaining_faults.losses > 0 {
                 steps.push(Step::Lose(index));
             }
         }
         steps.extend(cluster.messages.iter().cloned().map(Step::Deliver));
-        if cluster.faults_left.repetitions > 0 {
+        if cluster.remaining_faults.repetitions > 0 {
             let messages = cluster.messages.iter().cloned();
             steps.extend(messages.map(Step::DeliverRepeated));
         }
@@ -91,7 +91,7 @@
                 cluster.deliver(message);
             }
             Step::DeliverRepeated(message) => {
-                cluster.faults_left.repetitions -= 1;
+                cluster.remaining_faults.repetitions -= 1;
                 cluster.deliver(message);
             }
             Step::Agree(entry) => {
@@ -104,20 +104,20 @@
                 cluster.handle(index, Input::Persisted(1));
             }
             Step::Isolate(index) => {
-                cluster.faults_left.isolations -= 1;
+                cluster.remaining_faults.isolations -= 1;
                 cluster.isolate(index);
             }
             Step::Restart(index) => {
-                cluster.faults_left.restarts -= 1;
+                cluster.remaining_faults.restarts -= 1;
                 cluster.restart(self, index);
             }
             Step::RestartAfterWrites(index) => {
-                cluster.faults_left.restarts -= 1;
+                cluster.remaining_faults.restarts -= 1;
                 while cluster.complete_write(index) {}
                 cluster.restart(self, index);
             }
             Step::Lose(index) => {
-                cluster.faults_left.losses -= 1;
+                cluster.remaining_faults.losses -= 1;
                 cluster.lose_disk(index);
                 cluster.restart(self, index);
             }
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn commits_hold_under_faults() {
+fn commits_survive_faults() {
     assert_holds(Scenario::new(1, 1, 0, 0, 1), MAX_STATES);
     assert_holds(Scenario::new(1, 1, 0, 1, 0), MAX_STATES);
 }
@@ -202,7 +202,7 @@
 /// The same with more faults, as far as the number of states allows.
 #[test]
 #[ignore = "takes minutes; cargo test --release --lib replication::tests::model -- --ignored"]
-fn commits_hold_under_more_faults() {
+fn commits_survive_more_faults() {
     for scenario in [
         Scenario::new(1, 2, 0, 1, 0),
         Scenario::new(1, 1, 1, 1, 0),
--- a/src/replication/tests/model/cluster.rs
+++ b/src/replication/tests/model/cluster.rs
@@ -93,7 +93,7 @@
     pub(super) messages: BTreeSet<Message>,
     /// The number of records that were appended; a record is its number.
     pub(super) appended: u8,
-    pub(super) faults_left: Faults,
+    pub(super) remaining_faults: Faults,
     /// The records that were committed.
     pub(super) committed: BTreeSet<u8>,
     /// Whether a record was committed under a later epoch than the first.
@@ -125,7 +125,7 @@
             proposed: BTreeSet::new(),
             messages: BTreeSet::new(),
             appended: 0,
-            faults_left: scenario.faults,
+            remaining_faults: scenario.faults,
             committed: BTreeSet::new(),
             committed_after_change: false,
             first_epoch: 0,
--- a/src/replication/tests/simulation.rs
+++ b/src/replication/tests/simulation.rs
@@ -1,7 +1,7 @@
 //! Gateways on a virtual clock, over a network that loses, repeats and delays messages, with disks
 //! that fail.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -12,89 +12,24 @@
 use crate::replication::error::ReplicationError;
 use crate::replication::history::HistoryEvent;
 use crate::replication::placement::Host;
-use crate::replication::replica_sets::{Entry, ReplicaSet, ReplicaSets};
+use crate::replication::replica_sets::{Entry, ReplicaSets};
 use crate::replication::replicator::{Input, Replicator};
 use crate::replication::wire::{Message, RequestOutcome};
-use crate::replication::{LogPosition, Name, ShardId};
+use crate::replication::{Name, ShardId};
 
+mod gateway;
 mod outputs;
+mod queries;
 mod verdict;
 
+pub(super) use gateway::position_after;
+use gateway::{DiskImage, SimulatedGateway, Write};
+
 /// A millisecond.
 pub(super) const MS: Micros = 1_000;
 /// Shards of a simulation.
 pub(super) const SHARDS: u16 = 4;
 
-/// The content of a disk.
-#[derive(Clone, Debug, Default)]
-pub(super) struct DiskImage {
-    id: u64,
-    incarnation: u64,
-    pub(super) shards: BTreeMap<ShardId, Vec<Vec<u8>>>,
-    /// Shards with a row that has changed by itself.
-    damaged: BTreeSet<ShardId>,
-}
-
-impl DiskImage {
-    /// Changes a record. The position of the shard is stored elsewhere, and stays.
-    pub(super) fn damage(&mut self, shard: ShardId) -> bool {
-        let records = self.shards.get_mut(&shard);
-        let Some(record) = records.and_then(|records| records.first_mut()) else {
-            return false;
-        };
-        record[0] ^= 0x80;
-        self.damaged.insert(shard)
-    }
-}
-
-/// Returns the position after some records.
-pub(super) fn position_after(records: &[Vec<u8>]) -> LogPosition {
-    records
-        .iter()
-        .fold(LogPosition::default(), |position, record| {
-            position.advance(record)
-        })
-}
-
-enum Write {
-    Record(ShardId, Vec<u8>),
-    Snapshot(ShardId, Vec<Vec<u8>>),
-}
-
-/// A gateway of a simulation.
-pub(super) struct SimulatedGateway {
-    /// The replicator, while the process runs.
-    pub(super) replicator: Option<Replicator>,
-    pub(super) disk: DiskImage,
-    /// Writes on their way to the disk, with the time at which they reach it.
-    writes: VecDeque<(Micros, Write)>,
-    /// Whether the process is stopped, and goes on later.
-    pub(super) stopped: bool,
-    /// Whether the disk is full and completes no writes.
-    pub(super) disk_full: bool,
-    /// Records that the disk reports as written and loses when the process ends.
-    pub(super) lost_records: usize,
-    /// Whether changes of the replica sets do not arrive.
-    pub(super) ignores_changes: bool,
-    /// The index of the last state of the replica sets that has arrived.
-    seen_state: usize,
-}
-
-impl SimulatedGateway {
-    fn new() -> SimulatedGateway {
-        SimulatedGateway {
-            replicator: None,
-            disk: DiskImage::default(),
-            writes: VecDeque::new(),
-            stopped: false,
-            disk_full: false,
-            lost_records: 0,
-            ignores_changes: false,
-            seen_state: 0,
-        }
-    }
-}
-
 enum Event {
     Message {
         from: usize,
@@ -422,45 +357,4 @@
             self.run(10 * MS);
         }
     }
-
-    /// Returns whether a gateway regards itself as the primary of a shard.
-    pub(super) fn is_primary(&self, index: usize, shard: ShardId) -> bool {
-        let replicator = self.gateways[index].replicator.as_ref();
-        replicator.is_some_and(|replicator| replicator.is_primary(shard))
-    }
-
-    /// Returns the number of shards of which a gateway regards itself as the primary.
-    pub(super) fn primary_count(&self, index: usize) -> usize {
-        (1..=SHARDS)
-            .filter(|shard| self.is_primary(index, *shard))
-            .count()
-    }
-
-    /// Returns the agreed state.
-    pub(super) fn replica_sets(&self) -> &ReplicaSets {
-        self.states.last().unwrap()
-    }
-
-    /// Returns the agreed set of a shard.
-    pub(super) fn replica_set(&self, shard: ShardId) -> ReplicaSet {
-        self.replica_sets().replica_set(shard)
-    }
-
-    /// Returns the agreed members of a shard.
-    pub(super) fn members(&self, shard: ShardId) -> BTreeSet<Name> {
-        self.replica_set(shard).members
-    }
-
-    /// Returns the agreed primary of a shard.
-    pub(super) fn agreed_primary(&self, shard: ShardId) -> usize {
-        gateway_index(&self.replica_set(shard).primary.unwrap())
-    }
-
-    /// Counts the events of the histories that match.
-    pub(super) fn count_events(&self, matches: impl Fn(&HistoryEvent) -> bool) -> usize {
-        self.history
-            .iter()
-            .filter(|(_, event)| matches(event))
-            .count()
-    }
 }
--- a/src/replication/tests/simulation/verdict.rs
+++ b/src/replication/tests/simulation/verdict.rs
@@ -74,17 +74,15 @@
                     number,
                     chain,
                     ..
-                } => {
-                    if *committed.entry((*shard, *number)).or_insert(*chain) != *chain {
-                        return Err(format!(
-                            "record {number} of shard {shard} was committed twice"
-                        ));
-                    }
+                } if *committed.entry((*shard, *number)).or_insert(*chain) != *chain => {
+                    return Err(format!(
+                        "record {number} of shard {shard} was committed twice"
+                    ));
                 }
-                HistoryEvent::BecamePrimary { shard, epoch, .. } => {
-                    if *primaries.entry((*shard, *epoch)).or_insert(*index) != *index {
-                        return Err(format!("shard {shard} had two primaries in epoch {epoch}"));
-                    }
+                HistoryEvent::BecamePrimary { shard, epoch, .. }
+                    if *primaries.entry((*shard, *epoch)).or_insert(*index) != *index =>
+                {
+                    return Err(format!("shard {shard} had two primaries in epoch {epoch}"));
                 }
                 _ => {}
             }
