--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -4,7 +4,7 @@
 use crate::api::{Effect, Micros};
 use crate::delivery::response::{Dead, State};
 use crate::delivery::Waiting;
-use crate::policy::allowed;
+use crate::policy::permitted_after;
 
 /// What is done with a call that a start finds without an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 pub fn recovery_action(call: &CallRecord, now: Micros, clock_regressed: bool) -> RecoveryAction {
     let is_idempotent = call.effect == Effect::Idempotent;
     if call.sent.is_some() && !is_idempotent {
-        let can_reject = allowed(call.effect, call.sent, now, 0).refuse && !clock_regressed;
+        let can_reject = permitted_after(call.effect, call.sent, now, 0).reject && !clock_regressed;
         return if can_reject {
             RecoveryAction::Reject
         } else {
@@ -53,7 +53,7 @@
     waiting.tries += 1;
     let has_key = matches!(waiting.effect, Effect::Keyed { .. });
     let can_resend =
-        allowed(waiting.effect, waiting.ran, now, 0).resend && !(clock_regressed && has_key);
+        permitted_after(waiting.effect, waiting.ran, now, 0).retry && !(clock_regressed && has_key);
     let state = if can_resend {
         State::Waiting
     } else {
