--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -82,7 +82,7 @@
 
 /// The state as versions before shards stored it.
 #[derive(Deserialize)]
-struct StateWithoutShards {
+struct StateV1 {
     generation: u32,
     applied: u64,
     voters: BTreeMap<ReplicaId, Arc<str>>,
@@ -91,7 +91,7 @@
 
 /// The state as versions before tenants stored it.
 #[derive(Deserialize)]
-struct StateWithoutTenants {
+struct StateV2 {
     generation: u32,
     applied: u64,
     voters: BTreeMap<ReplicaId, Arc<str>>,
@@ -99,8 +99,8 @@
     replica_sets: sets::Earlier,
 }
 
-impl From<StateWithoutShards> for State {
-    fn from(stored: StateWithoutShards) -> State {
+impl From<StateV1> for State {
+    fn from(stored: StateV1) -> State {
         State {
             generation: stored.generation,
             applied: stored.applied,
@@ -111,8 +111,8 @@
     }
 }
 
-impl From<StateWithoutTenants> for State {
-    fn from(stored: StateWithoutTenants) -> State {
+impl From<StateV2> for State {
+    fn from(stored: StateV2) -> State {
         State {
             generation: stored.generation,
             applied: stored.applied,
@@ -131,10 +131,10 @@
             Ok(state) => return Ok(state),
             Err(error) => error,
         };
-        if let Ok(stored) = postcard::from_bytes::<StateWithoutTenants>(bytes) {
+        if let Ok(stored) = postcard::from_bytes::<StateV2>(bytes) {
             return Ok(stored.into());
         }
-        let stored: StateWithoutShards = postcard::from_bytes(bytes).map_err(|_| error)?;
+        let stored: StateV1 = postcard::from_bytes(bytes).map_err(|_| error)?;
         Ok(stored.into())
     }
 
--- a/src/consensus/voter/tests/agreement.rs
+++ b/src/consensus/voter/tests/agreement.rs
@@ -1,6 +1,7 @@
 //! Voters agree on one order of entries, whatever the network does.
 
-use super::simulation::{name, run_with_faults, Replica, Simulation, MS};
+use super::runs::run_with_faults;
+use super::simulation::{name, Replica, Simulation, MS};
 use crate::consensus::bootstrap::{initial_state, new_replica};
 use crate::consensus::bootstrap_voter;
 use crate::consensus::voter::{DisabledVoterGuards, Input, ENTRIES_PER_SNAPSHOT};
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn voters_without_quorum_commit_nothing_until_it_returns() {
+fn voters_commit_nothing_until_quorum_returns() {
     let mut sim = Simulation::new(5, 13, DisabledVoterGuards::default());
     sim.until("a leader", |r| r.leader().is_some());
     let leader = sim.leader().unwrap();
@@ -108,9 +109,9 @@
     let leader = sim.leader().unwrap();
     let n = (leader + 1) % 3;
     sim.kill(n);
-    for owner in 1..=ENTRIES_PER_SNAPSHOT * 2 {
-        sim.propose(leader, owner);
-        if owner % 16 == 0 {
+    for incarnation in 1..=ENTRIES_PER_SNAPSHOT * 2 {
+        sim.propose(leader, incarnation);
+        if incarnation % 16 == 0 {
             let before = sim.max_applied();
             sim.until("agreement", |r| r.max_applied() > before);
         }
--- a/src/consensus/voter/tests/disks.rs
+++ b/src/consensus/voter/tests/disks.rs
@@ -1,8 +1,7 @@
 //! Voters whose disks are outdated, copied, damaged or full.
 
-use super::simulation::{
-    bootstrap_disk, name, run_with_faults, run_with_old_disks, Simulation, MS,
-};
+use super::runs::{run_with_faults, run_with_old_disks};
+use super::simulation::{bootstrap_disk, name, Simulation, MS};
 use crate::consensus::bootstrap_voter;
 use crate::consensus::peer_memory::{compare, KnownState};
 use crate::consensus::persistent_state::{
@@ -35,7 +34,7 @@
 }
 
 #[test]
-fn outdated_disk_votes_only_without_probation_and_breaks_order() {
+fn outdated_disk_is_retired_and_needs_probation_for_that() {
     let mut retired = 0;
     for seed in 0..40 {
         let (sim, judged) = run_with_old_disks(seed, DisabledVoterGuards::default());
@@ -176,11 +175,11 @@
     let leader = sim.leader().unwrap();
     let n = (leader + 1) % 3;
     sim.full_disks.insert(n);
-    let mut owner = 0;
+    let mut incarnation = 0;
     for _ in 0..400 {
-        owner += 1;
+        incarnation += 1;
         if let Some(leader) = sim.leader() {
-            sim.propose(leader, owner);
+            sim.propose(leader, incarnation);
         }
         sim.run(20 * MS);
     }
--- a/src/consensus/voter/tests/mod.rs
+++ b/src/consensus/voter/tests/mod.rs
@@ -2,4 +2,5 @@
 
 mod agreement;
 mod disks;
+mod runs;
 mod simulation;
--- a/src/consensus/wire/session.rs
+++ b/src/consensus/wire/session.rs
@@ -51,7 +51,7 @@
     UnknownSender,
     /// Its receiver is another gateway.
     #[error("other")]
-    WrongReceiver,
+    ReceiverMismatch,
     /// Its seal does not match.
     #[error("seal")]
     InvalidSeal,
@@ -62,22 +62,22 @@
 
 /// Which end of the connection sent a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Side {
+enum End {
     Connector,
     Acceptor,
 }
 
-impl Side {
-    fn other(self) -> Side {
+impl End {
+    fn other(self) -> End {
         match self {
-            Side::Connector => Side::Acceptor,
-            Side::Acceptor => Side::Connector,
+            End::Connector => End::Acceptor,
+            End::Acceptor => End::Connector,
         }
     }
 }
 
 /// The bytes that the seal of a frame covers.
-fn sealed_content(envelope: &Envelope, acceptor_challenge: &Challenge, sender: Side) -> Vec<u8> {
+fn sealed_content(envelope: &Envelope, acceptor_challenge: &Challenge, sender: End) -> Vec<u8> {
     let mut content = Vec::with_capacity(envelope.body.len() + 128);
     for part in [
         envelope.from.as_bytes(),
@@ -91,7 +91,7 @@
     }
     content.extend(envelope.number.to_le_bytes());
     content.extend(envelope.version.to_le_bytes());
-    content.push(u8::from(sender == Side::Connector));
+    content.push(u8::from(sender == End::Connector));
     content
 }
 
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug)]
 pub struct Session {
     name: String,
-    side: Side,
+    end: End,
     /// The acceptor's challenge, once known.
     acceptor_challenge: Option<Challenge>,
     /// The connector's challenge, known to the acceptor with the first frame.
@@ -131,7 +131,7 @@
     pub fn connector(name: &str, peer: &str, challenge: Challenge) -> Session {
         Session {
             name: name.into(),
-            side: Side::Connector,
+            end: End::Connector,
             acceptor_challenge: None,
             connector_challenge: Some(challenge),
             peer: Some(peer.into()),
@@ -144,7 +144,7 @@
     pub fn acceptor(name: &str, challenge: Challenge) -> Session {
         Session {
             name: name.into(),
-            side: Side::Acceptor,
+            end: End::Acceptor,
             acceptor_challenge: Some(challenge),
             connector_challenge: None,
             peer: None,
@@ -181,7 +181,7 @@
             body,
             seal: Vec::new(),
         };
-        let content = sealed_content(&envelope, &acceptor_challenge, self.side);
+        let content = sealed_content(&envelope, &acceptor_challenge, self.end);
         envelope.seal = keys.seal(FRAME_KIND, &content);
         let bytes = envelope.encode_to_vec();
         if bytes.len() > MAX_FRAME_BYTES {
@@ -228,7 +228,7 @@
             return Err(FrameError::UnknownSender);
         }
         if envelope.to != self.name {
-            return Err(FrameError::WrongReceiver);
+            return Err(FrameError::ReceiverMismatch);
         }
         let challenge: Challenge = envelope
             .challenge
@@ -243,7 +243,7 @@
             return Err(FrameError::Replayed);
         }
         let acceptor_challenge = self.acceptor_challenge.ok_or(FrameError::Malformed)?;
-        let content = sealed_content(&envelope, &acceptor_challenge, self.side.other());
+        let content = sealed_content(&envelope, &acceptor_challenge, self.end.other());
         if !keys.check(&envelope.from, FRAME_KIND, &content, &envelope.seal) {
             return Err(FrameError::InvalidSeal);
         }
--- a/src/consensus/wire/tests.rs
+++ b/src/consensus/wire/tests.rs
@@ -50,7 +50,7 @@
     let mut other = Session::acceptor("b", challenge("b", 2, 2));
     assert_eq!(other.take(&kb, &one), Err(FrameError::InvalidSeal));
     let mut other = Session::acceptor("c", challenge("b", 2, 1));
-    assert_eq!(other.take(&kb, &one), Err(FrameError::WrongReceiver));
+    assert_eq!(other.take(&kb, &one), Err(FrameError::ReceiverMismatch));
 }
 
 #[test]
--- a/src/gateway/consensus/eligibility.rs
+++ b/src/gateway/consensus/eligibility.rs
@@ -9,18 +9,18 @@
 #[derive(Debug)]
 pub(super) struct Eligibility {
     /// Whether the subsystems that work under leases can do so here.
-    subsystems_able: bool,
+    subsystems_capable: bool,
     has_free_descriptors: bool,
     /// Whether the process is to end.
     draining: bool,
-    /// What the participant was told last.
+    /// The eligibility that the participant was notified of last.
     pub(super) announced: bool,
 }
 
 impl Default for Eligibility {
     fn default() -> Eligibility {
         Eligibility {
-            subsystems_able: true,
+            subsystems_capable: true,
             has_free_descriptors: true,
             draining: false,
             announced: true,
@@ -40,15 +40,15 @@
     }
 
     fn is_eligible(&self) -> bool {
-        self.subsystems_able && self.has_free_descriptors && !self.draining
+        self.subsystems_capable && self.has_free_descriptors && !self.draining
     }
 }
 
 impl Gateway {
     /// Notes whether the subsystems that work under leases can do so here.
-    pub(in crate::gateway) fn set_subsystems_able(&mut self, able: bool) {
+    pub(in crate::gateway) fn set_subsystems_capable(&mut self, capable: bool) {
         if let Some(driver) = &mut self.cluster.consensus {
-            driver.eligibility.subsystems_able = able;
+            driver.eligibility.subsystems_capable = capable;
         }
         self.update_eligibility();
     }
--- a/src/gateway/consensus/setup.rs
+++ b/src/gateway/consensus/setup.rs
@@ -116,7 +116,7 @@
                 Ok(Some(socket))
             }
             Err(GatewayError::Listen(_, error)) if error.kind() == io::ErrorKind::AddrInUse => {
-                tracing::warn!(%address, "consensus address in use, will be retried");
+                tracing::warn!(%address, "consensus address is in use, will be retried");
                 Ok(None)
             }
             Err(error) => Err(error),
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -83,7 +83,7 @@
     /// This gateway has acquired or lost a lease.
     pub(super) fn set_health_check_lease(&mut self, now: Micros, lease: &str, held: bool) {
         if lease == NAME {
-            self.handle_health_checks(now, Input::LeaseHeld(held));
+            self.handle_health_checks(now, Input::LeaseChanged(held));
         }
     }
 
@@ -171,7 +171,7 @@
                 self.handle_consensus(participant::Input::Act(NAME.into(), content));
             }
             Output::Advise(worker, until) => self.core.rumour(now, worker, until),
-            Output::SetAble(able) => self.set_subsystems_able(able),
+            Output::SetCapable(capable) => self.set_subsystems_capable(capable),
         }
     }
 
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -107,7 +107,7 @@
         let Some(number) = driver.numbers.get(&order).copied() else {
             return false;
         };
-        // An order that was made ends by itself, and the holder is told.
+        // An order that was made ends by itself, and the holder is notified.
         if self.load_orders.contains_key(order) {
             return false;
         }
@@ -131,7 +131,7 @@
     /// This gateway has acquired or lost a lease.
     pub(super) fn set_load_lease(&mut self, now: Micros, lease: &LeaseName, held: bool) {
         if lease.starts_with(PREFIX) {
-            self.handle_load_coordination(now, Input::LeaseHeld(lease.clone(), held));
+            self.handle_load_coordination(now, Input::LeaseChanged(lease.clone(), held));
         }
     }
 
--- a/src/health_checks/mod.rs
+++ b/src/health_checks/mod.rs
@@ -19,7 +19,7 @@
 
 /// The name of the lease.
 pub const NAME: &str = "trials";
-/// Consecutive failures before the holder is told. One: in a large fleet each gateway meets a silent worker once, and the
+/// Consecutive failures before the holder is notified. One: in a large fleet each gateway meets a silent worker once, and the
 /// holder's probe shows whether it is unhealthy.
 const REPORT_FAILURES: u32 = 1;
 /// Consecutive failures of own requests that make a worker count as bad when the gateway checks itself.
@@ -34,7 +34,7 @@
 const ANNOUNCE_INTERVAL: Micros = 1_000_000;
 /// How long a verdict counts after it was received: three may get lost.
 pub const VERDICT_TIMEOUT: Micros = 4_000_000;
-/// How often the holder is told of the same worker.
+/// How often the holder is notified of the same worker.
 const REPORT_INTERVAL: Micros = 1_000_000;
 /// Workers that the holder checks at once; the gateways rely on their own observations for further ones.
 const MAX_CHECKED_WORKERS: usize = 256;
@@ -67,7 +67,7 @@
     /// The workers that are ready.
     Ready(BTreeSet<WorkerId>),
     /// Whether this gateway holds the lease.
-    LeaseHeld(bool),
+    LeaseChanged(bool),
     /// Another gateway got no answer from a worker.
     ReportReceived(WorkerId),
     /// The holder announces the health of workers.
@@ -90,7 +90,7 @@
     /// Advise the decision module: unhealthy until then, or healthy.
     Advise(WorkerId, Option<Micros>),
     /// Whether this gateway can do the checks.
-    SetAble(bool),
+    SetCapable(bool),
 }
 
 /// A worker that the lease holder checks.
@@ -123,14 +123,14 @@
 /// One gateway's part in health checks.
 #[derive(Clone, Debug, Default)]
 pub struct HealthChecker {
-    lease_held: bool,
+    is_holder: bool,
     ready: BTreeSet<WorkerId>,
     failed_requests: BTreeMap<WorkerId, FailedRequests>,
     /// The workers that this gateway checks as the lease holder.
     checked: BTreeMap<WorkerId, CheckedWorker>,
     /// The workers that the holder announced as unhealthy, and until when that counts.
     announced: BTreeMap<WorkerId, Micros>,
-    able: Option<bool>,
+    capable: Option<bool>,
     /// When the holder repeats its announcement.
     next_announcement_at: Option<Micros>,
     /// The number of probes made.
@@ -169,9 +169,9 @@
             Input::Outcome(worker, Observed::Answered) => self.on_answer(worker),
             Input::Outcome(worker, _) => self.on_failure(now, worker),
             Input::Ready(ready) => self.set_ready(ready),
-            Input::LeaseHeld(held) => self.set_lease_held(now, held),
+            Input::LeaseChanged(held) => self.set_is_holder(now, held),
             Input::ReportReceived(worker) => {
-                if self.lease_held {
+                if self.is_holder {
                     self.start_checking(now, worker);
                 }
             }
@@ -213,7 +213,7 @@
             return;
         }
         failed.reported_at = Some(now.max(1));
-        if self.lease_held {
+        if self.is_holder {
             self.start_checking(now, worker);
         } else {
             self.outputs.push_back(Output::Report(worker));
@@ -229,8 +229,8 @@
     }
 
     /// Drops the state of the last tenure, so that nothing is announced late; a new holder starts with what was announced.
-    fn set_lease_held(&mut self, now: Micros, held: bool) {
-        self.lease_held = held;
+    fn set_is_holder(&mut self, now: Micros, held: bool) {
+        self.is_holder = held;
         self.checked.clear();
         if !held {
             return;
@@ -370,9 +370,9 @@
             .iter()
             .filter(|worker| self.is_bad(worker))
             .count();
-        let able = self.ready.len() < MIN_SELF_CHECK_WORKERS || 2 * bad <= self.ready.len();
-        if self.able.replace(able) != Some(able) {
-            self.outputs.push_back(Output::SetAble(able));
+        let capable = self.ready.len() < MIN_SELF_CHECK_WORKERS || 2 * bad <= self.ready.len();
+        if self.capable.replace(capable) != Some(capable) {
+            self.outputs.push_back(Output::SetCapable(capable));
         }
     }
 
--- a/src/health_checks/tests.rs
+++ b/src/health_checks/tests.rs
@@ -11,14 +11,14 @@
 
 fn drained(checker: &mut HealthChecker) -> Vec<Output> {
     std::iter::from_fn(|| checker.output())
-        .filter(|o| !matches!(o, Output::SetAble(true)))
+        .filter(|o| !matches!(o, Output::SetCapable(true)))
         .collect()
 }
 
 fn started(lease_held: bool, workers: u32) -> HealthChecker {
     let mut checker = HealthChecker::default();
     checker.handle(0, Input::Ready((0..workers).map(WorkerId).collect()));
-    checker.handle(0, Input::LeaseHeld(lease_held));
+    checker.handle(0, Input::LeaseChanged(lease_held));
     drained(&mut checker);
     checker
 }
@@ -162,17 +162,17 @@
             Input::ProbeEnded(WorkerId(n as u32), ProbeResult::Failed),
         );
     }
-    assert!(drained(&mut checker).contains(&Output::SetAble(false)));
+    assert!(drained(&mut checker).contains(&Output::SetCapable(false)));
     checker.handle(9, Input::Outcome(WorkerId(0), Observed::Answered));
     let outputs: Vec<Output> = std::iter::from_fn(|| checker.output()).collect();
-    assert!(outputs.contains(&Output::SetAble(true)));
+    assert!(outputs.contains(&Output::SetCapable(true)));
 }
 
 #[test]
 fn next_holder_continues_with_announced_workers() {
     let (mut checker, worker) = (started(false, 3), WorkerId(1));
     checker.handle(0, Input::Verdicts(vec![unhealthy(worker)]));
-    checker.handle(MS, Input::LeaseHeld(true));
+    checker.handle(MS, Input::LeaseChanged(true));
     assert!(drained(&mut checker).contains(&Output::Probe(worker)));
     checker.handle(2 * MS, Input::ProbeEnded(worker, ProbeResult::Failed));
     assert!(drained(&mut checker).contains(&Output::Announce(vec![unhealthy(worker)])));
@@ -183,7 +183,7 @@
     let mut checker = started(true, 3);
     checker.handle(0, Input::ReportReceived(WorkerId(1)));
     drained(&mut checker);
-    checker.handle(1, Input::LeaseHeld(false));
+    checker.handle(1, Input::LeaseChanged(false));
     checker.handle(
         10_000 * MS,
         Input::ProbeEnded(WorkerId(1), ProbeResult::Failed),
--- a/src/lease/tests/mod.rs
+++ b/src/lease/tests/mod.rs
@@ -18,7 +18,7 @@
     let mut sim = Simulation::new(5, 20);
     sim.run(5 * ONE_SECOND);
     let holders: Vec<_> = (0..20)
-        .map(|d| sim.holder_of(&lease(d)).expect("an owner"))
+        .map(|d| sim.holder_of(&lease(d)).expect("a holder"))
         .collect();
     for n in 0..5 {
         assert_eq!(
@@ -39,7 +39,7 @@
 fn unreachable_holder_ends_before_next_one_starts() {
     let mut sim = Simulation::new(3, 1);
     sim.run(ONE_SECOND);
-    let old = sim.holder_of(&lease(0)).expect("an owner");
+    let old = sim.holder_of(&lease(0)).expect("a holder");
     sim.unreachable.insert(old);
     let unreachable_at = sim.now;
     for _ in 0..1_000 {
@@ -48,7 +48,7 @@
             break;
         }
     }
-    let next = sim.holder_of(&lease(0)).expect("another owner");
+    let next = sim.holder_of(&lease(0)).expect("another holder");
     assert_eq!(
         (
             sim.held_term(next, &lease(0)),
@@ -79,7 +79,7 @@
     sim.pump();
     let next = sim
         .holder_of(&lease(0))
-        .expect("another owner without any wait");
+        .expect("another holder without any wait");
     assert!(next != old && sim.now == at);
 }
 
@@ -90,14 +90,14 @@
     let old = sim.holder_of(&lease(0)).unwrap();
     sim.unreachable.insert(old);
     let mut next = LeaseGrantor::new(settings(), BTreeSet::from([lease(0)]));
-    for (d, s) in sim.grantor.table().iter() {
-        let (lease, holder) = (d.clone(), s.holder.clone().unwrap());
+    for (name, record) in sim.grantor.table().iter() {
+        let (lease, holder) = (name.clone(), record.holder.clone().unwrap());
         next.handle(
             sim.now,
             grantor::Input::Applied(Entry::Grant {
                 lease,
                 holder,
-                term: s.term,
+                term: record.term,
             }),
         );
     }
@@ -152,14 +152,14 @@
         ..gateway(0)
     };
     let mut holder = HolderState::new(settings(), again, sim.now);
-    for (d, s) in sim.grantor.table().iter() {
-        let (lease, granted_to) = (d.clone(), s.holder.clone().unwrap());
+    for (name, record) in sim.grantor.table().iter() {
+        let (lease, granted_to) = (name.clone(), record.holder.clone().unwrap());
         holder.handle(
             sim.now,
             holder::Input::Applied(Entry::Grant {
                 lease,
                 holder: granted_to,
-                term: s.term,
+                term: record.term,
             }),
         );
     }
@@ -178,23 +178,23 @@
     sim.run(5 * ONE_SECOND);
     sim.holders
         .push(HolderState::new(settings(), gateway(2), sim.now));
-    for (d, s) in sim
+    for (lease, record) in sim
         .grantor
         .table()
         .iter()
-        .map(|(d, s)| (d.clone(), s.clone()))
+        .map(|(name, record)| (name.clone(), record.clone()))
         .collect::<Vec<_>>()
     {
         let entry = Entry::Grant {
-            lease: d,
-            holder: s.holder.unwrap(),
-            term: s.term,
+            lease,
+            holder: record.holder.unwrap(),
+            term: record.term,
         };
         sim.holders[2].handle(sim.now, holder::Input::Applied(entry));
     }
     sim.run(30 * ONE_SECOND);
     let holders: Vec<_> = (0..8)
-        .map(|d| sim.holder_of(&lease(d)).expect("an owner"))
+        .map(|d| sim.holder_of(&lease(d)).expect("a holder"))
         .collect();
     let loads: Vec<usize> = (0..3)
         .map(|n| holders.iter().filter(|holder| **holder == n).count())
--- a/src/lease/tests/simulation.rs
+++ b/src/lease/tests/simulation.rs
@@ -41,8 +41,8 @@
 }
 
 impl Simulation {
-    pub(super) fn new(holders: usize, duties: usize) -> Simulation {
-        let mut grantor = LeaseGrantor::new(settings(), (0..duties).map(lease).collect());
+    pub(super) fn new(holders: usize, leases: usize) -> Simulation {
+        let mut grantor = LeaseGrantor::new(settings(), (0..leases).map(lease).collect());
         grantor.handle(0, grantor::Input::BecameLeader);
         let holders = (0..holders)
             .map(|n| HolderState::new(settings(), gateway(n), 0))
--- a/src/load_coordination/coordinator.rs
+++ b/src/load_coordination/coordinator.rs
@@ -39,7 +39,7 @@
     own_name: Arc<str>,
     shards: Vec<LeaseName>,
     /// Shards of which this gateway holds the lease.
-    held_shards: BTreeSet<LeaseName>,
+    own_shards: BTreeSet<LeaseName>,
     /// Shards of which any gateway holds the lease.
     shards_with_holder: BTreeSet<LeaseName>,
     waiting: BTreeMap<CopyKey, WaitingOrders>,
@@ -70,7 +70,7 @@
         Some(LoadCoordinator {
             own_name,
             shards,
-            held_shards: BTreeSet::new(),
+            own_shards: BTreeSet::new(),
             shards_with_holder: BTreeSet::new(),
             waiting: BTreeMap::new(),
             silent_holders: BTreeMap::new(),
@@ -123,13 +123,13 @@
                     self.send_to_holder(now, ended);
                 }
             }
-            Input::LeaseHeld(shard, held) => set_member(&mut self.held_shards, shard, held),
+            Input::LeaseChanged(shard, held) => set_member(&mut self.own_shards, shard, held),
             Input::HolderKnown(shard, known) => {
                 set_member(&mut self.shards_with_holder, shard, known);
             }
             Input::ReportReceived(from, message) => {
                 let shard = self.shard(message.copy().function);
-                if self.held_shards.contains(shard) {
+                if self.own_shards.contains(shard) {
                     self.on_report(now, &from, &message);
                 }
             }
@@ -207,7 +207,7 @@
 
     fn send_to_holder(&mut self, now: Micros, message: LoadMessage) {
         let shard = self.shard(message.copy().function).clone();
-        if self.held_shards.contains(&shard) {
+        if self.own_shards.contains(&shard) {
             let own_name = self.own_name.clone();
             self.on_report(now, &own_name, &message);
         } else {
@@ -324,7 +324,7 @@
         }
     }
 
-    /// Makes the waiting orders that the holder has assigned to this gateway; the holder is told when they end.
+    /// Makes the waiting orders that the holder has assigned to this gateway; the holder is notified when they end.
     fn load_assigned(&mut self, copy: CopyKey) {
         for number in self.take_waiting(copy) {
             if self.assigned_orders.len() < MAX_COPIES {
--- a/src/load_coordination/messages.rs
+++ b/src/load_coordination/messages.rs
@@ -57,7 +57,7 @@
     /// An order that was made has ended, with this number of resident copies.
     Ended(u64, u32),
     /// Whether this gateway holds the lease of a shard.
-    LeaseHeld(LeaseName, bool),
+    LeaseChanged(LeaseName, bool),
     /// Whether any gateway holds the lease of a shard, as far as known.
     HolderKnown(LeaseName, bool),
     /// A message of another gateway to the holder.
--- a/src/load_coordination/tests.rs
+++ b/src/load_coordination/tests.rs
@@ -29,7 +29,7 @@
     let mut coordinator = LoadCoordinator::new(name.into(), &shards(4)).unwrap();
     for shard in coordinator.shards().to_vec() {
         coordinator.handle(0, Input::HolderKnown(shard.clone(), true));
-        coordinator.handle(0, Input::LeaseHeld(shard, lease_held));
+        coordinator.handle(0, Input::LeaseChanged(shard, lease_held));
     }
     coordinator
 }
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn failed_load_delays_others_no_longer_than_timeout() {
+fn failed_load_delays_gateways_no_longer_than_timeout() {
     let mut all: Vec<LoadCoordinator> = (0..3).map(|n| started(&format!("n{n}"), n == 0)).collect();
     all[1].handle(0, Input::Order(1, COPY));
     assert_eq!(deliver(&mut all, 0, 0), [(1, Output::Load(1))]);
@@ -161,7 +161,7 @@
 fn former_holder_is_silent_and_cancelled_order_is_dropped() {
     let mut coordinator = started("a", true);
     let shard = coordinator.shard(COPY.function).clone();
-    coordinator.handle(0, Input::LeaseHeld(shard, false));
+    coordinator.handle(0, Input::LeaseChanged(shard, false));
     coordinator.handle(
         1,
         Input::ReportReceived("b".into(), LoadMessage::Request(3, 70)),
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -1010,7 +1010,7 @@
                     .flat_map(|verdict| [verdict.worker.0, u32::from(verdict.unhealthy)]);
                 participant::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
             }
-            health_checks::Output::SetAble(able) => participant::Input::SetEligible(able),
+            health_checks::Output::SetCapable(able) => participant::Input::SetEligible(able),
             health_checks::Output::Advise(w, until) => return i.core.rumour(now, w, until),
             health_checks::Output::Probe(w) => {
                 let probe = i.core.probe(now, w);
@@ -1028,9 +1028,9 @@
         let i = &mut self.instances[n];
         if *duty == *health_checks::NAME {
             i.health_checker
-                .handle(now, health_checks::Input::LeaseHeld(owns));
+                .handle(now, health_checks::Input::LeaseChanged(owns));
         } else if let Some(l) = i.loads.as_mut() {
-            l.handle(now, load_coordination::Input::LeaseHeld(duty, owns));
+            l.handle(now, load_coordination::Input::LeaseChanged(duty, owns));
         }
     }
 
