--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -291,6 +291,29 @@
     }
 }
 
+/// The disk of a bootstrap voter.
+fn bootstrap_disk(name: &str, names: &[String]) -> Result<PersistentState> {
+    let record = bootstrap(1, name, names, None).map_err(Error::other)?;
+    Ok(initial_state(&record))
+}
+
+/// Decodes verdicts as the emulated gateways send them: the worker and 1 if it is unhealthy, four bytes each.
+fn decode_verdicts(content: &[u8]) -> Vec<Verdict> {
+    let numbers: Vec<u32> = content
+        .as_chunks::<4>()
+        .0
+        .iter()
+        .map(|bytes| u32::from_le_bytes(*bytes))
+        .collect();
+    numbers
+        .chunks_exact(2)
+        .map(|pair| Verdict {
+            worker: WorkerId(pair[0]),
+            unhealthy: pair[1] == 1,
+        })
+        .collect()
+}
+
 impl Scenario {
     /// Reads one; unknown keys are errors.
     pub fn read(path: &Path) -> Result<Scenario> {
@@ -322,9 +345,7 @@
         for n in 0..scenario.instances {
             let votes = n < scenario.voters;
             let disk = match votes {
-                true => {
-                    initial_state(&bootstrap(1, &names[n], &names, None).map_err(Error::other)?)
-                }
+                true => bootstrap_disk(&names[n], &names)?,
                 false => PersistentState::default(),
             };
             instances.push(Instance {
@@ -1073,18 +1094,7 @@
                     self.ran.gaps_ms.push((now - at) as f64 / 1e3);
                     self.gone = None;
                 }
-                let words: Vec<u32> = effect
-                    .content
-                    .chunks_exact(4)
-                    .map(|c| c.iter().rev().fold(0, |w, b| w << 8 | u32::from(*b)))
-                    .collect();
-                let verdicts = words
-                    .chunks_exact(2)
-                    .map(|pair| Verdict {
-                        worker: WorkerId(pair[0]),
-                        unhealthy: pair[1] == 1,
-                    })
-                    .collect();
+                let verdicts = decode_verdicts(&effect.content);
                 self.instances[n]
                     .health_checker
                     .handle(now, health_checks::Input::Verdicts(verdicts));
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -374,41 +374,9 @@
     bodies
 }
 
-/// One body of each kind, and of each kind of what it carries.
-fn bodies() -> Vec<(String, Body)> {
-    let passed = || ForwardedEffects {
-        process: 77,
-        count: 13,
-        effects: vec![effect()],
-    };
-    let ask = RenewRequest {
-        from: owner(BETA),
-        stamp: 99,
-        eligible: true,
-        held: vec![("loads-0".into(), 3)],
-        released: vec![("trials".into(), 1)],
-    };
-    let answer = RenewReply {
-        to: owner(BETA),
-        stamp: 99,
-        renewed: vec![("loads-0".into(), 3)],
-        recalled: vec![("trials".into(), 1)],
-    };
-    let report = LeaseReport {
-        lease: "trials".into(),
-        from: BETA.into(),
-        content: vec![9, 8, 7],
-    };
-    let poll = Poll {
-        generation: 2,
-        applied: 40,
-        effects: (77, 12),
-        replica: Some(22),
-    };
-    let numbered = (40..)
-        .zip(entries().into_iter().map(|(_, entry)| entry))
-        .collect();
-    let mut bodies: Vec<(String, Body)> = vec![
+/// The bodies between voters.
+fn voter_bodies() -> Vec<(String, Body)> {
+    vec![
         (
             "raft".into(),
             Body::Raft {
@@ -436,12 +404,51 @@
                 from: 22,
             },
         ),
+    ]
+}
+
+/// The requests for leases and their replies.
+fn renewal_bodies() -> Vec<(String, Body)> {
+    let ask = RenewRequest {
+        from: owner(BETA),
+        stamp: 99,
+        eligible: true,
+        held: vec![("loads-0".into(), 3)],
+        released: vec![("trials".into(), 1)],
+    };
+    let answer = RenewReply {
+        to: owner(BETA),
+        stamp: 99,
+        renewed: vec![("loads-0".into(), 3)],
+        recalled: vec![("trials".into(), 1)],
+    };
+    vec![
         ("ask".into(), Body::RenewLeases(ask.clone(), None)),
         (
             "ask-through-voter".into(),
             Body::RenewLeases(ask, Some("gamma".into())),
         ),
         ("answer".into(), Body::RenewReply(answer)),
+    ]
+}
+
+/// The polls of learners and their answers.
+fn learner_bodies() -> Vec<(String, Body)> {
+    let passed = || ForwardedEffects {
+        process: 77,
+        count: 13,
+        effects: vec![effect()],
+    };
+    let poll = Poll {
+        generation: 2,
+        applied: 40,
+        effects: (77, 12),
+        replica: Some(22),
+    };
+    let numbered = (40..)
+        .zip(entries().into_iter().map(|(_, entry)| entry))
+        .collect();
+    vec![
         ("poll".into(), Body::Poll(poll)),
         ("poll-without-seat".into(), Body::Poll(Poll::default())),
         (
@@ -453,6 +460,20 @@
             },
         ),
         ("state".into(), Body::State(Box::new(state()), passed())),
+    ]
+}
+
+/// One body of each kind, and of each kind of what it carries.
+fn bodies() -> Vec<(String, Body)> {
+    let report = LeaseReport {
+        lease: "trials".into(),
+        from: BETA.into(),
+        content: vec![9, 8, 7],
+    };
+    let mut bodies = voter_bodies();
+    bodies.extend(renewal_bodies());
+    bodies.extend(learner_bodies());
+    bodies.extend([
         ("effect".into(), Body::Effect(effect())),
         ("report".into(), Body::Report(report.clone(), false)),
         ("report-through-voter".into(), Body::Report(report, true)),
@@ -464,7 +485,7 @@
             "brought-tenants".into(),
             Body::Submit(SubsystemEntry::Tenants(Box::new(tenant_change())), true),
         ),
-    ];
+    ]);
     let copies = |(name, body)| (format!("copies-{name}"), Body::Replication(body));
     bodies.extend(replication_bodies().into_iter().map(copies));
     bodies
