--- a/src/consensus/learners/mod.rs
+++ b/src/consensus/learners/mod.rs
@@ -1,7 +1,7 @@
 //! Learners: gateways that do not vote follow the agreed log by polling a voter.
 //!
 //! The cost of one learner does not depend on how many there are. A learner polls one voter; the voter holds the poll until
-//! there is something new, or for [`POLL_WAIT_TIMEOUT`]. A voter that does not answer is given up for the next. Effects that
+//! there is something new, or for `POLL_WAIT_TIMEOUT`. A voter that does not answer is given up for the next. Effects that
 //! voters accepted are forwarded with the answers.
 
 mod learner;
