--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -294,6 +294,29 @@
     }
 }
 
+/// The disk of a bootstrap voter.
+fn bootstrap_disk(name: &str, names: &[String]) -> Result<PersistentState> {
+    let record = bootstrap(1, name, names, None).map_err(Error::other)?;
+    Ok(initial_state(&record))
+}
+
+/// Decodes verdicts as the emulated gateways send them: the worker and 1 if it is unhealthy, four bytes each.
+fn decode_verdicts(content: &[u8]) -> Vec<Verdict> {
+    let numbers: Vec<u32> = content
+        .as_chunks::<4>()
+        .0
+        .iter()
+        .map(|bytes| u32::from_le_bytes(*bytes))
+        .collect();
+    numbers
+        .chunks_exact(2)
+        .map(|pair| Verdict {
+            worker: WorkerId(pair[0]),
+            unhealthy: pair[1] == 1,
+        })
+        .collect()
+}
+
 impl Scenario {
     /// Reads one; unknown keys are errors.
     pub fn read(path: &Path) -> Result<Scenario> {
@@ -325,9 +348,7 @@
         for n in 0..scenario.instances {
             let votes = n < scenario.voters;
             let disk = match votes {
-                true => {
-                    initial_state(&bootstrap(1, &names[n], &names, None).map_err(Error::other)?)
-                }
+                true => bootstrap_disk(&names[n], &names)?,
                 false => PersistentState::default(),
             };
             instances.push(Instance {
@@ -1014,7 +1035,7 @@
                     .flat_map(|verdict| [verdict.worker.0, u32::from(verdict.unhealthy)]);
                 participant::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
             }
-            health_checks::Output::SetAble(able) => participant::Input::SetEligible(able),
+            health_checks::Output::SetCapable(able) => participant::Input::SetEligible(able),
             health_checks::Output::Advise(w, until) => {
                 return i.core.update_peer_health(now, w, until)
             }
@@ -1034,9 +1055,9 @@
         let i = &mut self.instances[n];
         if *duty == *health_checks::NAME {
             i.health_checker
-                .handle(now, health_checks::Input::LeaseHeld(owns));
+                .handle(now, health_checks::Input::LeaseChanged(owns));
         } else if let Some(l) = i.loads.as_mut() {
-            l.handle(now, load_coordination::Input::LeaseHeld(duty, owns));
+            l.handle(now, load_coordination::Input::LeaseChanged(duty, owns));
         }
     }
 
@@ -1079,18 +1100,7 @@
                     self.ran.gaps_ms.push((now - at) as f64 / 1e3);
                     self.gone = None;
                 }
-                let words: Vec<u32> = effect
-                    .content
-                    .chunks_exact(4)
-                    .map(|c| c.iter().rev().fold(0, |w, b| w << 8 | u32::from(*b)))
-                    .collect();
-                let verdicts = words
-                    .chunks_exact(2)
-                    .map(|pair| Verdict {
-                        worker: WorkerId(pair[0]),
-                        unhealthy: pair[1] == 1,
-                    })
-                    .collect();
+                let verdicts = decode_verdicts(&effect.content);
                 self.instances[n]
                     .health_checker
                     .handle(now, health_checks::Input::Verdicts(verdicts));
