--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,7 @@
 //! The administration API: one file a resource, problem details (RFC 9457), entity tags, idempotency keys.
 //!
 //! `docs/openapi.json` lists the routes; a test holds it against [`ROUTES`]. What the store has to be asked leaves as
-//! [`Completed::RenewRequest`] and comes back to [`messages::answer`].
+//! [`Done::Ask`] and comes back to [`messages::answer`].
 
 use serde::Deserialize;
 use serde_json::{json, Value};
--- a/src/bin/molelug-simhost/wire.rs
+++ b/src/bin/molelug-simhost/wire.rs
@@ -3,7 +3,11 @@
 use std::fmt;
 use std::io::{self, Read, Write};
 
-use molelug::api::*;
+use molelug::api::{
+    Action, Arrival, AttemptEnd, CellId, ClassId, CopyStart, Event, FunctionId, ListUpdate,
+    LoadReport, Micros, Outcome, RequestId, Settings, TenantId, WorkerEntry, WorkerId,
+    WorkerStatus, ZoneId,
+};
 use molelug::settings::{self, Field};
 
 /// Bytes of an event record, an action record and a list entry.
--- a/src/delivery/timing_wheel.rs
+++ b/src/delivery/timing_wheel.rs
@@ -235,7 +235,7 @@
 
     /// Bytes that the wheel holds, whatever hangs.
     pub fn bytes(&self) -> usize {
-        std::mem::size_of::<Self>() + self.nodes.capacity() * std::mem::size_of::<TimerNode<T>>()
+        size_of::<Self>() + self.nodes.capacity() * size_of::<TimerNode<T>>()
     }
 }
 
--- a/src/front/webhook/inbound.rs
+++ b/src/front/webhook/inbound.rs
@@ -6,7 +6,7 @@
 
 use super::replay::{mark, Replays, Seen};
 use super::signature;
-use crate::api::*;
+use crate::api::{Arrival, Class, ClassId, Effect, FunctionId, Micros, RequestId};
 use crate::core::Call;
 use crate::front::http::{plain, Bad, Request};
 use crate::front::platform::hex16;
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -5,7 +5,10 @@
 use std::net::UdpSocket;
 use std::path::{Path, PathBuf};
 
-use super::*;
+use super::{
+    io, CloseReason, Gateway, GatewayDeadline, GatewayError, Generic, Interest, Micros, Mode,
+    PostAction, Rc, SendProgress, SocketAddr, WorkerEntry, WorkerId, WorkerStatus,
+};
 use crate::config::ConfigError;
 use crate::membership::config::Gossip;
 use crate::membership::group::{Group, Input, Output, Settings};
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -12,7 +12,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction};
 use slotmap::{new_key_type, SlotMap};
 
-use crate::api::*;
+use crate::api::{FunctionId, Micros, WorkerEntry, WorkerId, WorkerStatus};
 use crate::clock::Clock;
 use crate::completion::{CloseReason, SendProgress};
 use crate::config::Config;
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -9,7 +9,11 @@
 use slotmap::{new_key_type, SecondaryMap, SlotMap};
 
 use super::replication::{fault_injection_point, PrimaryRequest, RequestOrigin};
-use super::*;
+use super::{
+    io, net, AttemptKey, CloseReason, Completed, ConnKey, Exchange, FunctionId, Gateway,
+    GatewayDeadline, GatewayError, ListenerKind, Micros, Origin, Rc, RequestKey, Role,
+    SendProgress, VecDeque, CLIENT_IDLE_TIMEOUT,
+};
 use crate::api::Effect;
 use crate::config::{ConfigError, Webhooks};
 use crate::core::{AttemptDispatch, Call};
@@ -320,7 +324,7 @@
 }
 
 fn order(key: &str) -> u64 {
-    let mark = crate::front::webhook::replay::mark("", key);
+    let mark = replay::mark("", key);
     mark.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b))
 }
 
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -1,6 +1,13 @@
 //! Calls: taken, run and answered.
 
-use super::*;
+use super::{
+    fault_injection_point, http, message, new_message, order, plain, refuse, replay, AcceptCall,
+    Ask, AttemptDispatch, AttemptKey, Call, CallRecord, Caller, CloseReason, CompleteCall,
+    Completed, ConnKey, Effect, Exchange, Gateway, Guard, Held, IdentityDigest, Job, JobKey,
+    Micros, Op, Origin, Outcome, PrimaryRequest, ReplicationError, Reply, RequestOrigin,
+    RequestOutcome, SendProgress, Seq, StoreError, UnrecordedAttempt, COMPLETED,
+    MAX_PENDING_STORE_OPS, STALE,
+};
 
 impl Gateway {
     /// Takes a webhook, or turns it away; none while its answer waits for the store.
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -1,6 +1,10 @@
 //! Connections to portals, and what administrators ask of the store.
 
-use super::*;
+use super::{
+    answer, answered, fault_injection_point, io, message, net, plain, Ask, Bad, CloseReason,
+    ConnKey, DeliveryReport, Effect, Endpoint, Gateway, Input, MessageRecord, Micros, Op,
+    PortalLink, Progress, Role, SendProgress, Seq, MOST_IDLE, PORTAL_IDLE,
+};
 
 impl Gateway {
     /// Makes an attempt at a message, on a connection that is idle or a new one.
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -1,6 +1,11 @@
 //! The store's replies, and what delivery asks for.
 
-use super::*;
+use super::{
+    fault_injection_point, http, plain, refuse, ApplyRetention, Ask, AttemptRecord, Bad,
+    BeginAttempt, CallState, ConnKey, DeadLetterReason, DeliveryReport, FinishAttempt, Gateway,
+    GatewayDeadline, Input, Micros, Op, Output, ReplicationError, Reply, RequestOutcome,
+    RetentionResult, State, StoreError, Waiting, COMPLETED, RETAINED, RETAIN_LATER, RETAIN_SOON,
+};
 
 impl Gateway {
     /// Does one thing that the store or delivery asks for; whether there was one.
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -1,6 +1,12 @@
 //! The start of webhooks, and what the process before has left.
 
-use super::*;
+use super::{
+    channel, store_error, Ask, Backend, CloseReason, ConfigError, Delivery, Disk, EgressPolicy,
+    EndpointId, Gateway, GatewayDeadline, GatewayError, HashMap, Inbound, Input, Limits,
+    ListenerKind, MemoryKeyspace, Micros, Op, PathBuf, RecoveredState, RecoveryAction, Replays,
+    Schedule, SecondaryMap, SlotMap, StoreError, Tables, VecDeque, WebhookDriver, Webhooks, Writer,
+    RETAINED, RETAIN_SOON,
+};
 
 impl Gateway {
     /// Sets webhooks up, and goes on with what the store holds.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,6 +1,6 @@
 //! Membership and shared suspicion between instances; no I/O.
 //!
-//! [`swim`] knows who is there, [`rumours`] what others saw of workers, [`trust`] what that may do here, [`wire`]
+//! [`swim`] knows who is there, [`observations`] what others saw of workers, [`reputation`] what that may do here, [`wire`]
 //! what a datagram is and who sealed it, [`keys`] with what, [`budget`] how much may leave.
 //!
 //! Nobody speaks for another: a member's own state is a record that it sealed itself, an observation is sealed by
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -4,7 +4,9 @@
 
 use serde_json::Value;
 
-use crate::api::*;
+use crate::api::{
+    Class, Effect, IdempotencyScope, LoadRateLimit, Micros, OnMiss, Settings, Tenant, ZoneId,
+};
 
 mod check;
 pub use check::{check, SettingsError};
--- a/src/tenancy/replicated/mod.rs
+++ b/src/tenancy/replicated/mod.rs
@@ -5,7 +5,7 @@
 //! every gateway; a change names what it follows, so of two at once one takes hold, and of one that comes twice the first.
 //! [`changes`] is one gateway's part: it proposes until it is told, takes over what others changed, and answers whoever waits.
 //!
-//! Kept by id: tenants and the removed ones that an operator's file names (at most [`MOST_LINES`], [`MAX_STATE_BYTES`] in all),
+//! Kept by id: tenants and the removed ones that an operator's file names (at most [`MOST_LINES`], [`MOST_BYTES`] in all),
 //! changes of late (the last [`MOST_RECENT`]), answers to keyed requests (the last [`MOST_ANSWERS`]), changes under way here
 //! (at most [`changes::MOST_OPEN`], each with its end).
 
