--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -13,7 +13,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use molelug::api::*;
+use molelug::api::{
+    Arrival, CellId, Class, ClassId, Effect, FunctionId, ListUpdate, LoadRateLimit, Micros, OnMiss,
+    RequestId, Settings, TenantId, WorkerEntry, WorkerId, WorkerStatus, ZoneId,
+};
 use molelug::completion::{CloseReason, SendProgress};
 use molelug::consensus::bootstrap::{bootstrap, initial_state};
 use molelug::consensus::participant::{self, DisabledGuards, Output, Participant};
@@ -443,7 +446,7 @@
         let i = &mut self.instances[n];
         (i.process, i.up, i.stopped) = (self.processes, true, false);
         i.core = Core::new(self::settings(count), seed, now);
-        let member = |w: u32| Member_(w).into();
+        let member = |w: u32| ListedWorker(w).into();
         i.core.update_workers(
             now,
             ListUpdate::Snapshot,
@@ -1140,11 +1143,11 @@
     }
 }
 
-struct Member_(u32);
+struct ListedWorker(u32);
 
-impl From<Member_> for molelug::api::WorkerEntry {
-    fn from(m: Member_) -> molelug::api::WorkerEntry {
-        molelug::api::WorkerEntry {
+impl From<ListedWorker> for WorkerEntry {
+    fn from(m: ListedWorker) -> WorkerEntry {
+        WorkerEntry {
             worker: WorkerId(m.0),
             zone: ZoneId(0),
             cell: CellId(0),
