--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -214,7 +214,7 @@
         }
         let processes = hot_restart.siblings.process_count();
         let own_capacity = self.core.observed_capacity() * MICROS_PER_SECOND;
-        let capacity_learnt = hot_restart.siblings.bears() > own_capacity;
+        let capacity_learnt = hot_restart.siblings.observed_capacity() > own_capacity;
         for (name, banned, at) in bans {
             if let Some(worker) = self.ops.overrides.merge(&name, banned, at, now) {
                 tracing::info!(worker = name, excluded = banned, "worker override received");
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -151,7 +151,7 @@
         if let Some(hot_restart) = &self.ops.hot_restart {
             let siblings = hot_restart.siblings();
             let (load_rate_limit, overload_multiple) = siblings.limits(&self.config.settings);
-            let observed_capacity = siblings.bears() / MICROS_PER_SECOND;
+            let observed_capacity = siblings.observed_capacity() / MICROS_PER_SECOND;
             self.core.set_instance_limits(
                 now,
                 load_rate_limit,
--- a/src/operations/hot_restart.rs
+++ b/src/operations/hot_restart.rs
@@ -222,7 +222,7 @@
 
     /// The most that a worker was ever seen to serve for this gateway, in answers a second. A new
     /// process relies on it: it sees too few answers of its own while workers are in slow start.
-    pub fn bears(&self) -> f64 {
+    pub fn observed_capacity(&self) -> f64 {
         self.observed_capacity
     }
 
--- a/src/operations/hot_restart/tests.rs
+++ b/src/operations/hot_restart/tests.rs
@@ -132,7 +132,7 @@
         (1, false, 0)
     );
     assert_eq!(
-        others.bears(),
+        others.observed_capacity(),
         24.5,
         "what workers bear does not end with who saw it"
     );
