--- a/src/completion.rs
+++ b/src/completion.rs
@@ -1,15 +1,15 @@
-//! Every way in which a connection, an attempt, a load order or a health check can end, and the one place where that
-//! becomes the decision module's [`Outcome`].
+//! The reasons for which a connection, an attempt, a load order or a health check can end, and their conversion to the
+//! decision module's [`Outcome`].
 
 use crate::api::Outcome;
 use crate::membership::group::Observed;
 
-/// Why a connection, or an exchange on it, ended.
+/// The reason for the end of a connection or of an exchange on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
     /// A worker answered `200`.
     Served,
-    /// A worker answered `404`: the function is not loaded there.
+    /// A worker answered `404`: it has no loaded copy of the function.
     NotLoaded,
     /// A worker answered `503`: it is at capacity.
     AtCapacity,
@@ -19,42 +19,42 @@
     Expired,
     /// A connection was refused.
     Refused,
-    /// A connection did not come up by its deadline, or could not be opened at all.
+    /// A connection was not established by its deadline, or could not be opened at all.
     ConnectTimeout,
     /// The peer reset the connection, or the socket failed.
     Reset,
     /// The peer closed the connection.
     Closed,
-    /// The peer broke the protocol.
+    /// The peer violated the protocol.
     Malformed,
     /// The deadline passed.
     TimedOut,
-    /// It was cancelled, by the decision module or with its client.
+    /// The exchange was cancelled by the decision module or after its client's disconnection.
     Cancelled,
-    /// Its worker is draining, removed or restarted, so it was withdrawn before it was sent.
+    /// The exchange was withdrawn before it was sent, as its worker is draining, removed or restarted.
     Withdrawn,
-    /// Nothing was in flight on the connection for so long that this side closed it.
+    /// This process closed the connection after a period without exchanges in flight.
     Idle,
-    /// This process has no descriptor or memory left for it.
+    /// This process has no file descriptor or memory left.
     LocalLimit,
-    /// All connections to the worker carry as much as they may.
+    /// All connections to the worker carry the maximum number of exchanges.
     ConnectionsFull,
     /// This process is shutting down.
     Shutdown,
 }
 
-/// How much of an exchange had been sent when it ended.
+/// The extent to which an exchange had been sent when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
-    /// Not one byte: the worker cannot have seen it.
+    /// No byte has been sent: the worker cannot have received it.
     Unsent,
-    /// Some or all: it may have run.
+    /// Some or all bytes have been sent: it may have run.
     Started,
 }
 
 impl CloseReason {
-    /// The outcome that the decision module is told. Guards against running a request twice: one that was sent and not
-    /// answered may have run, whatever followed; one that was not sent never ran.
+    /// Returns the outcome for the decision module. To prevent a request from running twice, an exchange that was sent
+    /// and not answered counts as possibly run, whatever the reason; one that was not sent has never run.
     pub fn outcome(self, progress: SendProgress) -> Outcome {
         match (self, progress) {
             (CloseReason::Served, _) => Outcome::Ok,
@@ -64,7 +64,7 @@
             (CloseReason::Expired, _) => Outcome::NotSent,
             (CloseReason::Refused | CloseReason::ConnectTimeout, _) => Outcome::ConnectFailed,
             (CloseReason::ConnectionsFull, SendProgress::Unsent) => Outcome::Rejected,
-            // What this process did or lacks says nothing about the worker.
+            // Actions and limits of this process are not evidence about the worker.
             (
                 CloseReason::TimedOut
                 | CloseReason::Cancelled
@@ -80,7 +80,8 @@
         }
     }
 
-    /// What gossip tells other instances about the worker; `None` where the reason says nothing about it.
+    /// Returns the observation of the worker that gossip sends to other instances; `None` if the reason is no evidence
+    /// about it.
     pub fn observation(self, progress: SendProgress) -> Option<Observed> {
         match (self, progress) {
             (
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A short name for counters and log lines; dashboards read it.
+    /// Returns a short name for counters and log lines. Dashboards depend on these names.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::Served => "served",
--- a/src/completion/tests.rs
+++ b/src/completion/tests.rs
@@ -1,9 +1,9 @@
-//! What each close reason means to the decision module and to other instances.
+//! Tests of the conversion of close reasons to outcomes and to observations for other instances.
 
 use super::*;
 use crate::policy::never_ran;
 
-/// What this process did itself says nothing about the worker.
+/// Guards workers' reputations: actions of this process are not evidence about a worker.
 #[test]
 fn own_decisions_are_not_reported_to_peers() {
     use CloseReason::*;
@@ -68,7 +68,8 @@
     }
 }
 
-/// Guards workers against this side's own limits: a gateway without descriptors must not take all workers for dead.
+/// Guards workers against the gateway's own limits: a gateway without file descriptors must not consider all workers
+/// dead.
 #[test]
 fn local_limits_are_not_blamed_on_workers() {
     assert_eq!(
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! Events into the decision module, and its actions carried out.
+//! Delivery of events to the decision module and execution of its actions.
 
 use super::deadlines::Deadline;
 use super::{Answer, Command, Core};
@@ -7,12 +7,12 @@
 };
 
 impl<O: Clone + std::fmt::Debug> Core<O> {
-    /// Takes an update of the list of workers.
+    /// Applies an update of the worker list.
     pub fn update_workers(&mut self, now: Micros, update: ListUpdate, workers: Vec<WorkerEntry>) {
         self.handle_event(now, Event::WorkerList { update, workers });
     }
 
-    /// Sets a tenant's quota in calls a second over all gateways; 0 states none.
+    /// Sets a tenant's quota in calls per second over all gateways; 0 means no quota.
     pub fn set_tenant_quota(&mut self, now: Micros, tenant: TenantId, quota_per_s: f64) {
         self.handle_event(
             now,
@@ -23,7 +23,7 @@
         );
     }
 
-    /// Sets this instance's part of the load rate limit and of the capacity of cold workers.
+    /// Sets this instance's shares of the load rate limit and of the capacity of cold workers.
     pub fn set_instance_limits(
         &mut self,
         now: Micros,
@@ -41,7 +41,7 @@
         );
     }
 
-    /// Tells the decision module what peers observed of a worker; see [`Event::PeerHealth`].
+    /// Reports peers' observations of a worker to the decision module; see [`Event::PeerHealth`].
     pub fn update_peer_health(
         &mut self,
         now: Micros,
@@ -57,14 +57,14 @@
         );
     }
 
-    /// Hands an event to the module and carries out its actions. An event that an action raises at once is queued, so
-    /// that the module is never entered while it decides.
+    /// Passes an event to the module and performs the resulting actions. An event that an action raises is queued, so
+    /// that the module is not re-entered.
     pub(super) fn handle_event(&mut self, now: Micros, event: Event) {
         self.events.push_back(event);
         if self.events.len() > 1 {
             return;
         }
-        // The event stays at the front while it is handled: a queue that is not empty is what defers others.
+        // The event stays in the queue while it is handled: a non-empty queue defers further events.
         while let Some(event) = self.events.front().cloned() {
             let mut actions = std::mem::take(&mut self.actions);
             self.policy.take(now, event, &mut actions);
@@ -75,7 +75,7 @@
         self.log_evidence_changes();
     }
 
-    /// Has the module decide on all pending requests, if it has taken an event since it last did.
+    /// Lets the module decide on all pending requests if it has handled an event since its last decision.
     pub(super) fn settle(&mut self) {
         let Some(now) = self.unsettled_since.take() else {
             return;
@@ -87,7 +87,7 @@
         self.perform_actions(now, actions);
     }
 
-    /// Carries out actions in their order, and keeps their buffer for the next event.
+    /// Performs actions in order and keeps their buffer for reuse.
     fn perform_actions(&mut self, now: Micros, mut actions: Vec<Action>) {
         for action in actions.drain(..) {
             self.perform_action(now, action);
@@ -127,7 +127,7 @@
             Action::Wake { after, token } => self
                 .deadlines
                 .insert(now + after.max(1), Deadline::Wake(token)),
-            // Service discovery pushes; there is nothing to subscribe to.
+            // Service discovery pushes updates without a subscription.
             Action::Subscribe => {}
             Action::ReopenDiscovery => self.commands.push_back(Command::ReopenDiscovery),
         }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: one request sent to one worker, until it has ended.
+//! The life cycle of attempts, from dispatch to the worker's reply or failure.
 
 use slotmap::Key;
 
@@ -18,17 +18,17 @@
     number: u8,
     sent_at: Micros,
     expires_at: Micros,
-    /// The instant by which it must have started, if it may not start at any time.
+    /// The latest time at which the attempt may start, if its class limits it.
     start_deadline: Option<Micros>,
 }
 
 impl<O: Clone + std::fmt::Debug> Core<O> {
-    /// The worker of an attempt in flight.
+    /// Returns the worker of an attempt in flight.
     pub fn worker_of(&self, key: AttemptKey) -> Option<WorkerId> {
         self.attempts.get(key).map(|attempt| attempt.worker)
     }
 
-    /// Sends a request to a worker, unless it is answered or has an attempt in flight.
+    /// Sends a request to a worker, unless it has been answered or has an attempt in flight.
     pub(super) fn send_attempt(
         &mut self,
         now: Micros,
@@ -49,7 +49,8 @@
         else {
             return;
         };
-        // Workers drop repeats for this window only; a connection that is still coming up may not carry one past it.
+        // Workers deduplicate repeats only within this window, so a repeat that waits for a connection to be
+        // established must not be sent after it.
         let start_deadline = match effect {
             Effect::Keyed { window, .. } => request.may_have_run_at.map(|sent_at| sent_at + window),
             Effect::Idempotent | Effect::NonIdempotent => None,
@@ -70,7 +71,7 @@
         self.dispatch(attempt, request_id);
     }
 
-    /// Stores an attempt with its deadlines and has it sent.
+    /// Stores an attempt, schedules its deadlines and queues its dispatch.
     fn dispatch(&mut self, attempt: Attempt, request_id: RequestId) {
         let request_key = attempt.request;
         let worker = attempt.worker;
@@ -99,7 +100,7 @@
         }));
     }
 
-    /// Carries out the module's decision to cancel a request's attempt, if that is the one in flight.
+    /// Cancels a request's attempt with this number if it is the one in flight.
     pub(super) fn cancel_attempt(&mut self, request_id: RequestId, number: u8) {
         let Some(key) = self.keys_by_id.get(&request_id) else {
             return;
@@ -118,8 +119,8 @@
         }
     }
 
-    /// An attempt has ended at the driver. An attempt that is not in flight any more is passed over: the late reply to
-    /// an old attempt must not be taken for that to a new one.
+    /// Handles the end of an attempt that the driver reports. An attempt that is no longer in flight is ignored, so that
+    /// a late reply to an earlier attempt is not taken for the reply to a later one.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Answers a request with a worker's body, unless it has its answer.
+    /// Answers a request with a worker's response body, unless it has been answered.
     fn answer_served(&mut self, key: RequestKey, body: Vec<u8>) {
         let Some(request) = self.unanswered(key) else {
             return;
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -1,4 +1,4 @@
-//! What goes between the core and its driver: calls in, commands out, and what comes back with an attempt's end.
+//! The types exchanged between the core and its driver: calls, commands and replies to attempts.
 
 use std::rc::Rc;
 
@@ -6,21 +6,21 @@
 use crate::api::{Arrival, ClassId, CopyStart, FunctionId, LoadReport, Micros, WorkerId};
 use crate::completion::CloseReason;
 
-/// A call as a front end submits it.
+/// A call that a front submits.
 #[derive(Clone, Debug)]
 pub struct Call<O> {
-    /// Who is owed the answer; handed back with it.
+    /// The driver's reference to the caller, returned with the answer.
     pub origin: O,
     /// The identity under which workers receive the call.
     pub identity: Rc<str>,
     /// The payload for the worker.
     pub body: Rc<[u8]>,
-    /// What the decision module is told; the core numbers the request.
+    /// The description for the decision module; the core assigns its request id.
     pub arrival: Arrival,
 }
 
 impl<O> Call<O> {
-    /// The same call with another origin.
+    /// Replaces the origin of the call.
     pub fn with_origin<P>(self, origin: P) -> Call<P> {
         Call {
             origin,
@@ -34,21 +34,21 @@
 /// The final answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A worker's body.
+    /// The body of a worker's reply.
     Served(Vec<u8>),
-    /// Rejected: a retry is harmless after this time.
+    /// Rejected; a retry after `retry_after` is harmless.
     Rejected {
-        /// How long the client should wait before it retries.
+        /// The time that the client should wait before it retries.
         retry_after: Micros,
     },
-    /// Failed; promises nothing.
+    /// Failed; the call may or may not have run.
     Failed,
 }
 
 /// An attempt to be sent to a worker.
 #[derive(Clone, Debug)]
 pub struct AttemptDispatch {
-    /// Names the attempt until it has ended.
+    /// The key of the attempt, valid until it has ended.
     pub attempt: AttemptKey,
     /// The worker to send it to.
     pub worker: WorkerId,
@@ -58,26 +58,27 @@
     pub class: ClassId,
     /// The function to run.
     pub function: FunctionId,
-    /// When the gateway stops waiting for the reply.
+    /// The time at which the gateway stops waiting for the reply.
     pub expires_at: Micros,
     /// The payload.
     pub body: Rc<[u8]>,
 }
 
-/// What the core's driver is to do.
+/// An instruction to the core's driver.
 #[derive(Debug)]
 pub enum Command<O> {
     /// Send an attempt.
     Dispatch(AttemptDispatch),
-    /// Cancel an attempt: take it back or tell the worker, and report its end with how much of it had been sent.
+    /// Cancel an attempt: remove it from the output queue or notify the worker, and report its end with its send
+    /// progress.
     Cancel {
         /// The attempt.
         attempt: AttemptKey,
         /// The reason to report.
         reason: CloseReason,
     },
-    /// Keep an attempt from starting: take it back if none of its bytes have been sent, and report its end as unsent;
-    /// otherwise leave it as it is, and tell the worker nothing.
+    /// Withdraw an attempt that has not started: if none of its bytes have been sent, remove it from the output queue
+    /// and report its end as unsent; otherwise leave it in flight and send the worker nothing.
     Withdraw {
         /// The attempt.
         attempt: AttemptKey,
@@ -86,58 +87,59 @@
     },
     /// Send a load order.
     Load {
-        /// Names the order until it has ended.
+        /// The key of the order, valid until it has ended.
         order: LoadOrderKey,
-        /// The worker that is to load.
+        /// The worker that loads the copies.
         worker: WorkerId,
         /// The function to load.
         function: FunctionId,
-        /// How many copies are to be loaded; 0 only asks how many are.
+        /// The number of copies; 0 queries the number of loaded copies.
         copies: u8,
     },
-    /// Give up a load order: take it back if it has not been sent, and report it as timed out.
+    /// Stop waiting for a load order: remove it from the output queue if it has not been sent, and report it as timed
+    /// out.
     AbandonLoad {
         /// The order.
         order: LoadOrderKey,
     },
-    /// Have the idle copies of a function unloaded.
+    /// Tell a worker to unload the idle copies of a function.
     Unload {
-        /// The worker that is to unload.
+        /// The worker that unloads the copies.
         worker: WorkerId,
         /// The function to unload.
         function: FunctionId,
     },
     /// Send a health check.
     HealthCheck {
-        /// Names the health check until it has ended.
+        /// The key of the health check, valid until it has ended.
         check: HealthCheckKey,
         /// The worker to check.
         worker: WorkerId,
     },
-    /// Give up on a health check.
+    /// Stop waiting for a health check.
     AbandonHealthCheck {
         /// The health check.
         check: HealthCheckKey,
     },
-    /// Open the stream of service discovery anew.
+    /// Close the service discovery stream and open a new one.
     ReopenDiscovery,
-    /// Give the one final answer to a call.
+    /// Deliver the final answer to a call.
     Answer {
-        /// Who is owed the answer.
+        /// The origin of the call.
         origin: O,
         /// The answer.
         answer: Answer,
     },
 }
 
-/// What a worker's reply to an attempt carried; empty where there was none.
+/// The content of a worker's reply to an attempt; the default if there was no reply.
 #[derive(Debug, Default)]
 pub struct AttemptReply {
     /// The body.
     pub body: Vec<u8>,
-    /// How the copy that served the attempt came to be loaded.
+    /// The way in which the copy that served the attempt was loaded.
     pub copy_start: Option<CopyStart>,
-    /// Requests of the function that the worker held in flight.
+    /// The number of requests of the function in flight at the worker.
     pub function_in_flight: u32,
     /// The worker's load report.
     pub load_report: Option<LoadReport>,
--- a/src/core/evidence.rs
+++ b/src/core/evidence.rs
@@ -1,56 +1,56 @@
-//! What the decision module knows of discovery and of workers that take new work: signals in, changes logged and counted.
+//! Evidence that discovery is reachable and that workers accept new work: input signals, queries, logs and counters.
 
 use super::Core;
 use crate::api::{DiscoverySignal, Event, Micros, Outcome, WorkerId};
 use crate::policy::evidence::{EvidenceChange, SuspendReason, WorkerEvidenceAge};
 
-/// Microseconds of a millisecond, for log lines.
+/// Microseconds per millisecond.
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// How old what is known is, for operators.
+/// The age of the discovery and worker evidence, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceView {
-    /// The age of the list; none if discovery has not confirmed it since the start, or there is no discovery.
+    /// The age of the worker list; `None` if discovery has not confirmed it since the start, or is not configured.
     pub list_age: Option<Micros>,
-    /// Whether discovery has confirmed nothing for too long.
+    /// Whether discovery is considered lost because its last confirmation is too old.
     pub discovery_lost: bool,
-    /// The workers that are listed as ready.
+    /// The evidence ages of the workers listed as ready.
     pub workers: Vec<WorkerEvidenceAge>,
 }
 
 impl<O: Clone + std::fmt::Debug> Core<O> {
-    /// The stream of service discovery has given a sign.
+    /// Handles a signal from the service discovery stream.
     pub fn discovery_signal(&mut self, now: Micros, signal: DiscoverySignal) {
         self.handle_event(now, Event::Discovery(signal));
     }
 
-    /// Whether there is evidence that a worker takes new work. Asked where bytes would leave, as it may have expired since
-    /// the module decided.
+    /// Returns whether there is valid evidence that a worker accepts new work. The driver checks it immediately before
+    /// it sends, as the evidence may have expired since the module's decision.
     pub fn may_send(&self, now: Micros, worker: WorkerId) -> bool {
         self.policy.may_send(now, worker)
     }
 
-    /// Whether calls are worth taking: discovery has confirmed the list, or has had the time to do so.
+    /// Returns whether the gateway can accept calls: discovery has confirmed the worker list or has had time to do so.
     pub fn knows_workers(&self, now: Micros) -> bool {
         self.policy.knows_workers(now)
     }
 
-    /// Takes over evidence that another process of this gateway had of a worker at `at`.
+    /// Adopts the evidence of a worker that another process of this gateway obtained at `at`.
     pub fn adopt_evidence(&mut self, worker: WorkerId, at: Micros) {
         self.policy.adopt_evidence(worker, at);
     }
 
-    /// The workers that showed by themselves that they take new work, and when.
+    /// Returns the workers that have themselves shown that they accept new work, with the time of that evidence.
     pub fn served_evidence(&self, now: Micros) -> Vec<(WorkerId, Micros)> {
         self.policy.served_evidence(now)
     }
 
-    /// Whether discovery has confirmed nothing for too long.
+    /// Returns whether discovery is considered lost because its last confirmation is too old.
     pub fn is_discovery_lost(&self, now: Micros) -> bool {
         self.policy.is_discovery_lost(now)
     }
 
-    /// How old what is known is.
+    /// Returns the age of the discovery and worker evidence.
     pub fn evidence_view(&self, now: Micros) -> EvidenceView {
         EvidenceView {
             list_age: self.policy.list_age(now),
@@ -59,12 +59,12 @@
         }
     }
 
-    /// A connection to a worker was refused while no other was open: its process has ended.
+    /// Handles a refused connection to a worker without other open connections: its process has ended.
     pub fn worker_refused(&mut self, now: Micros, worker: WorkerId) {
         self.handle_event(now, Event::WorkerRefused { worker });
     }
 
-    /// Counts what a health check found.
+    /// Counts the outcome of a health check.
     pub(super) fn count_health_check(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => self.counters.checks_alive += 1,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Logs and counts what has changed since the last call.
+    /// Logs and counts the evidence changes since the last call.
     pub(super) fn log_evidence_changes(&mut self) {
         while let Some(change) = self.policy.next_evidence_change() {
             self.log_evidence_change(change);
@@ -89,7 +89,7 @@
             EvidenceChange::DiscoveryHeard { lost_for } => {
                 tracing::info!(
                     lost_for_ms = lost_for / MICROS_PER_MILLI,
-                    "discovery heard again"
+                    "discovery recovered"
                 );
             }
             EvidenceChange::Doubted {
@@ -130,7 +130,8 @@
     }
 }
 
-/// Evidence expires for the whole of a large fleet at once; that is logged with the details only.
+/// Logs a suspension. Expired evidence is logged at the debug level, as it can affect all workers of a large fleet at
+/// once.
 fn log_suspended(worker: WorkerId, reason: SuspendReason, evidence_age: Option<Micros>) {
     let evidence_age_ms = millis(evidence_age);
     if reason == SuspendReason::EvidenceExpired {
--- a/src/core/health_checks.rs
+++ b/src/core/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of single workers, for the decision module or on behalf of the fleet.
+//! Health checks of workers, requested by the decision module or for the fleet.
 
 use slotmap::Key;
 
@@ -7,7 +7,7 @@
 use crate::api::{Event, LoadReport, Micros, WorkerId};
 use crate::completion::{CloseReason, SendProgress};
 
-/// How long a health check may take.
+/// The timeout of a health check.
 const HEALTH_CHECK_TIMEOUT: Micros = 250_000;
 
 /// A health check in flight.
@@ -35,13 +35,13 @@
         check
     }
 
-    /// Whether a health check is still in flight.
+    /// Returns whether a health check is in flight.
     pub fn has_health_check(&self, key: HealthCheckKey) -> bool {
         self.health_checks.contains_key(key)
     }
 
-    /// A health check has ended at the driver, on a connection that was opened at `connection_opened_at` if there was
-    /// one.
+    /// Handles the end of a health check that the driver reports. `connection_opened_at` is the time at which its
+    /// connection was opened, if there was one.
     pub fn health_check_ended(
         &mut self,
         now: Micros,
--- a/src/core/load_orders.rs
+++ b/src/core/load_orders.rs
@@ -1,4 +1,4 @@
-//! Load orders: a worker is told to hold copies of a function, until it has replied.
+//! The life cycle of load orders, which tell a worker to load copies of a function.
 
 use slotmap::Key;
 
@@ -7,7 +7,7 @@
 use crate::api::{Event, FunctionId, Micros, Outcome, WorkerId};
 use crate::completion::{CloseReason, SendProgress};
 
-/// How long a load order may take where the settings state nothing.
+/// The timeout of a load order if the settings state none.
 pub(super) const DEFAULT_LOAD_ORDER_TIMEOUT: Micros = 10_000_000;
 
 /// A load order in flight.
@@ -19,7 +19,7 @@
 }
 
 impl<O: Clone + std::fmt::Debug> Core<O> {
-    /// Has a load order sent; an order for no copies only asks how many are loaded.
+    /// Sends a load order. An order for 0 copies queries the number of loaded copies.
     pub(super) fn send_load_order(
         &mut self,
         now: Micros,
@@ -54,7 +54,7 @@
         });
     }
 
-    /// A load order has ended at the driver, with so many copies loaded.
+    /// Handles the end of a load order that the driver reports; `copies` is the number of loaded copies.
     pub fn load_ended(
         &mut self,
         now: Micros,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
-//! The core: requests, attempts, load orders and health checks in numbered slots, and every deadline in one queue.
+//! Bookkeeping of requests, attempts, load orders and health checks in slot maps, with all deadlines in one queue.
 //!
-//! It knows no wire and no socket. Events come in, go through the decision module, and leave as [`Command`]s.
-//! Every submitted call gets exactly one [`Answer`].
+//! The core does no I/O. It passes events to the decision module and returns the resulting actions as [`Command`]s for
+//! its driver. Every submitted call gets exactly one [`Answer`] unless its client disconnects first.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -32,17 +32,17 @@
 use requests::Request;
 
 new_key_type! {
-    /// The slot of a request; a stale key names nothing.
+    /// The key of a request's slot. Keys of removed entries match no entry.
     pub struct RequestKey;
-    /// The slot of an attempt.
+    /// The key of an attempt's slot.
     pub struct AttemptKey;
-    /// The slot of a load order.
+    /// The key of a load order's slot.
     pub struct LoadOrderKey;
-    /// The slot of a health check.
+    /// The key of a health check's slot.
     pub struct HealthCheckKey;
 }
 
-/// A function id as it stands on the wire, for log lines.
+/// Formats a function id for log lines in the hexadecimal form that the wire protocols use.
 struct HexFunctionId(u64);
 
 impl std::fmt::Display for HexFunctionId {
@@ -51,17 +51,17 @@
     }
 }
 
-/// The decision module and everything in flight.
+/// The decision module together with all requests, attempts, load orders and health checks in flight.
 #[derive(Debug)]
 pub struct Core<O> {
     policy: Policy,
     answer_grace: Micros,
     load_order_timeout: Micros,
-    /// The effect of repeating a request, by class.
+    /// The effect of repeating a request, indexed by class.
     effects: Vec<Effect>,
     requests: SlotMap<RequestKey, Request<O>>,
     keys_by_id: HashMap<RequestId, RequestKey>,
-    /// The identities of all requests in a slot.
+    /// The identities of all requests in `requests`.
     open_identities: HashSet<Rc<str>>,
     attempts: SlotMap<AttemptKey, Attempt>,
     load_orders: SlotMap<LoadOrderKey, LoadOrder>,
@@ -70,7 +70,8 @@
     events: VecDeque<Event>,
     actions: Vec<Action>,
     commands: VecDeque<Command<O>>,
-    /// When the module took the last event that it has not settled yet.
+    /// The time of the last event that the module has handled since it last decided on the pending requests; `None` if
+    /// there is no such event.
     unsettled_since: Option<Micros>,
     last_request_id: u32,
     /// Counts of requests, attempts and connections.
@@ -78,7 +79,7 @@
 }
 
 impl<O: Clone + std::fmt::Debug> Core<O> {
-    /// A core that knows only the settings.
+    /// Creates a core without workers or requests.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Core<O> {
         let answer_grace = settings.answer_grace;
         let load_order_timeout = match settings.load_order_timeout {
@@ -111,17 +112,17 @@
         }
     }
 
-    /// Workers that the module would send to now.
+    /// Returns the number of workers that are ready and considered healthy.
     pub fn available_workers(&self) -> usize {
         self.policy.healthy_workers()
     }
 
-    /// The most that a worker served for this gateway, answers a microsecond, as the module has observed it.
+    /// Returns the highest observed rate at which an average worker served this gateway, in answers per microsecond.
     pub fn observed_capacity(&self) -> f64 {
         self.policy.observed_capacity()
     }
 
-    /// What repeating a request of a class does.
+    /// Returns the effect of repeating a request of a class.
     fn effect_of(&self, class: ClassId) -> Effect {
         self.effects
             .get(usize::from(class.0))
@@ -129,8 +130,8 @@
             .unwrap_or_default()
     }
 
-    /// The next thing for the driver to do, if any. The module decides once all earlier commands have been carried
-    /// out, so that it looks once over all pending requests for everything that came in one turn.
+    /// Returns the next command for the driver. The module decides on pending requests only when the command queue is
+    /// empty, so that it examines them once for all events of one turn of the event loop.
     pub fn next_command(&mut self) -> Option<Command<O>> {
         if self.commands.is_empty() {
             self.settle();
@@ -138,22 +139,22 @@
         self.commands.pop_front()
     }
 
-    /// When [`Core::tick`] is next to be called.
+    /// Returns the time at which [`Core::tick`] must next be called.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.next_at()
     }
 
-    /// Adds a deadline of the core's driver to the queue.
+    /// Adds a deadline of the driver to the queue.
     pub fn schedule(&mut self, at: Micros, deadline: ExternalDeadline) {
         self.deadlines.insert(at, Deadline::External(deadline));
     }
 
-    /// Removes a deadline of the core's driver from the queue.
+    /// Removes a deadline of the driver from the queue.
     pub fn unschedule(&mut self, at: Micros, deadline: ExternalDeadline) {
         self.deadlines.remove(at, Deadline::External(deadline));
     }
 
-    /// Handles the deadlines that have fallen due; appends those of the driver to `external`.
+    /// Handles all expired deadlines of the core and appends those of the driver to `external`.
     pub fn tick(&mut self, now: Micros, external: &mut Vec<ExternalDeadline>) {
         while let Some(deadline) = self.deadlines.pop_due(now) {
             match deadline {
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their one final answer.
+//! The life cycle of requests, from submission to the final answer.
 
 use slotmap::Key;
 
@@ -8,7 +8,7 @@
 use crate::completion::CloseReason;
 use crate::counters::FinalAnswer;
 
-/// A request that has no final answer yet, or still has an attempt in flight.
+/// A request that awaits its final answer or still has an attempt in flight.
 #[derive(Debug)]
 pub(super) struct Request<O> {
     pub(super) request_id: RequestId,
@@ -16,7 +16,7 @@
     pub(super) attempts_sent: u8,
     pub(super) in_flight: Option<AttemptKey>,
     pub(super) answered: bool,
-    /// When the first attempt was sent that is not proved never to have run.
+    /// The send time of the first ended attempt that may have run.
     pub(super) may_have_run_at: Option<Micros>,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl<O: Clone + std::fmt::Debug> Core<O> {
-    /// Requests that still wait for their answer.
+    /// Returns the number of requests without a final answer.
     pub fn pending_requests(&self) -> usize {
         self.requests
             .values()
@@ -50,19 +50,19 @@
             .count()
     }
 
-    /// Counts a call that was rejected before the decision module saw it.
+    /// Counts a call that was rejected before it reached the decision module.
     pub fn count_rejected(&mut self, class: ClassId) {
         self.counters.received += 1;
         self.counters.count_answer(class, FinalAnswer::Rejected);
     }
 
-    /// Whether a request under this identity has no answer yet, or an attempt in flight. No second call under the
-    /// identity may be submitted: replies on workers' connections are told apart by identity alone.
+    /// Returns whether a request with this identity awaits its answer or has an attempt in flight. A second call with
+    /// the same identity must not be submitted, as replies on worker connections are matched by identity alone.
     pub fn is_open(&self, identity: &str) -> bool {
         self.open_identities.contains(identity)
     }
 
-    /// Submits a call; from here on it is owed one answer.
+    /// Submits a call. It then gets exactly one answer unless its client disconnects first.
     pub fn submit(&mut self, now: Micros, mut call: Call<O>) -> RequestKey {
         let request_id = self.next_request_id();
         call.arrival.request = request_id;
@@ -70,7 +70,7 @@
         self.open_identities.insert(call.identity.clone());
         let key = self.requests.insert(Request::new(request_id, call));
         self.keys_by_id.insert(request_id, key);
-        // The module answers by the deadline; this guards the one answer against its oversight.
+        // The module answers by the request's deadline; this later deadline guarantees an answer if it does not.
         let overdue_at = arrival.expires_at + self.answer_grace;
         self.deadlines
             .insert(overdue_at, Deadline::Request(key.data().as_ffi()));
@@ -85,7 +85,7 @@
         key
     }
 
-    /// The next request id that no pending request has; the ids wrap around.
+    /// Returns the next request id that is not in use. Ids wrap around.
     fn next_request_id(&mut self) -> RequestId {
         loop {
             self.last_request_id = self.last_request_id.wrapping_add(1);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The client has disconnected: no answer is owed any more.
+    /// Handles the disconnection of a request's client: the request gets no answer.
     pub fn client_disconnected(&mut self, now: Micros, key: RequestKey) {
         let Some(request) = self.unanswered(key) else {
             return;
@@ -109,14 +109,14 @@
         self.remove_if_finished(key);
     }
 
-    /// The request in a slot, unless its answer has been given.
+    /// Returns a request if it has no final answer yet.
     pub(super) fn unanswered(&mut self, key: RequestKey) -> Option<&mut Request<O>> {
         self.requests
             .get_mut(key)
             .filter(|request| !request.answered)
     }
 
-    /// Carries out the module's decision on the answer to a request.
+    /// Gives a request the answer that the module has decided on.
     pub(super) fn answer_request(&mut self, request_id: RequestId, answer: Answer) {
         let Some(&key) = self.keys_by_id.get(&request_id) else {
             return;
@@ -124,12 +124,12 @@
         if self.unanswered(key).is_none() {
             return;
         }
-        tracing::debug!(request_id = request_id.0, ?answer, "request ended unserved");
+        tracing::debug!(request_id = request_id.0, ?answer, "request answered without a worker reply");
         self.answer_unserved(key, answer);
     }
 
-    /// The module has let a request's deadline pass. The request is rejected where that is harmless (its class is
-    /// idempotent, or no attempt can have run), and has failed otherwise.
+    /// Answers a request whose deadline and grace period have passed without a decision of the module. It is rejected if
+    /// a retry by the client is harmless (its class is idempotent, or no attempt can have run), and fails otherwise.
     pub(super) fn request_overdue(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get(key).filter(|request| !request.answered) else {
             return;
@@ -145,7 +145,7 @@
         self.answer_unserved(key, answer);
     }
 
-    /// Answers a request without a worker's body, and keeps its attempt from starting.
+    /// Answers a request without a response body and withdraws its attempt if that has not started.
     fn answer_unserved(&mut self, key: RequestKey, answer: Answer) {
         let Some(request) = self.unanswered(key) else {
             return;
@@ -163,8 +163,8 @@
         self.remove_if_finished(key);
     }
 
-    /// Withdraws an answered request's attempt: if it has not started it must not start any more, whether or not the
-    /// settings let one be cancelled that has.
+    /// Withdraws the attempt of an answered request if none of it has been sent. This applies even where the settings do
+    /// not permit the cancellation of started attempts.
     fn withdraw_in_flight(&mut self, key: RequestKey) {
         let in_flight = self.requests.get(key).and_then(|request| request.in_flight);
         let Some(attempt) = in_flight else {
@@ -176,7 +176,7 @@
         });
     }
 
-    /// Frees a request's slot once it has its answer and no attempt in flight.
+    /// Removes a request that has its answer and no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, key: RequestKey) {
         if !self.requests.get(key).is_some_and(Request::is_finished) {
             return;
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the core without any wire: final answers, counters and how often the module decides.
+//! Tests of the core without I/O: final answers, counters and the number of decision rounds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -66,7 +66,8 @@
     }
 }
 
-/// Workers that reply, miss, fail, stay silent, or lose their connections, in a fixed pseudo-random order.
+/// Workers whose attempts are served, fail, find no loaded copy, get no reply or lose their connection, in a fixed
+/// pseudo-random order.
 struct ErraticWorkers {
     core: Core<u32>,
     random_state: u64,
@@ -112,7 +113,7 @@
         );
         assert!(
             dispatch.class == ClassId(0) || !self.may_have_run.contains(&identity),
-            "a booking may run twice"
+            "a non-idempotent request may run twice"
         );
         self.in_flight.insert(dispatch.attempt, identity);
     }
@@ -139,13 +140,13 @@
             }
             Command::Answer { origin, .. } => {
                 *self.answers.entry(origin).or_default() += 1;
-                assert!(now <= self.expires_at[&origin] + 20_000, "{origin} is late");
+                assert!(now <= self.expires_at[&origin] + 20_000, "call {origin} is answered late");
             }
             _ => {}
         }
     }
 
-    /// Ends some attempts, each twice: the second end must change nothing.
+    /// Ends some attempts, each twice; the second end must have no effect.
     fn end_attempts(&mut self, now: Micros) {
         let open: Vec<AttemptKey> = self.in_flight.keys().copied().collect();
         let ending: Vec<AttemptKey> = open
@@ -179,8 +180,8 @@
     }
 }
 
-/// Each call gets one answer by its deadline, no attempt of a booking follows one that may have run, and no call has
-/// two attempts in flight.
+/// Checks that each call gets one answer by its deadline, that a non-idempotent request is not sent again after an
+/// attempt that may have run, and that no call has two attempts in flight.
 #[test]
 fn erratic_workers_leave_each_call_one_timely_answer() {
     let mut workers = ErraticWorkers::new();
@@ -201,40 +202,40 @@
     assert!(workers.answers.values().all(|answers| *answers == 1));
     assert_eq!(
         core.counters.overdue, 0,
-        "the module itself kept the deadlines"
+        "the module answers all requests by their deadlines"
     );
     assert!(core.requests.is_empty() && core.attempts.is_empty() && core.keys_by_id.is_empty());
 }
 
 proptest! {
-    /// The counters add up after every step, whatever the order of events: a received call is pending, has one of
-    /// the three final answers, in total and for its class, or its client disconnected.
+    /// Checks the sums of the counters after every step of a random sequence of events: each received call is pending,
+    /// has one of the three final answers (counted in total and for its class), or its client has disconnected.
     #[test]
     fn received_calls_are_answered_disconnected_or_pending(
         steps in proptest::collection::vec((0..8u8, any::<prop::sample::Index>()), 1..200),
     ) {
         let mut core: Core<u32> = Core::new(settings(), 3, 0);
         core.update_workers(1, ListUpdate::Snapshot, (1..4).map(ready_worker).collect());
-        let (mut now, mut out, mut open) = (1, Vec::new(), Vec::new());
-        for (n, (what, which)) in steps.into_iter().enumerate() {
+        let (mut now, mut in_flight, mut open) = (1, Vec::new(), Vec::new());
+        for (n, (step, index)) in steps.into_iter().enumerate() {
             now += 50_000;
-            match what {
+            match step {
                 0..=2 => open.push(core.submit(now, call(n as u32, now))),
-                3 if !open.is_empty() => core.client_disconnected(now, open.swap_remove(which.index(open.len()))),
+                3 if !open.is_empty() => core.client_disconnected(now, open.swap_remove(index.index(open.len()))),
                 4 => core.count_rejected(ClassId(1)),
-                5..=7 if !out.is_empty() => {
-                    let attempt = out.swap_remove(which.index(out.len()));
-                    let ending = [CloseReason::Served, CloseReason::Failed, CloseReason::NotLoaded][usize::from(what) - 5];
-                    core.attempt_ended(now, attempt, ending, SendProgress::Started, AttemptReply::default());
+                5..=7 if !in_flight.is_empty() => {
+                    let attempt = in_flight.swap_remove(index.index(in_flight.len()));
+                    let reason = [CloseReason::Served, CloseReason::Failed, CloseReason::NotLoaded][usize::from(step) - 5];
+                    core.attempt_ended(now, attempt, reason, SendProgress::Started, AttemptReply::default());
                 }
                 _ => {}
             }
             core.tick(now, &mut Vec::new());
             while let Some(command) = core.next_command() {
                 match command {
-                    Command::Dispatch(AttemptDispatch { attempt, .. }) => out.push(attempt),
+                    Command::Dispatch(AttemptDispatch { attempt, .. }) => in_flight.push(attempt),
                     Command::Cancel { attempt, reason } => {
-                        out.retain(|a| *a != attempt);
+                        in_flight.retain(|other| *other != attempt);
                         core.attempt_ended(now, attempt, reason, SendProgress::Started, AttemptReply::default());
                     }
                     Command::Load { order, copies, .. } => {
@@ -243,18 +244,18 @@
                     _ => {}
                 }
             }
-            let c = &core.counters;
-            let by_class = |of: fn(&FinalAnswerCounts) -> u64| c.answers_by_class.iter().map(of).sum::<u64>();
-            prop_assert_eq!(c.received, c.served + c.rejected + c.failed + c.client_disconnects + core.pending_requests() as u64);
-            prop_assert_eq!(by_class(|e| e.served), c.served);
-            prop_assert_eq!(by_class(|e| e.rejected), c.rejected);
-            prop_assert_eq!(by_class(|e| e.failed), c.failed);
+            let counters = &core.counters;
+            let sum_over_classes = |count: fn(&FinalAnswerCounts) -> u64| counters.answers_by_class.iter().map(count).sum::<u64>();
+            prop_assert_eq!(counters.received, counters.served + counters.rejected + counters.failed + counters.client_disconnects + core.pending_requests() as u64);
+            prop_assert_eq!(sum_over_classes(|counts| counts.served), counters.served);
+            prop_assert_eq!(sum_over_classes(|counts| counts.rejected), counters.rejected);
+            prop_assert_eq!(sum_over_classes(|counts| counts.failed), counters.failed);
         }
     }
 }
 
-/// Guards the processor: at a high rate, looking over all pending requests for each event takes more time the more
-/// are pending, and so more become pending.
+/// Guards against overload at a high request rate: examining all pending requests for each event takes longer the more
+/// are pending, so that still more become pending.
 #[test]
 fn events_of_one_turn_are_settled_once() {
     let mut core: Core<u32> = Core::new(settings(), 3, 0);
@@ -262,19 +263,19 @@
     for n in 0..200 {
         core.submit(10, call(n * 2, 10));
     }
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     while let Some(command) = core.next_command() {
-        out.extend(match command {
+        in_flight.extend(match command {
             Command::Dispatch(AttemptDispatch { attempt, .. }) => Some(attempt),
             _ => None,
         });
     }
-    assert!(out.len() > 1, "some of them are out");
+    assert!(in_flight.len() > 1, "several attempts are in flight");
     assert_eq!(
         core.counters.settled, 1,
-        "one look for the list and 200 calls"
+        "one decision round for the worker list and 200 calls"
     );
-    for attempt in out {
+    for attempt in in_flight {
         core.attempt_ended(
             20_000,
             attempt,
@@ -284,18 +285,18 @@
         );
     }
     while core.next_command().is_some() {}
-    assert_eq!(core.counters.settled, 2, "and one for all the answers");
+    assert_eq!(core.counters.settled, 2, "a second decision round for all ended attempts");
 }
 
 #[test]
-fn possibly_run_booking_fails_in_the_same_turn() {
+fn non_idempotent_request_fails_immediately_after_reset() {
     let mut core: Core<u32> = Core::new(settings(), 3, 0);
     core.update_workers(1, ListUpdate::Snapshot, vec![ready_worker(1)]);
     core.submit(10, call(1, 10));
     let Some(Command::Dispatch(AttemptDispatch { attempt, .. })) = core.next_command() else {
-        panic!("it is sent")
+        panic!("the request is not dispatched")
     };
-    // A booking that may have run is failed in the very turn, not towards its deadline.
+    // A non-idempotent request that may have run fails in the same turn, not at its deadline.
     core.attempt_ended(
         20,
         attempt,
