--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,11 +1,11 @@
-//! The time: the system's Unix clock, made to only move forward.
+//! A monotonic Unix clock.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use crate::api::Micros;
 
-/// The source of the time. It reads the system's clock once and then counts on with the monotonic clock, so that a
-/// step of the system's clock moves no deadline.
+/// A Unix clock that never goes backward. It reads the system clock once and then advances with the monotonic clock, so
+/// that a step of the system clock does not move deadlines.
 #[derive(Debug)]
 pub struct Clock {
     started_unix: Micros,
@@ -14,7 +14,7 @@
 }
 
 impl Clock {
-    /// A clock that reads Unix time now and goes on from there without steps.
+    /// Creates a clock that starts at the current Unix time.
     pub fn system() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Unix time in microseconds; never less than an earlier reading.
+    /// Returns the Unix time in microseconds; never less than an earlier reading.
     pub fn now(&mut self) -> Micros {
         let elapsed = self.started_at.elapsed().as_micros() as Micros;
         self.last_reading = self.last_reading.max(self.started_unix + elapsed);
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -31,7 +31,7 @@
     TimedOut,
     /// The exchange was cancelled by the decision module or after its client's disconnection.
     Cancelled,
-    /// The exchange was withdrawn before it was sent, as its worker is draining, removed or restarted.
+    /// The exchange was withdrawn before it was sent, for example because its worker is draining, removed or restarted.
     Withdrawn,
     /// This process closed the connection after a period without exchanges in flight.
     Idle,
--- a/src/completion/tests.rs
+++ b/src/completion/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::policy::never_ran;
 
-/// Guards workers' reputations: actions of this process are not evidence about a worker.
+/// Actions of this process are not evidence about a worker.
 #[test]
 fn own_decisions_are_not_reported_to_peers() {
     use CloseReason::*;
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -124,8 +124,12 @@
         if self.unanswered(key).is_none() {
             return;
         }
-        tracing::debug!(request_id = request_id.0, ?answer, "request answered without a worker reply");
-        self.answer_unserved(key, answer);
+        tracing::debug!(
+            request_id = request_id.0,
+            ?answer,
+            "request answered without a worker reply"
+        );
+        self.answer_without_reply(key, answer);
     }
 
     /// Answers a request whose deadline and grace period have passed without a decision of the module. It is rejected if
@@ -142,11 +146,11 @@
             Answer::Failed
         };
         self.counters.overdue += 1;
-        self.answer_unserved(key, answer);
+        self.answer_without_reply(key, answer);
     }
 
     /// Answers a request without a response body and withdraws its attempt if that has not started.
-    fn answer_unserved(&mut self, key: RequestKey, answer: Answer) {
+    fn answer_without_reply(&mut self, key: RequestKey, answer: Answer) {
         let Some(request) = self.unanswered(key) else {
             return;
         };
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -140,7 +140,10 @@
             }
             Command::Answer { origin, .. } => {
                 *self.answers.entry(origin).or_default() += 1;
-                assert!(now <= self.expires_at[&origin] + 20_000, "call {origin} is answered late");
+                assert!(
+                    now <= self.expires_at[&origin] + 20_000,
+                    "call {origin} is answered late"
+                );
             }
             _ => {}
         }
@@ -183,7 +186,7 @@
 /// Checks that each call gets one answer by its deadline, that a non-idempotent request is not sent again after an
 /// attempt that may have run, and that no call has two attempts in flight.
 #[test]
-fn erratic_workers_leave_each_call_one_timely_answer() {
+fn erratic_workers_yield_one_timely_answer_per_call() {
     let mut workers = ErraticWorkers::new();
     let mut now = 1;
     for step in 0..6_000u32 {
@@ -285,7 +288,10 @@
         );
     }
     while core.next_command().is_some() {}
-    assert_eq!(core.counters.settled, 2, "a second decision round for all ended attempts");
+    assert_eq!(
+        core.counters.settled, 2,
+        "a second decision round for all ended attempts"
+    );
 }
 
 #[test]
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,6 +1,6 @@
-//! Counters of requests, attempts and connections; printed on request and at exit.
+//! Counters of requests, attempts and connections, printed on request and at exit.
 //!
-//! The keys under which they are printed are read by dashboards, so a field that is renamed keeps its key.
+//! Dashboards depend on the printed keys, so a renamed field keeps its key.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,10 +8,10 @@
 use crate::api::ClassId;
 use crate::completion::CloseReason;
 
-/// Final answers to the calls of one class. A call whose client left first has none.
+/// Counts of the final answers to calls of one class. A call whose client disconnects first has no answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct FinalAnswerCounts {
-    /// Calls answered with a worker's body.
+    /// Calls answered with a worker's response body.
     pub served: u64,
     /// Calls rejected.
     #[serde(rename = "refused")]
@@ -26,7 +26,7 @@
     /// Calls received, whether they were admitted or rejected.
     #[serde(rename = "taken")]
     pub received: u64,
-    /// Calls answered with a worker's body.
+    /// Calls answered with a worker's response body.
     pub served: u64,
     /// Calls rejected.
     #[serde(rename = "refused")]
@@ -36,7 +36,7 @@
     /// Calls whose client disconnected before the answer.
     #[serde(rename = "left")]
     pub client_disconnects: u64,
-    /// Calls that the core had to answer because the decision module had not by their deadline.
+    /// Calls that the core answered after their grace period, as the decision module had not.
     pub overdue: u64,
     /// Attempts sent.
     pub sent: u64,
@@ -45,7 +45,7 @@
     /// Load orders for at least one copy.
     #[serde(rename = "orders")]
     pub load_orders: u64,
-    /// Load orders for no copy, which only ask how many are loaded.
+    /// Load orders for 0 copies, which query the number of loaded copies.
     #[serde(rename = "asks")]
     pub load_queries: u64,
     /// Load orders that a worker rejected.
@@ -54,25 +54,25 @@
     /// Health checks started.
     #[serde(rename = "probes")]
     pub health_checks: u64,
-    /// Health checks that the worker answered as alive.
+    /// Health checks with a positive answer.
     pub checks_alive: u64,
-    /// Health checks that the worker answered as dead: it takes nothing new.
+    /// Health checks with a negative answer: the worker accepts no new work.
     pub checks_dead: u64,
     /// Health checks without an answer.
     pub checks_unanswered: u64,
-    /// Times that discovery confirmed nothing for too long.
+    /// Times that discovery was considered lost because its last confirmation was too old.
     pub discovery_lost: u64,
     /// Times that a worker was doubted although it was listed as ready.
     pub workers_doubted: u64,
-    /// Times that a worker was suspended, as no recent evidence said that it takes new work.
+    /// Times that a worker was suspended for lack of recent evidence that it accepts new work.
     pub workers_suspended: u64,
     /// Times that a suspended worker was used again.
     pub workers_resumed: u64,
-    /// Attempts and load orders withheld where their bytes would have left, as the evidence had expired.
+    /// Attempts and load orders not sent because the worker's evidence had expired since the decision to send.
     pub sends_withheld: u64,
-    /// Calls rejected while no worker was known to take new work.
+    /// Calls rejected while discovery was lost and no worker was considered healthy.
     pub rejected_without_evidence: u64,
-    /// Times that the decision module looked over all pending requests.
+    /// Times that the decision module examined all pending requests.
     pub settled: u64,
     /// Client connections accepted.
     pub accepted: u64,
@@ -83,11 +83,11 @@
     pub bad_requests: u64,
     /// Worker connections opened.
     pub connects: u64,
-    /// Connections to service discovery that ended, whether it had answered on them or not.
+    /// Connections to service discovery that ended, answered or not.
     pub discovery_closed: u64,
-    /// Worker replies that matched nothing in flight.
+    /// Worker replies that matched no exchange in flight.
     pub unmatched: u64,
-    /// Worker replies or watch events that could not be read.
+    /// Worker replies, and input from service discovery, that could not be parsed.
     pub unreadable: u64,
     /// Webhook calls rejected for their signature, time or identity.
     #[serde(rename = "webhooks_refused")]
@@ -97,15 +97,15 @@
     pub webhooks_accepted: u64,
     /// Callbacks that an endpoint confirmed.
     pub callbacks_delivered: u64,
-    /// Callbacks given up that no endpoint can have received.
+    /// Abandoned callbacks that no endpoint can have received.
     pub callbacks_undelivered: u64,
-    /// Callbacks of which it is unknown whether the endpoint received them.
+    /// Callbacks that an endpoint may or may not have received.
     pub callbacks_unknown: u64,
     /// Bytes of gossip datagrams sent to other instances.
     pub gossip_bytes: u64,
     /// Gossip datagrams sent to other instances.
     pub gossip_datagrams: u64,
-    /// Gossip datagrams of other instances, or parts of one, that were rejected.
+    /// Gossip datagrams, or parts of one, that were rejected.
     #[serde(rename = "gossip_refused")]
     pub gossip_rejected: u64,
     /// Other instances that gossip considers alive.
@@ -121,16 +121,16 @@
 /// The three kinds of final answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// With a worker's body.
+    /// Answered with a worker's response body.
     Served,
     /// Rejected; a retry is harmless.
     Rejected,
-    /// Failed; promises nothing.
+    /// Failed; the call may or may not have run.
     Failed,
 }
 
 impl Counters {
-    /// Counts the one final answer to a call, in total and for its class.
+    /// Counts the final answer to a call, in total and for its class.
     pub fn count_answer(&mut self, class: ClassId, answer: FinalAnswer) {
         let mut unknown_class = FinalAnswerCounts::default();
         let of_class = self
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The workers by name, as far as updates have described them.
+//! The list of known workers, built from updates.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,38 +6,38 @@
 use super::WatchEvent;
 use crate::api::{WorkerEntry, WorkerId, WorkerStatus};
 
-/// The length of a name's last part that is the worker's id in hexadecimal.
+/// The length of a name suffix that is the worker's id in hexadecimal.
 const HEX_ID_LENGTH: usize = 8;
 /// The offset basis of the 32-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
 /// The prime of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// The list of workers. A worker's id follows from its name alone, as all gateways walk the workers in one order of
-/// their ids.
+/// The list of known workers. Worker ids are derived from the names alone, so that all gateways order the workers by id
+/// in the same way.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     ids: BTreeMap<String, WorkerId>,
     names: BTreeMap<WorkerId, String>,
-    /// Where each worker listens.
+    /// The address of each worker.
     pub addresses: BTreeMap<WorkerId, SocketAddr>,
-    /// Workers that have left the list and are forgotten once nothing is open to them.
+    /// Removed workers, which are deleted once they are no longer in use.
     removed: BTreeSet<WorkerId>,
-    /// Workers to which nothing new may be sent, as the list or an operator says.
+    /// Workers that must get no new work because of their listed status or an operator's command.
     draining: BTreeSet<WorkerId>,
 }
 
-/// What an update changed.
+/// The changes that an update made.
 #[derive(Debug)]
 pub struct AppliedUpdate {
-    /// The described workers as the decision module is told of them, in the order of the update.
+    /// The workers of the update in its order, as the decision module receives them.
     pub workers: Vec<WorkerEntry>,
-    /// The workers that listen at another address than before.
+    /// The workers whose address changed.
     pub readdressed: Vec<WorkerId>,
 }
 
 impl EndpointList {
-    /// A worker's id; a new worker gets one.
+    /// Returns a worker's id; assigns one to a new worker.
     pub fn id_of(&mut self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -51,7 +51,7 @@
         id
     }
 
-    /// The name of a worker; its number if it is not known.
+    /// Returns the name of a worker, or its id in hexadecimal if the worker is unknown.
     pub fn name_of(&self, worker: WorkerId) -> String {
         self.names
             .get(&worker)
@@ -59,7 +59,7 @@
             .unwrap_or_else(|| format!("{:08x}", worker.0))
     }
 
-    /// The id of a worker that is known.
+    /// Returns the id of a known worker.
     pub fn find(&self, name: &str) -> Option<WorkerId> {
         self.ids.get(name).copied()
     }
@@ -96,8 +96,7 @@
         applied
     }
 
-    /// Forgets the workers that have left the list, but for those still in use. Guards memory where workers keep being
-    /// replaced by new ones.
+    /// Deletes the removed workers that are not in use, which bounds memory when workers are continually replaced.
     pub fn forget_removed(&mut self, in_use: impl Fn(&WorkerId) -> bool) {
         let removed = std::mem::take(&mut self.removed);
         let (in_use, unused): (BTreeSet<WorkerId>, BTreeSet<WorkerId>) =
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Notes whether nothing new may be sent to a worker.
+    /// Sets whether a worker is draining.
     pub fn set_draining(&mut self, worker: WorkerId, draining: bool) {
         if draining {
             self.draining.insert(worker);
@@ -121,24 +120,24 @@
         }
     }
 
-    /// Whether nothing new may be sent to a worker. Checked where its bytes would leave, as the worker may have begun
-    /// to drain since the module decided.
+    /// Returns whether a worker is draining and must get no new work. The driver checks it immediately before it sends,
+    /// as the worker may have begun to drain since the module's decision.
     pub fn is_draining(&self, worker: WorkerId) -> bool {
         self.draining.contains(&worker)
     }
 
-    /// How many workers it knows.
+    /// Returns the number of known workers.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether it knows none.
+    /// Returns whether no worker is known.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 }
 
-/// The id that a name ends in, or else the name's hash.
+/// Returns the id at the end of a name, or the name's hash if there is none.
 fn preferred_id(name: &str) -> WorkerId {
     let tail = name.rsplit('-').next().unwrap_or(name);
     let stated = match tail.len() {
--- a/src/discovery/endpoint_list/tests.rs
+++ b/src/discovery/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Workers that leave the list.
+//! Tests of the removal of workers from the list.
 
 use super::*;
 use crate::discovery::tests::{names, watch_event_json};
@@ -17,9 +17,9 @@
     assert!(list.len() == 4 && list.addresses.len() == 4 && list.names.len() == 4);
     assert!(
         list.addresses.contains_key(&WorkerId(7)),
-        "something was open to it"
+        "a removed worker in use is kept"
     );
-    // A snapshot names all the workers there are.
+    // A snapshot is complete: workers that it does not list have been removed.
     let snapshot = watch_event_json("SERVING").replace("\"snapshot\":false", "\"snapshot\":true");
     list.apply(&WatchEvent::parse(&snapshot, &names()).unwrap());
     list.forget_removed(|_| false);
--- a/src/discovery/error.rs
+++ b/src/discovery/error.rs
@@ -1,16 +1,16 @@
-//! Why something from service discovery cannot be used.
+//! Errors in the input from service discovery.
 
 use thiserror::Error;
 
-/// Why something from service discovery cannot be used. The list of workers stays as it was, and the update is asked
-/// for again; an operator looks at the discovery service.
+/// The reason for which input from service discovery cannot be used. The worker list stays unchanged and the update is
+/// requested again. A likely cause is a fault of the discovery service.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DiscoveryError {
-    /// The response's head is not HTTP, or its status is not 200.
-    #[error("the notice board's answer cannot be used: {0}")]
+    /// The response head is not valid HTTP, its status is not 200, or the response exceeds a size limit.
+    #[error("discovery response cannot be used: {0}")]
     Head(String),
-    /// A chunk's length cannot be read.
-    #[error("a chunk of the notice board's answer has no readable length")]
+    /// The size of a chunk is malformed or exceeds the limit.
+    #[error("discovery response has a chunk of invalid size")]
     Chunk,
     /// An event is not JSON.
     #[error("a notice is not JSON: {0}")]
@@ -18,7 +18,7 @@
     /// A field of an event is missing or of the wrong type.
     #[error("a notice lacks a usable '{0}'")]
     Field(&'static str),
-    /// A worker's status or address has no meaning.
-    #[error("a notice names a worker that cannot be used: {0}")]
+    /// The status or the address of a worker is invalid.
+    #[error("a watch event lists an invalid worker: {0}")]
     Entry(String),
 }
--- a/src/discovery/event_stream.rs
+++ b/src/discovery/event_stream.rs
@@ -1,4 +1,4 @@
-//! The watch connection's response: server-sent events over HTTP, decoded from bytes that may be cut anywhere.
+//! An incremental decoder of the watch connection's response: server-sent events over HTTP.
 
 use std::net::SocketAddr;
 
@@ -7,44 +7,44 @@
 use super::DiscoveryError;
 use crate::net::Buffer;
 
-/// The most bytes of a line, a chunk or an event; a longer one is taken for damage.
+/// The maximum size in bytes of a line, a chunk or an event; a larger one is an error.
 pub const READ_LIMIT_BYTES: usize = 4 << 20;
-/// The most bytes of the response's head.
+/// The maximum size of the response head in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most headers of the response's head.
+/// The maximum number of headers in the response head.
 const MAX_HEADERS: usize = 32;
-/// The bytes of the line end behind a chunk.
+/// The size of the line end after a chunk in bytes.
 const CHUNK_END_BYTES: usize = 2;
 
-/// How the rest of the response is framed.
+/// The framing of the rest of the response.
 #[derive(Debug, Default, PartialEq, Eq)]
 enum Framing {
     /// The head has not been read.
     #[default]
     Head,
-    /// The body lasts until the connection ends.
+    /// The body extends to the end of the connection.
     UntilClose,
-    /// The body comes in chunks; so many bytes of this chunk are left, its line end included.
+    /// The body is chunked; the value is the number of bytes left in the current chunk, including its line end.
     Chunked(usize),
     /// The last chunk has been read.
     Ended,
 }
 
-/// Whether decoding can go on with the bytes at hand.
+/// Whether decoding can continue with the buffered input.
 #[derive(PartialEq, Eq)]
 enum Progress {
     Advanced,
     NeedsInput,
 }
 
-/// The decoder of one watch connection: bytes in, events out.
+/// The decoder of one watch connection.
 #[derive(Debug, Default)]
 pub struct WatchStream {
     framing: Framing,
     text: Vec<u8>,
     id: Option<String>,
     data: String,
-    /// Whether a comment has come that is not part of an event.
+    /// Whether a comment outside any event has been decoded since the last [`WatchStream::take_heartbeat`].
     heartbeat: bool,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl WatchStream {
-    /// The request that begins a connection, from the event after `last_revision` on.
+    /// Returns the request for all events after `last_revision`.
     pub fn request(server: SocketAddr, last_revision: u64) -> Vec<u8> {
         format!(
             "GET /board/poll HTTP/1.1\r\nHost: {server}\r\nAccept: text/event-stream\r\n\
@@ -67,32 +67,32 @@
         .into_bytes()
     }
 
-    /// Whether the response's head has come.
+    /// Returns whether the response head has been decoded.
     pub fn has_answered(&self) -> bool {
         self.framing != Framing::Head
     }
 
-    /// Whether the response has come to its own end.
+    /// Returns whether the final chunk has been decoded.
     pub fn has_ended(&self) -> bool {
         self.framing == Framing::Ended
     }
 
-    /// Whether a heartbeat has come since the last call: a complete comment outside any event. One that stands inside an
-    /// event says nothing of what has changed until that event is complete.
+    /// Returns whether a heartbeat, a complete comment outside any event, has arrived since the last call. A comment
+    /// inside an event does not count, as the update of that event is still incomplete.
     pub fn take_heartbeat(&mut self) -> bool {
         std::mem::take(&mut self.heartbeat)
     }
 
-    /// Whether what has come ends in the middle of a line or an event.
+    /// Returns whether the decoded input ends within a line or an event.
     pub fn is_incomplete(&self) -> bool {
         !self.text.is_empty() || self.id.is_some() || !self.data.is_empty()
     }
 
-    /// Decodes what has come; appends the complete events.
+    /// Decodes the input and appends the complete events to `events`.
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError::Head`] and [`DiscoveryError::Chunk`]: the connection is of no more use.
+    /// [`DiscoveryError::Head`] or [`DiscoveryError::Chunk`]; the connection must then be closed.
     pub fn read_events(
         &mut self,
         input: &mut Buffer,
@@ -128,7 +128,7 @@
             Ok(Status::Complete(size)) => size,
             Ok(Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(Progress::NeedsInput),
             Ok(Status::Partial) => {
-                return Err(DiscoveryError::Head("its head does not end".into()))
+                return Err(DiscoveryError::Head("the head is too large".into()))
             }
             Err(error) => return Err(DiscoveryError::Head(error.to_string())),
         };
@@ -193,7 +193,7 @@
         }
         self.text.drain(..start);
         if self.text.len() + self.data.len() > READ_LIMIT_BYTES {
-            return Err(DiscoveryError::Head("an event does not end".into()));
+            return Err(DiscoveryError::Head("an event is too large".into()));
         }
         Ok(())
     }
@@ -217,12 +217,12 @@
                 }
                 self.data.push_str(value);
             }
-            // Other fields mean nothing here.
+            // Other fields are ignored.
             _ => {}
         }
     }
 
-    /// The event that an empty line ends, if it has data.
+    /// Returns the event that an empty line completes, if it has data.
     fn take_event(&mut self) -> Option<ServerSentEvent> {
         let id = self.id.take();
         let data = std::mem::take(&mut self.data);
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Service discovery: an event stream of numbered updates, and the list of workers that they describe.
+//! The client of service discovery: a stream of server-sent events with numbered updates of the worker list.
 
 mod endpoint_list;
 mod error;
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The event stream cut anywhere, and the updates read from it.
+//! Tests of stream decoding at arbitrary chunk boundaries, update parsing, heartbeats and reconnects.
 
 use super::*;
 use crate::api::{WorkerId, ZoneId};
@@ -52,12 +52,12 @@
     assert_eq!(
         EndpointList::default().id_of(&endpoint.name),
         WorkerId(0x00c4_1f7a),
-        "the same at every gateway"
+        "the id depends on the name alone"
     );
 }
 
 #[test]
-fn unusable_updates_name_their_fault() {
+fn invalid_updates_and_heads_return_specific_errors() {
     let error_text = |text: &str| WatchEvent::parse(text, &names()).unwrap_err().to_string();
     assert_eq!(error_text("{\"rev\":1}"), "a notice lacks a usable 'pool'");
     assert!(error_text(&watch_event_json("ASLEEP")).ends_with("s-00c41f7a has the state 'ASLEEP'"));
@@ -77,7 +77,7 @@
     }
 }
 
-/// A stream that has read this behind a head.
+/// Returns a stream that has decoded a response head followed by `text`.
 fn stream_of(text: &str) -> WatchStream {
     let mut stream = WatchStream::default();
     let mut input = Buffer::default();
@@ -91,7 +91,10 @@
     let mut stream = stream_of(": \n\n");
     assert!(!stream.is_incomplete());
     assert!(stream.take_heartbeat());
-    assert!(!stream.take_heartbeat(), "each counts once");
+    assert!(
+        !stream.take_heartbeat(),
+        "a heartbeat is returned only once"
+    );
     for text in [
         ":",
         ": half",
--- a/src/discovery/watch_event.rs
+++ b/src/discovery/watch_event.rs
@@ -1,4 +1,4 @@
-//! One numbered update of the list of workers, read from JSON.
+//! Parsing of numbered updates of the worker list from JSON.
 
 use std::net::SocketAddr;
 
@@ -8,17 +8,17 @@
 use crate::api::{CellId, Micros, WorkerStatus, ZoneId};
 use crate::names::Names;
 
-/// The zone of a worker whose zone the settings do not name.
+/// The zone index of a worker whose zone is not in the settings.
 const UNKNOWN_ZONE: usize = u8::MAX as usize;
-/// The capacity of a worker whose update states none.
+/// The capacity of a worker without a stated weight.
 const DEFAULT_CAPACITY: f64 = 1.0;
 
-/// One worker as an update describes it.
+/// The description of one worker in an update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneId,
@@ -26,40 +26,40 @@
     pub cell: CellId,
     /// Its status.
     pub status: WorkerStatus,
-    /// Its size against others'.
+    /// Its capacity relative to other workers.
     pub capacity: f64,
-    /// When its process started, where the update states it.
+    /// The start time of its process, if stated.
     pub started_at: Option<Micros>,
 }
 
-/// One numbered update.
+/// A numbered update of the worker list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchEvent {
-    /// Its number.
+    /// The revision number.
     pub revision: u64,
-    /// Whether it is the complete list.
+    /// Whether the update is the complete list.
     pub snapshot: bool,
-    /// The workers that it describes.
+    /// The workers in the update.
     pub endpoints: Vec<Endpoint>,
 }
 
 impl WatchEvent {
-    /// Reads an update's text.
+    /// Parses an update from JSON text.
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError`] says what is missing or unreadable.
+    /// [`DiscoveryError`] if a required element is missing or invalid.
     pub fn parse(text: &str, names: &Names) -> Result<WatchEvent, DiscoveryError> {
         let value: Value =
             serde_json::from_str(text).map_err(|error| DiscoveryError::Json(error.to_string()))?;
         WatchEvent::from_value(&value, names)
     }
 
-    /// Reads an update from JSON.
+    /// Parses an update from a JSON value.
     ///
     /// # Errors
     ///
-    /// [`DiscoveryError`] says what is missing or unreadable.
+    /// [`DiscoveryError`] if a required element is missing or invalid.
     pub fn from_value(value: &Value, names: &Names) -> Result<WatchEvent, DiscoveryError> {
         let revision = value
             .get("rev")
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,22 +1,22 @@
-//! Names that the wires use, by their places in the module's settings.
+//! Names used by the wire protocols, in the order of the decision module's settings.
 
 use crate::api::Micros;
 
-/// Names that the wires use, by their places in the module's settings.
+/// Names used by the wire protocols. A name's index in its list is its id in the decision module's settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Classes.
+    /// The class names.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// The tenant names.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// The zone names.
     pub zones: Vec<String>,
-    /// The longest that a client waits, by class; a call that asks for more is not one of ours.
+    /// The maximum deadline of a call, indexed by class; a call that states a longer one is rejected.
     pub longest: Vec<Micros>,
 }
 
 impl Names {
-    /// The place of a name in a list.
+    /// Returns the index of a name in a list.
     pub fn place(list: &[String], name: &str) -> Option<usize> {
         list.iter().position(|n| n == name)
     }
--- a/src/net/buffer.rs
+++ b/src/net/buffer.rs
@@ -1,13 +1,13 @@
-//! A connection's input buffer: it grows as it needs and is compacted in place.
+//! A connection's input buffer, which grows on demand and is compacted in place.
 
 use std::io::{self, Read};
 
-/// Bytes that a buffer starts with.
+/// The initial size of a buffer in bytes.
 const INITIAL_BUFFER_BYTES: usize = 2048;
-/// A larger buffer is freed once it is empty.
+/// The maximum size in bytes of a buffer that is kept when empty; a larger one is freed.
 pub(super) const MAX_EMPTY_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Bytes that were received and not consumed yet.
+/// The bytes that were received and not yet consumed.
 #[derive(Debug, Default)]
 pub struct Buffer {
     data: Vec<u8>,
@@ -15,26 +15,26 @@
     end: usize,
 }
 
-/// The result of one read.
+/// The outcome of [`Buffer::fill`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fill {
-    /// Some bytes came; there may be more.
+pub enum FillOutcome {
+    /// Bytes were read; more may be available.
     Received,
-    /// Nothing more has come for now.
+    /// No bytes are available at present.
     WouldBlock,
-    /// The buffer holds as much as it may.
+    /// The buffer has reached its limit.
     Full,
-    /// The peer's side has ended.
+    /// The peer has closed its side.
     Ended,
 }
 
 impl Buffer {
-    /// The bytes that were received and not consumed.
+    /// Returns the bytes that were received and not yet consumed.
     pub fn bytes(&self) -> &[u8] {
         &self.data[self.start..self.end]
     }
 
-    /// Drops the first `n` bytes.
+    /// Discards the first `n` bytes.
     pub fn consume(&mut self, n: usize) {
         self.start = (self.start + n).min(self.end);
         if self.start == self.end {
@@ -46,15 +46,15 @@
         }
     }
 
-    /// Reads once; holds no more than `limit` bytes.
+    /// Performs one read, unless the buffer already holds `limit` bytes.
     ///
     /// # Errors
     ///
-    /// The reader's own, but for interruptions, after which it reads again.
-    pub fn fill(&mut self, from: &mut impl Read, limit: usize) -> io::Result<Fill> {
+    /// The reader's error. Interrupted reads are retried.
+    pub fn fill(&mut self, from: &mut impl Read, limit: usize) -> io::Result<FillOutcome> {
         let unread = self.end - self.start;
         if unread >= limit {
-            return Ok(Fill::Full);
+            return Ok(FillOutcome::Full);
         }
         if self.end == self.data.len() {
             if self.start > 0 {
@@ -70,22 +70,27 @@
         }
         loop {
             match from.read(&mut self.data[self.end..]) {
-                Ok(0) => return Ok(Fill::Ended),
+                Ok(0) => return Ok(FillOutcome::Ended),
                 Ok(n) => {
                     self.end += n;
-                    return Ok(Fill::Received);
+                    return Ok(FillOutcome::Received);
+                }
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    return Ok(FillOutcome::WouldBlock)
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Fill::WouldBlock),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
         }
     }
 
-    /// Appends bytes as if they had been read; for recorded exchanges.
+    /// Appends bytes as if they had been read; used by tests that replay recorded exchanges.
     pub fn append(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            if !matches!(self.fill(&mut bytes, usize::MAX >> 1), Ok(Fill::Received)) {
+            if !matches!(
+                self.fill(&mut bytes, usize::MAX >> 1),
+                Ok(FillOutcome::Received)
+            ) {
                 return;
             }
         }
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections.
+//! Non-blocking outgoing connections.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -6,7 +6,7 @@
 use rustix::io::Errno;
 use rustix::net::{socket_with, AddressFamily, SocketFlags, SocketType};
 
-/// Whether an error comes of this machine's or this process's own limits rather than of the peer.
+/// Returns whether an error is due to limits of this machine or process rather than to the peer.
 pub fn is_local_limit(error: &io::Error) -> bool {
     let local = [
         Errno::MFILE,
@@ -19,12 +19,12 @@
     Errno::from_io_error(error).is_some_and(|errno| local.contains(&errno))
 }
 
-/// Begins to connect without waiting for it. The standard library has no such call, so that rustix, on which calloop
-/// is built, makes the socket.
+/// Starts a non-blocking connect. The standard library does not provide it, so the socket is created with rustix, a
+/// dependency of calloop.
 ///
 /// # Errors
 ///
-/// The system's, where the socket cannot be made or the peer refuses at once.
+/// The system's error if the socket cannot be created or the connect fails immediately.
 pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
     let family = if to.is_ipv4() {
         AddressFamily::INET
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the event loop.
+//! A connection of the event loop.
 
 use std::net::{Shutdown, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd};
@@ -6,15 +6,15 @@
 
 use calloop::RegistrationToken;
 
-use super::buffer::{Buffer, Fill, MAX_EMPTY_BUFFER_BYTES};
+use super::buffer::{Buffer, FillOutcome, MAX_EMPTY_BUFFER_BYTES};
 use super::outbox::Outbox;
 use crate::api::Micros;
 use crate::completion::CloseReason;
 
-/// Bytes that may wait for a client before no further request of its is handled.
+/// The maximum number of unsent bytes at which further requests of a client are handled.
 const MAX_UNSENT_BYTES: usize = 64 * 1024;
 
-/// A stream that the event loop and its connection share.
+/// A stream shared by the event loop and its connection.
 #[derive(Clone, Debug)]
 pub struct SharedStream(pub Rc<TcpStream>);
 
@@ -24,15 +24,15 @@
     }
 }
 
-/// One connection: its stream, its buffers and its state.
+/// A connection with its stream, buffers and state.
 #[derive(Debug)]
 pub struct Connection {
     stream: SharedStream,
     /// Its registration with the event loop.
     pub token: RegistrationToken,
-    /// What was received and not handled yet.
+    /// The received bytes that have not been handled.
     pub input: Buffer,
-    /// What waits to be written.
+    /// The frames to be written.
     pub outbox: Outbox,
     /// Whether the connection is established.
     pub connected: bool,
@@ -40,21 +40,21 @@
     pub has_more_input: bool,
     /// Whether the peer has closed its side.
     pub peer_closed: bool,
-    /// Whether no input is handled until what waits has been written.
+    /// Whether input is not handled until the output backlog has been written.
     pub paused: bool,
-    /// Whether it is closed once everything has been written.
+    /// Whether the connection is closed once all output has been written.
     pub closing: bool,
-    /// Whether, before it is closed, it reads on until the peer closes. Guards the last response: a socket closed with
-    /// bytes unread is reset, and the reset can overtake the response.
+    /// Whether input is read and discarded until the peer closes, before the connection is closed. Closing a socket with
+    /// unread bytes sends a reset, which can discard the last response before the peer has read it.
     pub linger: bool,
-    /// When it falls due, if a deadline is scheduled for it.
+    /// The scheduled deadline, if any.
     pub deadline: Option<Micros>,
-    /// Since when nothing has been in flight on it.
+    /// The time since which nothing has been in flight.
     pub idle_since: Micros,
 }
 
 impl Connection {
-    /// Wraps a stream that is non-blocking and registered.
+    /// Wraps a non-blocking stream that is registered with the event loop.
     pub fn new(
         stream: SharedStream,
         token: RegistrationToken,
@@ -77,11 +77,11 @@
         }
     }
 
-    /// After a non-blocking connect: whether the connection is established.
+    /// Returns whether a non-blocking connect has been completed.
     ///
     /// # Errors
     ///
-    /// [`CloseReason::Refused`].
+    /// [`CloseReason::Refused`] if the connect failed.
     pub fn check_connect(&mut self) -> Result<bool, CloseReason> {
         if self.connected {
             return Ok(true);
@@ -102,18 +102,18 @@
     ///
     /// # Errors
     ///
-    /// [`CloseReason::Reset`].
+    /// [`CloseReason::Reset`] if the socket fails.
     pub fn read(&mut self, limit: usize) -> Result<(), CloseReason> {
         self.has_more_input = true;
         loop {
             match self.input.fill(&mut &*self.stream.0, limit) {
-                Ok(Fill::Received) => {}
-                Ok(Fill::WouldBlock) => {
+                Ok(FillOutcome::Received) => {}
+                Ok(FillOutcome::WouldBlock) => {
                     self.has_more_input = false;
                     return Ok(());
                 }
-                Ok(Fill::Full) => return Ok(()),
-                Ok(Fill::Ended) => {
+                Ok(FillOutcome::Full) => return Ok(()),
+                Ok(FillOutcome::Ended) => {
                     self.has_more_input = false;
                     self.peer_closed = true;
                     return Ok(());
@@ -123,22 +123,23 @@
         }
     }
 
-    /// Pauses input while too much waits to be written; tells whether it is paused. Guards memory against a client
-    /// that sends and never reads.
+    /// Pauses input while the output backlog is too large; returns whether it is paused. This bounds memory for a client
+    /// that sends requests without reading responses.
     pub fn pause_if_backlogged(&mut self) -> bool {
         self.paused = self.outbox.len() > MAX_UNSENT_BYTES;
         self.paused
     }
 
-    /// Reads on if reading had stopped at the limit; tells whether anything new was received.
+    /// Continues a read that stopped at its limit; returns whether new bytes were received.
     pub fn refill(&mut self, limit: usize) -> bool {
         let unread = self.input.bytes().len();
         self.has_more_input && self.read(limit).is_ok() && self.input.bytes().len() > unread
     }
 
-    /// Closes this side and drops what still comes; tells whether the peer has closed too.
+    /// Shuts down the write side and discards further input; returns whether the connection can be closed because the
+    /// peer has closed it or it has failed.
     pub fn shut_down_write(&mut self) -> bool {
-        // This fails if the peer has closed already; the read below then says so.
+        // This fails if the peer has already closed; the read below detects that case.
         let _ = self.stream.0.shutdown(Shutdown::Write);
         loop {
             let unread = self.input.bytes().len();
@@ -152,11 +153,11 @@
         }
     }
 
-    /// Writes what the peer takes; `false` if something is left.
+    /// Writes as much output as the socket accepts; returns `false` if some is left.
     ///
     /// # Errors
     ///
-    /// [`CloseReason::Reset`].
+    /// [`CloseReason::Reset`] if the socket fails.
     pub fn flush(&mut self) -> Result<bool, CloseReason> {
         if !self.connected {
             return Ok(self.outbox.is_empty());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,11 +1,11 @@
-//! Connections of the event loop: an input buffer and a queue of frames to write each.
+//! Non-blocking connections of the event loop, with an input buffer and an output queue each.
 
 mod buffer;
 mod connect;
 mod connection;
 mod outbox;
 
-pub use buffer::{Buffer, Fill};
+pub use buffer::{Buffer, FillOutcome};
 pub use connect::{connect, is_local_limit};
 pub use connection::{Connection, SharedStream};
 pub use outbox::{Outbox, UNTAGGED_FRAME};
--- a/src/net/outbox.rs
+++ b/src/net/outbox.rs
@@ -1,24 +1,24 @@
-//! A connection's output: a queue of frames, each written completely or not at all.
+//! A connection's output queue of frames, each written completely or not at all.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
 
-/// The tag of frames that are never withdrawn.
+/// The tag of frames that cannot be withdrawn.
 pub const UNTAGGED_FRAME: u64 = 0;
-/// The most frames that are handed to the socket in one write.
+/// The maximum number of frames per vectored write.
 const MAX_FRAMES_PER_WRITE: usize = 64;
 
-/// A frame that waits to be written, or is being written.
+/// A frame that has not been written completely.
 #[derive(Debug)]
 struct Frame {
     tag: u64,
     bytes: Vec<u8>,
     sent: usize,
-    /// Whether it is counted once it has been written completely.
+    /// Whether the frame is included in [`Outbox::take_written`].
     counts: bool,
 }
 
-/// Frames that wait to be written. A frame is written completely or, withdrawn, not at all.
+/// A queue of frames to be written. Each frame is written completely, unless it is withdrawn before its first byte.
 #[derive(Debug, Default)]
 pub struct Outbox {
     frames: VecDeque<Frame>,
@@ -52,13 +52,13 @@
         self.frames.push_back(frame);
     }
 
-    /// How many counted frames have been written completely since the last call.
+    /// Returns the number of counted frames that have been written completely since the last call.
     pub fn take_written(&mut self) -> u64 {
         std::mem::take(&mut self.written)
     }
 
-    /// Withdraws a frame if not one byte of it has been written. Guards against half a frame: one that has been
-    /// written in part stays and is written to its end.
+    /// Removes a frame if no byte of it has been written; returns whether it was removed. A partially written frame stays
+    /// queued, as the peer must receive it completely.
     pub fn withdraw(&mut self, tag: u64) -> bool {
         let Some(at) = self.frames.iter().position(|f| f.tag == tag && f.sent == 0) else {
             return false;
@@ -69,26 +69,26 @@
         true
     }
 
-    /// Whether a frame still waits with none of its bytes written.
+    /// Returns whether a frame is queued and no byte of it has been written.
     pub fn is_unsent(&self, tag: u64) -> bool {
         self.frames.iter().any(|f| f.tag == tag && f.sent == 0)
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.frames.is_empty()
     }
 
-    /// How many bytes wait.
+    /// Returns the number of unwritten bytes.
     pub fn len(&self) -> usize {
         self.bytes
     }
 
-    /// Writes what the peer takes, several frames at once; `false` if something is left.
+    /// Writes as much as the writer accepts, several frames at a time; returns `false` if some is left.
     ///
     /// # Errors
     ///
-    /// The writer's own, but for interruptions, after which it writes again.
+    /// The writer's error. Interrupted writes are retried.
     pub fn flush(&mut self, to: &mut impl Write) -> io::Result<bool> {
         while !self.frames.is_empty() {
             let slices: Vec<io::IoSlice<'_>> = self
@@ -108,7 +108,7 @@
         Ok(true)
     }
 
-    /// Notes that so many bytes of the first frames were written, and drops the frames that are complete.
+    /// Records that the first `sent` bytes were written and removes the completed frames.
     fn record_sent(&mut self, mut sent: usize) {
         while let Some(frame) = self.frames.front_mut().filter(|_| sent > 0) {
             let of_frame = sent.min(frame.bytes.len() - frame.sent);
@@ -122,10 +122,10 @@
         }
     }
 
-    /// The bytes that wait, as they would be written; for recorded exchanges.
+    /// Removes and returns all unwritten bytes; used by tests that compare recorded exchanges.
     pub fn drain(&mut self) -> Vec<u8> {
         let mut out = Vec::new();
-        // A Vec takes everything; there is no error to handle.
+        // Writing to a Vec cannot fail.
         let _ = self.flush(&mut out);
         out
     }
--- a/src/net/outbox/tests.rs
+++ b/src/net/outbox/tests.rs
@@ -1,8 +1,8 @@
-//! Frames that are written completely or not at all.
+//! Tests of the output queue.
 
 use super::*;
 
-/// A peer that takes so many bytes and then blocks.
+/// A writer that accepts `capacity_bytes` bytes and then blocks.
 struct ThrottledPeer {
     capacity_bytes: usize,
     received: Vec<u8>,
@@ -34,7 +34,10 @@
     outbox.push(1, b"first".to_vec());
     outbox.push(2, b"second".to_vec());
     assert!(!outbox.flush(&mut peer).unwrap());
-    assert!(!outbox.withdraw(1), "three bytes of it were written");
+    assert!(
+        !outbox.withdraw(1),
+        "a partially written frame cannot be withdrawn"
+    );
     assert!(outbox.is_unsent(2) && outbox.withdraw(2) && !outbox.is_unsent(2));
     peer.capacity_bytes = 100;
     assert!(outbox.flush(&mut peer).unwrap());
--- a/src/worker/connection.rs
+++ b/src/worker/connection.rs
@@ -1,4 +1,4 @@
-//! What is in flight on one connection to a worker. It reads and writes buffers, never a socket.
+//! The state of one connection to a worker and its exchanges in flight. It works on buffers and does no socket I/O.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 use crate::core::{AttemptReply, HealthCheckKey, LoadOrderKey};
 use crate::net::{Buffer, Outbox, UNTAGGED_FRAME};
 
-/// How long a worker's reply may come a second time.
+/// The time within which a duplicate of a worker's reply may be received.
 pub(super) const DUPLICATE_REPLY_WINDOW: Micros = 250_000;
 
 /// An exchange in flight.
@@ -22,11 +22,11 @@
     exchange: Exchange,
     /// The tag of its frame.
     tag: u64,
-    /// Whether its call must not run twice.
+    /// Whether the call must run at most once.
     must_run_once: bool,
 }
 
-/// An exchange that is about to be queued.
+/// An exchange to be queued.
 struct Outgoing {
     identity: Rc<str>,
     exchange: Exchange,
@@ -39,27 +39,28 @@
 pub struct WorkerConnection {
     /// The worker.
     pub worker: WorkerId,
-    /// When the connection was opened.
+    /// The time at which the connection was opened.
     pub opened_at: Micros,
-    /// When anything was last received on it.
+    /// The time at which the last complete reply was received.
     pub last_received_at: Micros,
-    /// When an exchange last began on it with no other in flight.
+    /// The time at which an exchange last began with no other in flight.
     pub last_active_at: Micros,
-    /// Since when a reply has been received in part.
+    /// The time since which an incomplete reply has been buffered.
     pub partial_reply_since: Option<Micros>,
-    /// Whether nothing new is sent on it: it was silent for too long, or its worker is draining or removed.
+    /// Whether no new exchanges are sent on the connection, as it was silent for too long or its worker is draining or
+    /// removed.
     pub retired: bool,
     open: BTreeMap<Rc<str>, OpenExchange>,
-    /// Identities whose cancelled attempt may still be replied to, and until when.
+    /// Identities of cancelled exchanges that may still be answered, with the end of that period.
     cancelled: VecDeque<(Rc<str>, Micros)>,
-    /// Identities of calls that must not run twice whose attempt was rejected, and until when that reply may be
-    /// received again.
+    /// Identities of calls that must run at most once and were rejected, with the end of the period in which a duplicate
+    /// of the rejection may be received.
     rejected: VecDeque<(Rc<str>, Micros)>,
     next_tag: u64,
 }
 
 impl WorkerConnection {
-    /// A connection to a worker, just opened.
+    /// Creates the state of a newly opened connection to a worker.
     pub fn new(worker: WorkerId, now: Micros) -> WorkerConnection {
         WorkerConnection {
             worker,
@@ -75,13 +76,13 @@
         }
     }
 
-    /// How many exchanges are in flight on it.
+    /// Returns the number of exchanges in flight.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether an attempt under this identity may be sent here. Guards a retry: the reply to a cancelled attempt may
-    /// still come under the same identity, and only on its own connection.
+    /// Returns whether an attempt with this identity may be sent on this connection. A retry must use another connection
+    /// than its cancelled predecessor, whose reply may still arrive with the same identity on this connection.
     pub fn accepts(&self, identity: &str, max_open: usize) -> bool {
         !self.retired
             && self.open.len() < max_open
@@ -89,16 +90,17 @@
             && !self.cancelled.iter().any(|(other, _)| &**other == identity)
     }
 
-    /// Whether a rejection of this identity may be the first attempt's, received a second time; true once for each.
-    /// Guards calls that must not run twice: taken for the reply to the next attempt, it would say that this one never
-    /// ran. If it is that one's own after all, the call ends with its deadline.
+    /// Returns whether a rejection may be a duplicate of the one that an earlier attempt with this identity received;
+    /// true once per recorded rejection. For calls that must run at most once, a duplicate taken for the reply to the
+    /// next attempt would wrongly show that this attempt never ran. If the rejection belongs to the next attempt after
+    /// all, the call ends at its deadline.
     fn is_duplicate_rejection(&mut self, now: Micros, identity: &[u8]) -> bool {
-        let place = self
+        let index = self
             .rejected
             .iter()
             .position(|(other, until)| other.as_bytes() == identity && now < *until);
-        place
-            .and_then(|place| self.rejected.remove(place))
+        index
+            .and_then(|index| self.rejected.remove(index))
             .is_some()
     }
 
@@ -158,7 +160,7 @@
         self.enqueue(outbox, outgoing);
     }
 
-    /// Queues a health check, whose reply carries a load report.
+    /// Queues a health check; its reply carries a load report.
     pub fn send_health_check(&mut self, outbox: &mut Outbox, check: HealthCheckKey) {
         let identity: Rc<str> = format!("p{:x}", check.data().as_ffi()).into();
         let bytes = encode_array(&[b"stat", identity.as_bytes()]);
@@ -171,15 +173,16 @@
         self.enqueue(outbox, outgoing);
     }
 
-    /// Queues the order to unload a function's idle copies.
+    /// Queues a command to unload a function's idle copies; it has no reply.
     pub fn send_unload(&mut self, outbox: &mut Outbox, function: FunctionId) {
         let function = format!("{:016x}", function.0);
         let bytes = encode_array(&[b"purge", function.as_bytes()]);
         outbox.push(UNTAGGED_FRAME, bytes);
     }
 
-    /// Cancels an exchange: takes it back unsent, or tells the worker. Until `until`, its identity is not sent here
-    /// again before its reply has been received.
+    /// Cancels an exchange: removes it from the outbox if it is unsent, and otherwise tells the worker to stop an attempt.
+    /// In the latter case its identity is not accepted on this connection again until its reply is received or `until`
+    /// has passed.
     pub fn cancel(
         &mut self,
         outbox: &mut Outbox,
@@ -209,7 +212,7 @@
         SendProgress::Started
     }
 
-    /// The identity of an exchange in flight and the tag of its frame.
+    /// Returns the identity of an exchange in flight and the tag of its frame.
     fn find(&self, exchange: Exchange) -> Option<(Rc<str>, u64)> {
         self.open
             .iter()
@@ -217,7 +220,7 @@
             .map(|(identity, open)| (identity.clone(), open.tag))
     }
 
-    /// Withdraws an exchange if none of its bytes have been sent; tells whether it was withdrawn.
+    /// Withdraws an exchange if none of its bytes have been sent; returns whether it was withdrawn.
     pub fn withdraw(&mut self, outbox: &mut Outbox, exchange: Exchange) -> bool {
         let Some((identity, tag)) = self.find(exchange) else {
             return false;
@@ -229,13 +232,13 @@
         unsent
     }
 
-    /// Withdraws every exchange of which no byte has been sent. Guards the rules on draining workers, loads and slow
-    /// start for what is queued here.
+    /// Withdraws every exchange of which no byte has been sent, so that the rules on draining workers, load limits and
+    /// slow start also apply to queued exchanges.
     pub fn withdraw_unsent(&mut self, outbox: &mut Outbox, done: &mut Vec<Completed>) {
         self.withdraw_unsent_if(outbox, done, |_| true);
     }
 
-    /// Withdraws every attempt and load order of which no byte has been sent; health checks may still go.
+    /// Withdraws every attempt and load order of which no byte has been sent; health checks stay queued.
     pub fn withdraw_unsent_work(&mut self, outbox: &mut Outbox, done: &mut Vec<Completed>) {
         self.withdraw_unsent_if(outbox, done, |exchange| {
             !matches!(exchange, Exchange::HealthCheck(_))
@@ -246,10 +249,10 @@
         &mut self,
         outbox: &mut Outbox,
         done: &mut Vec<Completed>,
-        is_concerned: impl Fn(Exchange) -> bool,
+        should_withdraw: impl Fn(Exchange) -> bool,
     ) {
         self.open.retain(|_, open| {
-            let unsent = is_concerned(open.exchange) && outbox.withdraw(open.tag);
+            let unsent = should_withdraw(open.exchange) && outbox.withdraw(open.tag);
             if unsent {
                 done.push(Completed::without_reply(
                     open.exchange,
@@ -261,7 +264,7 @@
         });
     }
 
-    /// The connection has ended, and with it every exchange in flight on it.
+    /// Completes every exchange in flight after the end of the connection.
     pub fn complete_all(
         &mut self,
         outbox: &Outbox,
@@ -278,11 +281,11 @@
         }
     }
 
-    /// Reads the complete replies; returns how many matched no exchange in flight.
+    /// Handles all complete replies in `input`; returns the number of those that matched no exchange in flight.
     ///
     /// # Errors
     ///
-    /// [`RespError`]: the connection is of no more use.
+    /// [`RespError`] if the input is malformed; the connection must then be closed.
     pub fn read_replies(
         &mut self,
         now: Micros,
@@ -305,7 +308,7 @@
         Ok(unmatched)
     }
 
-    /// Handles one reply; tells whether it matched an exchange in flight.
+    /// Handles one reply; returns whether it matched an exchange in flight.
     fn handle_reply(
         &mut self,
         now: Micros,
@@ -326,8 +329,8 @@
             reason,
             CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired
         );
-        let may_be_repeated = open.must_run_once && rejected;
-        if may_be_repeated && self.is_duplicate_rejection(now, reply.identity) {
+        let may_be_duplicated = open.must_run_once && rejected;
+        if may_be_duplicated && self.is_duplicate_rejection(now, reply.identity) {
             return Ok(false);
         }
         let fields = reply.read_fields();
@@ -344,7 +347,7 @@
             copies: fields.copies,
         });
         let identity = self.remove_open(reply.identity);
-        if let Some(identity) = identity.filter(|_| may_be_repeated) {
+        if let Some(identity) = identity.filter(|_| may_be_duplicated) {
             self.rejected
                 .push_back((identity, now + DUPLICATE_REPLY_WINDOW));
         }
--- a/src/worker/exchange.rs
+++ b/src/worker/exchange.rs
@@ -1,4 +1,4 @@
-//! What is in flight on a worker's connection, and how it ended.
+//! Exchanges on a worker connection and their results.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 use crate::completion::{CloseReason, SendProgress};
 use crate::core::{AttemptKey, AttemptReply, HealthCheckKey, LoadOrderKey};
 
-/// A request to a worker that has one reply.
+/// A command to a worker that expects one reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exchange {
     /// An attempt.
@@ -22,18 +22,18 @@
 pub struct Completed {
     /// The exchange.
     pub exchange: Exchange,
-    /// Why it ended.
+    /// The reason for its end.
     pub reason: CloseReason,
-    /// How much of it had been sent.
+    /// The extent to which it had been sent.
     pub progress: SendProgress,
-    /// What the reply carried.
+    /// The content of the reply.
     pub reply: AttemptReply,
-    /// For a load order, the copies that are loaded.
+    /// For a load order, the number of loaded copies.
     pub copies: u32,
 }
 
 impl Completed {
-    /// An end without a reply.
+    /// Creates the result of an exchange without a reply.
     pub fn without_reply(
         exchange: Exchange,
         reason: CloseReason,
@@ -49,7 +49,7 @@
     }
 }
 
-/// An attempt as a worker receives it.
+/// The parameters of an attempt to be sent to a worker.
 #[derive(Debug)]
 pub struct AttemptCommand<'a> {
     /// The attempt.
@@ -60,10 +60,10 @@
     pub class: &'a str,
     /// The function to run.
     pub function: FunctionId,
-    /// How long the gateway waits, in whole milliseconds.
+    /// The time for which the gateway waits for the reply, in milliseconds.
     pub wait_ms: u64,
     /// The payload.
     pub body: &'a [u8],
-    /// Whether the call must not run twice.
+    /// Whether the call must run at most once.
     pub must_run_once: bool,
 }
--- a/src/worker/mod.rs
+++ b/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! The workers' side of the wire: RESP arrays of bulk strings on connections that carry many exchanges at once.
+//! The protocol to workers: RESP arrays of bulk strings on connections that carry many concurrent exchanges.
 
 mod connection;
 mod exchange;
--- a/src/worker/reply.rs
+++ b/src/worker/reply.rs
@@ -1,15 +1,15 @@
-//! Replies of workers: identity, status, fields and body.
+//! Parsing of worker replies: identity, status, fields and body.
 
 use super::{Exchange, RespError};
 use crate::api::{CopyStart, LoadReport};
 use crate::completion::CloseReason;
 
-/// The most bytes of a reply that an error quotes.
+/// The maximum number of reply bytes that an error message quotes.
 const MAX_QUOTED_BYTES: usize = 64;
-/// The field of a reply that has none.
+/// The placeholder for an empty list of fields.
 const NO_FIELDS: &str = "-";
 
-/// A reply as it came, with its parts told apart.
+/// A reply split into its parts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Reply<'a> {
     pub(super) identity: &'a [u8],
@@ -18,7 +18,7 @@
     pub(super) body: &'a [u8],
 }
 
-/// What a reply's fields tell.
+/// The known fields of a reply.
 #[derive(Debug, Default)]
 pub(super) struct ReplyFields {
     pub(super) copy_start: Option<CopyStart>,
@@ -28,7 +28,7 @@
 }
 
 impl<'a> Reply<'a> {
-    /// Tells the parts of a reply apart.
+    /// Splits a reply's bulk strings into its parts.
     pub(super) fn from_strings(strings: &[&'a [u8]]) -> Result<Reply<'a>, RespError> {
         let (identity, status, rest) = match strings {
             [identity, status, rest @ ..] if rest.len() <= 2 => (*identity, *status, rest),
@@ -45,7 +45,7 @@
         })
     }
 
-    /// The close reason that the status stands for.
+    /// Converts the status to a close reason.
     pub(super) fn close_reason(&self, exchange: Exchange) -> Result<CloseReason, RespError> {
         match (self.status, exchange) {
             (b"200", _) | (b"alive", Exchange::HealthCheck(_)) => Ok(CloseReason::Served),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Reads the fields; those that are unknown or unreadable are passed over.
+    /// Parses the fields. Unknown fields are ignored; unreadable values become the default.
     pub(super) fn read_fields(&self) -> ReplyFields {
         let mut read = ReplyFields::default();
         if self.fields == NO_FIELDS {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Reads a load report, `name:value;name:value`; `None` if it states nothing that is known.
+/// Parses a load report of the form `name:value;name:value`; `None` if it contains no known value.
 fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     let entries = text.split(';').filter_map(|entry| entry.split_once(':'));
--- a/src/worker/resp.rs
+++ b/src/worker/resp.rs
@@ -1,32 +1,33 @@
-//! The codec of workers' connections: RESP arrays of bulk strings.
+//! The codec of the worker protocol: RESP arrays of bulk strings.
 
 use thiserror::Error;
 
-/// The most bulk strings of an array.
+/// The maximum number of bulk strings in an array.
 const MAX_ARRAY_LENGTH: usize = 16;
-/// The most bytes of a bulk string.
+/// The maximum size of a bulk string in bytes.
 const MAX_BULK_STRING_BYTES: usize = 1 << 20;
-/// The most bytes of a length with its sign and line end.
+/// The maximum size of a length line in bytes, including its type byte and line end.
 const MAX_LENGTH_BYTES: usize = 24;
-/// The bytes that an encoded length takes up at most, for the first allocation.
+/// The space per encoded length in bytes, for the initial allocation.
 const LENGTH_BYTES_HINT: usize = 16;
-/// The bytes of an array that a connection may hold before it is complete.
+/// The maximum number of bytes that a connection buffers for an incomplete array.
 pub const READ_LIMIT_BYTES: usize = MAX_BULK_STRING_BYTES + 4096;
 
-/// Why a reply cannot be read. The connection is of no more use after it; an operator looks at the worker's version.
+/// The reason for which a reply cannot be parsed. The connection must be closed. A likely cause is a worker of an
+/// incompatible version.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RespError {
-    /// A byte that is not the start of what has to come there.
+    /// A byte that does not begin the expected element.
     #[error("expected {0}")]
     Unexpected(&'static str),
-    /// A length out of bounds.
+    /// A length that is not a number or is out of bounds.
     #[error("length '{0}' is not a number within bounds")]
     Length(String),
-    /// An array of another length than a reply's.
+    /// An array whose length is not that of a reply.
     #[error("an answer of {0} words")]
     ArrayLength(usize),
-    /// A reply whose status or fields mean nothing.
-    #[error("answer '{0}' has no meaning")]
+    /// A reply with an unknown status, or with fields that are not UTF-8.
+    #[error("reply has an unknown status or unreadable fields: '{0}'")]
     Reply(String),
 }
 
@@ -35,14 +36,14 @@
 pub struct CompleteArray<'a> {
     /// Its bulk strings.
     pub strings: Vec<&'a [u8]>,
-    /// The bytes that it takes up.
+    /// The size of its encoding in bytes.
     pub size_bytes: usize,
 }
 
-/// A length that has come with its line end.
+/// A complete length line.
 struct Length {
     value: usize,
-    /// The bytes that it takes up.
+    /// The size of the line in bytes.
     size_bytes: usize,
 }
 
@@ -59,11 +60,11 @@
     encoded
 }
 
-/// The first array in `bytes`; `None` while it is incomplete.
+/// Parses the first array in `bytes`; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// [`RespError::Unexpected`] and [`RespError::Length`]: the bytes are no array within bounds.
+/// [`RespError::Unexpected`] or [`RespError::Length`] if the bytes are not an array within the limits.
 pub fn parse_array(bytes: &[u8]) -> Result<Option<CompleteArray<'_>>, RespError> {
     let Some(count) = parse_length(bytes, b'*', MAX_ARRAY_LENGTH)? else {
         return Ok(None);
@@ -92,12 +93,12 @@
     }))
 }
 
-/// The length behind a sign; `None` while it is incomplete.
-fn parse_length(bytes: &[u8], sign: u8, max: usize) -> Result<Option<Length>, RespError> {
+/// Parses the length line of an element with this type byte; `None` while it is incomplete.
+fn parse_length(bytes: &[u8], type_byte: u8, max: usize) -> Result<Option<Length>, RespError> {
     match bytes.first() {
         None => return Ok(None),
-        Some(first) if *first == sign => {}
-        Some(_) if sign == b'*' => return Err(RespError::Unexpected("an array")),
+        Some(first) if *first == type_byte => {}
+        Some(_) if type_byte == b'*' => return Err(RespError::Unexpected("an array")),
         Some(_) => return Err(RespError::Unexpected("a bulk string")),
     }
     let window = &bytes[..bytes.len().min(MAX_LENGTH_BYTES)];
--- a/src/worker/tests.rs
+++ b/src/worker/tests.rs
@@ -1,4 +1,4 @@
-//! Commands to a worker and its replies without a socket: identities, damage, and withdrawn exchanges.
+//! Tests of the worker protocol without a socket: reply matching, malformed input and withdrawn exchanges.
 
 use slotmap::SlotMap;
 
@@ -75,7 +75,7 @@
     );
     assert!(
         !harness.connection.accepts(ID, 100),
-        "a retry goes on another connection"
+        "a retry uses another connection"
     );
     assert!(harness.connection.accepts("9b1f03aa5c7e2d42", 100));
     assert_eq!(
@@ -84,7 +84,7 @@
     );
     assert!(
         harness.done.is_empty() && harness.connection.accepts(ID, 100),
-        "it has come, so the identity is free again"
+        "the late reply frees the identity"
     );
 }
 
@@ -113,7 +113,7 @@
     assert_eq!(
         (harness.outbox.drain(), harness.connection.open()),
         (vec![], 0),
-        "a drained worker hears nothing more"
+        "nothing is sent for withdrawn exchanges"
     );
 }
 
@@ -184,21 +184,22 @@
     assert!(harness
         .receive(&encode_array(&[ID.as_bytes(), b"teapot", b"-", b""]))
         .is_err());
-    // Every damage of one byte to a good answer is read, waited on or refused.
-    let good = encode_array(&[ID.as_bytes(), b"200", b"remark=w,queue_fn=1", b"body"]);
-    for at in 0..good.len() {
+    // Any one-byte corruption of a valid reply is parsed, left incomplete or rejected.
+    let valid = encode_array(&[ID.as_bytes(), b"200", b"remark=w,queue_fn=1", b"body"]);
+    for position in 0..valid.len() {
         for byte in [0, b'\r', b'\n', b'*', b'$', b'9', 0xff] {
-            let mut bad = good.clone();
-            bad[at] = byte;
+            let mut corrupted = valid.clone();
+            corrupted[position] = byte;
             let mut harness = Harness::new();
             harness.send_attempt(ID);
-            let _ = harness.receive(&bad);
+            let _ = harness.receive(&corrupted);
             assert!(harness.done.len() <= 1);
         }
     }
 }
 
-/// Guards calls that must not run twice: a duplicate 404 is not the reply to the next attempt, once and for a while.
+/// Guards calls that must run at most once: within a time window, one duplicate `404` is not taken for the reply to the
+/// next attempt.
 #[test]
 fn duplicate_rejection_is_ignored_once() {
     let not_loaded = encode_array(&[ID.as_bytes(), b"404", b"-", b""]);
@@ -212,12 +213,12 @@
     assert_eq!(
         (harness.receive(&not_loaded), harness.done.len()),
         (Ok(1), 1),
-        "it may be the first one's"
+        "it may be a duplicate of the first rejection"
     );
     assert_eq!(
         (harness.receive(&not_loaded), harness.done.len()),
         (Ok(0), 2),
-        "a third is its own"
+        "a third rejection belongs to the second attempt"
     );
     harness.send_attempt(ID);
     assert_eq!(
@@ -227,7 +228,7 @@
     assert_eq!(
         harness.completions().last(),
         Some(&(CloseReason::Served, SendProgress::Started)),
-        "what says that it ran counts at once"
+        "a reply that shows that the call ran is never ignored"
     );
     let mut later = Harness::new();
     later.send_attempt(ID);
@@ -241,7 +242,7 @@
             &mut later.done
         ),
         Ok(0),
-        "not for ever"
+        "after the window, a rejection is not a duplicate"
     );
 }
 
@@ -259,7 +260,7 @@
         !harness
             .connection
             .withdraw(&mut harness.outbox, Exchange::Attempt(first)),
-        "it is not there any more"
+        "the exchange has already been withdrawn"
     );
     harness.outbox.drain();
     assert!(!harness
@@ -268,6 +269,6 @@
     assert_eq!(
         (harness.connection.open(), harness.outbox.len()),
         (1, 0),
-        "it goes on, and the worker hears nothing"
+        "the exchange stays in flight, and nothing is sent"
     );
 }
