--- a/src/counters.rs
+++ b/src/counters.rs
@@ -36,7 +36,7 @@
     /// Calls whose client disconnected before the answer.
     #[serde(rename = "left")]
     pub client_disconnects: u64,
-    /// Calls that the core answered after their grace period, as the decision module had not.
+    /// Calls that the core answered after their grace period because the decision module had not.
     pub overdue: u64,
     /// Attempts sent.
     pub sent: u64,
--- a/src/worker/connection.rs
+++ b/src/worker/connection.rs
@@ -181,8 +181,8 @@
     }
 
     /// Cancels an exchange: removes it from the outbox if it is unsent, and otherwise tells the worker to stop an attempt.
-    /// In the latter case its identity is not accepted on this connection again until its reply is received or `until`
-    /// has passed.
+    /// In the latter case its identity is not accepted on this connection again until its reply is received; the first
+    /// such cancellation after `until` also frees it.
     pub fn cancel(
         &mut self,
         outbox: &mut Outbox,
