--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,8 +1,8 @@
-//! What is to be done: the outputs of the decision module.
+//! Outputs of the decision module.
 
 use super::{FunctionId, Micros, RequestId, WorkerId};
 
-/// What is to be done.
+/// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -11,35 +11,35 @@
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// The attempt's timeout in microseconds; none if it ends with the client's deadline.
+        /// Attempt timeout in microseconds; `None` if the attempt ends with the client's deadline.
         timeout: Option<Micros>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which attempt, from 0.
+        /// The attempt number, starting at 0.
         attempt: u8,
     },
-    /// Give the final answer that the request is rejected. A client's retry is harmless.
+    /// Answer the request with a rejection. It is final, and a retry by the client is safe.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it retries, in microseconds.
+        /// The time that the client should wait before a retry, in microseconds.
         retry_after: Micros,
     },
-    /// Give the final answer that the request failed. It promises nothing.
+    /// Answer the request with a failure. It is final and does not say whether the request ran.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Order a worker to have at least so many copies loaded.
+    /// Order a worker to have at least `copies` copies loaded.
     Load {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// The copies wanted; 0 asks for the number of copies without loading any.
+        /// The number of copies; 0 queries the number of loaded copies without loading any.
         copies: u8,
     },
     /// Order a worker to unload idle copies.
@@ -58,11 +58,11 @@
     Wake {
         /// The time from now, in microseconds.
         after: Micros,
-        /// Comes back with the event.
+        /// Identifies the timer in the resulting event.
         token: u64,
     },
     /// Subscribe to the endpoint list.
     Subscribe,
-    /// Open the stream of the endpoint list anew, as it may be stuck.
+    /// Reopen the endpoint list stream, which may be stuck.
     ReopenDiscovery,
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,18 +1,18 @@
-//! What happens: the inputs of the decision module.
+//! Inputs of the decision module.
 
 use super::{
     CellId, ClassId, CopyStart, FunctionId, LoadRateLimit, LoadReport, Micros, Outcome, RequestId,
     TenantId, WorkerId, ZoneId,
 };
 
-/// A worker's state on the endpoint list.
+/// State of a worker on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It has left the list.
+    /// No longer on the list.
     Removed,
 }
 
@@ -27,41 +27,41 @@
     pub cell: CellId,
     /// Its state.
     pub status: WorkerStatus,
-    /// Its capacity relative to other workers', without a unit.
+    /// Its capacity relative to that of other workers, without a unit.
     pub capacity: f64,
-    /// When its process last started, where that is known.
+    /// The last start of its process, if known.
     pub started_at: Option<Micros>,
 }
 
-/// The kind of an update of the endpoint list.
+/// Kind of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     /// Entries that have changed.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as it was cached before a restart. It may be outdated.
+    /// The complete list as cached before a restart. It may be outdated.
     Cached,
     /// A subscription failed. There are no entries.
     Failed,
 }
 
-/// A sign of the stream of service discovery.
+/// Signal from the service discovery stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoverySignal {
-    /// A new stream has answered. What was missed comes first.
+    /// A new stream has opened. It delivers missed updates first.
     Opened,
-    /// An update has come; it has been applied.
+    /// An update was received and applied.
     Update,
-    /// A heartbeat has come: nothing has changed.
+    /// A heartbeat was received: the list has not changed.
     Heartbeat,
-    /// Part of an update or heartbeat has come.
+    /// Part of an update or heartbeat was received.
     Incomplete,
     /// The stream has ended.
     Closed,
 }
 
-/// A request as it arrives.
+/// An incoming request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The request.
@@ -70,57 +70,58 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// The function that it calls.
+    /// The called function.
     pub function: FunctionId,
-    /// When the client stops waiting for this request.
+    /// The client's deadline for this request.
     pub expires_at: Micros,
-    /// The expected run time in microseconds, where clients tell it.
+    /// The expected run time in microseconds, if the client states it.
     pub expected_work: Option<Micros>,
     /// The memory of one loaded copy, in megabytes.
     pub memory_mb: f64,
     /// Requests that one copy runs at once.
     pub concurrency_per_copy: u32,
-    /// The usual time of a load in microseconds, where it is told.
+    /// The usual load time in microseconds, if known.
     pub load_duration: Option<Micros>,
 }
 
-/// How an attempt ended and what came back with it.
+/// The result of an attempt, with the data from its answer.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
-    /// The worker that was tried.
+    /// The worker that the attempt was sent to.
     pub worker: WorkerId,
-    /// Which attempt of the request, from 0.
+    /// The attempt number within the request, starting at 0.
     pub attempt: u8,
-    /// Whether the request is finished by this outcome or was before it.
+    /// Whether the request is finished, by this outcome or earlier.
     pub terminal: bool,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// How the copy came to be loaded, where the answer tells it.
+    /// How the copy came to be loaded, if the answer states it.
     pub copy_start: Option<CopyStart>,
-    /// Requests of the function that the worker held when this one came, where the answer tells it.
+    /// Requests of the function that the worker held when this one arrived, if the answer states
+    /// it.
     pub function_in_flight: u32,
     /// The time since the attempt was sent, in microseconds.
     pub latency: Micros,
-    /// The worker's load report, where one came along.
+    /// The worker's load report, if one was attached.
     pub load_report: Option<LoadReport>,
 }
 
-/// What happened.
+/// An event that the caller reports.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list has changed.
     WorkerList {
-        /// What the entries are.
+        /// The kind of update.
         update: ListUpdate,
         /// The entries.
         workers: Vec<WorkerEntry>,
     },
-    /// The stream of service discovery has given a sign.
+    /// The service discovery stream sent a signal.
     Discovery(DiscoverySignal),
-    /// A connection to a worker was refused while no other was open: its process has ended. With another one open, it may
-    /// only have as many as it takes.
+    /// A worker refused a connection while no other connection to it was open: its process has
+    /// ended. With another one open, the worker may only have reached its connection limit.
     WorkerRefused {
         /// The worker.
         worker: WorkerId,
@@ -129,12 +130,12 @@
     Request(Arrival),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The answer to a streamed request has begun.
+    /// The response to a streaming request has begun.
     Streaming {
         /// The request.
         request: RequestId,
     },
-    /// The client left and needs no answer any more.
+    /// The client disconnected and needs no answer.
     ClientGone {
         /// The request.
         request: RequestId,
@@ -147,52 +148,52 @@
         function: FunctionId,
         /// How it ended.
         outcome: Outcome,
-        /// The copies that stand there now.
+        /// The number of copies now loaded at the worker.
         copies: u32,
     },
     /// A health check ended.
     HealthChecked {
         /// The worker.
         worker: WorkerId,
-        /// How it ended; [`Outcome::Error`] if the worker answered that it takes nothing new.
+        /// How it ended; [`Outcome::Error`] if the worker answered that it accepts no new work.
         outcome: Outcome,
-        /// The worker's load report, where one came along.
+        /// The worker's load report, if one was attached.
         load_report: Option<LoadReport>,
         /// The time since it was sent, in microseconds.
         latency: Micros,
-        /// When the connection that carried it was opened, where that is known.
+        /// The time at which its connection was opened, if known.
         connection_opened_at: Option<Micros>,
     },
-    /// Peers observed a worker's health. The caller has weighed their observations. They may change
-    /// the order of workers and bring a trial forward, but never exclude a worker.
+    /// Peers observed a worker's health. The caller has weighed their observations. The event may
+    /// change the order of workers and bring a trial request forward, but never excludes a worker.
     PeerHealth {
         /// The worker.
         worker: WorkerId,
-        /// Other workers come first until this instant. None if the worker is said to be healthy: a
-        /// trial after an own failure may then come now.
+        /// Other workers are preferred until this instant. `None` if peers report the worker
+        /// healthy: a trial after this instance's own failures may then be sent at once.
         unhealthy_until: Option<Micros>,
     },
     /// An operator has set a tenant's quota.
     TenantQuota {
         /// The tenant.
         tenant: TenantId,
-        /// Requests a second over all instances; 0 for no quota.
+        /// The quota in requests per second over all instances; 0 for no quota.
         quota_per_s: f64,
     },
-    /// The part of the limits that this instance may use has changed: while a new version starts
-    /// beside an old one, each has its own part.
+    /// This instance's share of the limits has changed: while a new version starts beside an old
+    /// one, each has its own share.
     InstanceLimits {
-        /// The load rate limit from now on. Earlier orders and requests still count.
+        /// The new load rate limit. Earlier orders and requests still count.
         load_rate_limit: Option<LoadRateLimit>,
         /// Replaces [`Settings::overload_multiple`](super::Settings::overload_multiple).
         overload_multiple: f64,
-        /// The most that a worker is known to have served for this instance, in answers a
-        /// microsecond; 0 if nothing is known.
+        /// The highest known throughput of a worker for this instance, in answers per microsecond;
+        /// 0 if unknown.
         observed_capacity: f64,
     },
     /// A timer set by [`Action::Wake`](super::Action::Wake) is due.
     Wake {
-        /// The token given with the timer.
+        /// The token of the timer.
         token: u64,
     },
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. All are numbers; the names behind them stay with the caller.
+//! Identifiers. All are numbers; the caller maps them to names.
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
@@ -9,15 +9,15 @@
 }
 
 id!(
-    /// A request. It is never reused.
+    /// A request. Identifiers are never reused.
     RequestId, u32
 );
 id!(
-    /// A worker. It stays the same when the worker's process restarts.
+    /// A worker. The identifier stays the same when the worker's process restarts.
     WorkerId, u32
 );
 id!(
-    /// A function, which a loaded copy can run.
+    /// A function. A loaded copy can run it.
     FunctionId, u64
 );
 id!(
@@ -33,6 +33,6 @@
     ZoneId, u8
 );
 id!(
-    /// A cell: a few workers that share the idempotency keys which they have seen.
+    /// A cell: a few workers that share the idempotency keys they have received.
     CellId, u16
 );
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The interface of the decision module: types only, no behaviour.
 //!
-//! The core turns what happens into [`Event`]s, hands them to the module, and carries out the
-//! [`Action`]s that come back. Instants and spans are integer microseconds on the caller's clock,
-//! which only moves forward.
+//! The core converts inputs into [`Event`]s, passes them to the module, and carries out the
+//! returned [`Action`]s. Instants and durations are integer microseconds on the caller's monotonic
+//! clock.
 
 mod action;
 mod event;
@@ -18,5 +18,5 @@
 pub use outcome::{CopyStart, LoadReport, Outcome};
 pub use settings::{Class, Effect, IdempotencyScope, LoadRateLimit, OnMiss, Settings, Tenant};
 
-/// An instant or a span, in microseconds.
+/// An instant or a duration, in microseconds.
 pub type Micros = u64;
--- a/src/api/outcome.rs
+++ b/src/api/outcome.rs
@@ -1,17 +1,17 @@
-//! How attempts, load orders and health checks end, and what an answer tells besides.
+//! Outcomes of attempts, load orders and health checks, and the data that answers carry.
 
-/// How an attempt, a load order or a health check ended.
+/// Outcome of an attempt, a load order or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served. For a load order: the copies stand.
+    /// It was served. For a load order: the copies are loaded.
     Ok,
     /// The worker answered with an error. The attempt may have run.
     Error,
-    /// The worker rejected it unseen. It did not run.
+    /// The worker rejected it without running it.
     Rejected,
-    /// No answer came in time. It may have run.
+    /// No answer arrived in time. It may have run.
     Timeout,
-    /// No connection came up. It did not run.
+    /// No connection was established. It did not run.
     ConnectFailed,
     /// The connection dropped. It may have run.
     Reset,
@@ -26,7 +26,7 @@
 /// How the copy that served a request came to be loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyStart {
-    /// It stood loaded.
+    /// It was already loaded.
     Warm,
     /// The request triggered the load.
     Triggered,
@@ -36,16 +36,16 @@
     LoadFailed,
 }
 
-/// A worker's report of its load. Values that are not reported are absent.
+/// Load reported by a worker. Values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that wait.
+    /// Requests waiting.
     pub queued: Option<f32>,
-    /// Requests that it holds, those that wait included.
+    /// Requests held, including those waiting.
     pub in_flight: Option<f32>,
-    /// The share of its processors at work.
+    /// The fraction of its processors in use.
     pub cpu_utilization: Option<f32>,
-    /// The share of its memory that cannot be freed.
+    /// The fraction of its memory that cannot be freed.
     pub pinned_memory: Option<f32>,
     /// Loads in progress or waiting.
     pub active_loads: Option<f32>,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,8 +1,8 @@
-//! What the module is told at start: classes, tenants, limits and what the platform supports.
+//! Settings of the decision module: classes, tenants, limits and the features of the platform.
 
 use super::{Micros, ZoneId};
 
-/// The workers among which an idempotency key is remembered.
+/// The workers that share idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum IdempotencyScope {
     /// Every worker.
@@ -13,20 +13,21 @@
     Cell,
 }
 
-/// How far a request may be retried once an attempt may have run.
+/// The effect of a request. It decides whether the request may be retried after an attempt that may
+/// have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Effect {
-    /// It may be retried and rejected freely.
+    /// It may be retried and rejected at any time.
     Idempotent,
-    /// It carries an idempotency key: workers in `scope` drop a repeat for `window` microseconds
+    /// It carries an idempotency key: workers in `scope` drop duplicates for `window` microseconds
     /// from the first attempt that may have run.
     Keyed {
-        /// The workers that drop repeats.
+        /// The workers that drop duplicates.
         scope: IdempotencyScope,
-        /// How long they remember the key, in microseconds.
+        /// The time for which they remember the key, in microseconds.
         window: Micros,
     },
-    /// It must never run twice. A class of which nothing is known counts as this.
+    /// It must never run twice. This is the default for a class without a stated effect.
     #[default]
     NonIdempotent,
 }
@@ -36,20 +37,20 @@
 pub struct Class {
     /// An answer within this time, in microseconds, counts with the full weight.
     pub latency_objective: Micros,
-    /// The longest that a client waits in all, its own retries included, in microseconds.
+    /// The total time that a client waits, its own retries included, in microseconds.
     pub deadline: Micros,
-    /// How much a request counts against those of other classes.
+    /// The weight of a request relative to other classes.
     pub priority_weight: f64,
-    /// The share of the weight that an answer after the latency objective still counts with.
+    /// The share of the weight that an answer after the latency objective still has.
     pub late_weight: f64,
-    /// How far a request may be retried.
+    /// Whether and where a request may be retried.
     pub effect: Effect,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all instances that are within its quota; 0 if it has no quota.
+    /// Quota in requests per second over all instances; 0 if the tenant has none.
     pub quota_per_s: f64,
 }
 
@@ -58,13 +59,13 @@
 pub struct LoadRateLimit {
     /// The sliding window, in microseconds.
     pub window: Micros,
-    /// Load orders allowed in the window, whatever the traffic.
+    /// Load orders allowed in the window, regardless of traffic.
     pub base_loads: f64,
-    /// Further load orders allowed for each request taken in the window.
+    /// Further load orders allowed for each request received in the window.
     pub loads_per_request: f64,
 }
 
-/// What a worker does with a request whose function it has no copy of.
+/// Behaviour of a worker that receives a request for a function without a loaded copy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OnMiss {
     /// It loads the function while the request waits.
@@ -74,7 +75,7 @@
     Reject,
 }
 
-/// What the module is told at start. It holds no names.
+/// Settings of the decision module. They contain no names.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How many instances share the work.
@@ -87,48 +88,51 @@
     pub classes: Vec<Class>,
     /// The tenants, by [`TenantId`](super::TenantId); may be empty.
     pub tenants: Vec<Tenant>,
-    /// The share of its weight that a request over its tenant's quota counts with.
+    /// The share of its weight that a request over its tenant's quota has.
     pub over_quota_weight: f64,
-    /// How long after the client's deadline a final answer still counts, in microseconds.
+    /// The time after the client's deadline during which a final answer still counts, in
+    /// microseconds.
     pub answer_grace: Micros,
-    /// How long after the notice of a drain requests may still be sent there, in microseconds.
+    /// The time after the notice of a drain during which requests may still be sent to the worker,
+    /// in microseconds.
     pub drain_grace: Micros,
-    /// The least share of its capacity that a worker has when its process starts.
+    /// The share of its capacity that a worker has when its process starts.
     pub slow_start_floor: f64,
-    /// The time after which a started worker has its full capacity, in microseconds.
+    /// The time after its start at which a worker has its full capacity, in microseconds.
     pub slow_start_duration: Micros,
-    /// A worker in slow start fails when it is sent more than this multiple of its capacity for
+    /// A worker in slow start fails if it receives more than this multiple of its capacity for
     /// longer than [`Settings::overload_window`]; 0 if it does not.
     pub overload_multiple: f64,
     /// See [`Settings::overload_multiple`]; in microseconds.
     pub overload_window: Micros,
-    /// The least time that an idle copy stays loaded, in microseconds.
+    /// The minimum time that an idle copy stays loaded, in microseconds.
     pub copy_idle_timeout: Micros,
-    /// Whether load orders may be given.
+    /// Whether load orders may be sent.
     pub may_load: bool,
-    /// The limit on the rate of load orders, where one is stated.
+    /// The limit on the rate of load orders, if any.
     pub load_rate_limit: Option<LoadRateLimit>,
-    /// The time after which a load order without an answer ends, in microseconds.
+    /// The timeout of a load order, in microseconds.
     pub load_order_timeout: Micros,
-    /// What a worker does with a request whose function it has no copy of.
+    /// Behaviour of a worker that receives a request for a function without a loaded copy.
     pub on_miss: OnMiss,
-    /// Whether answers tell how the copy came to be loaded.
+    /// Whether answers state how the copy came to be loaded.
     pub reports_copy_start: bool,
-    /// Attempts allowed for a request.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether workers may be health-checked.
     pub may_health_check: bool,
-    /// Whether load reports come with answers, rather than with health checks alone.
+    /// Whether load reports come with answers, not only with health checks.
     pub reports_inline: bool,
-    /// The longest Retry-After that clients obey, in microseconds; 0 if they are told none.
+    /// The longest Retry-After that clients obey, in microseconds; 0 if Retry-After is not sent.
     pub max_retry_after: Micros,
     /// Whether the endpoint list has to be subscribed to.
     pub must_subscribe: bool,
-    /// What discovery has to tell counts as told after this, in microseconds, whether it was in reach or not; none
-    /// where the list does not age.
+    /// The time after which changes at discovery count as known to this instance, even if discovery
+    /// is unreachable, in microseconds; `None` if the list does not expire.
     pub list_max_age: Option<Micros>,
-    /// Whether discovery sends heartbeats that confirm the list, rather than a subscription that holds until it fails.
+    /// Whether discovery sends heartbeats that confirm the list. Otherwise a subscription is valid
+    /// until it fails.
     pub discovery_heartbeats: bool,
 }
--- a/src/policy/answers.rs
+++ b/src/policy/answers.rs
@@ -6,8 +6,8 @@
 use crate::api::{Action, Effect, Micros, RequestId};
 
 impl Policy {
-    /// Answers all requests whose clients are about to stop waiting. It runs after every event, as
-    /// a client's retry can come with hardly any time left.
+    /// Answers all requests whose deadlines are about to expire. It runs after every event, as a
+    /// client's retry can arrive with hardly any time left.
     pub(super) fn expire_overdue(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let horizon = now + self.tick_interval() + self.settings.tick;
         let due: Vec<RequestId> = self
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Gives the final answer: a rejection while that is permitted, otherwise a failure.
+    /// Gives the final answer: a rejection if permitted, otherwise a failure.
     pub(super) fn answer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let retry_after = self.retry_after(now, id);
         let Some(request) = self.requests.get_mut(&id) else {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// How long a rejected client should wait: until its tenant's bucket holds a token again, and
+    /// The Retry-After of a rejected client: until its tenant's bucket holds a token again, and
     /// until the first of the function's workers has paid off its concurrency debt.
     fn retry_after(&self, now: Micros, id: RequestId) -> Micros {
         let Some(request) = self.requests.get(&id) else {
--- a/src/policy/cancellation.rs
+++ b/src/policy/cancellation.rs
@@ -1,12 +1,12 @@
-//! Cancels attempts at workers that answer nothing, so that they can be retried elsewhere.
+//! Cancels attempts at stalled workers, so that they can be retried elsewhere.
 
 use super::idempotency::permitted_after;
 use super::{Policy, TICK_INTERVAL};
 use crate::api::{Action, Micros};
 
 impl Policy {
-    /// Cancels attempts that may be retried at stalled workers. A timeout by the clock alone would
-    /// feed an overload; where most workers stall, the fault is elsewhere.
+    /// Cancels attempts at stalled workers if they may be retried. A fixed timeout would amplify an
+    /// overload. If most workers stall, the fault is elsewhere and nothing is cancelled.
     pub(super) fn cancel_stalled(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let stalled = self
             .workers
@@ -27,7 +27,7 @@
             let permitted =
                 permitted_after(request.effect, Some(attempt.sent_at), now, TICK_INTERVAL);
             let may_retry = permitted.retry && request.attempts < self.settings.max_attempts;
-            // An attempt sent late in the silence says little of the worker yet.
+            // An attempt sent late in the silent period says little about the worker.
             let is_stalled = self.workers.get(&attempt.worker).is_some_and(|worker| {
                 worker.stalled && (now - attempt.sent_at) * 4 > (now - worker.last_answer_at) * 3
             });
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries out what selection decided for a queued request.
+//! Carries out the selection's decision for a queued request.
 
 use super::loads::{CopyKey, LOAD_CERTAIN};
 use super::request::AttemptState;
@@ -11,7 +11,7 @@
 pub(super) enum Placement {
     /// An attempt was sent.
     Sent,
-    /// It still waits.
+    /// It is still queued.
     Queued,
 }
 
@@ -23,7 +23,8 @@
 }
 
 impl Policy {
-    /// Sends a queued request if some worker may take it now, or does what has to come first.
+    /// Sends a queued request if a worker may take it now, or takes the preparatory step that the
+    /// selection decided on.
     pub(super) fn place(
         &mut self,
         now: Micros,
@@ -58,7 +59,7 @@
         Placement::Sent
     }
 
-    /// Asks a worker for the function's copies without having one loaded.
+    /// Queries a worker for its number of copies without loading one.
     fn query_copies(&mut self, now: Micros, key: CopyKey, actions: &mut Vec<Action>) {
         if let Some(function) = self.functions.get_mut(&key.function) {
             function.copies.entry(key.worker).or_default().queried_at = now;
@@ -71,8 +72,8 @@
         });
     }
 
-    /// Has a worker load a copy, with one order for a worker and function at a time, and has the
-    /// request wait for it.
+    /// Orders a worker to load a copy and lets the request wait for it. At most one order is open
+    /// for each worker and function.
     pub(super) fn order_load(
         &mut self,
         now: Micros,
@@ -128,7 +129,8 @@
             may_wait_for_load: load_wait == LoadWait::Possible,
             cancelled: false,
         });
-        // An attempt elsewhere leaves the load that was ordered for the request to come back to.
+        // An attempt at another worker keeps the load that was ordered for the request, so that the
+        // request can return to it.
         request.awaited_load = request.awaited_load.filter(|load| load.worker != worker);
         let Some(function) = self.functions.get_mut(&function_id) else {
             return;
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -1,15 +1,16 @@
-//! Which workers may take a request: health, concurrency limit, slow start and idempotency scope.
+//! Eligibility of workers for a request: health, concurrency limit, slow start and idempotency
+//! scope.
 
 use super::request::RequestState;
 use super::worker::WorkerState;
 use super::{Policy, INITIAL_CONCURRENCY_LIMIT};
 use crate::api::{Effect, IdempotencyScope, Micros, OnMiss, WorkerId};
 
-/// Reported requests in flight that make a worker saturated.
+/// The number of reported requests in flight from which a worker is saturated.
 const SATURATED_QUEUE: u32 = INITIAL_CONCURRENCY_LIMIT as u32;
 
 impl Policy {
-    /// Whether a worker may take a request now, its capacity aside.
+    /// Whether a worker may take a request now, regardless of its capacity.
     pub(super) fn may_take(&self, now: Micros, id: WorkerId, request: &RequestState) -> bool {
         let Some(worker) = self.workers.get(&id) else {
             return false;
@@ -24,8 +25,7 @@
         if !self.within_idempotency_scope(worker, request) {
             return false;
         }
-        // Most of the fleet is never ejected: when most workers look faulty, the fault is
-        // elsewhere.
+        // If most workers look unhealthy, the fault is elsewhere, and ejections are ignored.
         let most_are_unhealthy = 2 * self.healthy_workers < self.ready_workers;
         let is_avoided = request.avoided == Some(id) && self.ready_workers >= 2;
         (worker.is_healthy(now) || most_are_unhealthy) && !is_avoided
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Whether a worker's concurrency limit admits one more request, with some debt allowed unless
-    /// it has failed.
+    /// Whether a worker's concurrency limit admits one more request. A worker without failures may
+    /// have up to the allowed concurrency debt.
     pub(super) fn has_capacity(&self, now: Micros, worker: WorkerId, credit: f64) -> bool {
         self.workers.get(&worker).is_some_and(|worker| {
             let allowed_debt = if worker.consecutive_failures == 0 {
@@ -60,8 +60,8 @@
         })
     }
 
-    /// The requests in flight that a worker reported, unless the report is outdated. To few
-    /// instances their own requests tell enough, and this is 0.
+    /// The requests in flight that a worker reported; 0 if the report is outdated, or with few
+    /// instances, whose own requests tell enough.
     pub(super) fn reported_in_flight(&self, now: Micros, worker: &WorkerState) -> u32 {
         let is_current = now < worker.reported_load.at + self.settings.copy_idle_timeout;
         if self.shares_workers_with_many() && is_current {
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Whether a worker reported so many requests in flight that others are preferred.
+    /// Whether a worker reported so many requests in flight that other workers are preferred.
     pub(super) fn is_saturated(&self, now: Micros, worker: WorkerId) -> bool {
         let state = self.workers.get(&worker);
         state.is_some_and(|state| self.reported_in_flight(now, state) >= SATURATED_QUEUE)
     }
 
-    /// Whether a request that misses begins a load by itself. Otherwise it does not count as a
-    /// load.
+    /// Whether a request that misses makes the worker load the function. Otherwise a miss does not
+    /// count as a load.
     pub(super) fn miss_loads(&self) -> bool {
         self.settings.on_miss == OnMiss::Load
     }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint list: which workers are new, restarted or removed, and the order in which instances
-//! try them.
+//! The endpoint list: new, restarted and removed workers, and the order in which instances try
+//! them.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
     DiscoverySignal, FunctionId, ListUpdate, Micros, WorkerEntry, WorkerId, WorkerStatus,
 };
 
-/// Workers that a function tries at most, in a fleet of any size.
+/// The maximum number of workers that a function uses, in a fleet of any size.
 const MAX_CANDIDATES: usize = 24;
 
 /// A worker's rank among a function's candidates. It is the same at every instance.
@@ -54,7 +54,7 @@
         self.scan_workers(now);
     }
 
-    /// A complete list no longer names some workers: nothing new goes there.
+    /// Stops new work to workers that a complete list no longer contains.
     fn retire_unlisted(&mut self, entries: &[WorkerEntry]) {
         let listed: BTreeSet<WorkerId> = entries.iter().map(|entry| entry.worker).collect();
         for (id, worker) in &mut self.workers {
@@ -85,8 +85,8 @@
         }
     }
 
-    /// A worker is back, perhaps with another process, and nobody tells when that started: it is in
-    /// slow start from now on and has no copies.
+    /// Treats a resumed worker, whose process may be new with an unknown start time, as starting
+    /// now: it is in slow start and has no copies.
     pub(super) fn begin_slow_start(&mut self, now: Micros, id: WorkerId) {
         let limit = self.initial_concurrency_limit;
         let Some(worker) = self.workers.get_mut(&id) else {
@@ -100,7 +100,7 @@
         self.forget_copies(id);
     }
 
-    /// Forgets which copies stand on a worker whose process has ended.
+    /// Forgets the copies on a worker whose process has ended.
     pub(super) fn forget_copies(&mut self, worker: WorkerId) {
         for function in self.functions.values_mut() {
             if let Some(copy) = function.copies.get_mut(&worker) {
@@ -111,8 +111,8 @@
         self.load_backoffs.forget_worker(worker);
     }
 
-    /// Peers' observations move a worker to the end of every candidate list for a while, or end its
-    /// ejection so that one trial tells.
+    /// Applies peers' observations: they move a worker to the end of every candidate list for a
+    /// while, or end its ejection so that a trial request can be sent.
     pub(super) fn on_peer_health(
         &mut self,
         now: Micros,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Brings a function's candidates up to date with the endpoint list.
+    /// Updates a function's candidates to the current endpoint list.
     pub(super) fn refresh_candidates(&mut self, now: Micros, id: FunctionId) {
         let Some(function) = self.functions.get_mut(&id) else {
             return;
--- a/src/policy/function.rs
+++ b/src/policy/function.rs
@@ -1,11 +1,11 @@
-//! What is known of a function: its demand, its queue and its copies.
+//! State of a function: its demand, its queue and its copies.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{Micros, RequestId, WorkerId};
 
-/// Answers that a function's mean run time remembers at most from one interval to the next, so that
-/// it follows a change of cost.
+/// The maximum number of answers carried over in a function's mean run time from one interval to
+/// the next, so that the mean follows a change of cost.
 const MAX_REMEMBERED_ANSWERS: f64 = 64.0;
 
 /// One function.
@@ -13,31 +13,31 @@
 pub(super) struct FunctionState {
     /// Requests that one copy runs at once.
     pub(super) concurrency_per_copy: u32,
-    /// The usual time of a load in microseconds, where clients tell it.
+    /// The usual load time in microseconds, if clients state it.
     pub(super) load_duration: Option<Micros>,
-    /// Requests of the last complete interval.
+    /// Requests in the last complete interval.
     pub(super) last_interval_requests: f64,
-    /// Requests of the current interval.
+    /// Requests in the current interval.
     pub(super) interval_requests: f64,
-    /// Run time of the current interval, in microseconds.
+    /// Run time in the current interval, in microseconds.
     pub(super) interval_run_time: f64,
-    /// Run time of the answers that the mean remembers, in microseconds.
+    /// Total run time of the answers in the mean, in microseconds.
     pub(super) total_run_time: f64,
-    /// Answers that the mean remembers.
+    /// Number of answers in the mean.
     pub(super) answers: f64,
-    /// Requests that wait for a worker, in the order in which they are taken.
+    /// Requests waiting for a worker, in dispatch order.
     pub(super) queue: VecDeque<RequestId>,
     pub(super) copies: BTreeMap<WorkerId, CopyState>,
     /// The workers that may hold copies, in rendezvous order.
     pub(super) candidates: Vec<WorkerId>,
-    /// The version of the endpoint list from which the candidates were taken.
+    /// The version of the endpoint list that the candidates were taken from.
     pub(super) candidates_version: u64,
-    /// When some worker was last queried for copies; 0 if never.
+    /// When a worker was last queried for copies; 0 if never.
     pub(super) last_query_at: Micros,
 }
 
 impl FunctionState {
-    /// A function that is seen for the first time.
+    /// Creates a function on its first request.
     pub(super) fn first_seen() -> Self {
         FunctionState {
             last_interval_requests: 1.0,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The mean run time of the answers remembered, in microseconds; none before the first answer.
+    /// The mean run time in microseconds; `None` before the first answer.
     pub(super) fn mean_run_time(&self) -> Option<f64> {
         Some(self.total_run_time / self.answers).filter(|mean| mean.is_finite())
     }
@@ -75,26 +75,26 @@
     }
 }
 
-/// What is believed of one function's copies on one worker. Instants are 0 if they have not come
-/// yet.
+/// Known state of one function's copies on one worker. Instants are 0 if the event has not
+/// occurred.
 #[derive(Debug, Default, Clone)]
 pub(super) struct CopyState {
-    /// Copies that stand there.
+    /// Loaded copies.
     pub(super) count: u32,
     /// When a copy there was last used or confirmed.
     pub(super) last_used_at: Micros,
     /// This instance's requests in flight there.
     pub(super) own_in_flight: u32,
-    /// Since when a load is believed to be in progress.
+    /// When a load began that is assumed to be in progress.
     pub(super) loading_since: Option<Micros>,
-    /// When the worker last answered that it has no copy.
+    /// When the worker last answered that it had no copy.
     pub(super) missed_at: Micros,
     /// When the worker was last queried for copies.
     pub(super) queried_at: Micros,
 }
 
 impl CopyState {
-    /// Nothing is known.
+    /// No known copies.
     pub(super) const NONE: CopyState = CopyState {
         count: 0,
         last_used_at: 0,
@@ -104,7 +104,7 @@
         queried_at: 0,
     };
 
-    /// What is left of the belief when the worker's copies are gone: the requests in flight.
+    /// Forgets all but the requests in flight after the worker has lost its copies.
     pub(super) fn forget(&mut self) {
         *self = CopyState {
             own_in_flight: self.own_in_flight,
@@ -112,14 +112,14 @@
         };
     }
 
-    /// Copies were seen to stand there.
+    /// Records that copies are loaded.
     pub(super) fn confirm(&mut self, now: Micros, count: u32) {
         self.count = count;
         self.last_used_at = now;
         self.missed_at = 0;
     }
 
-    /// The worker was seen to have no copy.
+    /// Records that the worker has no copy.
     pub(super) fn record_miss(&mut self, now: Micros) {
         self.count = 0;
         self.missed_at = now;
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells of its worker: failures, ejection, and cuts of its concurrency
+//! Updates of worker health when an attempt ends: failures, ejection, and cuts of the concurrency
 //! limit.
 
 use super::evidence::ReportedCapacity;
@@ -8,13 +8,13 @@
 use super::{Policy, FCP_INTERVAL};
 use crate::api::{AttemptEnd, Micros, Outcome};
 
-/// The shortest time for which a worker that limits a class gets no requests of it, in
+/// The minimum time for which requests of a class are kept from a worker that limits the class, in
 /// microseconds.
 const MIN_CLASS_BACKOFF: Micros = FCP_INTERVAL / 8;
-/// The longest such time, in microseconds.
+/// The maximum time of such a pause, in microseconds.
 const MAX_CLASS_BACKOFF: Micros = FCP_INTERVAL;
 
-/// Whether a worker's process has been replaced since it was last heard of.
+/// Whether a worker's process has been replaced since its last answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Process {
     Same,
@@ -22,7 +22,7 @@
 }
 
 impl Policy {
-    /// Records what an attempt's outcome tells of its worker.
+    /// Updates the worker's health from an attempt's outcome.
     pub(super) fn record_outcome(
         &mut self,
         now: Micros,
@@ -57,8 +57,8 @@
             }
             Outcome::Timeout | Outcome::Cancelled if !answered_since => {
                 worker.consecutive_failures += 1;
-                // Answers alone tell only of requests that survive: silence beyond the usual cuts
-                // the limit too.
+                // Answers show only the latency of requests that complete: a timeout well beyond
+                // the usual run time cuts the limit too.
                 if usual > 0.0 && end.latency as f64 > SLOW_LATENCY_RATIO * usual {
                     worker.cut_limit(now, min_limit);
                 }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Records what an attempt's outcome tells of whether its worker takes new work.
+    /// Updates the evidence that the worker accepts new work from an attempt's outcome.
     fn record_evidence(&mut self, now: Micros, end: &AttemptEnd, latency_objective: f64) {
         let sent_at = now.saturating_sub(end.latency);
         match end.outcome {
@@ -87,7 +87,7 @@
                 self.evidence.on_served(now, end.worker, sent_at);
             }
             Outcome::Rejected => {
-                // A rejection that took a while limits one class, and says nothing of the worker.
+                // A slow rejection limits one class and says nothing about the worker.
                 let limits_class = end.latency as f64 > latency_objective / 10.0;
                 let capacity = if limits_class {
                     ReportedCapacity::Used
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The lowest concurrency limit that a worker is cut to.
+    /// The minimum to which a worker's concurrency limit is cut.
     pub(super) fn min_concurrency_limit(&self) -> f64 {
         (self.initial_concurrency_limit / 4.0).min(1.0)
     }
@@ -120,15 +120,16 @@
         self.stalled = false;
     }
 
-    /// A rejection that took a while limits one class: it alone is kept away, longer each time.
+    /// Keeps requests of one class away after a slow rejection, with a pause that doubles each
+    /// time.
     fn back_off_class(&mut self, now: Micros, class: usize) {
         let backoff = self.class_backoff.entry(class).or_default();
         backoff.duration = (2 * backoff.duration).clamp(MIN_CLASS_BACKOFF, MAX_CLASS_BACKOFF);
         backoff.until = now + backoff.duration;
     }
 
-    /// A worker that could not be reached and answers again has restarted, unless the answer is to
-    /// an attempt sent before it went. Its process is in slow start and has no copies.
+    /// Detects the restart of a worker that was unreachable and answers again, unless the answer is
+    /// to an attempt sent before the failure. The new process is in slow start and has no copies.
     fn detect_restart(&mut self, now: Micros, attempt: &AttemptState) -> Process {
         match self.unreachable_since.take() {
             Some(unreachable_since) if attempt.sent_at >= unreachable_since => {
@@ -139,7 +140,7 @@
         }
     }
 
-    /// All attempts that end with one connection count as one failure.
+    /// Counts a reset connection as one failure, however many attempts end with it.
     fn record_reset(&mut self, now: Micros) {
         if self.last_reset_at != now {
             self.consecutive_failures += 1;
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -1,19 +1,19 @@
-//! What may follow an attempt that may have run, by the class's effect.
+//! Permitted steps after an attempt that may have run, by the effect of the request's class.
 
 use crate::api::{Effect, IdempotencyScope, Micros, Outcome};
 
-/// What may still be done for a request without running it twice against its class's effect.
+/// Steps that cannot run a request twice against the effect of its class.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 pub struct Permitted {
-    /// Another attempt. With an idempotency key it must stay within the scope of the first that may
-    /// have run.
+    /// Another attempt. With an idempotency key it must stay within the scope of the first attempt
+    /// that may have run.
     pub retry: bool,
-    /// A rejection, which promises that a client's retry is harmless. Otherwise only a failure is
-    /// left.
+    /// A rejection, which promises that a client's retry is safe. Otherwise only a failure is
+    /// possible.
     pub reject: bool,
 }
 
-/// What is permitted for a request whose first attempt that may have run was sent at
+/// The permitted steps for a request whose first attempt that may have run was sent at
 /// `possible_run_at`. A retry must begin `margin` microseconds before the window of its idempotency
 /// key ends.
 pub fn permitted_after(
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -1,32 +1,32 @@
-//! What the latency of answers tells of a function's run time and a worker's concurrency limit.
+//! Updates of a function's mean run time and a worker's concurrency limit from the latency of
+//! answers.
 
 use super::request::AttemptState;
 use super::worker::{ReportedLoad, WorkerState};
 use super::{Policy, FCP_INTERVAL, INITIAL_CONCURRENCY_LIMIT};
 use crate::api::{AttemptEnd, CopyStart, FunctionId, Micros};
 
-/// A worker that takes so many times a function's usual run time is overloaded or slow: its limit
+/// Above this multiple of a function's usual run time a worker is overloaded or slow, and its limit
 /// is cut.
 pub(super) const SLOW_LATENCY_RATIO: f64 = 2.0;
-/// Share of the latency objective that warm answers may take on average before a worker's limit is
-/// cut.
+/// Fraction of the latency objective that warm answers may take on average before a worker's limit
+/// is cut.
 const LATENCY_OBJECTIVE_SHARE: f64 = 0.25;
-/// The largest sample of the latency ratio.
+/// Upper bound of a sample of the latency ratio.
 const MAX_LATENCY_RATIO: f64 = 4.0;
-/// The least and the greatest weight of one answer in a worker's latency ratio. Rare answers weigh
+/// The minimum and maximum weight of one answer in a worker's latency ratio. Rare answers weigh
 /// more.
 const MIN_SAMPLE_WEIGHT: f64 = 0.1;
 const MAX_SAMPLE_WEIGHT: f64 = 0.5;
-/// Requests in flight, those of all instances together, up to which a worker is not slow because of
-/// them.
+/// Requests in flight from all instances up to which load does not explain a worker's slowness.
 const LIGHT_LOAD: f64 = INITIAL_CONCURRENCY_LIMIT * 3.0 / 8.0;
-/// Share of its limit that a worker must use before a timely answer raises the limit.
+/// Fraction of its limit that a worker must use before a timely answer raises the limit.
 const RAISE_UTILIZATION: f64 = 0.75;
-/// The factors between which one answer may change a limit below one.
+/// Bounds of the factor by which one answer may change a limit below one.
 const MIN_PRESSURE: f64 = 0.6;
 const MAX_PRESSURE: f64 = 1.6;
 
-/// What one served attempt tells.
+/// Measurements of one served attempt.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     /// In microseconds.
@@ -37,9 +37,9 @@
     latency_objective: f64,
     /// Requests that the worker held, from all instances.
     load: f64,
-    /// Whether the worker reported its load, rather than the function's requests alone.
+    /// Whether the worker reported its total load, not only the function's requests.
     load_is_reported: bool,
-    /// Whether a copy stood loaded.
+    /// Whether a copy was already loaded.
     warm: bool,
 }
 
@@ -67,8 +67,8 @@
         self.answers += 1.0;
         self.in_flight_average.add(now, sample.latency);
         let min_limit = self.min_concurrency_limit();
-        // Slow answers alone leave few instances a request or two; a worker that reports a light
-        // load has its pace.
+        // With few instances, slow answers alone do not cut the limit below one request. They do
+        // not cut it at all if the worker reports a light load: it is slow for another reason.
         let min_limit_when_slow =
             if self.has_spare_capacity && self.initial_concurrency_limit >= 2.0 {
                 1.0
@@ -103,7 +103,7 @@
         }
     }
 
-    /// How slow the answer was, against the function elsewhere and against the latency objective;
+    /// The latency relative to the function's run time elsewhere and to the latency objective;
     /// above 1 is slow.
     fn latency_ratio(&self) -> f64 {
         let against_usual = self.latency / (SLOW_LATENCY_RATIO * self.usual);
@@ -136,7 +136,8 @@
             && (!sample.load_is_reported || sample.load > LIGHT_LOAD)
             && now > self.limit_cut_at + sample.usual as Micros * 2;
         if self.concurrency_limit < 1.0 && load_is_known {
-            // Each worker gives few answers: the limit follows what one tells, both ways and soon.
+            // Each worker gives few answers, so the limit follows each of them at once, up and
+            // down.
             let pressure = sample.pressure().clamp(MIN_PRESSURE, MAX_PRESSURE);
             self.concurrency_limit = (self.concurrency_limit / pressure).clamp(min_limit, 1.0);
         } else if is_slow {
@@ -148,7 +149,7 @@
 }
 
 impl Sample {
-    /// How far the worker's load and latency together are above what they should be; 1 is right.
+    /// The worker's load and latency relative to their targets; 1 is on target.
     fn pressure(&self) -> f64 {
         let load = self.load.max(1.0) / INITIAL_CONCURRENCY_LIMIT;
         (load * self.latency * 3.0 / self.latency_objective.max(1.0)).sqrt()
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -1,25 +1,25 @@
-//! Limits that the settings state: slow start of workers, the rate of load orders, and tenants'
-//! quotas.
+//! Limits from the settings: slow start of workers, the rate of load orders, and tenants' quotas.
 
 use super::endpoints::rendezvous_hash;
 use super::worker::WorkerState;
 use super::Policy;
 use crate::api::{FunctionId, Micros, TenantId, WorkerId};
 
-/// Share of the slow-start budget that is used: workers differ, and some can do less than the mean
-/// worker.
+/// Fraction of the slow-start budget that is used: workers differ, and some have less capacity than
+/// the average worker.
 const SLOW_START_SAFETY: f64 = 0.65;
-/// Share of a budget below one request that turns are spaced for.
+/// Fraction of a budget below one request that the interval between turns is based on.
 const TURN_SAFETY: f64 = 0.75;
-/// Share of the load rate limit that many instances may use for requests with a retry left. The
-/// rest is kept for requests that have none and would be rejected.
+/// Fraction of the load rate limit that many instances may use for requests with another attempt
+/// left. The rest is reserved for requests on their last attempt, which would otherwise be
+/// rejected.
 const LOAD_SHARE_BEFORE_LAST_ATTEMPT: f64 = 0.5;
 /// Requests that a tenant may send at once, whatever its quota.
 const BURST: f64 = 4.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A token bucket with this instance's part of a tenant's quota. It holds one second of the quota,
-/// or [`BURST`].
+/// A token bucket for this instance's share of a tenant's quota. It holds one second of the quota,
+/// but at least [`BURST`].
 #[derive(Debug)]
 pub(super) struct TenantBucket {
     /// 0 if the tenant has no quota.
@@ -29,7 +29,7 @@
 }
 
 impl TenantBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn full(rate_per_s: f64, now: Micros) -> Self {
         TenantBucket {
             rate_per_s,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// An empty bucket of a tenant without a quota.
+    /// Creates the bucket of a tenant without a quota.
     fn unlimited(now: Micros) -> Self {
         TenantBucket {
             rate_per_s: 0.0,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes a token for a request, and says whether the request exceeds the quota.
+    /// Takes a token for a request. Returns whether the request exceeds the quota.
     fn exceeds(&mut self, now: Micros) -> bool {
         if self.rate_per_s <= 0.0 {
             return false;
@@ -69,10 +69,10 @@
 }
 
 impl Policy {
-    /// Whether a worker in slow start may be sent a request. Within the overload window it gets at
-    /// most the stated multiple of what it can do. What it can do is taken from what warm workers
-    /// serve for this instance, so that the instances share the budget without talking to each
-    /// other.
+    /// Whether a worker in slow start may be sent a request. Within the overload window it receives
+    /// at most the stated multiple of its capacity. The capacity is estimated from the throughput
+    /// of warm workers for this instance, so that the instances share the budget without
+    /// communication.
     pub(super) fn within_slow_start(
         &self,
         now: Micros,
@@ -106,8 +106,8 @@
             <= budget
     }
 
-    /// A budget below one request is kept in time: the instance has a turn in so many windows, at a
-    /// phase given by its seed. A turn that is not used lapses.
+    /// Enforces a budget below one request over time: the instance has a turn once in several
+    /// windows, with a phase derived from its seed. An unused turn lapses.
     fn has_slow_start_turn(
         &self,
         now: Micros,
@@ -134,7 +134,7 @@
         let Some(limit) = self.settings.load_rate_limit else {
             return true;
         };
-        // An order on the very edge of the window still counts; a request there does not.
+        // An order exactly at the edge of the window still counts; a request there does not.
         let orders = self.recent_load_orders.count(now, limit.window + 1) + 1.0;
         let requests = self.recent_requests.count(now, limit.window);
         let share = if has_further_attempt && self.shares_workers_with_many() {
@@ -145,14 +145,14 @@
         orders <= share * (limit.base_loads + limit.loads_per_request * requests)
     }
 
-    /// Whether a request exceeds this instance's part of its tenant's quota.
+    /// Whether a request exceeds this instance's share of its tenant's quota.
     pub(super) fn exceeds_quota(&mut self, now: Micros, tenant: TenantId) -> bool {
         self.tenant_buckets
             .get_mut(tenant.0 as usize)
             .is_some_and(|bucket| bucket.exceeds(now))
     }
 
-    /// An operator sets a tenant's quota while the program runs. Its bucket begins full.
+    /// Applies a quota that an operator has set at run time. The new bucket is full.
     pub(super) fn on_tenant_quota(&mut self, now: Micros, tenant: TenantId, quota_per_s: f64) {
         let index = tenant.0 as usize;
         let rate_per_s = quota_per_s / f64::from(self.settings.instances.max(1));
--- a/src/policy/load_backoff.rs
+++ b/src/policy/load_backoff.rs
@@ -1,25 +1,27 @@
-//! How long a worker gets no load orders after it rejected some.
+//! Pauses of load orders after a worker rejected some.
 //!
-//! Without a pause, a rejected order is given again at once: the request that waits for the load is
-//! still queued, and its worker still the next in the order.
+//! Without a pause, a rejected order would be repeated at once: the request that needs the load is
+//! still queued, and the same worker is still next in the order.
 
 use std::collections::BTreeMap;
 
 use super::loads::CopyKey;
 use crate::api::{Micros, Outcome, WorkerId};
 
-/// The pause for one function after the first order that failed; it doubles with each further one.
+/// The pause for one function after the first failed order, in microseconds. It doubles with each
+/// further failure.
 const COPY_PAUSE: Micros = 250_000;
-/// The longest such pause.
+/// The maximum of this pause, in microseconds.
 const MAX_COPY_PAUSE: Micros = 8_000_000;
-/// The pause for all functions after the second rejection in a row; it doubles with each further one.
+/// The pause for all functions after the second consecutive rejection, in microseconds. It doubles
+/// with each further rejection.
 const WORKER_PAUSE: Micros = 100_000;
-/// The longest such pause.
+/// The maximum of this pause, in microseconds.
 const MAX_WORKER_PAUSE: Micros = 2_000_000;
-/// Rejections in a row, of any functions, that a worker may give before it is left alone altogether.
+/// Consecutive rejections, of any functions, from which all load orders to a worker are paused.
 const MAX_WORKER_REJECTIONS: u32 = 2;
 
-/// Failures in a row, and until when there is a pause.
+/// Number of consecutive failures, and the end of the pause.
 #[derive(Debug, Default, Clone, Copy)]
 struct Backoff {
     failures: u32,
@@ -27,7 +29,8 @@
 }
 
 impl Backoff {
-    /// A failure; the pause is `first`, doubled with each failure after so many that are free, up to `max`.
+    /// Records a failure. After the first `free` failures, each sets a pause: `first`, doubled with
+    /// each further failure, up to `max`.
     fn fail(&mut self, now: Micros, free: u32, first: Micros, max: Micros) {
         self.failures = self.failures.saturating_add(1);
         if self.failures > free {
@@ -37,7 +40,8 @@
     }
 }
 
-/// The pauses of all workers. An entry goes with the first load that stands, or once its pause is long over.
+/// The pauses of all workers. An entry is removed with the first successful load, or long after its
+/// pause has ended.
 #[derive(Debug, Default)]
 pub(super) struct LoadBackoffs {
     copies: BTreeMap<CopyKey, Backoff>,
@@ -45,7 +49,7 @@
 }
 
 impl LoadBackoffs {
-    /// Whether a worker gets no order for this function now.
+    /// Whether load orders for the function are paused at the worker.
     pub(super) fn is_paused(&self, now: Micros, key: CopyKey) -> bool {
         if self.copies.is_empty() {
             return false;
@@ -58,7 +62,7 @@
         now < copy_until.max(worker_until)
     }
 
-    /// An order has ended.
+    /// Records the end of a load order.
     pub(super) fn on_order_ended(&mut self, now: Micros, key: CopyKey, outcome: Outcome) {
         match outcome {
             Outcome::Ok => {
@@ -91,13 +95,13 @@
             .fail(now, 0, COPY_PAUSE, MAX_COPY_PAUSE);
     }
 
-    /// A worker's process is a new one: what the old one rejected says nothing of it.
+    /// Forgets the pauses of a worker with a new process: the rejections came from the old one.
     pub(super) fn forget_worker(&mut self, worker: WorkerId) {
         self.copies.retain(|key, _| key.worker != worker);
         self.workers.remove(&worker);
     }
 
-    /// Forgets pauses that have been over for long.
+    /// Forgets pauses that ended long ago.
     pub(super) fn forget_outdated(&mut self, now: Micros) {
         self.copies
             .retain(|_, backoff| now < backoff.until + MAX_COPY_PAUSE);
--- a/src/policy/loads.rs
+++ b/src/policy/loads.rs
@@ -1,4 +1,4 @@
-//! Copies of functions: where they stand and which are being loaded.
+//! Copies of functions: the workers that hold them, and loads in progress.
 
 use super::function::FunctionState;
 use super::worker::{BASE_EJECTION_TIME, MAX_CONSECUTIVE_FAILURES};
@@ -20,7 +20,7 @@
     pub(super) function: FunctionId,
 }
 
-/// A load that is believed to be in progress.
+/// A load assumed to be in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LoadInProgress {
     pub(super) since: Micros,
@@ -28,7 +28,7 @@
 }
 
 impl Policy {
-    /// How long a load of which nothing is heard is taken to be in progress, in microseconds.
+    /// The time for which a load without an answer is assumed to be in progress, in microseconds.
     pub(super) fn load_patience(&self, function: &FunctionState) -> Micros {
         let objective = self
             .settings
@@ -40,7 +40,7 @@
         function.load_duration.unwrap_or(objective) * 3 / 2
     }
 
-    /// Records that a load begins, with the probability that it does.
+    /// Records that a load begins with the given probability.
     pub(super) fn begin_load(&mut self, now: Micros, key: CopyKey, probability: f64) {
         let Some(function) = self.functions.get_mut(&key.function) else {
             return;
@@ -90,8 +90,8 @@
         }
     }
 
-    /// A connect that fails tells of the worker whatever it was for. Few instances need this, as
-    /// they send each worker enough requests.
+    /// Ejects a worker after a failed connect, whatever the connect was for. Only many instances
+    /// need this: a few send each worker enough requests to detect it.
     fn eject_unreachable(&mut self, now: Micros, worker: WorkerId) {
         let Some(state) = self.workers.get_mut(&worker) else {
             return;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Records what the end of an attempt tells of the function's copies on its worker.
+    /// Updates the function's copies at the worker from the end of an attempt.
     pub(super) fn record_copies(&mut self, now: Micros, id: FunctionId, end: &AttemptEnd) {
         let Some(function) = self.functions.get_mut(&id) else {
             return;
@@ -113,15 +113,15 @@
         copy.own_in_flight = copy.own_in_flight.saturating_sub(1);
         match end.outcome {
             Outcome::Ok => {
-                // More requests than the known copies can run: the worker has begun one more, or
-                // others ordered it.
+                // The worker has more requests than the known copies can run: it has loaded another
+                // copy, or other instances have ordered one.
                 let needed = (end.function_in_flight + 1).div_ceil(concurrency_per_copy);
                 copy.confirm(now, copy.count.max(1).max(needed.min(copy.count + 1)));
             }
             Outcome::Miss => copy.record_miss(now),
             Outcome::Error if end.copy_start == Some(CopyStart::LoadFailed) => {}
             Outcome::Error | Outcome::Timeout | Outcome::Cancelled => return,
-            // An attempt that was withdrawn began no load; waiting for one would hold its request back.
+            // An attempt that was withdrawn began no load; waiting for one would delay its request.
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::Reset | Outcome::NotSent => {}
         }
         copy.loading_since = None;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,11 @@
-//! The decision module: which worker a request goes to, what is retried, rejected and loaded.
+//! The decision module: chooses a worker for each request, and decides on retries, rejections and
+//! loads.
 //!
-//! It is deterministic and performs no I/O. Events go in through [`Policy::take`];
-//! [`Policy::settle`] appends the resulting actions. `src/api.rs` defines both. Queued requests
-//! leave by Fair Choice on total processing time (FCP): the function with the lowest demand first.
-//! All instances walk a function's workers in the same rendezvous-hash order, so that they meet at
-//! the same copies without talking to each other.
+//! It is deterministic and performs no I/O. [`Policy::take`] takes events; [`Policy::settle`]
+//! appends the resulting actions. `src/api` defines both. Queued requests are sent by Fair Choice
+//! on total processing time (FCP): the function with the lowest demand first. All instances try a
+//! function's workers in the same rendezvous-hash order, so that they find the same copies without
+//! communication.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,45 +43,45 @@
 use window::{DecayingAverage, SlidingWindow};
 use worker::WorkerState;
 
-/// Requests in flight from all instances together that a worker may have before answers have raised
-/// or cut its concurrency limit. Each instance starts with its part of it.
+/// Initial concurrency limit of a worker, for all instances together. Answers raise or cut it. Each
+/// instance starts with its share.
 const INITIAL_CONCURRENCY_LIMIT: f64 = 8.0;
 /// The shortest time between two wake-ups, in microseconds.
 const TICK_INTERVAL: Micros = 10_000;
-/// How often all workers are scanned, in microseconds.
+/// The interval between scans of all workers, in microseconds.
 const HEALTH_SCAN_INTERVAL: Micros = 10 * TICK_INTERVAL;
-/// FCP counts requests and run time in intervals of this length, in microseconds. The paper's
-/// minute is longer than a burst of traffic.
+/// The FCP accounting interval, in microseconds. One minute, as in the paper, is longer than a
+/// burst of traffic.
 const FCP_INTERVAL: Micros = 10_000_000;
 
-/// Decides for one gateway instance.
+/// The decision module of one gateway instance.
 #[derive(Debug, Default)]
 pub struct Policy {
     settings: Settings,
-    /// Spreads the turns that instances take at workers in slow start.
+    /// Decorrelates the turns of instances at workers in slow start.
     seed: u64,
     functions: BTreeMap<FunctionId, FunctionState>,
     workers: BTreeMap<WorkerId, WorkerState>,
-    /// How recently each worker is known to take new work.
+    /// Evidence that workers accept new work.
     evidence: EvidenceTracker,
-    /// Counts updates of the endpoint list; candidate lists of an older version are stale.
+    /// The version of the endpoint list. Candidate lists of an older version are stale.
     list_version: u64,
     requests: BTreeMap<RequestId, RequestState>,
-    /// Requests by the time at which their clients stop waiting.
+    /// Requests by their clients' deadlines.
     deadlines: BTreeSet<(Micros, RequestId)>,
     /// Functions with queued requests.
     queued_functions: BTreeSet<FunctionId>,
-    /// Loads believed to be in progress.
+    /// Loads assumed to be in progress.
     loads_in_progress: BTreeMap<CopyKey, LoadInProgress>,
     /// Load orders without an answer yet.
     load_orders: BTreeSet<CopyKey>,
-    /// Workers that get no load orders for a while, as they rejected some.
+    /// Workers that get no load orders for a while because they rejected some.
     load_backoffs: LoadBackoffs,
     recent_load_orders: SlidingWindow,
     recent_requests: SlidingWindow,
     recent_answers: SlidingWindow,
-    /// The most that an average worker served for this instance over an interval, in answers a
-    /// microsecond.
+    /// The highest throughput of an average worker for this instance in any interval, in answers
+    /// per microsecond.
     observed_capacity: f64,
     tenant_buckets: Vec<TenantBucket>,
     /// Run time of all answers, in microseconds.
@@ -90,21 +91,22 @@
     next_wake_at: Micros,
     last_scan_at: Micros,
     in_flight_average: DecayingAverage,
-    /// Whether the load leaves capacity to spread calls to workers without a copy.
+    /// Whether there is spare capacity to spread calls to workers without a copy.
     has_spare_capacity: bool,
-    /// Whether the load is so high that late requests yield to those in time.
+    /// Whether the load is so high that late requests are shed in favour of those in time.
     is_overloaded: bool,
     initial_concurrency_limit: f64,
     ready_workers: usize,
     healthy_workers: usize,
-    /// When the endpoint list was last subscribed to; 0 if it has to be subscribed to.
+    /// The time of the last subscription to the endpoint list; 0 if a subscription is needed.
     subscribed_at: Micros,
-    /// The longest time that a client of each class has given an attempt, in microseconds.
+    /// The longest time to the deadline that an arriving request of each class has had, in
+    /// microseconds.
     longest_client_timeout: BTreeMap<usize, Micros>,
 }
 
 impl Policy {
-    /// A new instance that knows only its settings.
+    /// Creates an instance that knows only its settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let instances = f64::from(settings.instances.max(1));
         let tenant_buckets = settings
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Takes one event. [`Policy::settle`] is due once after all events that come together.
+    /// Handles one event. After all events of a batch, call [`Policy::settle`] once.
     pub fn take(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::WorkerList { update, workers } => self.on_worker_list(now, update, workers),
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Decides on what follows from the events taken, and appends the actions.
+    /// Makes the decisions that follow from the handled events, and appends the actions.
     pub fn settle(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.apply_evidence(now, actions);
         self.dispatch_queued(now, actions);
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Suspends and resumes workers by what is known of them, and has those checked that need it.
+    /// Suspends and resumes workers by their evidence, and starts health checks that are due.
     fn apply_evidence(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let changed = self.evidence.tick(now);
         if !changed.is_empty() {
@@ -208,28 +210,29 @@
         }
     }
 
-    /// Whether a worker is listed as ready and recently known to take new work.
+    /// Whether a worker is listed as ready and there is evidence that it accepts new work.
     pub(crate) fn is_available(&self, now: Micros, id: WorkerId) -> bool {
         let is_ready = self.workers.get(&id).is_some_and(|worker| worker.ready);
         is_ready && self.evidence.may_send(now, id)
     }
 
-    /// Whether there is evidence that a worker takes new work; asked again where bytes would leave.
+    /// Whether there is evidence that a worker accepts new work. The caller asks again just before
+    /// it writes a request.
     pub(crate) fn may_send(&self, now: Micros, worker: WorkerId) -> bool {
         self.evidence.may_send(now, worker)
     }
 
-    /// The next change of what is known of discovery and the workers, to be logged.
+    /// The next change of the evidence, for the log.
     pub fn next_evidence_change(&mut self) -> Option<EvidenceChange> {
         self.evidence.next_change()
     }
 
-    /// The age of the list, where discovery has confirmed it.
+    /// The age of the endpoint list, if discovery has confirmed it.
     pub(crate) fn list_age(&self, now: Micros) -> Option<Micros> {
         self.evidence.list_age(now)
     }
 
-    /// Whether discovery has confirmed nothing for too long.
+    /// Whether discovery has not confirmed the list for too long.
     pub(crate) fn is_discovery_lost(&self, now: Micros) -> bool {
         self.evidence.is_discovery_lost(now)
     }
@@ -239,34 +242,36 @@
         self.evidence.evidence_ages(now)
     }
 
-    /// Whether discovery has confirmed the list since the start, or has had the time to do so.
+    /// Whether discovery has confirmed the list since the start, or the time allowed for that is
+    /// over.
     pub(crate) fn knows_workers(&self, now: Micros) -> bool {
         self.evidence.has_begun(now)
     }
 
-    /// The workers that showed by themselves that they take new work, and when.
+    /// The workers with evidence of their own that they accept new work, and the time of that
+    /// evidence.
     pub(crate) fn served_evidence(&self, now: Micros) -> Vec<(WorkerId, Micros)> {
         self.evidence.served_evidence(now)
     }
 
-    /// Takes over evidence of another process of this gateway.
+    /// Takes over evidence from another process of this gateway.
     pub(crate) fn adopt_evidence(&mut self, worker: WorkerId, at: Micros) {
         self.evidence.adopt(worker, at);
     }
 
-    /// Answers a microsecond that an average worker was seen to serve for this instance, at its
-    /// best.
+    /// The highest observed throughput of an average worker for this instance, in answers per
+    /// microsecond.
     pub(crate) fn observed_capacity(&self) -> f64 {
         self.observed_capacity
     }
 
-    /// How many workers are ready and look healthy.
+    /// The number of workers that are ready and healthy.
     pub(crate) fn healthy_workers(&self) -> usize {
         self.healthy_workers
     }
 
-    /// Asks for an early wake-up only where a request is queued or about to expire, so that a
-    /// hundred idle instances cost nothing.
+    /// Sets an early wake-up only if a request is queued or about to expire, so that hundreds of
+    /// idle instances cost nothing.
     fn schedule_wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let expires_soon = self
             .deadlines
@@ -289,14 +294,14 @@
     }
 
     /// Whether so many instances share the workers that each may have less than one request in
-    /// flight at a worker. Each then sees too few answers to judge a worker by its own requests
+    /// flight at a worker. Each then receives too few answers to judge a worker by its own requests
     /// alone.
     fn shares_workers_with_many(&self) -> bool {
         self.initial_concurrency_limit < 1.0
     }
 }
 
-/// What a health check's outcome says of its worker.
+/// Converts a health check's outcome into its result for the worker.
 fn check_result(outcome: Outcome) -> CheckResult {
     match outcome {
         Outcome::Ok => CheckResult::Alive,
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,5 +1,5 @@
-//! Fair Choice on total processing time (FCP): which queued requests leave next, and which are
-//! given up.
+//! Fair Choice on total processing time (FCP): the order in which queued requests are sent, and
+//! which of them are given up.
 
 use super::dispatch::Placement;
 use super::function::FunctionState;
@@ -7,10 +7,10 @@
 use super::{Policy, INITIAL_CONCURRENCY_LIMIT};
 use crate::api::{Action, FunctionId, Micros, RequestId};
 
-/// How urgent a queued request is; the first goes first.
+/// Urgency of a queued request, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It can meet its latency objective.
+    /// It can still meet its latency objective.
     InTime,
     /// It will miss its latency objective.
     Late,
@@ -18,12 +18,12 @@
     OverQuota,
 }
 
-/// A queued request, ordered by the fields in their order.
+/// Sort key of a queued request, compared field by field in declaration order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedRequest {
     urgency: Urgency,
-    /// The function's demand as bits. No demand is negative, so the bits have the order of the
-    /// numbers.
+    /// The bits of the function's demand. Demand is never negative, so the bits sort as the numbers
+    /// do.
     demand_bits: u64,
     arrived_at: Micros,
     id: RequestId,
@@ -32,12 +32,11 @@
 }
 
 impl Policy {
-    /// Sends the queued requests that may leave, by urgency, then lowest demand, then earliest
-    /// arrival.
+    /// Sends queued requests by urgency, then lowest demand, then earliest arrival.
     pub(super) fn dispatch_queued(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        // A request that finds no worker blocks those of its function and urgency behind it.
+        // A request without a worker blocks those of the same function and urgency behind it.
         let mut blocked: Option<(Urgency, FunctionId)> = None;
-        // Determined when first needed, as the queues change along the way.
+        // Evaluated on first use, as the queues change during the loop.
         let mut sheds_late: Option<bool> = None;
         for queued in self.queued_in_order(now) {
             let QueuedRequest {
@@ -47,8 +46,8 @@
                 ..
             } = queued;
             let awaits_load = self.requests[&id].awaited_load.is_some();
-            // What earns least is given up early: served late it takes capacity from requests in
-            // time.
+            // Requests of the lowest value are given up early: served late, they take capacity from
+            // requests in time.
             let may_shed = urgency > Urgency::InTime && !awaits_load;
             if queued.cannot_complete
                 || may_shed && *sheds_late.get_or_insert_with(|| self.has_backlog())
@@ -88,7 +87,7 @@
         queued
     }
 
-    /// Whether late requests are to be shed: more is queued than half of what is in flight at all
+    /// Whether late requests are shed: more is queued than half of the requests in flight at all
     /// workers, or, with many instances, the workers are overloaded.
     fn has_backlog(&self) -> bool {
         if self.shares_workers_with_many() && self.is_overloaded {
@@ -107,14 +106,15 @@
         2 * queued > in_flight + INITIAL_CONCURRENCY_LIMIT as usize
     }
 
-    /// A function's FCP demand: the larger of the last interval's requests times the mean run time,
-    /// and the current interval's run time, in microseconds.
+    /// A function's FCP demand in microseconds: the larger of the last interval's requests times
+    /// the mean run time, and the current interval's run time.
     fn demand(&self, function: &FunctionState) -> f64 {
         let expected = function.last_interval_requests * self.mean_run_time(function);
         expected.max(function.interval_run_time)
     }
 
-    /// A function's mean run time in microseconds; that of all functions before its first answer.
+    /// A function's mean run time in microseconds; before its first answer, the mean of all
+    /// functions.
     pub(super) fn mean_run_time(&self, function: &FunctionState) -> f64 {
         function
             .mean_run_time()
@@ -126,7 +126,7 @@
         self.total_run_time / self.answers.max(1.0)
     }
 
-    /// Takes a request out of its function's queue.
+    /// Removes a request from its function's queue.
     pub(super) fn remove_from_queue(&mut self, function: FunctionId, id: RequestId) {
         let Some(state) = self.functions.get_mut(&function) else {
             return;
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival until it is forgotten.
+//! The life cycle of a request, from its arrival until it is forgotten.
 
 use super::function::FunctionState;
 use super::idempotency::{never_ran, permitted_after};
@@ -17,9 +17,9 @@
     pub(super) effect: Effect,
     pub(super) latency_objective: Micros,
     pub(super) arrived_at: Micros,
-    /// When the client first sent it; earlier than its arrival if it is a client's retry.
+    /// When the client first sent it; before its arrival if it is a client's retry.
     pub(super) first_sent_at: Micros,
-    /// When the client stops waiting.
+    /// The client's deadline.
     pub(super) expires_at: Micros,
     /// Attempts sent.
     pub(super) attempts: u32,
@@ -27,13 +27,13 @@
     pub(super) in_flight: Option<AttemptState>,
     /// The first attempt that may have run.
     pub(super) first_possible_run: Option<PossibleRun>,
-    /// A load ordered for this request.
+    /// The load ordered for this request.
     pub(super) awaited_load: Option<AwaitedLoad>,
-    /// The worker whose attempt failed last; another is tried first.
+    /// The worker of the last failed attempt; another worker is tried first.
     pub(super) avoided: Option<WorkerId>,
     pub(super) over_quota: bool,
     pub(super) tenant: usize,
-    /// Whether its final answer is given, or nobody waits for one.
+    /// Whether its final answer has been given or nobody waits for one.
     pub(super) done: bool,
 }
 
@@ -54,7 +54,7 @@
     pub(super) sent_at: Micros,
 }
 
-/// A load for which a request waits.
+/// A load that a request waits for.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AwaitedLoad {
     pub(super) worker: WorkerId,
@@ -68,8 +68,8 @@
         self.first_possible_run.map(|run| run.sent_at)
     }
 
-    /// Waits for a load at a worker. A request can overtake its load order, and a miss there costs
-    /// an attempt: the order gets a head start.
+    /// Waits for a load at a worker. A request can overtake its load order, and a miss costs an
+    /// attempt, so the order gets a head start.
     pub(super) fn await_load(&mut self, now: Micros, worker: WorkerId, tick: Micros) {
         let head_start = (2 * tick).max(TICK_INTERVAL / 2);
         self.awaited_load = Some(AwaitedLoad {
@@ -84,8 +84,8 @@
         permitted_after(self.effect, self.possible_run_at(), now, TICK_INTERVAL).retry
     }
 
-    /// Whether a queued request cannot be served any more: an attempt would end too late, or none
-    /// is permitted.
+    /// Whether a queued request can no longer be served: an attempt would end too late, or none is
+    /// permitted.
     pub(super) fn cannot_complete(
         &self,
         now: Micros,
@@ -99,7 +99,7 @@
 }
 
 impl Policy {
-    /// Queues a request that arrives.
+    /// Queues an incoming request.
     pub(super) fn on_request(&mut self, now: Micros, arrival: &Arrival) {
         if self.settings.load_rate_limit.is_some() {
             self.recent_requests.record(now);
@@ -128,7 +128,7 @@
             .entry(class)
             .or_insert(remaining);
         *longest = remaining.max(*longest);
-        // A request with less time than others of its class is a client's retry: its latency
+        // A request with less time left than others of its class is a client's retry: its latency
         // objective counts from the client's first attempt.
         let is_client_retry = remaining + self.settings.tick < *longest;
         let mut request = RequestState {
@@ -153,8 +153,8 @@
         request
     }
 
-    /// A stream that flows belongs to the client: no deadline, no cancellation and no answer of
-    /// this instance.
+    /// Marks a request as done once its response streams to the client: this instance then applies
+    /// no deadline, cancellation or final answer.
     pub(super) fn on_streaming(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.done = true;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Learns from the end of an attempt, and answers or requeues its request.
+    /// Updates the state from the end of an attempt, and answers or requeues its request.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Whether a served attempt waited for a load; where the answer does not tell, judged by its
-    /// latency.
+    /// Whether a served attempt waited for a load, judged by its latency if the answer does not
+    /// state it.
     fn waited_for_load(&self, function: FunctionId, end: &AttemptEnd) -> bool {
         if let Some(copy_start) = end.copy_start {
             return copy_start != CopyStart::Warm;
@@ -233,8 +233,7 @@
         end.latency as f64 > usual
     }
 
-    /// Queues a request again after an attempt that did not serve it, or answers it if no retry is
-    /// left.
+    /// Requeues a request after an unsuccessful attempt, or answers it if no retry is left.
     fn retry_or_answer(&mut self, now: Micros, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let id = end.request;
         let request = &self.requests[&id];
@@ -265,7 +264,7 @@
     }
 
     /// Whether the worker that missed should load the function: it is the function's first
-    /// candidate, or the copies that are known are saturated.
+    /// candidate, or a known copy is at a saturated worker.
     fn miss_calls_for_load(&self, now: Micros, worker: WorkerId, request: &RequestState) -> bool {
         let Some(function) = self.functions.get(&request.function) else {
             return false;
@@ -280,7 +279,7 @@
         is_first_candidate || copies_saturated
     }
 
-    /// Forgets a request that needs nothing more.
+    /// Forgets a finished request.
     pub(super) fn forget_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else {
             return;
--- a/src/policy/scan.rs
+++ b/src/policy/scan.rs
@@ -1,4 +1,4 @@
-//! Periodic work: intervals of FCP, the scan of all workers, and loads that are overdue.
+//! Periodic work: FCP intervals, the scan of all workers, and expired loads.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,11 @@
 
 use super::loads::CopyKey;
 
-/// Share of all concurrency limits that may be in use before requests stop spreading to workers
+/// Fraction of all concurrency limits in use above which requests no longer spread to workers
 /// without a copy.
 const SPREAD_UTILIZATION: f64 = 0.75;
-/// Share of all concurrency limits, or of the initial ones if those are more, that may be in use
-/// before late requests yield.
+/// Fraction of all concurrency limits, or of the initial ones if higher, in use above which late
+/// requests are shed.
 const OVERLOAD_UTILIZATION: f64 = 0.5;
 
 impl Policy {
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Nobody tells the end of a load whose requests have left. Past its usual time it is taken to
-    /// have ended.
+    /// Forgets loads past their usual time: no answer reports the end of a load whose requests have
+    /// left.
     fn forget_overdue_loads(&mut self, now: Micros) {
         let mut loads = std::mem::take(&mut self.loads_in_progress);
         loads.retain(|key, load| {
@@ -54,8 +54,7 @@
         self.loads_in_progress = loads;
     }
 
-    /// Looks at all workers: which stall, how many are healthy, and how much of their capacity is
-    /// in use.
+    /// Updates the stalled workers, the number of healthy workers, and the capacity in use.
     pub(super) fn scan_workers(&mut self, now: Micros) {
         let stalled: BTreeSet<WorkerId> = self
             .workers
@@ -86,8 +85,8 @@
     fn measure_capacity(&mut self, now: Micros) {
         let ready = self.ready_workers.max(1) as f64;
         let answers = self.recent_answers.count(now, FCP_INTERVAL);
-        // The maximum is kept: a budget cut by the very loss that it should mend would never
-        // recover.
+        // The maximum is kept: a budget reduced by the same loss of throughput that it should
+        // repair would never recover.
         self.observed_capacity = self
             .observed_capacity
             .max(answers / FCP_INTERVAL as f64 / ready);
@@ -103,8 +102,8 @@
         self.is_overloaded = in_flight > OVERLOAD_UTILIZATION * limits.max(initial_limits);
     }
 
-    /// Whether a worker has answered nothing for longer than its attempts take elsewhere: it hangs,
-    /// is partitioned, or is overloaded.
+    /// Whether a worker has been silent for longer than attempts usually take: it hangs, is
+    /// partitioned, or is overloaded.
     fn is_stalled(&self, now: Micros, id: WorkerId, worker: &WorkerState) -> bool {
         if worker.in_flight == 0 {
             return false;
@@ -117,13 +116,12 @@
             .min()
             .unwrap_or(0);
         let usual = (4.0 * self.mean_run_time_of_all()).max(objective as f64 * 0.75);
-        // One long request alone is no sign of a hang, nor is the wait for a load.
+        // A single long request does not indicate a hang, nor does the wait for a load.
         let patience = usual * if worker.in_flight > 1 { 1.0 } else { 2.0 };
         now > worker.last_answer_at + patience as Micros + self.longest_load_at(id)
     }
 
-    /// The longest load patience of the functions that a worker is believed to be loading, in
-    /// microseconds.
+    /// The longest assumed load time of the functions being loaded at a worker, in microseconds.
     fn longest_load_at(&self, worker: WorkerId) -> Micros {
         let first = CopyKey {
             worker,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Which worker a queued request goes to, or what has to be done there first.
+//! Selection of the worker for a queued request, or of the preparatory step that it needs.
 //!
 //! The rules are tried in the order of [`Selection::decide`]; the first that applies decides.
 
@@ -10,59 +10,58 @@
 use super::{Policy, TICK_INTERVAL};
 use crate::api::{FunctionId, Micros, RequestId, WorkerId};
 
-/// Workers without a copy that are found by querying within a copy's idle timeout, before querying
-/// stops.
+/// The number of workers found without a copy, within a copy's idle timeout, at which queries stop.
 const MAX_MISSES: usize = 3;
-/// How many rounds of requests may be in flight at a copy: one that runs and one that waits.
+/// Rounds of requests in flight at a copy: one that runs and one that waits.
 const ROUNDS_PER_COPY: u32 = 2;
 
-/// What is done next for a queued request.
+/// The next step for a queued request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Decision {
     /// It stays queued.
     Hold,
     /// It is sent to a loaded copy.
     SendToCopy(WorkerId),
-    /// It is sent to wait for a load in progress.
+    /// It is sent to a worker with a load in progress and waits there.
     SendToLoading(WorkerId),
-    /// It is sent to a worker where it may begin a load.
+    /// It is sent to a worker where it may start a load.
     SendToLoad {
         /// The worker.
         worker: WorkerId,
-        /// How likely a load begins.
+        /// The probability that a load begins.
         load_probability: f64,
     },
-    /// The worker is asked for its copies.
+    /// The worker is queried for its copies.
     QueryCopies(WorkerId),
     /// The worker is ordered to load a copy.
     OrderLoad(WorkerId),
 }
 
-/// The view of one queued request on its function's copies and candidates.
+/// One queued request with its function's copies and candidates.
 pub(super) struct Selection<'a> {
     pub(super) policy: &'a Policy,
     pub(super) now: Micros,
     pub(super) function: &'a FunctionState,
     pub(super) request: &'a RequestState,
-    /// How long a load may be in progress, in microseconds.
+    /// The time for which a load is assumed to be in progress, in microseconds.
     pub(super) load_patience: Micros,
     /// Whether more than one instance shares the work.
     pub(super) is_shared: bool,
-    /// Whether another attempt would be left after one that is sent now.
+    /// Whether another attempt would be left after the next one.
     pub(super) has_further_attempt: bool,
-    /// Whether an attempt may go to a worker where it may miss: not the last attempt, nor one of a
-    /// request for which a load was ordered, as three misses are a rejection.
+    /// Whether an attempt may be sent to a worker that may miss. The last attempt may not, nor may
+    /// a request with an ordered load, as three misses lead to a rejection.
     pub(super) may_risk_miss: bool,
     /// The candidates that may take the request now, in the order in which they are tried.
     pub(super) usable: Vec<WorkerId>,
-    /// The first candidate that is healthy: where all instances expect the function's copies.
+    /// The first healthy candidate, where all instances expect the function's copies.
     pub(super) preferred: Option<WorkerId>,
-    /// The next worker to try without a known copy, once it is determined.
+    /// The next worker without known copies to try, cached on first use.
     pub(super) next_untried: OnceCell<Option<WorkerId>>,
 }
 
 impl<'a> Selection<'a> {
-    /// The view of a request that is queued for a function.
+    /// Creates the selection for a request queued for a function.
     pub(super) fn new(
         policy: &'a Policy,
         now: Micros,
@@ -93,7 +92,7 @@
         selection
     }
 
-    /// Decides what is done for the request.
+    /// Decides on the next step of the request.
     pub(super) fn decide(&self) -> Decision {
         self.use_copy()
             .or_else(|| self.try_elsewhere_while_loading())
@@ -107,9 +106,9 @@
             .unwrap_or(Decision::Hold)
     }
 
-    /// A copy with free capacity, at a worker that has paid off its debt if there is one: otherwise
-    /// every instance fills the same worker before it goes on to the next. The preferred worker, if
-    /// it was not tried lately, counts as one with a copy, since other instances may keep copies
+    /// Uses a copy with free capacity, preferably at a worker without concurrency debt: otherwise
+    /// every instance fills the same worker before it moves on to the next. The preferred worker
+    /// counts as having a copy unless it was tried recently, since other instances may keep copies
     /// there.
     fn use_copy(&self) -> Option<Decision> {
         let unsaturated = self.usable.iter().copied().find(|worker| {
@@ -131,8 +130,8 @@
         })
     }
 
-    /// The copy with free capacity whose worker reported least. Where a miss may be risked, a
-    /// worker that was not tried comes before it.
+    /// The copy with free capacity at the worker with the lowest reported load. If a miss may be
+    /// risked, an untried worker is preferred.
     fn least_saturated_copy(&self) -> Option<WorkerId> {
         let copy = self
             .usable
@@ -148,7 +147,8 @@
         Some(untried.unwrap_or(copy))
     }
 
-    /// One of many instances tries the next worker while the load ordered for its request goes on.
+    /// With many instances, tries the next worker while the load ordered for the request is in
+    /// progress.
     fn try_elsewhere_while_loading(&self) -> Option<Decision> {
         self.request.awaited_load?;
         let worker = self.next_untried()?;
@@ -158,7 +158,8 @@
         })
     }
 
-    /// The request goes to the load that was ordered for it once the order has had its head start.
+    /// Sends the request to the load that was ordered for it, once the order has had its head
+    /// start.
     fn wait_for_ordered_load(&self) -> Option<Decision> {
         let load = self.request.awaited_load?;
         let goes_on = self.is_loading(self.copies_at(load.worker))
@@ -177,9 +178,9 @@
         })
     }
 
-    /// Further candidates are tried before a load evicts other functions' copies: by few instances
-    /// with a query, by many with the request itself, as a miss costs one attempt. The last attempt
-    /// is kept for a known copy or load.
+    /// Tries further candidates before a load evicts other functions' copies: few instances send a
+    /// query, many send the request itself, as a miss costs one attempt. The last attempt is kept
+    /// for a known copy or load.
     fn find_unknown_copies(&self) -> Option<Decision> {
         if self.function.last_query_at > 0
             && self.now < self.function.last_query_at + 2 * TICK_INTERVAL
@@ -209,7 +210,7 @@
         })
     }
 
-    /// Without a warm copy the request waits at a load in progress, not more than two rounds deep.
+    /// Without a warm copy, lets the request wait at a load in progress, at most two rounds deep.
     fn join_load(&self) -> Option<Decision> {
         if self.has_warm_copy() {
             return None;
@@ -222,16 +223,16 @@
         Some(Decision::SendToLoading(worker))
     }
 
-    /// While all copies are busy, one more run is cheaper than part of a load, and each load evicts
-    /// other functions' copies.
+    /// Waits while all copies are busy: one more run takes less time than part of a load, and each
+    /// load evicts other functions' copies.
     fn wait_for_capacity(&self) -> Option<Decision> {
         let run_time = self.policy.mean_run_time(self.function) as Micros;
         let patience = run_time.max(self.load_patience / 4);
         (self.has_warm_copy() && self.waited() < patience).then_some(Decision::Hold)
     }
 
-    /// A second round at a worker with a copy: it starts another copy by itself, without fetching
-    /// the function.
+    /// Sends a second round to a worker with a copy: the worker starts another copy by itself
+    /// without fetching the function.
     fn queue_at_copy(&self) -> Option<Decision> {
         let worker = self.usable.iter().copied().find(|worker| {
             let copies = self.copies_at(*worker);
@@ -241,7 +242,7 @@
         Some(Decision::SendToCopy(worker))
     }
 
-    /// Loads in progress are bounded, as all workers fetch from one store, and a function has one
+    /// Bounds the loads in progress, as all workers fetch from one store. A function has one load
     /// at a time unless its request has waited long.
     fn postpone_load(&self) -> Option<Decision> {
         let policy = self.policy;
@@ -264,8 +265,8 @@
         must_wait.then_some(Decision::Hold)
     }
 
-    /// The next candidate without a copy loads one. Without spare capacity only the preferred
-    /// worker does: spreading then evicts other functions' copies, and everything is late.
+    /// Loads a copy at the next candidate without one. Without spare capacity only the preferred
+    /// worker loads: spreading would evict other functions' copies and delay all requests.
     fn load_copy(&self) -> Option<Decision> {
         let worker = self.usable.iter().copied().find(|worker| {
             let copies = self.copies_at(*worker);
--- a/src/policy/selection_view.rs
+++ b/src/policy/selection_view.rs
@@ -1,16 +1,16 @@
-//! What the rules of selection look at: the candidates, their copies, and what is known of them.
+//! Queries of the selection rules about candidates and their copies.
 
 use super::function::CopyState;
 use super::loads::CopyKey;
 use super::selection::Selection;
 use crate::api::{Micros, WorkerId};
 
-/// Requests of mean run time that a worker may be in debt for with a function that stands nowhere
-/// else, while there is spare capacity.
+/// Concurrency debt, in requests of mean run time, that a worker may have for a function with fewer
+/// than two copies while there is spare capacity.
 const CONCURRENCY_CREDIT: f64 = 6.0;
 
 impl Selection<'_> {
-    /// The function's candidates, those last that peers observe to be faulty or that are doubted.
+    /// The function's candidates, with those last that peers report unhealthy or that are doubted.
     pub(super) fn candidates_by_trust(&self) -> Vec<WorkerId> {
         let has_doubts = self.policy.evidence.has_anomalies();
         let is_suspect = |worker: &&WorkerId| {
@@ -24,7 +24,7 @@
         trusted.chain(suspect).copied().collect()
     }
 
-    /// The candidates that may take the request now. Those that a check will soon tell more of are
+    /// The candidates that may take the request now. Candidates with a pending health check are
     /// left out as long as there are others.
     pub(super) fn usable_of(&self, candidates: &[WorkerId]) -> Vec<WorkerId> {
         let credit = self.credit();
@@ -58,9 +58,9 @@
         self.is_sound(worker) && (self.policy.shares_workers_with_many() || accepts_load())
     }
 
-    /// The concurrency debt that a worker may have and still take the request, in microseconds. The
-    /// credit of many instances adds up in a burst: of these only a function without two copies
-    /// gives any.
+    /// The concurrency debt that a worker may have and still take the request, in microseconds.
+    /// With many instances, the allowances of all instances add up in a burst, so only functions
+    /// with fewer than two copies get one.
     pub(super) fn credit(&self) -> f64 {
         let requests = if !self.policy.shares_workers_with_many() {
             1.0
@@ -87,8 +87,8 @@
             .count()
     }
 
-    /// The next worker that one of many instances tries with the request itself: the preferred one
-    /// after a first attempt elsewhere, otherwise the first that is not saturated, workers in slow
+    /// The next worker that the request itself is tried at, with many instances: the preferred
+    /// worker after a first attempt elsewhere, otherwise the first unsaturated one, workers in slow
     /// start last.
     pub(super) fn next_untried(&self) -> Option<WorkerId> {
         *self.next_untried.get_or_init(|| {
@@ -138,8 +138,7 @@
             .unwrap_or(&CopyState::NONE)
     }
 
-    /// Whether what was known at an instant may have changed since, as idle copies may have been
-    /// unloaded.
+    /// Whether knowledge from an instant is outdated: idle copies may have been unloaded since.
     pub(super) fn is_outdated(&self, at: Micros) -> bool {
         at == 0 || self.now >= at + self.policy.settings.copy_idle_timeout
     }
@@ -155,7 +154,7 @@
         in_progress && copies.count == 0
     }
 
-    /// Whether nothing is known lately of the function's copies there.
+    /// Whether there is no recent knowledge of the function's copies at the worker.
     pub(super) fn is_untried(&self, copies: &CopyState) -> bool {
         copies.own_in_flight == 0
             && self.is_outdated(copies.last_used_at)
@@ -188,7 +187,7 @@
         self.policy.is_saturated(self.now, worker)
     }
 
-    /// The requests that a saturated worker reported; 0 for others.
+    /// The number of requests in flight that a saturated worker reported; 0 for other workers.
     pub(super) fn saturation(&self, worker: WorkerId) -> u32 {
         if self.is_saturated(worker) {
             self.policy
@@ -200,13 +199,13 @@
         }
     }
 
-    /// How long the request has been with this instance, in microseconds.
+    /// The time since the request arrived at this instance, in microseconds.
     pub(super) fn waited(&self) -> Micros {
         self.now - self.request.arrived_at
     }
 
-    /// Whether the worker gets no load order for the function now. It does not matter where a miss
-    /// loads by itself.
+    /// Whether load orders for the function are paused at the worker. It does not matter where a
+    /// miss starts a load by itself.
     pub(super) fn load_is_paused(&self, worker: WorkerId) -> bool {
         let key = CopyKey {
             worker,
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of a worker: its concurrency limit, its failures and its reports.
+//! State of a worker: its concurrency limit, its failures and its reports.
 
 use std::collections::BTreeMap;
 
@@ -6,36 +6,36 @@
 use super::TICK_INTERVAL;
 use crate::api::{CellId, Micros, ZoneId};
 
-/// Unanswered attempts in a row that eject a worker. All that end with one connection count as one.
+/// Consecutive failures that eject a worker. All attempts that end with one connection count as
+/// one.
 pub(super) const MAX_CONSECUTIVE_FAILURES: u32 = 2;
-/// How long a worker is ejected first, in microseconds. It doubles with each failed trial.
+/// The first ejection time of a worker, in microseconds. It doubles with each failed trial.
 pub(super) const BASE_EJECTION_TIME: Micros = 25 * TICK_INTERVAL;
-/// How often the ejection time doubles at most.
+/// The maximum number of doublings of the ejection time.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// What a rejection or a slow spell leaves of a concurrency limit.
+/// The factor by which a rejection or slow answers cut a concurrency limit.
 const LIMIT_CUT_FACTOR: f64 = 0.7;
 
-/// One worker. Instants are 0 if they have not come yet.
+/// One worker. Instants are 0 if the event has not occurred.
 #[derive(Debug, Default)]
 pub(super) struct WorkerState {
     pub(super) zone: Option<ZoneId>,
     pub(super) cell: Option<CellId>,
-    /// Whether the endpoint list says that it takes requests.
+    /// Whether the endpoint list marks it as ready.
     pub(super) ready: bool,
-    /// When its process started, where that is known.
+    /// When its process started, if known.
     pub(super) started_at: Option<Micros>,
     /// This instance's requests in flight.
     pub(super) in_flight: u32,
-    /// How many of this instance's requests it may have in flight. A limit below one holds on
-    /// average over time: see [`WorkerState::concurrency_debt`]. It is 0 only before the worker is
-    /// first listed.
+    /// The limit on this instance's requests in flight. A limit below one holds on average over
+    /// time: see [`WorkerState::concurrency_debt`]. It is 0 only before the worker is first listed.
     pub(super) concurrency_limit: f64,
-    /// In-flight time beyond the limit when it was last updated, in microseconds.
+    /// In-flight time beyond the limit as of `debt_updated_at`, in microseconds.
     debt: f64,
     debt_updated_at: Micros,
     /// When the concurrency limit was last cut.
     pub(super) limit_cut_at: Micros,
-    /// Moving average of its latency against what it should be; above 1 it is slow.
+    /// Moving average of its latency relative to the target; above 1 it is slow.
     pub(super) latency_ratio: f64,
     /// When it last gave an answer that counted for the latency ratio.
     pub(super) last_sample_at: Micros,
@@ -45,27 +45,27 @@
     pub(super) consecutive_failures: u32,
     /// When a connection to it was last reset.
     pub(super) last_reset_at: Micros,
-    /// No requests but a trial are sent before this instant.
+    /// Only a trial request is sent after this instant; none before.
     pub(super) ejected_until: Micros,
-    /// Other workers come first until this instant, as peers observed faults.
+    /// Other workers are preferred until this instant, as peers observed failures.
     pub(super) peer_unhealthy_until: Micros,
-    /// When a connect failed, if nothing has been heard since.
+    /// When a connect failed, if no answer has arrived since.
     pub(super) unreachable_since: Option<Micros>,
-    /// When it last answered, or when requests were sent to it after none were in flight.
+    /// When it last answered, or when a request was sent to it with no others in flight.
     pub(super) last_answer_at: Micros,
     pub(super) recent_sends: SlidingWindow,
-    /// Classes that it limits.
+    /// Pauses of the classes that it limits.
     pub(super) class_backoff: BTreeMap<usize, ClassBackoff>,
 }
 
-/// What a worker said when it last answered of all requests that it held, from all instances.
+/// All requests that a worker held at its last answer, from all instances.
 #[derive(Debug, Default)]
 pub(super) struct ReportedLoad {
     pub(super) in_flight: f64,
     pub(super) at: Micros,
 }
 
-/// For how long a worker gets no requests of one class. The span doubles with each further
+/// The pause during which a worker gets no requests of one class. It doubles with each further
 /// rejection.
 #[derive(Debug, Default)]
 pub(super) struct ClassBackoff {
@@ -74,7 +74,7 @@
 }
 
 impl WorkerState {
-    /// A worker whose process is new to this instance. Requests in flight to the process before it
+    /// Creates the state of a worker's new process. Requests in flight to the previous process
     /// still count.
     pub(super) fn new_process(
         now: Micros,
@@ -93,22 +93,22 @@
         }
     }
 
-    /// Time that own requests have spent in flight beyond the concurrency limit, those in flight
-    /// included, in microseconds. It keeps a limit below one: a worker whose debt is not paid off
-    /// takes no further request.
+    /// Time that this instance's requests have spent in flight beyond the concurrency limit,
+    /// including those still in flight, in microseconds. It enforces a limit below one: a worker
+    /// takes no further request before its debt is paid off.
     pub(super) fn concurrency_debt(&self, now: Micros) -> f64 {
         let excess = f64::from(self.in_flight) - self.concurrency_limit;
         (self.debt + excess * (now - self.debt_updated_at) as f64).max(0.0)
     }
 
-    /// Brings the concurrency debt up to date before the limit or the requests in flight change,
-    /// and adds to it.
+    /// Updates the concurrency debt and adds to it, before the limit or the requests in flight
+    /// change.
     pub(super) fn add_debt(&mut self, now: Micros, more: f64) {
         self.debt = self.concurrency_debt(now) + more;
         self.debt_updated_at = now;
     }
 
-    /// Whether it seems to answer. One trial at a time ends an ejection.
+    /// Whether it is healthy, or may be sent the one trial request that ends an ejection.
     pub(super) fn is_healthy(&self, now: Micros) -> bool {
         let trial_allowed = now >= self.ejected_until && self.in_flight == 0;
         !self.stalled && (self.consecutive_failures < MAX_CONSECUTIVE_FAILURES || trial_allowed)
@@ -127,7 +127,7 @@
         self.concurrency_limit += (1.0 / self.concurrency_limit).min(self.concurrency_limit / 8.0);
     }
 
-    /// Ejects the worker if it failed too often in a row.
+    /// Ejects the worker after too many consecutive failures.
     pub(super) fn eject_after_failures(&mut self, now: Micros) {
         if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES {
             let doublings =
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Whether requests of a class are kept away for now.
+    /// Whether requests of a class are kept away at `now`.
     pub(super) fn backs_off(&self, now: Micros, class: usize) -> bool {
         self.class_backoff
             .get(&class)
@@ -149,7 +149,7 @@
             .is_some_and(|started_at| now < started_at + duration)
     }
 
-    /// Counts a request that is sent to it.
+    /// Records a request sent to it.
     pub(super) fn record_send(&mut self, now: Micros, overload_window: Micros) {
         if self.in_flight == 0 {
             self.last_answer_at = now;
