--- a/src/bin/molelug-simhost/main.rs
+++ b/src/bin/molelug-simhost/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the decision module on the bench's wire.
+//! Runs instances of the decision module for the simulation bench. Frames arrive on standard input
+//! and replies leave on standard output.
 
 mod wire;
 
@@ -39,10 +40,10 @@
                 }
                 Message::Event(event) => {
                     if let Some(instance) = instances.get_mut(&who) {
-                        // Each by itself, as they come to a gateway with time to spare.
+                        // Settles after each event, as in a gateway that is not under load.
                         instance.policy.take(now, event, &mut actions);
                         instance.policy.settle(now, &mut actions);
-                        // Nobody reads them here.
+                        // Discards the evidence changes, which are only for the log.
                         while instance.policy.next_evidence_change().is_some() {}
                     }
                 }
--- a/src/bin/molelug-simhost/wire.rs
+++ b/src/bin/molelug-simhost/wire.rs
@@ -1,4 +1,4 @@
-//! Frames and facts of the bench's wire, and nothing else: wire words end here.
+//! Encoding and decoding of the simulation bench's frames. No other module uses its codes.
 
 use std::fmt;
 use std::io::{self, Read, Write};
@@ -10,11 +10,11 @@
 };
 use molelug::settings::{self, Field};
 
-/// Bytes of an event record, an action record and a list entry.
+/// Sizes of an event record, an action record and a worker list entry, in bytes.
 const EVENT: usize = 56;
 const ACTION: usize = 24;
 const ENTRY: usize = 21;
-/// A frame longer than this is taken for a damaged length.
+/// The maximum frame length in bytes. A longer one indicates a corrupt length field.
 const LONGEST: usize = 1 << 30;
 
 /// Why a frame could not be read.
@@ -22,7 +22,7 @@
 pub enum WireError {
     /// Reading failed.
     Io(io::Error),
-    /// The frame is not what the wire page says.
+    /// The frame violates the wire format.
     Malformed(String),
 }
 
@@ -45,20 +45,20 @@
     Err(WireError::Malformed(what.into()))
 }
 
-/// One record of a batch.
+/// A decoded event record.
 #[derive(Debug)]
 pub enum Message {
     /// A new instance starts.
     Enlist(u64, Box<Settings>, Vec<Field>),
     /// An instance is killed.
     Killed,
-    /// Something for an instance's module.
+    /// An event for an instance's decision module.
     Event(Event),
-    /// Nothing that the module acts on.
+    /// A record that the module does not use.
     Ignored,
 }
 
-/// Reads a frame's body and record count and clock; `None` at a clean end of input.
+/// Reads a frame into `body`. Returns its record count and clock, or `None` at the end of input.
 pub fn read_frame(
     input: &mut impl Read,
     body: &mut Vec<u8>,
@@ -174,7 +174,7 @@
     Ok((count > 0).then_some(report))
 }
 
-/// Which instance record `index` of a frame is for.
+/// The instance that record `index` of a frame is for.
 pub fn instance(body: &[u8], index: usize) -> Result<u16, WireError> {
     u16_at(record(body, index)?, 1)
 }
@@ -186,7 +186,7 @@
     }
 }
 
-/// Reads record `index`; `fields` names the values of a load report at its instance.
+/// Decodes record `index`. `fields` lists the values of the instance's load reports.
 pub fn message(
     body: &[u8],
     count: usize,
@@ -296,7 +296,7 @@
     })
 }
 
-/// A reply under construction.
+/// Buffer for a reply frame.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -304,7 +304,7 @@
 }
 
 impl Reply {
-    /// Adds one action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, who: u16, action: &Action) {
         let start = self.records.len();
         let code = match action {
@@ -367,7 +367,7 @@
         self.count += 1;
     }
 
-    /// Writes the reply and empties it.
+    /// Writes the reply and clears the buffer.
     pub fn flush(&mut self, output: &mut impl Write) -> io::Result<()> {
         output.write_all(&(self.records.len() as u32).to_le_bytes())?;
         output.write_all(&self.count.to_le_bytes())?;
--- a/src/policy/evidence/change.rs
+++ b/src/policy/evidence/change.rs
@@ -1,40 +1,40 @@
-//! What an operator is told of: each change of what is known of discovery and of a worker.
+//! Changes of discovery and worker evidence that are reported to operators.
 
 use crate::api::{Micros, WorkerId};
 
-/// Why a worker is doubted although it is listed as ready.
+/// Why a worker that is listed as ready is doubted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DoubtReason {
     /// It rejected a call although it reported free capacity.
     RejectedWithCapacity,
-    /// It rejected several calls in a row and served none.
+    /// It rejected several consecutive calls and served none.
     RejectedRepeatedly,
-    /// It rejected several load orders in a row.
+    /// It rejected several consecutive load orders.
     LoadsRejected,
 }
 
 /// Why a worker is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspendReason {
-    /// There is no evidence left that is young enough.
+    /// All evidence has expired.
     EvidenceExpired,
-    /// A health check said that it takes nothing new.
+    /// It answered a health check that it accepts no new work.
     SaidDead,
-    /// Its process seems to be new; discovery may not have told of its start yet.
+    /// Its process seems to be new; discovery may not have announced its start yet.
     ProcessReplaced,
 }
 
 /// A change that is logged and counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvidenceChange {
-    /// Discovery has confirmed nothing for too long.
+    /// Discovery has not confirmed the list for too long.
     DiscoveryLost {
-        /// The age of the list; none if it was never confirmed.
+        /// The age of the list; `None` if it was never confirmed.
         list_age: Option<Micros>,
     },
     /// Discovery confirms the list again.
     DiscoveryHeard {
-        /// How long it was lost.
+        /// The time for which it was lost.
         lost_for: Micros,
     },
     /// A worker is doubted.
@@ -46,7 +46,7 @@
         /// The age of the latest evidence; none if there is none.
         evidence_age: Option<Micros>,
     },
-    /// A worker gets nothing new from now on.
+    /// A worker is sent no new work from now on.
     Suspended {
         /// The worker.
         worker: WorkerId,
@@ -55,13 +55,14 @@
         /// The age of the latest evidence; none if there is none.
         evidence_age: Option<Micros>,
     },
-    /// A worker may be sent to again.
+    /// A worker may be sent new work again.
     Resumed {
         /// The worker.
         worker: WorkerId,
-        /// Whether its process may have been replaced: its copies are forgotten and it is in slow start.
+        /// Whether its process may have been replaced. Its copies are then forgotten and it is in
+        /// slow start.
         new_process: bool,
-        /// How long it was suspended.
+        /// The time for which it was suspended.
         suspended_for: Micros,
     },
 }
--- a/src/policy/evidence/check_budget.rs
+++ b/src/policy/evidence/check_budget.rs
@@ -1,18 +1,18 @@
-//! How many health checks this instance may start: its part of what all instances together may ask
-//! of a worker.
+//! The budget of health checks of this instance: its share of the checks that all instances
+//! together may send to a worker.
 
 use crate::api::Micros;
 
-/// Health checks a second at one worker, from all instances together. A check takes a worker half a
-/// millisecond at most, so these take less than a hundredth of one of its cores.
+/// Health checks per second at one worker from all instances. A check takes at most half a
+/// millisecond of worker time, so these take less than a hundredth of one of its cores.
 const CHECKS_PER_WORKER_PER_S: f64 = 4.0;
-/// The least rate of one instance, so that one among very many can still find a worker.
+/// The minimum rate of one instance, so that one of very many instances can still find a worker.
 const MIN_CHECKS_PER_S: f64 = 0.5;
-/// How much of a second's checks may be started at once.
+/// The burst, in seconds' worth of checks.
 const BURST_S: f64 = 0.5;
-/// The least burst: a call that finds all workers in doubt is worth a check of two.
+/// The minimum burst: a call that finds all workers doubted justifies checks of two.
 const MIN_BURST: f64 = 2.0;
-/// The longest time for which an instance leaves such a worker alone, in fleets of any size.
+/// The maximum interval before an instance checks a failed worker again, in fleets of any size.
 const MAX_RETRY_INTERVAL: Micros = 10_000_000;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Adds what has come together since the last call, with so many workers to check.
+    /// Adds the checks accrued since the last call, for the given number of workers.
     pub(super) fn refill(&mut self, now: Micros, workers: usize) {
         let rate =
             (CHECKS_PER_WORKER_PER_S * workers as f64 / self.instances).max(MIN_CHECKS_PER_S);
@@ -43,18 +43,19 @@
         self.tokens = (self.tokens + rate * elapsed_s).min(burst);
     }
 
-    /// How long this instance leaves a worker alone whose check failed, as all others may find the same.
+    /// The interval before this instance checks a worker again after a failed check, as all other
+    /// instances may see the same failure.
     pub(super) fn retry_interval(&self) -> Micros {
         let fair_s = self.instances / CHECKS_PER_WORKER_PER_S;
         ((fair_s * MICROS_PER_SECOND) as Micros).min(MAX_RETRY_INTERVAL)
     }
 
-    /// Whether a check is left.
+    /// Whether the budget allows a check.
     pub(super) fn has_check(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one check if there is one left.
+    /// Takes one check from the budget, if available.
     pub(super) fn take(&mut self) -> bool {
         let has_check = self.has_check();
         if has_check {
--- a/src/policy/evidence/checks.rs
+++ b/src/policy/evidence/checks.rs
@@ -1,46 +1,49 @@
-//! Which workers are checked next, and how often.
+//! Selection and rate of health checks.
 
 use super::tracker::EvidenceTracker;
 use super::worker::{CheckState, WorkerEvidence};
 use crate::api::{FunctionId, Micros, WorkerId};
 use crate::policy::endpoints::rendezvous_hash;
 
-/// While discovery is lost, a worker in use is checked once its evidence is older than this.
+/// The age of its evidence, in microseconds, above which a worker in use is checked while discovery
+/// is lost.
 const REFRESH_AGE: Micros = 2_500_000;
-/// A worker is in use for so long after it was last sent to.
+/// The time after it was last sent a request or load order for which a worker counts as in use, in
+/// microseconds.
 const USE_WINDOW: Micros = 5_000_000;
-/// While discovery is heard, a doubted worker is checked only after this: the list may lag, and
-/// tell by itself.
+/// The age of a doubt, in microseconds, at which a worker is checked while discovery is available:
+/// the list may lag, and settle the doubt by itself.
 const DOUBT_PATIENCE: Micros = 2_000_000;
-/// Requests in so short a time make it worth looking for workers that are not in use.
+/// The time after a request, in microseconds, for which workers not in use are checked too.
 const DEMAND_WINDOW: Micros = 2_000_000;
-/// The least time between two checks of a worker.
+/// The minimum interval between two checks of a worker, in microseconds.
 const MIN_CHECK_INTERVAL: Micros = 250_000;
-/// The longest pause after checks that failed.
+/// The maximum of the interval as it grows with failed checks, in microseconds.
 const MAX_CHECK_INTERVAL: Micros = 2_000_000;
-/// How often the pause doubles at most.
+/// The maximum number of doublings of the interval.
 const MAX_DOUBLINGS: u32 = 3;
-/// A check of which nothing was heard by then counts as ended.
+/// The time after which a check without a result counts as ended, in microseconds.
 const CHECK_LOST_AFTER: Micros = 2_000_000;
 
-/// What a check is for; the first is the most urgent.
+/// Priority of a check, the highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It is in use and there is a reason to doubt it.
+    /// The worker is doubted.
     Doubted,
-    /// It is in use and its evidence grows old.
+    /// The worker is in use and its evidence is old.
     InUse,
-    /// It may be needed.
+    /// The worker may be needed.
     Wanted,
 }
 
 impl CheckState {
-    /// A check begins.
+    /// Records the start of a check.
     fn begin(&mut self, now: Micros) {
         self.sent_at = Some(now);
     }
 
-    /// A check has ended. One that failed is not repeated before `retry_interval`.
+    /// Records the end of a check. After a failure, the next check starts `retry_interval` later at
+    /// the earliest.
     pub(super) fn end(&mut self, now: Micros, alive: bool, retry_interval: Micros) {
         self.sent_at = None;
         self.failures = if alive { 0 } else { self.failures + 1 };
@@ -63,7 +66,8 @@
 }
 
 impl EvidenceTracker {
-    /// The workers whose health is checked now. Without a doubt, none is checked while discovery is heard.
+    /// The workers whose health check is due now. While discovery is available, only doubted and
+    /// suspended workers are checked.
     pub fn due_checks(&mut self, now: Micros) -> Vec<WorkerId> {
         if !self.may_check || !self.is_attentive(now) {
             return Vec::new();
@@ -82,7 +86,7 @@
             .filter(|(_, worker)| worker.check.may_begin(now))
             .filter_map(|(id, worker)| {
                 let urgency = urgency(now, worker, confirmed_at, is_lost, is_demanded)?;
-                // Each instance has an order of its own, so that they do not all check the same worker.
+                // Each instance has its own order, so that they do not all check the same worker.
                 Some((urgency, rendezvous_hash(seed, *id), *id))
             })
             .collect();
@@ -101,7 +105,7 @@
     }
 }
 
-/// How urgent a check of a worker is; none if there is no reason for one.
+/// The priority of a check of a worker; `None` if there is no reason for one.
 fn urgency(
     now: Micros,
     worker: &WorkerEvidence,
--- a/src/policy/evidence/contradiction.rs
+++ b/src/policy/evidence/contradiction.rs
@@ -1,18 +1,18 @@
-//! Workers that contradict the list: the stream that the list comes from may be stuck, and is opened
-//! anew.
+//! Reopening of the discovery stream when workers contradict the list: the stream may be stuck.
 
 use super::tracker::EvidenceTracker;
 use crate::api::Micros;
 
-/// A list that contradicts a worker for so long has its stream opened anew.
+/// The age of a contradiction, in microseconds, at which the stream is reopened.
 const REOPEN_AFTER: Micros = 3_000_000;
-/// How often at most.
+/// The minimum interval between two reopenings, in microseconds.
 const REOPEN_INTERVAL: Micros = 5_000_000;
-/// How often the interval doubles at most while new streams bring no update either.
+/// The maximum number of doublings of the interval while new streams deliver no update either.
 const MAX_REOPEN_DOUBLINGS: u32 = 2;
 
 impl EvidenceTracker {
-    /// For how long the list has named a worker as ready that has said that it is not.
+    /// The time for which the list has contained a worker as ready that answered a health check as
+    /// unavailable.
     pub(super) fn contradicted_for(&self, now: Micros) -> Option<Micros> {
         let first = self
             .workers
@@ -21,7 +21,7 @@
         first.min().map(|at| now.saturating_sub(at))
     }
 
-    /// For how long a worker has been doubted that no health check may be sent to.
+    /// The longest time that a worker has been doubted, where health checks are not allowed.
     fn doubted_for(&self, now: Micros) -> Option<Micros> {
         if self.may_check || !self.has_anomalies {
             return None;
@@ -33,12 +33,12 @@
         first.min().map(|at| now.saturating_sub(at))
     }
 
-    /// Whether the stream of discovery is to be opened anew, as it contradicts what a worker said or
-    /// did: it may be stuck. Less and less often while new streams bring no update either.
+    /// Whether to reopen the discovery stream now because the list contradicts a worker's answers.
+    /// Reopenings become less frequent while new streams deliver no update either.
     pub fn take_reopen(&mut self, now: Micros) -> bool {
         let doublings = self.reopenings.min(MAX_REOPEN_DOUBLINGS);
         let interval = REOPEN_INTERVAL << doublings;
-        // Instances do not all come at once.
+        // Spreads the reopenings of different instances.
         let spread = self.seed % (interval / 2);
         let contradicted_for = self.contradicted_for(now).max(self.doubted_for(now));
         let is_due = now >= self.reopened_at + interval + spread * u64::from(doublings > 0)
--- a/src/policy/evidence/discovery.rs
+++ b/src/policy/evidence/discovery.rs
@@ -1,40 +1,41 @@
-//! When service discovery last confirmed the list.
+//! Freshness of the endpoint list: when service discovery last confirmed it.
 
 use crate::api::{DiscoverySignal, Micros};
 
-/// Without a confirmation for so long, discovery is lost: more than two of its heartbeats are missing.
+/// The time without a confirmation after which discovery is lost: more than two heartbeats are
+/// missing.
 const LOST_AFTER: Micros = 2_500_000;
-/// Before the first confirmation discovery is lost after this.
+/// The time after the start at which discovery is lost if it has not confirmed the list.
 const START_TIMEOUT: Micros = 600_000;
-/// A new stream confirms the list once it has brought nothing for so long: what was missed comes first.
+/// The quiet time after which a new stream confirms the list: missed updates come first.
 const SETTLE_TIME: Micros = 200_000;
 
-/// What the stream of discovery does.
+/// State of the discovery stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stream {
     Closed,
-    /// It has answered and may still bring what was missed.
+    /// It has answered and may still deliver missed updates.
     Settling(Settling),
     Current,
 }
 
-/// How far a new stream has come.
+/// Progress of a new stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Settling {
-    /// It has brought nothing yet, or is in the middle of something.
+    /// It has delivered nothing yet, or only part of an update or heartbeat.
     Incomplete,
-    /// Its last complete heartbeat or update came then.
+    /// The time of its last complete heartbeat or update.
     QuietSince(Micros),
 }
 
-/// Whether discovery sends heartbeats, or a subscription holds until it is said to have failed.
+/// Whether discovery sends heartbeats, or a subscription is valid until it is reported as failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DiscoveryKind {
     Heartbeats,
     Subscription,
 }
 
-/// The age of the list.
+/// Tracks the age of the list.
 #[derive(Debug)]
 pub(super) struct DiscoveryFreshness {
     kind: DiscoveryKind,
@@ -42,19 +43,19 @@
     started_at: Micros,
     confirmed_at: Option<Micros>,
     /// When the list was last confirmed by more than a heartbeat: by an update, or by a new stream
-    /// that had brought all that was missed.
+    /// that had delivered all missed updates.
     delivered_at: Option<Micros>,
-    /// Whether the stream was opened anew because a worker contradicts the list. Such a stream has
-    /// to bring an update to confirm anything of that worker.
+    /// Whether the stream was reopened because a worker contradicts the list. Such a stream must
+    /// deliver an update to confirm anything about that worker.
     was_reopened: bool,
-    /// Whether events are held back: a worker was listed as ready for too long after it had said
-    /// that it is not. Only an update shows that events come again.
+    /// Whether updates seem to be withheld: a worker was listed as ready for too long after it had
+    /// answered that it is unavailable. Only an update shows that updates arrive again.
     is_held_back: bool,
-    /// Since when it is reported as lost.
+    /// The start of the loss, if discovery is reported as lost.
     lost_since: Option<Micros>,
 }
 
-/// A change that is worth reporting.
+/// A change to be reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DiscoveryChange {
     Lost,
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Takes a signal of the stream. A heartbeat confirms nothing while what a worker said
-    /// contradicts the list: events may be held back behind it.
+    /// Handles a signal of the stream. A heartbeat confirms nothing while a worker's answer
+    /// contradicts the list: updates may be withheld.
     pub(super) fn handle(&mut self, now: Micros, signal: DiscoverySignal, is_contradicted: bool) {
         self.settle(now);
         if signal == DiscoverySignal::Update {
@@ -125,12 +126,13 @@
         }
     }
 
-    /// The list has contradicted a worker for longer than it may lag.
+    /// Marks updates as withheld after the list has contradicted a worker for longer than it may
+    /// lag.
     pub(super) fn hold_back(&mut self) {
         self.is_held_back = true;
     }
 
-    /// The stream is about to be opened anew, because a worker contradicts the list.
+    /// Records that the stream is reopened because a worker contradicts the list.
     pub(super) fn reopen(&mut self) {
         self.was_reopened = true;
     }
@@ -143,12 +145,13 @@
         }
     }
 
-    /// Whether a stream is open that can be opened anew.
+    /// Whether an open stream can be reopened.
     pub(super) fn has_stream(&self) -> bool {
         self.kind == DiscoveryKind::Heartbeats && self.stream == Stream::Current
     }
 
-    /// A stream that has been quiet for long enough has brought all that was missed.
+    /// Marks a stream as current once it has been quiet for long enough to have delivered all
+    /// missed updates.
     fn settle(&mut self, now: Micros) {
         if let Stream::Settling(Settling::QuietSince(quiet_since)) = self.stream {
             if now >= quiet_since + SETTLE_TIME {
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Brings the state up to date; returns a change that is to be reported.
+    /// Updates the state. Returns a change to be reported.
     pub(super) fn tick(&mut self, now: Micros) -> Option<DiscoveryChange> {
         self.settle(now);
         match (self.is_lost(now), self.lost_since) {
--- a/src/policy/evidence/mod.rs
+++ b/src/policy/evidence/mod.rs
@@ -1,15 +1,14 @@
-//! How recently each worker is known to have taken new work, and what follows from it.
+//! Evidence that workers accept new work, and the decisions that follow from it.
 //!
-//! Service discovery counts as having told of a drain after a fixed time, whether it was in reach
-//! or not. A worker may therefore be sent new work only while there is evidence, younger than that
-//! time and the grace, that it had not begun to drain. Evidence is a list that discovery confirmed,
-//! a call that the worker served, and a health check that it answered as alive. An answer to a load
-//! query is none: a draining worker gives it too.
+//! Service discovery counts as having announced a drain after a fixed time, even if it was
+//! unreachable. A worker may therefore be sent new work only while there is evidence, younger than
+//! that time plus the grace, that it had not begun to drain. Evidence is a list confirmed by
+//! discovery, a call that the worker served, or a health check that it answered as alive. An answer
+//! to a load query is not evidence: a draining worker gives it too.
 //!
 //! The tracker is a state machine without I/O on the caller's monotonic clock. It suspends workers
-//! whose evidence has expired, has workers checked where that is allowed, and resumes them.
-//! Everything it keeps is kept for workers that are listed as ready, and goes when they leave the
-//! list.
+//! whose evidence has expired, requests health checks where they are allowed, and resumes workers.
+//! It keeps state only for workers that are listed as ready, and drops it when they leave the list.
 
 mod change;
 mod check_budget;
--- a/src/policy/evidence/spans.rs
+++ b/src/policy/evidence/spans.rs
@@ -1,26 +1,28 @@
-//! How long evidence holds.
+//! Validity periods of evidence.
 
 use crate::api::{Micros, Settings};
 
-/// What is left between the last send that evidence allows and the first that would be too late:
-/// clocks are read and bytes written at different moments.
+/// Safety margin between the last send that evidence allows and the first that would be too late,
+/// in microseconds: clocks are read and bytes written at different moments.
 const MARGIN: Micros = 300_000;
-/// How late the list may be when discovery confirms it: a worker may have begun to drain so long before.
+/// The maximum lag of the list when discovery confirms it, in microseconds: a worker may have begun
+/// to drain that long before.
 const LIST_LAG: Micros = 2_000_000;
 
-/// The times that the settings give, less the margins.
+/// Validity periods from the settings, less the margins.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Spans {
-    /// After this, what discovery would have told counts as told.
+    /// The time after which changes at discovery count as known to this instance.
     pub(super) told_after: Micros,
-    /// How long after evidence that came from the worker itself it may be sent to.
+    /// The time after evidence from the worker itself during which it may be sent new work.
     pub(super) own: Micros,
-    /// How long after discovery last confirmed the list a listed worker may be sent to.
+    /// The time after discovery last confirmed the list during which a listed worker may be sent
+    /// new work.
     pub(super) list: Micros,
 }
 
 impl Spans {
-    /// The spans of a deployment whose list ages; none if it does not.
+    /// Computes the periods from the settings; `None` if the list does not expire.
     pub(super) fn from_settings(settings: &Settings) -> Option<Spans> {
         let told_after = settings.list_max_age?;
         let last_send = told_after + settings.drain_grace;
--- a/src/policy/evidence/tracker.rs
+++ b/src/policy/evidence/tracker.rs
@@ -9,34 +9,34 @@
 use super::worker::{DoubtPolicy, ReportedCapacity, WorkerEvidence};
 use crate::api::{DiscoverySignal, Micros, Settings, WorkerId, WorkerStatus};
 
-/// What a health check found.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckResult {
-    /// The worker takes new work.
+    /// The worker accepts new work.
     Alive,
-    /// The worker answers that it does not.
+    /// The worker answers that it accepts no new work.
     Dead,
-    /// Nothing was heard, which proves nothing.
+    /// No answer arrived, which proves nothing.
     NoAnswer,
 }
 
-/// Tracks the evidence of workers; see the module.
+/// Tracks the evidence of workers; see the module documentation.
 #[derive(Debug)]
 pub struct EvidenceTracker {
-    /// None where the list does not age: every listed worker may then be sent to.
+    /// `None` if the list does not expire: every listed worker may then be sent new work.
     pub(super) spans: Option<Spans>,
     pub(super) may_check: bool,
     pub(super) seed: u64,
     pub(super) discovery: DiscoveryFreshness,
     pub(super) workers: BTreeMap<WorkerId, WorkerEvidence>,
     pub(super) budget: CheckBudget,
-    /// When a request last came.
+    /// When a request last arrived.
     pub(super) demanded_at: Option<Micros>,
-    /// Whether some worker is doubted, suspended or held back.
+    /// Whether any worker may be doubted, suspended or reported as ended.
     pub(super) has_anomalies: bool,
-    /// When the stream of discovery was last asked to be opened anew.
+    /// When the discovery stream was last reopened.
     pub(super) reopened_at: Micros,
-    /// How often it was since its last update.
+    /// The number of reopenings since the last update.
     pub(super) reopenings: u32,
     pub(super) changes: VecDeque<EvidenceChange>,
 }
@@ -48,7 +48,7 @@
 }
 
 impl EvidenceTracker {
-    /// A tracker that knows no worker yet.
+    /// Creates a tracker without workers.
     pub fn new(settings: &Settings, seed: u64, now: Micros) -> EvidenceTracker {
         let kind = if settings.discovery_heartbeats {
             DiscoveryKind::Heartbeats
@@ -81,24 +81,25 @@
             .is_some_and(|worker| worker.may_send(now, spans, confirmed_at))
     }
 
-    /// Whether a worker rejected what it had capacity for, and nothing has settled since whether it drains.
+    /// Whether a worker is doubted: it rejected work in an unexpected way, and no evidence since
+    /// has shown whether it drains.
     pub fn is_doubted(&self, id: WorkerId) -> bool {
         let worker = self.workers.get(&id);
         worker.is_some_and(|worker| worker.doubt.is_some())
     }
 
-    /// Whether some worker may be doubted, suspended or held back. It saves the look at each of
-    /// them on ordinary days.
+    /// Whether any worker may be doubted, suspended or reported as ended. If not, callers need not
+    /// look at each worker.
     pub fn has_anomalies(&self) -> bool {
         self.has_anomalies
     }
 
-    /// Whether a worker is doubted and a health check is going to settle it.
+    /// Whether a worker is doubted and a health check will settle the doubt.
     pub fn awaits_check(&self, id: WorkerId) -> bool {
         self.may_check && self.is_doubted(id)
     }
 
-    /// The stream of discovery has given a sign.
+    /// Handles a signal of the discovery stream.
     pub fn on_discovery(&mut self, now: Micros, signal: DiscoverySignal) {
         if self.spans.is_none() {
             return;
@@ -111,7 +112,7 @@
         if signal == DiscoverySignal::Update {
             self.reopenings = 0;
             if !self.may_check {
-                // Events are not held back; what the list says of a doubted worker holds.
+                // Updates arrive, so the list is valid for doubted workers too.
                 self.drop_doubts();
             }
         }
@@ -123,7 +124,8 @@
         }
     }
 
-    /// The list describes a worker; `restarted` says that it names another start of its process than before.
+    /// Applies a list entry. `restarted` states that it names a later process start than the
+    /// previous entry.
     pub fn on_listed(&mut self, id: WorkerId, status: WorkerStatus, restarted: bool) {
         if self.spans.is_none() {
             return;
@@ -133,31 +135,31 @@
             return;
         }
         let worker = self.workers.entry(id).or_default();
-        // Whether it may be used is found when the state is next brought up to date.
+        // The next update determines whether it may be used.
         self.has_anomalies |= !worker.is_available;
         if restarted {
             worker.begin_process();
         }
     }
 
-    /// A complete list has come; others than these are not listed any more.
+    /// Removes workers that a complete list does not contain.
     pub fn retain_listed(&mut self, is_listed: impl Fn(WorkerId) -> bool) {
         self.workers.retain(|id, _| is_listed(*id));
     }
 
-    /// A request has come.
+    /// Records the arrival of a request.
     pub fn on_request(&mut self, now: Micros) {
         self.demanded_at = Some(now);
     }
 
-    /// An attempt or a load order is sent.
+    /// Records that an attempt or a load order is sent.
     pub fn on_sent(&mut self, now: Micros, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.used_at = now;
         }
     }
 
-    /// A worker served what was sent to it at `sent_at`.
+    /// Records that a worker served a request sent at `sent_at`.
     pub fn on_served(&mut self, now: Micros, id: WorkerId, sent_at: Micros) {
         self.record_served(now, id, sent_at, None);
     }
@@ -170,7 +172,7 @@
         worker.record_served(now, at, opened_at, spans, confirmed_at);
     }
 
-    /// A worker rejected a call that was sent to it at `sent_at`.
+    /// Records that a worker rejected a call sent at `sent_at`.
     pub fn on_rejected(
         &mut self,
         now: Micros,
@@ -186,7 +188,7 @@
         self.report_doubt(now, id, doubt);
     }
 
-    /// A worker rejected a load order.
+    /// Records that a worker rejected a load order.
     pub fn on_load_rejected(&mut self, now: Micros, id: WorkerId) {
         let policy = self.doubt_policy(now);
         let doubt = self
@@ -196,7 +198,7 @@
         self.report_doubt(now, id, doubt);
     }
 
-    /// What settles a doubt that begins now.
+    /// How a doubt that begins now is settled.
     fn doubt_policy(&self, now: Micros) -> DoubtPolicy {
         if self.may_check {
             DoubtPolicy::HealthCheck
@@ -205,14 +207,14 @@
         }
     }
 
-    /// A worker that served reported its capacity.
+    /// Records the capacity that a worker reported with a served request.
     pub fn on_reported(&mut self, id: WorkerId, capacity: ReportedCapacity) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.reported_capacity = capacity;
         }
     }
 
-    /// A worker loaded a copy that was ordered.
+    /// Records that a worker carried out a load order.
     pub fn on_loaded(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.record_load();
@@ -232,8 +234,8 @@
         });
     }
 
-    /// Nothing accepts connections at a worker's address: its process has ended. While discovery is
-    /// in reach, it is for the list to say what that means.
+    /// Records that a worker's address refuses connections: its process has ended. While discovery
+    /// is available, the list alone decides.
     pub fn on_process_gone(&mut self, now: Micros, id: WorkerId) {
         if self.spans.is_none() || !self.discovery.is_lost(now) {
             return;
@@ -244,8 +246,8 @@
         }
     }
 
-    /// A health check has ended. It was sent at `sent_at`, on a connection opened at `opened_at` if
-    /// that is known.
+    /// Records the end of a health check that was sent at `sent_at`, on a connection opened at
+    /// `opened_at` if known.
     pub fn on_checked(
         &mut self,
         now: Micros,
@@ -271,7 +273,7 @@
         }
     }
 
-    /// Brings the state up to date. Returns the workers that are suspended or resumed by it.
+    /// Updates the state. Returns the workers that it suspends or resumes.
     pub fn tick(&mut self, now: Micros) -> Vec<(WorkerId, Availability)> {
         let Some(spans) = self.spans else {
             return Vec::new();
@@ -296,7 +298,8 @@
         self.update_availability(now, &spans)
     }
 
-    /// Discovery is in reach again: whether a process is gone is its to say from now on.
+    /// Drops doubts and ended processes when discovery is available again: the list decides from
+    /// now on.
     fn list_is_confirmed(&mut self) {
         for worker in self.workers.values_mut() {
             let was_gone = worker.gone_at.take().is_some();
@@ -305,7 +308,7 @@
         }
     }
 
-    /// Whether workers have to be looked at one by one.
+    /// Whether the state of each worker has to be examined.
     pub(super) fn is_attentive(&self, now: Micros) -> bool {
         self.spans.is_some() && (self.has_anomalies || self.discovery.is_lost(now))
     }
@@ -322,7 +325,7 @@
                     worker.is_available = true;
                     let new_process = std::mem::take(&mut worker.is_new_process);
                     changed.push((*id, Availability::Resumed { new_process }));
-                    // A worker that is used for the first time was not suspended.
+                    // A worker that becomes available for the first time was not suspended.
                     changes.extend(worker.suspended_since.take().map(|since| {
                         EvidenceChange::Resumed {
                             worker: *id,
@@ -353,12 +356,12 @@
     }
 }
 
-/// Whether a worker may be sent new work from now on.
+/// A change of whether a worker may be sent new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It may not.
+    /// It may no longer be sent new work.
     Suspended,
-    /// It may.
+    /// It may be sent new work again, or for the first time.
     Resumed {
         /// Whether its process may have been replaced.
         new_process: bool,
--- a/src/policy/evidence/view.rs
+++ b/src/policy/evidence/view.rs
@@ -1,18 +1,18 @@
-//! What operators and other processes of the gateway are told.
+//! The evidence as reported to operators and passed to other processes of the gateway.
 
 use super::change::EvidenceChange;
 use super::tracker::EvidenceTracker;
 use crate::api::{Micros, WorkerId};
 
-/// Changes that are kept until they are taken; further ones are dropped.
+/// The maximum number of pending changes; further ones are dropped.
 const MAX_CHANGES: usize = 4096;
 
-/// How old the latest evidence of a worker is.
+/// Age of the latest evidence of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerEvidenceAge {
     /// The worker.
     pub worker: WorkerId,
-    /// The age; none if there is no evidence.
+    /// The age; `None` if there is no evidence.
     pub age: Option<Micros>,
     /// Whether it is suspended.
     pub suspended: bool,
@@ -25,19 +25,21 @@
         }
     }
 
-    /// The next change that is to be logged.
+    /// The next change to be logged.
     pub fn next_change(&mut self) -> Option<EvidenceChange> {
         self.changes.pop_front()
     }
 
-    /// The age of the list; none if discovery has not confirmed it since the start, or the list does not age.
+    /// The age of the list; `None` if discovery has not confirmed it since the start, or the list
+    /// does not expire.
     pub fn list_age(&self, now: Micros) -> Option<Micros> {
         self.discovery
             .confirmed_at(now)
             .map(|at| now.saturating_sub(at))
     }
 
-    /// Whether discovery has confirmed the list since the start, or has had the time to do so.
+    /// Whether discovery has confirmed the list since the start, or the time allowed for that is
+    /// over.
     pub fn has_begun(&self, now: Micros) -> bool {
         self.spans.is_none()
             || self.discovery.confirmed_at(now).is_some()
@@ -55,7 +57,7 @@
         Some(now.saturating_sub(latest))
     }
 
-    /// The evidence of every worker that is listed as ready.
+    /// The age of the evidence of every worker that is listed as ready.
     pub fn evidence_ages(&self, now: Micros) -> Vec<WorkerEvidenceAge> {
         let confirmed_at = self.discovery.confirmed_at(now);
         self.workers
@@ -68,8 +70,8 @@
             .collect()
     }
 
-    /// The workers that may be sent to and showed by themselves that they take new work, and when.
-    /// What the list says of them is not part of it: that holds for a shorter time.
+    /// The workers that may be sent new work and gave evidence of that themselves, with the time of
+    /// that evidence. Evidence from the list is not included: it is valid for a shorter time.
     pub fn served_evidence(&self, now: Micros) -> Vec<(WorkerId, Micros)> {
         self.workers
             .iter()
@@ -78,7 +80,7 @@
             .collect()
     }
 
-    /// Takes over evidence that another process of this gateway had at `at`.
+    /// Takes over evidence of time `at` from another process of this gateway.
     pub fn adopt(&mut self, id: WorkerId, at: Micros) {
         if let Some(worker) = self.workers.get_mut(&id) {
             if worker.said_dead_at.is_none() && worker.gone_at.is_none() {
--- a/src/policy/evidence/worker.rs
+++ b/src/policy/evidence/worker.rs
@@ -1,63 +1,63 @@
-//! What is known of one worker that is listed as ready.
+//! Evidence about one worker that is listed as ready.
 
 use super::change::DoubtReason;
 use super::spans::Spans;
 use crate::api::{LoadReport, Micros};
 
-/// Requests in flight that a worker reports at most while it has free capacity.
+/// The maximum of reported requests in flight with which a worker has free capacity.
 const FREE_IN_FLIGHT: f32 = 3.0;
-/// The share of pinned memory that it reports at most while it has free capacity.
+/// The maximum fraction of pinned memory with which it has free capacity.
 const FREE_PINNED_MEMORY: f32 = 0.7;
-/// Rejections in a row that make a worker doubted if its answers carry no load report.
+/// Consecutive rejections from which a worker is doubted if its answers carry no load report.
 const MAX_BARE_REJECTIONS: u32 = 2;
-/// Rejections in a row that make it doubted whatever it reports.
+/// Consecutive rejections from which it is doubted whatever it reports.
 const MAX_REJECTIONS: u32 = 6;
-/// Load orders rejected in a row that make it doubted.
+/// Consecutive rejected load orders from which it is doubted.
 const MAX_LOAD_REJECTIONS: u32 = 3;
-/// A process cannot end and another take calls within this.
+/// The minimum time in which a process can end and a new one accept calls, in microseconds.
 const MIN_RESTART_TIME: Micros = 1_000_000;
 
-/// A reason to check a worker, and since when there is one.
+/// A doubt whether a worker still accepts new work.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Doubt {
     pub(super) since: Micros,
-    /// The latest confirmation of the list that still counts for the worker.
+    /// The latest list confirmation that still counts for the worker.
     pub(super) listed_until: Micros,
 }
 
-/// What settles the doubts of a worker.
+/// How doubts about a worker are settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DoubtPolicy {
     /// A health check.
     HealthCheck,
-    /// Nothing that this instance can ask for: only what was delivered by then, and not a mere
-    /// heartbeat, counts for a doubted worker, as it may have drained unheard since.
+    /// This instance cannot settle them itself. For a doubted worker, only list updates delivered
+    /// by this time count, not heartbeats, as it may have begun to drain since.
     ListDeliveredAt(Micros),
 }
 
-/// Rejections without anything served in between.
+/// Rejections since the worker last served a call.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rejections {
     calls: u32,
     loads: u32,
-    /// When the first of them was sent.
+    /// When the first rejected call was sent.
     since: Micros,
 }
 
-/// What a rejected call's answer told of the worker's capacity.
+/// The capacity reported with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportedCapacity {
-    /// It has free capacity, and rejects all the same.
+    /// It has free capacity.
     Free,
-    /// It has none, or limits what it takes.
+    /// It has none, or limits the class.
     Used,
-    /// It told too little to say.
+    /// The answer contains too little data.
     #[default]
     Unknown,
 }
 
 impl ReportedCapacity {
-    /// What a load report tells.
+    /// Evaluates a load report.
     pub fn from_report(report: Option<LoadReport>) -> ReportedCapacity {
         let report = report.unwrap_or_default();
         match (report.in_flight, report.pinned_memory) {
@@ -72,26 +72,26 @@
     }
 }
 
-/// One worker. Instants are 0 if they have not come yet.
+/// Evidence about one worker. Instants are 0 if the event has not occurred.
 #[derive(Debug, Default)]
 pub(super) struct WorkerEvidence {
-    /// The latest instant at which it is known from the worker itself that it took new work.
+    /// The latest instant at which the worker itself showed that it accepted new work.
     pub(super) served_at: Option<Micros>,
     pub(super) doubt: Option<Doubt>,
     rejections: Rejections,
-    /// What its last answer told of its capacity.
+    /// The capacity reported with its last answer.
     pub(super) reported_capacity: ReportedCapacity,
-    /// When a health check said that it takes nothing new.
+    /// When the health check was sent that it answered as unavailable.
     pub(super) said_dead_at: Option<Micros>,
-    /// When its process was seen to be gone, while discovery was lost.
+    /// When its process was found to have ended, while discovery was lost.
     pub(super) gone_at: Option<Micros>,
-    /// Whether its process may be another than the one whose copies are known.
+    /// Whether its process may be a new one, without the known copies.
     pub(super) is_new_process: bool,
-    /// It is not used before this instant.
+    /// The earliest instant at which it may be used.
     pub(super) usable_from: Micros,
-    /// Whether it was said to be usable when the state was last brought up to date.
+    /// Whether it could be sent new work at the last update.
     pub(super) is_available: bool,
-    /// Since when it is not, if it was before.
+    /// When it was suspended.
     pub(super) suspended_since: Option<Micros>,
     pub(super) used_at: Micros,
     pub(super) check: CheckState,
@@ -103,12 +103,12 @@
     /// When the check in flight was sent.
     pub(super) sent_at: Option<Micros>,
     pub(super) next_at: Micros,
-    /// Checks in a row that were not answered as alive.
+    /// Consecutive checks that were not answered as alive.
     pub(super) failures: u32,
 }
 
 impl WorkerEvidence {
-    /// The list names a new process: what was known of the old one is forgotten.
+    /// Forgets the evidence about the previous process when the list reports a new one.
     pub(super) fn begin_process(&mut self) {
         *self = WorkerEvidence {
             is_available: self.is_available,
@@ -119,13 +119,13 @@
         };
     }
 
-    /// The latest evidence, given when discovery last confirmed the list.
+    /// The latest evidence, given the time at which discovery last confirmed the list.
     pub(super) fn latest(&self, confirmed_at: Option<Micros>) -> Option<Micros> {
         self.served_at.max(self.listed_at(confirmed_at))
     }
 
-    /// When the list last was evidence: a confirmation after a doubt began is none, as events may
-    /// be held back.
+    /// When the list was last evidence. A confirmation after a doubt began does not count, as
+    /// updates may be withheld.
     fn listed_at(&self, confirmed_at: Option<Micros>) -> Option<Micros> {
         if self.said_dead_at.is_some() || self.gone_at.is_some() {
             return None;
@@ -149,8 +149,8 @@
         now < own.max(listed)
     }
 
-    /// The worker took new work at `at`, on a connection that was opened at `opened_at` if that is
-    /// known. Returns whether that counts.
+    /// Records that the worker accepted new work at `at`, on a connection opened at `opened_at` if
+    /// known. Returns whether it counts as evidence.
     pub(super) fn record_served(
         &mut self,
         now: Micros,
@@ -168,10 +168,10 @@
             let on_old_connection = opened_at.is_some_and(|opened_at| opened_at <= latest);
             on_old_connection || at.saturating_sub(latest) < MIN_RESTART_TIME
         });
-        // Without a sign that its process ended, one that was only not heard of is taken for the
-        // same: what reaches it from a gateway that did not use it is little.
+        // Without a sign that its process ended, a worker whose evidence only expired is assumed to
+        // be the same process: a gateway that did not use it sends it little.
         if contrary.is_some() && !same_process {
-            // Discovery may tell of the start as late as of a drain.
+            // Discovery may announce the start as late as a drain.
             self.usable_from = now + spans.told_after;
             self.is_new_process = true;
         }
@@ -185,10 +185,10 @@
         true
     }
 
-    /// The worker rejected a call; returns the doubt that follows, if it is new.
+    /// Records a rejected call. Returns the reason if a new doubt begins.
     ///
-    /// Where no health check can settle a doubt, only a rejection despite reported free capacity
-    /// raises one: an overloaded worker would be lost for good otherwise.
+    /// If no health check can settle a doubt, only a rejection despite reported free capacity
+    /// raises one: otherwise an overloaded worker would stay suspended.
     pub(super) fn record_rejection(
         &mut self,
         sent_at: Micros,
@@ -214,10 +214,10 @@
         self.begin_doubt(since, policy).then_some(reason)
     }
 
-    /// The worker rejected a load order; returns the doubt that follows, if it is new.
+    /// Records a rejected load order. Returns the reason if a new doubt begins.
     ///
-    /// A full worker rejects load orders as one that drains does. Where no health check can tell
-    /// them apart, only a worker whose last answer reported free capacity is doubted.
+    /// A full worker rejects load orders as a draining one does. If no health check can tell them
+    /// apart, only a worker whose last answer reported free capacity is doubted.
     pub(super) fn record_load_rejection(
         &mut self,
         sent_at: Micros,
@@ -230,12 +230,12 @@
         (is_doubtful && self.begin_doubt(sent_at, policy)).then_some(DoubtReason::LoadsRejected)
     }
 
-    /// The worker loaded a copy that was ordered.
+    /// Records a successful load order.
     pub(super) fn record_load(&mut self) {
         self.rejections.loads = 0;
     }
 
-    /// Begins a doubt; returns whether there was none.
+    /// Begins a doubt. Returns false if the worker is already doubted or unavailable.
     fn begin_doubt(&mut self, since: Micros, policy: DoubtPolicy) -> bool {
         if self.doubt.is_some() || self.said_dead_at.is_some() {
             return false;
