--- a/src/bin/molelug-simhost/main.rs
+++ b/src/bin/molelug-simhost/main.rs
@@ -23,23 +23,25 @@
     let (mut body, mut actions, mut reply) = (Vec::new(), Vec::new(), Reply::default());
     while let Some((count, now)) = wire::read_frame(&mut input, &mut body)? {
         for index in 0..count {
-            let who = wire::instance(&body, index)?;
-            let fields = instances.get(&who).map_or(&[][..], |i| &i.fields);
+            let instance_id = wire::instance(&body, index)?;
+            let fields = instances
+                .get(&instance_id)
+                .map_or(&[][..], |instance| &instance.fields);
             match wire::message(&body, count, index, fields)? {
-                Message::Enlist(seed, settings, fields) => {
+                Message::Start(seed, settings, fields) => {
                     instances.insert(
-                        who,
+                        instance_id,
                         Instance {
                             policy: Policy::new(*settings, seed, now),
                             fields,
                         },
                     );
                 }
-                Message::Killed => {
-                    instances.remove(&who);
+                Message::Kill => {
+                    instances.remove(&instance_id);
                 }
                 Message::Event(event) => {
-                    if let Some(instance) = instances.get_mut(&who) {
+                    if let Some(instance) = instances.get_mut(&instance_id) {
                         // Settles after each event, as in a gateway that is not under load.
                         instance.policy.take(now, event, &mut actions);
                         instance.policy.settle(now, &mut actions);
@@ -50,7 +52,7 @@
                 Message::Ignored => {}
             }
             for action in actions.drain(..) {
-                reply.push(who, &action);
+                reply.push(instance_id, &action);
             }
         }
         reply.flush(&mut output)?;
--- a/src/bin/molelug-simhost/wire.rs
+++ b/src/bin/molelug-simhost/wire.rs
@@ -11,11 +11,11 @@
 use molelug::settings::{self, Field};
 
 /// Sizes of an event record, an action record and a worker list entry, in bytes.
-const EVENT: usize = 56;
-const ACTION: usize = 24;
-const ENTRY: usize = 21;
+const EVENT_BYTES: usize = 56;
+const ACTION_BYTES: usize = 24;
+const ENTRY_BYTES: usize = 21;
 /// The maximum frame length in bytes. A longer one indicates a corrupt length field.
-const LONGEST: usize = 1 << 30;
+const MAX_FRAME_BYTES: usize = 1 << 30;
 
 /// Why a frame could not be read.
 #[derive(Debug)]
@@ -29,8 +29,8 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Io(e) => write!(f, "cannot read the wire: {e}"),
-            WireError::Malformed(what) => write!(f, "malformed frame: {what}"),
+            WireError::Io(e) => write!(f, "cannot read input: {e}"),
+            WireError::Malformed(reason) => write!(f, "malformed frame: {reason}"),
         }
     }
 }
@@ -41,17 +41,17 @@
     }
 }
 
-fn bad<T>(what: impl Into<String>) -> Result<T, WireError> {
-    Err(WireError::Malformed(what.into()))
+fn malformed<T>(reason: impl Into<String>) -> Result<T, WireError> {
+    Err(WireError::Malformed(reason.into()))
 }
 
 /// A decoded event record.
 #[derive(Debug)]
 pub enum Message {
     /// A new instance starts.
-    Enlist(u64, Box<Settings>, Vec<Field>),
+    Start(u64, Box<Settings>, Vec<Field>),
     /// An instance is killed.
-    Killed,
+    Kill,
     /// An event for an instance's decision module.
     Event(Event),
     /// A record that the module does not use.
@@ -64,12 +64,12 @@
     body: &mut Vec<u8>,
 ) -> Result<Option<(usize, Micros)>, WireError> {
     let mut head = [0u8; 16];
-    let mut got = 0;
-    while got < head.len() {
-        match input.read(&mut head[got..]) {
-            Ok(0) if got == 0 => return Ok(None),
-            Ok(0) => return bad("input ends within a header"),
-            Ok(n) => got += n,
+    let mut received = 0;
+    while received < head.len() {
+        match input.read(&mut head[received..]) {
+            Ok(0) if received == 0 => return Ok(None),
+            Ok(0) => return malformed("input ends within a header"),
+            Ok(n) => received += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e.into()),
         }
@@ -77,12 +77,12 @@
     let length = u32_at(&head, 0)? as usize;
     let count = u32_at(&head, 4)? as usize;
     let clock = micros(f64_at(&head, 8)?);
-    if length > LONGEST || count.checked_mul(EVENT).is_none_or(|n| n > length) {
-        return bad(format!("{count} records do not fit in {length} bytes"));
+    if length > MAX_FRAME_BYTES || count.checked_mul(EVENT_BYTES).is_none_or(|n| n > length) {
+        return malformed(format!("{count} records do not fit in {length} bytes"));
     }
     body.clear();
     if input.take(length as u64).read_to_end(body)? < length {
-        return bad("input ends within a frame");
+        return malformed("input ends within a frame");
     }
     Ok(Some((count, clock)))
 }
@@ -90,7 +90,7 @@
 fn bytes<const N: usize>(b: &[u8], at: usize) -> Result<[u8; N], WireError> {
     match b.get(at..at + N).and_then(|s| s.try_into().ok()) {
         Some(a) => Ok(a),
-        None => bad("field past the end of its record"),
+        None => malformed("field extends past the end of its record"),
     }
 }
 fn u8_at(b: &[u8], at: usize) -> Result<u8, WireError> {
@@ -129,13 +129,13 @@
 ) -> Result<&'a [u8], WireError> {
     let start = u32_at(record, at)? as usize;
     let length = (u32_at(record, at + 4)? as usize).saturating_mul(size);
-    let tail = &body[count * EVENT..];
+    let tail = &body[count * EVENT_BYTES..];
     match start
         .checked_add(length)
         .and_then(|end| tail.get(start..end))
     {
         Some(part) => Ok(part),
-        None => bad("a record points past the end of the tail"),
+        None => malformed("record refers to data past the end of the frame"),
     }
 }
 
@@ -150,14 +150,16 @@
         7 => Outcome::Cancelled,
         8 => Outcome::NotSent,
         9 => Outcome::Miss,
-        other => return bad(format!("unknown outcome {other}")),
+        other => return malformed(format!("unknown outcome {other}")),
     })
 }
 
 fn report(record: &[u8], at: usize, fields: &[Field]) -> Result<Option<LoadReport>, WireError> {
     let count = u8_at(record, at)? as usize;
     if count > 4 {
-        return bad(format!("a load report of {count} values"));
+        return malformed(format!(
+            "load report has {count} values, at most 4 are allowed"
+        ));
     }
     let mut report = LoadReport::default();
     for (i, field) in fields.iter().take(count).enumerate() {
@@ -180,9 +182,9 @@
 }
 
 fn record(body: &[u8], index: usize) -> Result<&[u8], WireError> {
-    match body.get(index * EVENT..(index + 1) * EVENT) {
+    match body.get(index * EVENT_BYTES..(index + 1) * EVENT_BYTES) {
         Some(r) => Ok(r),
-        None => bad("record past the end of the frame"),
+        None => malformed("record extends past the end of the frame"),
     }
 }
 
@@ -193,106 +195,110 @@
     index: usize,
     fields: &[Field],
 ) -> Result<Message, WireError> {
-    let r = record(body, index)?;
-    Ok(Message::Event(match r[0] {
+    let event = record(body, index)?;
+    Ok(Message::Event(match event[0] {
         8 => {
-            let text = String::from_utf8_lossy(tail(body, count, r, 11, 1)?).into_owned();
+            let text = String::from_utf8_lossy(tail(body, count, event, 11, 1)?).into_owned();
             let (settings, fields) = settings::from_map(&settings::lines(&text));
-            return Ok(Message::Enlist(u64_at(r, 3)?, Box::new(settings), fields));
+            return Ok(Message::Start(
+                u64_at(event, 3)?,
+                Box::new(settings),
+                fields,
+            ));
         }
-        5 => return Ok(Message::Killed),
+        5 => return Ok(Message::Kill),
         10 => {
-            tail(body, count, r, 5, 1)?;
+            tail(body, count, event, 5, 1)?;
             return Ok(Message::Ignored);
         }
         3 => {
-            let kind = match u8_at(r, 3)? {
+            let kind = match u8_at(event, 3)? {
                 0 => ListUpdate::Delta,
                 1 => ListUpdate::Snapshot,
                 2 => ListUpdate::Cached,
                 3 => ListUpdate::Failed,
-                other => return bad(format!("unknown kind of list {other}")),
+                other => return malformed(format!("unknown list update kind {other}")),
             };
-            let entries = tail(body, count, r, 8, ENTRY)?;
+            let entries = tail(body, count, event, 8, ENTRY_BYTES)?;
             Event::WorkerList {
                 update: kind,
                 workers: entries
-                    .chunks_exact(ENTRY)
-                    .map(member)
+                    .chunks_exact(ENTRY_BYTES)
+                    .map(worker_entry)
                     .collect::<Result<_, _>>()?,
             }
         }
         1 => Event::Request(Arrival {
-            request: RequestId(u32_at(r, 3)?),
-            class: ClassId(u8_at(r, 7)?),
-            tenant: TenantId(u32_at(r, 8)?),
-            function: FunctionId(u64_at(r, 12)?),
-            expires_at: micros(f64_at(r, 20)?),
-            expected_work: (u8_at(r, 48)? & 1 != 0).then_some(micros(f64_at(r, 28)?)),
-            memory_mb: f64::from(f32_at(r, 36)?),
-            concurrency_per_copy: f32_at(r, 40)? as u32,
-            load_duration: Some(micros(f64::from(f32_at(r, 44)?))).filter(|t| *t > 0),
+            request: RequestId(u32_at(event, 3)?),
+            class: ClassId(u8_at(event, 7)?),
+            tenant: TenantId(u32_at(event, 8)?),
+            function: FunctionId(u64_at(event, 12)?),
+            expires_at: micros(f64_at(event, 20)?),
+            expected_work: (u8_at(event, 48)? & 1 != 0).then_some(micros(f64_at(event, 28)?)),
+            memory_mb: f64::from(f32_at(event, 36)?),
+            concurrency_per_copy: f32_at(event, 40)? as u32,
+            load_duration: Some(micros(f64::from(f32_at(event, 44)?))).filter(|t| *t > 0),
         }),
         7 => {
-            let outcome = outcome(u16_at(r, 13)?)?;
-            let note = u32_at(r, 15)?;
+            let outcome = outcome(u16_at(event, 13)?)?;
+            let packed = u32_at(event, 15)?;
             Event::AttemptEnded(AttemptEnd {
-                request: RequestId(u32_at(r, 3)?),
-                worker: WorkerId(u32_at(r, 7)?),
-                attempt: u8_at(r, 11)?,
-                terminal: u8_at(r, 12)? != 0,
+                request: RequestId(u32_at(event, 3)?),
+                worker: WorkerId(u32_at(event, 7)?),
+                attempt: u8_at(event, 11)?,
+                terminal: u8_at(event, 12)? != 0,
                 outcome,
-                copy_start: match note & 7 {
+                copy_start: match packed & 7 {
                     1 => Some(CopyStart::Warm),
                     2 => Some(CopyStart::Triggered),
                     3 => Some(CopyStart::Joined),
                     4 => Some(CopyStart::LoadFailed),
                     _ => None,
                 },
-                function_in_flight: note >> 3,
-                latency: micros(f64_at(r, 19)?),
-                load_report: report(r, 27, fields)?,
+                function_in_flight: packed >> 3,
+                latency: micros(f64_at(event, 19)?),
+                load_report: report(event, 27, fields)?,
             })
         }
         11 => Event::ClientGone {
-            request: RequestId(u32_at(r, 3)?),
+            request: RequestId(u32_at(event, 3)?),
         },
         4 => Event::LoadEnded {
-            outcome: outcome(u16_at(r, 11)?)?,
-            copies: u32::from(u8_at(r, 13)?),
-            worker: WorkerId(u32_at(r, 14)?),
-            function: FunctionId(u64_at(r, 18)?),
+            outcome: outcome(u16_at(event, 11)?)?,
+            copies: u32::from(u8_at(event, 13)?),
+            worker: WorkerId(u32_at(event, 14)?),
+            function: FunctionId(u64_at(event, 18)?),
         },
         6 => Event::Streaming {
-            request: RequestId(u32_at(r, 3)?),
+            request: RequestId(u32_at(event, 3)?),
         },
         9 => Event::Wake {
-            token: u64_at(r, 3)?,
+            token: u64_at(event, 3)?,
         },
         2 => Event::HealthChecked {
-            worker: WorkerId(u32_at(r, 3)?),
-            outcome: outcome(u16_at(r, 7)?)?,
-            load_report: report(r, 17, fields)?,
-            latency: micros(f64_at(r, 9)?),
+            worker: WorkerId(u32_at(event, 3)?),
+            outcome: outcome(u16_at(event, 7)?)?,
+            load_report: report(event, 17, fields)?,
+            latency: micros(f64_at(event, 9)?),
             connection_opened_at: None,
         },
-        other => return bad(format!("unknown event code {other}")),
+        other => return malformed(format!("unknown event code {other}")),
     }))
 }
 
-fn member(e: &[u8]) -> Result<WorkerEntry, WireError> {
+fn worker_entry(entry: &[u8]) -> Result<WorkerEntry, WireError> {
     Ok(WorkerEntry {
-        worker: WorkerId(u32_at(e, 0)?),
-        zone: ZoneId(u8_at(e, 4)?),
-        cell: CellId(u16_at(e, 6)?),
-        status: match u8_at(e, 8)? {
+        worker: WorkerId(u32_at(entry, 0)?),
+        zone: ZoneId(u8_at(entry, 4)?),
+        cell: CellId(u16_at(entry, 6)?),
+        status: match u8_at(entry, 8)? {
             2 => WorkerStatus::Ready,
             1 => WorkerStatus::Draining,
             0 => WorkerStatus::Removed,
-            other => return bad(format!("unknown status {other}")),
+            other => return malformed(format!("unknown worker status {other}")),
         },
-        capacity: f64::from(f32_at(e, 9)?),
-        started_at: Some(micros(f64_at(e, 13)?)).filter(|t| *t > 0),
+        capacity: f64::from(f32_at(entry, 9)?),
+        started_at: Some(micros(f64_at(entry, 13)?)).filter(|t| *t > 0),
     })
 }
 
@@ -305,7 +311,7 @@
 
 impl Reply {
     /// Appends an action of an instance.
-    pub fn push(&mut self, who: u16, action: &Action) {
+    pub fn push(&mut self, instance_id: u16, action: &Action) {
         let start = self.records.len();
         let code = match action {
             Action::Send { .. } => 65,
@@ -319,17 +325,17 @@
             Action::Cancel { .. } => 78,
         };
         self.records.push(code);
-        self.records.extend(who.to_le_bytes());
+        self.records.extend(instance_id.to_le_bytes());
         match *action {
             Action::Send {
                 request,
                 worker,
-                timeout: within,
+                timeout: attempt_timeout,
             } => {
                 self.records.extend(request.0.to_le_bytes());
                 self.records.extend(worker.0.to_le_bytes());
                 self.records
-                    .extend(within.map_or(0.0, millis).to_le_bytes());
+                    .extend(attempt_timeout.map_or(0.0, millis).to_le_bytes());
             }
             Action::Cancel { request, attempt } => {
                 self.records.extend(request.0.to_le_bytes());
@@ -363,7 +369,7 @@
             }
             Action::Subscribe | Action::ReopenDiscovery => self.records.push(1),
         }
-        self.records.resize(start + ACTION, 0);
+        self.records.resize(start + ACTION_BYTES, 0);
         self.count += 1;
     }
 
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -35,7 +35,7 @@
         self.refresh_candidates(now, function);
         let decision = Selection::new(self, now, function, id).decide();
         match decision {
-            Decision::Hold => return Placement::Queued,
+            Decision::KeepQueued => return Placement::Queued,
             Decision::QueryCopies(worker) => {
                 self.query_copies(now, CopyKey { worker, function }, actions);
                 return Placement::Queued;
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -48,10 +48,10 @@
 
     /// Whether a worker's concurrency limit admits one more request. A worker without failures may
     /// have up to the allowed concurrency debt.
-    pub(super) fn has_capacity(&self, now: Micros, worker: WorkerId, credit: f64) -> bool {
+    pub(super) fn has_capacity(&self, now: Micros, worker: WorkerId, max_debt: f64) -> bool {
         self.workers.get(&worker).is_some_and(|worker| {
             let allowed_debt = if worker.consecutive_failures == 0 {
-                credit
+                max_debt
             } else {
                 0.0
             };
@@ -64,7 +64,7 @@
     /// instances, whose own requests tell enough.
     pub(super) fn reported_in_flight(&self, now: Micros, worker: &WorkerState) -> u32 {
         let is_current = now < worker.reported_load.at + self.settings.copy_idle_timeout;
-        if self.shares_workers_with_many() && is_current {
+        if self.has_many_instances() && is_current {
             worker.reported_load.in_flight as u32
         } else {
             0
--- a/src/policy/evidence/check_budget.rs
+++ b/src/policy/evidence/check_budget.rs
@@ -46,8 +46,8 @@
     /// The interval before this instance checks a worker again after a failed check, as all other
     /// instances may see the same failure.
     pub(super) fn retry_interval(&self) -> Micros {
-        let fair_s = self.instances / CHECKS_PER_WORKER_PER_S;
-        ((fair_s * MICROS_PER_SECOND) as Micros).min(MAX_RETRY_INTERVAL)
+        let fair_interval_s = self.instances / CHECKS_PER_WORKER_PER_S;
+        ((fair_interval_s * MICROS_PER_SECOND) as Micros).min(MAX_RETRY_INTERVAL)
     }
 
     /// Whether the budget allows a check.
--- a/src/policy/evidence/checks.rs
+++ b/src/policy/evidence/checks.rs
@@ -13,7 +13,7 @@
 const USE_WINDOW: Micros = 5_000_000;
 /// The age of a doubt, in microseconds, at which a worker is checked while discovery is available:
 /// the list may lag, and settle the doubt by itself.
-const DOUBT_PATIENCE: Micros = 2_000_000;
+const DOUBT_CHECK_DELAY: Micros = 2_000_000;
 /// The time after a request, in microseconds, for which workers not in use are checked too.
 const DEMAND_WINDOW: Micros = 2_000_000;
 /// The minimum interval between two checks of a worker, in microseconds.
@@ -27,7 +27,7 @@
 
 /// Priority of a check, the highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Urgency {
+enum CheckPriority {
     /// The worker is doubted.
     Doubted,
     /// The worker is in use and its evidence is old.
@@ -69,7 +69,7 @@
     /// The workers whose health check is due now. While discovery is available, only doubted and
     /// suspended workers are checked.
     pub fn due_checks(&mut self, now: Micros) -> Vec<WorkerId> {
-        if !self.may_check || !self.is_attentive(now) {
+        if !self.may_check || !self.must_examine_workers(now) {
             return Vec::new();
         }
         self.budget.refill(now, self.workers.len());
@@ -77,17 +77,20 @@
             return Vec::new();
         }
         let is_lost = self.discovery.is_lost(now);
-        let is_demanded = self.demanded_at.is_some_and(|at| now < at + DEMAND_WINDOW);
+        let has_recent_requests = self
+            .last_request_at
+            .is_some_and(|at| now < at + DEMAND_WINDOW);
         let confirmed_at = self.discovery.confirmed_at(now);
         let seed = FunctionId(self.seed);
-        let mut due: Vec<(Urgency, u64, WorkerId)> = self
+        let mut due: Vec<(CheckPriority, u64, WorkerId)> = self
             .workers
             .iter()
             .filter(|(_, worker)| worker.check.may_begin(now))
             .filter_map(|(id, worker)| {
-                let urgency = urgency(now, worker, confirmed_at, is_lost, is_demanded)?;
+                let priority =
+                    check_priority(now, worker, confirmed_at, is_lost, has_recent_requests)?;
                 // Each instance has its own order, so that they do not all check the same worker.
-                Some((urgency, rendezvous_hash(seed, *id), *id))
+                Some((priority, rendezvous_hash(seed, *id), *id))
             })
             .collect();
         due.sort_unstable();
@@ -106,27 +109,27 @@
 }
 
 /// The priority of a check of a worker; `None` if there is no reason for one.
-fn urgency(
+fn check_priority(
     now: Micros,
     worker: &WorkerEvidence,
     confirmed_at: Option<Micros>,
     is_lost: bool,
-    is_demanded: bool,
-) -> Option<Urgency> {
+    has_recent_requests: bool,
+) -> Option<CheckPriority> {
     let is_doubt_due = worker
         .doubt
-        .is_some_and(|doubt| is_lost || now >= doubt.since + DOUBT_PATIENCE);
+        .is_some_and(|doubt| is_lost || now >= doubt.since + DOUBT_CHECK_DELAY);
     if is_doubt_due {
-        return Some(Urgency::Doubted);
+        return Some(CheckPriority::Doubted);
     }
     let is_old = worker
         .latest(confirmed_at)
         .is_none_or(|at| now > at + REFRESH_AGE);
-    let is_in_use = worker.is_available && now < worker.used_at + USE_WINDOW;
+    let is_in_use = worker.is_available && now < worker.last_used_at + USE_WINDOW;
     if is_lost && is_in_use && is_old {
-        return Some(Urgency::InUse);
+        return Some(CheckPriority::InUse);
     }
-    let is_out = worker.said_dead_at.is_some() || !worker.is_available;
-    let is_wanted = is_demanded && is_old && (is_lost || is_out);
-    is_wanted.then_some(Urgency::Wanted)
+    let is_unavailable = worker.reported_unavailable_at.is_some() || !worker.is_available;
+    let is_wanted = has_recent_requests && is_old && (is_lost || is_unavailable);
+    is_wanted.then_some(CheckPriority::Wanted)
 }
--- a/src/policy/evidence/contradiction.rs
+++ b/src/policy/evidence/contradiction.rs
@@ -17,7 +17,7 @@
         let first = self
             .workers
             .values()
-            .filter_map(|worker| worker.said_dead_at);
+            .filter_map(|worker| worker.reported_unavailable_at);
         first.min().map(|at| now.saturating_sub(at))
     }
 
@@ -42,7 +42,7 @@
         let spread = self.seed % (interval / 2);
         let contradicted_for = self.contradicted_for(now).max(self.doubted_for(now));
         let is_due = now >= self.reopened_at + interval + spread * u64::from(doublings > 0)
-            && self.discovery.has_stream()
+            && self.discovery.has_open_stream()
             && contradicted_for >= Some(REOPEN_AFTER);
         if is_due {
             self.reopened_at = now;
--- a/src/policy/evidence/discovery.rs
+++ b/src/policy/evidence/discovery.rs
@@ -50,7 +50,7 @@
     was_reopened: bool,
     /// Whether updates seem to be withheld: a worker was listed as ready for too long after it had
     /// answered that it is unavailable. Only an update shows that updates arrive again.
-    is_held_back: bool,
+    updates_withheld: bool,
     /// The start of the loss, if discovery is reported as lost.
     lost_since: Option<Micros>,
 }
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DiscoveryChange {
     Lost,
-    Heard { lost_for: Micros },
+    Restored { lost_for: Micros },
 }
 
 impl DiscoveryFreshness {
@@ -71,7 +71,7 @@
             confirmed_at: None,
             delivered_at: None,
             was_reopened: false,
-            is_held_back: false,
+            updates_withheld: false,
             lost_since: None,
         }
     }
@@ -81,7 +81,7 @@
     pub(super) fn handle(&mut self, now: Micros, signal: DiscoverySignal, is_contradicted: bool) {
         self.settle(now);
         if signal == DiscoverySignal::Update {
-            self.is_held_back = false;
+            self.updates_withheld = false;
             self.was_reopened = false;
         }
         match (signal, self.stream) {
@@ -110,7 +110,7 @@
                 self.stream = Stream::Settling(Settling::QuietSince(now));
             }
             (DiscoverySignal::Heartbeat, Stream::Current) => {
-                if !is_contradicted && !self.is_held_back {
+                if !is_contradicted && !self.updates_withheld {
                     self.confirmed_at = Some(now);
                 }
             }
@@ -128,8 +128,8 @@
 
     /// Marks updates as withheld after the list has contradicted a worker for longer than it may
     /// lag.
-    pub(super) fn hold_back(&mut self) {
-        self.is_held_back = true;
+    pub(super) fn mark_updates_withheld(&mut self) {
+        self.updates_withheld = true;
     }
 
     /// Records that the stream is reopened because a worker contradicts the list.
@@ -146,7 +146,7 @@
     }
 
     /// Whether an open stream can be reopened.
-    pub(super) fn has_stream(&self) -> bool {
+    pub(super) fn has_open_stream(&self) -> bool {
         self.kind == DiscoveryKind::Heartbeats && self.stream == Stream::Current
     }
 
@@ -156,7 +156,7 @@
         if let Stream::Settling(Settling::QuietSince(quiet_since)) = self.stream {
             if now >= quiet_since + SETTLE_TIME {
                 self.stream = Stream::Current;
-                if !self.is_held_back {
+                if !self.updates_withheld {
                     self.confirmed_at = Some(quiet_since);
                 }
                 if !self.was_reopened {
@@ -177,7 +177,7 @@
             }
             (false, Some(since)) if self.confirmed_at.is_some() => {
                 self.lost_since = None;
-                Some(DiscoveryChange::Heard {
+                Some(DiscoveryChange::Restored {
                     lost_for: now.saturating_sub(since),
                 })
             }
--- a/src/policy/evidence/spans.rs
+++ b/src/policy/evidence/spans.rs
@@ -11,26 +11,26 @@
 
 /// Validity periods from the settings, less the margins.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Spans {
+pub(super) struct EvidenceValidity {
     /// The time after which changes at discovery count as known to this instance.
-    pub(super) told_after: Micros,
+    pub(super) max_list_age: Micros,
     /// The time after evidence from the worker itself during which it may be sent new work.
-    pub(super) own: Micros,
+    pub(super) own_evidence: Micros,
     /// The time after discovery last confirmed the list during which a listed worker may be sent
     /// new work.
-    pub(super) list: Micros,
+    pub(super) list_evidence: Micros,
 }
 
-impl Spans {
+impl EvidenceValidity {
     /// Computes the periods from the settings; `None` if the list does not expire.
-    pub(super) fn from_settings(settings: &Settings) -> Option<Spans> {
-        let told_after = settings.list_max_age?;
-        let last_send = told_after + settings.drain_grace;
-        let own = last_send - MARGIN.min(last_send / 4);
-        Some(Spans {
-            told_after,
-            own,
-            list: own.saturating_sub(LIST_LAG.min(told_after / 3)),
+    pub(super) fn from_settings(settings: &Settings) -> Option<EvidenceValidity> {
+        let max_list_age = settings.list_max_age?;
+        let last_send = max_list_age + settings.drain_grace;
+        let own_evidence = last_send - MARGIN.min(last_send / 4);
+        Some(EvidenceValidity {
+            max_list_age,
+            own_evidence,
+            list_evidence: own_evidence.saturating_sub(LIST_LAG.min(max_list_age / 3)),
         })
     }
 }
--- a/src/policy/evidence/tracker.rs
+++ b/src/policy/evidence/tracker.rs
@@ -5,7 +5,7 @@
 use super::change::{DoubtReason, EvidenceChange, SuspendReason};
 use super::check_budget::CheckBudget;
 use super::discovery::{DiscoveryChange, DiscoveryFreshness, DiscoveryKind};
-use super::spans::Spans;
+use super::spans::EvidenceValidity;
 use super::worker::{DoubtPolicy, ReportedCapacity, WorkerEvidence};
 use crate::api::{DiscoverySignal, Micros, Settings, WorkerId, WorkerStatus};
 
@@ -24,14 +24,14 @@
 #[derive(Debug)]
 pub struct EvidenceTracker {
     /// `None` if the list does not expire: every listed worker may then be sent new work.
-    pub(super) spans: Option<Spans>,
+    pub(super) validity: Option<EvidenceValidity>,
     pub(super) may_check: bool,
     pub(super) seed: u64,
     pub(super) discovery: DiscoveryFreshness,
     pub(super) workers: BTreeMap<WorkerId, WorkerEvidence>,
     pub(super) budget: CheckBudget,
     /// When a request last arrived.
-    pub(super) demanded_at: Option<Micros>,
+    pub(super) last_request_at: Option<Micros>,
     /// Whether any worker may be doubted, suspended or reported as ended.
     pub(super) has_anomalies: bool,
     /// When the discovery stream was last reopened.
@@ -56,13 +56,13 @@
             DiscoveryKind::Subscription
         };
         EvidenceTracker {
-            spans: Spans::from_settings(settings),
+            validity: EvidenceValidity::from_settings(settings),
             may_check: settings.may_health_check,
             seed,
             discovery: DiscoveryFreshness::new(kind, now),
             workers: BTreeMap::new(),
             budget: CheckBudget::new(settings.instances, now),
-            demanded_at: None,
+            last_request_at: None,
             has_anomalies: false,
             reopened_at: 0,
             reopenings: 0,
@@ -72,13 +72,13 @@
 
     /// Whether a worker that is listed as ready may be sent new work.
     pub fn may_send(&self, now: Micros, id: WorkerId) -> bool {
-        let Some(spans) = &self.spans else {
+        let Some(validity) = &self.validity else {
             return true;
         };
         let confirmed_at = self.discovery.confirmed_at(now);
         self.workers
             .get(&id)
-            .is_some_and(|worker| worker.may_send(now, spans, confirmed_at))
+            .is_some_and(|worker| worker.may_send(now, validity, confirmed_at))
     }
 
     /// Whether a worker is doubted: it rejected work in an unexpected way, and no evidence since
@@ -101,13 +101,13 @@
 
     /// Handles a signal of the discovery stream.
     pub fn on_discovery(&mut self, now: Micros, signal: DiscoverySignal) {
-        if self.spans.is_none() {
+        if self.validity.is_none() {
             return;
         }
         let is_contradicted = self
             .workers
             .values()
-            .any(|worker| worker.said_dead_at.is_some());
+            .any(|worker| worker.reported_unavailable_at.is_some());
         self.discovery.handle(now, signal, is_contradicted);
         if signal == DiscoverySignal::Update {
             self.reopenings = 0;
@@ -127,7 +127,7 @@
     /// Applies a list entry. `restarted` states that it names a later process start than the
     /// previous entry.
     pub fn on_listed(&mut self, id: WorkerId, status: WorkerStatus, restarted: bool) {
-        if self.spans.is_none() {
+        if self.validity.is_none() {
             return;
         }
         if status != WorkerStatus::Ready {
@@ -149,13 +149,13 @@
 
     /// Records the arrival of a request.
     pub fn on_request(&mut self, now: Micros) {
-        self.demanded_at = Some(now);
+        self.last_request_at = Some(now);
     }
 
     /// Records that an attempt or a load order is sent.
     pub fn on_sent(&mut self, now: Micros, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&id) {
-            worker.used_at = now;
+            worker.last_used_at = now;
         }
     }
 
@@ -166,10 +166,10 @@
 
     fn record_served(&mut self, now: Micros, id: WorkerId, at: Micros, opened_at: Option<Micros>) {
         let confirmed_at = self.discovery.confirmed_at(now);
-        let (Some(spans), Some(worker)) = (&self.spans, self.workers.get_mut(&id)) else {
+        let (Some(validity), Some(worker)) = (&self.validity, self.workers.get_mut(&id)) else {
             return;
         };
-        worker.record_served(now, at, opened_at, spans, confirmed_at);
+        worker.record_served(now, at, opened_at, validity, confirmed_at);
     }
 
     /// Records that a worker rejected a call sent at `sent_at`.
@@ -237,11 +237,11 @@
     /// Records that a worker's address refuses connections: its process has ended. While discovery
     /// is available, the list alone decides.
     pub fn on_process_gone(&mut self, now: Micros, id: WorkerId) {
-        if self.spans.is_none() || !self.discovery.is_lost(now) {
+        if self.validity.is_none() || !self.discovery.is_lost(now) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(&id) {
-            worker.gone_at = Some(now);
+            worker.process_ended_at = Some(now);
             self.has_anomalies = true;
         }
     }
@@ -267,7 +267,7 @@
             .check
             .end(now, result == CheckResult::Alive, retry_interval);
         if result == CheckResult::Dead && worker.served_at.is_none_or(|at| at < sent_at) {
-            worker.said_dead_at = Some(sent_at);
+            worker.reported_unavailable_at = Some(sent_at);
             worker.doubt = None;
             self.has_anomalies = true;
         }
@@ -275,7 +275,7 @@
 
     /// Updates the state. Returns the workers that it suspends or resumes.
     pub fn tick(&mut self, now: Micros) -> Vec<(WorkerId, Availability)> {
-        let Some(spans) = self.spans else {
+        let Some(validity) = self.validity else {
             return Vec::new();
         };
         match self.discovery.tick(now) {
@@ -283,43 +283,47 @@
                 let list_age = self.discovery.confirmed_at(now).map(|at| now - at);
                 self.report(EvidenceChange::DiscoveryLost { list_age });
             }
-            Some(DiscoveryChange::Heard { lost_for }) => {
-                self.list_is_confirmed();
+            Some(DiscoveryChange::Restored { lost_for }) => {
+                self.on_discovery_restored();
                 self.report(EvidenceChange::DiscoveryHeard { lost_for });
             }
             None => {}
         }
-        if !self.is_attentive(now) {
+        if !self.must_examine_workers(now) {
             return Vec::new();
         }
-        if self.contradicted_for(now) >= Some(spans.told_after) {
-            self.discovery.hold_back();
+        if self.contradicted_for(now) >= Some(validity.max_list_age) {
+            self.discovery.mark_updates_withheld();
         }
-        self.update_availability(now, &spans)
+        self.update_availability(now, &validity)
     }
 
     /// Drops doubts and ended processes when discovery is available again: the list decides from
     /// now on.
-    fn list_is_confirmed(&mut self) {
+    fn on_discovery_restored(&mut self) {
         for worker in self.workers.values_mut() {
-            let was_gone = worker.gone_at.take().is_some();
-            worker.is_new_process |= was_gone && worker.suspended_since.is_some();
+            let had_ended = worker.process_ended_at.take().is_some();
+            worker.is_new_process |= had_ended && worker.suspended_since.is_some();
             worker.doubt = None;
         }
     }
 
     /// Whether the state of each worker has to be examined.
-    pub(super) fn is_attentive(&self, now: Micros) -> bool {
-        self.spans.is_some() && (self.has_anomalies || self.discovery.is_lost(now))
+    pub(super) fn must_examine_workers(&self, now: Micros) -> bool {
+        self.validity.is_some() && (self.has_anomalies || self.discovery.is_lost(now))
     }
 
-    fn update_availability(&mut self, now: Micros, spans: &Spans) -> Vec<(WorkerId, Availability)> {
+    fn update_availability(
+        &mut self,
+        now: Micros,
+        validity: &EvidenceValidity,
+    ) -> Vec<(WorkerId, Availability)> {
         let confirmed_at = self.discovery.confirmed_at(now);
         let mut changed = Vec::new();
         let mut changes = Vec::new();
         let mut has_anomalies = false;
         for (id, worker) in &mut self.workers {
-            let may_send = worker.may_send(now, spans, confirmed_at);
+            let may_send = worker.may_send(now, validity, confirmed_at);
             match (may_send, worker.is_available) {
                 (true, false) => {
                     worker.is_available = true;
@@ -346,7 +350,8 @@
                 }
                 (true, true) | (false, false) => {}
             }
-            has_anomalies |= !may_send || worker.doubt.is_some() || worker.gone_at.is_some();
+            has_anomalies |=
+                !may_send || worker.doubt.is_some() || worker.process_ended_at.is_some();
         }
         self.has_anomalies = has_anomalies;
         for change in changes {
@@ -369,7 +374,7 @@
 }
 
 fn suspend_reason(now: Micros, worker: &WorkerEvidence) -> SuspendReason {
-    if worker.said_dead_at.is_some() {
+    if worker.reported_unavailable_at.is_some() {
         SuspendReason::SaidDead
     } else if now < worker.usable_from {
         SuspendReason::ProcessReplaced
--- a/src/policy/evidence/view.rs
+++ b/src/policy/evidence/view.rs
@@ -40,15 +40,15 @@
 
     /// Whether discovery has confirmed the list since the start, or the time allowed for that is
     /// over.
-    pub fn has_begun(&self, now: Micros) -> bool {
-        self.spans.is_none()
+    pub fn is_startup_complete(&self, now: Micros) -> bool {
+        self.validity.is_none()
             || self.discovery.confirmed_at(now).is_some()
             || self.discovery.is_lost(now)
     }
 
     /// Whether discovery is lost.
     pub fn is_discovery_lost(&self, now: Micros) -> bool {
-        self.spans.is_some() && self.discovery.is_lost(now)
+        self.validity.is_some() && self.discovery.is_lost(now)
     }
 
     pub(super) fn evidence_age(&self, now: Micros, id: WorkerId) -> Option<Micros> {
@@ -83,7 +83,7 @@
     /// Takes over evidence of time `at` from another process of this gateway.
     pub fn adopt(&mut self, id: WorkerId, at: Micros) {
         if let Some(worker) = self.workers.get_mut(&id) {
-            if worker.said_dead_at.is_none() && worker.gone_at.is_none() {
+            if worker.reported_unavailable_at.is_none() && worker.process_ended_at.is_none() {
                 worker.served_at = worker.served_at.max(Some(at));
             }
         }
--- a/src/policy/evidence/worker.rs
+++ b/src/policy/evidence/worker.rs
@@ -1,7 +1,7 @@
 //! Evidence about one worker that is listed as ready.
 
 use super::change::DoubtReason;
-use super::spans::Spans;
+use super::spans::EvidenceValidity;
 use crate::api::{LoadReport, Micros};
 
 /// The maximum of reported requests in flight with which a worker has free capacity.
@@ -9,7 +9,7 @@
 /// The maximum fraction of pinned memory with which it has free capacity.
 const FREE_PINNED_MEMORY: f32 = 0.7;
 /// Consecutive rejections from which a worker is doubted if its answers carry no load report.
-const MAX_BARE_REJECTIONS: u32 = 2;
+const MAX_REJECTIONS_WITHOUT_REPORT: u32 = 2;
 /// Consecutive rejections from which it is doubted whatever it reports.
 const MAX_REJECTIONS: u32 = 6;
 /// Consecutive rejected load orders from which it is doubted.
@@ -82,9 +82,9 @@
     /// The capacity reported with its last answer.
     pub(super) reported_capacity: ReportedCapacity,
     /// When the health check was sent that it answered as unavailable.
-    pub(super) said_dead_at: Option<Micros>,
+    pub(super) reported_unavailable_at: Option<Micros>,
     /// When its process was found to have ended, while discovery was lost.
-    pub(super) gone_at: Option<Micros>,
+    pub(super) process_ended_at: Option<Micros>,
     /// Whether its process may be a new one, without the known copies.
     pub(super) is_new_process: bool,
     /// The earliest instant at which it may be used.
@@ -93,7 +93,7 @@
     pub(super) is_available: bool,
     /// When it was suspended.
     pub(super) suspended_since: Option<Micros>,
-    pub(super) used_at: Micros,
+    pub(super) last_used_at: Micros,
     pub(super) check: CheckState,
 }
 
@@ -114,7 +114,7 @@
             is_available: self.is_available,
             suspended_since: self.suspended_since,
             check: self.check,
-            used_at: self.used_at,
+            last_used_at: self.last_used_at,
             ..WorkerEvidence::default()
         };
     }
@@ -127,7 +127,7 @@
     /// When the list was last evidence. A confirmation after a doubt began does not count, as
     /// updates may be withheld.
     fn listed_at(&self, confirmed_at: Option<Micros>) -> Option<Micros> {
-        if self.said_dead_at.is_some() || self.gone_at.is_some() {
+        if self.reported_unavailable_at.is_some() || self.process_ended_at.is_some() {
             return None;
         }
         let listed_until = self.doubt.map_or(Micros::MAX, |doubt| doubt.listed_until);
@@ -138,14 +138,16 @@
     pub(super) fn may_send(
         &self,
         now: Micros,
-        spans: &Spans,
+        validity: &EvidenceValidity,
         confirmed_at: Option<Micros>,
     ) -> bool {
-        if self.said_dead_at.is_some() || now < self.usable_from {
+        if self.reported_unavailable_at.is_some() || now < self.usable_from {
             return false;
         }
-        let own = self.served_at.map_or(0, |at| at + spans.own);
-        let listed = self.listed_at(confirmed_at).map_or(0, |at| at + spans.list);
+        let own = self.served_at.map_or(0, |at| at + validity.own_evidence);
+        let listed = self
+            .listed_at(confirmed_at)
+            .map_or(0, |at| at + validity.list_evidence);
         now < own.max(listed)
     }
 
@@ -156,11 +158,11 @@
         now: Micros,
         at: Micros,
         opened_at: Option<Micros>,
-        spans: &Spans,
+        validity: &EvidenceValidity,
         confirmed_at: Option<Micros>,
     ) -> bool {
-        let contrary = self.said_dead_at.max(self.gone_at);
-        if contrary.is_some_and(|contrary_at| at <= contrary_at) {
+        let last_contradiction = self.reported_unavailable_at.max(self.process_ended_at);
+        if last_contradiction.is_some_and(|contradicted_at| at <= contradicted_at) {
             return false;
         }
         let latest = self.latest(confirmed_at);
@@ -170,14 +172,14 @@
         });
         // Without a sign that its process ended, a worker whose evidence only expired is assumed to
         // be the same process: a gateway that did not use it sends it little.
-        if contrary.is_some() && !same_process {
+        if last_contradiction.is_some() && !same_process {
             // Discovery may announce the start as late as a drain.
-            self.usable_from = now + spans.told_after;
+            self.usable_from = now + validity.max_list_age;
             self.is_new_process = true;
         }
         self.served_at = self.served_at.max(Some(at));
-        self.said_dead_at = None;
-        self.gone_at = None;
+        self.reported_unavailable_at = None;
+        self.process_ended_at = None;
         if self.doubt.is_none_or(|doubt| at >= doubt.since) {
             self.doubt = None;
             self.rejections = Rejections::default();
@@ -204,7 +206,7 @@
         let reason = match capacity {
             ReportedCapacity::Free => DoubtReason::RejectedWithCapacity,
             _ if policy != DoubtPolicy::HealthCheck => return None,
-            ReportedCapacity::Unknown if calls >= MAX_BARE_REJECTIONS => {
+            ReportedCapacity::Unknown if calls >= MAX_REJECTIONS_WITHOUT_REPORT => {
                 DoubtReason::RejectedRepeatedly
             }
             _ if calls >= MAX_REJECTIONS => DoubtReason::RejectedRepeatedly,
@@ -237,7 +239,7 @@
 
     /// Begins a doubt. Returns false if the worker is already doubted or unavailable.
     fn begin_doubt(&mut self, since: Micros, policy: DoubtPolicy) -> bool {
-        if self.doubt.is_some() || self.said_dead_at.is_some() {
+        if self.doubt.is_some() || self.reported_unavailable_at.is_some() {
             return false;
         }
         let listed_until = match policy {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -31,7 +31,7 @@
         class: usize,
         latency_objective: f64,
     ) {
-        let usual = self.mean_run_time_of_all();
+        let usual_run_time = self.mean_run_time_of_all();
         let min_limit = self.min_concurrency_limit();
         self.record_evidence(now, end, latency_objective);
         let Some(worker) = self.workers.get_mut(&end.worker) else {
@@ -49,7 +49,7 @@
                     worker.back_off_class(now, class);
                 } else if end.outcome == Outcome::Rejected {
                     worker.cut_limit(now, min_limit);
-                    worker.add_debt(now, 2.0 * usual);
+                    worker.add_debt(now, 2.0 * usual_run_time);
                 } else if end.outcome == Outcome::Ok {
                     worker.class_backoff.remove(&class);
                 }
@@ -59,7 +59,8 @@
                 worker.consecutive_failures += 1;
                 // Answers show only the latency of requests that complete: a timeout well beyond
                 // the usual run time cuts the limit too.
-                if usual > 0.0 && end.latency as f64 > SLOW_LATENCY_RATIO * usual {
+                if usual_run_time > 0.0 && end.latency as f64 > SLOW_LATENCY_RATIO * usual_run_time
+                {
                     worker.cut_limit(now, min_limit);
                 }
             }
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -22,15 +22,15 @@
     now: Micros,
     margin: Micros,
 ) -> Permitted {
-    let everything = Permitted {
+    let all_permitted = Permitted {
         retry: true,
         reject: true,
     };
     let Some(sent_at) = possible_run_at else {
-        return everything;
+        return all_permitted;
     };
     match effect {
-        Effect::Idempotent => everything,
+        Effect::Idempotent => all_permitted,
         Effect::Keyed { scope, window } => {
             let key_is_remembered = now + margin < sent_at + window;
             Permitted {
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -32,7 +32,7 @@
     /// In microseconds.
     latency: f64,
     /// The function's usual run time in microseconds; 0 before its first answer.
-    usual: f64,
+    usual_run_time: f64,
     /// In microseconds; 0 for a class that is not in the settings.
     latency_objective: f64,
     /// Requests that the worker held, from all instances.
@@ -54,11 +54,11 @@
         latency_objective: f64,
     ) {
         self.recent_answers.record(now);
-        let usual = self
+        let usual_run_time = self
             .functions
             .get(&id)
             .map_or(0.0, |function| self.mean_run_time(function));
-        let sample = Sample::of(end, attempt, usual, latency_objective);
+        let sample = Sample::of(end, attempt, usual_run_time, latency_objective);
         let Some(function) = self.functions.get_mut(&id) else {
             return;
         };
@@ -88,12 +88,17 @@
 }
 
 impl Sample {
-    fn of(end: &AttemptEnd, attempt: &AttemptState, usual: f64, latency_objective: f64) -> Sample {
+    fn of(
+        end: &AttemptEnd,
+        attempt: &AttemptState,
+        usual_run_time: f64,
+        latency_objective: f64,
+    ) -> Sample {
         let reported = end.load_report.and_then(|report| report.in_flight);
         let function_load = f64::from(end.function_in_flight + 1);
         Sample {
             latency: end.latency as f64,
-            usual,
+            usual_run_time,
             latency_objective,
             load: reported.map_or(0.0, f64::from).max(function_load),
             load_is_reported: reported.is_some(),
@@ -106,15 +111,17 @@
     /// The latency relative to the function's run time elsewhere and to the latency objective;
     /// above 1 is slow.
     fn latency_ratio(&self) -> f64 {
-        let against_usual = self.latency / (SLOW_LATENCY_RATIO * self.usual);
-        let against_objective = self.latency / (LATENCY_OBJECTIVE_SHARE * self.latency_objective);
-        against_usual.max(against_objective).min(MAX_LATENCY_RATIO)
+        let ratio_to_run_time = self.latency / (SLOW_LATENCY_RATIO * self.usual_run_time);
+        let ratio_to_objective = self.latency / (LATENCY_OBJECTIVE_SHARE * self.latency_objective);
+        ratio_to_run_time
+            .max(ratio_to_objective)
+            .min(MAX_LATENCY_RATIO)
     }
 }
 
 impl WorkerState {
     fn record_latency_ratio(&mut self, now: Micros, sample: &Sample) {
-        if !sample.warm || sample.usual <= 0.0 || sample.latency_objective <= 0.0 {
+        if !sample.warm || sample.usual_run_time <= 0.0 || sample.latency_objective <= 0.0 {
             return;
         }
         let since_last_sample = (now - self.last_sample_at) as f64;
@@ -134,7 +141,7 @@
         let load_is_known = sample.load_is_reported || sample.load > INITIAL_CONCURRENCY_LIMIT;
         let is_slow = self.latency_ratio > 1.0
             && (!sample.load_is_reported || sample.load > LIGHT_LOAD)
-            && now > self.limit_cut_at + sample.usual as Micros * 2;
+            && now > self.limit_cut_at + sample.usual_run_time as Micros * 2;
         if self.concurrency_limit < 1.0 && load_is_known {
             // Each worker gives few answers, so the limit follows each of them at once, up and
             // down.
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -15,11 +15,11 @@
 /// rejected.
 const LOAD_SHARE_BEFORE_LAST_ATTEMPT: f64 = 0.5;
 /// Requests that a tenant may send at once, whatever its quota.
-const BURST: f64 = 4.0;
+const MIN_BURST_REQUESTS: f64 = 4.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// A token bucket for this instance's share of a tenant's quota. It holds one second of the quota,
-/// but at least [`BURST`].
+/// but at least [`MIN_BURST_REQUESTS`].
 #[derive(Debug)]
 pub(super) struct TenantBucket {
     /// 0 if the tenant has no quota.
@@ -33,7 +33,7 @@
     pub(super) fn full(rate_per_s: f64, now: Micros) -> Self {
         TenantBucket {
             rate_per_s,
-            tokens: BURST.max(rate_per_s),
+            tokens: MIN_BURST_REQUESTS.max(rate_per_s),
             updated_at: now,
         }
     }
@@ -53,7 +53,7 @@
             return false;
         }
         let refill = (now - self.updated_at) as f64 / MICROS_PER_SECOND * self.rate_per_s;
-        self.tokens = (self.tokens + refill).min(self.rate_per_s.max(BURST));
+        self.tokens = (self.tokens + refill).min(self.rate_per_s.max(MIN_BURST_REQUESTS));
         self.updated_at = now;
         let exceeds = self.tokens < 1.0;
         if !exceeds {
@@ -120,13 +120,13 @@
         let min_budget = 1.0 / f64::from(self.settings.instances.max(1));
         let turn_interval = window / (TURN_SAFETY * budget).max(min_budget);
         let phase = rendezvous_hash(FunctionId(self.seed), id) as f64 / u64::MAX as f64;
-        let into_turn = (phase + age as f64 / turn_interval).fract() * turn_interval;
+        let time_into_turn = (phase + age as f64 / turn_interval).fract() * turn_interval;
         let is_unused = worker
             .recent_sends
             .latest()
-            .is_none_or(|sent_at| sent_at as f64 + into_turn < now as f64);
+            .is_none_or(|sent_at| sent_at as f64 + time_into_turn < now as f64);
         let turn_length = window * if self.has_spare_capacity { 2.0 } else { 0.25 };
-        is_unused && into_turn <= turn_length
+        is_unused && time_into_turn <= turn_length
     }
 
     /// Whether one more load order is within the rate limit.
@@ -137,7 +137,7 @@
         // An order exactly at the edge of the window still counts; a request there does not.
         let orders = self.recent_load_orders.count(now, limit.window + 1) + 1.0;
         let requests = self.recent_requests.count(now, limit.window);
-        let share = if has_further_attempt && self.shares_workers_with_many() {
+        let share = if has_further_attempt && self.has_many_instances() {
             LOAD_SHARE_BEFORE_LAST_ATTEMPT
         } else {
             1.0
--- a/src/policy/load_backoff.rs
+++ b/src/policy/load_backoff.rs
@@ -10,12 +10,12 @@
 
 /// The pause for one function after the first failed order, in microseconds. It doubles with each
 /// further failure.
-const COPY_PAUSE: Micros = 250_000;
+const INITIAL_COPY_PAUSE: Micros = 250_000;
 /// The maximum of this pause, in microseconds.
 const MAX_COPY_PAUSE: Micros = 8_000_000;
 /// The pause for all functions after the second consecutive rejection, in microseconds. It doubles
 /// with each further rejection.
-const WORKER_PAUSE: Micros = 100_000;
+const INITIAL_WORKER_PAUSE: Micros = 100_000;
 /// The maximum of this pause, in microseconds.
 const MAX_WORKER_PAUSE: Micros = 2_000_000;
 /// Consecutive rejections, of any functions, from which all load orders to a worker are paused.
@@ -29,13 +29,19 @@
 }
 
 impl Backoff {
-    /// Records a failure. After the first `free` failures, each sets a pause: `first`, doubled with
-    /// each further failure, up to `max`.
-    fn fail(&mut self, now: Micros, free: u32, first: Micros, max: Micros) {
+    /// Records a failure. After the first `free_failures` failures, each sets a pause:
+    /// `initial_pause`, doubled with each further failure, up to `max_pause`.
+    fn record_failure(
+        &mut self,
+        now: Micros,
+        free_failures: u32,
+        initial_pause: Micros,
+        max_pause: Micros,
+    ) {
         self.failures = self.failures.saturating_add(1);
-        if self.failures > free {
-            let doublings = (self.failures - free - 1).min(16);
-            self.until = now + (first << doublings).min(max);
+        if self.failures > free_failures {
+            let doublings = (self.failures - free_failures - 1).min(16);
+            self.until = now + (initial_pause << doublings).min(max_pause);
         }
     }
 }
@@ -70,11 +76,11 @@
                 self.workers.remove(&key.worker);
             }
             Outcome::Rejected => {
-                self.fail_copy(now, key);
-                self.workers.entry(key.worker).or_default().fail(
+                self.record_copy_failure(now, key);
+                self.workers.entry(key.worker).or_default().record_failure(
                     now,
                     MAX_WORKER_REJECTIONS - 1,
-                    WORKER_PAUSE,
+                    INITIAL_WORKER_PAUSE,
                     MAX_WORKER_PAUSE,
                 );
             }
@@ -84,15 +90,17 @@
             | Outcome::NotSent
             | Outcome::Timeout
             | Outcome::Cancelled
-            | Outcome::Miss => self.fail_copy(now, key),
+            | Outcome::Miss => self.record_copy_failure(now, key),
         }
     }
 
-    fn fail_copy(&mut self, now: Micros, key: CopyKey) {
-        self.copies
-            .entry(key)
-            .or_default()
-            .fail(now, 0, COPY_PAUSE, MAX_COPY_PAUSE);
+    fn record_copy_failure(&mut self, now: Micros, key: CopyKey) {
+        self.copies.entry(key).or_default().record_failure(
+            now,
+            0,
+            INITIAL_COPY_PAUSE,
+            MAX_COPY_PAUSE,
+        );
     }
 
     /// Forgets the pauses of a worker with a new process: the rejections came from the old one.
--- a/src/policy/loads.rs
+++ b/src/policy/loads.rs
@@ -29,7 +29,7 @@
 
 impl Policy {
     /// The time for which a load without an answer is assumed to be in progress, in microseconds.
-    pub(super) fn load_patience(&self, function: &FunctionState) -> Micros {
+    pub(super) fn assumed_load_time(&self, function: &FunctionState) -> Micros {
         let objective = self
             .settings
             .classes
@@ -65,7 +65,7 @@
         outcome: Outcome,
         copies: u32,
     ) {
-        if outcome == Outcome::ConnectFailed && self.shares_workers_with_many() {
+        if outcome == Outcome::ConnectFailed && self.has_many_instances() {
             self.eject_unreachable(now, key.worker);
         }
         let was_ordered = self.load_orders.remove(&key);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -245,7 +245,7 @@
     /// Whether discovery has confirmed the list since the start, or the time allowed for that is
     /// over.
     pub(crate) fn knows_workers(&self, now: Micros) -> bool {
-        self.evidence.has_begun(now)
+        self.evidence.is_startup_complete(now)
     }
 
     /// The workers with evidence of their own that they accept new work, and the time of that
@@ -296,7 +296,7 @@
     /// Whether so many instances share the workers that each may have less than one request in
     /// flight at a worker. Each then receives too few answers to judge a worker by its own requests
     /// alone.
-    fn shares_workers_with_many(&self) -> bool {
+    fn has_many_instances(&self) -> bool {
         self.initial_concurrency_limit < 1.0
     }
 }
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -90,7 +90,7 @@
     /// Whether late requests are shed: more is queued than half of the requests in flight at all
     /// workers, or, with many instances, the workers are overloaded.
     fn has_backlog(&self) -> bool {
-        if self.shares_workers_with_many() && self.is_overloaded {
+        if self.has_many_instances() && self.is_overloaded {
             return true;
         }
         let queued: usize = self
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -227,10 +227,10 @@
         if let Some(copy_start) = end.copy_start {
             return copy_start != CopyStart::Warm;
         }
-        let usual = self.functions.get(&function).map_or(0.0, |function| {
-            self.mean_run_time(function) + self.load_patience(function) as f64 / 3.0
+        let usual_latency = self.functions.get(&function).map_or(0.0, |function| {
+            self.mean_run_time(function) + self.assumed_load_time(function) as f64 / 3.0
         });
-        end.latency as f64 > usual
+        end.latency as f64 > usual_latency
     }
 
     /// Requeues a request after an unsuccessful attempt, or answers it if no retry is left.
@@ -246,7 +246,7 @@
             self.answer(now, id, actions);
             return;
         }
-        if end.outcome == Outcome::Miss && self.miss_calls_for_load(now, end.worker, request) {
+        if end.outcome == Outcome::Miss && self.should_load_after_miss(now, end.worker, request) {
             self.order_load(
                 now,
                 CopyKey {
@@ -265,7 +265,12 @@
 
     /// Whether the worker that missed should load the function: it is the function's first
     /// candidate, or a known copy is at a saturated worker.
-    fn miss_calls_for_load(&self, now: Micros, worker: WorkerId, request: &RequestState) -> bool {
+    fn should_load_after_miss(
+        &self,
+        now: Micros,
+        worker: WorkerId,
+        request: &RequestState,
+    ) -> bool {
         let Some(function) = self.functions.get(&request.function) else {
             return false;
         };
--- a/src/policy/scan.rs
+++ b/src/policy/scan.rs
@@ -49,7 +49,7 @@
         let mut loads = std::mem::take(&mut self.loads_in_progress);
         loads.retain(|key, load| {
             let function = self.functions.get(&key.function);
-            function.is_some_and(|function| now <= load.since + self.load_patience(function))
+            function.is_some_and(|function| now <= load.since + self.assumed_load_time(function))
         });
         self.loads_in_progress = loads;
     }
@@ -115,10 +115,10 @@
             .map(|class| class.latency_objective)
             .min()
             .unwrap_or(0);
-        let usual = (4.0 * self.mean_run_time_of_all()).max(objective as f64 * 0.75);
+        let usual_latency = (4.0 * self.mean_run_time_of_all()).max(objective as f64 * 0.75);
         // A single long request does not indicate a hang, nor does the wait for a load.
-        let patience = usual * if worker.in_flight > 1 { 1.0 } else { 2.0 };
-        now > worker.last_answer_at + patience as Micros + self.longest_load_at(id)
+        let stall_timeout = usual_latency * if worker.in_flight > 1 { 1.0 } else { 2.0 };
+        now > worker.last_answer_at + stall_timeout as Micros + self.longest_load_at(id)
     }
 
     /// The longest assumed load time of the functions being loaded at a worker, in microseconds.
@@ -134,7 +134,7 @@
         self.loads_in_progress
             .range(first..=last)
             .filter_map(|(key, _)| self.functions.get(&key.function))
-            .map(|function| self.load_patience(function))
+            .map(|function| self.assumed_load_time(function))
             .max()
             .unwrap_or(0)
     }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Decision {
     /// It stays queued.
-    Hold,
+    KeepQueued,
     /// It is sent to a loaded copy.
     SendToCopy(WorkerId),
     /// It is sent to a worker with a load in progress and waits there.
@@ -44,7 +44,7 @@
     pub(super) function: &'a FunctionState,
     pub(super) request: &'a RequestState,
     /// The time for which a load is assumed to be in progress, in microseconds.
-    pub(super) load_patience: Micros,
+    pub(super) assumed_load_time: Micros,
     /// Whether more than one instance shares the work.
     pub(super) is_shared: bool,
     /// Whether another attempt would be left after the next one.
@@ -76,7 +76,7 @@
             now,
             function,
             request,
-            load_patience: policy.load_patience(function),
+            assumed_load_time: policy.assumed_load_time(function),
             is_shared: policy.settings.instances > 1,
             has_further_attempt,
             may_risk_miss: has_further_attempt && request.awaited_load.is_none(),
@@ -84,8 +84,8 @@
             preferred: None,
             next_untried: OnceCell::new(),
         };
-        let candidates = selection.candidates_by_trust();
-        selection.usable = selection.usable_of(&candidates);
+        let candidates = selection.candidates_suspect_last();
+        selection.usable = selection.usable_candidates(&candidates);
         selection.preferred = candidates
             .into_iter()
             .find(|worker| selection.is_preferred(*worker));
@@ -103,7 +103,7 @@
             .or_else(|| self.queue_at_copy())
             .or_else(|| self.postpone_load())
             .or_else(|| self.load_copy())
-            .unwrap_or(Decision::Hold)
+            .unwrap_or(Decision::KeepQueued)
     }
 
     /// Uses a copy with free capacity, preferably at a worker without concurrency debt: otherwise
@@ -112,7 +112,7 @@
     /// there.
     fn use_copy(&self) -> Option<Decision> {
         let unsaturated = self.usable.iter().copied().find(|worker| {
-            let has_copy = self.has_free_copy(*worker) && self.is_debt_free(*worker);
+            let has_copy = self.has_free_copy(*worker) && self.has_no_debt(*worker);
             (has_copy || self.is_untried_preferred(*worker)) && !self.is_saturated(*worker)
         });
         let worker = unsaturated.or_else(|| self.least_saturated_copy())?;
@@ -162,19 +162,19 @@
     /// start.
     fn wait_for_ordered_load(&self) -> Option<Decision> {
         let load = self.request.awaited_load?;
-        let goes_on = self.is_loading(self.copies_at(load.worker))
+        let is_in_progress = self.is_loading(self.copies_at(load.worker))
             && self.policy.may_take(self.now, load.worker, self.request);
-        if !goes_on {
+        if !is_in_progress {
             return None;
         }
         let may_send = self.now >= load.send_from
             && self
                 .policy
-                .has_capacity(self.now, load.worker, self.credit());
+                .has_capacity(self.now, load.worker, self.max_debt());
         Some(if may_send {
             Decision::SendToLoading(load.worker)
         } else {
-            Decision::Hold
+            Decision::KeepQueued
         })
     }
 
@@ -185,7 +185,7 @@
         if self.function.last_query_at > 0
             && self.now < self.function.last_query_at + 2 * TICK_INTERVAL
         {
-            return Some(Decision::Hold);
+            return Some(Decision::KeepQueued);
         }
         let misses = self
             .function
@@ -200,7 +200,7 @@
             let copies = self.copies_at(*worker);
             self.is_untried(copies) && self.is_outdated(copies.queried_at)
         })?;
-        if self.miss_loads() || !self.policy.shares_workers_with_many() {
+        if self.miss_loads() || !self.policy.has_many_instances() {
             return Some(Decision::QueryCopies(worker));
         }
         let worker = self.next_untried().unwrap_or(worker);
@@ -227,8 +227,8 @@
     /// load evicts other functions' copies.
     fn wait_for_capacity(&self) -> Option<Decision> {
         let run_time = self.policy.mean_run_time(self.function) as Micros;
-        let patience = run_time.max(self.load_patience / 4);
-        (self.has_warm_copy() && self.waited() < patience).then_some(Decision::Hold)
+        let max_wait = run_time.max(self.assumed_load_time / 4);
+        (self.has_warm_copy() && self.waited() < max_wait).then_some(Decision::KeepQueued)
     }
 
     /// Sends a second round to a worker with a copy: the worker starts another copy by itself
@@ -253,16 +253,16 @@
             .values()
             .map(|load| load.probability)
             .sum();
-        let loads_already = self
+        let has_load_in_progress = self
             .function
             .copies
             .values()
             .any(|copy| self.is_loading(copy))
-            && self.waited() < self.load_patience;
+            && self.waited() < self.assumed_load_time;
         let must_wait = self.has_warm_copy() && !policy.has_spare_capacity
             || expected_loads > max_loads
-            || loads_already;
-        must_wait.then_some(Decision::Hold)
+            || has_load_in_progress;
+        must_wait.then_some(Decision::KeepQueued)
     }
 
     /// Loads a copy at the next candidate without one. Without spare capacity only the preferred
@@ -270,8 +270,8 @@
     fn load_copy(&self) -> Option<Decision> {
         let worker = self.usable.iter().copied().find(|worker| {
             let copies = self.copies_at(*worker);
-            let is_near = self.policy.has_spare_capacity || Some(*worker) == self.preferred;
-            is_near
+            let may_load_here = self.policy.has_spare_capacity || Some(*worker) == self.preferred;
+            may_load_here
                 && !self.is_warm(copies)
                 && !self.is_loading(copies)
                 && !self.load_is_paused(*worker)
--- a/src/policy/selection_view.rs
+++ b/src/policy/selection_view.rs
@@ -7,11 +7,11 @@
 
 /// Concurrency debt, in requests of mean run time, that a worker may have for a function with fewer
 /// than two copies while there is spare capacity.
-const CONCURRENCY_CREDIT: f64 = 6.0;
+const MAX_DEBT_REQUESTS: f64 = 6.0;
 
 impl Selection<'_> {
     /// The function's candidates, with those last that peers report unhealthy or that are doubted.
-    pub(super) fn candidates_by_trust(&self) -> Vec<WorkerId> {
+    pub(super) fn candidates_suspect_last(&self) -> Vec<WorkerId> {
         let has_doubts = self.policy.evidence.has_anomalies();
         let is_suspect = |worker: &&WorkerId| {
             let state = self.policy.workers.get(worker);
@@ -26,12 +26,12 @@
 
     /// The candidates that may take the request now. Candidates with a pending health check are
     /// left out as long as there are others.
-    pub(super) fn usable_of(&self, candidates: &[WorkerId]) -> Vec<WorkerId> {
-        let credit = self.credit();
+    pub(super) fn usable_candidates(&self, candidates: &[WorkerId]) -> Vec<WorkerId> {
+        let max_debt = self.max_debt();
         let usable: Vec<WorkerId> = candidates
             .iter()
             .copied()
-            .filter(|worker| self.policy.has_capacity(self.now, *worker, credit))
+            .filter(|worker| self.policy.has_capacity(self.now, *worker, max_debt))
             .filter(|worker| self.policy.may_take(self.now, *worker, self.request))
             .collect();
         let evidence = &self.policy.evidence;
@@ -55,17 +55,17 @@
             let state = self.policy.workers.get(&worker);
             state.is_some_and(|state| self.policy.within_slow_start(self.now, worker, state))
         };
-        self.is_sound(worker) && (self.policy.shares_workers_with_many() || accepts_load())
+        self.is_ready_and_healthy(worker) && (self.policy.has_many_instances() || accepts_load())
     }
 
     /// The concurrency debt that a worker may have and still take the request, in microseconds.
     /// With many instances, the allowances of all instances add up in a burst, so only functions
     /// with fewer than two copies get one.
-    pub(super) fn credit(&self) -> f64 {
-        let requests = if !self.policy.shares_workers_with_many() {
+    pub(super) fn max_debt(&self) -> f64 {
+        let requests = if !self.policy.has_many_instances() {
             1.0
         } else if self.has_single_copy() && self.policy.has_spare_capacity {
-            CONCURRENCY_CREDIT
+            MAX_DEBT_REQUESTS
         } else {
             0.0
         };
@@ -73,17 +73,17 @@
     }
 
     pub(super) fn has_single_copy(&self) -> bool {
-        self.sound_warm_copies() < 2
+        self.healthy_warm_copies() < 2
     }
 
     pub(super) fn has_warm_copy(&self) -> bool {
-        self.sound_warm_copies() > 0
+        self.healthy_warm_copies() > 0
     }
 
-    pub(super) fn sound_warm_copies(&self) -> usize {
+    pub(super) fn healthy_warm_copies(&self) -> usize {
         let copies = self.function.copies.iter();
         copies
-            .filter(|(worker, copy)| self.is_warm(copy) && self.is_sound(**worker))
+            .filter(|(worker, copy)| self.is_warm(copy) && self.is_ready_and_healthy(**worker))
             .count()
     }
 
@@ -92,7 +92,7 @@
     /// start last.
     pub(super) fn next_untried(&self) -> Option<WorkerId> {
         *self.next_untried.get_or_init(|| {
-            let may_try = self.policy.shares_workers_with_many()
+            let may_try = self.policy.has_many_instances()
                 && !self.miss_loads()
                 && self.has_further_attempt
                 && (self.may_risk_miss || self.request.attempts == 1);
@@ -150,7 +150,7 @@
     pub(super) fn is_loading(&self, copies: &CopyState) -> bool {
         let in_progress = copies
             .loading_since
-            .is_some_and(|since| self.now < since + self.load_patience);
+            .is_some_and(|since| self.now < since + self.assumed_load_time);
         in_progress && copies.count == 0
     }
 
@@ -167,7 +167,7 @@
             && copies.own_in_flight < self.function.concurrency_per_copy * copies.count
     }
 
-    pub(super) fn is_sound(&self, worker: WorkerId) -> bool {
+    pub(super) fn is_ready_and_healthy(&self, worker: WorkerId) -> bool {
         let state = self.policy.workers.get(&worker);
         state.is_some_and(|state| {
             state.ready
@@ -176,7 +176,7 @@
         })
     }
 
-    pub(super) fn is_debt_free(&self, worker: WorkerId) -> bool {
+    pub(super) fn has_no_debt(&self, worker: WorkerId) -> bool {
         let state = self.policy.workers.get(&worker);
         state.is_some_and(|state| {
             state.concurrency_limit >= 1.0 || state.concurrency_debt(self.now) == 0.0
