--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -61,7 +61,7 @@
     }
 
     /// The requests in flight that a worker reported; 0 if the report is outdated, or with few
-    /// instances, whose own requests tell enough.
+    /// instances, whose own requests are sufficient to judge its load.
     pub(super) fn reported_in_flight(&self, now: Micros, worker: &WorkerState) -> u32 {
         let is_current = now < worker.reported_load.at + self.settings.copy_idle_timeout;
         if self.has_many_instances() && is_current {
--- a/src/policy/evidence/worker.rs
+++ b/src/policy/evidence/worker.rs
@@ -91,7 +91,7 @@
     pub(super) usable_from: Micros,
     /// Whether it could be sent new work at the last update.
     pub(super) is_available: bool,
-    /// When it was suspended.
+    /// When it was suspended, if it is.
     pub(super) suspended_since: Option<Micros>,
     pub(super) last_used_at: Micros,
     pub(super) check: CheckState,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -223,8 +223,8 @@
         Some(Decision::SendToLoading(worker))
     }
 
-    /// Waits while all copies are busy: one more run takes less time than part of a load, and each
-    /// load evicts other functions' copies.
+    /// Waits while all copies are busy: one more run costs less than part of a load, and each load
+    /// evicts other functions' copies.
     fn wait_for_capacity(&self) -> Option<Decision> {
         let run_time = self.policy.mean_run_time(self.function) as Micros;
         let max_wait = run_time.max(self.assumed_load_time / 4);
