--- a/src/policy/evidence/spans.rs
+++ b/src/policy/evidence/spans.rs
@@ -1,34 +1,36 @@
-//! How long evidence holds.
+//! Validity periods of evidence.
 
 use crate::api::{Micros, Settings};
 
-/// What is left between the last send that evidence allows and the first that would be too late:
-/// clocks are read and bytes written at different moments.
+/// Safety margin between the last send that evidence allows and the first that would be too late,
+/// in microseconds: clocks are read and bytes written at different moments.
 const MARGIN: Micros = 300_000;
-/// How late the list may be when discovery confirms it: a worker may have begun to drain so long before.
+/// The maximum lag of the list when discovery confirms it, in microseconds: a worker may have begun
+/// to drain that long before.
 const LIST_LAG: Micros = 2_000_000;
 
-/// The times that the settings give, less the margins.
+/// Validity periods from the settings, less the margins.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Spans {
-    /// After this, what discovery would have told counts as told.
-    pub(super) told_after: Micros,
-    /// How long after evidence that came from the worker itself it may be sent to.
-    pub(super) own: Micros,
-    /// How long after discovery last confirmed the list a listed worker may be sent to.
-    pub(super) list: Micros,
+pub(super) struct EvidenceValidity {
+    /// The time after which changes at discovery count as known to this instance.
+    pub(super) max_list_age: Micros,
+    /// The time after evidence from the worker itself during which it may be sent new work.
+    pub(super) own_evidence: Micros,
+    /// The time after discovery last confirmed the list during which a listed worker may be sent
+    /// new work.
+    pub(super) list_evidence: Micros,
 }
 
-impl Spans {
-    /// The spans of a deployment whose list ages; none if it does not.
-    pub(super) fn from_settings(settings: &Settings) -> Option<Spans> {
-        let told_after = settings.list_max_age?;
-        let last_send = told_after + settings.drain_grace;
-        let own = last_send - MARGIN.min(last_send / 4);
-        Some(Spans {
-            told_after,
-            own,
-            list: own.saturating_sub(LIST_LAG.min(told_after / 3)),
+impl EvidenceValidity {
+    /// Computes the periods from the settings; `None` if the list does not expire.
+    pub(super) fn from_settings(settings: &Settings) -> Option<EvidenceValidity> {
+        let max_list_age = settings.list_max_age?;
+        let last_send = max_list_age + settings.drain_grace;
+        let own_evidence = last_send - MARGIN.min(last_send / 4);
+        Some(EvidenceValidity {
+            max_list_age,
+            own_evidence,
+            list_evidence: own_evidence.saturating_sub(LIST_LAG.min(max_list_age / 3)),
         })
     }
 }
--- a/src/policy/evidence/tracker.rs
+++ b/src/policy/evidence/tracker.rs
@@ -5,38 +5,38 @@
 use super::change::{DoubtReason, EvidenceChange, SuspendReason};
 use super::check_budget::CheckBudget;
 use super::discovery::{DiscoveryChange, DiscoveryFreshness, DiscoveryKind};
-use super::spans::Spans;
+use super::spans::EvidenceValidity;
 use super::worker::{DoubtPolicy, ReportedCapacity, WorkerEvidence};
 use crate::api::{DiscoverySignal, Micros, Settings, WorkerId, WorkerStatus};
 
-/// What a health check found.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckResult {
-    /// The worker takes new work.
+    /// The worker accepts new work.
     Alive,
-    /// The worker answers that it does not.
+    /// The worker answers that it accepts no new work.
     Dead,
-    /// Nothing was heard, which proves nothing.
+    /// No answer arrived, which proves nothing.
     NoAnswer,
 }
 
-/// Tracks the evidence of workers; see the module.
+/// Tracks the evidence of workers; see the module documentation.
 #[derive(Debug)]
 pub struct EvidenceTracker {
-    /// None where the list does not age: every listed worker may then be sent to.
-    pub(super) spans: Option<Spans>,
+    /// `None` if the list does not expire: every listed worker may then be sent new work.
+    pub(super) validity: Option<EvidenceValidity>,
     pub(super) may_check: bool,
     pub(super) seed: u64,
     pub(super) discovery: DiscoveryFreshness,
     pub(super) workers: BTreeMap<WorkerId, WorkerEvidence>,
     pub(super) budget: CheckBudget,
-    /// When a request last came.
-    pub(super) demanded_at: Option<Micros>,
-    /// Whether some worker is doubted, suspended or held back.
+    /// When a request last arrived.
+    pub(super) last_request_at: Option<Micros>,
+    /// Whether any worker may be doubted, suspended or reported as ended.
     pub(super) has_anomalies: bool,
-    /// When the stream of discovery was last asked to be opened anew.
+    /// When the discovery stream was last reopened.
     pub(super) reopened_at: Micros,
-    /// How often it was since its last update.
+    /// The number of reopenings since the last update.
     pub(super) reopenings: u32,
     pub(super) changes: VecDeque<EvidenceChange>,
 }
@@ -48,7 +48,7 @@
 }
 
 impl EvidenceTracker {
-    /// A tracker that knows no worker yet.
+    /// Creates a tracker without workers.
     pub fn new(settings: &Settings, seed: u64, now: Micros) -> EvidenceTracker {
         let kind = if settings.discovery_heartbeats {
             DiscoveryKind::Heartbeats
@@ -56,13 +56,13 @@
             DiscoveryKind::Subscription
         };
         EvidenceTracker {
-            spans: Spans::from_settings(settings),
+            validity: EvidenceValidity::from_settings(settings),
             may_check: settings.may_health_check,
             seed,
             discovery: DiscoveryFreshness::new(kind, now),
             workers: BTreeMap::new(),
             budget: CheckBudget::new(settings.instances, now),
-            demanded_at: None,
+            last_request_at: None,
             has_anomalies: false,
             reopened_at: 0,
             reopenings: 0,
@@ -72,46 +72,47 @@
 
     /// Whether a worker that is listed as ready may be sent new work.
     pub fn may_send(&self, now: Micros, id: WorkerId) -> bool {
-        let Some(spans) = &self.spans else {
+        let Some(validity) = &self.validity else {
             return true;
         };
         let confirmed_at = self.discovery.confirmed_at(now);
         self.workers
             .get(&id)
-            .is_some_and(|worker| worker.may_send(now, spans, confirmed_at))
+            .is_some_and(|worker| worker.may_send(now, validity, confirmed_at))
     }
 
-    /// Whether a worker rejected what it had capacity for, and nothing has settled since whether it drains.
+    /// Whether a worker is doubted: it rejected work in an unexpected way, and no evidence since
+    /// has shown whether it drains.
     pub fn is_doubted(&self, id: WorkerId) -> bool {
         let worker = self.workers.get(&id);
         worker.is_some_and(|worker| worker.doubt.is_some())
     }
 
-    /// Whether some worker may be doubted, suspended or held back. It saves the look at each of
-    /// them on ordinary days.
+    /// Whether any worker may be doubted, suspended or reported as ended. If not, callers need not
+    /// look at each worker.
     pub fn has_anomalies(&self) -> bool {
         self.has_anomalies
     }
 
-    /// Whether a worker is doubted and a health check is going to settle it.
+    /// Whether a worker is doubted and a health check will settle the doubt.
     pub fn awaits_check(&self, id: WorkerId) -> bool {
         self.may_check && self.is_doubted(id)
     }
 
-    /// The stream of discovery has given a sign.
+    /// Handles a signal of the discovery stream.
     pub fn on_discovery(&mut self, now: Micros, signal: DiscoverySignal) {
-        if self.spans.is_none() {
+        if self.validity.is_none() {
             return;
         }
         let is_contradicted = self
             .workers
             .values()
-            .any(|worker| worker.said_dead_at.is_some());
+            .any(|worker| worker.reported_unavailable_at.is_some());
         self.discovery.handle(now, signal, is_contradicted);
         if signal == DiscoverySignal::Update {
             self.reopenings = 0;
             if !self.may_check {
-                // Events are not held back; what the list says of a doubted worker holds.
+                // Updates arrive, so the list is valid for doubted workers too.
                 self.drop_doubts();
             }
         }
@@ -123,9 +124,10 @@
         }
     }
 
-    /// The list describes a worker; `restarted` says that it names another start of its process than before.
+    /// Applies a list entry. `restarted` states that it names a later process start than the
+    /// previous entry.
     pub fn on_listed(&mut self, id: WorkerId, status: WorkerStatus, restarted: bool) {
-        if self.spans.is_none() {
+        if self.validity.is_none() {
             return;
         }
         if status != WorkerStatus::Ready {
@@ -133,44 +135,44 @@
             return;
         }
         let worker = self.workers.entry(id).or_default();
-        // Whether it may be used is found when the state is next brought up to date.
+        // The next update determines whether it may be used.
         self.has_anomalies |= !worker.is_available;
         if restarted {
             worker.begin_process();
         }
     }
 
-    /// A complete list has come; others than these are not listed any more.
+    /// Removes workers that a complete list does not contain.
     pub fn retain_listed(&mut self, is_listed: impl Fn(WorkerId) -> bool) {
         self.workers.retain(|id, _| is_listed(*id));
     }
 
-    /// A request has come.
+    /// Records the arrival of a request.
     pub fn on_request(&mut self, now: Micros) {
-        self.demanded_at = Some(now);
+        self.last_request_at = Some(now);
     }
 
-    /// An attempt or a load order is sent.
+    /// Records that an attempt or a load order is sent.
     pub fn on_sent(&mut self, now: Micros, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&id) {
-            worker.used_at = now;
+            worker.last_used_at = now;
         }
     }
 
-    /// A worker served what was sent to it at `sent_at`.
+    /// Records that a worker served a request sent at `sent_at`.
     pub fn on_served(&mut self, now: Micros, id: WorkerId, sent_at: Micros) {
         self.record_served(now, id, sent_at, None);
     }
 
     fn record_served(&mut self, now: Micros, id: WorkerId, at: Micros, opened_at: Option<Micros>) {
         let confirmed_at = self.discovery.confirmed_at(now);
-        let (Some(spans), Some(worker)) = (&self.spans, self.workers.get_mut(&id)) else {
+        let (Some(validity), Some(worker)) = (&self.validity, self.workers.get_mut(&id)) else {
             return;
         };
-        worker.record_served(now, at, opened_at, spans, confirmed_at);
+        worker.record_served(now, at, opened_at, validity, confirmed_at);
     }
 
-    /// A worker rejected a call that was sent to it at `sent_at`.
+    /// Records that a worker rejected a call sent at `sent_at`.
     pub fn on_rejected(
         &mut self,
         now: Micros,
@@ -186,7 +188,7 @@
         self.report_doubt(now, id, doubt);
     }
 
-    /// A worker rejected a load order.
+    /// Records that a worker rejected a load order.
     pub fn on_load_rejected(&mut self, now: Micros, id: WorkerId) {
         let policy = self.doubt_policy(now);
         let doubt = self
@@ -196,7 +198,7 @@
         self.report_doubt(now, id, doubt);
     }
 
-    /// What settles a doubt that begins now.
+    /// How a doubt that begins now is settled.
     fn doubt_policy(&self, now: Micros) -> DoubtPolicy {
         if self.may_check {
             DoubtPolicy::HealthCheck
@@ -205,14 +207,14 @@
         }
     }
 
-    /// A worker that served reported its capacity.
+    /// Records the capacity that a worker reported with a served request.
     pub fn on_reported(&mut self, id: WorkerId, capacity: ReportedCapacity) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.reported_capacity = capacity;
         }
     }
 
-    /// A worker loaded a copy that was ordered.
+    /// Records that a worker carried out a load order.
     pub fn on_loaded(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.record_load();
@@ -232,20 +234,20 @@
         });
     }
 
-    /// Nothing accepts connections at a worker's address: its process has ended. While discovery is
-    /// in reach, it is for the list to say what that means.
+    /// Records that a worker's address refuses connections: its process has ended. While discovery
+    /// is available, the list alone decides.
     pub fn on_process_gone(&mut self, now: Micros, id: WorkerId) {
-        if self.spans.is_none() || !self.discovery.is_lost(now) {
+        if self.validity.is_none() || !self.discovery.is_lost(now) {
             return;
         }
         if let Some(worker) = self.workers.get_mut(&id) {
-            worker.gone_at = Some(now);
+            worker.process_ended_at = Some(now);
             self.has_anomalies = true;
         }
     }
 
-    /// A health check has ended. It was sent at `sent_at`, on a connection opened at `opened_at` if
-    /// that is known.
+    /// Records the end of a health check that was sent at `sent_at`, on a connection opened at
+    /// `opened_at` if known.
     pub fn on_checked(
         &mut self,
         now: Micros,
@@ -265,15 +267,15 @@
             .check
             .end(now, result == CheckResult::Alive, retry_interval);
         if result == CheckResult::Dead && worker.served_at.is_none_or(|at| at < sent_at) {
-            worker.said_dead_at = Some(sent_at);
+            worker.reported_unavailable_at = Some(sent_at);
             worker.doubt = None;
             self.has_anomalies = true;
         }
     }
 
-    /// Brings the state up to date. Returns the workers that are suspended or resumed by it.
+    /// Updates the state. Returns the workers that it suspends or resumes.
     pub fn tick(&mut self, now: Micros) -> Vec<(WorkerId, Availability)> {
-        let Some(spans) = self.spans else {
+        let Some(validity) = self.validity else {
             return Vec::new();
         };
         match self.discovery.tick(now) {
@@ -281,48 +283,53 @@
                 let list_age = self.discovery.confirmed_at(now).map(|at| now - at);
                 self.report(EvidenceChange::DiscoveryLost { list_age });
             }
-            Some(DiscoveryChange::Heard { lost_for }) => {
-                self.list_is_confirmed();
+            Some(DiscoveryChange::Restored { lost_for }) => {
+                self.on_discovery_restored();
                 self.report(EvidenceChange::DiscoveryHeard { lost_for });
             }
             None => {}
         }
-        if !self.is_attentive(now) {
+        if !self.must_examine_workers(now) {
             return Vec::new();
         }
-        if self.contradicted_for(now) >= Some(spans.told_after) {
-            self.discovery.hold_back();
+        if self.contradicted_for(now) >= Some(validity.max_list_age) {
+            self.discovery.mark_updates_withheld();
         }
-        self.update_availability(now, &spans)
+        self.update_availability(now, &validity)
     }
 
-    /// Discovery is in reach again: whether a process is gone is its to say from now on.
-    fn list_is_confirmed(&mut self) {
+    /// Drops doubts and ended processes when discovery is available again: the list decides from
+    /// now on.
+    fn on_discovery_restored(&mut self) {
         for worker in self.workers.values_mut() {
-            let was_gone = worker.gone_at.take().is_some();
-            worker.is_new_process |= was_gone && worker.suspended_since.is_some();
+            let had_ended = worker.process_ended_at.take().is_some();
+            worker.is_new_process |= had_ended && worker.suspended_since.is_some();
             worker.doubt = None;
         }
     }
 
-    /// Whether workers have to be looked at one by one.
-    pub(super) fn is_attentive(&self, now: Micros) -> bool {
-        self.spans.is_some() && (self.has_anomalies || self.discovery.is_lost(now))
+    /// Whether the state of each worker has to be examined.
+    pub(super) fn must_examine_workers(&self, now: Micros) -> bool {
+        self.validity.is_some() && (self.has_anomalies || self.discovery.is_lost(now))
     }
 
-    fn update_availability(&mut self, now: Micros, spans: &Spans) -> Vec<(WorkerId, Availability)> {
+    fn update_availability(
+        &mut self,
+        now: Micros,
+        validity: &EvidenceValidity,
+    ) -> Vec<(WorkerId, Availability)> {
         let confirmed_at = self.discovery.confirmed_at(now);
         let mut changed = Vec::new();
         let mut changes = Vec::new();
         let mut has_anomalies = false;
         for (id, worker) in &mut self.workers {
-            let may_send = worker.may_send(now, spans, confirmed_at);
+            let may_send = worker.may_send(now, validity, confirmed_at);
             match (may_send, worker.is_available) {
                 (true, false) => {
                     worker.is_available = true;
                     let new_process = std::mem::take(&mut worker.is_new_process);
                     changed.push((*id, Availability::Resumed { new_process }));
-                    // A worker that is used for the first time was not suspended.
+                    // A worker that becomes available for the first time was not suspended.
                     changes.extend(worker.suspended_since.take().map(|since| {
                         EvidenceChange::Resumed {
                             worker: *id,
@@ -343,7 +350,8 @@
                 }
                 (true, true) | (false, false) => {}
             }
-            has_anomalies |= !may_send || worker.doubt.is_some() || worker.gone_at.is_some();
+            has_anomalies |=
+                !may_send || worker.doubt.is_some() || worker.process_ended_at.is_some();
         }
         self.has_anomalies = has_anomalies;
         for change in changes {
@@ -353,12 +361,12 @@
     }
 }
 
-/// Whether a worker may be sent new work from now on.
+/// A change of whether a worker may be sent new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It may not.
+    /// It may no longer be sent new work.
     Suspended,
-    /// It may.
+    /// It may be sent new work again, or for the first time.
     Resumed {
         /// Whether its process may have been replaced.
         new_process: bool,
@@ -366,7 +374,7 @@
 }
 
 fn suspend_reason(now: Micros, worker: &WorkerEvidence) -> SuspendReason {
-    if worker.said_dead_at.is_some() {
+    if worker.reported_unavailable_at.is_some() {
         SuspendReason::SaidDead
     } else if now < worker.usable_from {
         SuspendReason::ProcessReplaced
--- a/src/policy/load_backoff.rs
+++ b/src/policy/load_backoff.rs
@@ -1,25 +1,27 @@
-//! How long a worker gets no load orders after it rejected some.
+//! Pauses of load orders after a worker rejected some.
 //!
-//! Without a pause, a rejected order is given again at once: the request that waits for the load is
-//! still queued, and its worker still the next in the order.
+//! Without a pause, a rejected order would be repeated at once: the request that needs the load is
+//! still queued, and the same worker is still next in the order.
 
 use std::collections::BTreeMap;
 
 use super::loads::CopyKey;
 use crate::api::{Micros, Outcome, WorkerId};
 
-/// The pause for one function after the first order that failed; it doubles with each further one.
-const COPY_PAUSE: Micros = 250_000;
-/// The longest such pause.
+/// The pause for one function after the first failed order, in microseconds. It doubles with each
+/// further failure.
+const INITIAL_COPY_PAUSE: Micros = 250_000;
+/// The maximum of this pause, in microseconds.
 const MAX_COPY_PAUSE: Micros = 8_000_000;
-/// The pause for all functions after the second rejection in a row; it doubles with each further one.
-const WORKER_PAUSE: Micros = 100_000;
-/// The longest such pause.
+/// The pause for all functions after the second consecutive rejection, in microseconds. It doubles
+/// with each further rejection.
+const INITIAL_WORKER_PAUSE: Micros = 100_000;
+/// The maximum of this pause, in microseconds.
 const MAX_WORKER_PAUSE: Micros = 2_000_000;
-/// Rejections in a row, of any functions, that a worker may give before it is left alone altogether.
+/// Consecutive rejections, of any functions, from which all load orders to a worker are paused.
 const MAX_WORKER_REJECTIONS: u32 = 2;
 
-/// Failures in a row, and until when there is a pause.
+/// Number of consecutive failures, and the end of the pause.
 #[derive(Debug, Default, Clone, Copy)]
 struct Backoff {
     failures: u32,
@@ -27,17 +29,25 @@
 }
 
 impl Backoff {
-    /// A failure; the pause is `first`, doubled with each failure after so many that are free, up to `max`.
-    fn fail(&mut self, now: Micros, free: u32, first: Micros, max: Micros) {
+    /// Records a failure. After the first `free_failures` failures, each sets a pause:
+    /// `initial_pause`, doubled with each further failure, up to `max_pause`.
+    fn record_failure(
+        &mut self,
+        now: Micros,
+        free_failures: u32,
+        initial_pause: Micros,
+        max_pause: Micros,
+    ) {
         self.failures = self.failures.saturating_add(1);
-        if self.failures > free {
-            let doublings = (self.failures - free - 1).min(16);
-            self.until = now + (first << doublings).min(max);
+        if self.failures > free_failures {
+            let doublings = (self.failures - free_failures - 1).min(16);
+            self.until = now + (initial_pause << doublings).min(max_pause);
         }
     }
 }
 
-/// The pauses of all workers. An entry goes with the first load that stands, or once its pause is long over.
+/// The pauses of all workers. An entry is removed with the first successful load, or long after its
+/// pause has ended.
 #[derive(Debug, Default)]
 pub(super) struct LoadBackoffs {
     copies: BTreeMap<CopyKey, Backoff>,
@@ -45,7 +55,7 @@
 }
 
 impl LoadBackoffs {
-    /// Whether a worker gets no order for this function now.
+    /// Whether load orders for the function are paused at the worker.
     pub(super) fn is_paused(&self, now: Micros, key: CopyKey) -> bool {
         if self.copies.is_empty() {
             return false;
@@ -58,7 +68,7 @@
         now < copy_until.max(worker_until)
     }
 
-    /// An order has ended.
+    /// Records the end of a load order.
     pub(super) fn on_order_ended(&mut self, now: Micros, key: CopyKey, outcome: Outcome) {
         match outcome {
             Outcome::Ok => {
@@ -66,11 +76,11 @@
                 self.workers.remove(&key.worker);
             }
             Outcome::Rejected => {
-                self.fail_copy(now, key);
-                self.workers.entry(key.worker).or_default().fail(
+                self.record_copy_failure(now, key);
+                self.workers.entry(key.worker).or_default().record_failure(
                     now,
                     MAX_WORKER_REJECTIONS - 1,
-                    WORKER_PAUSE,
+                    INITIAL_WORKER_PAUSE,
                     MAX_WORKER_PAUSE,
                 );
             }
@@ -80,24 +90,26 @@
             | Outcome::NotSent
             | Outcome::Timeout
             | Outcome::Cancelled
-            | Outcome::Miss => self.fail_copy(now, key),
+            | Outcome::Miss => self.record_copy_failure(now, key),
         }
     }
 
-    fn fail_copy(&mut self, now: Micros, key: CopyKey) {
-        self.copies
-            .entry(key)
-            .or_default()
-            .fail(now, 0, COPY_PAUSE, MAX_COPY_PAUSE);
+    fn record_copy_failure(&mut self, now: Micros, key: CopyKey) {
+        self.copies.entry(key).or_default().record_failure(
+            now,
+            0,
+            INITIAL_COPY_PAUSE,
+            MAX_COPY_PAUSE,
+        );
     }
 
-    /// A worker's process is a new one: what the old one rejected says nothing of it.
+    /// Forgets the pauses of a worker with a new process: the rejections came from the old one.
     pub(super) fn forget_worker(&mut self, worker: WorkerId) {
         self.copies.retain(|key, _| key.worker != worker);
         self.workers.remove(&worker);
     }
 
-    /// Forgets pauses that have been over for long.
+    /// Forgets pauses that ended long ago.
     pub(super) fn forget_outdated(&mut self, now: Micros) {
         self.copies
             .retain(|_, backoff| now < backoff.until + MAX_COPY_PAUSE);
--- a/src/policy/selection_view.rs
+++ b/src/policy/selection_view.rs
@@ -1,17 +1,17 @@
-//! What the rules of selection look at: the candidates, their copies, and what is known of them.
+//! Queries of the selection rules about candidates and their copies.
 
 use super::function::CopyState;
 use super::loads::CopyKey;
 use super::selection::Selection;
 use crate::api::{Micros, WorkerId};
 
-/// Requests of mean run time that a worker may be in debt for with a function that stands nowhere
-/// else, while there is spare capacity.
-const CONCURRENCY_CREDIT: f64 = 6.0;
+/// Concurrency debt, in requests of mean run time, that a worker may have for a function with fewer
+/// than two copies while there is spare capacity.
+const MAX_DEBT_REQUESTS: f64 = 6.0;
 
 impl Selection<'_> {
-    /// The function's candidates, those last that peers observe to be faulty or that are doubted.
-    pub(super) fn candidates_by_trust(&self) -> Vec<WorkerId> {
+    /// The function's candidates, with those last that peers report unhealthy or that are doubted.
+    pub(super) fn candidates_suspect_last(&self) -> Vec<WorkerId> {
         let has_doubts = self.policy.evidence.has_anomalies();
         let is_suspect = |worker: &&WorkerId| {
             let state = self.policy.workers.get(worker);
@@ -24,14 +24,14 @@
         trusted.chain(suspect).copied().collect()
     }
 
-    /// The candidates that may take the request now. Those that a check will soon tell more of are
+    /// The candidates that may take the request now. Candidates with a pending health check are
     /// left out as long as there are others.
-    pub(super) fn usable_of(&self, candidates: &[WorkerId]) -> Vec<WorkerId> {
-        let credit = self.credit();
+    pub(super) fn usable_candidates(&self, candidates: &[WorkerId]) -> Vec<WorkerId> {
+        let max_debt = self.max_debt();
         let usable: Vec<WorkerId> = candidates
             .iter()
             .copied()
-            .filter(|worker| self.policy.has_capacity(self.now, *worker, credit))
+            .filter(|worker| self.policy.has_capacity(self.now, *worker, max_debt))
             .filter(|worker| self.policy.may_take(self.now, *worker, self.request))
             .collect();
         let evidence = &self.policy.evidence;
@@ -55,17 +55,17 @@
             let state = self.policy.workers.get(&worker);
             state.is_some_and(|state| self.policy.within_slow_start(self.now, worker, state))
         };
-        self.is_sound(worker) && (self.policy.shares_workers_with_many() || accepts_load())
+        self.is_ready_and_healthy(worker) && (self.policy.has_many_instances() || accepts_load())
     }
 
-    /// The concurrency debt that a worker may have and still take the request, in microseconds. The
-    /// credit of many instances adds up in a burst: of these only a function without two copies
-    /// gives any.
-    pub(super) fn credit(&self) -> f64 {
-        let requests = if !self.policy.shares_workers_with_many() {
+    /// The concurrency debt that a worker may have and still take the request, in microseconds.
+    /// With many instances, the allowances of all instances add up in a burst, so only functions
+    /// with fewer than two copies get one.
+    pub(super) fn max_debt(&self) -> f64 {
+        let requests = if !self.policy.has_many_instances() {
             1.0
         } else if self.has_single_copy() && self.policy.has_spare_capacity {
-            CONCURRENCY_CREDIT
+            MAX_DEBT_REQUESTS
         } else {
             0.0
         };
@@ -73,26 +73,26 @@
     }
 
     pub(super) fn has_single_copy(&self) -> bool {
-        self.sound_warm_copies() < 2
+        self.healthy_warm_copies() < 2
     }
 
     pub(super) fn has_warm_copy(&self) -> bool {
-        self.sound_warm_copies() > 0
+        self.healthy_warm_copies() > 0
     }
 
-    pub(super) fn sound_warm_copies(&self) -> usize {
+    pub(super) fn healthy_warm_copies(&self) -> usize {
         let copies = self.function.copies.iter();
         copies
-            .filter(|(worker, copy)| self.is_warm(copy) && self.is_sound(**worker))
+            .filter(|(worker, copy)| self.is_warm(copy) && self.is_ready_and_healthy(**worker))
             .count()
     }
 
-    /// The next worker that one of many instances tries with the request itself: the preferred one
-    /// after a first attempt elsewhere, otherwise the first that is not saturated, workers in slow
+    /// The next worker that the request itself is tried at, with many instances: the preferred
+    /// worker after a first attempt elsewhere, otherwise the first unsaturated one, workers in slow
     /// start last.
     pub(super) fn next_untried(&self) -> Option<WorkerId> {
         *self.next_untried.get_or_init(|| {
-            let may_try = self.policy.shares_workers_with_many()
+            let may_try = self.policy.has_many_instances()
                 && !self.miss_loads()
                 && self.has_further_attempt
                 && (self.may_risk_miss || self.request.attempts == 1);
@@ -138,8 +138,7 @@
             .unwrap_or(&CopyState::NONE)
     }
 
-    /// Whether what was known at an instant may have changed since, as idle copies may have been
-    /// unloaded.
+    /// Whether knowledge from an instant is outdated: idle copies may have been unloaded since.
     pub(super) fn is_outdated(&self, at: Micros) -> bool {
         at == 0 || self.now >= at + self.policy.settings.copy_idle_timeout
     }
@@ -151,11 +150,11 @@
     pub(super) fn is_loading(&self, copies: &CopyState) -> bool {
         let in_progress = copies
             .loading_since
-            .is_some_and(|since| self.now < since + self.load_patience);
+            .is_some_and(|since| self.now < since + self.assumed_load_time);
         in_progress && copies.count == 0
     }
 
-    /// Whether nothing is known lately of the function's copies there.
+    /// Whether there is no recent knowledge of the function's copies at the worker.
     pub(super) fn is_untried(&self, copies: &CopyState) -> bool {
         copies.own_in_flight == 0
             && self.is_outdated(copies.last_used_at)
@@ -168,7 +167,7 @@
             && copies.own_in_flight < self.function.concurrency_per_copy * copies.count
     }
 
-    pub(super) fn is_sound(&self, worker: WorkerId) -> bool {
+    pub(super) fn is_ready_and_healthy(&self, worker: WorkerId) -> bool {
         let state = self.policy.workers.get(&worker);
         state.is_some_and(|state| {
             state.ready
@@ -177,7 +176,7 @@
         })
     }
 
-    pub(super) fn is_debt_free(&self, worker: WorkerId) -> bool {
+    pub(super) fn has_no_debt(&self, worker: WorkerId) -> bool {
         let state = self.policy.workers.get(&worker);
         state.is_some_and(|state| {
             state.concurrency_limit >= 1.0 || state.concurrency_debt(self.now) == 0.0
@@ -188,7 +187,7 @@
         self.policy.is_saturated(self.now, worker)
     }
 
-    /// The requests that a saturated worker reported; 0 for others.
+    /// The number of requests in flight that a saturated worker reported; 0 for other workers.
     pub(super) fn saturation(&self, worker: WorkerId) -> u32 {
         if self.is_saturated(worker) {
             self.policy
@@ -200,13 +199,13 @@
         }
     }
 
-    /// How long the request has been with this instance, in microseconds.
+    /// The time since the request arrived at this instance, in microseconds.
     pub(super) fn waited(&self) -> Micros {
         self.now - self.request.arrived_at
     }
 
-    /// Whether the worker gets no load order for the function now. It does not matter where a miss
-    /// loads by itself.
+    /// Whether load orders for the function are paused at the worker. It does not matter where a
+    /// miss starts a load by itself.
     pub(super) fn load_is_paused(&self, worker: WorkerId) -> bool {
         let key = CopyKey {
             worker,
