--- a/src/consensus/bootstrap.rs
+++ b/src/consensus/bootstrap.rs
@@ -1,4 +1,5 @@
-//! The content of new disks: of the first voters, of a later replica, and of voters that are bootstrapped again.
+//! The initial content of replica disks: for the first voters, for a replica added later, and for voters that are
+//! bootstrapped again after a loss.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,30 +10,32 @@
 use crate::lease::table::LeaseTable;
 use crate::membership::is_name;
 
-/// The index of a bootstrap state in its log, and its term.
+/// The log index of the bootstrap snapshot, and its term.
 const BOOTSTRAP_INDEX: u64 = 1;
 
-/// Why voters cannot be bootstrapped.
+/// The reason for rejecting a bootstrap.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BootstrapError {
-    /// There have to be 1 to [`MAX_VOTERS`] different valid names.
-    #[error("a council has 1 to {MAX_VOTERS} voters, each with a name of its own")]
-    Names,
-    /// The gateway whose disk is made has to be one of the voters.
-    #[error("the gateway itself is not among the voters")]
-    NotAmongThem,
-    /// The new generation has to be above that of the old disk.
-    #[error("the disk is of generation {0}, which is not an earlier one")]
-    Generation(u32),
+    /// The names are not 1 to [`MAX_VOTERS`] distinct valid names.
+    #[error("a council needs 1 to {MAX_VOTERS} voters with distinct valid names")]
+    InvalidNames,
+    /// The gateway whose disk is created is not one of the voters.
+    #[error("this gateway's name is not in the list of voters")]
+    NotAVoter,
+    /// The new generation is not higher than that of the old disk.
+    #[error("the old disk has generation {0}; the new generation must be higher")]
+    GenerationNotHigher(u32),
 }
 
-/// The content of a bootstrap voter's disk: the same state at all of them, and the voter's own replica.
+/// Returns the content of a bootstrap voter's disk: a state that is the same for all bootstrap voters, and the voter's own
+/// replica ID.
 ///
-/// `old` is the state of a survivor of an older generation. Its leases start again with terms above all that were granted.
+/// `old` is the state of a surviving voter of an older generation. Its leases start again, unheld, with terms above all
+/// granted ones.
 ///
 /// # Errors
 ///
-/// [`BootstrapError`] if the names or the generation are not valid.
+/// Returns a [`BootstrapError`] if the names or the generation are invalid.
 pub fn bootstrap(
     generation: u32,
     own_name: &str,
@@ -45,13 +48,13 @@
         .collect();
     let valid = !names.is_empty() && names.iter().all(|name| is_name(name));
     if !valid || voters.len() != names.len() || names.len() > MAX_VOTERS {
-        return Err(BootstrapError::Names);
+        return Err(BootstrapError::InvalidNames);
     }
     if !names.iter().any(|name| name == own_name) {
-        return Err(BootstrapError::NotAmongThem);
+        return Err(BootstrapError::NotAVoter);
     }
     if let Some(old) = old.filter(|state| state.generation >= generation) {
-        return Err(BootstrapError::Generation(old.generation));
+        return Err(BootstrapError::GenerationNotHigher(old.generation));
     }
     let leases = old.map_or_else(LeaseTable::default, |state| {
         state.leases.rebootstrapped(generation)
@@ -59,7 +62,7 @@
     let (replica_sets, tenants) = old.map_or_else(Default::default, |state| {
         (state.replica_sets.clone(), state.tenants.clone())
     });
-    // As if one entry was committed: a replica that joins later does not have it, and is sent the state.
+    // The state counts as one committed entry. A replica that joins later lacks this entry and so receives a snapshot.
     let state = State {
         generation,
         applied: BOOTSTRAP_INDEX,
@@ -74,14 +77,14 @@
     ))
 }
 
-/// The content of the disk of a replica that is not a voter yet.
+/// Returns the disk content of a replica that is not a voter yet.
 pub fn new_replica(replica: ReplicaId) -> Record {
     initial_record(replica, &State::default())
 }
 
 fn initial_record(replica: ReplicaId, state: &State) -> Record {
     let voters: Vec<ReplicaId> = state.voters.keys().copied().collect();
-    // A state always encodes.
+    // Encoding a state cannot fail.
     let data = postcard::to_stdvec(state).unwrap_or_default();
     let index = state.applied;
     let hard_state = HardState {
@@ -108,7 +111,7 @@
     }
 }
 
-/// The state that a disk's snapshot and its committed entries come to; `None` if the snapshot cannot be decoded.
+/// Applies a disk's committed entries to its snapshot. Returns `None` if the snapshot cannot be decoded.
 pub fn recover_state(metadata: &Metadata, log: &[LogEntry]) -> Option<State> {
     let mut state = State::decode(&metadata.snapshot.data).ok()?;
     let committed = metadata.hard_state.commit;
@@ -124,7 +127,7 @@
     Some(state)
 }
 
-/// The persistent state of a disk that holds just this record.
+/// Returns the persistent state of a disk that contains only this record.
 pub fn initial_state(record: &Record) -> PersistentState {
     let mut persistent = PersistentState::default();
     persistent.apply(record);
--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -1,4 +1,4 @@
-//! The operator's file that switches consensus on.
+//! The configuration file that enables consensus.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -13,43 +13,45 @@
 use crate::membership::is_name;
 use crate::membership::keys::Keys;
 
-/// The maximum size of a lease's name.
+/// The maximum length of a lease name.
 const MAX_LEASE_NAME_BYTES: usize = 64;
-/// The maximum clock drift that can be configured.
+/// The maximum configurable clock drift.
 const MAX_DRIFT_PPM: u32 = 100_000;
 
-/// The content of the file; its keys are part of the operator's interface.
+/// The content of the file. Its keys are part of the operator interface.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// The address on which other gateways connect.
+    /// The address on which this gateway accepts connections from other gateways.
     pub listen: SocketAddr,
-    /// This gateway's name; the gateway's configured name if absent.
+    /// This gateway's name; defaults to the name in the gateway's own configuration.
     pub name: Option<String>,
-    /// The disk of its replica, made by `molelug council found` or `seat`; without one it never votes.
+    /// The disk of this gateway's replica, created by `molelug council found` or `molelug council seat`. Without it, the
+    /// gateway never votes.
     #[serde(rename = "seat")]
     pub replica_disk: Option<PathBuf>,
-    /// The gateways that vote, or may come to, and their addresses.
+    /// The addresses of the voters and of the gateways that may become voters, by name.
     pub voters: BTreeMap<String, SocketAddr>,
     /// The names of the leases.
     #[serde(default, rename = "duties")]
     pub leases: BTreeSet<String>,
-    /// How long a holder may act after its request, in milliseconds.
+    /// The duration of a lease from the holder's request, in milliseconds.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// The maximum drift between two clocks, in parts per million.
+    /// The assumed maximum drift between two clocks, in parts per million.
     #[serde(default = "default_drift_ppm")]
     pub drift_ppm: u32,
-    /// A voter's tick, in milliseconds: heartbeats come every 2 ticks, elections after 10 to 20.
+    /// The Raft tick, in milliseconds. A leader sends heartbeats every 2 ticks; a voter that receives none starts an
+    /// election after 10 to 20 ticks.
     #[serde(default = "default_tick_ms")]
     pub tick_ms: u64,
-    /// The file in which this process records its decisions, for a checker; off if absent.
+    /// The file in which this process records its decisions for an independent checker; disabled if absent.
     pub history: Option<PathBuf>,
-    /// The file of keys that all gateways share, a line each, the one in use first.
+    /// The file with the keys shared by all gateways, one per line, the active key first.
     pub shared_keys: Option<PathBuf>,
-    /// The file of this gateway's own private key.
+    /// The file with this gateway's private key.
     pub own_key: Option<PathBuf>,
-    /// The file of the public keys accepted for each name: TOML, `name = ["KEY", ...]`.
+    /// The TOML file with the accepted public keys of each gateway: `name = ["KEY", ...]`.
     pub accepted: Option<PathBuf>,
     /// The path of this file.
     #[serde(skip)]
@@ -73,11 +75,11 @@
 }
 
 impl File {
-    /// Reads the file; a relative path in it is taken from the file's folder.
+    /// Reads and validates the file. Relative paths in it are resolved against the file's directory.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if the file cannot be read or a value is not valid.
+    /// Returns a [`ConfigError`] if the file cannot be read or a value is invalid.
     pub fn read(path: &Path) -> Result<File, ConfigError> {
         let text =
             std::fs::read_to_string(path).map_err(|error| ConfigError::Read(path.into(), error))?;
@@ -85,11 +87,11 @@
             .map_err(|error| ConfigError::Parse(path.into(), error.message().to_owned()))?;
         file.path = path.to_owned();
         file.resolve_paths(path.parent().unwrap_or(Path::new("")));
-        file.check()?;
+        file.validate()?;
         Ok(file)
     }
 
-    fn resolve_paths(&mut self, folder: &Path) {
+    fn resolve_paths(&mut self, directory: &Path) {
         let paths = [
             &mut self.replica_disk,
             &mut self.history,
@@ -98,26 +100,27 @@
             &mut self.accepted,
         ];
         for path in paths.into_iter().flatten() {
-            *path = folder.join(&*path);
+            *path = directory.join(&*path);
         }
     }
 
-    fn check(&self) -> Result<(), ConfigError> {
+    fn validate(&self) -> Result<(), ConfigError> {
         let mut names = self.voters.keys().chain(&self.name);
         if let Some(name) = names.find(|name| !is_name(name)) {
             return invalid("council.voters", name);
         }
         if self.voters.is_empty() {
-            return invalid("council.voters", "nobody");
+            return invalid("council.voters", "{}");
         }
-        let is_valid_lease = |name: &String| (1..=MAX_LEASE_NAME_BYTES).contains(&name.len());
-        if self.leases.len() > MAX_LEASES || !self.leases.iter().all(is_valid_lease) {
+        let is_valid_lease_name = |name: &String| (1..=MAX_LEASE_NAME_BYTES).contains(&name.len());
+        if self.leases.len() > MAX_LEASES || !self.leases.iter().all(is_valid_lease_name) {
             return invalid(
                 "council.duties",
                 "too many, or a name that is empty or longer than 64 bytes",
             );
         }
-        // A lease is renewed three times while it runs. It may be shorter than an election: that costs availability only.
+        // A holder renews its lease three times per lease duration. A lease shorter than an election is allowed: it costs
+        // only availability.
         if !(5..=1_000).contains(&self.tick_ms)
             || !(100..=600_000).contains(&self.lease_ms)
             || self.drift_ppm > MAX_DRIFT_PPM
@@ -130,11 +133,11 @@
         Ok(())
     }
 
-    /// Reads the keys that the file names, for a gateway's name.
+    /// Reads the configured key files for the gateway with this name.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if a key cannot be read.
+    /// Returns a [`ConfigError`] if a key cannot be read.
     pub fn keys(&self, name: &str) -> Result<Keys, ConfigError> {
         read_keys(
             "council",
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -1,13 +1,17 @@
-//! Consensus: a few gateways, the voters, agree on one log of entries; all others learn it. No I/O.
+//! A replicated log: a few gateways, the voters, run Raft; all other gateways follow the log as learners. No I/O.
 //!
-//! [`participant`] is one gateway's part as a whole, and what a driver uses. [`voter`] wraps the `raft` library, with
-//! [`persistent_state`] as its storage; [`state`] is what the entries come to. [`peer_memory`] keeps a voter with an outdated
-//! disk from voting; [`learners`] is how gateways without a vote keep up; [`wire`] are the frames; [`config`] is the
-//! operator's file and [`bootstrap`] the content of new disks.
+//! - [`participant`]: the consensus state machine of one gateway, which a driver connects to sockets and disk.
+//! - [`voter`]: a Raft voter, built on the `raft` library, with [`persistent_state`] as its storage.
+//! - [`state`]: the log entries and the state machine that applies them.
+//! - [`peer_memory`]: detection of voters whose disk was restored from an older copy.
+//! - [`learners`]: the polling by which gateways without a vote follow the log.
+//! - [`wire`]: the frames between gateways.
+//! - [`config`]: the configuration file.
+//! - [`bootstrap`]: the initial content of replica disks.
 //!
-//! No request waits for anything here. What is stored by key is bounded: voters ([`MAX_VOTERS`]), leases (the bound of the
-//! lease table), learners ([`learners::MAX_LEARNERS`], removed when silent), entries (a snapshot every
-//! [`voter::ENTRIES_PER_SNAPSHOT`]).
+//! Requests never wait for consensus. Every keyed collection is bounded: voters ([`MAX_VOTERS`]), leases (the limit of the
+//! lease table), learners ([`learners::MAX_LEARNERS`]; a learner is removed when it stops polling), log entries (a snapshot
+//! every [`voter::ENTRIES_PER_SNAPSHOT`]).
 
 pub mod bootstrap;
 pub mod config;
@@ -19,21 +23,23 @@
 pub mod voter;
 pub mod wire;
 
-/// The identity of a voter's disk: a number drawn when the disk was made. A new disk is a new replica, whatever its name.
+/// Identifies a replica, that is, a voter's disk; assigned when the disk is created. A gateway with a new disk is a new
+/// replica under the same name.
 pub type ReplicaId = u64;
 
 /// The maximum number of voters.
 pub const MAX_VOTERS: usize = 7;
 
-/// The replica of a bootstrap voter. It follows from the generation and the name, so that bootstrap voters know one another.
+/// Returns the replica ID of a bootstrap voter. It is derived from the generation and the name, so that bootstrap voters can
+/// compute one another's IDs.
 pub fn bootstrap_voter(generation: u32, name: &str) -> ReplicaId {
     let content = [&generation.to_le_bytes()[..], name.as_bytes()].concat();
     let hash = blake3::derive_key("molelug council founder's seat 1", &content);
     replica_from_hash(&hash)
 }
 
-/// A replica from the first bytes of a hash; 0 stands for no replica.
+/// Derives a replica ID from the first bytes of a hash. The result is never 0, which stands for no replica.
 pub fn replica_from_hash(hash: &[u8; 32]) -> ReplicaId {
-    let first = hash.first_chunk::<8>();
-    first.map_or(1, |bytes| u64::from_le_bytes(*bytes).max(1))
+    let prefix = hash.first_chunk::<8>();
+    prefix.map_or(1, |bytes| u64::from_le_bytes(*bytes).max(1))
 }
--- a/src/consensus/participant/effects.rs
+++ b/src/consensus/participant/effects.rs
@@ -1,4 +1,4 @@
-//! Effects under a lease, reports to lease holders, and proposals of other subsystems.
+//! Effects sent under a lease, reports to lease holders, and proposals of other subsystems.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 use crate::lease::{LeaseName, Term};
 
 impl Participant {
-    /// Sends an effect under a lease of this gateway.
-    pub(super) fn act(&mut self, now: Micros, lease: LeaseName, content: Vec<u8>) {
-        // The lease is checked here first, and again when the bytes are queued.
+    /// Sends an effect under a lease held by this gateway. Ignored unless the lease is valid.
+    pub(super) fn send_effect(&mut self, now: Micros, lease: LeaseName, content: Vec<u8>) {
+        // The driver checks the lease again when it queues the bytes.
         let Some(term) = self.held_term(now, &lease) else {
             return;
         };
@@ -28,9 +28,9 @@
             term,
             number: effect.number,
         });
-        // The holder applies the effect itself; only its fence learns of the term.
+        // The holder applies its own effect elsewhere; here, only the fence has to record the term.
         let _ = self.fence.admit(&effect.lease, term);
-        let receivers: Vec<Arc<str>> = if self.voted {
+        let receivers: Vec<Arc<str>> = if self.is_voting {
             self.learner_progress.forward(effect.clone());
             self.other_voters()
         } else {
@@ -43,7 +43,7 @@
     }
 
     fn next_effect_number(&mut self, lease: &LeaseName, term: Term) -> u64 {
-        let last = self.last_acted.entry(lease.clone()).or_default();
+        let last = self.last_sent_effects.entry(lease.clone()).or_default();
         if last.0 != term {
             *last = (term, 0);
         }
@@ -51,32 +51,32 @@
         last.1
     }
 
-    /// Reports to the holder of a lease on behalf of this gateway.
-    pub(super) fn report_own(&mut self, lease: LeaseName, content: Vec<u8>) {
+    /// Sends a report of this gateway to the holder of a lease.
+    pub(super) fn send_report(&mut self, lease: LeaseName, content: Vec<u8>) {
         let report = LeaseReport {
             lease,
             from: self.settings.name.clone(),
             content,
         };
-        self.report(report, false);
+        self.route_report(report, false);
     }
 
-    /// Delivers a report to the holder of its lease, or forwards it by the shortest route.
-    pub(super) fn report(&mut self, report: LeaseReport, forwarded: bool) {
+    /// Delivers a report if this gateway holds the lease, or forwards it towards the holder.
+    pub(super) fn route_report(&mut self, report: LeaseReport, forwarded: bool) {
         let record = self.state().leases.record(&report.lease);
         let Some(holder) = record.holder.map(|holder| holder.name) else {
             return;
         };
         if holder == self.settings.name {
             self.receive_report(report);
-        } else if !self.voted {
+        } else if !self.is_voting {
             if let Some(to) = self.learner.source().cloned() {
                 self.send(to, Body::Report(report, false));
             }
         } else if self.is_voter(&holder) || self.learner_progress.contains(&holder) {
             self.send(holder, Body::Report(report, true));
         } else if !forwarded {
-            // The holder is a learner of another voter.
+            // The holder is a learner that polls another voter.
             for voter in self.other_voters() {
                 self.send(voter, Body::Report(report.clone(), true));
             }
@@ -91,7 +91,7 @@
         self.outputs.push_back(received);
     }
 
-    /// Proposes an entry if this gateway leads, else forwards it to the leader; the proposer repeats what got lost.
+    /// Proposes an entry if this gateway leads, otherwise forwards it towards the leader. The proposer repeats lost entries.
     pub(super) fn submit(&mut self, entry: SubsystemEntry, forwarded: bool) {
         if self.leads() {
             if let Some(voter) = &mut self.voter {
@@ -112,7 +112,8 @@
 
     /// Accepts or rejects an effect of another holder.
     ///
-    /// `first_hop` says that it came from a holder that does not vote, so that this voter forwards it to the others.
+    /// If `first_hop` is set, the effect came directly from a holder that is not a voter, and this voter forwards it to the
+    /// other voters.
     pub(super) fn receive_effect(&mut self, effect: LeaseEffect, first_hop: bool) {
         if effect.holder == self.settings.name {
             return;
@@ -126,7 +127,7 @@
                 reason: error.to_string(),
             });
         }
-        // The same effect may arrive by two routes.
+        // The same effect may arrive through two voters.
         let position = (effect.term, effect.number);
         let last = self.last_accepted.entry(effect.lease.clone()).or_default();
         if !self.settings.disabled_guards.terms && position <= *last {
@@ -139,10 +140,10 @@
             holder: effect.holder.clone(),
             number: effect.number,
         });
-        if self.voted {
+        if self.is_voting {
             self.learner_progress.forward(effect.clone());
         }
-        if self.voted && first_hop {
+        if self.is_voting && first_hop {
             for voter in self.other_voters() {
                 self.send(voter, Body::Effect(effect.clone()));
             }
--- a/src/consensus/participant/frames.rs
+++ b/src/consensus/participant/frames.rs
@@ -1,4 +1,4 @@
-//! Frames from other gateways, and which of them may speak for which replica.
+//! Dispatch of frames from other gateways, and the check that a sender is entitled to a frame's replica ID.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
                 }
             }
             Body::Poll(poll) => {
-                if self.voted {
+                if self.is_voting {
                     self.learner_progress.on_poll(now, from, poll);
                 }
             }
@@ -46,7 +46,7 @@
             }
             Body::Report(report, forwarded) => {
                 if report.from == *from || forwarded && self.is_voter(from) {
-                    self.report(report, forwarded);
+                    self.route_report(report, forwarded);
                 }
             }
             Body::Submit(entry, forwarded) => {
@@ -54,7 +54,7 @@
                     self.submit(entry, forwarded);
                 }
             }
-            // The driver passes these to replication.
+            // The driver passes these frames to replication.
             Body::Replication(_) => {}
             Body::Effect(effect) => self.on_effect_frame(from, effect),
         }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// An effect counts if it comes from its holder, or from a voter that forwards it.
+    /// Handles an effect that comes from its holder or from a voter, which may forward it; ignores any other.
     fn on_effect_frame(&mut self, from: &Arc<str>, effect: LeaseEffect) {
         let from_voter = self.is_voter(from);
         if effect.holder == *from || from_voter {
@@ -119,13 +119,14 @@
         }
     }
 
-    /// The name of the gateway that a replica belongs to, if known.
+    /// Returns the name of the gateway that a replica belongs to, if known.
     pub(super) fn name_of(&self, replica: ReplicaId) -> Option<Arc<str>> {
         let state = self.voter.as_ref()?.state();
         if let Some(name) = state.voters.get(&replica) {
             return Some(name.clone());
         }
-        // A replica that was just made a voter does not know the others yet; bootstrap replicas follow from their names.
+        // A replica that was just added as a voter does not know the other voters yet. The IDs of bootstrap replicas can be
+        // computed from the names.
         let bootstrap = self
             .settings
             .contacts
@@ -136,12 +137,13 @@
             .cloned()
     }
 
-    /// Whether a replica may speak by this name.
+    /// Returns whether frames of a replica may come from the gateway with this name.
     fn is_replica_of(&mut self, replica: ReplicaId, name: &Arc<str>) -> bool {
         if let Some(known) = self.name_of(replica) {
             return known == *name;
         }
-        // Only while the voters are unknown here: the leader that makes this replica a voter sends the first frame.
+        // An unknown replica is accepted only while the voters are unknown here, because the leader that adds this replica as
+        // a voter sends the first frame.
         let voters_unknown = self
             .voter
             .as_ref()
--- a/src/consensus/participant/history.rs
+++ b/src/consensus/participant/history.rs
@@ -1,4 +1,4 @@
-//! The events that a participant records for an independent checker.
+//! Events that a participant records for an independent checker.
 
 use std::sync::Arc;
 
@@ -6,11 +6,11 @@
 
 use crate::lease::{LeaseHolder, LeaseName, Term};
 
-/// One line of the history; the serialized names are part of the history's format.
+/// An event, written as one line of the history. The serialized names are part of the history's format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum HistoryEvent {
-    /// A lease entry was applied and took effect.
+    /// A lease entry was applied and changed the lease.
     Agreed {
         /// The index of the entry.
         index: u64,
@@ -28,7 +28,7 @@
         /// The index of the snapshot.
         index: u64,
     },
-    /// This gateway holds a lease from now on.
+    /// This gateway acquired a lease.
     #[serde(rename = "began")]
     LeaseAcquired {
         /// The lease.
@@ -37,7 +37,7 @@
         /// The term of the lease.
         term: Term,
     },
-    /// This gateway no longer holds a lease.
+    /// This gateway lost a lease.
     #[serde(rename = "ended")]
     LeaseLost {
         /// The lease.
@@ -46,7 +46,7 @@
         /// The term of the lease.
         term: Term,
     },
-    /// This gateway decided on an effect.
+    /// This gateway created an effect under its lease.
     Acted {
         /// The lease.
         #[serde(rename = "duty")]
@@ -96,7 +96,7 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// This gateway withdrew an effect whose bytes had not left.
+    /// This gateway withdrew an effect before its bytes were sent.
     #[serde(rename = "taken_back")]
     Withdrawn {
         /// The lease.
@@ -110,13 +110,13 @@
     /// This gateway became the leader.
     #[serde(rename = "leads")]
     BecameLeader {
-        /// The term of the log.
+        /// The Raft term.
         term: u64,
     },
     /// This gateway is no longer the leader.
     #[serde(rename = "follows")]
     LostLeadership,
-    /// This replica must not vote any more.
+    /// This gateway's replica was retired, or its disk could not be used.
     Retired {
         /// The reason.
         #[serde(rename = "why")]
--- a/src/consensus/participant/leading.rs
+++ b/src/consensus/participant/leading.rs
@@ -1,4 +1,4 @@
-//! The voter and the leader: the voter's outputs, requests for leases, and the replies to them.
+//! The outputs of the voter, the grantor and the holder; request_count for leases and the replies to them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use crate::lease::renewal::{RenewReply, RenewRequest};
 use crate::lease::{grantor, holder, LeaseHolder};
 
-/// Remembered routes to holders; a holder whose route was evicted asks again.
+/// Maximum number of stored routes; a holder whose route was evicted sends its request again.
 const MAX_REPLY_ROUTES: usize = 4096;
 
-/// The voters through which requests for leases came, by requester.
+/// The routes by which replies reach the requesters of leases.
 #[derive(Debug, Default)]
 pub(super) struct ReplyRoutes {
     routes: BTreeMap<LeaseHolder, ReplyRoute>,
-    requests: u64,
+    request_count: u64,
 }
 
 #[derive(Debug)]
 struct ReplyRoute {
-    /// Counts up with each request, to evict the oldest route.
+    /// The number of the request; the route with the lowest number is evicted first.
     number: u64,
     /// The voter that forwarded the request; `None` if it came directly.
     via: Option<Arc<str>>,
@@ -33,8 +33,8 @@
 
 impl ReplyRoutes {
     fn insert(&mut self, requester: LeaseHolder, via: Option<Arc<str>>) {
-        self.requests += 1;
-        let number = self.requests;
+        self.request_count += 1;
+        let number = self.request_count;
         self.routes.insert(requester, ReplyRoute { number, via });
         if self.routes.len() <= MAX_REPLY_ROUTES {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The gateway to send a reply to.
+    /// Returns the gateway to which the reply for a requester is sent.
     fn next_hop(&self, requester: &LeaseHolder) -> Arc<str> {
         self.routes
             .get(requester)
@@ -63,7 +63,8 @@
 }
 
 impl Participant {
-    /// Grants or forwards a request for leases, if it came directly or through a voter.
+    /// Passes a request for leases to the grantor, or forwards it to the leader. Ignores a request that came neither from the
+    /// requester nor from the voter named in it.
     pub(super) fn on_renew_request(
         &mut self,
         now: Micros,
@@ -91,7 +92,7 @@
     pub(super) fn on_renew_reply(&mut self, now: Micros, reply: RenewReply) {
         if reply.to.name == self.settings.name {
             self.holder.handle(now, holder::Input::Reply(reply));
-        } else if self.voted {
+        } else if self.is_voting {
             let to = reply.to.name.clone();
             self.send(to, Body::RenewReply(reply));
         }
@@ -170,13 +171,13 @@
 
     fn on_voter_applied(&mut self, now: Micros, index: u64, entry: Entry, took_effect: bool) {
         match entry {
-            Entry::ReplicaSets(_) | Entry::Tenants(_) if self.voted => {
+            Entry::ReplicaSets(_) | Entry::Tenants(_) if self.is_voting => {
                 self.outputs.push_back(Output::SubsystemChanged);
             }
             Entry::Lease(entry) if took_effect => {
                 let applied = grantor::Input::Applied(entry.clone());
                 self.grantor.handle(now, applied);
-                if self.voted {
+                if self.is_voting {
                     self.on_lease_entry(now, index, entry);
                 }
             }
@@ -191,7 +192,7 @@
         let (index, leases) = (state.applied, state.leases.clone());
         let restored = grantor::Input::Restored(leases.clone());
         self.grantor.handle(now, restored);
-        if self.voted {
+        if self.is_voting {
             self.record(HistoryEvent::Restored { index });
             self.holder.handle(now, holder::Input::Restored(leases));
             self.outputs.push_back(Output::SubsystemChanged);
--- a/src/consensus/participant/learning.rs
+++ b/src/consensus/participant/learning.rs
@@ -1,4 +1,4 @@
-//! Catching up: polls of a learner, their answers, and the lease entries that take effect.
+//! Catching up: a learner's polls, the answers to them, and the lease entries that take effect.
 
 use super::{HistoryEvent, Output, Participant};
 use crate::api::Micros;
@@ -8,7 +8,7 @@
 use crate::lease::{holder, table};
 
 impl Participant {
-    /// Polls the chosen voter, if a poll is due.
+    /// Polls the current voter, if a poll is due.
     pub(super) fn poll_voter(&mut self, now: Micros) {
         let Some((poll, _)) = self.learner.poll(now) else {
             return;
@@ -19,7 +19,7 @@
     }
 
     pub(super) fn on_catch_up(&mut self, now: Micros, catch_up: CatchUp) {
-        if self.voted {
+        if self.is_voting {
             return;
         }
         if catch_up.restored {
@@ -34,7 +34,7 @@
                 Entry::Lease(entry) if applied.took_effect => {
                     self.on_lease_entry(now, applied.index, entry);
                 }
-                // Also without effect: the proposer learns what is agreed instead.
+                // Reported even if the entry had no effect, so that the proposer sees the state that was agreed instead.
                 Entry::ReplicaSets(_) | Entry::Tenants(_) => {
                     self.outputs.push_back(Output::SubsystemChanged);
                 }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A lease entry took effect in the state that this participant follows.
+    /// Handles a lease entry that took effect in the agreed state.
     pub(super) fn on_lease_entry(&mut self, now: Micros, index: u64, entry: table::Entry) {
         let event = match entry.clone() {
             table::Entry::Grant {
@@ -70,7 +70,7 @@
         self.holder.handle(now, holder::Input::Applied(entry));
     }
 
-    /// Answers the polls of learners that are due.
+    /// Answers the learners' polls that are due.
     pub(super) fn answer_learners(&mut self, now: Micros) {
         let Some(voter) = &self.voter else {
             return;
--- a/src/consensus/participant/messages.rs
+++ b/src/consensus/participant/messages.rs
@@ -11,23 +11,23 @@
 /// An event that the driver passes to a participant.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A frame came from another gateway, whose name was authenticated.
+    /// A frame was received from another gateway, whose name was authenticated.
     Frame(Arc<str>, Body),
     /// The connection to another gateway closed or could not be opened.
     Disconnected(Arc<str>),
-    /// All records up to this number are persisted.
+    /// The driver has persisted all records up to this number.
     Persisted(u64),
-    /// Whether this gateway is eligible to hold leases.
+    /// This gateway becomes eligible to hold leases, or is no longer eligible.
     SetEligible(bool),
-    /// An effect under a lease of this gateway; dropped unless the lease is valid.
+    /// Send an effect under a lease of this gateway. Ignored unless the lease is valid.
     Act(LeaseName, Vec<u8>),
-    /// A report for the holder of a lease; it may get lost.
+    /// Send a report to the holder of a lease. It may be lost.
     Report(LeaseName, Vec<u8>),
-    /// An entry that another subsystem proposes; it may get lost.
+    /// Propose an entry of another subsystem. It may be lost.
     Submit(SubsystemEntry),
-    /// An operator adds or removes a voter.
+    /// Add a voter, remove one, or both, at the request of an operator.
     Exchange {
-        /// The gateway to add; it has a replica and follows at this gateway.
+        /// The gateway to add. It has a replica and polls this gateway as a learner.
         joins: Option<Arc<str>>,
         /// The gateway to remove.
         leaves: Option<Arc<str>>,
@@ -39,22 +39,22 @@
 /// An action that the driver carries out for a participant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send to another gateway; the frame may get lost.
+    /// Send a frame to another gateway. It may be lost.
     Send(Arc<str>, Body),
-    /// Send an effect of this gateway, unless its lease ends before its bytes have left.
+    /// Send an effect of this gateway, unless the lease ends before the bytes are sent.
     SendOwn(Arc<str>, LeaseEffect),
-    /// Persist the record, then report its number.
+    /// Persist the record, then report its number by [`Input::Persisted`].
     Persist(u64, Box<Record>),
-    /// This gateway holds the lease from now on.
+    /// This gateway acquired the lease.
     LeaseAcquired(LeaseName, Term),
-    /// This gateway no longer holds the lease.
+    /// This gateway lost the lease.
     LeaseLost(LeaseName, Term),
-    /// An effect of another holder is accepted.
+    /// An effect of another holder was received and accepted.
     EffectReceived(LeaseEffect),
-    /// Another gateway reports to this gateway as the holder of the lease.
+    /// A report of another gateway was received by this gateway as the holder of the lease.
     ReportReceived(LeaseName, Arc<str>, Vec<u8>),
-    /// The agreed state of other subsystems may have changed, or a proposal of theirs had no effect.
+    /// The agreed state of other subsystems may have changed, or one of their proposals had no effect.
     SubsystemChanged,
-    /// Append the event to the history, in order.
+    /// Append the event to the history; the order of events is kept.
     Record(HistoryEvent),
 }
--- a/src/consensus/participant/mod.rs
+++ b/src/consensus/participant/mod.rs
@@ -1,7 +1,7 @@
-//! One gateway's part in consensus, as one value without I/O.
+//! The consensus state machine of one gateway, without I/O.
 //!
-//! A participant is a voter or a learner, grants leases while it leads, holds leases, and fences the effects of other lease
-//! holders. The gateway's driver, the emulator and the tests drive the same value.
+//! A [`Participant`] is a voter or a learner. It grants leases while it leads, holds leases, and checks the fencing terms of
+//! the effects of other lease holders. The gateway's driver, the emulator and the tests all run this state machine.
 
 mod effects;
 mod frames;
@@ -33,7 +33,7 @@
 use crate::lease::{LeaseHolder, LeaseName, Term};
 use leading::ReplyRoutes;
 
-/// The state of one gateway.
+/// The consensus state of one gateway.
 #[derive(Debug)]
 pub struct Participant {
     settings: Settings,
@@ -46,22 +46,22 @@
     fence: Fence,
     /// The last effect accepted for each lease, by term and number.
     last_accepted: BTreeMap<LeaseName, (Term, u64)>,
-    /// The last effect decided on under each lease of this gateway, by term and number.
-    last_acted: BTreeMap<LeaseName, (Term, u64)>,
+    /// The last effect sent under each lease of this gateway, by term and number.
+    last_sent_effects: BTreeMap<LeaseName, (Term, u64)>,
     reply_routes: ReplyRoutes,
-    /// Names of replicas that sent frames before this replica knew the voters.
+    /// The names of replicas that sent frames before this replica knew the voters.
     unconfirmed_peers: BTreeMap<ReplicaId, Arc<str>>,
-    /// The generation that the configured voters use, until this replica has a state of its own.
+    /// The generation seen in frames of the configured voters; used until this replica has a state of its own.
     adopted_generation: u32,
-    /// Whether it voted when it was last checked.
-    voted: bool,
+    /// Whether this gateway was a voter at the last check; see [`Participant::votes`].
+    is_voting: bool,
     outputs: VecDeque<Output>,
 }
 
 impl Participant {
-    /// Creates a participant that votes if `persistent` allows it, and learns otherwise.
+    /// Creates a participant. It is a voter if `persistent` is the usable state of one, otherwise a learner.
     ///
-    /// A disk that cannot be used is reported by [`Participant::voter_error`]; the gateway still learns.
+    /// [`Participant::voter_error`] reports a disk that cannot be used; the gateway is then a learner.
     pub fn new(
         settings: Settings,
         persistent: Option<PersistentState>,
@@ -90,11 +90,11 @@
             holder: HolderState::new(settings.lease, own, now),
             fence: Fence::default(),
             last_accepted: BTreeMap::new(),
-            last_acted: BTreeMap::new(),
+            last_sent_effects: BTreeMap::new(),
             reply_routes: ReplyRoutes::default(),
             unconfirmed_peers: BTreeMap::new(),
             adopted_generation: 0,
-            voted: false,
+            is_voting: false,
             outputs: VecDeque::new(),
             settings,
             voter,
@@ -104,11 +104,11 @@
         if let Some(reason) = participant.voter_error.clone() {
             participant.record(HistoryEvent::Retired { reason });
         }
-        participant.settle(now);
+        participant.dispatch_outputs(now);
         participant
     }
 
-    /// Starts to vote, once the previous process has released the disk of the replica.
+    /// Starts the voter after the previous process has released the replica's disk.
     pub fn begin_voting(&mut self, now: Micros, persistent: PersistentState) {
         match start_voter(&self.settings, persistent, now) {
             Ok(voter) => {
@@ -121,10 +121,10 @@
                 self.record(HistoryEvent::Retired { reason });
             }
         }
-        self.settle(now);
+        self.dispatch_outputs(now);
     }
 
-    /// Gives the grantor the leases of the voter's snapshot; the entries behind the snapshot follow.
+    /// Passes the leases of the voter's snapshot to the grantor; the entries after the snapshot follow as they are applied.
     fn restore_grantor(&mut self, now: Micros) {
         if let Some(voter) = &self.voter {
             let leases = voter.state().leases.clone();
@@ -132,10 +132,10 @@
         }
     }
 
-    /// When [`Input::Tick`] is due.
+    /// Returns the time at which [`Input::Tick`] is due.
     pub fn next_deadline(&self, now: Micros) -> Micros {
         let voter = self.voter.as_ref().and_then(Voter::next_deadline);
-        let learner = (!self.voted).then(|| self.learner.next_deadline(now));
+        let learner = (!self.is_voting).then(|| self.learner.next_deadline(now));
         let deadlines = [
             voter,
             learner,
@@ -148,7 +148,7 @@
             .fold(self.holder.next_deadline(), Micros::min)
     }
 
-    /// The next action for the driver, if any.
+    /// Returns the next action for the driver, if any.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
@@ -167,32 +167,32 @@
                 self.holder
                     .handle(now, holder::Input::SetEligible(eligible));
             }
-            Input::Act(lease, content) => self.act(now, lease, content),
-            Input::Report(lease, content) => self.report_own(lease, content),
+            Input::Act(lease, content) => self.send_effect(now, lease, content),
+            Input::Report(lease, content) => self.send_report(lease, content),
             Input::Submit(entry) => self.submit(entry, false),
-            Input::Exchange { joins, leaves } => self.exchange(now, joins, leaves),
+            Input::Exchange { joins, leaves } => self.change_voters(now, joins, leaves),
             Input::Tick => {}
         }
         self.handle_voter(now, voter::Input::Tick);
         self.grantor.handle(now, grantor::Input::Tick);
         self.holder.handle(now, holder::Input::Tick);
-        self.settle(now);
+        self.dispatch_outputs(now);
     }
 
-    /// Proposes a change of voters, with the replicas of the named gateways.
-    fn exchange(&mut self, now: Micros, joins: Option<Arc<str>>, leaves: Option<Arc<str>>) {
-        let joins = joins.and_then(|name| Some((self.learner_progress.replica(&name)?, name)));
-        // A name may have an old replica that votes and a new one that does not vote yet.
-        let joining = joins.as_ref().map(|(replica, _)| *replica);
+    /// Proposes a change of voters for the replicas of the named gateways.
+    fn change_voters(&mut self, now: Micros, joins: Option<Arc<str>>, leaves: Option<Arc<str>>) {
+        let added = joins.and_then(|name| Some((self.learner_progress.replica(&name)?, name)));
+        // A gateway may have an old replica that votes and a new one that is to be added.
+        let added_replica = added.as_ref().map(|(replica, _)| *replica);
         let voters = &self.state().voters;
-        let replica_of = |leaving: Arc<str>| {
+        let replica_of = |removed_name: Arc<str>| {
             voters
                 .iter()
-                .find(|(replica, name)| **name == leaving && Some(**replica) != joining)
+                .find(|(replica, name)| **name == removed_name && Some(**replica) != added_replica)
                 .map(|(replica, _)| *replica)
         };
-        let leaves = leaves.and_then(replica_of);
-        self.handle_voter(now, voter::Input::Exchange { joins, leaves });
+        let removed = leaves.and_then(replica_of);
+        self.handle_voter(now, voter::Input::ChangeVoters { added, removed });
     }
 
     fn handle_voter(&mut self, now: Micros, input: voter::Input<'_>) {
@@ -209,8 +209,8 @@
         self.outputs.push_back(Output::Send(to, body));
     }
 
-    /// Passes the outputs of each part to the others, until there are none left.
-    fn settle(&mut self, now: Micros) {
+    /// Dispatches the outputs of the voter, the grantor and the holder until there are none left.
+    fn dispatch_outputs(&mut self, now: Micros) {
         loop {
             if let Some(output) = self.voter.as_mut().and_then(Voter::output) {
                 self.on_voter_output(now, output);
@@ -221,20 +221,20 @@
             } else {
                 break;
             }
-            self.update_voted(now);
+            self.update_is_voting(now);
         }
-        self.update_voted(now);
-        if self.voted {
+        self.update_is_voting(now);
+        if self.is_voting {
             self.answer_learners(now);
         } else {
             self.poll_voter(now);
         }
     }
 
-    /// Switches the source of the agreed state: its own log while it votes, another voter while it does not.
-    fn update_voted(&mut self, now: Micros) {
+    /// Switches the source of the agreed state: the own log for a voter, a polled voter for a learner.
+    fn update_is_voting(&mut self, now: Micros) {
         let votes = self.votes();
-        if std::mem::replace(&mut self.voted, votes) == votes {
+        if std::mem::replace(&mut self.is_voting, votes) == votes {
             return;
         }
         let leases = self.state().leases.clone();
--- a/src/consensus/participant/settings.rs
+++ b/src/consensus/participant/settings.rs
@@ -1,4 +1,4 @@
-//! What a participant is started with.
+//! The settings of a participant.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,31 +11,31 @@
 pub struct Settings {
     /// The gateway's name.
     pub name: Arc<str>,
-    /// A number that no other process of this name has.
+    /// The ID of the process; no other process of this gateway has it.
     pub process: u64,
-    /// The configured voters: the gateways to connect to before the agreed voters are known.
+    /// The configured voters, to which this gateway connects before it knows the agreed voters.
     pub contacts: BTreeSet<Arc<str>>,
     /// The configured leases.
     pub leases: BTreeSet<LeaseName>,
-    /// The duration of leases and the bound on clock drift.
+    /// The duration of leases and the maximum clock drift.
     pub lease: lease::Settings,
-    /// The tick of the voters.
+    /// The timing of the voter.
     pub voter: voter::Settings,
     /// The seed of the randomized timeouts.
     pub seed: u64,
-    /// Guards that a test has switched off.
+    /// Guards that a test disables.
     pub disabled_guards: DisabledGuards,
 }
 
-/// Guards that a test switches off, to show what each of them prevents.
+/// Safety guards that a test disables to show that each of them is necessary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DisabledGuards {
     /// The guards of the voter.
     pub voter: DisabledVoterGuards,
-    /// Receivers do not check the term of an effect.
+    /// The receivers' check of an effect's term.
     pub terms: bool,
-    /// A holder does not check its lease before it acts.
+    /// The holder's check of its lease before it creates an effect.
     pub lease: bool,
-    /// A holder does not check its lease again when the bytes of an effect are queued.
+    /// The holder's second check of its lease, when the bytes of an effect are queued.
     pub queue: bool,
 }
--- a/src/consensus/participant/view.rs
+++ b/src/consensus/participant/view.rs
@@ -1,4 +1,4 @@
-//! What a participant knows: its role, the agreed state, and the leases that it holds.
+//! Queries of a participant: its role, the agreed state, and its leases.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,73 +11,73 @@
 use crate::lease::{LeaseName, Term};
 
 impl Participant {
-    /// Whether a test has switched off the second check of a lease, when an effect's bytes are queued.
+    /// Returns whether a test has disabled the second check of the lease, when an effect's bytes are queued.
     pub fn queue_guard_disabled(&self) -> bool {
         self.settings.disabled_guards.queue
     }
 
-    /// The gateway's name.
+    /// Returns the gateway's name.
     pub fn name(&self) -> &Arc<str> {
         &self.settings.name
     }
 
-    /// Why its disk does not make it a voter, if it does not.
+    /// Returns the reason why the disk cannot be used for voting, if there is one.
     pub fn voter_error(&self) -> Option<&str> {
         self.voter_error
             .as_deref()
             .or_else(|| self.voter.as_ref().and_then(Voter::retired))
     }
 
-    /// Whether it votes.
+    /// Returns whether this gateway is an active voter.
     pub fn votes(&self) -> bool {
         self.voter.as_ref().is_some_and(|voter| {
             voter.votes() && voter.state().voters.contains_key(&voter.replica())
         })
     }
 
-    /// Whether it is the leader.
+    /// Returns whether this gateway is the leader.
     pub fn leads(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::leads)
     }
 
-    /// Its voter, if it has a usable disk.
+    /// Returns the voter, if there is a usable disk.
     pub fn voter(&self) -> Option<&Voter> {
         self.voter.as_ref()
     }
 
-    /// The agreed state as far as it is known here.
+    /// Returns the agreed state as far as this gateway knows it.
     pub fn state(&self) -> &State {
         match &self.voter {
-            Some(voter) if self.voted => voter.state(),
+            Some(voter) if self.is_voting => voter.state(),
             _ => self.learner.state(),
         }
     }
 
-    /// Whether it has learned of agreed entries since it started, and does not rely on its disk alone.
+    /// Returns whether this gateway has received agreed state since its start, so that it does not rely on its disk alone.
     pub fn is_caught_up(&self) -> bool {
         match &self.voter {
-            Some(voter) if self.voted => voter.is_current(),
+            Some(voter) if self.is_voting => voter.is_current(),
             _ => !self.learner.state().voters.is_empty(),
         }
     }
 
-    /// The name of the leader, if known.
+    /// Returns the name of the leader, if this gateway votes and knows it.
     pub fn leader(&self) -> Option<Arc<str>> {
-        let voter = self.voter.as_ref().filter(|_| self.voted)?;
+        let voter = self.voter.as_ref().filter(|_| self.is_voting)?;
         self.name_of(voter.leader()?)
     }
 
-    /// The voter that it polls, while it does not vote.
+    /// Returns the voter that this gateway polls while it is a learner.
     pub fn catch_up_source(&self) -> Option<&Arc<str>> {
-        self.learner.source().filter(|_| !self.voted)
+        self.learner.source().filter(|_| !self.is_voting)
     }
 
-    /// The number of learners whose polls wait here.
+    /// Returns the number of learners whose polls this gateway holds.
     pub fn learners(&self) -> usize {
         self.learner_progress.len()
     }
 
-    /// The replicas of learners that could become voters, by name.
+    /// Returns the replica IDs, in hexadecimal, of the learners that can become voters, by name.
     pub fn replicas(&self) -> BTreeMap<Arc<str>, String> {
         self.learner_progress
             .replicas()
@@ -85,7 +85,7 @@
             .collect()
     }
 
-    /// The term under which it may act now for a lease, if it may.
+    /// Returns the term under which this gateway may act for a lease now, if it may.
     pub fn held_term(&self, now: Micros, lease: &LeaseName) -> Option<Term> {
         if self.settings.disabled_guards.lease {
             return self
@@ -97,24 +97,24 @@
         self.holder.held_term(now, lease)
     }
 
-    /// Whether an effect under a lease may still leave; checked when its bytes are queued.
+    /// Returns whether an effect under a lease may still be sent; checked when its bytes are queued.
     pub fn still_holds(&self, now: Micros, lease: &LeaseName, term: Term) -> bool {
         self.settings.disabled_guards.queue
             || self.settings.disabled_guards.lease
             || self.holder.still_holds(now, lease, term)
     }
 
-    /// The leases that it holds: name, term, and until when it may act.
+    /// Returns the held leases: name, term, and the time until which this gateway may act.
     pub fn held_leases(&self) -> impl Iterator<Item = (&LeaseName, Term, Option<Micros>)> {
         self.holder.held_leases()
     }
 
-    /// Why no gateway acts under a lease, as far as a leader can tell.
+    /// Returns the reason why no gateway may act under a lease, as far as a leader knows it.
     pub fn grant_reason(&self, now: Micros, lease: &LeaseName) -> Option<GrantReason> {
         self.grantor.grant_reason(now, lease)
     }
 
-    /// The gateways to keep connected: the other voters while it votes, else the voter that it polls.
+    /// Returns the gateways to stay connected to: the other voters for a voter, the polled voter for a learner.
     pub fn peers(&self) -> BTreeSet<Arc<str>> {
         let mut peers: BTreeSet<Arc<str>> = match &self.voter {
             Some(voter) if voter.retired().is_none() && !voter.state().voters.is_empty() => voter
@@ -130,7 +130,7 @@
         peers
     }
 
-    /// The names of the other voters.
+    /// Returns the names of the other voters.
     pub(super) fn other_voters(&self) -> Vec<Arc<str>> {
         self.state()
             .voters
--- a/src/consensus/peer_memory.rs
+++ b/src/consensus/peer_memory.rs
@@ -1,15 +1,17 @@
-//! What voters remember of one another, and the rejection of a voter whose disk was restored from an older copy.
+//! Detection of a voter whose disk was restored from an older copy.
 //!
-//! A voter that comes back with yesterday's disk has forgotten votes that it gave and entries that it stored. If it voted,
-//! one term could have two leaders, and committed entries could be lost. Its disk alone cannot show this, but the voters
-//! that it exchanged messages with can. So a voter that starts first asks the others what they know of its replica, and
-//! takes part once none of them knows of more than its disk does. It starts at once when a majority of all voters besides
-//! itself has answered, as every majority that it was part of shares a voter with them. When fewer can answer, it starts
-//! after [`MAX_KNOWN_STATE_REQUESTS`] requests with as many as make a majority with itself. A disk that is found to be older is
-//! marked and its replica never votes again; a new replica has to be made (`docs/operators/council.md`).
+//! A voter that restarts on an outdated disk has lost votes that it cast and entries that it acknowledged. If it voted, one
+//! term could have two leaders, and committed entries could be lost. The disk alone does not reveal the loss, but the voters
+//! that exchanged messages with it remember more recent state. A starting voter therefore asks the other voters for the last
+//! state that they observed of its replica, and takes part only if none of them has observed state that its disk lacks.
 //!
-//! This cannot detect a copy made within the last run, if all voters that could tell have restarted since or stay
-//! unreachable.
+//! The voter takes part as soon as a majority of all voters, not counting itself, has answered: every majority that the
+//! voter was part of has a member among them. If fewer can answer, it takes part after [`MAX_KNOWN_STATE_REQUESTS`] requests
+//! with answers from as many voters as form a majority together with itself. An outdated disk is marked, and its replica
+//! never votes again; the operator has to create a new replica (`docs/operators/council.md`).
+//!
+//! This does not detect a copy made during the previous run if all voters that observed the newer state have restarted since
+//! or are unreachable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,43 +19,43 @@
 
 use super::ReplicaId;
 
-/// Requests after which a majority that counts the voter itself is enough.
+/// The number of requests after which a majority that includes the voter itself is sufficient.
 pub const MAX_KNOWN_STATE_REQUESTS: u32 = 40;
 
-/// What a voter knows of a replica: of another one, or of its own by its disk.
+/// The state of a replica as observed by another voter, or as stored on the replica's own disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownState {
-    /// How often a process has started on its disk.
+    /// The number of process starts on the replica's disk.
     pub boots: u64,
-    /// The process of the last start.
+    /// The ID of the process that started last.
     pub process: u64,
-    /// The highest term in which it sent a message.
+    /// The highest term in which the replica sent a message.
     pub term: u64,
-    /// The last entry that it acknowledged: the term of the message and the index. For its own disk, the term of the last
-    /// entry and its index.
+    /// The last entry that the replica acknowledged: the term of the acknowledgement and the entry's index. For the own
+    /// disk, the term and index of the last entry.
     pub acknowledged: (u64, u64),
 }
 
-/// Why a replica must not vote: its disk has lost state.
+/// The evidence that a replica's disk has lost state, so that the replica must not vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateLoss {
-    /// The disk is a copy or an older version: another process has started as often on it, or more often.
+    /// The disk is a copy or outdated: another process was seen with the same or a higher number of starts.
     #[error("its disk was started less often than others have seen")]
     Boots,
-    /// The replica sent messages in a later term than its disk has.
+    /// The replica sent messages in a later term than its disk records.
     #[error("it spoke in a later term than its disk knows")]
     Term,
-    /// The replica acknowledged entries that its disk does not have.
+    /// The replica acknowledged entries that are not on its disk.
     #[error("it told to have kept entries that its disk does not hold")]
     Entries,
 }
 
-/// What a voter remembers of the others: one record for each configured or agreed voter.
+/// The states that a voter has observed of other voters, one for each configured or agreed voter.
 #[derive(Clone, Debug, Default)]
 pub struct PeerMemory(BTreeMap<ReplicaId, KnownState>);
 
 impl PeerMemory {
-    /// Records what a message of a replica shows.
+    /// Merges the state shown by a message of a replica.
     pub fn observe(&mut self, replica: ReplicaId, observed: KnownState) {
         let known = self.0.entry(replica).or_default();
         if observed.boots > known.boots {
@@ -64,18 +66,22 @@
         known.acknowledged = known.acknowledged.max(observed.acknowledged);
     }
 
-    /// What is known of a replica.
+    /// Returns the state observed of a replica; the default if none was.
     pub fn known(&self, replica: ReplicaId) -> KnownState {
         self.0.get(&replica).copied().unwrap_or_default()
     }
 
-    /// Forgets the replicas for which `is_voter` is false.
+    /// Removes the replicas for which `is_voter` returns false.
     pub fn retain(&mut self, is_voter: impl Fn(&ReplicaId) -> bool) {
         self.0.retain(|replica, _| is_voter(replica));
     }
 }
 
-/// Compares what a voter's own disk says with what another voter remembers.
+/// Compares the state on a voter's own disk with the state that another voter has observed.
+///
+/// # Errors
+///
+/// Returns the [`StateLoss`] if the disk lacks observed state.
 pub fn compare(own: KnownState, remembered: KnownState) -> Result<(), StateLoss> {
     let same_boot_of_other_process =
         remembered.boots == own.boots && remembered.process != own.process;
@@ -85,7 +91,7 @@
     if remembered.term > own.term {
         return Err(StateLoss::Term);
     }
-    // An entry acknowledged in an older term than that of the last entry may have been overwritten since.
+    // An entry acknowledged in an older term than the last entry's may have been overwritten since.
     let (own_term, own_index) = own.acknowledged;
     let (remembered_term, remembered_index) = remembered.acknowledged;
     if remembered_index > own_index && own_term <= remembered_term {
@@ -94,7 +100,7 @@
     Ok(())
 }
 
-/// A voter between its start and its first message.
+/// The phase between a voter's start and its first message, in which the voter asks others about its replica.
 #[derive(Clone, Debug, Default)]
 pub struct Probation {
     replied: BTreeSet<ReplicaId>,
@@ -102,17 +108,17 @@
 }
 
 impl Probation {
-    /// A voter has replied, and knows of nothing that the disk does not have.
+    /// Handles the reply of a voter that has observed no state beyond that on the disk.
     pub fn on_reply(&mut self, from: ReplicaId) {
         self.replied.insert(from);
     }
 
-    /// The requests are sent once more.
+    /// Counts a round of requests.
     pub fn on_request(&mut self) {
         self.requests = self.requests.saturating_add(1);
     }
 
-    /// Whether the voter may take part, given the number of voters.
+    /// Returns whether the voter may take part, given the number of voters.
     pub fn is_over(&self, voters: usize) -> bool {
         let required = if self.requests > MAX_KNOWN_STATE_REQUESTS {
             voters / 2
--- a/src/consensus/persistent_state.rs
+++ b/src/consensus/persistent_state.rs
@@ -1,7 +1,6 @@
-//! What a voter's disk holds: its replica, the number of starts, its vote, the log and the last snapshot.
+//! The state on a voter's disk: the replica ID, the number of starts, the vote, the log and the last snapshot.
 //!
-//! In memory it is the same value, with the records applied that are on their way to the disk; the `raft` library reads it as
-//! its storage.
+//! The copy in memory includes the records that are still being written; it is the storage of the `raft` library.
 
 use protobuf::Message as _;
 use raft::eraftpb;
@@ -10,21 +9,21 @@
 
 use super::ReplicaId;
 
-/// A change of the persistent state, written atomically.
+/// A change of the persistent state; written atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The metadata, if it changed.
+    /// The new metadata, if changed.
     pub metadata: Option<Metadata>,
-    /// New entries in order; stored entries at and behind the first index are dropped.
+    /// New entries, in order. They replace all stored entries from the first new index on.
     pub entries: Vec<LogEntry>,
-    /// Entries below this index are dropped.
+    /// Entries below this index are removed.
     pub compact_before: Option<u64>,
-    /// All stored entries are dropped, as a snapshot replaces them.
+    /// Whether all stored entries are removed, because a snapshot replaces them.
     pub reset: bool,
 }
 
 impl Record {
-    /// Whether nothing changes.
+    /// Returns whether the record changes nothing.
     pub fn is_empty(&self) -> bool {
         self.metadata.is_none()
             && self.entries.is_empty()
@@ -36,13 +35,13 @@
 /// The persistent state without the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Metadata {
-    /// The replica, drawn when the disk was made.
+    /// The replica ID, assigned when the disk was created.
     pub replica: ReplicaId,
-    /// How often a process has started on this disk.
+    /// The number of process starts on this disk.
     pub boots: u64,
-    /// Why this replica must not vote any more, if so.
+    /// The reason why this replica was retired and must not vote, if it was.
     pub retired: Option<String>,
-    /// The state that the raft protocol requires to be durable.
+    /// The state that Raft requires to be durable.
     pub hard_state: HardState,
     /// The voters.
     pub voters: Vec<ReplicaId>,
@@ -50,21 +49,21 @@
     pub snapshot: Snapshot,
 }
 
-/// The state that the raft protocol requires to be durable.
+/// The state that Raft requires to be durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The current term.
     pub term: u64,
-    /// The replica that was voted for in the term; 0 if none.
+    /// The replica that received this replica's vote in the term; 0 if none.
     pub vote: ReplicaId,
-    /// The index of the last entry known to be committed.
+    /// The highest index known to be committed.
     pub commit: u64,
 }
 
 /// A snapshot of the replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The index of the last entry in it.
+    /// The index of the last entry included.
     pub index: u64,
     /// The term of that entry.
     pub term: u64,
@@ -74,36 +73,36 @@
     pub data: Vec<u8>,
 }
 
-/// An entry of the log as it is stored.
+/// A stored log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its index.
+    /// The index.
     pub index: u64,
     /// The term in which it was proposed.
     pub term: u64,
-    /// Whether it changes the voters.
+    /// Whether the entry changes the voters.
     pub is_conf_change: bool,
-    /// Its content.
+    /// The content.
     pub data: Vec<u8>,
-    /// Additional content of a change of voters.
+    /// The encoded entry of a change of voters, whose `data` holds the library's own message.
     pub context: Vec<u8>,
 }
 
-/// Why the content of a disk cannot be used by a voter.
+/// The reason why a voter cannot use the content of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DamagedState {
     /// There is no metadata.
-    #[error("no seat was founded on this disk")]
+    #[error("the disk contains no replica")]
     Empty,
-    /// An entry is missing between others, or stored twice.
-    #[error("entry {0} of the log is missing")]
+    /// The entry that should have this index is missing, or its predecessor is stored twice.
+    #[error("log entry {0} is missing")]
     Gap(u64),
     /// Committed entries are missing at the end.
-    #[error("the log ends at {last}, and {committed} was agreed")]
+    #[error("the log ends at entry {last}, but entry {committed} is committed")]
     Truncated {
-        /// The last stored entry.
+        /// The index of the last stored entry.
         last: u64,
-        /// The last committed entry.
+        /// The index of the last committed entry.
         committed: u64,
     },
 }
@@ -113,16 +112,16 @@
 pub struct PersistentState {
     /// The state without the log.
     pub metadata: Metadata,
-    /// The entries behind the snapshot, in order.
+    /// The entries after the snapshot, in order.
     log: Vec<LogEntry>,
 }
 
 impl PersistentState {
-    /// Checks what was read from a disk.
+    /// Validates the content read from a disk.
     ///
     /// # Errors
     ///
-    /// [`DamagedState`] if the disk is empty or entries are missing.
+    /// Returns a [`DamagedState`] if the disk is empty or entries are missing.
     pub fn from_disk(
         metadata: Option<Metadata>,
         log: Vec<LogEntry>,
@@ -145,29 +144,29 @@
         Ok(PersistentState { metadata, log })
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry, or of the snapshot if the log is empty.
     pub fn last(&self) -> u64 {
         self.log
             .last()
             .map_or(self.metadata.snapshot.index, |entry| entry.index)
     }
 
-    /// The entries behind the snapshot, in order.
+    /// Returns the entries after the snapshot, in order.
     pub fn log(&self) -> &[LogEntry] {
         &self.log
     }
 
-    /// The number of entries behind the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.log.len()
     }
 
-    /// Whether there are no entries behind the snapshot.
+    /// Returns whether there are no entries after the snapshot.
     pub fn is_empty(&self) -> bool {
         self.log.is_empty()
     }
 
-    /// Changes the state in memory as the record will change it on the disk.
+    /// Applies a record to the state in memory, with the same result as on the disk.
     pub fn apply(&mut self, record: &Record) {
         if record.reset {
             self.log.clear();
--- a/src/consensus/state.rs
+++ b/src/consensus/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: applied in the order of the log, the entries give the same state at every gateway.
+//! The replicated state machine: applying the log's entries in order yields the same state at every gateway.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// The first entry of a leader, without content.
+    /// An entry without content, as a new leader appends first; also stands for one that cannot be decoded.
     Noop,
-    /// An entry about a lease.
+    /// A change of a lease.
     Lease(table::Entry),
-    /// The voters from this entry on.
+    /// The set of voters from this entry on.
     Voters(BTreeMap<ReplicaId, Arc<str>>),
-    /// An entry about shards and the disks that hold them.
+    /// A change of shards or of the disks that hold them.
     ReplicaSets(replica_sets::Entry),
-    /// An entry about tenants.
+    /// A change of a tenant.
     Tenants(Box<tenants::Entry>),
 }
 
-/// An entry that another subsystem proposes; consensus reads nothing of it but its proposer.
+/// An entry proposed by another subsystem. Consensus reads only its proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubsystemEntry {
-    /// An entry about shards and the disks that hold them.
+    /// A change of shards or of the disks that hold them.
     ReplicaSets(replica_sets::Entry),
-    /// An entry about tenants.
+    /// A change of a tenant.
     Tenants(Box<tenants::Entry>),
 }
 
 impl SubsystemEntry {
-    /// The name of the gateway that proposes it.
+    /// Returns the name of the proposing gateway.
     pub fn proposer(&self) -> &Arc<str> {
         match self {
             SubsystemEntry::ReplicaSets(entry) => entry.proposer(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The entry of the log.
+    /// Converts it into an entry of the log.
     pub fn into_entry(self) -> Entry {
         match self {
             SubsystemEntry::ReplicaSets(entry) => Entry::ReplicaSets(entry),
@@ -52,35 +52,35 @@
     }
 }
 
-/// An entry that was applied to the state.
+/// An applied entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppliedEntry {
-    /// Its index in the log.
+    /// The index in the log.
     pub index: u64,
     /// The entry.
     pub entry: Entry,
-    /// Whether it changed the state; an entry that contradicts an earlier one does not.
+    /// Whether the entry changed the state; an entry that conflicts with an earlier one does not.
     pub took_effect: bool,
 }
 
 /// The state at one index of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Counts how often the voters were bootstrapped again after most of them were lost.
+    /// The generation of the voters; it increases each time they are bootstrapped again after most of them were lost.
     pub generation: u32,
-    /// The index of the last entry that was applied.
+    /// The index of the last applied entry.
     pub applied: u64,
-    /// The voters, by replica.
+    /// The names of the voters, by replica ID.
     pub voters: BTreeMap<ReplicaId, Arc<str>>,
     /// The leases.
     pub leases: LeaseTable,
     /// The shards and the disks that hold them.
     pub replica_sets: ReplicaSets,
-    /// The tenants that were changed at run time.
+    /// The tenants changed at run time.
     pub tenants: tenants::Tenants,
 }
 
-/// The state as versions before shards stored it.
+/// The format before shards were added to the state.
 #[derive(Deserialize)]
 struct StateV1 {
     generation: u32,
@@ -89,7 +89,7 @@
     leases: LeaseTable,
 }
 
-/// The state as versions before tenants stored it.
+/// The format before tenants were added to the state.
 #[derive(Deserialize)]
 struct StateV2 {
     generation: u32,
@@ -125,7 +125,11 @@
 }
 
 impl State {
-    /// Decodes a snapshot of this version or of an earlier one.
+    /// Decodes a snapshot in the current format or an earlier one.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of the current format if no format matches.
     pub fn decode(bytes: &[u8]) -> Result<State, postcard::Error> {
         let error = match postcard::from_bytes::<State>(bytes) {
             Ok(state) => return Ok(state),
@@ -138,7 +142,7 @@
         Ok(stored.into())
     }
 
-    /// Applies the entry at an index; returns whether it took effect.
+    /// Applies the entry at an index. Returns whether it changed the state.
     pub fn apply(&mut self, index: u64, entry: &Entry) -> bool {
         self.applied = index;
         match entry {
--- a/src/consensus/voter/durability.rs
+++ b/src/consensus/voter/durability.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the disk, and the messages that wait for them.
+//! Persistence of records, and the messages that wait for it.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
@@ -8,13 +8,13 @@
 use crate::consensus::persistent_state::{Record, Snapshot};
 
 impl Voter {
-    /// Puts a record out; its messages wait until it and the records before it are persisted.
+    /// Outputs a record. Its messages wait until this record and all earlier ones are persisted.
     pub(super) fn persist(&mut self, record: Record, messages: Vec<Message>) {
         if self.disabled_guards.persistence {
             self.send(messages);
         } else if !record.is_empty() {
-            self.last_record += 1;
-            let number = self.last_record;
+            self.last_record_number += 1;
+            let number = self.last_record_number;
             let pending = PendingRecord { number, messages };
             self.pending_records.push_back(pending);
         } else if let Some(last) = self.pending_records.back_mut() {
@@ -26,15 +26,15 @@
             let number = if self.disabled_guards.persistence {
                 0
             } else {
-                self.last_record
+                self.last_record_number
             };
             let persist = Output::Persist(number, Box::new(record));
             self.outputs.push_back(persist);
         }
-        self.on_all_persisted();
+        self.notify_if_all_persisted();
     }
 
-    /// Sends the messages of the records that are persisted.
+    /// Sends the messages of the records up to this number, which are persisted.
     pub(super) fn on_persisted(&mut self, number: u64) {
         let is_persisted = |pending: &PendingRecord| pending.number <= number;
         while self.pending_records.front().is_some_and(is_persisted) {
@@ -42,18 +42,18 @@
                 self.send(pending.messages);
             }
         }
-        self.on_all_persisted();
+        self.notify_if_all_persisted();
     }
 
-    /// Tells the library that all records are persisted, if they are.
-    fn on_all_persisted(&mut self) {
+    /// Notifies the library once no record is pending.
+    fn notify_if_all_persisted(&mut self) {
         if self.pending_records.is_empty() {
             self.with_raft(|raw| raw.on_persist_ready(u64::MAX));
             self.advance_applied();
         }
     }
 
-    /// Tells the library how far the state is; entries of a snapshot count once it is persisted.
+    /// Reports the applied index to the library; the entries of a snapshot count once the snapshot is persisted.
     pub(super) fn advance_applied(&mut self) {
         let applied = self.state.applied;
         self.with_raft(|raw| {
@@ -70,17 +70,17 @@
             if let Ok(bytes) = message.write_to_bytes() {
                 self.outputs.push_back(Output::Send(message.to, bytes));
             }
-            // The receiver of a snapshot is sent entries again once it answers, or another snapshot.
+            // The snapshot counts as sent: once the receiver answers, the leader sends it entries, or another snapshot.
             if message.get_msg_type() == MessageType::MsgSnapshot {
                 self.with_raft(|raw| raw.report_snapshot(message.to, SnapshotStatus::Finish));
             }
         }
     }
 
-    /// Replaces the applied entries by a snapshot.
+    /// Takes a snapshot and removes the applied entries from the log.
     pub(super) fn compact(&mut self) {
         let index = self.state.applied;
-        // The state is that of the last applied entry, so the snapshot has to be made there.
+        // The state includes exactly the entries up to the applied index, so the snapshot has this index.
         let Some(raw) = &mut self.raw else { return };
         let Ok(term) = raw.store().term(index) else {
             return;
--- a/src/consensus/voter/log.rs
+++ b/src/consensus/voter/log.rs
@@ -1,4 +1,4 @@
-//! The log: what the library has ready, committed entries, and snapshots of other voters.
+//! The log: processing of the library's `Ready`, committed entries, and snapshots from other voters.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::consensus::state::{AppliedEntry, Entry, State};
 use crate::consensus::ReplicaId;
 
-/// Decodes an entry of the library's log; a change of voters carries its entry in the context.
+/// Decodes an entry of the library's log. For a change of voters, the context contains the encoded [`Entry`].
 fn decode_entry(entry: &eraftpb::Entry) -> Entry {
     let bytes = match entry.get_entry_type() {
         EntryType::EntryNormal => &entry.data,
@@ -22,7 +22,7 @@
 }
 
 impl Voter {
-    /// Committed entries from an index on, at most `max_entries`; `None` if they are no longer stored.
+    /// Returns up to `max_entries` committed entries from an index on, or `None` if they are no longer stored.
     pub fn entries_from(&self, index: u64, max_entries: u64) -> Option<Vec<(u64, Entry)>> {
         let store = self.raw.as_ref()?.store();
         let end = self.state.applied + 1;
@@ -38,7 +38,7 @@
         Some(decoded.collect())
     }
 
-    /// Takes what the library has ready: messages, confirmed reads, entries to store and to apply.
+    /// Processes a `Ready` of the library: messages, confirmed reads, and entries to store and to apply.
     pub(super) fn on_ready(&mut self, mut ready: Ready) {
         self.send(ready.take_messages());
         for read in ready.take_read_states() {
@@ -62,7 +62,7 @@
                 commit: hard_state.commit,
             };
         }
-        // A new commit index alone is not worth a write: the leader repeats it, and the next record includes it.
+        // A new commit index alone needs no write: the leader sends it again, and the next record includes it.
         let must_persist = ready.must_sync() || record.reset || !record.entries.is_empty();
         if must_persist {
             record.metadata = Some(metadata.clone());
@@ -88,19 +88,19 @@
     }
 
     fn install_snapshot(&mut self, snapshot: &eraftpb::Snapshot, metadata: &mut Metadata) {
-        let position = snapshot.get_metadata();
-        let voters = position.get_conf_state().get_voters().to_vec();
+        let snapshot_metadata = snapshot.get_metadata();
+        let voters = snapshot_metadata.get_conf_state().get_voters().to_vec();
         metadata.voters.clone_from(&voters);
         metadata.snapshot = Snapshot {
-            index: position.index,
-            term: position.term,
+            index: snapshot_metadata.index,
+            term: snapshot_metadata.term,
             voters,
             data: snapshot.data.to_vec(),
         };
         if let Ok(state) = State::decode(&snapshot.data) {
             self.state = state;
         }
-        self.snapshot_index = position.index;
+        self.snapshot_index = snapshot_metadata.index;
         self.outputs.push_back(Output::Restored);
     }
 
@@ -115,7 +115,8 @@
         let took_effect = self.state.apply(committed.index, &entry);
         if matches!(entry, Entry::Voters(_)) {
             let voters: BTreeMap<ReplicaId, Arc<str>> = self.state.voters.clone();
-            self.memory.retain(|replica| voters.contains_key(replica));
+            self.peer_memory
+                .retain(|replica| voters.contains_key(replica));
         }
         let applied = AppliedEntry {
             index: committed.index,
@@ -134,10 +135,10 @@
         }
     }
 
-    /// Makes a snapshot after a change of voters, or when the log has grown.
+    /// Takes a snapshot after a change of voters, or after [`ENTRIES_PER_SNAPSHOT`] entries.
     ///
-    /// After a restart, a voter must not go back to voters of long ago: with those of one change ago it shares a majority,
-    /// with older ones perhaps none. And a new voter accepts a snapshot only if it is among the snapshot's voters.
+    /// After a restart, a voter must not return to an outdated set of voters: majorities of two sets that differ by one change
+    /// overlap, but those of sets further apart may not. Also, a new voter accepts only a snapshot that lists it as a voter.
     fn compact_if_due(&mut self, committed: &[eraftpb::Entry]) {
         let voters_changed = committed
             .iter()
--- a/src/consensus/voter/messages.rs
+++ b/src/consensus/voter/messages.rs
@@ -11,8 +11,8 @@
 /// The timing of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// One tick, in microseconds. A leader sends heartbeats every 2 ticks, and an election starts 10 to 20 ticks after the
-    /// last one.
+    /// One Raft tick, in microseconds. A leader sends heartbeats every 2 ticks; a voter starts an election 10 to 20 ticks
+    /// after the last heartbeat.
     pub tick: Micros,
 }
 
@@ -22,106 +22,107 @@
     }
 }
 
-/// What distinguishes one start of a voter from others.
+/// Distinguishes one start of a voter from others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// A number that no other process has.
+    /// The ID of the process; no other process has it.
     pub process: u64,
     /// The seed of the randomized election timeouts.
     pub seed: u64,
 }
 
-/// Guards that a test switches off, to show what each of them prevents.
+/// Safety guards that a test disables to show that each of them is necessary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DisabledVoterGuards {
-    /// Pre-vote and the leader's quorum check.
+    /// Raft's pre-vote and the leader's quorum check.
     pub pre_vote: bool,
-    /// The requests for known state of a new process before its first message.
+    /// The exchange of known state that a new process completes before it takes part.
     pub probation: bool,
-    /// The wait for the disk before a message that rests on a record is sent.
+    /// The wait for a record to be persisted before the messages that depend on it are sent.
     pub persistence: bool,
 }
 
 /// An event for a voter.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    /// A message of another voter.
+    /// A Raft message from another voter.
     Message {
         /// The sender.
         from: ReplicaId,
-        /// How often a process has started on the sender's disk.
+        /// The number of process starts on the sender's disk.
         boots: u64,
-        /// The sender's process.
+        /// The ID of the sender's process.
         process: u64,
-        /// The message of the `raft` library.
+        /// The encoded message of the `raft` library.
         bytes: &'a [u8],
     },
-    /// Another voter asks what is known of its replica.
+    /// Another voter requests the state that this voter has observed of its replica.
     KnownStateRequest {
         /// The sender.
         from: ReplicaId,
-        /// What the sender's disk says.
+        /// The state on the sender's disk.
         own: KnownState,
     },
-    /// Another voter replies with what it knows of this replica.
+    /// Another voter replies with the state that it has observed of this replica.
     KnownStateReply {
         /// The sender.
         from: ReplicaId,
-        /// What it knows.
+        /// The observed state.
         known: KnownState,
     },
-    /// All records up to this number are persisted.
+    /// The driver has persisted all records up to this number.
     Persisted(u64),
-    /// Propose an entry; dropped unless this voter leads.
+    /// Propose an entry. Ignored unless this voter leads.
     Propose(Entry),
-    /// Ask a majority whether this voter still leads; answered by [`Output::Confirmed`] or not at all.
+    /// Confirm with a majority that this voter still leads. Answered by [`Output::Confirmed`], or not at all.
     Confirm(u64),
-    /// Add a voter, remove one, or both.
-    Exchange {
+    /// Add a voter or remove one. If both are given, this proposes the addition; once that has taken effect, the same input
+    /// proposes the removal.
+    ChangeVoters {
         /// The replica to add, and its name.
-        joins: Option<(ReplicaId, Arc<str>)>,
+        added: Option<(ReplicaId, Arc<str>)>,
         /// The replica to remove.
-        leaves: Option<ReplicaId>,
+        removed: Option<ReplicaId>,
     },
     /// A deadline has passed.
     Tick,
 }
 
-/// An action that a voter asks for.
+/// An action to be carried out for a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message to a voter; a lost one is repeated.
+    /// Send a Raft message to a voter. It may be lost; the library repeats it.
     Send(ReplicaId, Vec<u8>),
-    /// Ask all other voters what they know of this replica.
+    /// Request the observed state of this replica from all other voters.
     RequestKnownState(KnownState),
-    /// Tell a voter what is known of its replica.
+    /// Send a voter the state observed of its replica.
     SendKnownState(ReplicaId, KnownState),
-    /// Persist the record, then report its number.
+    /// Persist the record, then report its number by [`Input::Persisted`].
     Persist(u64, Box<Record>),
     /// An entry was committed and applied.
     Applied(AppliedEntry),
     /// The state was replaced by a snapshot.
     Restored,
-    /// This voter leads, and has applied all entries of earlier terms.
+    /// This voter became the leader and has applied all entries of earlier terms.
     BecameLeader,
-    /// This voter no longer leads.
+    /// This voter is no longer the leader.
     LostLeadership,
-    /// A majority confirmed that this voter leads, after the request with this number.
+    /// A majority confirmed that this voter still led after the [`Input::Confirm`] with this number.
     Confirmed(u64),
-    /// This replica must not vote any more, for the given reason.
+    /// This replica is retired for the given reason and never votes again.
     Retired(String),
 }
 
-/// Why a voter cannot start.
+/// The reason why a voter cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum VoterError {
-    /// The content of its disk is incomplete; make a new replica.
+    /// The content of the disk is incomplete; a new replica has to be created.
     #[error(transparent)]
     Damaged(#[from] DamagedState),
-    /// Its replica was retired; make a new one.
+    /// The replica was retired; a new one has to be created.
     #[error("its seat does not vote any more: {0}")]
     Retired(String),
-    /// The content of its disk cannot be decoded or contradicts itself; make a new replica.
+    /// The content of the disk cannot be decoded or is inconsistent; a new replica has to be created.
     #[error("its log cannot be used: {0}")]
     Raft(String),
 }
--- a/src/consensus/voter/mod.rs
+++ b/src/consensus/voter/mod.rs
@@ -1,9 +1,10 @@
-//! A voter of the agreed log, as one value without I/O.
+//! A Raft voter of the replicated log, as a state machine without I/O.
 //!
-//! It wraps the `RawNode` of the `raft` library. Its records are numbered and handed out, and messages that rest on them wait
-//! until the driver reports them persisted. Random election timeouts are replaced by ones that follow from the seed and the
-//! term, so that the emulator replays exactly. A new process sends nothing before its [`Probation`] is over. A panic of the
-//! library, which a damaged disk can cause, retires the replica and does not end the gateway.
+//! [`Voter`] wraps the `RawNode` of the `raft` library. It outputs numbered records to persist and holds back the messages
+//! that depend on a record until the driver reports it persisted. Election timeouts are derived from the seed and the term
+//! instead of drawn at random, so that the emulator can replay a run exactly. A new process sends no Raft message before its
+//! [`Probation`] is over. A damaged disk can make the library panic; the panic retires the replica and does not end the
+//! gateway.
 
 mod durability;
 mod log;
@@ -27,48 +28,48 @@
 use crate::consensus::state::{Entry, State};
 use crate::consensus::ReplicaId;
 
-/// Minimum ticks without a heartbeat after which a voter starts an election; the maximum is twice as many.
+/// Minimum number of ticks without a heartbeat before a voter starts an election; the maximum is twice this number.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between a leader's heartbeats.
+/// Number of ticks between a leader's heartbeats.
 const HEARTBEAT_TICKS: usize = 2;
-/// Entries behind a snapshot before the next one is made.
+/// Number of entries after a snapshot before the next one is taken.
 pub const ENTRIES_PER_SNAPSHOT: u64 = 256;
-/// Bytes of entries in one message, so that every frame stays below its maximum size.
+/// Maximum size of the entries in one message; keeps every frame below its maximum size.
 const MAX_MESSAGE_BYTES: u64 = 64 << 10;
-/// Messages with entries on their way to one voter.
+/// Maximum number of unacknowledged messages with entries to one voter.
 const MAX_INFLIGHT_MESSAGES: usize = 16;
-/// Unpersisted records beyond which a voter neither receives nor ticks: its disk has failed or is full.
+/// Number of pending records beyond which a voter ignores messages and ticks, as its disk has failed or is full.
 const MAX_PENDING_RECORDS: usize = 128;
-/// Bytes of proposed entries that are not committed yet.
+/// Maximum size of the proposed entries that are not committed yet.
 const MAX_UNCOMMITTED_BYTES: u64 = 256 << 10;
 
-/// One voter.
+/// A Raft voter.
 pub struct Voter {
     /// The library's node; `None` after a panic in it.
     raw: Option<RawNode<PersistentState>>,
     settings: Settings,
     identity: Identity,
     state: State,
-    memory: PeerMemory,
+    peer_memory: PeerMemory,
     probation: Option<Probation>,
     retired: Option<String>,
-    /// Records on their way to the disk, in order.
+    /// Records that are not persisted yet, in order.
     pending_records: VecDeque<PendingRecord>,
-    last_record: u64,
-    /// The term in which [`Output::BecameLeader`] was put out and [`Output::LostLeadership`] was not yet.
+    last_record_number: u64,
+    /// The term for which [`Output::BecameLeader`] was emitted and [`Output::LostLeadership`] was not.
     leading_term: Option<u64>,
     next_tick_at: Micros,
     snapshot_index: u64,
-    /// The last entry on its disk when it started.
-    last_at_start: u64,
+    /// The index of the last entry on the disk at the start.
+    last_index_at_start: u64,
     outputs: VecDeque<Output>,
     disabled_guards: DisabledVoterGuards,
 }
 
-/// A record on its way to the disk.
+/// A record that is not persisted yet.
 struct PendingRecord {
     number: u64,
-    /// The messages that must not be sent before the record is persisted.
+    /// The messages to send once the record is persisted.
     messages: Vec<Message>,
 }
 
@@ -81,8 +82,8 @@
     }
 }
 
-/// Derives a pseudo-random number from a seed and a term.
-fn mix(seed: u64, term: u64) -> u64 {
+/// Hashes a seed and a term with the SplitMix64 mixing function.
+fn splitmix64(seed: u64, term: u64) -> u64 {
     let mut mixed = seed ^ term.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -104,7 +105,7 @@
     }
 }
 
-/// Creates the library's node.
+/// Creates the library's node; a panic becomes an error.
 fn start_raft(
     config: &Config,
     persistent: PersistentState,
@@ -116,11 +117,11 @@
 }
 
 impl Voter {
-    /// Starts a voter on what its disk holds. It sends requests for known state before any other message.
+    /// Starts a voter from the state on its disk. Its first messages are requests for known state.
     ///
     /// # Errors
     ///
-    /// [`VoterError`] if the replica is retired or the disk cannot be used.
+    /// Returns a [`VoterError`] if the replica is retired or the disk cannot be used.
     pub fn new(
         settings: Settings,
         mut persistent: PersistentState,
@@ -135,7 +136,7 @@
         let metadata = persistent.metadata.clone();
         let state = State::decode(&metadata.snapshot.data)
             .map_err(|error| VoterError::Raft(error.to_string()))?;
-        let last_at_start = persistent.last();
+        let last_index_at_start = persistent.last();
         let raw = start_raft(&raft_config(&metadata, disabled_guards), persistent)?;
         let mut voter = Voter {
             raw: Some(raw),
@@ -145,94 +146,94 @@
                 ..identity
             },
             state,
-            memory: PeerMemory::default(),
+            peer_memory: PeerMemory::default(),
             probation: (!disabled_guards.probation).then(Probation::default),
             retired: None,
             pending_records: VecDeque::new(),
-            last_record: 0,
+            last_record_number: 0,
             leading_term: None,
             next_tick_at: now,
             snapshot_index: metadata.snapshot.index,
-            last_at_start,
+            last_index_at_start,
             outputs: VecDeque::new(),
             disabled_guards,
         };
-        // The number of starts has to be durable before the first message.
+        // The incremented number of starts has to be durable before the first message.
         let record = Record {
             metadata: Some(metadata),
             ..Record::default()
         };
         voter.persist(record, Vec::new());
-        voter.settle();
+        voter.process_ready();
         Ok(voter)
     }
 
-    /// Its replica; 0 after a panic of the library.
+    /// Returns the replica ID, or 0 after a panic of the library.
     pub fn replica(&self) -> ReplicaId {
         self.raw.as_ref().map_or(0, |raw| raw.raft.id)
     }
 
-    /// The process that started it.
+    /// Returns the ID of the process.
     pub fn process(&self) -> u64 {
         self.identity.process
     }
 
-    /// How often a process has started on its disk.
+    /// Returns the number of process starts on the disk.
     pub fn boots(&self) -> u64 {
         self.raw
             .as_ref()
             .map_or(0, |raw| raw.store().metadata.boots)
     }
 
-    /// The state with all entries applied that are known to be committed.
+    /// Returns the state with all entries applied that are known to be committed.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The leader, if known; itself if it leads.
+    /// Returns the leader, which may be this voter, if known.
     pub fn leader(&self) -> Option<ReplicaId> {
         let raw = self.raw.as_ref().filter(|_| self.probation.is_none())?;
         Some(raw.raft.leader_id).filter(|leader| *leader != 0)
     }
 
-    /// Whether there is a leader, and all that its disk held at the start was applied or replaced.
+    /// Returns whether a leader is known and all entries on the disk at the start were applied or replaced.
     pub fn is_current(&self) -> bool {
         let last = self.raw.as_ref().map_or(0, |raw| raw.store().last());
-        self.leader().is_some() && self.state.applied >= self.last_at_start.min(last)
+        self.leader().is_some() && self.state.applied >= self.last_index_at_start.min(last)
     }
 
-    /// Whether it leads and has applied all entries of earlier terms.
+    /// Returns whether this voter leads and has applied all entries of earlier terms.
     pub fn leads(&self) -> bool {
         self.leading_term.is_some()
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.raw.as_ref().map_or(0, |raw| raw.raft.term)
     }
 
-    /// Whether it takes part: its probation is over and its replica is not retired.
+    /// Returns whether this voter takes part: its probation is over and its replica is not retired.
     pub fn votes(&self) -> bool {
         self.raw.is_some() && self.probation.is_none() && self.retired.is_none()
     }
 
-    /// Why its replica must not vote any more, if so.
+    /// Returns the reason why the replica was retired, if it was.
     pub fn retired(&self) -> Option<&str> {
         self.retired.as_deref()
     }
 
-    /// The number of entries behind the snapshot.
+    /// Returns the number of log entries after the snapshot.
     pub fn entries(&self) -> usize {
         self.raw.as_ref().map_or(0, |raw| raw.store().len())
     }
 
-    /// When [`Input::Tick`] is due.
+    /// Returns the time at which [`Input::Tick`] is due.
     pub fn next_deadline(&self) -> Option<Micros> {
         let active = self.raw.is_some() && self.retired.is_none();
         active.then_some(self.next_tick_at)
     }
 
-    /// The next action, if any.
+    /// Returns the next action, if any.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
@@ -255,14 +256,14 @@
                     self.with_raft(|raw| raw.read_index(number.to_le_bytes().to_vec()));
                 }
             }
-            Input::Exchange { joins, leaves } => self.exchange(joins, leaves),
+            Input::ChangeVoters { added, removed } => self.propose_voter_change(added, removed),
             Input::Tick => {}
         }
         self.tick(now);
-        self.settle();
+        self.process_ready();
     }
 
-    /// Calls the library; a panic in it retires the replica.
+    /// Calls the library. A panic in the call retires the replica.
     fn with_raft<T>(&mut self, call: impl FnOnce(&mut RawNode<PersistentState>) -> T) -> Option<T> {
         let raw = self.raw.as_mut()?;
         match catch_unwind(AssertUnwindSafe(|| call(raw))) {
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Stops voting with this replica for good.
+    /// Stops voting with this replica permanently.
     fn retire(&mut self, reason: String) {
         if self.retired.is_some() {
             return;
@@ -293,16 +294,16 @@
                 metadata: Some(metadata.clone()),
                 ..Record::default()
             };
-            self.last_record += 1;
-            let persist = Output::Persist(self.last_record, Box::new(record));
+            self.last_record_number += 1;
+            let persist = Output::Persist(self.last_record_number, Box::new(record));
             self.outputs.push_back(persist);
         }
         self.outputs.push_back(Output::Retired(reason));
     }
 
-    /// Proposes an entry; dropped unless this voter leads.
+    /// Proposes an entry. Ignored unless this voter leads.
     pub(in crate::consensus) fn propose(&mut self, entry: &Entry) {
-        // Entries always encode; the proposer repeats an entry that the library drops.
+        // Encoding an entry cannot fail. The proposer repeats an entry that the library drops.
         let Ok(data) = postcard::to_stdvec(entry) else {
             return;
         };
@@ -315,7 +316,7 @@
         if now < self.next_tick_at || self.raw.is_none() || self.retired.is_some() {
             return;
         }
-        // A process that was stopped does not make up for missed ticks.
+        // After a pause of the process, missed ticks are skipped.
         let regular = self.next_tick_at + self.settings.tick;
         self.next_tick_at = regular.max(now + self.settings.tick / 2);
         if self.pending_records.len() > MAX_PENDING_RECORDS {
@@ -327,8 +328,8 @@
         self.with_raft(|raw| raw.tick());
     }
 
-    /// Takes what the library has ready until there is nothing left.
-    fn settle(&mut self) {
+    /// Processes the library's `Ready` values until there are none left.
+    fn process_ready(&mut self) {
         while self.retired.is_none() && self.raw.as_ref().is_some_and(RawNode::has_ready) {
             match self.with_raft(|raw| raw.ready()) {
                 Some(ready) => self.on_ready(ready),
@@ -336,10 +337,10 @@
             }
         }
         self.update_leadership();
-        // The library draws election timeouts at random; here they follow from the seed and the term.
+        // Replaces the library's random election timeout by one derived from the seed and the term.
         let seed = self.identity.seed;
         self.with_raft(|raw| {
-            let extra_ticks = mix(seed, raw.raft.term) % ELECTION_TICKS as u64;
+            let extra_ticks = splitmix64(seed, raw.raft.term) % ELECTION_TICKS as u64;
             let timeout = ELECTION_TICKS + extra_ticks as usize;
             raw.raft.set_randomized_election_timeout(timeout);
         });
--- a/src/consensus/voter/probation.rs
+++ b/src/consensus/voter/probation.rs
@@ -1,4 +1,4 @@
-//! Messages of other voters, and the probation of a new process.
+//! Messages from other voters, and the probation of a new process.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
@@ -9,13 +9,13 @@
 use crate::consensus::persistent_state::{Metadata, PersistentState};
 use crate::consensus::ReplicaId;
 
-/// Whether the library can take a message: a heartbeat that commits an entry which is not stored would panic.
+/// Returns whether the library can process a message: it panics on a heartbeat that commits an entry not in the log.
 fn is_consistent(persistent: &PersistentState, message: &Message) -> bool {
     let commits = matches!(message.get_msg_type(), MessageType::MsgHeartbeat);
     !commits || message.commit <= persistent.last()
 }
 
-/// What a message shows of its sender's state.
+/// Returns the sender's state as shown by a message.
 fn observed_state(message: &Message, boots: u64, process: u64) -> KnownState {
     let kind = message.get_msg_type();
     let acknowledged = match kind {
@@ -26,7 +26,7 @@
         kind,
         MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse
     );
-    // A pre-vote carries a term that no voter is in yet.
+    // A pre-vote carries the next term, which the sender has not entered.
     let term = if is_pre_vote { 0 } else { message.term };
     KnownState {
         boots,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether a replica needs no probation: it is the only voter, or has never taken part.
+/// Returns whether a replica needs no probation, because it is the only voter or has never taken part.
 fn can_skip_probation(metadata: &Metadata) -> bool {
     metadata.voters.len() == 1 || metadata.voters.is_empty() && metadata.hard_state.term == 0
 }
@@ -50,7 +50,7 @@
             return;
         }
         let observed = observed_state(&message, boots, process);
-        self.memory.observe(from, observed);
+        self.peer_memory.observe(from, observed);
         if !self.votes() || self.pending_records.len() > MAX_PENDING_RECORDS {
             return;
         }
@@ -61,18 +61,18 @@
         if !consistent {
             return self.retire(StateLoss::Entries.to_string());
         }
-        // The library answers or drops what it rejects.
+        // The library itself answers or drops invalid messages.
         self.with_raft(|raw| drop(raw.step(message)));
     }
 
     pub(super) fn on_known_state_request(&mut self, from: ReplicaId, own: KnownState) {
-        let known = self.memory.known(from);
+        let known = self.peer_memory.known(from);
         let observed = KnownState {
             term: 0,
             acknowledged: (0, 0),
             ..own
         };
-        self.memory.observe(from, observed);
+        self.peer_memory.observe(from, observed);
         self.outputs.push_back(Output::SendKnownState(from, known));
     }
 
@@ -83,7 +83,7 @@
         if !from_voter || self.disabled_guards.probation {
             return;
         }
-        // Also checked after the probation: a voter that was unreachable then may know more.
+        // Late replies are also compared: a voter that was unreachable during the probation may have observed more.
         if let Err(loss) = compare(self.own_state(), known) {
             return self.retire(loss.to_string());
         }
@@ -93,7 +93,7 @@
         self.update_probation();
     }
 
-    /// What the disk says of this replica.
+    /// Returns this replica's state as stored on its disk.
     fn own_state(&self) -> KnownState {
         let Some(raw) = &self.raw else {
             return KnownState::default();
@@ -117,7 +117,7 @@
             .take_if(|probation| probation.is_over(voters));
     }
 
-    /// Repeats the requests for known state of a voter on probation; returns whether the library may tick.
+    /// Ends the probation, or sends the requests for known state again. Returns whether the library may tick.
     pub(super) fn tick_probation(&mut self) -> bool {
         let can_skip = self
             .raw
@@ -127,7 +127,8 @@
             self.probation = None;
             return true;
         }
-        // The number of starts has to be durable first: killed now, this process would later be taken for a copy of its disk.
+        // The number of starts has to be durable first. Otherwise, if this process were killed now, the next one would start
+        // with the same number and be rejected as running on a copy of the disk.
         if !self.pending_records.is_empty() {
             return false;
         }
--- a/src/consensus/voter/tests/agreement.rs
+++ b/src/consensus/voter/tests/agreement.rs
@@ -147,12 +147,12 @@
     let leader = sim.leader().unwrap();
     let gone = (leader + 1) % 3;
     sim.kill(gone);
-    let joins = Some((bootstrap_voter(1, &name(3)), name(3)));
+    let added = Some((bootstrap_voter(1, &name(3)), name(3)));
     sim.handle(
         leader,
-        Input::Exchange {
-            joins,
-            leaves: None,
+        Input::ChangeVoters {
+            added,
+            removed: None,
         },
     );
     let voters = |r: &Simulation, n: usize| {
@@ -164,9 +164,9 @@
     sim.until("the fourth to know", |r| voters(r, 3) == 4);
     sim.handle(
         leader,
-        Input::Exchange {
-            joins: None,
-            leaves: Some(bootstrap_voter(1, &name(gone))),
+        Input::ChangeVoters {
+            added: None,
+            removed: Some(bootstrap_voter(1, &name(gone))),
         },
     );
     sim.until("three again", |r| {
