--- a/src/consensus/learners/learner.rs
+++ b/src/consensus/learners/learner.rs
@@ -1,4 +1,4 @@
-//! The learner's side: which voter it polls and what it has learned.
+//! The learner's side: the choice of the polled voter and the learned state.
 
 use std::sync::Arc;
 
@@ -8,33 +8,33 @@
 use crate::consensus::wire::{ForwardedEffects, LeaseEffect, Poll};
 use crate::consensus::ReplicaId;
 
-/// A gateway that follows the agreed log without a vote.
+/// The state of a gateway that follows the agreed log without a vote.
 #[derive(Clone, Debug)]
 pub struct Learner {
     state: State,
-    /// The voter's process that forwarded effects last, and how many it had forwarded.
+    /// The ID of the voter process that last forwarded effects, and the number of effects it had forwarded by then.
     effects: (u64, u64),
     voters: Vec<Arc<str>>,
     /// The index of the voter to poll.
     source: usize,
-    /// When the outstanding poll was sent.
+    /// The time at which the outstanding poll was sent.
     polled_at: Option<Micros>,
     replica: Option<ReplicaId>,
 }
 
-/// What a learner learns from one answer.
+/// The result of processing one answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CatchUp {
     /// The entries that were applied.
     pub applied: Vec<AppliedEntry>,
-    /// Whether the state was replaced.
+    /// Whether the answer replaced the state.
     pub restored: bool,
-    /// The effects that the voter forwarded.
+    /// The effects forwarded by the voter.
     pub effects: Vec<LeaseEffect>,
 }
 
 impl Learner {
-    /// Creates a learner that knows only which voters to poll.
+    /// Creates a learner with an empty state. The seed determines the first voter to poll.
     pub fn new(voters: Vec<Arc<str>>, replica: Option<ReplicaId>, seed: u64) -> Learner {
         let source = (seed as usize).checked_rem(voters.len()).unwrap_or(0);
         Learner {
@@ -47,29 +47,29 @@
         }
     }
 
-    /// The state as far as it was learned.
+    /// Returns the learned state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The voter that it polls.
+    /// Returns the voter that this learner polls.
     pub fn source(&self) -> Option<&Arc<str>> {
         self.voters.get(self.source)
     }
 
-    /// When [`Learner::poll`] has to be called again.
+    /// Returns the time at which [`Learner::poll`] is due.
     pub fn next_deadline(&self, now: Micros) -> Micros {
         self.polled_at.map_or(now, |at| at + ANSWER_TIMEOUT)
     }
 
-    /// The poll to send now, if one is due, and whether the previous poll timed out.
+    /// Returns the poll to send now, if one is due, and whether the previous poll timed out.
     pub fn poll(&mut self, now: Micros) -> Option<(Poll, bool)> {
         let timed_out = self.polled_at.is_some_and(|at| now >= at + ANSWER_TIMEOUT);
         if self.polled_at.is_some() && !timed_out {
             return None;
         }
         if timed_out {
-            self.next_source();
+            self.advance_source();
         }
         self.polled_at = Some(now);
         let poll = Poll {
@@ -81,14 +81,14 @@
         Some((poll, timed_out))
     }
 
-    /// The connection to the polled voter closed.
+    /// Handles the loss of the connection to the polled voter. The next poll follows after a pause.
     pub fn on_disconnected(&mut self, now: Micros) {
-        self.next_source();
-        // A short pause: all voters may be down, and refuse connections one after the other.
+        self.advance_source();
+        // If all voters are down, each refuses the connection at once; the pause limits the rate of attempts.
         self.polled_at = Some(now.saturating_sub(ANSWER_TIMEOUT * 9 / 10));
     }
 
-    fn next_source(&mut self) {
+    fn advance_source(&mut self) {
         self.source = (self.source + 1)
             .checked_rem(self.voters.len())
             .unwrap_or(0);
@@ -105,7 +105,7 @@
         let mut catch_up = CatchUp::default();
         if generation == self.state.generation {
             for (index, entry) in entries {
-                // An entry that was requested twice arrives twice.
+                // An entry may arrive twice if it was requested twice.
                 if index == self.state.applied + 1 {
                     let took_effect = self.state.apply(index, &entry);
                     let applied = AppliedEntry {
@@ -117,7 +117,7 @@
                 }
             }
         }
-        self.take_effects(effects, &mut catch_up);
+        self.record_effects(effects, &mut catch_up);
         catch_up
     }
 
@@ -130,11 +130,11 @@
             self.state = state;
             catch_up.restored = true;
         }
-        self.take_effects(effects, &mut catch_up);
+        self.record_effects(effects, &mut catch_up);
         catch_up
     }
 
-    fn take_effects(&mut self, forwarded: ForwardedEffects, catch_up: &mut CatchUp) {
+    fn record_effects(&mut self, forwarded: ForwardedEffects, catch_up: &mut CatchUp) {
         self.effects = (forwarded.process, forwarded.count);
         catch_up.effects = forwarded.effects;
     }
--- a/src/consensus/learners/mod.rs
+++ b/src/consensus/learners/mod.rs
@@ -1,8 +1,8 @@
-//! Learners: gateways that do not vote follow the agreed log by polling a voter.
+//! Learners: gateways without a vote that follow the agreed log by long polling.
 //!
-//! The cost of one learner does not depend on how many there are. A learner polls one voter; the voter holds the poll until
-//! there is something new, or for `POLL_WAIT_TIMEOUT`. A voter that does not answer is given up for the next. Effects that
-//! voters accepted are forwarded with the answers.
+//! A learner polls one voter, which holds the poll until it has news or `POLL_WAIT_TIMEOUT` has passed. If the voter does
+//! not answer, the learner polls the next one. Answers also forward the effects that the voter has accepted. The cost of
+//! one learner does not depend on the number of learners.
 
 mod learner;
 mod progress;
@@ -14,13 +14,13 @@
 
 use crate::api::Micros;
 
-/// Learners whose polls one voter holds; polls of further learners are answered at once.
+/// Maximum number of learners whose polls one voter holds; it answers the polls of further learners at once.
 pub const MAX_LEARNERS: usize = 2048;
-/// Recent effects that a voter can forward; a learner that was away for longer gets only these.
+/// Number of recent effects that a voter keeps to forward; a learner that missed more receives only these.
 pub const MAX_FORWARDED_EFFECTS: usize = 64;
-/// Entries in one answer.
+/// Maximum number of entries in one answer.
 pub const MAX_CATCH_UP_ENTRIES: u64 = 128;
-/// How long a voter holds a poll while nothing is new.
+/// Maximum time for which a voter holds a poll without news.
 const POLL_WAIT_TIMEOUT: Micros = 500_000;
-/// How long a learner waits for an answer before it polls another voter.
+/// Time after which a learner gives up on an answer and polls another voter.
 const ANSWER_TIMEOUT: Micros = 2_000_000;
--- a/src/consensus/learners/progress.rs
+++ b/src/consensus/learners/progress.rs
@@ -1,4 +1,4 @@
-//! The learners at one voter: their polls and the effects to forward.
+//! The voter's side: the polls of its learners and the effects to forward to them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use crate::consensus::wire::{ForwardedEffects, LeaseEffect, Poll};
 use crate::consensus::ReplicaId;
 
-/// The polls that a voter holds, and the effects that it forwards.
+/// The polls held by a voter and the recent effects that it forwards to learners.
 #[derive(Clone, Debug, Default)]
 pub struct LearnerProgress {
     polls: BTreeMap<Arc<str>, WaitingPoll>,
     effects: VecDeque<LeaseEffect>,
     /// The number of effects forwarded so far.
     effect_count: u64,
-    /// The replicas of learners that have one, by name: these could become voters.
+    /// The replica IDs of the learners that have a replica and so can become voters, by name.
     replicas: BTreeMap<Arc<str>, ReplicaId>,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl LearnerProgress {
-    /// Adds an effect to forward.
+    /// Adds an effect to forward to all learners.
     pub fn forward(&mut self, effect: LeaseEffect) {
         self.effects.push_back(effect);
         self.effect_count += 1;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Holds the poll of a learner, in place of its previous one.
+    /// Holds a learner's poll; it replaces the learner's previous poll.
     pub fn on_poll(&mut self, now: Micros, name: &str, poll: Poll) {
         let name: Arc<str> = name.into();
         match poll.replica {
@@ -59,37 +59,37 @@
         self.polls.insert(name, held);
     }
 
-    /// The replica of a learner, if it has one.
+    /// Returns the replica ID of a learner, if it has one.
     pub fn replica(&self, name: &str) -> Option<ReplicaId> {
         self.replicas.get(name).copied()
     }
 
-    /// The replicas of all learners that have one.
+    /// Returns the replica IDs of all learners that have one, by name.
     pub fn replicas(&self) -> impl Iterator<Item = (&Arc<str>, ReplicaId)> {
         self.replicas.iter().map(|(name, replica)| (name, *replica))
     }
 
-    /// Whether it holds a poll of a learner.
+    /// Returns whether a poll of this learner is held.
     pub fn contains(&self, name: &str) -> bool {
         self.polls.contains_key(name)
     }
 
-    /// The number of polls held.
+    /// Returns the number of held polls.
     pub fn len(&self) -> usize {
         self.polls.len()
     }
 
-    /// Whether no poll is held.
+    /// Returns whether no poll is held.
     pub fn is_empty(&self) -> bool {
         self.polls.is_empty()
     }
 
-    /// When the next answer is due even if nothing is new.
+    /// Returns the time at which the next answer is due even without news.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.polls.values().map(|held| held.answer_deadline).min()
     }
 
-    /// Removes and returns the polls to be answered now.
+    /// Removes and returns the polls that are to be answered now.
     pub fn due(&mut self, now: Micros, process: u64, state: &State) -> Vec<(Arc<str>, Poll)> {
         let is_behind = |poll: &Poll| {
             poll.generation != state.generation
@@ -107,7 +107,7 @@
             .collect()
     }
 
-    /// The effects that the sender of a poll does not have yet.
+    /// Returns the effects that the sender of a poll does not have yet.
     pub fn effects_since(&self, process: u64, poll: &Poll) -> ForwardedEffects {
         let (known_process, known_count) = poll.effects;
         let known = if known_process == process {
--- a/src/consensus/learners/tests.rs
+++ b/src/consensus/learners/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of learners and of the polls that a voter holds.
+//! Tests of learners and of the polls held by a voter.
 
 use super::{Learner, LearnerProgress, ANSWER_TIMEOUT, MAX_FORWARDED_EFFECTS, POLL_WAIT_TIMEOUT};
 use crate::api::Micros;
@@ -37,23 +37,23 @@
 }
 
 #[test]
-fn silent_voter_is_replaced_and_one_poll_outstanding() {
+fn learner_sends_one_poll_and_replaces_silent_voter() {
     let mut learner = Learner::new(vec!["a".into(), "b".into()], None, 0);
     assert!(learner.poll(0).is_some() && learner.poll(1).is_none());
     assert_eq!(&**learner.source().unwrap(), "a");
     assert!(learner
         .poll(ANSWER_TIMEOUT)
-        .is_some_and(|(_, silent)| silent));
+        .is_some_and(|(_, timed_out)| timed_out));
     assert_eq!(&**learner.source().unwrap(), "b");
     learner.on_entries(0, Vec::new(), no_effects());
     assert!(learner
         .poll(ANSWER_TIMEOUT + 1)
-        .is_some_and(|(_, silent)| !silent));
+        .is_some_and(|(_, timed_out)| !timed_out));
     learner.on_disconnected(ANSWER_TIMEOUT + 2);
     assert_eq!(&**learner.source().unwrap(), "a");
     assert!(
         learner.poll(ANSWER_TIMEOUT + 3).is_none(),
-        "not at once: all may be away"
+        "the next poll waits, as all voters may be down"
     );
     assert!(learner.poll(ANSWER_TIMEOUT + ONE_SECOND).is_some());
 }
@@ -69,7 +69,7 @@
     assert!(learner.on_state(state.clone(), no_effects()).restored);
     assert!(
         !learner.on_state(state, no_effects()).restored,
-        "the same again is no news"
+        "the same state again changes nothing"
     );
     let catch_up = learner.on_entries(
         1,
@@ -89,7 +89,7 @@
             .on_entries(2, vec![(6, entry(2))], no_effects())
             .applied,
         [],
-        "of another generation"
+        "entries of another generation are ignored"
     );
     let older = State {
         generation: 1,
@@ -142,17 +142,17 @@
         effects: (9, 0),
         replica: None,
     };
-    // A learner that has the effect, one of another process, and one that was away for long.
+    // A learner that has the effect, one whose last effects came from another process, and one that missed many effects.
     let up_to_date = Poll {
         effects: (9, 1),
         ..poll.clone()
     };
     assert_eq!(progress.effects_since(9, &up_to_date).effects, []);
-    let of_other_process = Poll {
+    let from_other_process = Poll {
         effects: (8, 70),
         ..poll.clone()
     };
-    let effects = progress.effects_since(9, &of_other_process).effects;
+    let effects = progress.effects_since(9, &from_other_process).effects;
     assert_eq!(effects.len(), 1);
     (2..200).for_each(|n| progress.forward(effect(n)));
     let forwarded = progress.effects_since(9, &poll);
--- a/src/consensus/participant/frames.rs
+++ b/src/consensus/participant/frames.rs
@@ -142,8 +142,8 @@
         if let Some(known) = self.name_of(replica) {
             return known == *name;
         }
-        // An unknown replica is accepted only while the voters are unknown here, because the leader that adds this replica as
-        // a voter sends the first frame.
+        // An unknown replica is accepted only while the voters are unknown here, because the leader that adds this replica
+        // as a voter sends the first frame.
         let voters_unknown = self
             .voter
             .as_ref()
--- a/src/consensus/participant/leading.rs
+++ b/src/consensus/participant/leading.rs
@@ -63,8 +63,8 @@
 }
 
 impl Participant {
-    /// Passes a request for leases to the grantor, or forwards it to the leader. Ignores a request that came neither from the
-    /// requester nor from the voter named in it.
+    /// Passes a request for leases to the grantor, or forwards it to the leader. Ignores a request that came neither from
+    /// the requester nor from the voter named in it.
     pub(super) fn on_renew_request(
         &mut self,
         now: Micros,
--- a/src/consensus/participant/tests/mod.rs
+++ b/src/consensus/participant/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Participants together: who holds a lease, how it moves, and how late effects are rejected.
+//! Tests of participants together: grants and transfers of a lease, and the rejection of late effects.
 
 mod simulation;
 
@@ -10,30 +10,32 @@
 use crate::consensus::wire::{Body, LeaseEffect};
 use crate::lease::renewal::RenewRequest;
 use crate::lease::LeaseHolder;
-use simulation::{lease, name, Simulation, LEASE, MS};
+use simulation::{lease, name, Simulation, LEASE_DURATION, MS};
 
 #[test]
 fn single_holder_acts_and_all_accept_its_effects() {
     let mut sim = Simulation::new(9, 5, DisabledGuards::default());
-    let (holder, term) = sim.held_after(0);
-    sim.act(holder);
-    sim.until("its effect everywhere", |r| r.accepted.len() == 8);
+    let (holder, term) = sim.wait_for_holder_after(0);
+    sim.send_effect(holder);
+    sim.run_until("all others to accept the effect", |sim| {
+        sim.accepted.len() == 8
+    });
     assert!(sim
         .accepted
         .iter()
         .all(|(n, t, number)| *n != holder && *t == term && *number == 1));
-    // It stays where it is, and nothing is written meanwhile.
-    let writes = |r: &Simulation| {
-        r.disks
+    // The lease keeps its holder, and renewals write nothing to the log.
+    let last_indexes = |sim: &Simulation| {
+        sim.disks
             .iter()
             .flatten()
             .map(|d| d.last())
             .collect::<Vec<_>>()
     };
-    let before = writes(&sim);
-    sim.run(5 * LEASE);
+    let before = last_indexes(&sim);
+    sim.run(5 * LEASE_DURATION);
     assert_eq!(
-        (sim.lease_holder(), writes(&sim)),
+        (sim.lease_holder(), last_indexes(&sim)),
         (Some((holder, term)), before)
     );
 }
@@ -49,14 +51,14 @@
                 ..DisabledGuards::default()
             },
         );
-        let (holder, term) = sim.held_after(0);
+        let (holder, term) = sim.wait_for_holder_after(0);
         sim.stopped.insert(holder);
-        let (next, later) = sim.held_after(term);
+        let (next, next_term) = sim.wait_for_holder_after(term);
         assert_ne!(next, holder);
-        sim.act(next);
+        sim.send_effect(next);
         sim.run(20 * MS);
         sim.stopped.clear();
-        // It has not heard anything yet, and is asked to act at once.
+        // The former holder is asked to act before it receives any message.
         sim.handle(holder, Input::Act(lease(), vec![2]));
         let acted = sim
             .events
@@ -64,12 +66,12 @@
             .any(|(n, event)| *n == holder && matches!(event, HistoryEvent::Acted { .. }));
         assert_eq!(
             acted, guard_disabled,
-            "the look at the lease is what holds it back"
+            "only the check of the lease prevents the effect"
         );
-        sim.run(LEASE);
-        // And whatever it did, nobody took it.
+        sim.run(LEASE_DURATION);
+        // No participant accepts an outdated effect of the former holder.
         assert!(
-            !sim.accepted_stale_effect() && sim.lease_holder().is_some_and(|(_, t)| t >= later)
+            !sim.accepted_stale_effect() && sim.lease_holder().is_some_and(|(_, t)| t >= next_term)
         );
     }
 }
@@ -85,11 +87,11 @@
                 ..DisabledGuards::default()
             },
         );
-        let (holder, term) = sim.held_after(0);
+        let (holder, term) = sim.wait_for_holder_after(0);
         sim.blocked.extend((0..5).map(|to| (holder, to)));
-        sim.act(holder);
-        let (next, _) = sim.held_after(term);
-        sim.act(next);
+        sim.send_effect(holder);
+        let (next, _) = sim.wait_for_holder_after(term);
+        sim.send_effect(next);
         sim.run(20 * MS);
         sim.blocked.clear();
         for (to, from, body) in std::mem::take(&mut sim.delayed) {
@@ -100,14 +102,14 @@
         assert_eq!(
             sim.accepted_stale_effect(),
             guard_disabled,
-            "the terms are what refuses it"
+            "only the check of the term rejects the effect"
         );
-        let refused = sim
+        let rejected = sim
             .events
             .iter()
-            .filter(|(_, n)| matches!(n, HistoryEvent::Rejected { .. }))
+            .filter(|(_, event)| matches!(event, HistoryEvent::Rejected { .. }))
             .count();
-        assert_eq!(refused > 0, !guard_disabled);
+        assert_eq!(rejected > 0, !guard_disabled);
     }
 }
 
@@ -122,30 +124,32 @@
                 ..DisabledGuards::default()
             },
         );
-        let (holder, _) = sim.held_after(0);
+        let (holder, _) = sim.wait_for_holder_after(0);
         let now = sim.now;
-        let m = sim.participants[holder].as_mut().unwrap();
-        m.handle(now, Input::Act(lease(), vec![1]));
-        let outputs: Vec<Output> = std::iter::from_fn(|| m.output()).collect();
-        let own: Vec<LeaseEffect> = outputs
+        let participant = sim.participants[holder].as_mut().unwrap();
+        participant.handle(now, Input::Act(lease(), vec![1]));
+        let outputs: Vec<Output> = std::iter::from_fn(|| participant.output()).collect();
+        let effects: Vec<LeaseEffect> = outputs
             .into_iter()
-            .filter_map(|o| {
-                if let Output::SendOwn(_, e) = o {
-                    Some(e)
+            .filter_map(|output| {
+                if let Output::SendOwn(_, effect) = output {
+                    Some(effect)
                 } else {
                     None
                 }
             })
             .collect();
-        assert_eq!(own.len(), 4);
-        assert!(own.iter().all(|e| m.still_holds(now, &e.lease, e.term)));
-        // The process is stopped here, between its decision and the queue.
-        let leaves = own
+        assert_eq!(effects.len(), 4);
+        assert!(effects
+            .iter()
+            .all(|e| participant.still_holds(now, &e.lease, e.term)));
+        // The process pauses here, after it created the effect and before the bytes are queued.
+        let still_sent = effects
             .iter()
-            .any(|e| m.still_holds(now + 2 * LEASE, &e.lease, e.term));
+            .any(|e| participant.still_holds(now + 2 * LEASE_DURATION, &e.lease, e.term));
         assert_eq!(
-            leaves, guard_disabled,
-            "the second look is what holds it back"
+            still_sent, guard_disabled,
+            "only the second check of the lease prevents sending"
         );
     }
 }
@@ -153,7 +157,7 @@
 #[test]
 fn released_lease_is_granted_again_within_round_trips() {
     let mut sim = Simulation::new(5, 5, DisabledGuards::default());
-    let (holder, term) = sim.held_after(0);
+    let (holder, term) = sim.wait_for_holder_after(0);
     let released_at = sim.now;
     sim.handle(holder, Input::SetEligible(false));
     assert!(
@@ -162,12 +166,12 @@
             .unwrap()
             .held_term(sim.now, &lease())
             .is_none(),
-        "it stops first"
+        "the holder stops acting before the release"
     );
-    let (next, _) = sim.held_after(term);
+    let (next, _) = sim.wait_for_holder_after(term);
     assert!(
-        next != holder && sim.now - released_at < LEASE / 4,
-        "{} us",
+        next != holder && sim.now - released_at < LEASE_DURATION / 4,
+        "the release took {} us",
         sim.now - released_at
     );
 }
@@ -175,14 +179,14 @@
 #[test]
 fn new_process_of_same_name_waits_out_old_lease() {
     let mut sim = Simulation::new(5, 5, DisabledGuards::default());
-    let (holder, term) = sim.held_after(0);
+    let (holder, term) = sim.wait_for_holder_after(0);
     sim.kill(holder);
     sim.start(holder);
     let at = sim.now;
-    let (_, later) = sim.held_after(term);
+    let (_, next_term) = sim.wait_for_holder_after(term);
     assert!(
-        later > term && sim.now - at >= LEASE / 2,
-        "the old process's lease was not waited out"
+        next_term > term && sim.now - at >= LEASE_DURATION / 2,
+        "the lease was granted before the old process's lease expired"
     );
 }
 
@@ -199,7 +203,7 @@
 #[test]
 fn forged_requests_replies_and_effects_change_nothing() {
     let mut sim = Simulation::new(6, 5, DisabledGuards::default());
-    let (holder, term) = sim.held_after(0);
+    let (holder, term) = sim.wait_for_holder_after(0);
     let (other, outsider) = ((holder + 1) % 5, name(5));
     let effect = |from: &Arc<str>| LeaseEffect {
         lease: lease(),
@@ -208,12 +212,12 @@
         number: 1,
         content: vec![],
     };
-    // One that does not vote speaks for the holder.
+    // A gateway that does not vote sends an effect in the holder's name.
     sim.handle(
         other,
         Input::Frame(outsider.clone(), Body::Effect(effect(&name(holder)))),
     );
-    let back = RenewRequest {
+    let forged_release = RenewRequest {
         from: LeaseHolder {
             name: name(holder),
             incarnation: 1,
@@ -226,13 +230,16 @@
     for n in 0..5 {
         sim.handle(
             n,
-            Input::Frame(outsider.clone(), Body::RenewLeases(back.clone(), None)),
+            Input::Frame(
+                outsider.clone(),
+                Body::RenewLeases(forged_release.clone(), None),
+            ),
         );
         sim.handle(
             n,
             Input::Frame(
                 outsider.clone(),
-                Body::RenewLeases(back.clone(), Some(name(0).to_string())),
+                Body::RenewLeases(forged_release.clone(), Some(name(0).to_string())),
             ),
         );
         sim.handle(
@@ -241,7 +248,7 @@
         );
         sim.handle(n, Input::Frame(outsider.clone(), forged_raft(7, vec![])));
     }
-    sim.run(2 * LEASE);
+    sim.run(2 * LEASE_DURATION);
     assert_eq!(
         (sim.lease_holder(), sim.accepted.len()),
         (Some((holder, term)), 0)
@@ -254,24 +261,29 @@
     sim.disks[3] = Some(initial_state(&new_replica(4711)));
     sim.kill(3);
     sim.start(3);
-    let (_, term) = sim.held_after(0);
-    sim.until("a leader", |r| {
-        r.participants.iter().flatten().any(Participant::leads)
+    let (_, term) = sim.wait_for_holder_after(0);
+    sim.run_until("a leader", |sim| {
+        sim.participants.iter().flatten().any(Participant::leads)
     });
-    let leader = |r: &Simulation| {
-        (0..4).find(|n| r.participants[*n].as_ref().is_some_and(Participant::leads))
+    let leader = |sim: &Simulation| {
+        (0..4).find(|n| {
+            sim.participants[*n]
+                .as_ref()
+                .is_some_and(Participant::leads)
+        })
     };
     let joins = Input::Exchange {
         joins: Some(name(3)),
         leaves: None,
     };
-    sim.run(2 * LEASE);
-    // It polls some voter, which then knows its replica; the leader has to be that voter.
+    sim.run(2 * LEASE_DURATION);
+    // The new replica polls one voter, which then knows its ID. The exchange succeeds only at the leader, so the test
+    // repeats it until the polled voter is the leader.
     for _ in 0..20 {
         if let Some(l) = leader(&sim) {
             sim.handle(l, joins.clone());
         }
-        sim.run(LEASE);
+        sim.run(LEASE_DURATION);
         if sim.participants[3].as_ref().is_some_and(Participant::votes) {
             break;
         }
@@ -289,25 +301,26 @@
     }
     assert!(sim.participants[3].as_ref().unwrap().votes());
     assert_eq!(sim.participants[3].as_ref().unwrap().state().generation, 1);
-    // Two of the first three go: with the fourth and one left there is no majority of four; with two left there is.
-    let gone = leader(&sim).filter(|l| *l != 3).unwrap_or(0);
-    sim.kill(gone);
-    sim.held_after(term);
+    // Only one of the first three voters is killed: the other two and the added one are a majority of four, which two voters
+    // would not be.
+    let killed = leader(&sim).filter(|l| *l != 3).unwrap_or(0);
+    sim.kill(killed);
+    sim.wait_for_holder_after(term);
 }
 
 #[test]
 fn new_generation_starts_above_all_granted_terms() {
     let mut sim = Simulation::new(3, 3, DisabledGuards::default());
-    let (holder, term) = sim.held_after(0);
+    let (holder, term) = sim.wait_for_holder_after(0);
     let state = sim.participants[holder].as_ref().unwrap().state().clone();
-    let record = bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).unwrap();
-    let bootstrapped = initial_state(&record);
+    let disk_record = bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).unwrap();
+    let bootstrapped = initial_state(&disk_record);
     let state: State = postcard::from_bytes(&bootstrapped.metadata.snapshot.data).unwrap();
-    let stands = state.leases.record(&lease());
-    assert!(stands.holder.is_none() && stands.term > term + 1_000_000);
+    let lease_record = state.leases.record(&lease());
+    assert!(lease_record.holder.is_none() && lease_record.term > term + 1_000_000);
     assert!(
         bootstrap(2, "n1", &["n1".to_owned()], Some(&state)).is_err(),
-        "not twice of one generation"
+        "a generation is bootstrapped only once"
     );
     assert!(bootstrap(1, "n9", &["n1".to_owned()], None).is_err());
     assert!(bootstrap(1, "n1", &["n1".to_owned(), "n1".to_owned()], None).is_err());
--- a/src/consensus/participant/tests/simulation.rs
+++ b/src/consensus/participant/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Participants on a simulated network.
+//! A simulation of participants on a network.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::lease::{LeaseName, Term};
 
 pub(super) const MS: Micros = 1_000;
-pub(super) const LEASE: Micros = 600 * MS;
+pub(super) const LEASE_DURATION: Micros = 600 * MS;
 
 pub(super) fn name(n: usize) -> Arc<str> {
     format!("n{n}").into()
@@ -29,40 +29,45 @@
     pub(super) process: u64,
     pub(super) participants: Vec<Option<Participant>>,
     pub(super) disks: Vec<Option<PersistentState>>,
-    pub(super) writes: Vec<VecDeque<(u64, Record)>>,
+    pub(super) pending_writes: Vec<VecDeque<(u64, Record)>>,
     pub(super) in_flight: VecDeque<(Micros, usize, Arc<str>, Body)>,
     pub(super) stopped: BTreeSet<usize>,
-    /// Pairs of sender and receiver between which frames are delayed.
+    /// Pairs of sender and receiver whose frames are put into `delayed`.
     pub(super) blocked: BTreeSet<(usize, usize)>,
     pub(super) delayed: Vec<(usize, Arc<str>, Body)>,
     pub(super) events: Vec<(usize, HistoryEvent)>,
     pub(super) accepted: Vec<(usize, Term, u64)>,
-    pub(super) voters: usize,
+    pub(super) voter_count: usize,
     pub(super) guards: DisabledGuards,
 }
 
 impl Simulation {
-    pub(super) fn new(participants: usize, voters: usize, guards: DisabledGuards) -> Simulation {
-        let names: Vec<String> = (0..voters).map(|n| name(n).to_string()).collect();
+    pub(super) fn new(
+        participant_count: usize,
+        voter_count: usize,
+        guards: DisabledGuards,
+    ) -> Simulation {
+        let names: Vec<String> = (0..voter_count).map(|n| name(n).to_string()).collect();
         let disk = |n: usize| {
-            (n < voters).then(|| initial_state(&bootstrap(1, &names[n], &names, None).unwrap()))
+            (n < voter_count)
+                .then(|| initial_state(&bootstrap(1, &names[n], &names, None).unwrap()))
         };
         let mut sim = Simulation {
             now: 1_000 * MS,
             process: 0,
-            participants: (0..participants).map(|_| None).collect(),
-            disks: (0..participants).map(disk).collect(),
-            writes: (0..participants).map(|_| VecDeque::new()).collect(),
+            participants: (0..participant_count).map(|_| None).collect(),
+            disks: (0..participant_count).map(disk).collect(),
+            pending_writes: (0..participant_count).map(|_| VecDeque::new()).collect(),
             in_flight: VecDeque::new(),
             stopped: BTreeSet::new(),
             blocked: BTreeSet::new(),
             delayed: Vec::new(),
             events: Vec::new(),
             accepted: Vec::new(),
-            voters,
+            voter_count,
             guards,
         };
-        (0..participants).for_each(|n| sim.start(n));
+        (0..participant_count).for_each(|n| sim.start(n));
         sim
     }
 
@@ -71,10 +76,10 @@
         let settings = Settings {
             name: name(n),
             process: self.process,
-            contacts: (0..self.voters + 1).map(name).collect(),
+            contacts: (0..self.voter_count + 1).map(name).collect(),
             leases: BTreeSet::from([lease()]),
             lease: crate::lease::Settings {
-                duration: LEASE,
+                duration: LEASE_DURATION,
                 drift_ppm: 1_000,
             },
             voter: voter::Settings { tick: 20 * MS },
@@ -86,10 +91,10 @@
 
     pub(super) fn kill(&mut self, n: usize) {
         self.participants[n] = None;
-        self.writes[n].clear();
+        self.pending_writes[n].clear();
     }
 
-    pub(super) fn post(&mut self, from: usize, to: &Arc<str>, body: Body) {
+    pub(super) fn send_frame(&mut self, from: usize, to: &Arc<str>, body: Body) {
         let Some(to) = (0..self.participants.len()).find(|n| name(*n) == *to) else {
             return;
         };
@@ -100,20 +105,22 @@
             .push_back((self.now + 2 * MS, to, name(from), body));
     }
 
-    pub(super) fn drain(&mut self, n: usize) {
+    pub(super) fn process_outputs(&mut self, n: usize) {
         while let Some(output) = self.participants[n].as_mut().and_then(Participant::output) {
             match output {
-                Output::Send(to, body) => self.post(n, &to, body),
+                Output::Send(to, body) => self.send_frame(n, &to, body),
                 Output::SendOwn(to, effect) => {
                     if self.participants[n].as_ref().unwrap().still_holds(
                         self.now,
                         &effect.lease,
                         effect.term,
                     ) {
-                        self.post(n, &to, Body::Effect(effect));
+                        self.send_frame(n, &to, Body::Effect(effect));
                     }
                 }
-                Output::Persist(number, record) => self.writes[n].push_back((number, *record)),
+                Output::Persist(number, record) => {
+                    self.pending_writes[n].push_back((number, *record))
+                }
                 Output::EffectReceived(e) => self.accepted.push((n, e.term, e.number)),
                 Output::Record(event) => self.events.push((n, event)),
                 Output::ReportReceived(..)
@@ -126,10 +133,10 @@
 
     pub(super) fn handle(&mut self, n: usize, input: Input) {
         let now = self.now;
-        if let Some(m) = self.participants[n].as_mut() {
-            m.handle(now, input);
+        if let Some(participant) = self.participants[n].as_mut() {
+            participant.handle(now, input);
         }
-        self.drain(n);
+        self.process_outputs(n);
     }
 
     pub(super) fn step(&mut self) {
@@ -150,8 +157,8 @@
             .filter(|n| !self.stopped.contains(n))
             .collect::<Vec<_>>()
         {
-            self.drain(n);
-            if let Some((number, record)) = self.writes[n].pop_front() {
+            self.process_outputs(n);
+            if let Some((number, record)) = self.pending_writes[n].pop_front() {
                 if let Some(disk) = &mut self.disks[n] {
                     disk.apply(&record);
                 }
@@ -159,44 +166,44 @@
             }
             if self.participants[n]
                 .as_ref()
-                .is_some_and(|m| m.next_deadline(self.now) <= self.now)
+                .is_some_and(|participant| participant.next_deadline(self.now) <= self.now)
             {
                 self.handle(n, Input::Tick);
             }
         }
     }
 
-    pub(super) fn until(&mut self, event: &str, holds: impl Fn(&Simulation) -> bool) {
+    pub(super) fn run_until(&mut self, event: &str, condition: impl Fn(&Simulation) -> bool) {
         for _ in 0..30_000 {
-            if holds(self) {
+            if condition(self) {
                 return;
             }
             self.step();
         }
-        panic!("{event} did not come: {:?}", self.participants);
+        panic!("timed out waiting for {event}: {:?}", self.participants);
     }
 
     pub(super) fn lease_holder(&self) -> Option<(usize, Term)> {
-        let of = |n: usize| {
+        let held_by = |n: usize| {
             self.participants[n]
                 .as_ref()
-                .and_then(|m| m.held_term(self.now, &lease()))
+                .and_then(|participant| participant.held_term(self.now, &lease()))
                 .map(|t| (n, t))
         };
         (0..self.participants.len())
             .filter(|n| !self.stopped.contains(n))
-            .filter_map(of)
+            .filter_map(held_by)
             .max_by_key(|(_, t)| *t)
     }
 
-    pub(super) fn held_after(&mut self, term: Term) -> (usize, Term) {
-        self.until("the next holder", |r| {
-            r.lease_holder().is_some_and(|(_, t)| t > term)
+    pub(super) fn wait_for_holder_after(&mut self, term: Term) -> (usize, Term) {
+        self.run_until("the next holder", |sim| {
+            sim.lease_holder().is_some_and(|(_, t)| t > term)
         });
         self.lease_holder().unwrap()
     }
 
-    pub(super) fn act(&mut self, n: usize) {
+    pub(super) fn send_effect(&mut self, n: usize) {
         self.handle(n, Input::Act(lease(), vec![1]));
     }
 
@@ -207,13 +214,13 @@
         }
     }
 
-    /// Whether a participant accepted an effect of an older term than before.
+    /// Returns whether a participant accepted an effect of an older term after one of a newer term.
     pub(super) fn accepted_stale_effect(&self) -> bool {
         let mut highest: BTreeMap<usize, Term> = BTreeMap::new();
         self.accepted.iter().any(|(n, term, _)| {
-            let h = highest.entry(*n).or_default();
-            let stale = term < h;
-            *h = (*h).max(*term);
+            let highest_term = highest.entry(*n).or_default();
+            let stale = term < highest_term;
+            *highest_term = (*highest_term).max(*term);
             stale
         })
     }
--- a/src/consensus/voter/log.rs
+++ b/src/consensus/voter/log.rs
@@ -137,8 +137,9 @@
 
     /// Takes a snapshot after a change of voters, or after [`ENTRIES_PER_SNAPSHOT`] entries.
     ///
-    /// After a restart, a voter must not return to an outdated set of voters: majorities of two sets that differ by one change
-    /// overlap, but those of sets further apart may not. Also, a new voter accepts only a snapshot that lists it as a voter.
+    /// After a restart, a voter must not return to an outdated set of voters: majorities of two sets that differ by one
+    /// change overlap, but those of sets further apart may not. Also, a new voter accepts only a snapshot that lists it as a
+    /// voter.
     fn compact_if_due(&mut self, committed: &[eraftpb::Entry]) {
         let voters_changed = committed
             .iter()
--- a/src/consensus/voter/tests/disks.rs
+++ b/src/consensus/voter/tests/disks.rs
@@ -10,18 +10,18 @@
 use crate::consensus::voter::{DisabledVoterGuards, Input};
 
 #[test]
-fn sending_before_persisting_breaks_the_order() {
+fn sending_before_persisting_violates_entry_order() {
     let disabled_guards = DisabledVoterGuards {
         persistence: true,
         ..DisabledVoterGuards::default()
     };
-    // Lost state shows as a violated order, or earlier as a disk that others know to be outdated.
-    let violated = |(sim, judged): (Simulation, Result<(), String>)| {
-        judged.is_err() || sim.voters.iter().any(|v| v.retired.is_some())
+    // Lost state shows as a violation of the order, or earlier as the retirement of a replica.
+    let violated = |(sim, agreement): (Simulation, Result<(), String>)| {
+        agreement.is_err() || sim.voters.iter().any(|v| v.retired.is_some())
     };
     assert!(
         (0..200).any(|seed| violated(run_with_faults(seed, 3, disabled_guards))),
-        "the run does not need the guard that it tests"
+        "the order holds without the guard too"
     );
     let both = DisabledVoterGuards {
         probation: true,
@@ -29,7 +29,7 @@
     };
     assert!(
         (0..200).any(|seed| run_with_faults(seed, 3, both).1.is_err()),
-        "the order does not need the two guards"
+        "the order holds without both guards too"
     );
 }
 
@@ -37,34 +37,37 @@
 fn outdated_disk_is_retired_and_needs_probation_for_that() {
     let mut retired = 0;
     for seed in 0..40 {
-        let (sim, judged) = run_with_old_disks(seed, DisabledVoterGuards::default());
-        assert_eq!(judged, Ok(()), "seed {seed}");
+        let (sim, agreement) = run_with_old_disks(seed, DisabledVoterGuards::default());
+        assert_eq!(agreement, Ok(()), "seed {seed}");
         retired += sim.voters.iter().filter(|v| v.retired.is_some()).count();
     }
-    assert!(retired > 5, "no old disk came back");
+    assert!(
+        retired > 5,
+        "too few replicas with an old disk were retired"
+    );
     let disabled_guards = DisabledVoterGuards {
         probation: true,
         ..DisabledVoterGuards::default()
     };
     let violated = (0..200).any(|seed| run_with_old_disks(seed, disabled_guards).1.is_err());
-    assert!(violated, "the run does not need the guard that it tests");
+    assert!(violated, "the order holds without the guard too");
 }
 
 #[test]
 fn disk_bootstrapped_twice_is_retired() {
     let mut sim = Simulation::new(3, 7, DisabledVoterGuards::default());
-    sim.until("a leader", |r| r.leader().is_some());
+    sim.run_until("a leader", |sim| sim.leader().is_some());
     let leader = sim.leader().unwrap();
     sim.propose(leader, 1);
-    sim.until("agreement", |r| {
-        r.voters.iter().all(|v| v.applied.len() >= 2)
+    sim.run_until("agreement", |sim| {
+        sim.voters.iter().all(|v| v.applied.len() >= 2)
     });
     let n = (leader + 1) % 3;
     sim.kill(n);
     sim.voters[n].disk = (Some(bootstrap_disk(n, 3).metadata), Vec::new());
     sim.start(n);
-    sim.until("its refusal", |r| r.voters[n].retired.is_some());
-    // The retirement is on its disk: the next process does not vote either.
+    sim.run_until("the retirement", |sim| sim.voters[n].retired.is_some());
+    // The retirement is persisted: the next process does not vote either.
     sim.run(100 * MS);
     sim.kill(n);
     sim.voters[n].retired = None;
@@ -74,13 +77,13 @@
             && sim.voters[n]
                 .retired
                 .as_ref()
-                .is_some_and(|w| w.contains("its seat"))
+                .is_some_and(|reason| reason.contains("its seat"))
     );
     // The other two continue.
     let before = sim.max_applied();
     let leader = sim.leader().unwrap_or(leader);
     sim.propose(leader, 2);
-    sim.until("agreement of two", |r| r.max_applied() > before);
+    sim.run_until("a commit by two voters", |sim| sim.max_applied() > before);
 }
 
 #[test]
@@ -95,7 +98,7 @@
     assert!(compare(own(4, 1), own(4, 1)).is_ok());
     assert!(compare(own(4, 1), own(4, 2)).is_err());
     assert!(compare(own(4, 1), own(5, 2)).is_err());
-    // Overwritten since: entries acknowledged in an older term need not be there any more.
+    // Entries acknowledged in an older term may have been overwritten since.
     let later = KnownState {
         term: 5,
         acknowledged: (5, 8),
@@ -147,9 +150,9 @@
             committed: 3
         })
     );
-    // Garbage from a voter changes nothing.
+    // Malformed messages from a voter change nothing.
     let mut sim = Simulation::new(3, 29, DisabledVoterGuards::default());
-    sim.until("a leader", |r| r.leader().is_some());
+    sim.run_until("a leader", |sim| sim.leader().is_some());
     let (leader, from) = (
         sim.leader().unwrap(),
         bootstrap_voter(1, &name((sim.leader().unwrap() + 1) % 3)),
@@ -171,7 +174,7 @@
 #[test]
 fn voter_with_full_disk_buffers_little_and_catches_up() {
     let mut sim = Simulation::new(3, 31, DisabledVoterGuards::default());
-    sim.until("a leader", |r| r.leader().is_some());
+    sim.run_until("a leader", |sim| sim.leader().is_some());
     let leader = sim.leader().unwrap();
     let n = (leader + 1) % 3;
     sim.full_disks.insert(n);
@@ -184,20 +187,23 @@
         sim.run(20 * MS);
     }
     assert!(
-        sim.voters[n].writes.len() <= 140,
-        "{} records wait for its disk",
-        sim.voters[n].writes.len()
+        sim.voters[n].pending_writes.len() <= 140,
+        "{} records are pending",
+        sim.voters[n].pending_writes.len()
+    );
+    assert!(
+        sim.max_applied() > 300,
+        "the other two voters make no progress"
     );
-    assert!(sim.max_applied() > 300, "the other two go on");
     sim.full_disks.clear();
-    let all = |r: &Simulation| {
-        r.voters
+    let all_leases = |sim: &Simulation| {
+        sim.voters
             .iter()
-            .map(|v| v.voter.as_ref().map(|c| c.state().leases.clone()))
+            .map(|v| v.voter.as_ref().map(|voter| voter.state().leases.clone()))
             .collect::<Vec<_>>()
     };
-    sim.until("it to catch up", |r| {
-        all(r).windows(2).all(|w| w[0] == w[1])
+    sim.run_until("the voter to catch up", |sim| {
+        all_leases(sim).windows(2).all(|w| w[0] == w[1])
     });
     assert_eq!(sim.check_agreement(), Ok(()));
 }
--- a/src/consensus/voter/tests/simulation.rs
+++ b/src/consensus/voter/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! Voters on a simulated network with faulty disks, one seed a run; the entries that they applied are compared at the end.
+//! A simulation of voters on a network with faults and with faulty disks, driven by a seed. Each run ends with a comparison
+//! of the applied entries.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -21,13 +22,13 @@
     format!("n{n}").into()
 }
 
-/// The disk of a bootstrap voter.
-pub(super) fn bootstrap_disk(n: usize, of: usize) -> PersistentState {
-    let names: Vec<String> = (0..of).map(|n| name(n).to_string()).collect();
+/// Returns the disk of a bootstrap voter.
+pub(super) fn bootstrap_disk(n: usize, voter_count: usize) -> PersistentState {
+    let names: Vec<String> = (0..voter_count).map(|n| name(n).to_string()).collect();
     initial_state(&bootstrap(1, &name(n), &names, None).unwrap())
 }
 
-pub(super) fn below(seed: &mut u64, n: u64) -> u64 {
+pub(super) fn random_below(seed: &mut u64, n: u64) -> u64 {
     *seed = seed
         .wrapping_mul(6_364_136_223_846_793_005)
         .wrapping_add(1_442_695_040_888_963_407);
@@ -36,11 +37,11 @@
 
 pub(super) struct Replica {
     pub(super) voter: Option<Voter>,
-    /// What is durable on the disk.
+    /// The durable content of the disk.
     pub(super) disk: (Option<Metadata>, Vec<LogEntry>),
-    /// Records on their way to the disk.
-    pub(super) writes: VecDeque<(u64, Record)>,
-    /// The entries that it applied, over all its processes.
+    /// Records that are not durable yet.
+    pub(super) pending_writes: VecDeque<(u64, Record)>,
+    /// The entries applied by all processes of the replica so far, by index.
     pub(super) applied: BTreeMap<u64, Entry>,
     pub(super) retired: Option<String>,
 }
@@ -56,18 +57,18 @@
     pub(super) seed: u64,
     pub(super) process: u64,
     pub(super) voters: Vec<Replica>,
-    /// Messages in flight by arrival time and number: receiver, sender, content.
-    pub(super) in_flight: BTreeMap<(Micros, u64), (usize, usize, Packet)>,
-    pub(super) number: u64,
-    /// Pairs of sender and receiver between which messages are dropped.
+    /// Packets in flight, by arrival time and number: receiver, sender and content.
+    pub(super) packets: BTreeMap<(Micros, u64), (usize, usize, Packet)>,
+    pub(super) packet_number: u64,
+    /// Pairs of sender and receiver whose packets are dropped.
     pub(super) blocked: BTreeSet<(usize, usize)>,
-    pub(super) lost_percent: u64,
-    pub(super) duplicated_percent: u64,
-    /// A record is written every so many milliseconds on average.
+    pub(super) loss_percent: u64,
+    pub(super) duplication_percent: u64,
+    /// The mean time between two writes of a voter's disk.
     pub(super) write_interval_ms: u64,
     /// Voters whose disks are full.
     pub(super) full_disks: BTreeSet<usize>,
-    /// Voters whose processes are stopped and keep their memory.
+    /// Voters whose processes are paused and keep their memory.
     pub(super) stopped: BTreeSet<usize>,
     pub(super) disabled_guards: DisabledVoterGuards,
     pub(super) leaders: BTreeMap<u64, usize>,
@@ -75,14 +76,18 @@
 }
 
 impl Simulation {
-    pub(super) fn new(of: usize, seed: u64, disabled_guards: DisabledVoterGuards) -> Simulation {
+    pub(super) fn new(
+        voter_count: usize,
+        seed: u64,
+        disabled_guards: DisabledVoterGuards,
+    ) -> Simulation {
         let voter = |n| {
-            let persistent = bootstrap_disk(n, of);
+            let persistent = bootstrap_disk(n, voter_count);
             let disk = (Some(persistent.metadata), Vec::new());
             Replica {
                 voter: None,
                 disk,
-                writes: VecDeque::new(),
+                pending_writes: VecDeque::new(),
                 applied: BTreeMap::new(),
                 retired: None,
             }
@@ -91,12 +96,12 @@
             now: 1,
             seed,
             process: 0,
-            voters: (0..of).map(voter).collect(),
-            in_flight: BTreeMap::new(),
-            number: 0,
+            voters: (0..voter_count).map(voter).collect(),
+            packets: BTreeMap::new(),
+            packet_number: 0,
             blocked: BTreeSet::new(),
-            lost_percent: 0,
-            duplicated_percent: 0,
+            loss_percent: 0,
+            duplication_percent: 0,
             write_interval_ms: 3,
             full_disks: BTreeSet::new(),
             stopped: BTreeSet::new(),
@@ -104,7 +109,7 @@
             leaders: BTreeMap::new(),
             violation: None,
         };
-        (0..of).for_each(|n| sim.start(n));
+        (0..voter_count).for_each(|n| sim.start(n));
         sim
     }
 
@@ -134,19 +139,19 @@
 
     pub(super) fn kill(&mut self, n: usize) {
         self.voters[n].voter = None;
-        self.voters[n].writes.clear();
+        self.voters[n].pending_writes.clear();
     }
 
-    pub(super) fn write(&mut self, n: usize) {
+    pub(super) fn write_record(&mut self, n: usize) {
         let replica = &mut self.voters[n];
-        let Some((number, record)) = replica.writes.pop_front() else {
+        let Some((number, record)) = replica.pending_writes.pop_front() else {
             return;
         };
         let mut persistent =
             PersistentState::from_disk(replica.disk.0.clone(), replica.disk.1.clone())
                 .unwrap_or_default();
         persistent.apply(&record);
-        replica.disk = (Some(persistent.metadata.clone()), log_of(&persistent));
+        replica.disk = (Some(persistent.metadata.clone()), stored_log(&persistent));
         self.handle(n, Input::Persisted(number));
     }
 
@@ -156,76 +161,76 @@
             return;
         };
         voter.handle(now, input);
-        self.drain(n);
+        self.process_outputs(n);
     }
 
-    pub(super) fn drain(&mut self, n: usize) {
+    pub(super) fn process_outputs(&mut self, n: usize) {
         while let Some(output) = self.voters[n].voter.as_mut().and_then(Voter::output) {
             let (boots, process) = self.voters[n]
                 .voter
                 .as_ref()
-                .map_or((0, 0), |c| (c.boots(), c.process()));
+                .map_or((0, 0), |voter| (voter.boots(), voter.process()));
             match output {
                 Output::Send(to, bytes) => {
-                    self.post(n, to, || Packet::Message(boots, process, bytes.clone()))
+                    self.send_packet(n, to, || Packet::Message(boots, process, bytes.clone()))
                 }
                 Output::RequestKnownState(own) => {
                     for to in 0..self.voters.len() {
                         if to != n {
-                            self.post(n, bootstrap_voter(1, &name(to)), || {
+                            self.send_packet(n, bootstrap_voter(1, &name(to)), || {
                                 Packet::KnownStateRequest(own)
                             });
                         }
                     }
                 }
                 Output::SendKnownState(to, known) => {
-                    self.post(n, to, || Packet::KnownStateReply(known))
+                    self.send_packet(n, to, || Packet::KnownStateReply(known))
                 }
                 Output::Persist(number, record) => {
-                    self.voters[n].writes.push_back((number, *record))
+                    self.voters[n].pending_writes.push_back((number, *record))
                 }
                 Output::Applied(AppliedEntry { index, entry, .. }) => {
                     let before = self.voters[n].applied.insert(index, entry.clone());
                     if before.is_some_and(|b| b != entry) {
-                        self.violation = Some(format!("entry {index} changed at {n}"));
+                        self.violation = Some(format!(
+                            "voter {n} applied two different entries at index {index}"
+                        ));
                     }
                 }
                 Output::BecameLeader => {
                     let term = self.voters[n].voter.as_ref().map_or(0, Voter::term);
                     if self.leaders.insert(term, n).is_some_and(|other| other != n) {
-                        self.violation = Some(format!("two lead in term {term}"));
+                        self.violation = Some(format!("two leaders in term {term}"));
                     }
                 }
-                Output::Retired(why) => self.voters[n].retired = Some(why),
+                Output::Retired(reason) => self.voters[n].retired = Some(reason),
                 Output::Restored | Output::LostLeadership | Output::Confirmed(_) => {}
             }
         }
     }
 
-    pub(super) fn post(&mut self, from: usize, to: ReplicaId, packet: impl Fn() -> Packet) {
+    pub(super) fn send_packet(&mut self, from: usize, to: ReplicaId, packet: impl Fn() -> Packet) {
         let Some(to) = (0..self.voters.len()).find(|n| bootstrap_voter(1, &name(*n)) == to) else {
             return;
         };
-        if self.blocked.contains(&(from, to)) || below(&mut self.seed, 100) < self.lost_percent {
+        if self.blocked.contains(&(from, to))
+            || random_below(&mut self.seed, 100) < self.loss_percent
+        {
             return;
         }
-        let times = 1 + u64::from(below(&mut self.seed, 100) < self.duplicated_percent);
+        let times = 1 + u64::from(random_below(&mut self.seed, 100) < self.duplication_percent);
         for _ in 0..times {
-            self.number += 1;
-            let at = self.now + MS + below(&mut self.seed, 30 * MS);
-            self.in_flight
-                .insert((at, self.number), (to, from, packet()));
+            self.packet_number += 1;
+            let at = self.now + MS + random_below(&mut self.seed, 30 * MS);
+            self.packets
+                .insert((at, self.packet_number), (to, from, packet()));
         }
     }
 
-    /// Advances one millisecond: delivers messages, writes records and ticks voters.
+    /// Advances by one millisecond: delivers packets, writes records and ticks voters.
     pub(super) fn step(&mut self) {
         self.now += MS;
-        while let Some(entry) = self
-            .in_flight
-            .first_entry()
-            .filter(|e| e.key().0 <= self.now)
-        {
+        while let Some(entry) = self.packets.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, from, packet) = entry.remove();
             let from = bootstrap_voter(1, &name(from));
             if self.stopped.contains(&to) {
@@ -250,12 +255,14 @@
             }
         }
         for n in 0..self.voters.len() {
-            self.drain(n);
+            self.process_outputs(n);
             if self.stopped.contains(&n) {
                 continue;
             }
-            if below(&mut self.seed, self.write_interval_ms) == 0 && !self.full_disks.contains(&n) {
-                self.write(n);
+            if random_below(&mut self.seed, self.write_interval_ms) == 0
+                && !self.full_disks.contains(&n)
+            {
+                self.write_record(n);
             }
             let due = self.voters[n].voter.as_ref().and_then(Voter::next_deadline);
             if due.is_some_and(|t| t <= self.now) {
@@ -271,18 +278,22 @@
         }
     }
 
-    /// Runs until a condition holds; the number of steps is bounded for the test alone.
-    pub(super) fn until(&mut self, event: &str, holds: impl Fn(&Simulation) -> bool) {
+    /// Runs until a condition holds.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the condition does not hold after 60,000 steps (one minute of simulated time).
+    pub(super) fn run_until(&mut self, event: &str, condition: impl Fn(&Simulation) -> bool) {
         for _ in 0..60_000 {
-            if holds(self) {
+            if condition(self) {
                 return;
             }
             self.step();
         }
-        let of = |v: &Replica| format!("{:?} {:?}", v.voter, v.retired);
+        let describe = |v: &Replica| format!("{:?} {:?}", v.voter, v.retired);
         panic!(
-            "{event} did not come: {:?}",
-            self.voters.iter().map(of).collect::<Vec<_>>()
+            "timed out waiting for {event}: {:?}",
+            self.voters.iter().map(describe).collect::<Vec<_>>()
         );
     }
 
@@ -311,7 +322,7 @@
         for v in &self.voters {
             for (index, entry) in &v.applied {
                 if *all.entry(*index).or_insert(entry) != entry {
-                    return Err(format!("two entries at {index}"));
+                    return Err(format!("voters applied different entries at index {index}"));
                 }
             }
         }
@@ -328,6 +339,6 @@
     }
 }
 
-pub(super) fn log_of(state: &PersistentState) -> Vec<LogEntry> {
+pub(super) fn stored_log(state: &PersistentState) -> Vec<LogEntry> {
     state.log().to_vec()
 }
--- a/src/consensus/wire/messages.rs
+++ b/src/consensus/wire/messages.rs
@@ -1,4 +1,4 @@
-//! The contents of frames. The order of variants and fields is part of the wire format.
+//! The content of frames. The order of variants and fields is part of the wire format.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::lease::{LeaseName, Term};
 use crate::replication;
 
-/// An effect that a lease holder has on all gateways.
+/// An effect that a lease holder sends to all gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseEffect {
     /// The lease.
@@ -22,64 +22,64 @@
     pub holder: Arc<str>,
     /// The number of the effect within the term.
     pub number: u64,
-    /// The content, which only the lease's subsystem reads.
+    /// The content, interpreted only by the subsystem that uses the lease.
     pub content: Vec<u8>,
 }
 
-/// A report of one gateway to the holder of a lease.
+/// A report from a gateway to the holder of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseReport {
     /// The lease.
     pub lease: LeaseName,
-    /// The gateway that reports.
+    /// The name of the reporting gateway.
     pub from: Arc<str>,
-    /// The content, which only the lease's subsystem reads.
+    /// The content, interpreted only by the subsystem that uses the lease.
     pub content: Vec<u8>,
 }
 
 /// The content of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// A message of one voter to another.
+    /// A Raft message from one voter to another.
     Raft {
         /// The generation of the sender's state.
         generation: u32,
         /// The sender.
         from: ReplicaId,
-        /// How often a process has started on the sender's disk.
+        /// The number of process starts on the sender's disk.
         boots: u64,
-        /// The sender's process.
+        /// The ID of the sender's process.
         process: u64,
-        /// The message of the `raft` library.
+        /// The encoded message of the `raft` library.
         message: Vec<u8>,
     },
-    /// A voter asks what is known about its replica.
+    /// A voter requests the state that the receiver has observed of its replica.
     KnownStateRequest {
         /// The generation of the sender's state.
         generation: u32,
         /// The sender.
         from: ReplicaId,
-        /// What the sender's disk says.
+        /// The state on the sender's disk.
         own: KnownState,
     },
-    /// What a voter knows about another replica.
+    /// The state that a voter has observed of another replica.
     KnownStateReply {
         /// The generation of the sender's state.
         generation: u32,
-        /// The replica that asked.
+        /// The replica whose state was requested.
         about: ReplicaId,
-        /// What is known about it.
+        /// The observed state.
         known: KnownState,
         /// The sender.
         from: ReplicaId,
     },
-    /// A request for leases to the leader, and the voter that forwarded it, if any.
+    /// A request for leases to the leader, and the name of the voter that forwarded it, if any.
     RenewLeases(RenewRequest, Option<String>),
     /// The reply to a request for leases.
     RenewReply(RenewReply),
-    /// A learner asks for what is new.
+    /// A learner's request for new entries and effects.
     Poll(Poll),
-    /// The answer to a poll with entries in order.
+    /// The answer to a poll, with entries in order.
     Entries {
         /// The generation of the sender's state.
         generation: u32,
@@ -88,15 +88,15 @@
         /// The effects that the learner does not have yet.
         effects: ForwardedEffects,
     },
-    /// The answer to a poll with the state, in place of entries that are no longer stored.
+    /// The answer to a poll, with the whole state, because the entries are no longer stored or the generation differs.
     State(Box<State>, ForwardedEffects),
     /// An effect of a lease holder.
     Effect(LeaseEffect),
-    /// A report to a lease holder, and whether a voter forwarded it.
+    /// A report to a lease holder, and whether a voter has forwarded it.
     Report(LeaseReport, bool),
-    /// A proposal of another subsystem, and whether a voter forwarded it.
+    /// A proposal of another subsystem, and whether a voter has forwarded it.
     Submit(SubsystemEntry, bool),
-    /// A message between gateways that hold replicas of shards; not part of consensus.
+    /// A message between gateways that hold shard replicas; not part of consensus.
     Replication(replication::wire::Message),
 }
 
@@ -105,20 +105,20 @@
 pub struct Poll {
     /// The generation of the learner's state.
     pub generation: u32,
-    /// The index of the last entry that the learner has applied.
+    /// The index of the last entry applied by the learner.
     pub applied: u64,
-    /// The voter's process that forwarded effects last, and how many it had forwarded.
+    /// The ID of the voter process that last forwarded effects, and the number of effects it had forwarded by then.
     pub effects: (u64, u64),
-    /// The learner's replica, if it has one that does not vote.
+    /// The learner's replica ID, if it has a replica.
     pub replica: Option<ReplicaId>,
 }
 
-/// Effects that a voter forwards to a learner.
+/// Effects forwarded by a voter to a learner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardedEffects {
-    /// The voter's process.
+    /// The ID of the voter's process.
     pub process: u64,
-    /// How many effects it has forwarded, up to and with these.
+    /// The number of effects that the process has forwarded, including these.
     pub count: u64,
     /// The effects, in order.
     pub effects: Vec<LeaseEffect>,
--- a/src/consensus/wire/session.rs
+++ b/src/consensus/wire/session.rs
@@ -6,14 +6,14 @@
 use crate::membership::is_name;
 use crate::membership::keys::Keys;
 
-/// The kind of a sealed frame; membership's kinds are 1 to 4.
+/// The kind under which frames are sealed; membership uses kinds 1 to 4.
 const FRAME_KIND: u8 = 5;
-/// The size of a frame's length.
+/// The size of a frame's length field.
 const LENGTH_BYTES: usize = 4;
-/// Estimated size of an envelope's tags and lengths, number and seal, and of the frame's length.
+/// Estimated size of an envelope's tags, lengths, number and seal, plus the frame's length field.
 const ENVELOPE_OVERHEAD_BYTES: usize = 64;
 
-/// Bytes that each end sends once per connection.
+/// Bytes that identify a connection; each end contributes one challenge.
 pub type Challenge = [u8; CHALLENGE_BYTES];
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -34,33 +34,33 @@
     seal: Vec<u8>,
 }
 
-/// Why a frame is rejected; its connection ends. The texts are the keys under which rejected frames are counted.
+/// The reason for rejecting a frame; the connection is closed. The error texts are names of counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// It is longer than [`MAX_FRAME_BYTES`].
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
     #[error("too_long")]
     TooLong,
-    /// It cannot be decoded.
+    /// The frame cannot be decoded.
     #[error("garbled")]
     Malformed,
-    /// It has another version.
+    /// The frame has another version.
     #[error("version")]
     Version,
-    /// No key is accepted for its sender.
+    /// No key is accepted for the sender, or the connection belongs to another sender.
     #[error("stranger")]
     UnknownSender,
-    /// Its receiver is another gateway.
+    /// The frame is addressed to another gateway.
     #[error("other")]
     ReceiverMismatch,
-    /// Its seal does not match.
+    /// The seal does not match.
     #[error("seal")]
     InvalidSeal,
-    /// It was received before, or belongs to another connection.
+    /// The frame was received before, or belongs to another connection.
     #[error("replayed")]
     Replayed,
 }
 
-/// Which end of the connection sent a frame.
+/// An end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     Connector,
@@ -68,7 +68,7 @@
 }
 
 impl End {
-    fn other(self) -> End {
+    fn opposite(self) -> End {
         match self {
             End::Connector => End::Acceptor,
             End::Acceptor => End::Connector,
@@ -76,7 +76,7 @@
     }
 }
 
-/// The bytes that the seal of a frame covers.
+/// Returns the bytes covered by the seal of a frame.
 fn sealed_content(envelope: &Envelope, acceptor_challenge: &Challenge, sender: End) -> Vec<u8> {
     let mut content = Vec::with_capacity(envelope.body.len() + 128);
     for part in [
@@ -95,7 +95,7 @@
     content
 }
 
-/// A challenge that was never used before: of a unique process and a number that it uses once.
+/// Returns a challenge that was never used before, derived from a unique process ID and a number that the process uses once.
 pub fn challenge(name: &str, process: u64, number: u64) -> Challenge {
     let content = [
         name.as_bytes(),
@@ -115,9 +115,9 @@
 pub struct Session {
     name: String,
     end: End,
-    /// The acceptor's challenge, once known.
+    /// The acceptor's challenge; the connector learns it as the first bytes received.
     acceptor_challenge: Option<Challenge>,
-    /// The connector's challenge, known to the acceptor with the first frame.
+    /// The connector's challenge; the acceptor learns it from the first frame.
     connector_challenge: Option<Challenge>,
     peer: Option<String>,
     /// The number of the last frame sent.
@@ -127,7 +127,7 @@
 }
 
 impl Session {
-    /// The end that connects to `peer`.
+    /// Creates the session of the end that connects to `peer`.
     pub fn connector(name: &str, peer: &str, challenge: Challenge) -> Session {
         Session {
             name: name.into(),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The end that accepts; its challenge is the first thing it sends.
+    /// Creates the session of the accepting end, which has to send its challenge before any frame.
     pub fn acceptor(name: &str, challenge: Challenge) -> Session {
         Session {
             name: name.into(),
@@ -153,19 +153,19 @@
         }
     }
 
-    /// The gateway at the other end: the intended one for a connector, the authenticated one for an acceptor.
+    /// Returns the gateway at the other end: the intended peer for a connector, the authenticated one for an acceptor.
     pub fn peer(&self) -> Option<&str> {
         self.peer.as_deref()
     }
 
-    /// Whether frames can be sealed, as both challenges are known.
+    /// Returns whether frames can be sealed, that is, both challenges and the peer are known.
     pub fn is_open(&self) -> bool {
         self.acceptor_challenge.is_some()
             && self.connector_challenge.is_some()
             && self.peer.is_some()
     }
 
-    /// Seals a frame; `None` while the session is not open, or if the frame would be too long.
+    /// Encodes and seals a frame. Returns `None` while the session is not open, or if the frame would be too long.
     pub fn pack(&mut self, keys: &Keys, body: &Body) -> Option<Vec<u8>> {
         let acceptor_challenge = self.acceptor_challenge?;
         let connector_challenge = self.connector_challenge?;
@@ -191,7 +191,12 @@
         Some([&length[..], &bytes].concat())
     }
 
-    /// Takes the first complete message of the input: its size in bytes, and its body unless it is a challenge.
+    /// Reads the first complete frame or challenge of the input. Returns its size in bytes and, for a frame, the body.
+    /// Returns `None` if the input is incomplete.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`FrameError`] if the frame is rejected.
     pub fn take(
         &mut self,
         keys: &Keys,
@@ -235,15 +240,15 @@
             .as_slice()
             .try_into()
             .map_err(|_| FrameError::Malformed)?;
-        let other_connection = self
+        let is_other_connection = self
             .connector_challenge
             .is_some_and(|known| known != challenge);
-        // Numbers may have gaps: a frame that was withdrawn before it left is missing.
-        if other_connection || envelope.number <= self.received {
+        // Numbers may have gaps, because a sealed frame can be withdrawn before it is sent.
+        if is_other_connection || envelope.number <= self.received {
             return Err(FrameError::Replayed);
         }
         let acceptor_challenge = self.acceptor_challenge.ok_or(FrameError::Malformed)?;
-        let content = sealed_content(&envelope, &acceptor_challenge, self.end.other());
+        let content = sealed_content(&envelope, &acceptor_challenge, self.end.opposite());
         if !keys.check(&envelope.from, FRAME_KIND, &content, &envelope.seal) {
             return Err(FrameError::InvalidSeal);
         }
@@ -260,7 +265,7 @@
     }
 }
 
-/// The size in bytes of a frame between two gateways that share a key; for the emulator's figures.
+/// Estimates the size in bytes of a frame between two gateways that share a key, for the emulator's traffic figures.
 pub fn encoded_size(from: &str, to: &str, body: &Body) -> usize {
     let body_bytes = postcard::to_stdvec(body).map_or(0, |bytes| bytes.len());
     body_bytes + from.len() + to.len() + CHALLENGE_BYTES + ENVELOPE_OVERHEAD_BYTES
