--- a/src/consensus/participant/frames.rs
+++ b/src/consensus/participant/frames.rs
@@ -1,4 +1,4 @@
-//! Dispatch of frames from other gateways, and the check that a sender is entitled to a frame's replica ID.
+//! Dispatch of frames from other gateways, and the check that a sender may use a frame's replica ID.
 
 use std::sync::Arc;
 
--- a/src/consensus/participant/leading.rs
+++ b/src/consensus/participant/leading.rs
@@ -1,4 +1,4 @@
-//! The outputs of the voter, the grantor and the holder; request_count for leases and the replies to them.
+//! The outputs of the voter, the grantor and the holder; requests for leases and the replies to them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
