--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -13,14 +13,14 @@
 use crate::api::Micros;
 use crate::membership::is_name;
 
-/// What happens to a class's calls while a shard has fewer replicas than configured.
+/// The handling of a class's calls while a shard has fewer replicas than configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WhenFewer {
-    /// They are rejected with 503.
+    /// Calls are rejected with 503.
     #[default]
     Refuse,
-    /// They are accepted, and the response has the number of replicas.
+    /// Calls are accepted, and the response contains the number of replicas.
     Fewer,
 }
 
@@ -30,36 +30,37 @@
 pub struct FileMember {
     /// The address of its consensus listener.
     pub address: SocketAddr,
-    /// The hall where it stands.
+    /// The hall that the gateway is in.
     pub hall: Option<String>,
 }
 
-/// The file as operators write it; it is the same at every gateway. The names of the fields are its
-/// keys.
+/// The replication file as operators write it, the same at every gateway. The names of the fields
+/// are its keys.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicationFile {
-    /// The number of replicas that a committed record has.
+    /// The number of replicas of a committed record.
     pub copies: usize,
     /// The number of shards; it must not change once anything is stored.
     #[serde(default = "default_shards")]
     pub shards: u16,
-    /// How long a primary may be silent before another member takes over.
-    #[serde(default = "default_silent")]
+    /// The time without a message from a primary before another member takes over, in milliseconds.
+    #[serde(default = "default_silent_ms")]
     pub silent_ms: u64,
-    /// How long a replica may take to acknowledge before the primary removes it.
-    #[serde(default = "default_stall")]
+    /// The time limit for a replica's acknowledgement before the primary removes the replica, in
+    /// milliseconds.
+    #[serde(default = "default_stall_ms")]
     pub stall_ms: u64,
-    /// How long a request to a primary may take.
-    #[serde(default = "default_ask")]
+    /// The time limit for a request to a primary, in milliseconds.
+    #[serde(default = "default_ask_ms")]
     pub ask_ms: u64,
-    /// The number of shards that are repaired at a time.
+    /// The maximum number of shards that are repaired at a time.
     #[serde(default = "default_repairs")]
     pub repairs: usize,
-    /// The interval at which the checksums of a disk are verified; 0 for never.
-    #[serde(default = "default_verify")]
+    /// The interval between verifications of a disk's checksums, in seconds; 0 disables them.
+    #[serde(default = "default_verify_s")]
     pub verify_s: u64,
-    /// The behavior by class, where it is not `refuse`.
+    /// The handling of calls by class; `refuse` for classes without an entry.
     #[serde(default)]
     pub when_fewer: BTreeMap<String, WhenFewer>,
     /// All gateways that may hold replicas.
@@ -73,15 +74,15 @@
     32
 }
 
-fn default_silent() -> u64 {
+fn default_silent_ms() -> u64 {
     2_000
 }
 
-fn default_stall() -> u64 {
+fn default_stall_ms() -> u64 {
     1_000
 }
 
-fn default_ask() -> u64 {
+fn default_ask_ms() -> u64 {
     2_000
 }
 
@@ -89,7 +90,7 @@
     2
 }
 
-fn default_verify() -> u64 {
+fn default_verify_s() -> u64 {
     3_600
 }
 
@@ -100,19 +101,19 @@
     pub name: Name,
     /// The identifier of this process.
     pub process: u64,
-    /// The number of replicas that a committed record has.
+    /// The number of replicas of a committed record.
     pub copies: usize,
     /// The number of shards.
     pub shards: u16,
-    /// How long a gateway may be silent before it counts as unreachable.
+    /// The time without a message after which a gateway counts as unreachable.
     pub failure_timeout: Micros,
-    /// How long a replica may take to acknowledge.
+    /// The time limit for a replica's acknowledgement.
     pub acknowledgement_timeout: Micros,
-    /// How long a request may take.
+    /// The time limit for a request to a primary.
     pub request_timeout: Micros,
-    /// The number of shards that are repaired at a time.
+    /// The maximum number of shards that are repaired at a time.
     pub max_repairs: usize,
-    /// The interval at which the disk is verified; 0 for never.
+    /// The interval between verifications of the disk; 0 disables them.
     pub verify_interval: Micros,
     /// All gateways that may hold replicas.
     pub hosts: Vec<Host>,
@@ -120,7 +121,8 @@
     pub disabled_guards: DisabledGuards,
 }
 
-/// Guards that a test disables, to see what they prevent.
+/// Guards that a test disables to show the failures that they prevent. The comment of each field
+/// describes the replicator without the guard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DisabledGuards {
     /// A replica does not check the epoch of a message.
@@ -129,11 +131,11 @@
     pub full_acknowledgement: bool,
     /// A process continues under the epoch of the previous one.
     pub process_check: bool,
-    /// A replica takes records behind a gap or of another log.
+    /// A replica accepts records after a gap or of another log.
     pub chain_check: bool,
     /// A record is committed although the set has become too small for it.
     pub min_replicas_check: bool,
-    /// A replica whose disk is damaged continues to count.
+    /// A replica with a damaged disk still counts.
     pub integrity_check: bool,
     /// A new primary does not check whether another member has more records.
     pub ahead_check: bool,
@@ -141,14 +143,14 @@
     pub tenant_agreement: bool,
 }
 
-/// The values that timeouts may have, in milliseconds.
+/// The valid range of timeouts, in milliseconds.
 const TIMEOUT_RANGE_MS: RangeInclusive<u64> = 50..=600_000;
 /// The maximum number of shards that are repaired at a time.
 const MAX_REPAIRS: usize = 64;
 /// The maximum interval of verification: a year, in seconds.
 const MAX_VERIFY_INTERVAL_S: u64 = 31_536_000;
 
-/// Returns the line of an offset in a text, from 1.
+/// Returns the line number of an offset in a text, counted from 1.
 fn line_number(text: &str, offset: usize) -> usize {
     text[..offset.min(text.len())].matches('\n').count() + 1
 }
@@ -186,10 +188,10 @@
 
     fn check(&self) -> Result<(), FileError> {
         if !(1..=MAX_REPLICAS).contains(&self.copies) {
-            return value_error("copies", self.copies, "1 to 5 machines");
+            return value_error("copies", self.copies, "1 to 5 replicas");
         }
         if !(1..=MAX_SHARDS).contains(&self.shards) {
-            return value_error("shards", self.shards, "1 to 1024 parts");
+            return value_error("shards", self.shards, "1 to 1024 shards");
         }
         let timeouts = [
             ("silent_ms", self.silent_ms),
@@ -208,7 +210,7 @@
             return value_error("verify_s", self.verify_s, "0 to 31536000 seconds");
         }
         if let Some(name) = self.members.keys().find(|name| !is_name(name)) {
-            let expected = "names of gateways, as RELAY_NAME has them";
+            let expected = "names of gateways, as in RELAY_NAME";
             return value_error("members", name, expected);
         }
         if self.members.len() < self.copies {
--- a/src/replication/damage.rs
+++ b/src/replication/damage.rs
@@ -1,17 +1,17 @@
-//! Damage of a replica, and how far it is established.
+//! Damage of a replica, and the evidence for it.
 //!
-//! One read that finds rows which do not match their checksums is a suspicion. It suffices to keep
-//! the replica from counting, but not to give data up: that takes a second read, which began after
-//! the first one had failed.
+//! Damage is suspected if one read finds rows that do not match their checksums. A replica with
+//! suspected damage does not count, but its data is given up only if a second read, which begins
+//! after the first one has failed, confirms the damage.
 
-/// How far damage is established.
+/// The evidence for damage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DamageEvidence {
-    /// One read has found it.
+    /// One read has found the damage.
     Suspected,
-    /// A second read is under way.
+    /// A second read is in progress.
     BeingVerified,
-    /// A second read has found it, too.
+    /// A second read has found the damage, too.
     Confirmed,
 }
 
@@ -20,9 +20,9 @@
 pub struct Damage {
     /// The ranges whose rows do not match their checksums.
     pub ranges: Vec<u8>,
-    /// How far the damage is established.
+    /// The evidence for the damage.
     pub evidence: DamageEvidence,
-    /// Whether it was reported that this disk waits for another member.
+    /// Whether the wait of this disk for another member was reported.
     pub wait_reported: bool,
 }
 
--- a/src/replication/error.rs
+++ b/src/replication/error.rs
@@ -7,13 +7,14 @@
 
 use super::{Epoch, Name, ShardId};
 
-/// Why a record is not committed. It may have no effect; a retry with the same identity is safe.
+/// The reason why a record is not committed. It may have no effect; a retry with the same identity
+/// is safe.
 ///
 /// Postcard encodes the error, so the order of variants and fields is part of the format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error, Serialize, Deserialize)]
 pub enum ReplicationError {
     /// This gateway is not the primary of the shard.
-    #[error("shard {shard} is led by {}", primary.as_deref().unwrap_or("nobody"))]
+    #[error("not the primary of shard {shard}; the primary is {}", primary.as_deref().unwrap_or("unknown"))]
     NotPrimary {
         /// The shard.
         shard: ShardId,
@@ -21,7 +22,7 @@
         primary: Option<Name>,
     },
     /// Another gateway has become the primary.
-    #[error("shard {shard} was taken over: epoch {ours} here, {theirs} agreed")]
+    #[error("the primary of shard {shard} was superseded: its epoch is {ours}, the agreed epoch is {theirs}")]
     Superseded {
         /// The shard.
         shard: ShardId,
@@ -41,29 +42,29 @@
         want: usize,
     },
     /// The primary did not answer in time.
-    #[error("nobody who leads shard {shard} answered in time")]
+    #[error("the primary of shard {shard} did not respond in time")]
     PrimaryUnreachable {
         /// The shard.
         shard: ShardId,
     },
     /// Too many requests to other gateways are pending.
-    #[error("{open} questions to other gateways are under way, as many as may be")]
+    #[error("{open} requests to other gateways are pending, which is the maximum")]
     TooManyRequests {
-        /// The number.
+        /// The number of pending requests.
         open: usize,
     },
     /// Too many bytes of records wait for the acknowledgements of replicas.
-    #[error("{bytes} bytes of shard {shard} wait for other disks, as many as may")]
+    #[error("{bytes} bytes of shard {shard} wait for acknowledgements of replicas, which is over the limit")]
     ReplicationLag {
         /// The shard.
         shard: ShardId,
-        /// The number.
+        /// The number of uncommitted bytes.
         bytes: usize,
     },
     /// The record is too long.
-    #[error("a record of {bytes} bytes is longer than the {max} that one may have")]
+    #[error("a record of {bytes} bytes exceeds the maximum of {max} bytes")]
     TooLong {
-        /// Its length.
+        /// The length of the record.
         bytes: usize,
         /// The maximum length.
         max: usize,
@@ -71,18 +72,18 @@
     /// The identity was used before.
     #[error("the identity was taken before")]
     DuplicateIdentity,
-    /// The identity has expired at the primary, or so nearly that it may have been removed.
+    /// The identity has expired at the primary, or may have been removed there already.
     #[error(
-        "the identity's time is over in shard {shard}, so that nobody can tell whether it was taken before"
+        "the identity has expired in shard {shard}, so it is unknown whether it was used before"
     )]
     IdentityExpired {
         /// The shard.
         shard: ShardId,
     },
     /// The primary does not know the class, tenant or kind of request.
-    #[error("the primary's settings do not know this {subject}")]
+    #[error("the primary does not know this {subject}")]
     Unknown {
-        /// What the primary does not know.
+        /// The unknown item, for example `class or tenant`.
         subject: String,
     },
     /// The primary has too many calls in flight.
@@ -94,40 +95,40 @@
 }
 
 impl ReplicationError {
-    /// Returns what an operator can do.
+    /// Returns the action that an operator can take.
     pub fn remedy(&self) -> &'static str {
         match self {
             ReplicationError::NotPrimary { .. } => {
-                "wait: a member of the set takes the shard over by itself; if none does, look at whether the council has a majority"
+                "wait until a member of the replica set takes over the shard; if none does, check that the council has a majority"
             }
-            ReplicationError::Superseded { .. } => "nothing: the shard goes on elsewhere; look at why this gateway was silent for so long",
+            ReplicationError::Superseded { .. } => "no action needed for the shard, which continues elsewhere; find out why this gateway was unreachable",
             ReplicationError::TooFewReplicas { .. } => {
-                "start the gateways that are down, or name further ones under [members]; or allow fewer copies for the class with when_fewer"
+                "start the gateways that are down, or add gateways under [members]; or allow fewer replicas for the class with when_fewer"
             }
-            ReplicationError::PrimaryUnreachable { .. } => "look at the links between gateways and at whether the council has a majority",
-            ReplicationError::TooManyRequests { .. } => "look for a primary that is slow; callers may try again",
-            ReplicationError::ReplicationLag { .. } => "look for a gateway of the set with a slow disk or link; it is left out after stall_ms",
+            ReplicationError::PrimaryUnreachable { .. } => "check the connections between the gateways, and that the council has a majority",
+            ReplicationError::TooManyRequests { .. } => "look for a slow primary; callers can retry",
+            ReplicationError::ReplicationLag { .. } => "look for a member of the replica set with a slow disk or connection; it is removed after stall_ms",
             ReplicationError::TooLong { .. } => "have callers send smaller bodies",
-            ReplicationError::DuplicateIdentity => "nothing: the call has its answer, or will have it",
-            ReplicationError::IdentityExpired { .. } => "look at the clocks of the gateways and of the caller; the call may be sent under a new identity",
-            ReplicationError::Unknown { .. } => "give all gateways the same classes and tenants",
+            ReplicationError::DuplicateIdentity => "no action needed: the first call with this identity is answered or will be",
+            ReplicationError::IdentityExpired { .. } => "check the clocks of the gateways and of the caller; the call can be sent under a new identity",
+            ReplicationError::Unknown { .. } => "configure the same classes and tenants at all gateways",
             ReplicationError::PrimaryOverloaded => "raise webhooks.pending, or add gateways",
-            ReplicationError::ShuttingDown => "nothing: callers find another gateway",
+            ReplicationError::ShuttingDown => "no action needed: callers use another gateway",
         }
     }
 }
 
-/// Why a replica declines a message of its primary.
+/// The reason why a replica declines a message of its primary.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error, Serialize, Deserialize)]
 pub enum Declined {
-    /// The epoch of the sender is over.
+    /// The sender's epoch was superseded.
     #[error("epoch {theirs} of shard {shard} is over: {ours} is agreed")]
     Stale {
         /// The shard.
         shard: ShardId,
         /// The sender's epoch.
         theirs: Epoch,
-        /// The agreed one.
+        /// The agreed epoch.
         ours: Epoch,
     },
     /// The snapshot is too long.
@@ -141,22 +142,22 @@
 }
 
 impl Declined {
-    /// Returns what an operator can do.
+    /// Returns the action that an operator can take.
     pub fn remedy(&self) -> &'static str {
         match self {
             Declined::Stale { .. } => {
-                "nothing: a late word of an older primary was refused, as it has to be"
+                "no action needed: a late message of a former primary was declined"
             }
             Declined::TooLong { .. } => "raise the number of shards, so that each holds less",
         }
     }
 }
 
-/// Why the replication file cannot be used.
+/// The reason why the replication file cannot be used.
 #[derive(Debug, Error)]
 pub enum FileError {
     /// The file cannot be read.
-    #[error("{path}: {error}; look at the path and at who may read it", path = path.display())]
+    #[error("cannot read {path}: {error}; check the path and its permissions", path = path.display())]
     Read {
         /// The file.
         path: PathBuf,
@@ -168,9 +169,9 @@
     Parse {
         /// The file.
         path: PathBuf,
-        /// The line.
+        /// The line, if it is known.
         line: Option<usize>,
-        /// What is wrong, and what is expected.
+        /// The parser's message.
         message: String,
     },
     /// A value is out of range.
--- a/src/replication/history.rs
+++ b/src/replication/history.rs
@@ -1,15 +1,15 @@
-//! Events of shards that a process records, for an independent checker.
+//! Shard events that a process records for an independent checker.
 
 use serde::{Deserialize, Serialize};
 
 use super::{ChainDigest, Epoch, Name, SequenceNumber, ShardId};
 
-/// An event; digests are cut to eight bytes. Tags and keys of the JSON lines are read by the
-/// checker.
+/// An event. Digests are truncated to eight bytes. The checker reads the tags and keys of the JSON
+/// lines.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "copies", rename_all = "snake_case")]
 pub enum HistoryEvent {
-    /// This process is a shard's primary from here on.
+    /// This process has become the primary of a shard.
     #[serde(rename = "led")]
     BecamePrimary {
         /// The shard.
@@ -23,12 +23,12 @@
         /// The members of the replica set.
         members: Vec<Name>,
     },
-    /// This process is a shard's primary no more.
+    /// This process is no longer the primary of a shard.
     #[serde(rename = "rested")]
     SteppedDown {
         /// The shard.
         shard: ShardId,
-        /// The epoch under which it was.
+        /// The epoch under which it was the primary.
         epoch: Epoch,
     },
     /// A record is on the disks of all members.
@@ -42,21 +42,21 @@
         number: SequenceNumber,
         /// The digest of the log up to it.
         chain: u64,
-        /// The number of disks.
+        /// The number of disks that have the record.
         disks: usize,
     },
     /// A record is on this process's disk.
     Stored {
         /// The shard.
         shard: ShardId,
-        /// The epoch under which it came.
+        /// The epoch under which it was accepted.
         epoch: Epoch,
         /// The number of the record.
         number: SequenceNumber,
         /// The digest of the log up to it.
         chain: u64,
     },
-    /// A snapshot has replaced the content of this process's disk.
+    /// A snapshot has replaced a shard's content on this process's disk.
     Installed {
         /// The shard.
         shard: ShardId,
@@ -80,13 +80,13 @@
         /// The members of the replica set.
         members: Vec<Name>,
     },
-    /// A damaged shard was repaired from another disk; or no other has it, and what is readable was
-    /// accepted.
+    /// A damaged shard was repaired from another disk, or its readable rows were accepted because
+    /// no other disk has the shard.
     #[serde(rename = "mended")]
     Repaired {
         /// The shard.
         shard: ShardId,
-        /// Whether committed data may be lost.
+        /// Whether the readable rows were accepted, so that committed data may be lost.
         accepted: bool,
     },
     /// One read has found damage of a shard, and a second one has not.
@@ -104,14 +104,14 @@
         /// The agreed epoch.
         ours: Epoch,
     },
-    /// All members lost their disks, and a former member continues with what was committed until it
-    /// was removed.
+    /// All members lost their disks, and a former member continues with the records that were
+    /// committed before its removal.
     #[serde(rename = "recalled")]
     RecoveredFromFormer {
         /// The shard.
         shard: ShardId,
     },
-    /// All members lost their disks, and the shard was created anew: what was committed in it is
+    /// All members lost their disks, and the shard was created again: its committed records are
     /// lost.
     #[serde(rename = "lost")]
     DataLost {
@@ -120,7 +120,7 @@
     },
 }
 
-/// Returns the digest in the form that events have.
+/// Returns the first eight bytes of a digest, the form that events use.
 pub fn short_digest(chain: &ChainDigest) -> u64 {
     chain
         .first_chunk::<8>()
--- a/src/replication/identities.rs
+++ b/src/replication/identities.rs
@@ -1,9 +1,9 @@
-//! Identities of calls that were accepted in a shard, each until its time stamp is no longer valid.
+//! Identities of the calls that were accepted in a shard, each kept until its time stamp expires.
 //!
-//! Every disk removes identities by its own clock, and no two clocks are compared. So the primary
-//! knows a bound: identities that were valid until then may have been removed, here or on a disk
-//! that this content came from. An identity that is not valid beyond the bound cannot be told from
-//! one that was used, and is rejected.
+//! Every disk removes expired identities by its own clock, and clocks are not compared. So the
+//! primary keeps a bound: identities that expired by then may have been removed, from this disk or
+//! from a disk that its content was copied from. An identity that is not valid beyond the bound may
+//! have been used before, and is rejected.
 
 use std::collections::HashMap;
 
@@ -17,17 +17,17 @@
 /// The digest of an identity.
 pub type IdentityDigest = [u8; 32];
 
-/// Identities that were used in one shard.
+/// The used identities of one shard.
 #[derive(Clone, Debug, Default)]
 pub struct Identities {
     shard: ShardId,
     valid_until: HashMap<IdentityDigest, Micros>,
-    /// Identities that were valid until this time may have been removed; it only grows.
+    /// Identities that expired by this time may have been removed; it never decreases.
     expired_until: Micros,
 }
 
 impl Identities {
-    /// Creates the identities that a disk holds of a shard.
+    /// Creates the set of identities that a disk holds for a shard.
     pub fn new(
         shard: ShardId,
         identities: impl IntoIterator<Item = (IdentityDigest, Micros)>,
@@ -40,12 +40,13 @@
         }
     }
 
-    /// Checks whether an identity that is valid until a time may be used now, with at most `max`
-    /// identities remembered.
+    /// Checks whether an identity that is valid until `valid_until` may be used at `now`. At most
+    /// `max` identities are kept.
     ///
     /// # Errors
     ///
-    /// The identity was used, may have been used and removed, or too many are remembered.
+    /// Returns an error if the identity was used, if it may have been used and removed, or if too
+    /// many identities are kept.
     pub fn check(
         &mut self,
         now: Micros,
@@ -72,12 +73,12 @@
         Ok(())
     }
 
-    /// Notes that an identity is used.
+    /// Marks an identity as used.
     pub fn insert(&mut self, identity: IdentityDigest, valid_until: Micros) {
         self.valid_until.insert(identity, valid_until);
     }
 
-    /// Notes that an identity was not used after all.
+    /// Removes an identity that was not used after all.
     pub fn remove(&mut self, identity: &IdentityDigest) {
         self.valid_until.remove(identity);
     }
--- a/src/replication/identities/tests.rs
+++ b/src/replication/identities/tests.rs
@@ -17,10 +17,10 @@
         identities.check(10, &[2; 32], 50, 9),
         Err(ReplicationError::DuplicateIdentity)
     );
-    // Another disk, whose clock is ahead, may have removed it; the clock here has not come so far.
+    // Another disk, whose clock is ahead, may have removed the identity; the clock here is behind.
     assert_eq!(identities.check(10, &[3; 32], 20, 9), expired);
     assert_eq!(identities.check(10, &[3; 32], 21, 9), Ok(()));
-    // It has expired here, though a gateway whose clock is behind has accepted it.
+    // The identity has expired here, though a gateway whose clock is behind has accepted it.
     assert_eq!(identities.check(51, &[2; 32], 50, 9), expired);
     identities.remove(&[1; 32]);
     assert_eq!(identities.check(10, &[1; 32], 50, 9), Ok(()));
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,19 +1,19 @@
 //! Replication of accepted calls and their callbacks among gateways: shards, epochs, replica sets,
 //! and repair. No I/O.
 //!
-//! Identities of calls are spread over [shards](config::Settings::shards). For each the agreed
+//! Identities of calls are hashed to [shards](config::Settings::shards). For each shard the agreed
 //! state ([`replica_sets`]) names an epoch, a primary and the members of the replica set. The
-//! primary gives each record a number and a chained digest; the record is committed once all
-//! members have it on their disks ([`primary`]). Every member can take the shard over with all that
-//! was committed ([`shard`]). Another gateway can be caught up by the tail of the log or a
-//! snapshot, and is added once it has all. [`placement`] chooses the gateways of a shard.
-//! [`replicator::Replicator`] is one gateway's part in all shards; [`wire`] has the messages
-//! between gateways, [`history`] the events for a checker, and [`identities`] the identities that
-//! were used. A disk that is damaged ([`damage`]) is repaired from another.
+//! primary assigns each record a number and a chained digest; a record is committed once all
+//! members have it on their disks ([`primary`]). Every member therefore has all committed records
+//! and can take over the shard ([`shard`]). Another gateway is caught up from the tail of the log
+//! or from a snapshot, and is added once it has all records. [`placement`] chooses the gateways of
+//! a shard. [`replicator::Replicator`] is the state machine of one gateway for all shards; [`wire`]
+//! defines the messages between gateways, [`history`] the events for a checker, and [`identities`]
+//! the used identities. A damaged disk ([`damage`]) is repaired from another disk.
 //!
-//! Bounded: shards (at most [`MAX_SHARDS`]), members (those of the file), records of a tail (by
-//! bytes, the oldest are removed first), pending requests (at most
-//! [`replicator::MAX_FORWARDED_REQUESTS`], each with a deadline).
+//! All state is bounded: shards by [`MAX_SHARDS`], members by the replication file, the tail of a
+//! log by bytes (the oldest records are removed first), and pending requests by
+//! [`replicator::MAX_FORWARDED_REQUESTS`] and their deadlines.
 
 pub mod config;
 pub mod damage;
@@ -37,9 +37,9 @@
 
 /// A gateway's name.
 pub type Name = Arc<str>;
-/// A shard of the identities; 0 stands for what is not replicated.
+/// The number of a shard, from 1; 0 stands for data that is not replicated.
 pub type ShardId = u16;
-/// Counts the agreed changes of a shard's replica set; it only grows.
+/// The number of agreed changes of a shard's replica set; it never decreases.
 pub type Epoch = u64;
 /// The number of a record in its shard's log.
 pub type SequenceNumber = u64;
@@ -81,6 +81,6 @@
     let prefix = identity
         .first_chunk::<8>()
         .map_or(0, |bytes| u64::from_le_bytes(*bytes));
-    // The remainder always fits.
+    // The remainder is less than `shards`, so it fits into 16 bits.
     (prefix % u64::from(shards.max(1))) as ShardId + 1
 }
--- a/src/replication/placement.rs
+++ b/src/replication/placement.rs
@@ -1,5 +1,5 @@
-//! The placement of shards on gateways: by rendezvous hashing, so that a gateway that joins or
-//! leaves moves no more than its own part; and over as many halls as there are.
+//! Placement of shards on gateways by rendezvous hashing, spread over as many halls as possible. A
+//! gateway that joins or leaves moves only its own share of the shards.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 pub struct Host {
     /// The gateway.
     pub name: Name,
-    /// The hall where it stands, which fails as a whole; all gateways without one count as one
+    /// The hall that the gateway is in, a failure domain. All gateways without a hall count as one
     /// hall.
     pub hall: Option<String>,
 }
@@ -29,8 +29,8 @@
         .map_or(0, |bytes| u64::from_le_bytes(*bytes))
 }
 
-/// Returns all gateways in the order in which they are chosen for a shard: the first ones stand in
-/// different halls.
+/// Returns all gateways in the order in which they are chosen for a shard: first one gateway of
+/// each hall, then the others.
 pub fn replica_order(shard: ShardId, hosts: &[Host]) -> Vec<Name> {
     let mut by_weight: Vec<&Host> = hosts.iter().collect();
     by_weight.sort_by_key(|host| Reverse((weight(shard, &host.name), host.name.clone())));
@@ -45,8 +45,8 @@
         .collect()
 }
 
-/// Returns the next gateway for a shard beside its members: one in a hall without a member, if
-/// there is any.
+/// Returns the next eligible gateway for a shard that is not a member yet. Halls without a member
+/// are preferred.
 pub fn next_replica(
     shard: ShardId,
     hosts: &[Host],
--- a/src/replication/primary.rs
+++ b/src/replication/primary.rs
@@ -1,4 +1,4 @@
-//! A shard's primary: its log, the replicas that have to acknowledge it, and what is committed.
+//! A shard's primary: its log, the replicas that have to acknowledge it, and the commits.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,7 +15,7 @@
 use peer::Record;
 pub use peer::{Peer, PeerState, SnapshotTransfer};
 
-/// The maximum number of bytes of records that are kept for replicas that are behind.
+/// The maximum number of bytes of records that are kept for replicas to catch up.
 pub const MAX_TAIL_BYTES: usize = 4 << 20;
 /// The maximum number of bytes of records that are not committed.
 pub const MAX_UNCOMMITTED_BYTES: usize = 4 << 20;
@@ -28,14 +28,14 @@
 pub struct PrimaryTerm {
     /// The epoch.
     pub epoch: Epoch,
-    /// The members of the replica set, with the primary.
+    /// The members of the replica set, including the primary.
     pub members: BTreeSet<Name>,
 }
 
-/// How far this gateway's replica has come.
+/// The progress of this gateway's replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalProgress {
-    /// The last record, on the disk or on its way there.
+    /// The position of the last record, on the disk or in a pending write.
     pub head: LogPosition,
     /// The number of the last record on the disk.
     pub stored: SequenceNumber,
@@ -44,7 +44,7 @@
 /// A record that was committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Commit {
-    /// Who waits for it.
+    /// The number under which the commit is reported.
     pub waiter: CommitWaiter,
     /// The position of the record.
     pub position: LogPosition,
@@ -53,16 +53,16 @@
 /// Whether the shard's state was read from the disk since this process became its primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum StateRead {
-    /// It was not requested.
+    /// The read was not requested.
     #[default]
     Pending,
-    /// It was requested under an epoch.
+    /// The read was requested under an epoch.
     Requested(Epoch),
-    /// It was read: this process knows all that is under way.
+    /// The state was read: this process knows all work in progress.
     Complete,
 }
 
-/// A shard while this process is its primary.
+/// The state of a shard while this process is its primary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Primary {
     shard: ShardId,
@@ -79,30 +79,31 @@
     pub stored: SequenceNumber,
     /// The number of the last record that all members have.
     pub committed: SequenceNumber,
-    /// Records up to there that are not reported as committed, because they need more replicas than
-    /// there are.
+    /// The number of records up to `committed` that are not reported as committed, because they
+    /// need more replicas than the set has.
     pub under_replicated: usize,
     tail: VecDeque<Record>,
     tail_bytes: usize,
     uncommitted_bytes: usize,
     started_at: Micros,
-    /// Members that have not reported their position yet. Records are accepted only after that.
+    /// Members that have not reported their position yet. The primary waits for the reachable ones
+    /// before it accepts records.
     awaiting_position: BTreeSet<Name>,
     /// Whether records are accepted.
     pub is_open: bool,
     /// Whether the shard's state was read.
     pub state_read: StateRead,
-    /// The replicas.
+    /// The replicas that the primary keeps up to date or catches up.
     pub peers: BTreeMap<Name, Peer>,
     /// When a change of the replica set was last proposed.
     pub proposed_at: Option<Micros>,
-    /// Since when a member lags.
+    /// The time since which a member lags; none if none does.
     pub lagging_since: Option<Micros>,
 }
 
 impl Primary {
-    /// Starts with what this gateway's disk holds. Its records may be missing at other members, so
-    /// they count as committed only once those have them.
+    /// Creates a primary with the log on this gateway's disk. Other members may lack records of it,
+    /// so a record counts as committed only once all members have it.
     pub fn new(
         now: Micros,
         me: &Name,
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Returns whether records can be accepted from now on: all reachable members have reported
-    /// their positions, or had enough time to.
+    /// Returns whether the primary can start to accept records: all reachable members have reported
+    /// their positions, or the timeout has passed.
     pub fn can_open(
         &self,
         now: Micros,
@@ -154,7 +155,7 @@
         self.awaiting_position.remove(name);
     }
 
-    /// Continues under another epoch. What is in flight belongs to the previous one and does not
+    /// Continues under another epoch. Messages in flight belong to the previous epoch and do not
     /// count.
     pub fn reconfigure(&mut self, term: PrimaryTerm) {
         self.epoch = term.epoch;
@@ -196,9 +197,9 @@
         self.members.len()
     }
 
-    /// Commits what all members have, and returns the records in order. The replica set may have
-    /// shrunk since a record was accepted: a record that needs more replicas waits until there are
-    /// enough, and holds up no record behind it.
+    /// Commits the records that all members have, and returns them in order. The replica set may
+    /// have shrunk since a record was accepted: a record that needs more replicas waits until there
+    /// are enough, and does not block later records.
     pub fn commit(&mut self, me: &Name, disabled_guards: DisabledGuards) -> Vec<Commit> {
         let mut commits = Vec::new();
         let replicated = self.replicated(me, disabled_guards);
@@ -249,7 +250,8 @@
         commits
     }
 
-    /// Removes the oldest records that all members have, but none whose commit is not reported.
+    /// Removes the oldest records while the tail is too large, but only records that all members
+    /// have and whose commits were reported.
     fn trim_tail(&mut self) {
         while self.tail_bytes > MAX_TAIL_BYTES {
             let oldest = self.tail.pop_front_if(|record| {
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Returns who waits for records that are not reported as committed.
+    /// Returns the waiters of the records that are not reported as committed.
     pub fn uncommitted_waiters(&self) -> Vec<CommitWaiter> {
         self.tail
             .iter()
@@ -270,7 +272,7 @@
             .collect()
     }
 
-    /// Returns a member whose acknowledgement has been outstanding for too long.
+    /// Returns a member whose acknowledgement has been outstanding for a timeout.
     pub fn lagging_member(&self, now: Micros, me: &Name, timeout: Micros) -> Option<Name> {
         self.members
             .iter()
@@ -313,8 +315,8 @@
             .cloned()
     }
 
-    /// Returns the member with the most records, of those that have all that is committed and are
-    /// eligible.
+    /// Returns the member with the most records among the eligible members that have all committed
+    /// records.
     pub fn most_advanced(&self, me: &Name, is_eligible: impl Fn(&Name) -> bool) -> Option<Name> {
         let progress = |name: &Name| {
             self.peers
@@ -341,7 +343,7 @@
     }
 }
 
-/// Returns whether a record is short enough.
-pub fn fits(bytes: usize) -> bool {
+/// Returns whether a record of this size is within [`MAX_RECORD_BYTES`].
+pub fn is_within_record_limit(bytes: usize) -> bool {
     bytes <= MAX_RECORD_BYTES
 }
--- a/src/replication/primary/peer.rs
+++ b/src/replication/primary/peer.rs
@@ -1,4 +1,4 @@
-//! One replica as its primary sees it: how far it has come, and how it is caught up.
+//! The primary's view of one replica: its progress, and the state of catching it up.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 const MAX_RECORDS_IN_FLIGHT: SequenceNumber = 256;
 /// The maximum number of snapshot parts in flight to one replica.
 const MAX_PARTS_IN_FLIGHT: u32 = 3;
-/// Snapshot parts are sent again after this many retry intervals.
+/// The number of retry intervals after which snapshot parts are sent again.
 const SNAPSHOT_RETRY_INTERVALS: Micros = 4;
 
 /// A record of the primary's log.
@@ -21,13 +21,13 @@
     /// The position before the record.
     pub(super) before: LogPosition,
     pub(super) bytes: Arc<[u8]>,
-    /// Who waits for the commit; none once it was reported.
+    /// The number under which the commit is reported; none once it was reported.
     pub(super) waiter: Option<CommitWaiter>,
     /// The number of replicas that the record needs.
     pub(super) min_replicas: usize,
 }
 
-/// The end of a primary's log, as messages need it.
+/// The tail of a primary's log, for messages to replicas.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LogTail<'a> {
     pub(super) shard: ShardId,
@@ -38,7 +38,7 @@
 }
 
 impl LogTail<'_> {
-    /// Returns the record after a number; none if it is not in the tail any more.
+    /// Returns the record after a number; none if it is no longer in the tail.
     fn record_after(&self, number: SequenceNumber) -> Option<&Record> {
         let first = self
             .records
@@ -62,47 +62,47 @@
     }
 }
 
-/// A snapshot on its way to a replica.
+/// A snapshot that is being sent to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SnapshotTransfer {
     /// The position of the snapshot.
     pub position: LogPosition,
     /// The content.
     pub content: Arc<[u8]>,
-    /// The next part to send.
+    /// The index of the next part to send.
     pub next_part: u32,
-    /// The parts that the replica has acknowledged.
+    /// The number of parts that the replica has acknowledged.
     pub acknowledged_parts: u32,
 }
 
-/// How a replica is caught up.
+/// The state of catching a replica up.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PeerState {
-    /// Its position is not known and is queried.
+    /// The position of the replica is unknown and is being queried.
     QueryingPosition,
-    /// Records are sent to it; this is the last one that was sent.
+    /// Records are sent from the tail; the number is that of the last record sent.
     Tailing(SequenceNumber),
-    /// A snapshot is read from this gateway's disk.
+    /// A snapshot is being read from this gateway's disk.
     ReadingSnapshot,
-    /// A snapshot is sent.
+    /// A snapshot is being sent.
     SendingSnapshot(SnapshotTransfer),
 }
 
-/// One replica.
+/// A replica, as its primary tracks it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// How it is caught up.
+    /// The state of catching the replica up.
     pub state: PeerState,
-    /// The last record of this primary's log that is on its disk.
+    /// The number of the last record of this primary's log on the replica's disk.
     pub acknowledged: SequenceNumber,
-    /// Since when an acknowledgement is outstanding; none if there is none.
+    /// The time since which an acknowledgement is outstanding; none if none is.
     pub outstanding_since: Option<Micros>,
-    /// When something was last sent to it or came from it; 0 to send at once.
+    /// The time of the last message to or from the replica; 0 to send at once.
     pub active_at: Micros,
 }
 
 impl Peer {
-    /// Creates a replica whose position is not known.
+    /// Creates a replica whose position is unknown.
     pub(super) fn new() -> Peer {
         Peer {
             state: PeerState::QueryingPosition,
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Queries the position anew, at once.
+    /// Queries the position again, at once.
     pub(super) fn restart(&mut self) {
         self.state = PeerState::QueryingPosition;
         self.active_at = 0;
     }
 
-    /// Returns whether a snapshot is read or sent.
+    /// Returns whether a snapshot is being read or sent.
     pub(super) fn is_in_snapshot(&self) -> bool {
         matches!(
             self.state,
@@ -150,7 +150,7 @@
                 vec![log.query_position()]
             }
             PeerState::QueryingPosition | PeerState::ReadingSnapshot => Vec::new(),
-            // What was sent may have been lost, so the replica reports its position.
+            // Records may have been lost in transit, so the position is queried again.
             PeerState::Tailing(sent) if is_retry_due && self.acknowledged < sent => {
                 self.state = PeerState::QueryingPosition;
                 self.active_at = now;
--- a/src/replication/primary/replicas.rs
+++ b/src/replication/primary/replicas.rs
@@ -10,20 +10,20 @@
 use crate::replication::{ChainDigest, LogPosition, Name, SequenceNumber};
 
 impl Primary {
-    /// Starts to catch a replica up.
+    /// Starts to catch a replica up, unless it is tracked already.
     pub fn add_peer(&mut self, name: &Name) {
         self.peers.entry(name.clone()).or_insert_with(Peer::new);
     }
 
-    /// Queries a replica's position anew, because its connection has ended.
+    /// Queries a replica's position again, because its connection has ended.
     pub fn disconnected(&mut self, name: &Name) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.restart();
         }
     }
 
-    /// Queries a replica's position anew, because another process has started there: what the
-    /// previous one reported does not count.
+    /// Queries a replica's position again, because another process has started there. Reports of
+    /// the previous process do not count.
     pub fn process_restarted(&mut self, name: &Name) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.restart();
@@ -31,8 +31,7 @@
         }
     }
 
-    /// Returns the digest of the log up to a record; none if the record is not in the tail any
-    /// more.
+    /// Returns the digest of the log up to a record; none if the record is no longer in the tail.
     fn chain_at(&self, number: SequenceNumber) -> Option<ChainDigest> {
         if number == self.head.number {
             return Some(self.head.chain);
@@ -42,7 +41,7 @@
         self.tail.get(index).map(|record| record.before.chain)
     }
 
-    /// Takes the position of a replica, and returns whether a snapshot has to be read for it.
+    /// Updates the position of a replica, and returns whether a snapshot has to be read for it.
     pub fn update_position(
         &mut self,
         now: Micros,
@@ -74,7 +73,7 @@
         false
     }
 
-    /// Sends a snapshot that was read from this gateway's disk.
+    /// Starts to send a snapshot that was read from this gateway's disk.
     pub fn snapshot_read(
         &mut self,
         now: Micros,
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Queries a replica's position anew, because no snapshot could be read from this gateway's
+    /// Queries a replica's position again, because no snapshot could be read from this gateway's
     /// disk.
     pub fn snapshot_read_failed(&mut self, now: Micros, name: &Name) {
         if let Some(peer) = self.reading_peer(name) {
@@ -108,8 +107,8 @@
             .filter(|peer| peer.state == PeerState::ReadingSnapshot)
     }
 
-    /// Notes that a replica's disk is damaged: it does not count until it has a snapshot. Returns
-    /// whether a snapshot has to be read for it.
+    /// Notes that a replica's disk is damaged. The replica does not count until it has a snapshot.
+    /// Returns whether a snapshot has to be read for it.
     pub fn replica_corrupt(&mut self, now: Micros, name: &Name) -> bool {
         self.awaiting_position.remove(name);
         let Some(peer) = self.peers.get_mut(name) else {
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Returns the messages to replicas that are due.
+    /// Returns the due messages to replicas.
     pub fn next_messages(&mut self, now: Micros, retry_interval: Micros) -> Vec<(Name, Message)> {
         let log = LogTail {
             shard: self.shard,
--- a/src/replication/replica_sets.rs
+++ b/src/replication/replica_sets.rs
@@ -1,10 +1,10 @@
 //! The agreed replica sets of shards, and the disks that hold them. The state is the same at every
 //! gateway.
 //!
-//! A change names the epoch that it follows, and has no effect if it follows another one. So of two
-//! changes that are proposed at once one takes effect. A disk is identified by a number drawn when
-//! it was created and by how often a process has started on it: a lost disk, and an old copy of
-//! one, leave every set when their gateway starts again.
+//! A change names the epoch that it follows, and has no effect if the current epoch is another. So
+//! only one of two concurrent changes takes effect. A disk is identified by a number chosen when it
+//! was created and by the number of process starts on it. So a lost disk and an old copy of a disk
+//! are detected when their gateway starts again, and leave every set.
 //!
 //! Postcard encodes entries and state, so the order of variants and fields is part of the format.
 
@@ -23,9 +23,9 @@
 /// A disk, and the process that uses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Disk {
-    /// The identifier, drawn when the disk was created.
+    /// The identifier, chosen when the disk was created.
     pub id: u64,
-    /// How often a process has started on it.
+    /// The number of process starts on the disk.
     pub incarnation: u64,
     /// The process that uses it now.
     pub process: u64,
@@ -34,25 +34,24 @@
 /// The replica set of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaSet {
-    /// Counts the changes.
+    /// The number of changes so far.
     pub epoch: Epoch,
     /// The primary; none if it lost its disk.
     pub primary: Option<Name>,
-    /// The process that is the primary. Another process of the same gateway needs an epoch of its
-    /// own.
+    /// The process that is the primary. Another process of the same gateway needs a new epoch.
     pub process: u64,
-    /// The gateways whose disks have all that is committed, with the primary.
+    /// The gateways whose disks have all committed records, including the primary.
     pub members: BTreeSet<Name>,
-    /// Members that were removed without a replacement, with the epoch at which they were. Their
-    /// disks have all that was committed until then, in case the members' disks are lost.
+    /// Members that were removed without a replacement, with the epoch of the removal. Their disks
+    /// have all records that were committed before it, in case the members' disks are lost.
     pub former_members: BTreeMap<Name, Epoch>,
     /// The size of the set before members were removed; 0 if it is complete.
     pub full_size: usize,
 }
 
 impl ReplicaSet {
-    /// Returns the former members of which one may become primary after all members were lost:
-    /// those that were removed last.
+    /// Returns the former members that may become the primary after all members were lost: those
+    /// that were removed last.
     pub fn successors(&self) -> impl Iterator<Item = &Name> {
         let last = self.former_members.values().max().copied();
         self.former_members
@@ -126,8 +125,8 @@
         /// The disk.
         disk: Disk,
     },
-    /// A change of a shard's set, as earlier versions proposed it. It is applied as it was then, so
-    /// that all gateways come to the same state from the same log.
+    /// A change of a shard's set, as earlier versions proposed it. It is applied by the rules of
+    /// those versions, so that all gateways derive the same state from the same log.
     LegacyChange {
         /// The shard.
         shard: ShardId,
@@ -161,7 +160,7 @@
     pub process: u64,
     /// The new members.
     pub members: BTreeSet<Name>,
-    /// The gateway that joins, and the identifier of its disk that has caught up: that may have
+    /// The gateway that joins, and the identifier of its disk that has caught up. The disk may have
     /// been lost since.
     pub joining: Option<(Name, u64)>,
 }
@@ -182,7 +181,7 @@
 pub struct ReplicaSets {
     /// The disks of gateways.
     pub disks: BTreeMap<Name, Disk>,
-    /// The shards that were created.
+    /// The sets of the shards that were created.
     pub shards: BTreeMap<ShardId, ReplicaSet>,
 }
 
@@ -262,7 +261,7 @@
         }
     }
 
-    /// Returns the set after a change, if the change is valid and joins no disk that was lost.
+    /// Returns the set after a change, if the change is valid and the joining disk was not lost.
     fn checked_change(&self, change: &MembershipChange) -> Option<ReplicaSet> {
         let current = self.replica_set(change.shard);
         let mut changed = self.changed_set(change)?;
@@ -280,7 +279,8 @@
             added.as_slice(),
             &change.joining,
         ) {
-            // A former member with what was committed until it was removed goes before any other.
+            // A former member takes precedence, because it has the records committed before its
+            // removal.
             (true, _, None) => {
                 let successors: Vec<&Name> = current.successors().collect();
                 successors.is_empty() || successors.contains(&&change.proposer)
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Returns the set after a change, if the proposer may make it.
+    /// Returns the set after a change, if the proposer is allowed to make it.
     fn changed_set(&self, change: &MembershipChange) -> Option<ReplicaSet> {
         let current = self.replica_set(change.shard);
         let members = &change.members;
@@ -316,18 +316,20 @@
     }
 }
 
-/// Returns whether the proposer may make a change.
+/// Returns whether the proposer is allowed to make a change.
 fn is_allowed(current: &ReplicaSet, change: &MembershipChange) -> bool {
     let proposer = &change.proposer;
     if current.members.is_empty() {
-        // The shard is created, or created anew after all members were lost.
+        // The shard is created, or created again after all members were lost.
         return *proposer == change.primary && change.members.len() == 1;
     }
     if current.primary.as_ref() == Some(proposer) {
-        // The primary adds and removes members, and hands over to one that has all.
+        // The primary adds and removes members, and hands over to a member, which has all committed
+        // records.
         return current.members.contains(&change.primary);
     }
-    // A member that has all takes over, and adds nobody by the same change.
+    // A member takes over, because it has all committed records. It adds no member by the same
+    // change.
     current.members.contains(proposer)
         && *proposer == change.primary
         && change.members.is_subset(&current.members)
--- a/src/replication/replica_sets/tests.rs
+++ b/src/replication/replica_sets/tests.rs
@@ -40,7 +40,8 @@
     })
 }
 
-/// The change is agreed on late: the machine was lost since, and has started on an empty disk.
+/// Guards against a change that is agreed on late: the joining machine was lost since, and has
+/// started on an empty disk.
 #[test]
 fn replica_that_lost_its_disk_cannot_join() {
     let mut sets = three_disks();
@@ -118,8 +119,8 @@
     );
 }
 
-/// The set shrinks, and then its last disk is lost: the member that was removed last has what was
-/// committed.
+/// The set shrinks, and then its last disk is lost: the member that was removed last has the
+/// committed records.
 #[test]
 fn last_removed_member_succeeds_lost_members() {
     let mut sets = three_disks();
--- a/src/replication/replicator.rs
+++ b/src/replication/replicator.rs
@@ -1,5 +1,5 @@
-//! One gateway's part in the replication of all shards, as a state machine without I/O: replica of
-//! some shards, primary of others, and sender of requests to primaries.
+//! The replication state machine of one gateway, without I/O. The gateway is a replica of some
+//! shards and the primary of others, and sends requests to other primaries.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 const TICKS_PER_FAILURE_TIMEOUT: Micros = 8;
 /// Heartbeats in one failure timeout.
 const HEARTBEATS_PER_FAILURE_TIMEOUT: Micros = 5;
-/// Messages are sent again this many times in one acknowledgement timeout.
+/// Retries of a message in one acknowledgement timeout.
 const RETRIES_PER_ACKNOWLEDGEMENT_TIMEOUT: Micros = 4;
 
 /// A request of this gateway that waits for its response.
@@ -41,27 +41,28 @@
     deadline: Micros,
 }
 
-/// One gateway's part in the replication of all shards.
+/// The replication state machine of one gateway, for all shards.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replicator {
     settings: Settings,
     disk: Option<Disk>,
-    /// Whether the agreed state has this process as the user of its disk.
+    /// Whether the agreed state names this process as the user of its disk.
     is_registered: bool,
     sets: Arc<ReplicaSets>,
-    /// The process of each gateway whose messages count.
+    /// The agreed process of each gateway. Positions and acknowledgements of other processes do not
+    /// count.
     processes: BTreeMap<Name, u64>,
     shards: BTreeMap<ShardId, Shard>,
-    /// When something was last received from each gateway.
+    /// The time of the last message from each gateway.
     received_at: BTreeMap<Name, Micros>,
-    /// Until when a gateway that was removed from a set is not added again.
+    /// The time until which a removed gateway is not added to a set again.
     excluded_until: BTreeMap<Name, Micros>,
     pending_requests: BTreeMap<u64, PendingRequest>,
     last_request: u64,
     disk_proposed_at: Micros,
     heartbeat_at: Micros,
     ticked_at: Micros,
-    /// When the disk is verified next; none while it is.
+    /// The time of the next verification of the disk; none while one is in progress.
     verify_at: Option<Micros>,
     is_shutting_down: bool,
     outputs: VecDeque<Output>,
@@ -235,13 +236,13 @@
             .filter_map(|shard| shard.primary.as_mut())
     }
 
-    /// Returns whether something was received from a gateway within a timeout.
+    /// Returns whether a message was received from a gateway within a timeout.
     fn is_reachable_within(&self, now: Micros, name: &Name, timeout: Micros) -> bool {
         let received_at = self.received_at.get(name);
         *name == self.settings.name || received_at.is_some_and(|at| now < at + timeout)
     }
 
-    /// Returns whether something was received from a gateway within the failure timeout.
+    /// Returns whether a message was received from a gateway within the failure timeout.
     fn is_reachable(&self, now: Micros, name: &Name) -> bool {
         self.is_reachable_within(now, name, self.settings.failure_timeout)
     }
@@ -269,7 +270,7 @@
     }
 
     fn tick(&mut self, now: Micros) {
-        // A process that was stopped itself cannot tell whether others were silent.
+        // A process that was stopped itself cannot tell whether other gateways were unreachable.
         if now > self.ticked_at + self.settings.failure_timeout / 2 {
             for received_at in self.received_at.values_mut() {
                 *received_at = now;
@@ -297,7 +298,8 @@
         }
     }
 
-    /// Sends what is due to the replicas of the shards of which this process is the primary.
+    /// Sends the due messages to the replicas of the shards of which this process is the primary,
+    /// and reports new commits.
     fn send_to_replicas(&mut self, now: Micros) {
         let me = self.settings.name.clone();
         let retry_interval =
--- a/src/replication/replicator/events.rs
+++ b/src/replication/replicator/events.rs
@@ -17,9 +17,9 @@
     Disk {
         /// The disk's identifier.
         id: u64,
-        /// How often a process has started on it.
+        /// The number of process starts on the disk.
         incarnation: u64,
-        /// The shards on it, with the positions of their logs.
+        /// The shards on the disk, with the positions of their logs.
         positions: BTreeMap<ShardId, LogPosition>,
     },
     /// The agreed replica sets have changed.
@@ -54,15 +54,15 @@
     },
     /// A snapshot could not be read for a replica.
     SnapshotReadFailed(ShardId, Name),
-    /// For each shard on the disk the ranges that do not match their checksums, as requested by
-    /// [`Output::VerifyDisk`]; none if the disk could not be read.
+    /// The result of [`Output::VerifyDisk`]: for each shard on the disk the ranges that do not
+    /// match their checksums; none if the disk could not be read.
     Verified(Option<Vec<(ShardId, Vec<u8>)>>),
     /// Ranges of a shard do not match their checksums.
     Corrupt(ShardId, Vec<u8>),
-    /// What is readable of a damaged shard was accepted.
+    /// The readable rows of a damaged shard were accepted.
     DamageAccepted(ShardId),
-    /// The state of a shard was read, as requested by [`Output::BecomePrimary`]; what was under way
-    /// in it goes on here.
+    /// The state of a shard was read, as requested by [`Output::BecomePrimary`]. Its work in
+    /// progress continues here.
     StateLoaded(ShardId),
     /// A request for a shard's primary.
     Request {
@@ -82,7 +82,8 @@
         /// The outcome.
         outcome: RequestOutcome,
     },
-    /// The process is about to end: its shards are handed over to members that have all of them.
+    /// The process is shutting down: its shards are handed over to members that have their whole
+    /// logs.
     GracefulShutdown,
     /// A deadline is due.
     Tick,
@@ -95,7 +96,8 @@
     Send(Name, Message),
     /// Propose an entry for the consensus log; it may be lost.
     Propose(Entry),
-    /// Write a record to the disk, after all before it, and report that by [`Input::Persisted`].
+    /// Write a record to the disk after all earlier records, and report its completion by
+    /// [`Input::Persisted`].
     StoreRecord {
         /// The shard.
         shard: ShardId,
@@ -103,10 +105,10 @@
         position: LogPosition,
         /// The record.
         record: Arc<[u8]>,
-        /// Who waits for the commit, if this process is the primary.
+        /// The number under which the commit is reported, if this process is the primary.
         waiter: Option<CommitWaiter>,
     },
-    /// Replace a shard's content on the disk by a snapshot, and report that by
+    /// Replace a shard's content on the disk by a snapshot, and report its completion by
     /// [`Input::Persisted`].
     InstallSnapshot {
         /// The shard.
@@ -118,19 +120,19 @@
     },
     /// Read a snapshot of a shard for a replica.
     ReadSnapshot(ShardId, Name),
-    /// Verify the checksums of all shards on the disk, beside the writes, and report that by
-    /// [`Input::Verified`].
+    /// Verify the checksums of all shards on the disk, concurrently with writes, and report the
+    /// result by [`Input::Verified`].
     VerifyDisk,
-    /// Accept what is readable of a damaged shard that no other disk has.
+    /// Accept the readable rows of a damaged shard that no other disk has.
     AcceptDamage(ShardId),
-    /// A record is committed, on this many replicas.
+    /// A record is committed on this number of replicas.
     Committed(CommitWaiter, usize),
     /// A record is not committed.
     Rejected(CommitWaiter, ReplicationError),
-    /// This process is the primary of a shard from here on: read the shard's state, and report that
-    /// by [`Input::StateLoaded`].
+    /// This process has become the primary of a shard: read the shard's state, and report its
+    /// completion by [`Input::StateLoaded`].
     BecomePrimary(ShardId, Epoch),
-    /// This process is the primary of a shard no more.
+    /// This process is no longer the primary of a shard.
     StepDown(ShardId),
     /// Handle a request as the primary.
     HandleRequest {
--- a/src/replication/replicator/integrity.rs
+++ b/src/replication/replicator/integrity.rs
@@ -1,11 +1,11 @@
-//! Disks that are damaged or stuck.
+//! Damaged and stuck disks.
 //!
-//! A disk detects damage by itself, by checksums. A replica reports it to its primary, does not
-//! count, and is sent a snapshot. A primary hands its shard over to a member whose disk is intact,
-//! and is then repaired like any other replica. So damage is never passed on: each disk verifies a
-//! shard before it is read for another. Where no other disk has the shard, the disk is read a second
-//! time; if the damage is found again, what is readable is accepted, and it is reported that
-//! committed data may be lost.
+//! Each gateway detects damage of its own disk by checksums. A damaged replica reports to its
+//! primary, does not count, and is sent a snapshot. A damaged primary hands its shard over to an
+//! intact member, and is then repaired like any other replica. Damage is never passed on, because a
+//! shard is verified before it is read for another gateway. If no other disk has the shard, the
+//! disk is read a second time; if the damage is found again, the readable rows are accepted, and
+//! the possible loss of committed data is reported.
 
 use super::{Output, Replicator};
 use crate::api::Micros;
@@ -16,8 +16,8 @@
 use crate::replication::{Name, ShardId};
 
 impl Replicator {
-    /// Has the disk verified when that is due or damage is suspected, and reports damaged replicas to
-    /// their primaries.
+    /// Starts a verification of the disk if one is due or damage is suspected, and reports damaged
+    /// replicas to their primaries.
     pub(super) fn check_integrity(&mut self, now: Micros) {
         let is_due = self.verify_at.is_some_and(|at| at <= now);
         let is_periodic = self.settings.verify_interval > 0 && is_due;
@@ -46,7 +46,8 @@
         damages.any(is_suspected)
     }
 
-    /// Has all shards on the disk read, those with suspected damage a second time.
+    /// Starts to read all shards on the disk; for shards with suspected damage this is the second
+    /// read.
     fn start_verification(&mut self) {
         self.verify_at = None;
         self.replace_evidence(DamageEvidence::Suspected, DamageEvidence::BeingVerified);
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Takes the result of a verification. A disk that could not be read at all does not complete
-    /// its writes either, which is detected there.
+    /// Handles the result of a verification. A disk that cannot be read at all does not complete
+    /// its writes either, so it is detected as stuck.
     pub(super) fn disk_verified(&mut self, now: Micros, verified: Option<Vec<(ShardId, Vec<u8>)>>) {
         self.verify_at = Some(now + self.settings.verify_interval);
         let Some(verified) = verified else {
@@ -77,7 +78,8 @@
                 self.damage_refuted(shard);
             }
         }
-        // Shards that the disk does not know any more, although it has rows of them.
+        // These shards are missing in the result: the disk no longer knows them, although it has
+        // rows of them.
         self.replace_evidence(DamageEvidence::BeingVerified, DamageEvidence::Confirmed);
     }
 
@@ -89,7 +91,7 @@
         damage.is_some_and(|damage| damage.evidence == DamageEvidence::BeingVerified)
     }
 
-    /// Takes damage that a verification has found, for the first or the second time.
+    /// Handles damage that a verification has found, for the first or the second time.
     fn damage_verified(&mut self, shard: ShardId, ranges: Vec<u8>) {
         if !self.is_being_verified(shard) {
             return self.set_corrupt(shard, ranges);
@@ -110,7 +112,7 @@
         self.request_state(shard);
     }
 
-    /// Marks a shard as damaged, unless a snapshot on its way to the disk repairs it.
+    /// Marks a shard as damaged, unless the pending write of a snapshot repairs it.
     pub(super) fn set_corrupt(&mut self, shard: ShardId, ranges: Vec<u8>) {
         let is_check_disabled = self.settings.disabled_guards.integrity_check;
         let Some(replica) = self.shards.get_mut(&shard) else {
@@ -127,7 +129,8 @@
         self.record_event(HistoryEvent::Damaged { shard, ranges });
     }
 
-    /// Returns whether this process should not be the primary of a shard if another member can.
+    /// Returns whether a shard on this disk is damaged or stuck, so that another member should be
+    /// its primary.
     pub(super) fn is_unsuitable_primary(&self, now: Micros, shard: ShardId) -> bool {
         let timeout = 2 * self.settings.acknowledgement_timeout;
         self.shards
@@ -135,9 +138,11 @@
             .is_some_and(|replica| replica.damage.is_some() || replica.is_stuck(now, timeout))
     }
 
-    /// Hands a shard over to another member, accepts confirmed damage if there is none, or waits for
-    /// one. Returns whether it did one of these.
-    pub(super) fn relinquish(&mut self, now: Micros, shard: ShardId) -> bool {
+    /// Hands a damaged or stuck shard over to a reachable member that has all committed records. If
+    /// there is none, waits until the damage is confirmed; then accepts it if this is the only
+    /// member, and otherwise waits for another member. Returns `false` if the set can be reviewed
+    /// as usual.
+    pub(super) fn handle_unsuitable_primary(&mut self, now: Micros, shard: ShardId) -> bool {
         let Some(replica) = self.shards.get(&shard) else {
             return false;
         };
@@ -172,8 +177,8 @@
         true
     }
 
-    /// Reports once that a damaged disk waits for another member, which has all of the shard and
-    /// may come back.
+    /// Reports once that a damaged disk waits for another member, which has the whole shard and may
+    /// come back.
     fn report_waiting(&mut self, shard: ShardId) {
         let Some(replica) = self.shards.get_mut(&shard) else {
             return;
@@ -188,7 +193,7 @@
         self.record_event(HistoryEvent::WaitingForReplica { shard, members });
     }
 
-    /// Continues with what was readable of a damaged shard.
+    /// Continues with the readable rows of a damaged shard.
     pub(super) fn damage_accepted(&mut self, shard: ShardId) {
         let Some(replica) = self.shards.get_mut(&shard) else {
             return;
--- a/src/replication/replicator/membership.rs
+++ b/src/replication/replicator/membership.rs
@@ -1,4 +1,4 @@
-//! Review of replica sets: creation, takeover, repair, and removal of replicas that lag.
+//! Review of replica sets: creation, takeover, repair, and removal of lagging replicas.
 
 use std::collections::BTreeSet;
 
@@ -9,10 +9,11 @@
 use crate::replication::replica_sets::ReplicaSet;
 use crate::replication::{Name, ShardId};
 
-/// Acknowledgement timeouts after which a replica that lags is given up, although no other has
-/// caught up.
+/// The number of acknowledgement timeouts after which a lagging replica is given up, although no
+/// other has caught up.
 const GIVE_UP_TIMEOUTS: Micros = 10;
-/// Acknowledgement timeouts for which a member that was removed is not added again.
+/// The number of acknowledgement timeouts for which a removed member is not added again. For a
+/// replica that was too slow to catch up it is the number of give-up timeouts.
 const EXCLUSION_TIMEOUTS: Micros = 2;
 
 /// Whether the repair of another shard may start.
@@ -22,14 +23,14 @@
     Taken,
 }
 
-/// What the primary of a shard knows when it reviews the set.
+/// The state of a shard's set, as its primary reviews it.
 #[derive(Clone, Debug)]
 struct SetReview {
-    /// The set as it is.
+    /// The current members.
     members: BTreeSet<Name>,
-    /// Whether no recent proposal is waiting to be agreed on.
+    /// Whether no recent proposal is pending.
     can_propose: bool,
-    /// A member that lags or is not reachable, and since when.
+    /// A lagging or unreachable member, and the time since which there is one.
     lagging: Option<(Name, Micros)>,
     /// A replica outside the set that has caught up.
     caught_up: Option<Name>,
@@ -37,7 +38,7 @@
     joining: Option<JoiningReplica>,
     /// Whether the set needs another member.
     needs_member: bool,
-    /// The next replica to catch up, if none is and one can be.
+    /// The next replica to catch up, if none is being caught up and one is eligible.
     next: Option<Name>,
 }
 
@@ -52,7 +53,8 @@
 }
 
 impl Replicator {
-    /// Proposes the changes that the shards' sets need, those with the fewest members first.
+    /// Proposes the changes that the shards' sets need, starting with the sets with the fewest
+    /// members.
     pub(super) fn review_sets(&mut self, now: Micros) {
         let mut repairs = self
             .shards
@@ -81,9 +83,10 @@
         }
     }
 
-    /// Becomes the only member of a shard without members: as a former member that has what was
-    /// committed, which the others wait for; or, if there is none, as the first reachable gateway
-    /// of the placement.
+    /// Proposes this gateway as the only member of a shard without members, if it is a former
+    /// member that was removed last and so has the committed records. If there are no former
+    /// members, the first reachable gateway of the placement proposes itself; otherwise all other
+    /// gateways wait for the former members.
     fn create_set(&mut self, now: Micros, id: ShardId, set: &ReplicaSet) {
         let me = &self.settings.name;
         let is_first = if set.former_members.is_empty() {
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Takes a shard over whose primary is not reachable, as one of its members.
+    /// Proposes to take over a shard, as one of its members, if its primary is lost, not reachable,
+    /// or an earlier process of this gateway.
     fn review_primary(&mut self, now: Micros, id: ShardId, set: &ReplicaSet) {
         let me = &self.settings.name;
         let is_other_reachable = set
@@ -110,8 +114,7 @@
             return;
         }
         let is_needed = match &set.primary {
-            // An earlier process of this gateway was the primary: this one needs an epoch of its
-            // own.
+            // An earlier process of this gateway was the primary: this process needs a new epoch.
             Some(primary) if primary == me => true,
             Some(primary) => {
                 let timeout = self.takeover_timeout(set);
@@ -120,14 +123,14 @@
             None => true,
         };
         if is_needed {
-            // The former primary has all that is committed, so it stays until another has caught
-            // up.
+            // The former primary has all committed records, so it stays a member until another
+            // gateway has caught up.
             self.propose(now, id, set, set.members.clone());
         }
     }
 
-    /// Returns how long the primary has to be silent before this process takes over. It differs
-    /// among the members, so that the first is done before the second begins.
+    /// Returns the time without a message from the primary after which this process takes over. It
+    /// differs among the members, so that one takeover is complete before the next begins.
     fn takeover_timeout(&self, set: &ReplicaSet) -> Micros {
         let rank = set
             .members
@@ -138,21 +141,21 @@
         failure_timeout + failure_timeout / 2 * rank.unwrap_or(0) as Micros
     }
 
-    /// Maintains the set of a shard of which this process is the primary. Returns whether another
-    /// replica starts to be caught up.
+    /// Maintains the set of a shard of which this process is the primary. Returns whether it starts
+    /// to catch another replica up.
     ///
-    /// A member that lags is replaced by one change, because it counts until then: it has all that
-    /// was committed before. Only where no other catches up does the set shrink.
+    /// A lagging member is replaced by a single change, because it counts as a member until then:
+    /// it has all records committed so far. The set shrinks only if no other replica catches up.
     fn review_own_set(&mut self, now: Micros, id: ShardId, slot: RepairSlot) -> bool {
         if self.is_shutting_down {
             self.hand_over_to_successor(now, id);
             return false;
         }
-        // Before a handover, which may change when a proposal was made last.
+        // Determined before a handover, which may change the time of the last proposal.
         let Some(lagging) = self.primary(id).map(|primary| self.lagging(now, primary)) else {
             return false;
         };
-        if self.is_unsuitable_primary(now, id) && self.relinquish(now, id) {
+        if self.is_unsuitable_primary(now, id) && self.handle_unsuitable_primary(now, id) {
             return false;
         }
         let Some(primary) = self.primary(id) else {
@@ -165,7 +168,7 @@
         self.act_on_review(now, id, slot, review)
     }
 
-    /// Returns a member that lags or is not reachable, and since when one does.
+    /// Returns a lagging or unreachable member, and the time since which there is one.
     fn lagging(&self, now: Micros, primary: &Primary) -> Option<(Name, Micros)> {
         let timeout = self.settings.acknowledgement_timeout;
         let unreachable = || {
@@ -214,7 +217,7 @@
         GIVE_UP_TIMEOUTS * self.settings.acknowledgement_timeout
     }
 
-    /// Does what a review asks for. Returns whether another replica starts to be caught up.
+    /// Acts on a review. Returns whether it starts to catch another replica up.
     fn act_on_review(
         &mut self,
         now: Micros,
@@ -225,8 +228,8 @@
         let current = self.own_set(id);
         if let Some(joining) = &review.joining {
             if joining.is_slow && joining.is_proposed {
-                // It may have been added and is not there: the next epoch decides, with or without
-                // it.
+                // The replica is slow, but the proposed change may have added it. Another proposal
+                // without it brings the next epoch, which shows whether it is a member.
                 if review.can_propose {
                     self.propose(now, id, &current, review.members);
                 }
@@ -263,7 +266,7 @@
         true
     }
 
-    /// Proposes to add a replica that has caught up, in place of the one that lags.
+    /// Proposes to add a replica that has caught up, in place of the lagging one, if there is one.
     fn add_member(
         &mut self,
         now: Micros,
@@ -283,8 +286,8 @@
         self.propose(now, id, current, members);
     }
 
-    /// Proposes to remove the member that lags, if no replica is being caught up or none has caught
-    /// up for long.
+    /// Proposes to remove the lagging member, if no replica is being caught up or none has caught
+    /// up within the give-up timeout.
     fn remove_lagging(
         &mut self,
         now: Micros,
@@ -303,8 +306,8 @@
         }
     }
 
-    /// Stops to catch a replica up. One that was too slow is not chosen again at once: its disk may
-    /// be full.
+    /// Stops catching a replica up. A replica that was too slow is not chosen again at once,
+    /// because its disk may be full.
     fn stop_catching_up(&mut self, now: Micros, id: ShardId, joining: &JoiningReplica) {
         if let Some(primary) = self.primary_mut(id) {
             primary.peers.remove(&joining.name);
@@ -315,15 +318,15 @@
         }
     }
 
-    /// Removes a member that lags. It is not added again at once, so that an unstable one does not
-    /// cost a change each time.
+    /// Removes a lagging member. It is not added again at once, so that an unstable gateway does
+    /// not cause a change each time.
     fn exclude(&mut self, now: Micros, lagging: Name, members: &mut BTreeSet<Name>) {
         members.remove(&lagging);
         let until = now + EXCLUSION_TIMEOUTS * self.settings.acknowledgement_timeout;
         self.excluded_until.insert(lagging, until);
     }
 
-    /// Returns the next gateway to catch up, if there is one.
+    /// Returns the next gateway to catch up, if one is eligible.
     fn next_replica(&self, now: Micros, id: ShardId, members: &BTreeSet<Name>) -> Option<Name> {
         let is_eligible = |name: &Name| {
             let excluded_until = self.excluded_until.get(name);
--- a/src/replication/replicator/messages.rs
+++ b/src/replication/replicator/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other gateways.
+//! Handling of messages of other gateways.
 
 use super::{Output, Replicator};
 use crate::api::Micros;
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Returns whether a process is the one that the agreed state has for a gateway. Messages of
-    /// others do not count.
+    /// Returns whether a process is the agreed process of a gateway. Positions and acknowledgements
+    /// of other processes do not count.
     fn is_current_process(&self, name: &Name, process: u64) -> bool {
         self.processes.get(name) == Some(&process)
     }
@@ -97,7 +97,7 @@
         self.perform(part.shard, from, actions);
     }
 
-    /// Performs what a replica does with a message of its primary.
+    /// Performs a replica's actions on a message of its primary.
     fn perform(
         &mut self,
         shard: ShardId,
@@ -148,8 +148,8 @@
         let primary = self.primary_of_epoch(shard, epoch);
         let is_ahead = primary.is_some_and(|primary| primary.is_ahead(&from, position));
         if is_ahead && !guards.ahead_check {
-            // This gateway's disk has lost records that the member still has, so that has to become
-            // the primary.
+            // This gateway's disk has lost records that the member still has, so the member has to
+            // become the primary.
             return self.hand_over_to(now, shard, from);
         }
         if let Some(primary) = self.primary_of_epoch(shard, epoch) {
--- a/src/replication/replicator/proposals.rs
+++ b/src/replication/replicator/proposals.rs
@@ -8,7 +8,7 @@
 use crate::replication::{Name, ShardId};
 
 impl Replicator {
-    /// Returns whether no recent proposal of a shard is waiting to be agreed on.
+    /// Returns whether this process is the primary of a shard and no recent proposal is pending.
     pub(super) fn can_propose(&self, now: Micros, id: ShardId) -> bool {
         let interval = self.settings.acknowledgement_timeout / 2;
         self.primary(id).is_some_and(|primary| {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Proposes another member as the primary. Its process is not known here, so it proposes an
-    /// epoch of its own then.
+    /// Proposes another member as the primary. The process of that member is not known here, so the
+    /// member then proposes another epoch with its process.
     pub(super) fn hand_over_to(&mut self, now: Micros, shard: ShardId, successor: Name) {
         let Some(primary) = self.primary_mut(shard) else {
             return;
@@ -79,8 +79,8 @@
     ) {
         self.record_proposal(now, shard);
         let me = self.settings.name.clone();
-        // The disk that has caught up is named, because it may be lost before the change is agreed
-        // on.
+        // The change names the disk that has caught up, because the disk may be lost before the
+        // change is agreed on.
         let added = members
             .difference(&current.members)
             .find(|name| **name != me);
--- a/src/replication/replicator/reconfiguration.rs
+++ b/src/replication/replicator/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! The agreed replica sets take effect: this process is registered on its disk, becomes primary of
-//! shards, and steps down.
+//! Application of the agreed replica sets: this process is registered on its disk, becomes the
+//! primary of shards, and steps down.
 
 use super::{Output, Replicator};
 use crate::api::Micros;
@@ -10,7 +10,8 @@
 use crate::replication::{Epoch, LogPosition, Name, ShardId};
 
 impl Replicator {
-    /// Has this process agreed on as the user of its disk. Only then does it count for anything.
+    /// Proposes this process as the user of its disk until that is agreed on. Before that, it
+    /// accepts no records and becomes no primary.
     pub(super) fn check_registration(&mut self, now: Micros) {
         let Some(disk) = self.disk else {
             return;
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Gives the disk up: another process has started on it since, so it is an old copy or was
-    /// taken away.
+    /// Rejects the disk: another process has started on it since, so it is an old copy or in use by
+    /// that process.
     fn reject_disk(&mut self) {
         self.disk = None;
         for shard in self.shards.values_mut() {
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Takes the agreed processes. What earlier processes of the same gateways reported does not
-    /// count any more.
+    /// Updates the agreed processes. Reports of earlier processes of the same gateways no longer
+    /// count.
     fn update_processes(&mut self) {
         let started: Vec<(Name, u64)> = self
             .sets
@@ -74,7 +75,7 @@
 
     fn apply_set(&mut self, now: Micros, id: ShardId) {
         let set = self.sets.replica_set(id);
-        let is_mine = self.is_own_set(&set);
+        let is_own = self.is_own_set(&set);
         let Some(shard) = self.shards.get_mut(&id) else {
             return;
         };
@@ -83,7 +84,7 @@
             epoch: shard.set.epoch,
             members: shard.set.members.clone(),
         };
-        match (&mut shard.primary, is_mine) {
+        match (&mut shard.primary, is_own) {
             (Some(primary), true) if primary.epoch != term.epoch => {
                 primary.reconfigure(term);
                 if primary.is_open {
@@ -112,7 +113,7 @@
         self.is_registered && set.primary.as_ref() == Some(&self.settings.name) && is_own_process
     }
 
-    /// Ends this process's role as the primary of a shard. What is not committed is rejected.
+    /// Ends this process's role as the primary of a shard. Uncommitted records are rejected.
     fn step_down(&mut self, id: ShardId) {
         let Some(shard) = self.shards.get_mut(&id) else {
             return;
@@ -136,7 +137,7 @@
         self.outputs.push_back(Output::StepDown(id));
     }
 
-    /// Reports that all members of a shard's previous set had lost their disks.
+    /// Reports the loss of the disks of all members of a shard's previous set, if they were lost.
     fn report_lost_members(&mut self, id: ShardId, previous: &ReplicaSet) {
         if previous.epoch == 0 || !previous.members.is_empty() {
             return;
@@ -150,8 +151,8 @@
     }
 
     /// Starts to accept records once the other members have reported their positions. A member with
-    /// more records has to become the primary itself; records accepted here before would overwrite
-    /// them.
+    /// more records has to become the primary itself; records accepted here before that would
+    /// overwrite its records.
     pub(super) fn open_if_ready(&mut self, now: Micros, id: ShardId) {
         let timeout = 2 * self.settings.acknowledgement_timeout;
         let is_ready = self.primary(id).is_some_and(|primary| {
@@ -168,9 +169,9 @@
         }
     }
 
-    /// Has the state of an open shard read, unless it was. While this process is the primary it
-    /// knows itself what is under way; read once more, that would be taken for the work of another
-    /// process.
+    /// Requests a read of the state of an open shard, unless it was read. While this process is the
+    /// primary, it knows its own work in progress; a second read would take that for the work of
+    /// another process.
     pub(super) fn request_state(&mut self, id: ShardId) {
         let Some(primary) = self.primary_mut(id) else {
             return;
@@ -183,7 +184,7 @@
         self.outputs.push_back(Output::BecomePrimary(id, epoch));
     }
 
-    /// Returns whether a state that was requested under an epoch is still waited for.
+    /// Returns whether a state that was requested under an epoch is still awaited.
     pub fn awaits_state(&self, id: ShardId, epoch: Epoch) -> bool {
         self.primary(id)
             .is_some_and(|primary| primary.state_read == StateRead::Requested(epoch))
--- a/src/replication/replicator/records.rs
+++ b/src/replication/replicator/records.rs
@@ -1,4 +1,4 @@
-//! Records on their way to this gateway's disk and to commits.
+//! Appending, writing and committing of records.
 
 use std::sync::Arc;
 
@@ -6,12 +6,14 @@
 use crate::api::Micros;
 use crate::replication::error::ReplicationError;
 use crate::replication::history::{short_digest, HistoryEvent};
-use crate::replication::primary::{fits, CommitWaiter, Primary, MAX_UNCOMMITTED_BYTES};
+use crate::replication::primary::{
+    is_within_record_limit, CommitWaiter, Primary, MAX_UNCOMMITTED_BYTES,
+};
 use crate::replication::shard::{PendingWrite, WriteKind};
 use crate::replication::wire::MAX_RECORD_BYTES;
 use crate::replication::ShardId;
 
-/// Returns why a primary cannot accept a record, if it cannot.
+/// Checks whether a primary can accept a record.
 fn check_record(
     primary: &Primary,
     shard: ShardId,
@@ -20,7 +22,7 @@
 ) -> Result<(), ReplicationError> {
     let replicas = primary.replica_count();
     let uncommitted = primary.uncommitted_bytes();
-    if !fits(bytes) {
+    if !is_within_record_limit(bytes) {
         return Err(ReplicationError::TooLong {
             bytes,
             max: MAX_RECORD_BYTES,
@@ -84,7 +86,7 @@
         });
     }
 
-    /// Notes that the oldest pending write of a shard has reached the disk.
+    /// Completes the oldest pending write of a shard, which has reached the disk.
     pub(super) fn write_persisted(&mut self, now: Micros, shard: ShardId) {
         let guards = self.settings.disabled_guards;
         let Some(replica) = self.shards.get_mut(&shard) else {
@@ -110,7 +112,7 @@
         self.commit(shard);
     }
 
-    /// Reports the records of a shard that are committed now.
+    /// Reports the newly committed records of a shard.
     pub(super) fn commit(&mut self, shard: ShardId) {
         let me = self.settings.name.clone();
         let guards = self.settings.disabled_guards;
--- a/src/replication/replicator/requests.rs
+++ b/src/replication/replicator/requests.rs
@@ -66,7 +66,7 @@
         self.outputs.push_back(Output::Response(waiter, outcome));
     }
 
-    /// Rejects the requests whose deadlines are over.
+    /// Rejects the requests whose deadlines have passed.
     pub(super) fn expire_requests(&mut self, now: Micros) {
         let expired: Vec<u64> = self
             .pending_requests
--- a/src/replication/shard.rs
+++ b/src/replication/shard.rs
@@ -1,5 +1,5 @@
-//! One shard at one gateway: its replica set, what the disk holds, and the replies to the primary's
-//! messages.
+//! One shard at one gateway: its replica set, the state of its log on the disk, and the replies to
+//! the primary's messages.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use super::{Epoch, LogPosition, Name, SequenceNumber, ShardId};
 use crate::api::Micros;
 
-/// A snapshot of which parts have arrived.
+/// A partially received snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct IncomingSnapshot {
     epoch: Epoch,
@@ -31,20 +31,20 @@
     Snapshot,
 }
 
-/// A write that is on its way to the disk.
+/// A write that has not reached the disk yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PendingWrite {
-    /// The epoch under which it came.
+    /// The epoch under which it was accepted.
     pub epoch: Epoch,
     /// The primary that sent it; none if this process is the primary.
     pub from: Option<Name>,
-    /// The position after it.
+    /// The position of the log after the write.
     pub position: LogPosition,
-    /// What is written.
+    /// The kind of the write.
     pub kind: WriteKind,
 }
 
-/// What a replica does with a message of its primary.
+/// A replica's action on a message of its primary.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaAction {
     /// Send a message to the primary.
@@ -70,11 +70,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sender {
     Primary,
-    /// The sender's epoch is not known here yet; it sends again until it is.
+    /// The sender's epoch is not known here yet. The sender repeats its messages until it is.
     Unknown,
 }
 
-/// One shard.
+/// One shard at this gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Shard {
     id: ShardId,
@@ -82,15 +82,15 @@
     process: u64,
     /// The agreed replica set.
     pub set: ReplicaSet,
-    /// The position of the last record, on the disk or on its way there.
+    /// The position of the last record, on the disk or in a pending write.
     pub position: LogPosition,
-    /// Writes on their way to the disk, in order.
+    /// Writes that have not reached the disk yet, in order.
     pub pending: VecDeque<PendingWrite>,
-    /// Since when the oldest of them is.
+    /// The time since which no pending write has reached the disk; none if none is pending.
     pub pending_since: Option<Micros>,
-    /// The damage of this replica, if there is any; while there is, the replica does not count.
+    /// The damage of this replica, if any. A damaged replica does not count.
     pub damage: Option<Damage>,
-    /// The primary, while it is this process.
+    /// The state of the primary, while it is this process.
     pub primary: Option<Primary>,
     incoming: Option<IncomingSnapshot>,
     /// The primary that waits for this replica's position, and its epoch.
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Notes a write that is on its way to the disk.
+    /// Adds a pending write.
     pub fn push_write(&mut self, now: Micros, write: PendingWrite) {
         self.pending_since.get_or_insert(now);
         self.pending.push_back(write);
@@ -184,7 +184,7 @@
         Some(ReplicaAction::Reply(self.position_message(epoch)))
     }
 
-    /// Takes a record of the primary, if it follows the last one; otherwise reports the position.
+    /// Accepts a record of the primary, if it follows the last one; otherwise reports the position.
     pub fn receive_record(
         &mut self,
         now: Micros,
@@ -220,7 +220,7 @@
         ))
     }
 
-    /// Takes a part of a snapshot of the primary.
+    /// Accepts a part of a snapshot of the primary.
     pub fn receive_snapshot_part(
         &mut self,
         now: Micros,
@@ -289,7 +289,7 @@
         ReplicaAction::InstallSnapshot(last_part.position, bytes)
     }
 
-    /// Notes that the oldest pending write has reached the disk.
+    /// Completes the oldest pending write, which has reached the disk.
     pub fn write_persisted(
         &mut self,
         now: Micros,
@@ -300,14 +300,18 @@
         };
         self.pending_since = (!self.pending.is_empty()).then_some(now);
         if write.kind == WriteKind::Snapshot {
-            // All rows were written anew.
+            // The snapshot has replaced all rows.
             self.damage = None;
         }
         let mut messages = Vec::new();
-        // A write of an older epoch is reported by the position only, which the current primary
-        // compares.
+        // A write of an older epoch is not acknowledged, but only reported by the position, which
+        // the current primary compares.
         let is_current = disabled_guards.epoch_check || write.epoch == self.set.epoch;
-        if let Some(from) = write.from.clone().filter(|_| is_current && self.counts()) {
+        if let Some(from) = write
+            .from
+            .clone()
+            .filter(|_| is_current && self.can_acknowledge())
+        {
             let acknowledge = Message::Acknowledge {
                 shard: self.id,
                 epoch: write.epoch,
@@ -330,11 +334,12 @@
         }
         let (primary, epoch) = self.position_query.take()?;
         let is_current = epoch == self.set.epoch;
-        (is_current && self.counts()).then(|| (primary, self.position_message(epoch)))
+        (is_current && self.can_acknowledge()).then(|| (primary, self.position_message(epoch)))
     }
 
-    /// Returns whether this replica's acknowledgements count.
-    fn counts(&self) -> bool {
+    /// Returns whether this replica may acknowledge records and report its position: it is neither
+    /// the primary nor damaged.
+    fn can_acknowledge(&self) -> bool {
         self.primary.is_none() && self.damage.is_none()
     }
 }
--- a/src/replication/tests/disks.rs
+++ b/src/replication/tests/disks.rs
@@ -86,8 +86,8 @@
     assert!(simulation.committed.len() > before);
 }
 
-/// Guards against calls that run twice because a primary reads its own shard's state once more,
-/// and takes what is under way here for the work of another process.
+/// Guards against calls that run twice because a primary reads its own shard's state a second time,
+/// and takes its own work in progress for that of another process.
 #[test]
 fn open_shard_is_not_read_again_after_accepted_damage() {
     let mut simulation = Simulation::new(1, 1, 27, DisabledGuards::default());
@@ -100,7 +100,7 @@
     assert_eq!(reads.filter(|(_, shard)| *shard == 1).count(), 1);
 }
 
-/// A primary whose first read fails has its state read after the damage was accepted.
+/// A primary whose first read of the state fails reads it after the damage was accepted.
 #[test]
 fn damaged_shard_is_read_after_accepted_damage() {
     let mut simulation = Simulation::new(1, 1, 28, DisabledGuards::default());
@@ -116,8 +116,8 @@
     assert_eq!(reads.filter(|(_, shard)| *shard == 1).count(), 1);
 }
 
-/// Guards against committed data that is given up because one read took an intact disk for a
-/// damaged one.
+/// Guards against the loss of committed data because a single read reports damage of an intact
+/// disk.
 #[test]
 fn damage_read_only_once_is_not_accepted() {
     let mut simulation = Simulation::new(1, 1, 26, DisabledGuards::default());
@@ -138,7 +138,7 @@
     simulation.verify().unwrap();
 }
 
-/// The other member has all that was committed, so the damaged primary accepts nothing meanwhile.
+/// The other member has all committed records, so the damaged primary accepts no damage meanwhile.
 #[test]
 fn damaged_primary_waits_for_intact_member() {
     let mut simulation = start(2, 24, DisabledGuards::default());
@@ -186,9 +186,9 @@
     }
 }
 
-/// A disk loses records that it reported as written when its process restarts; before they are sent
-/// to it again the primary's machine is lost. The third member has them: it has to become the
-/// primary instead of being overwritten.
+/// A disk loses records that it reported as written when its process restarts, and the primary's
+/// machine is lost before it sends them again. The third member has the records: it has to become
+/// the primary instead of being overwritten.
 #[test]
 fn member_with_more_records_becomes_primary() {
     for ahead_check in [false, true] {
@@ -205,7 +205,7 @@
             let primary = simulation.agreed_primary(1);
             let faulty = (primary + 1 + (seed as usize) % 2) % 3;
             simulation.gateways[faulty].lost_records = 5;
-            // Without a connection to the primary, so that it is not sent again what it lost.
+            // The connection to the primary is cut, so that the lost records are not sent again.
             simulation.partitions.insert((primary, faulty));
             simulation.partitions.insert((faulty, primary));
             simulation.kill(faulty);
--- a/src/replication/tests/faults.rs
+++ b/src/replication/tests/faults.rs
@@ -16,7 +16,7 @@
     let primary = simulation.replica_set(1).primary;
     assert_ne!(primary, Some(gateway_name(stale)));
 
-    // It has not received anything yet, and accepts a record.
+    // The stale primary has not received anything yet, and accepts a record.
     simulation.gateways[stale].stopped = false;
     let waiter = simulation.append_at(stale, 1, Some(vec![1]), 0);
     simulation.run(2_000 * MS);
--- a/src/replication/tests/guards.rs
+++ b/src/replication/tests/guards.rs
@@ -5,8 +5,8 @@
 use crate::replication::replicator::Input;
 use crate::replication::wire::Message;
 
-/// A primary is stopped; the member that took over was replaced itself, and is a replica of the
-/// third now. Only the epoch tells it that messages of the first are late.
+/// Guards against late messages of a stopped primary. The second primary was replaced itself, and
+/// is now a replica of the third. Only the epoch tells it that the first primary is outdated.
 #[test]
 fn replica_declines_messages_of_earlier_epochs() {
     for epoch_check in [false, true] {
@@ -46,8 +46,8 @@
     }
 }
 
-/// An acknowledgement for the previous process arrives late. It counted for a record that this
-/// process does not have.
+/// Guards against a late acknowledgement for a record of the previous process. Under the same epoch
+/// it would count for a record of this process, which the replica does not have.
 #[test]
 fn process_does_not_continue_epoch_of_previous_one() {
     for process_check in [false, true] {
@@ -66,8 +66,8 @@
         simulation.kill(first);
         simulation.start(first);
         simulation.run(20 * MS);
-        // It waits for the other's position for a while, and accepts records then. Nothing else is
-        // agreed on meanwhile.
+        // The new process waits for the position of the other member until the timeout, and then
+        // accepts records. Without a quorum nothing else is agreed on meanwhile.
         simulation.has_quorum = false;
         simulation.run(430 * MS);
         let records = &simulation.gateways[first].disk.shards[&1];
--- a/src/replication/tests/model.rs
+++ b/src/replication/tests/model.rs
@@ -1,10 +1,10 @@
-//! The replicator under a model checker: one shard at three gateways, in every order of messages
-//! lost, late and repeated, of entries agreed on late, of writes that a restart cuts off, of lost
-//! disks, and of gateways that receive nothing for a while.
+//! Model checking of the replicator: one shard at three gateways, in every order of lost, late and
+//! repeated messages, of entries agreed on late, of writes cut off by a restart, of lost disks, and
+//! of gateways that are isolated for a while.
 //!
-//! Each gateway has a clock of its own, which moves only where it receives nothing for so long that
-//! it regards all others as unreachable; a stopped process is one that does nothing meanwhile. The
-//! initial state has a set of two members that has opened the shard.
+//! Each gateway has its own clock, which advances only when the gateway is isolated for so long
+//! that it regards all others as unreachable. A stopped process is one that takes no steps
+//! meanwhile. In the initial state a set of two members has opened the shard.
 
 use stateright::{Checker, Expectation, HasDiscoveries, Model, Property};
 
@@ -143,8 +143,8 @@
     }
 }
 
-/// Returns whether a gateway that can take the shard over has all that is committed. One whose disk
-/// was lost cannot, once the loss is agreed on.
+/// Returns whether a gateway has all committed records, if it can take over the shard. A gateway
+/// whose disk was lost cannot, once the loss is agreed on.
 fn has_committed_if_member(cluster: &Cluster, index: usize) -> bool {
     let gateway = &cluster.gateways[index];
     let sets = cluster.replica_sets();
@@ -199,7 +199,7 @@
     assert_holds(Scenario::new(1, 1, 0, 1, 0), MAX_STATES);
 }
 
-/// The same with more faults, as far as the number of states allows.
+/// Explores more faults than the test above, up to the maximum number of states.
 #[test]
 #[ignore = "takes minutes; cargo test --release --lib replication::tests::model -- --ignored"]
 fn commits_survive_more_faults() {
--- a/src/replication/tests/model/cluster.rs
+++ b/src/replication/tests/model/cluster.rs
@@ -12,9 +12,9 @@
 
 pub(super) const FAILURE_TIMEOUT: Micros = 400;
 pub(super) const GATEWAYS: usize = 3;
-/// Rounds without faults after which the shard is open.
+/// The number of rounds without faults after which the shard is open.
 const INITIAL_ROUNDS: usize = 60;
-/// Ticks while a gateway receives nothing.
+/// The number of ticks during which an isolated gateway receives nothing.
 const ISOLATION_TICKS: usize = 6;
 const TICK: Micros = FAILURE_TIMEOUT / 4;
 
@@ -29,7 +29,7 @@
     incarnation: u64,
     /// The records on the disk.
     disk: Vec<Vec<u8>>,
-    /// The writes on their way to the disk.
+    /// The writes that have not reached the disk yet.
     pub(super) writes: VecDeque<Write>,
     /// The index of the last state of the replica sets that has arrived.
     pub(super) seen_state: usize,
@@ -68,14 +68,14 @@
     }
 }
 
-/// A write on its way to a disk.
+/// A write that has not reached a disk yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Write {
     Record(Vec<u8>),
     Snapshot(Vec<Vec<u8>>),
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Message {
     from: usize,
@@ -115,8 +115,7 @@
 }
 
 impl Cluster {
-    /// Returns the state after all that can be done without a fault: a set of two members has
-    /// opened the shard.
+    /// Returns the state after rounds without faults: a set of two members has opened the shard.
     pub(super) fn with_open_shard(scenario: &Scenario) -> Cluster {
         let gateways = (0..GATEWAYS).map(|index| Gateway::new(scenario, index));
         let mut cluster = Cluster {
@@ -153,7 +152,7 @@
         cluster
     }
 
-    /// Does all that can be done without a fault.
+    /// Performs a round without faults: ticks, writes, messages and entries of all gateways.
     fn run_round(&mut self) {
         for index in 0..GATEWAYS {
             self.gateways[index].now += TICK;
@@ -279,7 +278,7 @@
         true
     }
 
-    /// Restarts a process. The messages on their way to and from it are lost with its connections.
+    /// Restarts a process. The messages in flight to and from it are lost with its connections.
     pub(super) fn restart(&mut self, scenario: &Scenario, index: usize) {
         let seen_state = self.states.len() - 1;
         let gateway = &mut self.gateways[index];
@@ -304,7 +303,7 @@
         }
     }
 
-    /// Loses a disk; the gateway has an empty one from here on.
+    /// Loses a disk, which an empty one replaces.
     pub(super) fn lose_disk(&mut self, index: usize) {
         let gateway = &mut self.gateways[index];
         gateway.disk_id += 10;
@@ -327,7 +326,7 @@
         self.handle(index, Input::SetsChanged(sets));
     }
 
-    /// Lets time pass at a gateway that receives nothing.
+    /// Advances the clock of a gateway that receives nothing.
     pub(super) fn isolate(&mut self, index: usize) {
         for _ in 0..ISOLATION_TICKS {
             self.gateways[index].now += TICK;
--- a/src/replication/tests/model/scenario.rs
+++ b/src/replication/tests/model/scenario.rs
@@ -1,17 +1,17 @@
-//! The bounds of a model: how many records are appended, and how many faults occur.
+//! The bounds of a model: the number of appended records and of faults.
 
 use super::cluster::{gateway_name, FAILURE_TIMEOUT, GATEWAYS};
 use crate::replication::config::{DisabledGuards, Settings};
 use crate::replication::placement::Host;
 
-/// Faults that may occur.
+/// The number of faults that may occur, by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Faults {
-    /// How often a gateway receives nothing for long.
+    /// How often a gateway receives nothing for longer than the failure timeout.
     pub(super) isolations: u8,
     /// How often a process restarts.
     pub(super) restarts: u8,
-    /// How often a machine is lost with its disk, and starts again on an empty one.
+    /// How often a machine is lost with its disk, and starts again on an empty disk.
     pub(super) losses: u8,
     /// How often a message arrives twice.
     pub(super) repetitions: u8,
@@ -20,7 +20,7 @@
 /// The bounds of a model.
 #[derive(Clone, Debug)]
 pub(super) struct Scenario {
-    /// Records that are appended.
+    /// The number of records that are appended.
     pub(super) appends: u8,
     pub(super) faults: Faults,
     pub(super) disabled_guards: DisabledGuards,
--- a/src/replication/tests/random_faults.rs
+++ b/src/replication/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults, never more machines lost at once than the replicas tolerate.
+//! Random faults. The number of machines lost at once never exceeds what the replicas tolerate.
 
 use super::simulation::{Simulation, MS, SHARDS};
 use crate::replication::config::DisabledGuards;
@@ -100,8 +100,8 @@
     simulation.run_traffic(500 * MS);
 }
 
-/// Damages one disk only, because what is damaged on all disks of a set is lost; and not while
-/// another one is repaired.
+/// Damages a single disk, and not during the repair of another one, because records that are
+/// damaged on all disks of a set are lost.
 fn damage_disk(simulation: &mut Simulation, index: usize) {
     simulation.run(2_000 * MS);
     for shard in 1..=SHARDS {
--- a/src/replication/tests/requests.rs
+++ b/src/replication/tests/requests.rs
@@ -6,7 +6,7 @@
 use crate::replication::replicator::Input;
 use crate::replication::wire::RequestOutcome;
 
-/// Also a request of the primary itself, whose record is never committed.
+/// The primary never responds in time. That includes requests of the primary itself.
 #[test]
 fn request_expires_and_late_response_is_ignored() {
     let mut simulation = Simulation::new(3, 2, 7, DisabledGuards::default());
--- a/src/replication/tests/simulation.rs
+++ b/src/replication/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Gateways on a virtual clock, over a network that loses, repeats and delays messages, with disks
-//! that fail.
+//! Simulation of gateways on a virtual clock, with a network that loses, repeats and delays
+//! messages, and with disks that fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,9 +25,9 @@
 pub(super) use gateway::position_after;
 use gateway::{DiskImage, SimulatedGateway, Write};
 
-/// A millisecond.
+/// A millisecond in microseconds.
 pub(super) const MS: Micros = 1_000;
-/// Shards of a simulation.
+/// The number of shards of a simulation.
 pub(super) const SHARDS: u16 = 4;
 
 enum Event {
@@ -60,7 +60,7 @@
     pub(super) number: u64,
 }
 
-/// A simulation of some gateways.
+/// A simulation of several gateways.
 pub(super) struct Simulation {
     pub(super) now: Micros,
     random: ChaCha8Rng,
@@ -185,7 +185,7 @@
         self.deliver_state(index);
     }
 
-    /// Ends a process. Some of the writes on their way to the disk reach it.
+    /// Ends a process. A random number of its pending writes still reach the disk.
     pub(super) fn kill(&mut self, index: usize) {
         let writes = self.gateways[index].writes.len() as u64;
         let completed = self.random_below(writes + 1);
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Loses a machine with its disk; the next start is on an empty disk.
+    /// Loses a machine with its disk. The next process starts on an empty disk.
     pub(super) fn lose(&mut self, index: usize) {
         self.kill(index);
         let id = self.random.next_u64();
@@ -260,7 +260,7 @@
         self.events.insert((at, self.last_event), event);
     }
 
-    /// Lets time pass.
+    /// Advances the clock by a span, and handles the events that are due.
     pub(super) fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
@@ -280,7 +280,7 @@
             Event::Message { from, to, message } if !self.gateways[to].stopped => {
                 self.handle(to, Input::Received(gateway_name(from), message));
             }
-            // The operating system keeps the message until the process goes on.
+            // The operating system keeps the message until the process continues.
             Event::Message { .. } => self.schedule(50 * MS, event),
             Event::Entry(entry) => {
                 let mut sets = (**self.states.last().unwrap()).clone();
@@ -299,7 +299,7 @@
                 self.handle(index, Input::Persisted(shard));
             }
         }
-        // The replica sets arrive late, and at each gateway at another time.
+        // The replica sets arrive late, and at different times at each gateway.
         if self.random_below(4) == 0 && !self.gateways[index].ignores_changes {
             self.deliver_state(index);
         }
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Appends records for a span.
+    /// Appends records throughout a span.
     pub(super) fn run_traffic(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
--- a/src/replication/tests/simulation/gateway.rs
+++ b/src/replication/tests/simulation/gateway.rs
@@ -12,12 +12,13 @@
     pub(super) id: u64,
     pub(super) incarnation: u64,
     pub(in crate::replication::tests) shards: BTreeMap<ShardId, Vec<Vec<u8>>>,
-    /// Shards with a row that has changed by itself.
+    /// Shards with a corrupted row.
     pub(super) damaged: BTreeSet<ShardId>,
 }
 
 impl DiskImage {
-    /// Changes a record. The position of the shard is stored elsewhere, and stays.
+    /// Corrupts the first record of a shard, and returns whether the shard is damaged only now. The
+    /// position of the shard is stored elsewhere, and does not change.
     pub(in crate::replication::tests) fn damage(&mut self, shard: ShardId) -> bool {
         let records = self.shards.get_mut(&shard);
         let Some(record) = records.and_then(|records| records.first_mut()) else {
@@ -47,15 +48,15 @@
     /// The replicator, while the process runs.
     pub(in crate::replication::tests) replicator: Option<Replicator>,
     pub(in crate::replication::tests) disk: DiskImage,
-    /// Writes on their way to the disk, with the time at which they reach it.
+    /// Pending writes, with the time at which they reach the disk.
     pub(super) writes: VecDeque<(Micros, Write)>,
-    /// Whether the process is stopped, and goes on later.
+    /// Whether the process is stopped, and continues later.
     pub(in crate::replication::tests) stopped: bool,
     /// Whether the disk is full and completes no writes.
     pub(in crate::replication::tests) disk_full: bool,
-    /// Records that the disk reports as written and loses when the process ends.
+    /// The number of records that the disk reports as written and loses when the process ends.
     pub(in crate::replication::tests) lost_records: usize,
-    /// Reads for a promotion or a replica that report damage of an intact shard.
+    /// The number of reads, for a promotion or a replica, that report damage of an intact shard.
     pub(in crate::replication::tests) false_alarms: usize,
     /// Whether changes of the replica sets do not arrive.
     pub(in crate::replication::tests) ignores_changes: bool,
--- a/src/replication/tests/simulation/outputs.rs
+++ b/src/replication/tests/simulation/outputs.rs
@@ -112,7 +112,7 @@
         gateway.disk.damaged.contains(&shard) && !self.disabled_guards.integrity_check
     }
 
-    /// Reads a snapshot after all pending writes, as the thread of the store does.
+    /// Reads a snapshot that includes all pending writes, as the store's thread does.
     fn read_snapshot(&mut self, index: usize, shard: ShardId, peer: Name) {
         if self.detects_damage(index, shard) {
             self.handle(index, Input::Corrupt(shard, vec![0]));
--- a/src/replication/tests/simulation/queries.rs
+++ b/src/replication/tests/simulation/queries.rs
@@ -1,4 +1,4 @@
-//! What tests ask of a simulation.
+//! Queries of the state of a simulation.
 
 use std::collections::BTreeSet;
 
--- a/src/replication/tests/simulation/verdict.rs
+++ b/src/replication/tests/simulation/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a simulation: nothing that was committed is lost.
+//! Final checks of a simulation: no committed record is lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use crate::replication::{Name, ShardId};
 
 impl Simulation {
-    /// Ends all faults, and checks that what was committed is at all members of each shard.
+    /// Ends all faults, and checks that all members of each shard have its committed records.
     pub(in crate::replication::tests) fn verify(&mut self) -> Result<(), String> {
         self.end_faults();
         self.run(6_000 * MS);
--- a/src/replication/wire.rs
+++ b/src/replication/wire.rs
@@ -19,7 +19,7 @@
 pub enum Message {
     /// The sender is reachable.
     Heartbeat,
-    /// The primary queries how far a replica has come.
+    /// The primary queries the position of a replica.
     QueryPosition(ShardId, Epoch),
     /// A replica reports its position.
     Position {
@@ -38,7 +38,7 @@
     Acknowledge {
         /// The shard.
         shard: ShardId,
-        /// The epoch under which the last record came.
+        /// The epoch under which the last record was received.
         epoch: Epoch,
         /// The number of the last record.
         number: SequenceNumber,
@@ -51,12 +51,12 @@
     SnapshotPartReceived {
         /// The shard.
         shard: ShardId,
-        /// The epoch under which it came.
+        /// The epoch under which it was received.
         epoch: Epoch,
         /// The index of the part.
         part: u32,
     },
-    /// A replica does not take what was sent.
+    /// A replica declines a message.
     Declined(ShardId, Declined),
     /// A request to a shard's primary.
     Request {
@@ -106,7 +106,7 @@
 /// The outcome of a request to a primary.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// The record is committed, on this many replicas.
+    /// The record is committed on this number of replicas.
     Committed(u8),
     /// The record is not committed.
     Rejected(ReplicationError),
