--- a/src/lease/fence.rs
+++ b/src/lease/fence.rs
@@ -1,4 +1,4 @@
-//! The fence of a receiver of effects: it rejects terms below the highest seen.
+//! The fence at a receiver of effects: rejects terms below the highest one seen.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use super::{LeaseName, Term};
 
-/// Leases whose terms are stored; effects under further ones are rejected. Leases are configured, so more of them are a
-/// fault.
+/// The maximum number of leases whose terms are stored. Effects under further leases are rejected: the set of leases is
+/// configured, so a larger number indicates a fault.
 pub const MAX_FENCED_LEASES: usize = 1024;
 
 /// Why an effect is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FenceError {
-    /// An effect of a later holder was seen.
+    /// An effect with a higher term was received earlier.
     #[error("term {term} has ended, {seen} was seen")]
     Stale {
         /// The term of the effect.
@@ -24,21 +24,21 @@
     /// The effect has the term 0, which is never granted.
     #[error("no grant has the term 0")]
     NoTerm,
-    /// There are more leases than are stored.
+    /// The maximum number of leases is already stored.
     #[error("more than {MAX_FENCED_LEASES} duties")]
     TooMany,
 }
 
-/// The highest terms seen.
+/// The highest term seen of each lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fence {
     seen: BTreeMap<LeaseName, Term>,
 }
 
 impl Fence {
-    /// Admits or rejects an effect; `true` if its term is new.
+    /// Admits or rejects an effect; returns whether its term is higher than all before.
     ///
-    /// Where an effect outlives a restart, the fence has to as well, and the effect waits until the fence is persisted.
+    /// If an effect survives a restart, the fence has to be persisted before the effect takes place.
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
         Ok(is_new)
     }
 
-    /// The highest term seen of a lease; 0 if there was none.
+    /// The highest term seen of a lease; 0 if none was seen.
     pub fn seen(&self, lease: &LeaseName) -> Term {
         self.seen.get(lease).copied().unwrap_or(0)
     }
--- a/src/lease/grantor/mod.rs
+++ b/src/lease/grantor/mod.rs
@@ -1,4 +1,4 @@
-//! The grantor at the leader of the agreed log: who holds each lease, and for how long.
+//! The grantor at the leader of the agreed log: decides which gateway holds each lease, and for how long.
 
 mod placement;
 mod requests;
@@ -15,13 +15,13 @@
 /// An event for a grantor.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// This gateway leads, and has applied all entries of earlier terms.
+    /// This gateway is the leader of the log, and has applied all entries of earlier terms.
     BecameLeader,
     /// This gateway no longer leads.
     LostLeadership,
-    /// A request of a holder.
+    /// A renewal request arrived.
     Renew(RenewRequest),
-    /// A majority confirmed that this gateway leads, after the request with this number came.
+    /// A majority confirmed that this gateway still led after it sent the [`Output::Confirm`] with this number.
     Confirmed(u64),
     /// An entry of the agreed log took effect.
     Applied(Entry),
@@ -38,14 +38,14 @@
     Confirm(u64),
     /// Propose an entry of the agreed log.
     Propose(Entry),
-    /// Reply to a request.
+    /// Send a reply to a renewal request.
     Reply(RenewReply),
 }
 
-/// Why nobody acts under a lease. The serialized names are part of the administration API.
+/// Why no gateway can act under a lease. The serialized names are part of the administration API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum GrantReason {
-    /// The last holder's lease may still be valid.
+    /// The lease of the last holder may still be valid.
     #[serde(rename = "WaitsOut")]
     AwaitingExpiry,
     /// No eligible gateway has sent a request.
@@ -59,14 +59,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proposal {
     term: Term,
-    /// When it may be proposed again, as a proposal may be lost with its leader.
+    /// When the entry may be proposed again, because a proposal may be lost with its leader.
     retry_at: Micros,
 }
 
-/// A gateway that is not eligible.
+/// A gateway that has reported that it is not eligible.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ineligible {
-    /// The request that said so.
+    /// The sequence number of the request that reported it.
     stamp: u64,
     /// Until when an older request of the gateway may still arrive.
     expires_at: Micros,
@@ -79,7 +79,7 @@
     request: RenewRequest,
 }
 
-/// Grants leases while its gateway leads.
+/// Grants leases while its gateway is the leader of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGrantor {
     settings: Settings,
@@ -87,12 +87,11 @@
     configured: BTreeSet<LeaseName>,
     table: LeaseTable,
     leads: bool,
-    /// When the first grants may be made: before, candidates are collected, so that leases are spread over all of them.
+    /// The time of the first grants. Candidates are collected before it, so that leases are spread over all of them.
     first_grants_at: Micros,
-    /// When the last renewal of each lease has certainly ended: of this leader's replies, and of any that a previous leader
-    /// can have sent.
+    /// The time after which no renewal of a lease is valid, whether this leader or a previous one sent it.
     expires_at: BTreeMap<LeaseName, Micros>,
-    /// The eligible gateways, and until when that is believed.
+    /// The eligible gateways, and when each expires without a further request.
     candidates: BTreeMap<LeaseHolder, Micros>,
     ineligible: BTreeMap<LeaseHolder, Ineligible>,
     proposals: BTreeMap<LeaseName, Proposal>,
@@ -103,7 +102,7 @@
 }
 
 impl LeaseGrantor {
-    /// A grantor of the configured leases whose gateway does not lead.
+    /// Creates a grantor for the configured leases. Its gateway is not the leader yet.
     pub fn new(settings: Settings, configured: BTreeSet<LeaseName>) -> LeaseGrantor {
         LeaseGrantor {
             settings,
@@ -122,12 +121,12 @@
         }
     }
 
-    /// The agreed state of leases.
+    /// The replicated state of all leases.
     pub fn table(&self) -> &LeaseTable {
         &self.table
     }
 
-    /// Why nobody acts under a lease now; `None` while its holder can.
+    /// Why no gateway can act under a lease now; `None` while its holder can.
     pub fn grant_reason(&self, now: Micros, lease: &LeaseName) -> Option<GrantReason> {
         if self.is_proposed(now, lease) {
             return Some(GrantReason::Proposed);
@@ -180,7 +179,7 @@
                 }
             }
             Input::Applied(entry) => self.on_applied(now, &entry),
-            // A gateway that is sent a state does not lead.
+            // A state is only sent to gateways that do not lead.
             Input::Restored(table) => self.table = table,
             Input::Tick => {}
         }
@@ -190,13 +189,14 @@
         }
     }
 
-    /// Also if it led before: it may have lost and regained leadership unnoticed while another leader replied.
+    /// Starts a new leadership, even if this gateway led before: it may have lost and regained leadership without noticing,
+    /// and another leader may have sent replies in between.
     fn on_became_leader(&mut self, now: Micros) {
         self.leads = true;
         self.reset();
         self.candidates.clear();
         self.first_grants_at = now + self.settings.renew_interval();
-        // A previous leader may have replied until the moment at which it lost leadership.
+        // A previous leader may have sent replies until it lost leadership.
         let expires_at = now + self.settings.grant_delay();
         self.expires_at = self
             .table
@@ -206,7 +206,7 @@
             .collect();
     }
 
-    /// Drops what was in progress in a leadership that has ended.
+    /// Drops the requests, proposals and recalls of the previous leadership.
     fn reset(&mut self) {
         self.waiting.clear();
         self.proposals.clear();
@@ -223,7 +223,7 @@
         self.recalled.remove(lease);
         match entry {
             Entry::Grant { .. } => {
-                // Time for the holder's first request.
+                // Leaves the holder time for its first request.
                 let expires_at = now + self.settings.grant_delay();
                 self.expires_at.insert(lease.clone(), expires_at);
             }
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Whether a proposal for a lease is in progress and not due to be repeated.
+    /// Whether a proposal for a lease is in progress and its retry is not due yet.
     fn is_proposed(&self, now: Micros, lease: &LeaseName) -> bool {
         self.proposals
             .get(lease)
--- a/src/lease/grantor/placement.rs
+++ b/src/lease/grantor/placement.rs
@@ -1,4 +1,4 @@
-//! Which gateway gets a lease, and which lease moves to balance them.
+//! Lease placement: chooses the gateway for each lease, and the lease that moves to balance the number per gateway.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,14 +8,15 @@
 use crate::lease::table::Entry;
 use crate::lease::{LeaseHolder, LeaseName};
 
-/// Leases recalled at once to balance the holders.
+/// The maximum number of leases that are recalled at the same time, to limit the rate at which work moves.
 const MAX_RECALLED: usize = 1;
-/// The difference in leases between two holders above which one moves.
+/// The difference in the number of leases between two holders from which on a lease moves.
 const MIN_IMBALANCE: usize = 2;
 
-/// The affinity of a lease to a holder: the same at every leader, so that leases stay in place when the leader changes.
+/// The affinity of a lease to a holder. Every leader computes the same value, so that leases stay in place when the leader
+/// changes.
 fn affinity(lease: &LeaseName, holder: &LeaseHolder) -> u64 {
-    // FNV-1a over both names, then mixed.
+    // FNV-1a over both names, followed by a bit mixer.
     let bytes = lease.bytes().chain([0]).chain(holder.name.bytes());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -31,7 +32,7 @@
             .retain(|_, ineligible| now < ineligible.expires_at);
     }
 
-    /// Grants the leases that nobody holds, and recalls one that is to move.
+    /// Grants the leases without a holder, and recalls a lease if the holders are out of balance.
     pub(super) fn place_leases(&mut self, now: Micros) {
         if now < self.first_grants_at {
             return;
@@ -42,7 +43,7 @@
         self.balance();
     }
 
-    /// Chooses the candidate with the fewest leases for each lease that nobody holds.
+    /// Assigns each lease without a holder to the candidate with the fewest leases.
     fn choose_grants(&self, now: Micros) -> Vec<Entry> {
         let mut loads = self.loads();
         let mut grants = Vec::new();
@@ -68,7 +69,7 @@
         grants
     }
 
-    /// The number of leases of each candidate.
+    /// The number of leases that each candidate holds.
     fn loads(&self) -> BTreeMap<LeaseHolder, usize> {
         let mut loads: BTreeMap<LeaseHolder, usize> = self
             .candidates
@@ -84,8 +85,7 @@
         loads
     }
 
-    /// Recalls a lease from a holder that has at least [`MIN_IMBALANCE`] more than another candidate; one at a time, so that
-    /// work moves at a bounded pace.
+    /// Recalls a lease from the busiest holder if it has at least [`MIN_IMBALANCE`] more leases than another candidate.
     fn balance(&mut self) {
         if self.recalled.len() >= MAX_RECALLED || !self.proposals.is_empty() {
             return;
--- a/src/lease/grantor/requests.rs
+++ b/src/lease/grantor/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of holders and the replies to them.
+//! Renewal requests of holders, and the replies to them.
 
 use super::{Ineligible, LeaseGrantor, Output, WaitingRequest};
 use crate::api::Micros;
@@ -6,9 +6,10 @@
 use crate::lease::table::Entry;
 use crate::lease::{LeaseHolder, LeaseName, Term};
 
-/// Gateways that are remembered as candidates; the ones that sent a request last stay.
+/// The maximum number of candidates. Above it, the candidate whose last request is the oldest is dropped.
 const MAX_CANDIDATES: usize = 4096;
-/// Requests that wait for a confirmation; the oldest are dropped, and their holders repeat them.
+/// The maximum number of requests that wait for a confirmation. Above it, the oldest request is dropped; its holder sends
+/// another one.
 const MAX_WAITING_REQUESTS: usize = 1024;
 
 impl LeaseGrantor {
@@ -30,7 +31,7 @@
         self.outputs.push_back(Output::Confirm(number));
     }
 
-    /// Notes whether the sender is eligible, unless a later request of it has said that it is not.
+    /// Records whether the sender is eligible. An older request that arrives late does not make it eligible again.
     fn update_candidate(&mut self, now: Micros, request: &RenewRequest) {
         let expires_at = now + self.settings.duration;
         let outdated = self
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Replies to the requests that came before the confirmed round.
+    /// Replies to the requests that arrived before the confirmed round started.
     pub(super) fn on_confirmed(&mut self, now: Micros, number: u64) {
         let is_confirmed = |waiting: &WaitingRequest| waiting.number <= number;
         while self.waiting.front().is_some_and(is_confirmed) {
@@ -91,7 +92,7 @@
         for (lease, term) in request.held {
             let record = self.table.record(&lease);
             let is_holder = record.term == term && record.holder.as_ref() == Some(&request.from);
-            // While a grant to another gateway is in progress, no renewal may overlap it.
+            // A renewal must not overlap a proposed grant to another gateway.
             if !is_holder || self.proposals.contains_key(&lease) {
                 continue;
             }
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side: the leases for which a gateway may act now.
+//! The holder side of leases: tracks the leases under which a gateway may act now.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,7 +7,7 @@
 use super::{LeaseHolder, LeaseName, Settings, Term};
 use crate::api::Micros;
 
-/// Requests whose replies still count; older ones are forgotten.
+/// The maximum number of renewal requests whose replies are accepted; older requests are forgotten.
 const MAX_OUTSTANDING_REQUESTS: usize = 8;
 
 /// An event for a holder.
@@ -17,11 +17,12 @@
     Applied(Entry),
     /// The state of all leases was replaced.
     Restored(LeaseTable),
-    /// A reply of the grantor.
+    /// A reply of the grantor arrived.
     Reply(RenewReply),
-    /// Whether the gateway can hold leases: not while it is cut off from its zone, short of descriptors, or draining.
+    /// Whether the gateway can hold leases. It cannot while it is cut off from its zone, short of file descriptors, or
+    /// draining.
     SetEligible(bool),
-    /// Release a lease: its holder cannot do the work, or it is to move.
+    /// Release a lease, because this gateway cannot do the work or the lease has to move.
     Release(LeaseName),
     /// A deadline has passed.
     Tick,
@@ -30,26 +31,26 @@
 /// An action that a holder asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Send the request to the leader of the log.
+    /// Send a renewal request to the leader of the log.
     Renew(RenewRequest),
     /// The gateway may act under this term from now on.
     Acquired(LeaseName, Term),
-    /// The gateway may not act any more; effects that are still queued have to be withdrawn.
+    /// The gateway may no longer act under this term; effects that are still queued have to be withdrawn.
     Lost(LeaseName, Term),
 }
 
-/// A lease of which this gateway is the holder.
+/// A lease that this gateway holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OwnLease {
     term: Term,
     /// When the right to act ends; `None` before the first reply.
     expires_at: Option<Micros>,
-    /// Whether [`Output::Acquired`] was put out and [`Output::Lost`] was not yet.
+    /// Whether [`Output::Acquired`] was emitted, and [`Output::Lost`] not yet.
     active: bool,
 }
 
 impl OwnLease {
-    /// A granted lease gives no right to act before the first reply: the grant may have been learned late.
+    /// Creates a lease without the right to act. The grant may be applied late, so the right starts with the first reply.
     fn granted(term: Term) -> OwnLease {
         OwnLease {
             term,
@@ -66,9 +67,9 @@
     own: LeaseHolder,
     eligible: bool,
     leases: BTreeMap<LeaseName, OwnLease>,
-    /// Released leases, until the log contains the release.
+    /// Leases that this gateway has released, until the release is applied from the log.
     released: BTreeMap<LeaseName, Term>,
-    /// The numbers of outstanding requests and when each was made.
+    /// The sequence numbers of outstanding requests, and when each was sent.
     requests: VecDeque<(u64, Micros)>,
     last_stamp: u64,
     next_request_at: Micros,
@@ -76,7 +77,7 @@
 }
 
 impl HolderState {
-    /// A holder without leases.
+    /// Creates a holder without leases.
     pub fn new(settings: Settings, own: LeaseHolder, now: Micros) -> HolderState {
         HolderState {
             settings,
@@ -96,22 +97,22 @@
         &self.own
     }
 
-    /// The term under which the gateway may act now, if it may.
+    /// The term under which the gateway may act now, if any.
     ///
-    /// To be called when an effect is decided on and again when its bytes are queued. It depends on the clock and on nothing
-    /// that a stopped process could have missed.
+    /// Callers check it when they decide on an effect, and again when they queue the effect's bytes. The result depends on the
+    /// current time, so it is correct even if the process was paused and has missed events.
     pub fn held_term(&self, now: Micros, lease: &LeaseName) -> Option<Term> {
         let own_lease = self.leases.get(lease)?;
         let valid = own_lease.expires_at.is_some_and(|at| now < at);
         valid.then_some(own_lease.term)
     }
 
-    /// Whether an effect of this term may still leave.
+    /// Whether an effect of this term may still be sent.
     pub fn still_holds(&self, now: Micros, lease: &LeaseName, term: Term) -> bool {
         self.held_term(now, lease) == Some(term)
     }
 
-    /// The leases of this gateway: name, term, and when the right to act ends.
+    /// The leases that this gateway holds: name, term, and when the right to act ends.
     pub fn held_leases(&self) -> impl Iterator<Item = (&LeaseName, Term, Option<Micros>)> {
         self.leases
             .iter()
@@ -142,7 +143,7 @@
             }) => self.on_grant(now, lease, &holder, term),
             Input::Applied(Entry::Released { lease, term }) => {
                 self.released.remove(&lease);
-                self.end_if(&lease, |held| held <= term);
+                self.end_if_term(&lease, |held| held <= term);
             }
             Input::Restored(table) => self.on_restored(now, &table),
             Input::Reply(reply) => self.on_reply(now, reply),
@@ -158,13 +159,13 @@
 
     fn on_grant(&mut self, now: Micros, lease: LeaseName, holder: &LeaseHolder, term: Term) {
         self.released.remove(&lease);
-        self.end_if(&lease, |held| held < term);
+        self.end_if_term(&lease, |held| held < term);
         if *holder != self.own {
             return;
         }
         self.leases.insert(lease.clone(), OwnLease::granted(term));
         self.next_request_at = now;
-        // The grant rests on an older request, from when the gateway was eligible.
+        // The grantor decided on an older request, sent while the gateway was eligible.
         if !self.eligible {
             self.release(now, &lease);
         }
@@ -183,7 +184,8 @@
         }
     }
 
-    /// Keeps the leases that have the same term in the new state; all others end, or start without the right to act.
+    /// Keeps the leases that have the same term in the new state. All others end, and leases that are new to this gateway start
+    /// without the right to act.
     fn on_restored(&mut self, now: Micros, table: &LeaseTable) {
         let own_term = |lease: &LeaseName| {
             let record = table.record(lease);
@@ -199,7 +201,7 @@
         self.released
             .retain(|lease, term| own_term(lease) == Some(*term));
         for lease in ended {
-            self.end_if(&lease, |_| true);
+            self.end_if_term(&lease, |_| true);
         }
         for (lease, record) in table.iter() {
             let is_own = record.holder.as_ref() == Some(&self.own);
@@ -220,11 +222,11 @@
         if reply.to != self.own {
             return;
         }
-        // Earlier requests are superseded by this reply, or lost.
+        // This reply supersedes the replies to earlier requests.
         let Some((_, requested_at)) = self.requests.drain(..=position).next_back() else {
             return;
         };
-        // Counted from before the request left: a late reply gives the remaining time, or none.
+        // The time starts when the request was sent: a late reply leaves only the rest of it, or nothing.
         let expires_at = requested_at + self.settings.duration;
         for (name, term) in reply.renewed {
             self.renew(now, name, term, expires_at);
@@ -254,19 +256,23 @@
         }
     }
 
-    /// Stops acting first, and then requests the release.
+    /// Stops acting, and then requests the release.
     fn release(&mut self, now: Micros, lease: &LeaseName) {
         let Some(term) = self.leases.get(lease).map(|own_lease| own_lease.term) else {
             return;
         };
-        self.end_if(lease, |_| true);
+        self.end_if_term(lease, |_| true);
         self.released.insert(lease.clone(), term);
         self.next_request_at = now;
     }
 
-    /// Ends a lease if its term matches.
-    fn end_if(&mut self, name: &LeaseName, ends: impl Fn(Term) -> bool) {
-        if !self.leases.get(name).is_some_and(|lease| ends(lease.term)) {
+    /// Ends a lease if `matches` accepts its term.
+    fn end_if_term(&mut self, name: &LeaseName, matches: impl Fn(Term) -> bool) {
+        if !self
+            .leases
+            .get(name)
+            .is_some_and(|lease| matches(lease.term))
+        {
             return;
         }
         if let Some(lease) = self.leases.remove(name).filter(|lease| lease.active) {
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -4,30 +4,30 @@
 
 use super::{LeaseHolder, LeaseName, Term};
 
-/// A gateway's request to the leader of the log.
+/// A renewal request of a gateway to the leader of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RenewRequest {
     /// The sender.
     pub from: LeaseHolder,
-    /// The number of the request at its sender.
+    /// The sequence number of the request at its sender.
     pub stamp: u64,
-    /// Whether the sender can be granted leases.
+    /// Whether the sender accepts new leases.
     pub eligible: bool,
     /// The leases to renew, with their terms.
     pub held: Vec<(LeaseName, Term)>,
-    /// The leases that the sender no longer acts under, with their terms.
+    /// The leases under which the sender no longer acts, with their terms.
     pub released: Vec<(LeaseName, Term)>,
 }
 
-/// The grantor's reply.
+/// The grantor's reply to a renewal request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RenewReply {
     /// The sender of the request.
     pub to: LeaseHolder,
-    /// The number of the request.
+    /// The sequence number of the request.
     pub stamp: u64,
-    /// The leases that are renewed.
+    /// The renewed leases, with their terms.
     pub renewed: Vec<(LeaseName, Term)>,
-    /// The leases that have to be released, as they move to another holder.
+    /// The leases that the holder has to release because they move to another gateway, with their terms.
     pub recalled: Vec<(LeaseName, Term)>,
 }
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -1,4 +1,4 @@
-//! The agreed state of leases. Applied in the order of the log, the entries give the same state at every gateway.
+//! The replicated state of all leases. Every gateway applies the entries in log order and reaches the same state.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use super::{LeaseHolder, LeaseName, Term};
 
-/// The maximum number of leases; a grant of a further one has no effect.
+/// The maximum number of leases; a grant of a further lease has no effect.
 pub const MAX_LEASES: usize = 1024;
 
 /// An entry of the agreed log.
@@ -18,14 +18,14 @@
         lease: LeaseName,
         /// The new holder.
         holder: LeaseHolder,
-        /// One above the term before.
+        /// The new term, one above the previous one.
         term: Term,
     },
-    /// The holder will not act under this term any more.
+    /// The holder no longer acts under this term.
     Released {
         /// The lease.
         lease: LeaseName,
-        /// The term that has ended.
+        /// The released term.
         term: Term,
     },
 }
@@ -33,7 +33,7 @@
 /// The state of one lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The last term granted; 0 before the first.
+    /// The last granted term; 0 before the first grant.
     pub term: Term,
     /// The holder; `None` before the first grant and after a release.
     pub holder: Option<LeaseHolder>,
@@ -48,8 +48,8 @@
 impl LeaseTable {
     /// Applies an entry and returns whether it took effect.
     ///
-    /// An entry that does not follow from the current state has no effect: two leaders may both have proposed what only one
-    /// of them was to decide.
+    /// An entry that is not valid in the current state has no effect: two leaders may both propose an entry for the same
+    /// term.
     pub fn apply(&mut self, entry: &Entry) -> bool {
         match entry {
             Entry::Grant {
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The leases at the start of a later generation: without holders, and with terms above any that the previous generation
-    /// can have granted, so that its late effects are rejected.
+    /// Returns the initial state of a later generation. No lease has a holder, and all terms are above those that the previous
+    /// generation can have granted, so that its late effects are rejected.
     pub fn rebootstrapped(&self, generation: u32) -> LeaseTable {
         let first_term = Term::from(generation) << 32;
         let restarted = |record: &LeaseRecord| LeaseRecord {
@@ -102,12 +102,12 @@
         self.leases.get(lease).cloned().unwrap_or_default()
     }
 
-    /// All leases that were ever granted.
+    /// All leases that have been granted at least once.
     pub fn iter(&self) -> impl Iterator<Item = (&LeaseName, &LeaseRecord)> {
         self.leases.iter()
     }
 
-    /// The number of leases of a holder.
+    /// The number of leases that a gateway holds.
     pub fn count_of(&self, holder: &LeaseHolder) -> usize {
         self.leases
             .values()
--- a/src/lease/tests/mod.rs
+++ b/src/lease/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of leases: one step at a time, and under a model checker.
+//! Tests of leases: simulated scenarios, and a model checker.
 
 mod model;
 mod simulation;
@@ -18,7 +18,7 @@
     let mut sim = Simulation::new(5, 20);
     sim.run(5 * ONE_SECOND);
     let holders: Vec<_> = (0..20)
-        .map(|d| sim.holder_of(&lease(d)).expect("a holder"))
+        .map(|n| sim.holder_of(&lease(n)).expect("a holder"))
         .collect();
     for n in 0..5 {
         assert_eq!(
@@ -29,8 +29,8 @@
     }
     sim.run(60 * ONE_SECOND);
     assert!(
-        (0..20).all(|d| sim.held_term(holders[d], &lease(d)) == Some(1)),
-        "under their first terms"
+        (0..20).all(|n| sim.held_term(holders[n], &lease(n)) == Some(1)),
+        "some lease is no longer under its first term"
     );
     assert!(sim.lost.is_empty());
 }
@@ -58,9 +58,9 @@
     );
     assert!(
         sim.now <= unreachable_at + settings().grant_delay() + 20_000,
-        "not later than the old one is waited out"
+        "the next holder starts later than the grant delay allows"
     );
-    // The old one still believes in its grant, requests under its old term, and gets nothing.
+    // The previous holder requests a renewal of its old term and is refused.
     sim.unreachable.clear();
     sim.run(5 * ONE_SECOND);
     assert_eq!(sim.held_term(old, &lease(0)), None);
@@ -74,12 +74,10 @@
     assert_eq!(
         sim.held_term(old, &lease(0)),
         None,
-        "it stops before it says so"
+        "the holder still acts before its release is sent"
     );
-    sim.pump();
-    let next = sim
-        .holder_of(&lease(0))
-        .expect("another holder without any wait");
+    sim.deliver_messages();
+    let next = sim.holder_of(&lease(0)).expect("another holder at once");
     assert!(next != old && sim.now == at);
 }
 
@@ -104,13 +102,13 @@
     sim.run(2 * ONE_SECOND);
     next.handle(sim.now, grantor::Input::BecameLeader);
     sim.grantor = next;
-    let elected = sim.now;
+    let elected_at = sim.now;
     sim.run(settings().grant_delay() - 1);
     assert_eq!(sim.holder_of(&lease(0)), None);
     sim.run(ONE_SECOND);
     assert!(
         sim.holder_of(&lease(0)).is_some_and(|n| n != old)
-            && sim.now > elected + settings().duration
+            && sim.now > elected_at + settings().duration
     );
 }
 
@@ -124,22 +122,23 @@
     };
     holder.handle(90 * ONE_SECOND, holder::Input::Applied(grant));
     assert_eq!(holder.held_term(90 * ONE_SECOND, &lease(0)), None);
-    let asked = std::iter::from_fn(|| holder.output()).find_map(|o| match o {
-        Output::Renew(ask) if !ask.held.is_empty() => Some(ask),
+    let sent = std::iter::from_fn(|| holder.output()).find_map(|output| match output {
+        Output::Renew(request) if !request.held.is_empty() => Some(request),
         _ => None,
     });
-    let ask = asked.expect("it asks at once");
-    // The answer comes when the lease it gives has lost: counted from before the question, not from the answer.
-    let (renewed, recalled) = (ask.held, Vec::new());
-    let answer = RenewReply {
+    let request = sent.expect("a renewal request at once");
+    // The reply arrives after the lease time has passed, which starts when the request is sent.
+    let (renewed, recalled) = (request.held, Vec::new());
+    let reply = RenewReply {
         to: gateway(1),
-        stamp: ask.stamp,
+        stamp: request.stamp,
         renewed,
         recalled,
     };
-    holder.handle(94 * ONE_SECOND, holder::Input::Reply(answer));
+    holder.handle(94 * ONE_SECOND, holder::Input::Reply(reply));
     assert_eq!(holder.held_term(94 * ONE_SECOND, &lease(0)), None);
-    assert!(!std::iter::from_fn(|| holder.output()).any(|o| matches!(o, Output::Acquired(..))));
+    assert!(!std::iter::from_fn(|| holder.output())
+        .any(|output| matches!(output, Output::Acquired(..))));
 }
 
 #[test]
@@ -147,11 +146,11 @@
     let mut sim = Simulation::new(1, 1);
     sim.run(ONE_SECOND);
     assert_eq!(sim.holder_of(&lease(0)), Some(0));
-    let again = LeaseHolder {
+    let restarted = LeaseHolder {
         incarnation: 8,
         ..gateway(0)
     };
-    let mut holder = HolderState::new(settings(), again, sim.now);
+    let mut holder = HolderState::new(settings(), restarted, sim.now);
     for (name, record) in sim.grantor.table().iter() {
         let (lease, granted_to) = (name.clone(), record.holder.clone().unwrap());
         holder.handle(
@@ -194,17 +193,17 @@
     }
     sim.run(30 * ONE_SECOND);
     let holders: Vec<_> = (0..8)
-        .map(|d| sim.holder_of(&lease(d)).expect("a holder"))
+        .map(|n| sim.holder_of(&lease(n)).expect("a holder"))
         .collect();
     let loads: Vec<usize> = (0..3)
         .map(|n| holders.iter().filter(|holder| **holder == n).count())
         .collect();
-    assert!(loads.iter().all(|l| (2..=3).contains(l)), "{loads:?}");
-    assert_eq!(sim.lost.len(), 2, "no more moved than had to");
+    assert!(loads.iter().all(|load| (2..=3).contains(load)), "{loads:?}");
+    assert_eq!(sim.lost.len(), 2, "more leases moved than necessary");
 }
 
 #[test]
-fn entries_that_do_not_follow_have_no_effect() {
+fn entries_invalid_in_current_state_have_no_effect() {
     let mut table = LeaseTable::default();
     let grant = |n, term| Entry::Grant {
         lease: lease(0),
@@ -262,53 +261,56 @@
     );
 }
 
-/// Another gateway may have led and replied in between: the expiry times from before do not count.
+/// Another gateway may have led and sent replies in between, so the expiry times from before the re-election are outdated.
 #[test]
 fn leader_reelected_unnoticed_waits_again() {
     let mut sim = Simulation::new(2, 1);
     let old = sim.holder_of(&lease(0)).unwrap();
     sim.unreachable.insert(old);
-    // The other leader's reply, which the first one does not know of.
+    // Another leader renews the lease; the first leader does not learn of it.
     sim.run(2 * ONE_SECOND);
     sim.holders[old].handle(sim.now, holder::Input::Tick);
-    let ask = std::iter::from_fn(|| sim.holders[old].output()).find_map(|o| match o {
-        Output::Renew(ask) => Some(ask),
+    let sent = std::iter::from_fn(|| sim.holders[old].output()).find_map(|output| match output {
+        Output::Renew(request) => Some(request),
         _ => None,
     });
-    let ask = ask.expect("it goes on asking");
+    let request = sent.expect("another renewal request");
     let (renewed, recalled) = (vec![(lease(0), 1)], Vec::new());
-    let answer = RenewReply {
+    let reply = RenewReply {
         to: gateway(old),
-        stamp: ask.stamp,
+        stamp: request.stamp,
         renewed,
         recalled,
     };
-    sim.holders[old].handle(sim.now, holder::Input::Reply(answer));
+    sim.holders[old].handle(sim.now, holder::Input::Reply(reply));
     assert_eq!(sim.held_term(old, &lease(0)), Some(1));
     sim.grantor.handle(sim.now, grantor::Input::BecameLeader);
     for _ in 0..80 {
         sim.run(ONE_SECOND / 10);
-        // Asserts that no two hold it.
+        // `holder_of` asserts that at most one gateway holds the lease.
         sim.holder_of(&lease(0));
     }
     assert!(sim.holder_of(&lease(0)).is_some_and(|n| n != old));
 }
 
-/// Seed 1006 of `owners`: a draining process was granted its lease again three milliseconds after it had released it, and
-/// ended while it held it.
+/// Guards against a failure under seed 1006 of `owners`: three milliseconds after a draining process had released its lease,
+/// a request that it had sent earlier arrived, and it was granted the lease again. It then ended as the holder.
 #[test]
 fn ineligible_gateway_gets_nothing_on_older_request() {
-    let ask = |stamp, able, back: Vec<(LeaseName, Term)>| RenewRequest {
+    let request = |stamp, eligible, released: Vec<(LeaseName, Term)>| RenewRequest {
         from: gateway(0),
         stamp,
-        eligible: able,
+        eligible,
         held: vec![],
-        released: back,
+        released,
     };
     let mut grantor = LeaseGrantor::new(settings(), [lease(0)].into());
     grantor.handle(0, grantor::Input::BecameLeader);
-    grantor.handle(0, grantor::Input::Renew(ask(1, true, vec![])));
-    grantor.handle(2 * ONE_SECOND, grantor::Input::Renew(ask(2, true, vec![])));
+    grantor.handle(0, grantor::Input::Renew(request(1, true, vec![])));
+    grantor.handle(
+        2 * ONE_SECOND,
+        grantor::Input::Renew(request(2, true, vec![])),
+    );
     let grant = Entry::Grant {
         lease: lease(0),
         holder: gateway(0),
@@ -321,11 +323,11 @@
     grantor.handle(2 * ONE_SECOND, grantor::Input::Applied(grant.clone()));
     grantor.handle(
         2 * ONE_SECOND + 1,
-        grantor::Input::Renew(ask(4, false, vec![(lease(0), 1)])),
+        grantor::Input::Renew(request(4, false, vec![(lease(0), 1)])),
     );
     grantor.handle(
         2 * ONE_SECOND + 2,
-        grantor::Input::Renew(ask(3, true, vec![])),
+        grantor::Input::Renew(request(3, true, vec![])),
     );
     let release = Entry::Released {
         lease: lease(0),
@@ -336,14 +338,14 @@
         Some(grantor::Output::Propose(release.clone()))
     );
     grantor.handle(2 * ONE_SECOND + 3, grantor::Input::Applied(release));
-    assert_eq!(grantor.output(), None, "granted on a word that came late");
-    // And the holder releases what it is granted all the same.
+    assert_eq!(grantor.output(), None, "granted on an outdated request");
+    // A gateway that is not eligible releases a lease that it is granted nevertheless.
     let mut holder = HolderState::new(settings(), gateway(0), 0);
     holder.handle(0, holder::Input::SetEligible(false));
     while holder.output().is_some() {}
     holder.handle(ONE_SECOND, holder::Input::Applied(grant));
-    let Some(Output::Renew(ask)) = holder.output() else {
-        panic!("no word of it")
+    let Some(Output::Renew(sent)) = holder.output() else {
+        panic!("no renewal request")
     };
-    assert_eq!((ask.held, ask.released), (vec![], vec![(lease(0), 1)]));
+    assert_eq!((sent.held, sent.released), (vec![], vec![(lease(0), 1)]));
 }
--- a/src/lease/tests/model/scenario.rs
+++ b/src/lease/tests/model/scenario.rs
@@ -1,4 +1,4 @@
-//! The model: holders, grantors and the messages in flight.
+//! The model: holders, grantors, and the messages in flight.
 
 use std::collections::BTreeSet;
 
@@ -12,24 +12,24 @@
 use crate::lease::table::Entry;
 use crate::lease::{LeaseHolder, LeaseName, Settings, Term};
 
-/// What is explored, and which guard is switched off.
+/// The bounds of the exploration, and the guards in effect.
 #[derive(Clone, Debug)]
 pub(super) struct Scenario {
-    /// The number of instants.
-    pub(super) times: Micros,
-    /// Elections after the first leader.
-    pub(super) elections: u8,
+    /// The time at which the clock stops.
+    pub(super) end_time: Micros,
+    /// The maximum number of elections after that of the first leader.
+    pub(super) max_elections: u8,
     /// The settings of the holders.
     pub(super) holder: Settings,
     /// The settings of the grantors.
     pub(super) grantor: Settings,
-    /// Whether only the leader is confirmed.
-    pub(super) confirms: bool,
+    /// Whether a grantor that no longer leads gets no confirmation.
+    pub(super) confirms_leadership: bool,
     /// Whether receivers reject old terms.
     pub(super) fences: bool,
-    /// The number of messages that may arrive twice.
+    /// The maximum number of messages that arrive twice.
     pub(super) duplicates: u8,
-    /// Whether an effect may arrive at any later time; else it arrives at once.
+    /// Whether an effect may arrive at any later time; otherwise it arrives at once.
     pub(super) late_effects: bool,
 }
 
@@ -43,24 +43,27 @@
     elections: u8,
     requests: BTreeSet<RenewRequest>,
     replies: BTreeSet<RenewReply>,
-    /// Messages that may still arrive twice.
+    /// The number of messages that may still arrive twice.
     duplicates: u8,
-    /// Confirmed rounds, by grantor and number.
+    /// Confirmations in flight, by grantor and number.
     confirmed: BTreeSet<(usize, u64)>,
+    /// The terms under which an effect was sent.
     effects: BTreeSet<Term>,
     fence: Fence,
-    last_received: Term,
+    /// The highest term of the effects that the receiver admitted.
+    highest_received: Term,
+    /// Whether the receiver admitted an effect below that term.
     out_of_order: bool,
 }
 
-/// Whether a message that arrives stays in flight.
+/// Whether a message stays in flight when it arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Delivery {
     Last,
     Duplicate,
 }
 
-/// A holder or a grantor, and how many entries of the log it has applied.
+/// A holder or a grantor, and the number of log entries that it has applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Process<T> {
     state: T,
@@ -114,7 +117,8 @@
         self.handle_grantor(index, grantor::Input::Applied(entry));
     }
 
-    /// Idle holders stay candidates, and the leader places leases: no guard depends on when they do.
+    /// Advances the clock, lets holders without a lease renew their candidacy, and lets the leader place leases. No guard depends
+    /// on the time of these steps, so the model does not vary it.
     fn advance_time(&mut self) {
         self.now += 1;
         for holder in &mut self.holders {
@@ -134,8 +138,8 @@
         self.handle_grantor(index, grantor::Input::BecameLeader);
     }
 
-    /// Uses up a duplicate, unless the message arrives for the last time.
-    fn is_last(&mut self, delivery: Delivery) -> bool {
+    /// Returns whether the message arrives for the last time; counts it as a duplicate otherwise.
+    fn take_delivery(&mut self, delivery: Delivery) -> bool {
         if delivery == Delivery::Duplicate {
             self.duplicates -= 1;
         }
@@ -144,25 +148,25 @@
 }
 
 impl Scenario {
-    /// A scenario with all guards.
-    pub(super) fn guarded(times: Micros, elections: u8, lease: Micros) -> Scenario {
+    /// A scenario with all guards enabled.
+    pub(super) fn guarded(end_time: Micros, max_elections: u8, duration: Micros) -> Scenario {
         let settings = Settings {
-            duration: lease,
+            duration,
             drift_ppm: 0,
         };
         Scenario {
-            times,
-            elections,
+            end_time,
+            max_elections,
             holder: settings,
             grantor: settings,
-            confirms: true,
+            confirms_leadership: true,
             fences: true,
             duplicates: 0,
             late_effects: false,
         }
     }
 
-    fn settle(&self, state: &mut State) {
+    fn process_outputs(&self, state: &mut State) {
         for holder in 0..state.holders.len() {
             while let Some(output) = state.holders[holder].state.output() {
                 self.on_holder_output(state, output);
@@ -180,11 +184,11 @@
             return;
         };
         if request.held.is_empty() {
-            // Eligibility is known at once: nothing depends on it.
+            // The leader learns of eligibility at once, as no guard depends on it.
             let leader = state.leader;
             state.handle_grantor(leader, grantor::Input::Renew(request));
         } else {
-            // Of a holder's requests, and of the replies to them, the last one is in flight.
+            // Only the last request of each holder, and the last reply to it, is in flight.
             state.requests.retain(|other| other.from != request.from);
             state.requests.insert(request);
         }
@@ -193,9 +197,9 @@
     fn on_grantor_output(&self, state: &mut State, grantor: usize, output: grantor::Output) {
         let leads = state.leader == grantor;
         match output {
-            // A confirmation may come at any time; a former leader gets none.
+            // A confirmation may arrive at any later time; a former leader gets none.
             grantor::Output::Confirm(number) => {
-                if leads || !self.confirms {
+                if leads || !self.confirms_leadership {
                     state.confirmed.insert((grantor, number));
                 }
             }
@@ -203,7 +207,7 @@
                 state.replies.retain(|other| other.to != reply.to);
                 state.replies.insert(reply);
             }
-            // Committed at once, or lost with a former leader.
+            // The leader's proposal is committed at once; that of a former leader is lost.
             grantor::Output::Propose(entry) => {
                 if leads {
                     state.log.push(entry);
@@ -214,12 +218,12 @@
 
     fn receive(&self, state: &mut State, term: Term) {
         if !self.fences || state.fence.admit(&lease(), term).is_ok() {
-            state.out_of_order |= term < state.last_received;
-            state.last_received = state.last_received.max(term);
+            state.out_of_order |= term < state.highest_received;
+            state.highest_received = state.highest_received.max(term);
         }
     }
 
-    /// Whether a message may arrive for the last time, or also stay in flight.
+    /// The possible deliveries of a message: for the last time, or as a duplicate while the limit allows it.
     fn deliveries(&self, state: &State) -> impl Iterator<Item = Delivery> {
         let duplicate = (state.duplicates > 0).then_some(Delivery::Duplicate);
         [Delivery::Last].into_iter().chain(duplicate)
@@ -246,7 +250,7 @@
             if grantor.applied < state.log.len() {
                 steps.push(Step::GrantorApplies(index));
             }
-            if index != state.leader && state.elections < self.elections {
+            if index != state.leader && state.elections < self.max_elections {
                 steps.push(Step::Elect(index));
             }
             for delivery in self.deliveries(state) {
@@ -289,13 +293,13 @@
             confirmed: BTreeSet::new(),
             effects: BTreeSet::new(),
             fence: Fence::default(),
-            last_received: 0,
+            highest_received: 0,
             out_of_order: false,
         }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.now < self.times {
+        if state.now < self.end_time {
             steps.push(Step::Time);
         }
         self.holder_steps(state, steps);
@@ -319,13 +323,13 @@
             Step::HolderApplies(index) => state.apply_at_holder(index),
             Step::GrantorApplies(index) => state.apply_at_grantor(index),
             Step::Request(index, request, delivery) => {
-                if state.is_last(delivery) {
+                if state.take_delivery(delivery) {
                     state.requests.remove(&request);
                 }
                 state.handle_grantor(index, grantor::Input::Renew(request));
             }
             Step::Reply(reply, delivery) => {
-                if state.is_last(delivery) {
+                if state.take_delivery(delivery) {
                     state.replies.remove(&reply);
                 }
                 let is_receiver = |holder: &Process<HolderState>| *holder.state.own() == reply.to;
@@ -346,20 +350,24 @@
             }
             Step::Received(term) => self.receive(&mut state, term),
         }
-        self.settle(&mut state);
+        self.process_outputs(&mut state);
         (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one at a time", |_, state: &State| {
-                let holds = |holder: &&Process<HolderState>| {
+            Property::always("at most one holder", |_, state: &State| {
+                let is_holder = |holder: &&Process<HolderState>| {
                     holder.state.held_term(state.now, &lease()).is_some()
                 };
-                state.holders.iter().filter(holds).count() <= 1
+                state.holders.iter().filter(is_holder).count() <= 1
+            }),
+            Property::always("effects in term order", |_, state: &State| {
+                !state.out_of_order
+            }),
+            Property::sometimes("lease changes holder", |_, state: &State| {
+                state.highest_received >= 2
             }),
-            Property::always("terms in order", |_, state: &State| !state.out_of_order),
-            Property::sometimes("handed on", |_, state: &State| state.last_received >= 2),
         ]
     }
 }
--- a/src/lease/tests/simulation.rs
+++ b/src/lease/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! A grantor and holders without a network.
+//! A simulation of a grantor and holders without a network.
 
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A grantor and holders, with messages that arrive at once unless a test drops them.
+/// A grantor and holders. Messages arrive without delay unless a test drops them.
 pub(super) struct Simulation {
     pub(super) now: Micros,
     pub(super) grantor: LeaseGrantor,
@@ -56,12 +56,12 @@
             acquired: Vec::new(),
             lost: Vec::new(),
         };
-        // Candidates are collected first.
+        // The grantor collects candidates before its first grants.
         sim.run(2 * ONE_SECOND);
         sim
     }
 
-    pub(super) fn applied(&mut self, entry: Entry) {
+    pub(super) fn apply(&mut self, entry: Entry) {
         self.grantor
             .handle(self.now, grantor::Input::Applied(entry.clone()));
         for n in 0..self.holders.len() {
@@ -71,63 +71,64 @@
         }
     }
 
-    pub(super) fn pump(&mut self) {
+    pub(super) fn deliver_messages(&mut self) {
         loop {
-            let mut quiet = true;
+            let mut is_idle = true;
             while let Some(output) = self.grantor.output() {
-                quiet = false;
+                is_idle = false;
                 match output {
                     grantor::Output::Confirm(n) => {
                         self.grantor.handle(self.now, grantor::Input::Confirmed(n))
                     }
-                    grantor::Output::Propose(entry) => self.applied(entry),
-                    grantor::Output::Reply(answer) => {
+                    grantor::Output::Propose(entry) => self.apply(entry),
+                    grantor::Output::Reply(reply) => {
                         let to = self
                             .holders
                             .iter()
-                            .position(|h| *h.own() == answer.to)
+                            .position(|holder| *holder.own() == reply.to)
                             .unwrap();
                         if !self.unreachable.contains(&to) {
-                            self.holders[to].handle(self.now, holder::Input::Reply(answer));
+                            self.holders[to].handle(self.now, holder::Input::Reply(reply));
                         }
                     }
                 }
             }
             for n in 0..self.holders.len() {
                 while let Some(output) = self.holders[n].output() {
-                    quiet = false;
+                    is_idle = false;
                     match output {
-                        Output::Renew(ask) => {
+                        Output::Renew(request) => {
                             self.requests += 1;
                             if !self.unreachable.contains(&n) {
-                                self.grantor.handle(self.now, grantor::Input::Renew(ask));
+                                self.grantor
+                                    .handle(self.now, grantor::Input::Renew(request));
                             }
                         }
-                        Output::Acquired(d, t) => self.acquired.push((n, d, t)),
-                        Output::Lost(d, t) => self.lost.push((n, d, t)),
+                        Output::Acquired(name, term) => self.acquired.push((n, name, term)),
+                        Output::Lost(name, term) => self.lost.push((n, name, term)),
                     }
                 }
             }
-            if quiet {
+            if is_idle {
                 return;
             }
         }
     }
 
-    pub(super) fn run(&mut self, time: Micros) {
-        let end = self.now + time;
+    pub(super) fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         loop {
-            for h in &mut self.holders {
-                h.handle(self.now, holder::Input::Tick);
+            for holder in &mut self.holders {
+                holder.handle(self.now, holder::Input::Tick);
             }
             self.grantor.handle(self.now, grantor::Input::Tick);
-            self.pump();
+            self.deliver_messages();
             let next = self
                 .holders
                 .iter()
                 .map(HolderState::next_deadline)
                 .chain(self.grantor.next_deadline(self.now));
-            let next = next.filter(|t| *t > self.now).min().unwrap_or(end);
+            let next = next.filter(|at| *at > self.now).min().unwrap_or(end);
             if next >= end {
                 self.now = end;
                 return;
@@ -136,15 +137,18 @@
         }
     }
 
-    pub(super) fn held_term(&self, n: usize, d: &LeaseName) -> Option<Term> {
-        self.holders[n].held_term(self.now, d)
+    pub(super) fn held_term(&self, n: usize, name: &LeaseName) -> Option<Term> {
+        self.holders[n].held_term(self.now, name)
     }
 
-    pub(super) fn holder_of(&self, d: &LeaseName) -> Option<usize> {
-        let may: Vec<usize> = (0..self.holders.len())
-            .filter(|n| self.held_term(*n, d).is_some())
+    pub(super) fn holder_of(&self, name: &LeaseName) -> Option<usize> {
+        let holders: Vec<usize> = (0..self.holders.len())
+            .filter(|n| self.held_term(*n, name).is_some())
             .collect();
-        assert!(may.len() <= 1, "{may:?} may all do {d}");
-        may.first().copied()
+        assert!(
+            holders.len() <= 1,
+            "{name} has several holders: {holders:?}"
+        );
+        holders.first().copied()
     }
 }
