--- a/src/health_checks/mod.rs
+++ b/src/health_checks/mod.rs
@@ -1,12 +1,13 @@
-//! Health checks by a lease holder: one gateway probes a worker that does not answer, for all gateways.
+//! Health checks by a lease holder: one gateway probes unresponsive workers on behalf of all gateways.
 //!
-//! Each gateway observes the outcomes of its own requests. One that got no answer from a worker reports to the holder of the
-//! lease [`NAME`]. The holder probes the worker itself. If that fails too, it announces the worker as unhealthy, probes it
-//! again with growing pauses, and announces when it answers. The decision module takes the announcements as advice: an
-//! unhealthy worker is tried last for a while, a healthy one may be used at once. While nobody holds the lease, or the holder
-//! cannot be reached, nothing is announced, earlier announcements expire, and each gateway relies on its own observations.
+//! Each gateway observes the outcomes of its own requests. A gateway that gets no answer from a worker reports the worker to
+//! the holder of the lease [`NAME`]. The holder probes the worker itself. If the probe fails too, it announces the worker as
+//! unhealthy, repeats the probe with exponential backoff, and announces the worker as healthy once it answers. The decision
+//! module takes the announcements as advice: for a limited time it tries an unhealthy worker last, and it may use a healthy
+//! worker at once. While no gateway holds the lease, or the holder cannot be reached, nothing is announced, earlier
+//! announcements expire, and each gateway relies on its own observations.
 //!
-//! Late or repeated messages do no harm: a probe is a ping, and a verdict only moves a worker in the order for
+//! Late or repeated messages are harmless: a probe is a ping, and a verdict only changes the rank of a worker, for
 //! [`VERDICT_TIMEOUT`].
 
 #[cfg(test)]
@@ -17,28 +18,30 @@
 use crate::api::{Micros, WorkerId};
 use crate::membership::group::Observed;
 
-/// The name of the lease.
+/// The name of the lease for health checks.
 pub const NAME: &str = "trials";
-/// Consecutive failures before the holder is notified. One: in a large fleet each gateway meets a silent worker once, and the
-/// holder's probe shows whether it is unhealthy.
-const REPORT_FAILURES: u32 = 1;
-/// Consecutive failures of own requests that make a worker count as bad when the gateway checks itself.
-const SELF_CHECK_FAILURES: u32 = 2;
-/// The pause after the first failed probe; it doubles with each further one. The same as the module's for outliers.
+/// The number of consecutive failed requests from which on a worker is reported to the holder. One is enough: in a large fleet
+/// each gateway may send only one request to a silent worker, and the holder's probe shows whether the worker is unhealthy.
+const MIN_FAILURES_TO_REPORT: u32 = 1;
+/// The number of consecutive failed requests from which on a worker counts as failing in the gateway's self-check.
+const MIN_FAILURES_IN_SELF_CHECK: u32 = 2;
+/// The pause after the first failed probe, equal to the decision module's pause for outliers. It doubles with each further
+/// failure.
 const INITIAL_BACKOFF: Micros = 250_000;
-/// How often the pause doubles at most.
+/// The maximum number of times that the pause doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// A probe without an answer by then has failed.
+/// How long the holder waits for the answer to a probe.
 const PROBE_TIMEOUT: Micros = 500_000;
-/// How often the holder repeats which workers are unhealthy, so that a gateway that has just started learns it too.
+/// How often the holder repeats the announcement of unhealthy workers, for gateways that have just started.
 const ANNOUNCE_INTERVAL: Micros = 1_000_000;
-/// How long a verdict counts after it was received: three may get lost.
+/// How long a verdict is valid after its arrival. Three repeats are due in this time, so that a few may be lost.
 pub const VERDICT_TIMEOUT: Micros = 4_000_000;
-/// How often the holder is notified of the same worker.
+/// The minimum interval between reports of the same worker.
 const REPORT_INTERVAL: Micros = 1_000_000;
-/// Workers that the holder checks at once; the gateways rely on their own observations for further ones.
+/// The maximum number of workers that the holder checks at the same time; for further workers, gateways rely on their own
+/// observations.
 const MAX_CHECKED_WORKERS: usize = 256;
-/// With fewer workers than this, a gateway does not check itself.
+/// The minimum number of ready workers for a self-check.
 const MIN_SELF_CHECK_WORKERS: usize = 4;
 
 /// Whether a probe was answered.
@@ -70,7 +73,7 @@
     LeaseChanged(bool),
     /// Another gateway got no answer from a worker.
     ReportReceived(WorkerId),
-    /// The holder announces the health of workers.
+    /// The holder announced the health of workers.
     Verdicts(Vec<Verdict>),
     /// A probe of this gateway ended.
     ProbeEnded(WorkerId, ProbeResult),
@@ -87,9 +90,9 @@
     Probe(WorkerId),
     /// Announce the health of workers to all gateways.
     Announce(Vec<Verdict>),
-    /// Advise the decision module: unhealthy until then, or healthy.
+    /// Advise the decision module that a worker is unhealthy until the given time, or healthy if there is none.
     Advise(WorkerId, Option<Micros>),
-    /// Whether this gateway can do the checks.
+    /// Set whether this gateway is capable of the checks.
     SetCapable(bool),
 }
 
@@ -98,7 +101,7 @@
 struct CheckedWorker {
     next_probe_at: Micros,
     failures: u32,
-    /// When the probe in progress was sent.
+    /// When the probe in progress was sent; `None` if none is.
     probed_at: Option<Micros>,
 }
 
@@ -113,14 +116,15 @@
     }
 }
 
-/// Consecutive failures of own requests to one worker.
+/// The consecutive failed requests of this gateway to one worker.
 #[derive(Clone, Debug, Default)]
 struct FailedRequests {
     count: u32,
+    /// When the worker was last reported to the holder.
     reported_at: Option<Micros>,
 }
 
-/// One gateway's part in health checks.
+/// The health checks of one gateway, as an observer and as the lease holder.
 #[derive(Clone, Debug, Default)]
 pub struct HealthChecker {
     is_holder: bool,
@@ -128,18 +132,19 @@
     failed_requests: BTreeMap<WorkerId, FailedRequests>,
     /// The workers that this gateway checks as the lease holder.
     checked: BTreeMap<WorkerId, CheckedWorker>,
-    /// The workers that the holder announced as unhealthy, and until when that counts.
+    /// The workers that the holder announced as unhealthy, and when each announcement expires.
     announced: BTreeMap<WorkerId, Micros>,
+    /// The last [`Output::SetCapable`].
     capable: Option<bool>,
-    /// When the holder repeats its announcement.
+    /// When this gateway, as the holder, repeats its announcement.
     next_announcement_at: Option<Micros>,
-    /// The number of probes made.
+    /// The number of probes that this gateway has sent.
     pub probes: u64,
     outputs: VecDeque<Output>,
 }
 
 impl HealthChecker {
-    /// The workers that are unhealthy by own probes as the holder, or by the holder's announcements.
+    /// The workers that this gateway checks as the holder, and those that the holder announced as unhealthy.
     pub fn unhealthy(&self) -> impl Iterator<Item = WorkerId> + '_ {
         let announced = self
             .announced
@@ -194,7 +199,7 @@
     fn on_answer(&mut self, worker: WorkerId) {
         self.failed_requests.remove(&worker);
         self.set_healthy(worker);
-        // An own observation counts more than an announcement.
+        // The gateway's own observation takes precedence over an announcement.
         if self.announced.remove(&worker).is_some() {
             self.outputs.push_back(Output::Advise(worker, None));
         }
@@ -206,10 +211,10 @@
         }
         let failed = self.failed_requests.entry(worker).or_default();
         failed.count = failed.count.saturating_add(1);
-        let reported_lately = failed
+        let reported_recently = failed
             .reported_at
             .is_some_and(|at| now < at + REPORT_INTERVAL);
-        if failed.count < REPORT_FAILURES || reported_lately {
+        if failed.count < MIN_FAILURES_TO_REPORT || reported_recently {
             return;
         }
         failed.reported_at = Some(now.max(1));
@@ -228,7 +233,8 @@
         self.ready = ready;
     }
 
-    /// Drops the state of the last tenure, so that nothing is announced late; a new holder starts with what was announced.
+    /// Drops the state from an earlier time as the holder, so that nothing outdated is announced. A new holder starts with the
+    /// workers that the previous holder announced.
     fn set_is_holder(&mut self, now: Micros, held: bool) {
         self.is_holder = held;
         self.checked.clear();
@@ -257,7 +263,8 @@
         self.outputs.push_back(Output::Advise(worker, until));
     }
 
-    /// Probes a worker before it is announced: a report alone may be a fault of the reporting gateway.
+    /// Schedules a probe of a worker. It is announced only if the probe fails, as a report may be due to a fault of the reporting
+    /// gateway.
     fn start_checking(&mut self, now: Micros, worker: WorkerId) {
         let is_known = self.checked.contains_key(&worker);
         let is_full = self.checked.len() >= MAX_CHECKED_WORKERS;
@@ -363,23 +370,24 @@
         }
     }
 
-    /// A gateway that finds more than half of all workers bad is more likely to be cut off itself.
+    /// Checks whether this gateway is capable of health checks. If more than half of the ready workers seem to fail, the gateway
+    /// itself is more likely to be cut off.
     fn check_self(&mut self) {
-        let bad = self
+        let failing = self
             .ready
             .iter()
-            .filter(|worker| self.is_bad(worker))
+            .filter(|worker| self.is_failing(worker))
             .count();
-        let capable = self.ready.len() < MIN_SELF_CHECK_WORKERS || 2 * bad <= self.ready.len();
+        let capable = self.ready.len() < MIN_SELF_CHECK_WORKERS || 2 * failing <= self.ready.len();
         if self.capable.replace(capable) != Some(capable) {
             self.outputs.push_back(Output::SetCapable(capable));
         }
     }
 
-    fn is_bad(&self, worker: &WorkerId) -> bool {
+    fn is_failing(&self, worker: &WorkerId) -> bool {
         let failed = self.failed_requests.get(worker);
         let checked = self.checked.get(worker);
-        failed.is_some_and(|failed| failed.count >= SELF_CHECK_FAILURES)
+        failed.is_some_and(|failed| failed.count >= MIN_FAILURES_IN_SELF_CHECK)
             || checked.is_some_and(CheckedWorker::is_unhealthy)
     }
 }
--- a/src/health_checks/tests.rs
+++ b/src/health_checks/tests.rs
@@ -9,17 +9,17 @@
 
 const MS: Micros = 1_000;
 
-fn drained(checker: &mut HealthChecker) -> Vec<Output> {
+fn drain_outputs(checker: &mut HealthChecker) -> Vec<Output> {
     std::iter::from_fn(|| checker.output())
-        .filter(|o| !matches!(o, Output::SetCapable(true)))
+        .filter(|output| !matches!(output, Output::SetCapable(true)))
         .collect()
 }
 
-fn started(lease_held: bool, workers: u32) -> HealthChecker {
+fn new_checker(is_holder: bool, workers: u32) -> HealthChecker {
     let mut checker = HealthChecker::default();
     checker.handle(0, Input::Ready((0..workers).map(WorkerId).collect()));
-    checker.handle(0, Input::LeaseChanged(lease_held));
-    drained(&mut checker);
+    checker.handle(0, Input::LeaseChanged(is_holder));
+    drain_outputs(&mut checker);
     checker
 }
 
@@ -38,44 +38,44 @@
 }
 
 #[test]
-fn unanswered_worker_is_reported_once_an_interval() {
-    let (mut checker, worker) = (started(false, 3), WorkerId(1));
+fn unanswered_worker_is_reported_once_per_interval() {
+    let (mut checker, worker) = (new_checker(false, 3), WorkerId(1));
     checker.handle(1, Input::Outcome(worker, Observed::Answered));
-    assert_eq!(drained(&mut checker), []);
+    assert_eq!(drain_outputs(&mut checker), []);
     checker.handle(5, Input::Outcome(worker, Observed::Refused));
-    assert_eq!(drained(&mut checker), [Output::Report(worker)]);
+    assert_eq!(drain_outputs(&mut checker), [Output::Report(worker)]);
     checker.handle(
         5 + REPORT_INTERVAL,
         Input::Outcome(worker, Observed::Refused),
     );
-    assert_eq!(drained(&mut checker), [Output::Report(worker)]);
+    assert_eq!(drain_outputs(&mut checker), [Output::Report(worker)]);
 }
 
 #[test]
 fn holder_probes_before_it_announces_with_growing_backoff() {
-    let (mut checker, worker) = (started(true, 3), WorkerId(1));
+    let (mut checker, worker) = (new_checker(true, 3), WorkerId(1));
     checker.handle(0, Input::ReportReceived(worker));
     checker.handle(0, Input::ReportReceived(worker));
-    assert_eq!(drained(&mut checker), [Output::Probe(worker)]);
+    assert_eq!(drain_outputs(&mut checker), [Output::Probe(worker)]);
     checker.handle(10 * MS, Input::ProbeEnded(worker, ProbeResult::Answered));
     assert_eq!(
-        drained(&mut checker),
+        drain_outputs(&mut checker),
         [],
-        "it answered: the report was a fault of its sender"
+        "a worker that answers the probe is not announced"
     );
-    let mut tries = Vec::new();
+    let mut probed_at = Vec::new();
     checker.handle(20 * MS, Input::ReportReceived(worker));
     for now in (20..20_000).map(|n| n * MS) {
         checker.handle(now, Input::Tick);
-        tries.extend(
-            drained(&mut checker)
+        probed_at.extend(
+            drain_outputs(&mut checker)
                 .contains(&Output::Probe(worker))
                 .then_some(now),
         );
     }
-    let pauses: Vec<Micros> = tries
+    let pauses: Vec<Micros> = probed_at
         .windows(2)
-        .map(|t| t[1] - t[0] - PROBE_TIMEOUT)
+        .map(|pair| pair[1] - pair[0] - PROBE_TIMEOUT)
         .collect();
     assert_eq!(
         pauses[..5],
@@ -83,7 +83,7 @@
     );
     checker.handle(30_000 * MS, Input::Outcome(worker, Observed::Answered));
     assert_eq!(
-        drained(&mut checker),
+        drain_outputs(&mut checker),
         [
             Output::Announce(vec![healthy(worker)]),
             Output::Advise(worker, None)
@@ -93,35 +93,35 @@
 
 #[test]
 fn holder_repeats_announcement_until_worker_is_healthy() {
-    let (mut checker, worker) = (started(true, 3), WorkerId(1));
+    let (mut checker, worker) = (new_checker(true, 3), WorkerId(1));
     checker.handle(0, Input::ReportReceived(worker));
     let (mut now, mut announced) = (0, Vec::new());
     while now < 10_000 * MS {
         now += 10 * MS;
         checker.handle(now, Input::Tick);
         announced.extend(
-            drained(&mut checker)
+            drain_outputs(&mut checker)
                 .into_iter()
-                .filter(|o| matches!(o, Output::Announce(_)))
-                .map(|o| (now, o)),
+                .filter(|output| matches!(output, Output::Announce(_)))
+                .map(|output| (now, output)),
         );
     }
     assert!(announced
         .iter()
-        .all(|(_, o)| *o == Output::Announce(vec![unhealthy(worker)])));
+        .all(|(_, output)| *output == Output::Announce(vec![unhealthy(worker)])));
     assert!(
         announced
             .windows(2)
-            .all(|t| t[1].0 - t[0].0 <= ANNOUNCE_INTERVAL)
+            .all(|pair| pair[1].0 - pair[0].0 <= ANNOUNCE_INTERVAL)
             && announced.len() >= 9,
         "{announced:?}"
     );
     const { assert!(3 * ANNOUNCE_INTERVAL < VERDICT_TIMEOUT) };
     checker.handle(now, Input::Outcome(worker, Observed::Answered));
-    drained(&mut checker);
+    drain_outputs(&mut checker);
     now += 10_000 * MS;
     checker.handle(now, Input::Tick);
-    let outputs = drained(&mut checker);
+    let outputs = drain_outputs(&mut checker);
     assert!(
         !outputs.contains(&Output::Announce(vec![unhealthy(worker)])),
         "{outputs:?}"
@@ -129,14 +129,14 @@
 }
 
 #[test]
-fn verdict_expires_and_yields_to_own_observation() {
-    let (mut checker, worker) = (started(false, 3), WorkerId(1));
+fn verdict_expires_or_is_replaced_by_own_observation() {
+    let (mut checker, worker) = (new_checker(false, 3), WorkerId(1));
     checker.handle(
         0,
         Input::Verdicts(vec![unhealthy(worker), unhealthy(WorkerId(99))]),
     );
     assert_eq!(
-        drained(&mut checker),
+        drain_outputs(&mut checker),
         [Output::Advise(worker, Some(VERDICT_TIMEOUT))],
         "a worker that is not ready is ignored"
     );
@@ -144,17 +144,17 @@
     checker.handle(VERDICT_TIMEOUT, Input::Tick);
     assert_eq!(checker.unhealthy().count(), 0);
     checker.handle(VERDICT_TIMEOUT, Input::Verdicts(vec![unhealthy(worker)]));
-    drained(&mut checker);
+    drain_outputs(&mut checker);
     checker.handle(
         VERDICT_TIMEOUT + 1,
         Input::Outcome(worker, Observed::Answered),
     );
-    assert_eq!(drained(&mut checker), [Output::Advise(worker, None)]);
+    assert_eq!(drain_outputs(&mut checker), [Output::Advise(worker, None)]);
 }
 
 #[test]
-fn holder_that_finds_most_unhealthy_gives_up() {
-    let mut checker = started(true, 6);
+fn holder_with_most_workers_unhealthy_becomes_incapable() {
+    let mut checker = new_checker(true, 6);
     for n in 0..4 {
         checker.handle(n, Input::ReportReceived(WorkerId(n as u32)));
         checker.handle(
@@ -162,7 +162,7 @@
             Input::ProbeEnded(WorkerId(n as u32), ProbeResult::Failed),
         );
     }
-    assert!(drained(&mut checker).contains(&Output::SetCapable(false)));
+    assert!(drain_outputs(&mut checker).contains(&Output::SetCapable(false)));
     checker.handle(9, Input::Outcome(WorkerId(0), Observed::Answered));
     let outputs: Vec<Output> = std::iter::from_fn(|| checker.output()).collect();
     assert!(outputs.contains(&Output::SetCapable(true)));
@@ -170,24 +170,24 @@
 
 #[test]
 fn next_holder_continues_with_announced_workers() {
-    let (mut checker, worker) = (started(false, 3), WorkerId(1));
+    let (mut checker, worker) = (new_checker(false, 3), WorkerId(1));
     checker.handle(0, Input::Verdicts(vec![unhealthy(worker)]));
     checker.handle(MS, Input::LeaseChanged(true));
-    assert!(drained(&mut checker).contains(&Output::Probe(worker)));
+    assert!(drain_outputs(&mut checker).contains(&Output::Probe(worker)));
     checker.handle(2 * MS, Input::ProbeEnded(worker, ProbeResult::Failed));
-    assert!(drained(&mut checker).contains(&Output::Announce(vec![unhealthy(worker)])));
+    assert!(drain_outputs(&mut checker).contains(&Output::Announce(vec![unhealthy(worker)])));
 }
 
 #[test]
 fn former_holder_announces_nothing() {
-    let mut checker = started(true, 3);
+    let mut checker = new_checker(true, 3);
     checker.handle(0, Input::ReportReceived(WorkerId(1)));
-    drained(&mut checker);
+    drain_outputs(&mut checker);
     checker.handle(1, Input::LeaseChanged(false));
     checker.handle(
         10_000 * MS,
         Input::ProbeEnded(WorkerId(1), ProbeResult::Failed),
     );
     checker.handle(20_000 * MS, Input::Tick);
-    assert_eq!(drained(&mut checker), []);
+    assert_eq!(drain_outputs(&mut checker), []);
 }
--- a/src/load_coordination/coordinator.rs
+++ b/src/load_coordination/coordinator.rs
@@ -1,4 +1,4 @@
-//! One gateway's part in load coordination, as a requester and as the holder of shards.
+//! The load coordinator of one gateway, as a requester and as the holder of shards.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,54 +10,55 @@
 use crate::api::{FunctionId, Micros};
 use crate::lease::LeaseName;
 
-/// Orders for one copy that wait.
+/// The waiting orders for one copy.
 #[derive(Clone, Debug)]
 struct WaitingOrders {
     numbers: BTreeSet<u64>,
+    /// When the orders are sent without coordination.
     deadline: Micros,
-    /// Whether the holder was asked and has not answered yet.
+    /// Whether the holder has been asked and has not answered yet.
     awaiting_answer: bool,
 }
 
-/// The gateway that loads a copy.
+/// The assignment of a load to a gateway.
 #[derive(Clone, Debug)]
 struct Assignment {
     gateway: Arc<str>,
     expires_at: Micros,
 }
 
-/// Copies that are resident at a worker.
+/// The number of resident copies of a function at a worker.
 #[derive(Clone, Debug)]
 struct ResidentCopies {
     count: u32,
     expires_at: Micros,
 }
 
-/// The state of one gateway.
+/// Delays the load orders of one gateway and coordinates them with other gateways.
 #[derive(Clone, Debug)]
 pub struct LoadCoordinator {
     own_name: Arc<str>,
     shards: Vec<LeaseName>,
-    /// Shards of which this gateway holds the lease.
-    own_shards: BTreeSet<LeaseName>,
-    /// Shards of which any gateway holds the lease.
+    /// Shards whose lease this gateway holds.
+    held_shards: BTreeSet<LeaseName>,
+    /// Shards whose lease any gateway holds.
     shards_with_holder: BTreeSet<LeaseName>,
     waiting: BTreeMap<CopyKey, WaitingOrders>,
-    /// Shards whose holder did not answer, and until when it is not asked again.
+    /// Shards whose holder did not answer, and when the holder may be asked again.
     silent_holders: BTreeMap<LeaseName, Micros>,
-    /// Orders that the holder has assigned to this gateway.
+    /// Orders whose load the holder has assigned to this gateway, by order number.
     assigned_orders: BTreeMap<u64, CopyKey>,
-    /// Assignments as the holder announced them.
+    /// Assignments announced by the holder.
     assignments: BTreeMap<CopyKey, Assignment>,
-    /// Resident copies as the holder announced them.
+    /// Resident copies announced by the holder.
     resident: BTreeMap<CopyKey, ResidentCopies>,
-    /// The number of orders that were not made, as a copy of another gateway was resident.
+    /// The number of orders that were not sent because a copy was already resident.
     pub avoided_orders: u64,
     outputs: VecDeque<Output>,
 }
 
 impl LoadCoordinator {
-    /// A coordinator for the shards among the configured leases; `None` if there are none.
+    /// Creates a coordinator for the shards among the configured leases; `None` if there are none.
     pub fn new(own_name: Arc<str>, leases: &BTreeSet<LeaseName>) -> Option<LoadCoordinator> {
         let shards: Vec<LeaseName> = leases
             .iter()
@@ -70,7 +71,7 @@
         Some(LoadCoordinator {
             own_name,
             shards,
-            own_shards: BTreeSet::new(),
+            held_shards: BTreeSet::new(),
             shards_with_holder: BTreeSet::new(),
             waiting: BTreeMap::new(),
             silent_holders: BTreeMap::new(),
@@ -82,7 +83,7 @@
         })
     }
 
-    /// The name of its gateway.
+    /// The name of this gateway.
     #[cfg(test)]
     pub(super) fn own_name(&self) -> &Arc<str> {
         &self.own_name
@@ -94,7 +95,7 @@
         &self.shards
     }
 
-    /// The shard of a function: the same at every gateway with the same configuration.
+    /// The shard of a function. Gateways with the same configuration compute the same shard.
     pub fn shard(&self, function: FunctionId) -> &LeaseName {
         let mixed = function.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         let index = mixed % self.shards.len() as u64;
@@ -123,13 +124,13 @@
                     self.send_to_holder(now, ended);
                 }
             }
-            Input::LeaseChanged(shard, held) => set_member(&mut self.own_shards, shard, held),
+            Input::LeaseChanged(shard, held) => set_member(&mut self.held_shards, shard, held),
             Input::HolderKnown(shard, known) => {
                 set_member(&mut self.shards_with_holder, shard, known);
             }
             Input::ReportReceived(from, message) => {
                 let shard = self.shard(message.copy().function);
-                if self.own_shards.contains(shard) {
+                if self.held_shards.contains(shard) {
                     self.on_report(now, &from, &message);
                 }
             }
@@ -147,7 +148,7 @@
         self.assigned_orders.remove(&number);
     }
 
-    /// Makes the orders that have waited long enough.
+    /// Sends the orders whose deadline has passed.
     fn load_overdue(&mut self, now: Micros) {
         let overdue: Vec<(CopyKey, bool)> = self
             .waiting
@@ -157,7 +158,7 @@
             .collect();
         for (copy, awaiting_answer) in overdue {
             if awaiting_answer {
-                // Without a quorum, or with the holder cut off, orders continue without coordination.
+                // Without a quorum, or with an unreachable holder, orders continue without coordination.
                 let shard = self.shard(copy.function).clone();
                 let retry_at = now + SILENT_HOLDER_BACKOFF;
                 self.silent_holders.insert(shard, retry_at);
@@ -181,11 +182,11 @@
             self.avoided_orders += 1;
             return self.outputs.push_back(output);
         }
-        self.wait(now, number, copy);
+        self.delay_order(now, number, copy);
     }
 
-    /// Waits for the gateway that loads the copy, or for the holder's answer.
-    fn wait(&mut self, now: Micros, number: u64, copy: CopyKey) {
+    /// Delays an order until the assigned gateway has loaded the copy, or until the holder answers.
+    fn delay_order(&mut self, now: Micros, number: u64, copy: CopyKey) {
         let assigned_until = self
             .assignments
             .get(&copy)
@@ -207,7 +208,7 @@
 
     fn send_to_holder(&mut self, now: Micros, message: LoadMessage) {
         let shard = self.shard(message.copy().function).clone();
-        if self.own_shards.contains(&shard) {
+        if self.held_shards.contains(&shard) {
             let own_name = self.own_name.clone();
             self.on_report(now, &own_name, &message);
         } else {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// As the holder: answers a request, or announces the end of a load.
+    /// Handles a message to the holder: answers a request, or announces the end of a load.
     fn on_report(&mut self, now: Micros, from: &Arc<str>, message: &LoadMessage) {
         match *message {
             LoadMessage::Request(worker, function) => {
@@ -230,17 +231,17 @@
                 };
                 self.announce(now, announcement);
             }
-            // If no copy is resident, the waiting gateways continue by themselves.
+            // If no copy is resident, the waiting gateways send their own orders.
             LoadMessage::Ended(worker, function, copies) => {
                 self.announce(now, LoadMessage::Resident(worker, function, copies));
             }
-            // These are sent by holders only.
+            // Only holders send these messages.
             LoadMessage::Assigned(..) | LoadMessage::Resident(..) => {}
         }
     }
 
-    /// Assigns a load to the gateway that asks first. Another one that asks now has not received the assignment yet; the
-    /// assigned gateway itself asks for a second order.
+    /// Assigns a load to the gateway that asks first. A second request comes from a gateway that has not received the assignment
+    /// yet, or from the assigned gateway, for another order.
     fn answer_request(&self, now: Micros, from: &Arc<str>, copy: CopyKey) -> RequestAnswer {
         let resident = self.resident.get(&copy);
         if let Some(copies) = resident.filter(|copies| now < copies.expires_at) {
@@ -317,14 +318,14 @@
         orders.map(|orders| orders.numbers).unwrap_or_default()
     }
 
-    /// Makes the waiting orders without an assignment.
+    /// Sends the waiting orders without an assignment.
     fn load_waiting(&mut self, copy: CopyKey) {
         for number in self.take_waiting(copy) {
             self.outputs.push_back(Output::Load(number));
         }
     }
 
-    /// Makes the waiting orders that the holder has assigned to this gateway; the holder is notified when they end.
+    /// Sends the waiting orders whose load is assigned to this gateway. The holder is notified when they end.
     fn load_assigned(&mut self, copy: CopyKey) {
         for number in self.take_waiting(copy) {
             if self.assigned_orders.len() < MAX_COPIES {
--- a/src/load_coordination/messages.rs
+++ b/src/load_coordination/messages.rs
@@ -16,11 +16,13 @@
     pub function: FunctionId,
 }
 
-/// A message between a gateway and the holder of a shard. Each starts with the numbers of the worker and the function; the
-/// serialized names and the order of variants and fields are part of the format.
+/// A message between a gateway and the holder of a shard.
+///
+/// The first two fields are the numbers of the worker and the function. The serialized names and the order of variants and
+/// fields are part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadMessage {
-    /// To the holder: the sender would load the copy.
+    /// To the holder: the sender intends to load the copy.
     #[serde(rename = "Wants")]
     Request(u32, u64),
     /// To the holder: the sender's load has ended, with this number of resident copies.
@@ -34,7 +36,7 @@
 }
 
 impl LoadMessage {
-    /// The copy that the message is about.
+    /// The copy that the message refers to.
     pub(super) fn copy(&self) -> CopyKey {
         let (LoadMessage::Request(worker, function)
         | LoadMessage::Ended(worker, function, _)
@@ -50,19 +52,19 @@
 /// An event for a load coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The module orders a copy; the number of the order.
+    /// The decision module orders a copy; the order has this number.
     Order(u64, CopyKey),
-    /// The module no longer needs the order.
+    /// The decision module no longer needs the order.
     Cancel(u64),
-    /// An order that was made has ended, with this number of resident copies.
+    /// An order that was sent has ended, with this number of resident copies.
     Ended(u64, u32),
     /// Whether this gateway holds the lease of a shard.
     LeaseChanged(LeaseName, bool),
-    /// Whether any gateway holds the lease of a shard, as far as known.
+    /// Whether any gateway holds the lease of a shard, as far as this gateway knows.
     HolderKnown(LeaseName, bool),
-    /// A message of another gateway to the holder.
+    /// As the holder: a message of another gateway arrived.
     ReportReceived(Arc<str>, LoadMessage),
-    /// A message of the holder to all.
+    /// An announcement of the holder arrived.
     Announced(LoadMessage),
     /// A deadline has passed.
     Tick,
@@ -71,12 +73,12 @@
 /// An action that a load coordinator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Make the order.
+    /// Send the load order to the worker.
     Load(u64),
     /// The order is not needed: this number of copies is resident.
     AlreadyResident(u64, u32),
-    /// Send to the holder of a shard.
+    /// Send a message to the holder of a shard.
     Report(LeaseName, LoadMessage),
-    /// Send to all, as the holder of a shard.
+    /// Send a message to all gateways, as the holder of a shard.
     Announce(LeaseName, LoadMessage),
 }
--- a/src/load_coordination/mod.rs
+++ b/src/load_coordination/mod.rs
@@ -1,13 +1,13 @@
-//! Load coordination: under the leases `loads-0`, `loads-1`, ..., the holder of a shard decides which gateway loads a copy that
-//! several gateways would load.
+//! Load coordination: prevents several gateways from loading the same copy.
 //!
-//! Functions are divided into shards. A gateway whose decision module orders a copy at a worker first asks the holder of the
-//! function's shard. The holder assigns the load to the first gateway that asks, and announces when the copy is resident, so
-//! that the others need not load it. Each load is still an order of the gateway that makes it, within its own rate limit, at a
-//! worker that its own module chose under the rules for cold and draining workers. A gateway that gets no answer within
-//! [`ANSWER_TIMEOUT`] loads the copy by itself, as without coordination.
+//! Functions are divided into shards, each with a lease (`loads-0`, `loads-1`, ...). A gateway whose decision module orders a
+//! copy at a worker first asks the holder of the function's shard. The holder assigns the load to the first gateway that asks,
+//! and announces when the copy is resident, so that the other gateways do not load it. The assigned gateway sends an ordinary
+//! load order: it counts against that gateway's rate limit, and the worker is the one that its decision module chose under the
+//! rules for cold and draining workers. A gateway that gets no answer within [`ANSWER_TIMEOUT`] loads the copy without
+//! coordination.
 //!
-//! Late or repeated messages do no harm: an order for a copy that is resident or loading already has no effect at the worker.
+//! Late or repeated messages are harmless: an order for a copy that is already resident or loading has no effect at the worker.
 
 mod coordinator;
 mod messages;
@@ -19,17 +19,18 @@
 
 use crate::api::Micros;
 
-/// The prefix of the leases' names; a number follows.
+/// The prefix of the names of shard leases; the number of the shard follows.
 pub const PREFIX: &str = "loads-";
 /// How long an order waits for the holder's answer.
 pub const ANSWER_TIMEOUT: Micros = 60_000;
-/// How long it waits for a copy that another gateway loads: no longer than a request can.
+/// How long an order waits for a copy that another gateway loads: no longer than a request can wait.
 const LOAD_TIMEOUT: Micros = 600_000;
 /// The maximum delay of an order.
 pub const MAX_ORDER_DELAY: Micros = ANSWER_TIMEOUT + LOAD_TIMEOUT;
-/// How long a silent holder is not asked again, unless a message of it arrives.
+/// How long a gateway does not ask a silent holder again, unless a message from the holder arrives.
 const SILENT_HOLDER_BACKOFF: Micros = 5_000_000;
-/// How long a copy is assumed to be resident after the announcement: less than workers keep an idle copy.
+/// How long a copy is assumed to be resident after its announcement: shorter than workers keep an idle copy.
 const RESIDENT_WINDOW: Micros = 4_000_000;
-/// Copies that are remembered, and orders that wait; further orders are made without coordination.
+/// The maximum number of entries in each table of a coordinator. Orders that find the table of waiting copies full are sent
+/// without coordination.
 const MAX_COPIES: usize = 4096;
--- a/src/load_coordination/tests.rs
+++ b/src/load_coordination/tests.rs
@@ -14,31 +14,37 @@
     function: FunctionId(70),
 };
 
-fn shards(n: usize) -> BTreeSet<LeaseName> {
-    (0..n)
+fn configured_leases(shards: usize) -> BTreeSet<LeaseName> {
+    (0..shards)
         .map(|i| format!("{PREFIX}{i}").into())
         .chain(["trials".into()])
         .collect()
 }
 
-fn drained(coordinator: &mut LoadCoordinator) -> Vec<Output> {
+fn drain_outputs(coordinator: &mut LoadCoordinator) -> Vec<Output> {
     std::iter::from_fn(|| coordinator.output()).collect()
 }
 
-fn started(name: &str, lease_held: bool) -> LoadCoordinator {
-    let mut coordinator = LoadCoordinator::new(name.into(), &shards(4)).unwrap();
+fn new_coordinator(name: &str, is_holder: bool) -> LoadCoordinator {
+    let mut coordinator = LoadCoordinator::new(name.into(), &configured_leases(4)).unwrap();
     for shard in coordinator.shards().to_vec() {
         coordinator.handle(0, Input::HolderKnown(shard.clone(), true));
-        coordinator.handle(0, Input::LeaseChanged(shard, lease_held));
+        coordinator.handle(0, Input::LeaseChanged(shard, is_holder));
     }
     coordinator
 }
 
-/// Delivers reports to the holder and announcements to all, until none are left; returns the other outputs.
-fn deliver(all: &mut [LoadCoordinator], holder: usize, now: Micros) -> Vec<(usize, Output)> {
+/// Delivers reports to the holder and announcements to all gateways until no output is left. Returns the other outputs.
+fn deliver_messages(
+    all: &mut [LoadCoordinator],
+    holder: usize,
+    now: Micros,
+) -> Vec<(usize, Output)> {
     let mut rest = Vec::new();
     loop {
-        let Some((n, output)) = (0..all.len()).find_map(|n| all[n].output().map(|o| (n, o))) else {
+        let Some((n, output)) =
+            (0..all.len()).find_map(|n| all[n].output().map(|output| (n, output)))
+        else {
             return rest;
         };
         match output {
@@ -47,7 +53,10 @@
                 all[holder].handle(now, Input::ReportReceived(from, message));
             }
             Output::Announce(_, message) => {
-                for other in (0..all.len()).filter(|o| *o != n).collect::<Vec<_>>() {
+                for other in (0..all.len())
+                    .filter(|other| *other != n)
+                    .collect::<Vec<_>>()
+                {
                     all[other].handle(now, Input::Announced(message.clone()));
                 }
             }
@@ -58,23 +67,24 @@
 
 #[test]
 fn one_of_many_gateways_loads_a_copy_for_all() {
-    let mut all: Vec<LoadCoordinator> =
-        (0..20).map(|n| started(&format!("n{n}"), n == 4)).collect();
+    let mut all: Vec<LoadCoordinator> = (0..20)
+        .map(|n| new_coordinator(&format!("n{n}"), n == 4))
+        .collect();
     for (n, coordinator) in all.iter_mut().enumerate() {
         coordinator.handle(10, Input::Order(n as u64, COPY));
     }
-    let mut orders = deliver(&mut all, 4, 11);
+    let mut orders = deliver_messages(&mut all, 4, 11);
     assert_eq!(orders.len(), 1, "{orders:?}");
-    let Some((who, Output::Load(number))) = orders.pop() else {
+    let Some((loader, Output::Load(number))) = orders.pop() else {
         panic!("no order")
     };
-    all[who].handle(300_000, Input::Ended(number, 1));
-    let outputs = deliver(&mut all, 4, 300_001);
+    all[loader].handle(300_000, Input::Ended(number, 1));
+    let outputs = deliver_messages(&mut all, 4, 300_001);
     assert!(
         outputs.len() == 19
             && outputs
                 .iter()
-                .all(|(_, o)| matches!(o, Output::AlreadyResident(_, 1))),
+                .all(|(_, output)| matches!(output, Output::AlreadyResident(_, 1))),
         "{outputs:?}"
     );
     assert_eq!(
@@ -83,110 +93,114 @@
             .sum::<u64>(),
         19
     );
-    // A gateway that asks a little later needs no order either; much later it does.
+    // Within `RESIDENT_WINDOW`, another order is not needed either. After it, an order is sent.
     all[0].handle(400_000, Input::Order(77, COPY));
     assert_eq!(
-        deliver(&mut all, 4, 400_000),
+        deliver_messages(&mut all, 4, 400_000),
         [(0, Output::AlreadyResident(77, 1))]
     );
     all[0].handle(400_000 + RESIDENT_WINDOW, Input::Order(78, COPY));
     assert_eq!(
-        deliver(&mut all, 4, 400_000 + RESIDENT_WINDOW),
+        deliver_messages(&mut all, 4, 400_000 + RESIDENT_WINDOW),
         [(0, Output::Load(78))]
     );
 }
 
 #[test]
-fn gateway_loads_by_itself_if_holder_is_silent() {
-    let mut coordinator = started("a", false);
+fn gateway_loads_without_coordination_if_holder_is_silent() {
+    let mut coordinator = new_coordinator("a", false);
     coordinator.handle(0, Input::Order(1, COPY));
     assert!(matches!(
-        drained(&mut coordinator)[..],
+        drain_outputs(&mut coordinator)[..],
         [Output::Report(_, LoadMessage::Request(3, 70))]
     ));
     assert_eq!(coordinator.next_deadline(), Some(ANSWER_TIMEOUT));
     coordinator.handle(ANSWER_TIMEOUT, Input::Tick);
-    assert_eq!(drained(&mut coordinator), [Output::Load(1)]);
-    // The holder is not asked again until a message of it arrives.
+    assert_eq!(drain_outputs(&mut coordinator), [Output::Load(1)]);
+    // The gateway does not ask the holder again until a message from the holder arrives.
     coordinator.handle(ANSWER_TIMEOUT + 1, Input::Order(8, COPY));
-    assert_eq!(drained(&mut coordinator), [Output::Load(8)]);
+    assert_eq!(drain_outputs(&mut coordinator), [Output::Load(8)]);
     coordinator.handle(
         ANSWER_TIMEOUT + 2,
         Input::Announced(LoadMessage::Resident(9, 70, 1)),
     );
     coordinator.handle(ANSWER_TIMEOUT + 3, Input::Order(9, COPY));
     assert!(matches!(
-        drained(&mut coordinator)[..],
+        drain_outputs(&mut coordinator)[..],
         [Output::Report(..)]
     ));
     coordinator.handle(ANSWER_TIMEOUT + 4, Input::Cancel(9));
     let shard = coordinator.shard(COPY.function).clone();
     coordinator.handle(0, Input::HolderKnown(shard, false));
     coordinator.handle(0, Input::Order(2, COPY));
-    assert_eq!(drained(&mut coordinator), [Output::Load(2)]);
+    assert_eq!(drain_outputs(&mut coordinator), [Output::Load(2)]);
     assert!(LoadCoordinator::new("a".into(), &BTreeSet::from(["trials".into()])).is_none());
 }
 
 #[test]
 fn failed_load_delays_gateways_no_longer_than_timeout() {
-    let mut all: Vec<LoadCoordinator> = (0..3).map(|n| started(&format!("n{n}"), n == 0)).collect();
+    let mut all: Vec<LoadCoordinator> = (0..3)
+        .map(|n| new_coordinator(&format!("n{n}"), n == 0))
+        .collect();
     all[1].handle(0, Input::Order(1, COPY));
-    assert_eq!(deliver(&mut all, 0, 0), [(1, Output::Load(1))]);
+    assert_eq!(deliver_messages(&mut all, 0, 0), [(1, Output::Load(1))]);
     all[2].handle(10, Input::Order(2, COPY));
-    assert_eq!(deliver(&mut all, 0, 10), []);
+    assert_eq!(deliver_messages(&mut all, 0, 10), []);
     all[2].handle(10 + LOAD_TIMEOUT, Input::Tick);
-    assert_eq!(drained(&mut all[2]), [Output::Load(2)]);
-    // Or the load ends without a copy.
+    assert_eq!(drain_outputs(&mut all[2]), [Output::Load(2)]);
+    // The same if the load ends without a copy.
     all[2].handle(20 + LOAD_TIMEOUT, Input::Order(3, COPY));
-    let orders = deliver(&mut all, 0, 20 + LOAD_TIMEOUT);
+    let orders = deliver_messages(&mut all, 0, 20 + LOAD_TIMEOUT);
     assert_eq!(orders, [(2, Output::Load(3))]);
     all[1].handle(30 + LOAD_TIMEOUT, Input::Order(4, COPY));
-    assert_eq!(deliver(&mut all, 0, 30 + LOAD_TIMEOUT), []);
+    assert_eq!(deliver_messages(&mut all, 0, 30 + LOAD_TIMEOUT), []);
     all[2].handle(40 + LOAD_TIMEOUT, Input::Ended(3, 0));
     assert_eq!(
-        deliver(&mut all, 0, 40 + LOAD_TIMEOUT),
+        deliver_messages(&mut all, 0, 40 + LOAD_TIMEOUT),
         [(1, Output::Load(4))]
     );
-    // A gateway that knows of the assignment does not ask again.
+    // A gateway that has received the assignment does not ask the holder again.
     all[2].handle(50 + LOAD_TIMEOUT, Input::Order(5, COPY));
     assert_eq!(
-        deliver(&mut all, 0, 50 + LOAD_TIMEOUT),
+        deliver_messages(&mut all, 0, 50 + LOAD_TIMEOUT),
         [(2, Output::Load(5))]
     );
     all[1].handle(60 + LOAD_TIMEOUT, Input::Order(6, COPY));
-    assert_eq!(drained(&mut all[1]), []);
+    assert_eq!(drain_outputs(&mut all[1]), []);
 }
 
 #[test]
 fn former_holder_is_silent_and_cancelled_order_is_dropped() {
-    let mut coordinator = started("a", true);
+    let mut coordinator = new_coordinator("a", true);
     let shard = coordinator.shard(COPY.function).clone();
     coordinator.handle(0, Input::LeaseChanged(shard, false));
     coordinator.handle(
         1,
         Input::ReportReceived("b".into(), LoadMessage::Request(3, 70)),
     );
-    assert_eq!(drained(&mut coordinator), []);
+    assert_eq!(drain_outputs(&mut coordinator), []);
     coordinator.handle(2, Input::Order(5, COPY));
-    drained(&mut coordinator);
+    drain_outputs(&mut coordinator);
     coordinator.handle(3, Input::Cancel(5));
     coordinator.handle(4 + ANSWER_TIMEOUT, Input::Tick);
     assert_eq!(
-        (drained(&mut coordinator), coordinator.next_deadline()),
+        (drain_outputs(&mut coordinator), coordinator.next_deadline()),
         (vec![], None)
     );
 }
 
 #[test]
-fn shards_are_spread_evenly_and_equal_at_all_gateways() {
-    let (a, b) = (started("a", false), started("b", true));
-    let mut count: BTreeMap<LeaseName, usize> = BTreeMap::new();
-    for f in 0..4_000 {
-        assert_eq!(a.shard(FunctionId(f)), b.shard(FunctionId(f)));
-        *count.entry(a.shard(FunctionId(f)).clone()).or_default() += 1;
+fn functions_spread_evenly_over_same_shards_everywhere() {
+    let (a, b) = (new_coordinator("a", false), new_coordinator("b", true));
+    let mut counts: BTreeMap<LeaseName, usize> = BTreeMap::new();
+    for function in 0..4_000 {
+        assert_eq!(a.shard(FunctionId(function)), b.shard(FunctionId(function)));
+        *counts
+            .entry(a.shard(FunctionId(function)).clone())
+            .or_default() += 1;
     }
     assert!(
-        count.len() == 4 && count.values().all(|n| (700..1_300).contains(n)),
-        "{count:?}"
+        counts.len() == 4 && counts.values().all(|count| (700..1_300).contains(count)),
+        "{counts:?}"
     );
 }
