--- a/src/health_checks/mod.rs
+++ b/src/health_checks/mod.rs
@@ -263,8 +263,8 @@
         self.outputs.push_back(Output::Advise(worker, until));
     }
 
-    /// Schedules a probe of a worker. It is announced only if the probe fails, as a report may be due to a fault of the reporting
-    /// gateway.
+    /// Schedules a probe of a worker. It is announced only if the probe fails, as a report may be due to a fault of the
+    /// reporting gateway.
     fn start_checking(&mut self, now: Micros, worker: WorkerId) {
         let is_known = self.checked.contains_key(&worker);
         let is_full = self.checked.len() >= MAX_CHECKED_WORKERS;
@@ -370,8 +370,8 @@
         }
     }
 
-    /// Checks whether this gateway is capable of health checks. If more than half of the ready workers seem to fail, the gateway
-    /// itself is more likely to be cut off.
+    /// Checks whether this gateway is capable of health checks. If more than half of the ready workers seem to fail, the
+    /// gateway itself is more likely to be cut off.
     fn check_self(&mut self) {
         let failing = self
             .ready
--- a/src/lease/tests/model/scenario.rs
+++ b/src/lease/tests/model/scenario.rs
@@ -117,8 +117,8 @@
         self.handle_grantor(index, grantor::Input::Applied(entry));
     }
 
-    /// Advances the clock, lets holders without a lease renew their candidacy, and lets the leader place leases. No guard depends
-    /// on the time of these steps, so the model does not vary it.
+    /// Advances the clock, lets holders without a lease renew their candidacy, and lets the leader place leases. No guard
+    /// depends on the time of these steps, so the model does not vary it.
     fn advance_time(&mut self) {
         self.now += 1;
         for holder in &mut self.holders {
--- a/src/load_coordination/coordinator.rs
+++ b/src/load_coordination/coordinator.rs
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Assigns a load to the gateway that asks first. A second request comes from a gateway that has not received the assignment
-    /// yet, or from the assigned gateway, for another order.
+    /// Assigns a load to the gateway that asks first. A second request comes from a gateway that has not received the
+    /// assignment yet, or from the assigned gateway, for another order.
     fn answer_request(&self, now: Micros, from: &Arc<str>, copy: CopyKey) -> RequestAnswer {
         let resident = self.resident.get(&copy);
         if let Some(copies) = resident.filter(|copies| now < copies.expires_at) {
