--- a/src/api/outcome.rs
+++ b/src/api/outcome.rs
@@ -9,17 +9,17 @@
     Error,
     /// The worker rejected it without running it.
     Rejected,
-    /// No answer arrived in time. It may have run.
+    /// No answer arrived in time. The attempt may have run.
     Timeout,
-    /// No connection was established. It did not run.
+    /// No connection was established. The attempt did not run.
     ConnectFailed,
-    /// The connection dropped. It may have run.
+    /// The connection dropped. The attempt may have run.
     Reset,
-    /// It was cancelled. It may have run.
+    /// The attempt was cancelled. It may have run.
     Cancelled,
     /// It was never sent.
     NotSent,
-    /// The worker has no copy of the function. It did not run.
+    /// The worker has no copy of the function. The attempt did not run.
     Miss,
 }
 
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -88,20 +88,20 @@
     pub classes: Vec<Class>,
     /// The tenants, by [`TenantId`](super::TenantId); may be empty.
     pub tenants: Vec<Tenant>,
-    /// The share of its weight that a request over its tenant's quota has.
+    /// The fraction of its weight with which a request over its tenant's quota counts.
     pub over_quota_weight: f64,
     /// The time after the client's deadline during which a final answer still counts, in
     /// microseconds.
     pub answer_grace: Micros,
-    /// The time after the notice of a drain during which requests may still be sent to the worker,
-    /// in microseconds.
+    /// The time after the announcement that a worker drains during which requests may still be sent
+    /// to the worker, in microseconds.
     pub drain_grace: Micros,
     /// The share of its capacity that a worker has when its process starts.
     pub slow_start_floor: f64,
     /// The time after its start at which a worker has its full capacity, in microseconds.
     pub slow_start_duration: Micros,
     /// A worker in slow start fails if it receives more than this multiple of its capacity for
-    /// longer than [`Settings::overload_window`]; 0 if it does not.
+    /// longer than [`Settings::overload_window`]; 0 if such an overload does not make it fail.
     pub overload_multiple: f64,
     /// See [`Settings::overload_multiple`]; in microseconds.
     pub overload_window: Micros,
@@ -127,7 +127,7 @@
     pub reports_inline: bool,
     /// The longest Retry-After that clients obey, in microseconds; 0 if Retry-After is not sent.
     pub max_retry_after: Micros,
-    /// Whether the endpoint list has to be subscribed to.
+    /// Whether discovery sends the endpoint list only after a subscription.
     pub must_subscribe: bool,
     /// The time after which changes at discovery count as known to this instance, even if discovery
     /// is unreachable, in microseconds; `None` if the list does not expire.
--- a/src/completion/tests.rs
+++ b/src/completion/tests.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Guards workers against the gateway's own limits: a gateway without file descriptors must not consider all workers
-/// dead.
+/// Guards against blaming workers for the gateway's own limits: a gateway that has run out of file
+/// descriptors must not consider all workers dead.
 #[test]
 fn local_limits_are_not_blamed_on_workers() {
     assert_eq!(
--- a/src/consensus/participant/tests/mod.rs
+++ b/src/consensus/participant/tests/mod.rs
@@ -212,7 +212,7 @@
         number: 1,
         content: vec![],
     };
-    // A gateway that does not vote sends an effect in the holder's name.
+    // A gateway that does not vote sends a forged effect that names another gateway as its holder.
     sim.handle(
         other,
         Input::Frame(outsider.clone(), Body::Effect(effect(&name(holder)))),
--- a/src/consensus/participant/view.rs
+++ b/src/consensus/participant/view.rs
@@ -97,7 +97,8 @@
         self.holder.held_term(now, lease)
     }
 
-    /// Returns whether an effect under a lease may still be sent; checked when its bytes are queued.
+    /// Returns whether an effect under a lease may still be sent. The driver checks this when it
+    /// queues the effect's bytes.
     pub fn still_holds(&self, now: Micros, lease: &LeaseName, term: Term) -> bool {
         self.settings.disabled_guards.queue
             || self.settings.disabled_guards.lease
--- a/src/consensus/peer_memory.rs
+++ b/src/consensus/peer_memory.rs
@@ -31,8 +31,9 @@
     pub process: u64,
     /// The highest term in which the replica sent a message.
     pub term: u64,
-    /// The last entry that the replica acknowledged: the term of the acknowledgement and the entry's index. For the own
-    /// disk, the term and index of the last entry.
+    /// The last entry that the replica acknowledged: the term of the acknowledgement and the
+    /// entry's index. For the state on the replica's own disk: the term and index of the last entry
+    /// there.
     pub acknowledged: (u64, u64),
 }
 
--- a/src/lease/fence.rs
+++ b/src/lease/fence.rs
@@ -36,9 +36,10 @@
 }
 
 impl Fence {
-    /// Admits or rejects an effect; returns whether its term is higher than all before.
+    /// Admits or rejects an effect; returns whether its term is higher than all earlier terms.
     ///
-    /// If an effect survives a restart, the fence has to be persisted before the effect takes place.
+    /// If the result of an effect survives a restart of the receiver, the receiver has to persist
+    /// the fence before it carries out the effect.
     ///
     /// # Errors
     ///
--- a/src/lease/grantor/mod.rs
+++ b/src/lease/grantor/mod.rs
@@ -66,7 +66,7 @@
 /// A gateway that has reported that it is not eligible.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ineligible {
-    /// The sequence number of the request that reported it.
+    /// The sequence number of the request in which the gateway reported that.
     stamp: u64,
     /// Until when an older request of the gateway may still arrive.
     expires_at: Micros,
--- a/src/lease/grantor/placement.rs
+++ b/src/lease/grantor/placement.rs
@@ -10,7 +10,7 @@
 
 /// The maximum number of leases that are recalled at the same time, to limit the rate at which work moves.
 const MAX_RECALLED: usize = 1;
-/// The difference in the number of leases between two holders from which on a lease moves.
+/// The minimum difference in the number of leases between two holders at which a lease moves.
 const MIN_IMBALANCE: usize = 2;
 
 /// The affinity of a lease to a holder. Every leader computes the same value, so that leases stay in place when the leader
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -226,7 +226,8 @@
         let Some((_, requested_at)) = self.requests.drain(..=position).next_back() else {
             return;
         };
-        // The time starts when the request was sent: a late reply leaves only the rest of it, or nothing.
+        // The lease duration starts when the request is sent, so a late reply leaves only the rest
+        // of it, or nothing.
         let expires_at = requested_at + self.settings.duration;
         for (name, term) in reply.renewed {
             self.renew(now, name, term, expires_at);
--- a/src/lease/tests/model/scenario.rs
+++ b/src/lease/tests/model/scenario.rs
@@ -23,7 +23,8 @@
     pub(super) holder: Settings,
     /// The settings of the grantors.
     pub(super) grantor: Settings,
-    /// Whether a grantor that no longer leads gets no confirmation.
+    /// Whether leadership is really confirmed; otherwise a grantor that no longer leads gets a
+    /// confirmation too.
     pub(super) confirms_leadership: bool,
     /// Whether receivers reject old terms.
     pub(super) fences: bool,
@@ -56,7 +57,8 @@
     out_of_order: bool,
 }
 
-/// Whether a message stays in flight when it arrives.
+/// Whether an arriving message is removed from the messages in flight, or stays and may arrive
+/// again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Delivery {
     Last,
--- a/src/policy/evidence/checks.rs
+++ b/src/policy/evidence/checks.rs
@@ -5,14 +5,14 @@
 use crate::api::{FunctionId, Micros, WorkerId};
 use crate::policy::endpoints::rendezvous_hash;
 
-/// The age of its evidence, in microseconds, above which a worker in use is checked while discovery
-/// is lost.
+/// The age of the latest evidence about a worker in use, in microseconds, above which the worker is
+/// checked while discovery is lost.
 const REFRESH_AGE: Micros = 2_500_000;
-/// The time after it was last sent a request or load order for which a worker counts as in use, in
-/// microseconds.
+/// The time after the last request or load order sent to a worker during which the worker counts as
+/// in use, in microseconds.
 const USE_WINDOW: Micros = 5_000_000;
-/// The age of a doubt, in microseconds, at which a worker is checked while discovery is available:
-/// the list may lag, and settle the doubt by itself.
+/// The age of a doubt, in microseconds, from which a worker is checked while discovery is
+/// available. Before that, a late list update may settle the doubt without a check.
 const DOUBT_CHECK_DELAY: Micros = 2_000_000;
 /// The time after a request, in microseconds, for which workers not in use are checked too.
 const DEMAND_WINDOW: Micros = 2_000_000;
--- a/src/policy/evidence/spans.rs
+++ b/src/policy/evidence/spans.rs
@@ -5,19 +5,21 @@
 /// Safety margin between the last send that evidence allows and the first that would be too late,
 /// in microseconds: clocks are read and bytes written at different moments.
 const MARGIN: Micros = 300_000;
-/// The maximum lag of the list when discovery confirms it, in microseconds: a worker may have begun
-/// to drain that long before.
+/// The maximum lag of the list when discovery confirms it, in microseconds: a worker on it may have
+/// begun to drain this long before the confirmation.
 const LIST_LAG: Micros = 2_000_000;
 
 /// Validity periods from the settings, less the margins.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EvidenceValidity {
-    /// The time after which changes at discovery count as known to this instance.
+    /// The time after which every change at discovery counts as known to this instance, even if
+    /// discovery was unreachable, in microseconds.
     pub(super) max_list_age: Micros,
-    /// The time after evidence from the worker itself during which it may be sent new work.
+    /// The time after evidence from the worker itself during which the worker may be sent new work,
+    /// in microseconds.
     pub(super) own_evidence: Micros,
     /// The time after discovery last confirmed the list during which a listed worker may be sent
-    /// new work.
+    /// new work, in microseconds.
     pub(super) list_evidence: Micros,
 }
 
--- a/src/policy/evidence/tracker.rs
+++ b/src/policy/evidence/tracker.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Applies a list entry. `restarted` states that it names a later process start than the
-    /// previous entry.
+    /// Applies a list entry. `restarted` is true if the entry names a later process start than the
+    /// worker's previous entry.
     pub fn on_listed(&mut self, id: WorkerId, status: WorkerStatus, restarted: bool) {
         if self.validity.is_none() {
             return;
@@ -329,7 +329,8 @@
                     worker.is_available = true;
                     let new_process = std::mem::take(&mut worker.is_new_process);
                     changed.push((*id, Availability::Resumed { new_process }));
-                    // A worker that becomes available for the first time was not suspended.
+                    // A worker that becomes available for the first time was not suspended, so
+                    // there is nothing to report.
                     changes.extend(worker.suspended_since.take().map(|since| {
                         EvidenceChange::Resumed {
                             worker: *id,
--- a/src/policy/evidence/worker.rs
+++ b/src/policy/evidence/worker.rs
@@ -4,15 +4,16 @@
 use super::spans::EvidenceValidity;
 use crate::api::{LoadReport, Micros};
 
-/// The maximum of reported requests in flight with which a worker has free capacity.
+/// The maximum number of reported requests in flight with which a worker has free capacity.
 const FREE_IN_FLIGHT: f32 = 3.0;
-/// The maximum fraction of pinned memory with which it has free capacity.
+/// The maximum reported fraction of pinned memory with which a worker has free capacity.
 const FREE_PINNED_MEMORY: f32 = 0.7;
-/// Consecutive rejections from which a worker is doubted if its answers carry no load report.
+/// The number of consecutive rejections at which a worker is doubted if the last one carried no
+/// usable load report.
 const MAX_REJECTIONS_WITHOUT_REPORT: u32 = 2;
-/// Consecutive rejections from which it is doubted whatever it reports.
+/// The number of consecutive rejections at which a worker is doubted whatever load it reports.
 const MAX_REJECTIONS: u32 = 6;
-/// Consecutive rejected load orders from which it is doubted.
+/// The number of consecutive rejected load orders at which a worker is doubted.
 const MAX_LOAD_REJECTIONS: u32 = 3;
 /// The minimum time in which a process can end and a new one accept calls, in microseconds.
 const MIN_RESTART_TIME: Micros = 1_000_000;
@@ -30,8 +31,9 @@
 pub(super) enum DoubtPolicy {
     /// A health check.
     HealthCheck,
-    /// This instance cannot settle them itself. For a doubted worker, only list updates delivered
-    /// by this time count, not heartbeats, as it may have begun to drain since.
+    /// This instance cannot settle doubts itself. For a doubted worker, list confirmations count
+    /// only up to this time of the last delivered update. Later heartbeats do not count, because
+    /// the worker may have begun to drain since.
     ListDeliveredAt(Micros),
 }
 
@@ -81,7 +83,8 @@
     rejections: Rejections,
     /// The capacity reported with its last answer.
     pub(super) reported_capacity: ReportedCapacity,
-    /// When the health check was sent that it answered as unavailable.
+    /// When the last health check was sent to which the worker answered that it accepts no new
+    /// work.
     pub(super) reported_unavailable_at: Option<Micros>,
     /// When its process was found to have ended, while discovery was lost.
     pub(super) process_ended_at: Option<Micros>,
@@ -103,7 +106,7 @@
     /// When the check in flight was sent.
     pub(super) sent_at: Option<Micros>,
     pub(super) next_at: Micros,
-    /// Consecutive checks that were not answered as alive.
+    /// Consecutive checks without the answer that the worker accepts new work.
     pub(super) failures: u32,
 }
 
@@ -124,8 +127,8 @@
         self.served_at.max(self.listed_at(confirmed_at))
     }
 
-    /// When the list was last evidence. A confirmation after a doubt began does not count, as
-    /// updates may be withheld.
+    /// The time of the last list confirmation that is evidence for the worker. A confirmation after
+    /// a doubt began does not count, because updates may be withheld.
     fn listed_at(&self, confirmed_at: Option<Micros>) -> Option<Micros> {
         if self.reported_unavailable_at.is_some() || self.process_ended_at.is_some() {
             return None;
@@ -170,8 +173,9 @@
             let on_old_connection = opened_at.is_some_and(|opened_at| opened_at <= latest);
             on_old_connection || at.saturating_sub(latest) < MIN_RESTART_TIME
         });
-        // Without a sign that its process ended, a worker whose evidence only expired is assumed to
-        // be the same process: a gateway that did not use it sends it little.
+        // Without a sign that its process ended, a worker whose evidence has only expired is
+        // assumed to run the same process: a gateway that has not used the worker sends it few
+        // requests.
         if last_contradiction.is_some() && !same_process {
             // Discovery may announce the start as late as a drain.
             self.usable_from = now + validity.max_list_age;
--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -5,11 +5,11 @@
 /// Steps that cannot run a request twice against the effect of its class.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 pub struct Permitted {
-    /// Another attempt. With an idempotency key it must stay within the scope of the first attempt
-    /// that may have run.
+    /// Whether another attempt is permitted. If the request has an idempotency key, the attempt
+    /// must go to a worker that shares the keys of the first worker that may have run the request.
     pub retry: bool,
-    /// A rejection, which promises that a client's retry is safe. Otherwise only a failure is
-    /// possible.
+    /// Whether a rejection is permitted, which promises that a client's retry is safe. If not, an
+    /// unserved request is answered with a failure.
     pub reject: bool,
 }
 
--- a/src/policy/load_backoff.rs
+++ b/src/policy/load_backoff.rs
@@ -18,7 +18,8 @@
 const INITIAL_WORKER_PAUSE: Micros = 100_000;
 /// The maximum of this pause, in microseconds.
 const MAX_WORKER_PAUSE: Micros = 2_000_000;
-/// Consecutive rejections, of any functions, from which all load orders to a worker are paused.
+/// The number of consecutive rejected load orders, for any functions, at which all load orders to a
+/// worker are paused.
 const MAX_WORKER_REJECTIONS: u32 = 2;
 
 /// Number of consecutive failures, and the end of the pause.
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -46,8 +46,8 @@
                 ..
             } = queued;
             let awaits_load = self.requests[&id].awaited_load.is_some();
-            // Requests of the lowest value are given up early: served late, they take capacity from
-            // requests in time.
+            // In a backlog, late and over-quota requests are given up early: serving them takes
+            // capacity from requests that can still meet their latency objective.
             let may_shed = urgency > Urgency::InTime && !awaits_load;
             if queued.cannot_complete
                 || may_shed && *sheds_late.get_or_insert_with(|| self.has_backlog())
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -68,8 +68,8 @@
         self.first_possible_run.map(|run| run.sent_at)
     }
 
-    /// Waits for a load at a worker. A request can overtake its load order, and a miss costs an
-    /// attempt, so the order gets a head start.
+    /// Waits for a load at a worker. The request is sent some time after its load order, because it
+    /// could otherwise overtake the order, and the resulting miss would cost an attempt.
     pub(super) fn await_load(&mut self, now: Micros, worker: WorkerId, tick: Micros) {
         let head_start = (2 * tick).max(TICK_INTERVAL / 2);
         self.awaited_load = Some(AwaitedLoad {
--- a/src/policy/selection_view.rs
+++ b/src/policy/selection_view.rs
@@ -10,7 +10,8 @@
 const MAX_DEBT_REQUESTS: f64 = 6.0;
 
 impl Selection<'_> {
-    /// The function's candidates, with those last that peers report unhealthy or that are doubted.
+    /// The function's candidates. Those that are doubted, or that peers report as unhealthy, come
+    /// last.
     pub(super) fn candidates_suspect_last(&self) -> Vec<WorkerId> {
         let has_doubts = self.policy.evidence.has_anomalies();
         let is_suspect = |worker: &&WorkerId| {
@@ -58,9 +59,9 @@
         self.is_ready_and_healthy(worker) && (self.policy.has_many_instances() || accepts_load())
     }
 
-    /// The concurrency debt that a worker may have and still take the request, in microseconds.
-    /// With many instances, the allowances of all instances add up in a burst, so only functions
-    /// with fewer than two copies get one.
+    /// The maximum concurrency debt with which a worker may take the request, in microseconds.
+    /// With many instances, the permitted debts of all instances add up in a burst, so the maximum
+    /// is then 0 unless the function has fewer than two copies.
     pub(super) fn max_debt(&self) -> f64 {
         let requests = if !self.policy.has_many_instances() {
             1.0
@@ -87,9 +88,9 @@
             .count()
     }
 
-    /// The next worker that the request itself is tried at, with many instances: the preferred
-    /// worker after a first attempt elsewhere, otherwise the first unsaturated one, workers in slow
-    /// start last.
+    /// The next worker without known copies to which the request is sent, with many instances: the
+    /// preferred worker after a first attempt at another one, otherwise the first unsaturated
+    /// worker. Workers in slow start come last.
     pub(super) fn next_untried(&self) -> Option<WorkerId> {
         *self.next_untried.get_or_init(|| {
             let may_try = self.policy.has_many_instances()
@@ -204,8 +205,8 @@
         self.now - self.request.arrived_at
     }
 
-    /// Whether load orders for the function are paused at the worker. It does not matter where a
-    /// miss starts a load by itself.
+    /// Whether load orders for the function are paused at the worker. Always false if workers load
+    /// a missing function without an order.
     pub(super) fn load_is_paused(&self, worker: WorkerId) -> bool {
         let key = CopyKey {
             worker,
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -45,7 +45,7 @@
     pub(super) consecutive_failures: u32,
     /// When a connection to it was last reset.
     pub(super) last_reset_at: Micros,
-    /// Only a trial request is sent after this instant; none before.
+    /// An ejected worker gets no request before this instant, and a single trial request after it.
     pub(super) ejected_until: Micros,
     /// Other workers are preferred until this instant, as peers observed failures.
     pub(super) peer_unhealthy_until: Micros,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Whether requests of a class are kept away at `now`.
+    /// Whether the worker gets no requests of a class at `now`, because it limits the class.
     pub(super) fn backs_off(&self, now: Micros, class: usize) -> bool {
         self.class_backoff
             .get(&class)
--- a/src/replication/primary.rs
+++ b/src/replication/primary.rs
@@ -56,7 +56,7 @@
     /// The read was not requested.
     #[default]
     Pending,
-    /// The read was requested under an epoch.
+    /// The read was requested under this epoch.
     Requested(Epoch),
     /// The state was read: this process knows all work in progress.
     Complete,
--- a/src/replication/replica_sets.rs
+++ b/src/replication/replica_sets.rs
@@ -1,10 +1,11 @@
 //! The agreed replica sets of shards, and the disks that hold them. The state is the same at every
 //! gateway.
 //!
-//! A change names the epoch that it follows, and has no effect if the current epoch is another. So
+//! A change names the epoch that it follows, and has no effect if the current epoch differs, so
 //! only one of two concurrent changes takes effect. A disk is identified by a number chosen when it
-//! was created and by the number of process starts on it. So a lost disk and an old copy of a disk
-//! are detected when their gateway starts again, and leave every set.
+//! was created and by the number of process starts on it. A gateway that starts again on another
+//! disk has lost the previous one and leaves every set. A gateway that starts again on an old copy
+//! of its disk is detected by the number of starts, and does not use the copy.
 //!
 //! Postcard encodes entries and state, so the order of variants and fields is part of the format.
 
--- a/src/replication/replicator/events.rs
+++ b/src/replication/replicator/events.rs
@@ -123,7 +123,7 @@
     /// Verify the checksums of all shards on the disk, concurrently with writes, and report the
     /// result by [`Input::Verified`].
     VerifyDisk,
-    /// Accept the readable rows of a damaged shard that no other disk has.
+    /// Accept the readable rows of a damaged shard, because no other disk has the shard.
     AcceptDamage(ShardId),
     /// A record is committed on this number of replicas.
     Committed(CommitWaiter, usize),
--- a/src/replication/replicator/membership.rs
+++ b/src/replication/replicator/membership.rs
@@ -30,7 +30,7 @@
     members: BTreeSet<Name>,
     /// Whether no recent proposal is pending.
     can_propose: bool,
-    /// A lagging or unreachable member, and the time since which there is one.
+    /// A lagging or unreachable member, and the time since which the set has had such a member.
     lagging: Option<(Name, Micros)>,
     /// A replica outside the set that has caught up.
     caught_up: Option<Name>,
@@ -168,7 +168,8 @@
         self.act_on_review(now, id, slot, review)
     }
 
-    /// Returns a lagging or unreachable member, and the time since which there is one.
+    /// Returns a lagging or unreachable member, and the time since which the set has had such a
+    /// member.
     fn lagging(&self, now: Micros, primary: &Primary) -> Option<(Name, Micros)> {
         let timeout = self.settings.acknowledgement_timeout;
         let unreachable = || {
--- a/src/replication/replicator/reconfiguration.rs
+++ b/src/replication/replicator/reconfiguration.rs
@@ -10,8 +10,8 @@
 use crate::replication::{Epoch, LogPosition, Name, ShardId};
 
 impl Replicator {
-    /// Proposes this process as the user of its disk until that is agreed on. Before that, it
-    /// accepts no records and becomes no primary.
+    /// Proposes this process as the user of its disk, again and again until the proposal is agreed
+    /// on. Before that, the process accepts no records and becomes no primary.
     pub(super) fn check_registration(&mut self, now: Micros) {
         let Some(disk) = self.disk else {
             return;
@@ -170,8 +170,8 @@
     }
 
     /// Requests a read of the state of an open shard, unless it was read. While this process is the
-    /// primary, it knows its own work in progress; a second read would take that for the work of
-    /// another process.
+    /// primary, it knows its own work in progress; a second read would mistake this work for that
+    /// of another process.
     pub(super) fn request_state(&mut self, id: ShardId) {
         let Some(primary) = self.primary_mut(id) else {
             return;
--- a/src/replication/tests/simulation.rs
+++ b/src/replication/tests/simulation.rs
@@ -73,7 +73,7 @@
     pub(super) loss_percent: u64,
     /// Pairs of sender and recipient whose messages are lost.
     pub(super) partitions: BTreeSet<(usize, usize)>,
-    /// Whether entries are agreed on.
+    /// Whether proposed entries are agreed on; false while the consensus log has no majority.
     pub(super) has_quorum: bool,
     replicas: usize,
     disabled_guards: DisabledGuards,
@@ -84,9 +84,9 @@
     /// The waiters of the records that were committed.
     pub(super) committed: BTreeSet<u64>,
     pub(super) rejections: Vec<ReplicationError>,
-    /// Events of the histories, by gateway.
+    /// The events that gateways recorded, each with the gateway.
     pub(super) history: Vec<(usize, HistoryEvent)>,
-    /// States that were read for a promotion, by gateway.
+    /// The reads of a shard's state by new primaries: the gateway and the shard of each read.
     pub(super) state_reads: Vec<(usize, ShardId)>,
     pub(super) responses: Vec<Response>,
     pub(super) requests: Vec<HandledRequest>,
--- a/src/replication/wire.rs
+++ b/src/replication/wire.rs
@@ -69,7 +69,8 @@
     },
     /// The response to a request, by its number.
     Reply(u64, RequestOutcome),
-    /// A replica's disk is damaged: it does not count until it has a snapshot.
+    /// A replica reports damage of the shard on its disk. The replica does not count until it has
+    /// received a snapshot.
     Corrupt(ShardId, Epoch),
 }
 
--- a/src/worker/connection.rs
+++ b/src/worker/connection.rs
@@ -90,10 +90,11 @@
             && !self.cancelled.iter().any(|(other, _)| &**other == identity)
     }
 
-    /// Returns whether a rejection may be a duplicate of the one that an earlier attempt with this identity received;
-    /// true once per recorded rejection. For calls that must run at most once, a duplicate taken for the reply to the
-    /// next attempt would wrongly show that this attempt never ran. If the rejection belongs to the next attempt after
-    /// all, the call ends at its deadline.
+    /// Returns whether a rejection may be a duplicate of the one that an earlier attempt with this
+    /// identity received, and removes the record of that rejection, so that each record matches
+    /// once. For a call that must run at most once, a duplicate taken for the reply to the next
+    /// attempt would wrongly show that the next attempt never ran. If the rejection is not a
+    /// duplicate but the reply to the next attempt, the call ends at its deadline.
     fn is_duplicate_rejection(&mut self, now: Micros, identity: &[u8]) -> bool {
         let index = self
             .rejected
