--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -122,7 +122,7 @@
     Discovery(DiscoverySignal),
     /// A worker refused a connection while no other connection to it was open: its process has
     /// ended. With another one open, the worker may only have reached its connection limit.
-    WorkerRefused {
+    ConnectionRefused {
         /// The worker.
         worker: WorkerId,
     },
--- a/src/bin/molelug-simhost/main.rs
+++ b/src/bin/molelug-simhost/main.rs
@@ -43,8 +43,8 @@
                 Message::Event(event) => {
                     if let Some(instance) = instances.get_mut(&instance_id) {
                         // Settles after each event, as in a gateway that is not under load.
-                        instance.policy.take(now, event, &mut actions);
-                        instance.policy.settle(now, &mut actions);
+                        instance.policy.handle_event(now, event, &mut actions);
+                        instance.policy.append_actions(now, &mut actions);
                         // Discards the evidence changes, which are only for the log.
                         while instance.policy.next_evidence_change().is_some() {}
                     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -244,7 +244,7 @@
             classes: listed("services", "name"),
             tenants: listed("orgs", "name"),
             zones: zones.filter_map(Value::as_str).map(str::to_owned).collect(),
-            longest: module.classes.iter().map(|c| c.deadline).collect(),
+            max_deadlines: module.classes.iter().map(|c| c.deadline).collect(),
         };
         let known = raw.known.notices.iter().map(|n| {
             WatchEvent::from_value(n, &names)
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -67,8 +67,8 @@
         // The event stays in the queue while it is handled: a non-empty queue defers further events.
         while let Some(event) = self.events.front().cloned() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.policy.take(now, event, &mut actions);
-            self.unsettled_since = Some(now);
+            self.policy.handle_event(now, event, &mut actions);
+            self.undecided_since = Some(now);
             self.perform_actions(now, actions);
             self.events.pop_front();
         }
@@ -76,13 +76,13 @@
     }
 
     /// Lets the module decide on all pending requests if it has handled an event since its last decision.
-    pub(super) fn settle(&mut self) {
-        let Some(now) = self.unsettled_since.take() else {
+    pub(super) fn decide(&mut self) {
+        let Some(now) = self.undecided_since.take() else {
             return;
         };
         self.counters.settled += 1;
         let mut actions = std::mem::take(&mut self.actions);
-        self.policy.settle(now, &mut actions);
+        self.policy.append_actions(now, &mut actions);
         self.log_evidence_changes();
         self.perform_actions(now, actions);
     }
--- a/src/core/evidence.rs
+++ b/src/core/evidence.rs
@@ -20,7 +20,7 @@
 
 impl<O: Clone + std::fmt::Debug> Core<O> {
     /// Handles a signal from the service discovery stream.
-    pub fn discovery_signal(&mut self, now: Micros, signal: DiscoverySignal) {
+    pub fn handle_discovery_signal(&mut self, now: Micros, signal: DiscoverySignal) {
         self.handle_event(now, Event::Discovery(signal));
     }
 
@@ -35,9 +35,9 @@
         self.policy.knows_workers(now)
     }
 
-    /// Adopts the evidence of a worker that another process of this gateway obtained at `at`.
-    pub fn adopt_evidence(&mut self, worker: WorkerId, at: Micros) {
-        self.policy.adopt_evidence(worker, at);
+    /// Imports the evidence of a worker that another process of this gateway obtained at `at`.
+    pub fn import_evidence(&mut self, worker: WorkerId, at: Micros) {
+        self.policy.import_evidence(worker, at);
     }
 
     /// Returns the workers that have themselves shown that they accept new work, with the time of that evidence.
@@ -60,8 +60,8 @@
     }
 
     /// Handles a refused connection to a worker without other open connections: its process has ended.
-    pub fn worker_refused(&mut self, now: Micros, worker: WorkerId) {
-        self.handle_event(now, Event::WorkerRefused { worker });
+    pub fn connection_refused(&mut self, now: Micros, worker: WorkerId) {
+        self.handle_event(now, Event::ConnectionRefused { worker });
     }
 
     /// Counts the outcome of a health check.
@@ -86,7 +86,7 @@
                 self.counters.discovery_lost += 1;
                 tracing::warn!(list_age_ms = ?millis(list_age), "discovery lost");
             }
-            EvidenceChange::DiscoveryHeard { lost_for } => {
+            EvidenceChange::DiscoveryRestored { lost_for } => {
                 tracing::info!(
                     lost_for_ms = lost_for / MICROS_PER_MILLI,
                     "discovery recovered"
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -72,7 +72,7 @@
     commands: VecDeque<Command<O>>,
     /// The time of the last event that the module has handled since it last decided on the pending requests; `None` if
     /// there is no such event.
-    unsettled_since: Option<Micros>,
+    undecided_since: Option<Micros>,
     last_request_id: u32,
     /// Counts of requests, attempts and connections.
     pub counters: Counters,
@@ -106,7 +106,7 @@
             events: VecDeque::new(),
             actions: Vec::new(),
             commands: VecDeque::new(),
-            unsettled_since: None,
+            undecided_since: None,
             last_request_id: 0,
             counters,
         }
@@ -134,7 +134,7 @@
     /// empty, so that it examines them once for all events of one turn of the event loop.
     pub fn next_command(&mut self) -> Option<Command<O>> {
         if self.commands.is_empty() {
-            self.settle();
+            self.decide();
         }
         self.commands.pop_front()
     }
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -33,7 +33,7 @@
     /// The workers of the update in its order, as the decision module receives them.
     pub workers: Vec<WorkerEntry>,
     /// The workers whose address changed.
-    pub readdressed: Vec<WorkerId>,
+    pub address_changes: Vec<WorkerId>,
 }
 
 impl EndpointList {
@@ -68,7 +68,7 @@
     pub fn apply(&mut self, update: &WatchEvent) -> AppliedUpdate {
         let mut applied = AppliedUpdate {
             workers: Vec::with_capacity(update.endpoints.len()),
-            readdressed: Vec::new(),
+            address_changes: Vec::new(),
         };
         if update.snapshot {
             self.removed.extend(self.addresses.keys());
@@ -77,7 +77,7 @@
             let worker = self.id_of(&endpoint.name);
             let former = self.addresses.insert(worker, endpoint.address);
             if former.is_some_and(|former| former != endpoint.address) {
-                applied.readdressed.push(worker);
+                applied.address_changes.push(worker);
             }
             if endpoint.status == WorkerStatus::Removed {
                 self.removed.insert(worker);
--- a/src/discovery/watch_event.rs
+++ b/src/discovery/watch_event.rs
@@ -96,7 +96,7 @@
         let status = text("status").ok_or(DiscoveryError::Field("status"))?;
         let status = parse_status(name, status)?;
         let zone = text("zone")
-            .and_then(|zone| Names::place(&names.zones, zone))
+            .and_then(|zone| Names::index_of(&names.zones, zone))
             .unwrap_or(UNKNOWN_ZONE);
         let cell = value.get("group").and_then(Value::as_u64).unwrap_or(0);
         let capacity = value.get("weight").and_then(Value::as_f64);
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -77,15 +77,17 @@
     let function = FunctionId(hex16(key).ok_or(plain(404, "a function is 16 hex digits"))?);
     let class = r
         .header("X-Class")
-        .and_then(|c| Names::place(&names.classes, c));
+        .and_then(|c| Names::index_of(&names.classes, c));
     let tenant = match r.header("X-Org") {
-        Some(org) => Names::place(&names.tenants, org),
+        Some(org) => Names::index_of(&names.tenants, org),
         None => names.tenants.is_empty().then_some(0),
     };
     let id = r
         .header("X-Correlation-Id")
         .filter(|id| hex16(id).is_some());
-    let stated = class.and_then(|c| names.longest.get(c)).filter(|t| **t > 0);
+    let stated = class
+        .and_then(|c| names.max_deadlines.get(c))
+        .filter(|t| **t > 0);
     // A little more than stated is a clock's or a rounding's doing.
     let longest = stated.map_or(LONGEST_MS, |t| *t as f64 / 1e3 * 1.05);
     let wait = r
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -74,7 +74,7 @@
 #[test]
 fn figures_out_of_range_are_turned_away() {
     let names = Names {
-        longest: vec![2_000_000],
+        max_deadlines: vec![2_000_000],
         ..names()
     };
     let taken = |text: &str| {
--- a/src/front/webhook/inbound.rs
+++ b/src/front/webhook/inbound.rs
@@ -189,7 +189,7 @@
             return Err(plain(422, "unknown type of event"));
         }
         let d = event.data;
-        let place = Names::place(&names.classes, &d.class).ok_or(plain(422, "unknown class"))?;
+        let place = Names::index_of(&names.classes, &d.class).ok_or(plain(422, "unknown class"))?;
         let class = self.classes.get(place).ok_or(plain(422, "unknown class"))?;
         let function =
             FunctionId(hex16(&d.function).ok_or(plain(422, "a function is 16 hex digits"))?);
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -257,7 +257,7 @@
             Ok(key) => key,
             Err(reason) => return self.complete_unsent(Exchange::Attempt(attempt), reason),
         };
-        let must_run_once = self.runs_once(dispatch.class);
+        let run_at_most_once = self.runs_once(dispatch.class);
         let Some((connection, Role::Worker(worker))) = self.connections.get_mut(connection_key)
         else {
             return;
@@ -275,7 +275,7 @@
             function: dispatch.function,
             wait_ms: dispatch.expires_at.saturating_sub(now) / 1000,
             body: &dispatch.body,
-            must_run_once,
+            run_at_most_once,
         };
         worker.send_attempt(&mut connection.outbox, command);
         self.routes.attempts.insert(attempt, connection_key);
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -215,7 +215,8 @@
         let has_heartbeat = stream.take_heartbeat();
         let is_incomplete = stream.is_incomplete() || !connection.input.bytes().is_empty();
         if answered && !had_answered {
-            self.core.discovery_signal(now, DiscoverySignal::Opened);
+            self.core
+                .handle_discovery_signal(now, DiscoverySignal::Opened);
         }
         self.set_deadline(key, Some(now + DISCOVERY_SILENCE_TIMEOUT));
         for event in events {
@@ -224,10 +225,12 @@
             }
         }
         if has_heartbeat {
-            self.core.discovery_signal(now, DiscoverySignal::Heartbeat);
+            self.core
+                .handle_discovery_signal(now, DiscoverySignal::Heartbeat);
         }
         if is_incomplete {
-            self.core.discovery_signal(now, DiscoverySignal::Incomplete);
+            self.core
+                .handle_discovery_signal(now, DiscoverySignal::Incomplete);
         }
         if answered {
             self.note_discovery_answer(now);
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -67,7 +67,8 @@
             self.discovery.failed_connects.saturating_add(1)
         };
         if answered {
-            self.core.discovery_signal(now, DiscoverySignal::Closed);
+            self.core
+                .handle_discovery_signal(now, DiscoverySignal::Closed);
         }
         self.schedule_discovery_reconnect(now);
     }
@@ -113,7 +114,8 @@
         };
         let is_complete = self.apply_watch_event(now, &update);
         if is_complete {
-            self.core.discovery_signal(now, DiscoverySignal::Update);
+            self.core
+                .handle_discovery_signal(now, DiscoverySignal::Update);
         }
         is_complete
     }
@@ -148,7 +150,7 @@
             self.apply_worker_status(worker);
         }
         self.tell_ready(now, update.snapshot, &workers);
-        for worker in applied.readdressed {
+        for worker in applied.address_changes {
             self.retire_connections(worker, None);
         }
         if update.snapshot {
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -231,7 +231,7 @@
             }
         }
         for (state, age) in evidence {
-            self.adopt_evidence(now, &state, age);
+            self.import_evidence(now, &state, age);
         }
         if changed {
             tracing::info!(processes, "processes of this gateway changed");
@@ -247,14 +247,14 @@
     }
 
     /// Takes over what a living process knows of workers, from a text that is so old.
-    fn adopt_evidence(&mut self, now: Micros, state: &SiblingState, text_age: Micros) {
+    fn import_evidence(&mut self, now: Micros, state: &SiblingState, text_age: Micros) {
         for (name, age) in &state.evidence {
             let Some(worker) = self.discovery.endpoints.find(name) else {
                 continue;
             };
             // It was written up to one interval after the ages were taken.
             let age = age + text_age + SIBLING_READ_INTERVAL;
-            self.core.adopt_evidence(worker, now.saturating_sub(age));
+            self.core.import_evidence(worker, now.saturating_sub(age));
         }
     }
 
--- a/src/gateway/webhooks/shard_calls.rs
+++ b/src/gateway/webhooks/shard_calls.rs
@@ -121,7 +121,7 @@
 
     /// Returns the call of a record; none if its class or tenant is not known here.
     pub(super) fn call_of(&self, call: &CallRecord) -> Option<Call<Job>> {
-        let class = Names::place(&self.config.names.classes, &call.class)?;
+        let class = Names::index_of(&self.config.names.classes, &call.class)?;
         let tenant = self.secondary.tenants.same(&call.tenant, call.serial)?.id;
         let arrival = Arrival {
             request: RequestId(0),
--- a/src/gateway/worker_connections.rs
+++ b/src/gateway/worker_connections.rs
@@ -146,7 +146,7 @@
     pub(super) fn note_refused(&mut self, now: Micros, worker: WorkerId) {
         let keys = self.routes.connections.get(&worker);
         if keys.is_none_or(Vec::is_empty) {
-            self.core.worker_refused(now, worker);
+            self.core.connection_refused(now, worker);
         }
     }
 
--- a/src/names.rs
+++ b/src/names.rs
@@ -12,12 +12,12 @@
     /// The zone names.
     pub zones: Vec<String>,
     /// The maximum deadline of a call, indexed by class; a call that states a longer one is rejected.
-    pub longest: Vec<Micros>,
+    pub max_deadlines: Vec<Micros>,
 }
 
 impl Names {
     /// Returns the index of a name in a list.
-    pub fn place(list: &[String], name: &str) -> Option<usize> {
+    pub fn index_of(list: &[String], name: &str) -> Option<usize> {
         list.iter().position(|n| n == name)
     }
 }
--- a/src/policy/evidence/change.rs
+++ b/src/policy/evidence/change.rs
@@ -33,7 +33,7 @@
         list_age: Option<Micros>,
     },
     /// Discovery confirms the list again.
-    DiscoveryHeard {
+    DiscoveryRestored {
         /// The time for which it was lost.
         lost_for: Micros,
     },
--- a/src/policy/evidence/contradiction.rs
+++ b/src/policy/evidence/contradiction.rs
@@ -35,7 +35,7 @@
 
     /// Whether to reopen the discovery stream now because the list contradicts a worker's answers.
     /// Reopenings become less frequent while new streams deliver no update either.
-    pub fn take_reopen(&mut self, now: Micros) -> bool {
+    pub fn take_due_reopening(&mut self, now: Micros) -> bool {
         let doublings = self.reopenings.min(MAX_REOPEN_DOUBLINGS);
         let interval = REOPEN_INTERVAL << doublings;
         // Spreads the reopenings of different instances.
--- a/src/policy/evidence/mod.rs
+++ b/src/policy/evidence/mod.rs
@@ -15,8 +15,8 @@
 mod checks;
 mod contradiction;
 mod discovery;
-mod spans;
 mod tracker;
+mod validity;
 mod view;
 mod worker;
 
--- a/src/policy/evidence/tracker.rs
+++ b/src/policy/evidence/tracker.rs
@@ -5,7 +5,7 @@
 use super::change::{DoubtReason, EvidenceChange, SuspendReason};
 use super::check_budget::CheckBudget;
 use super::discovery::{DiscoveryChange, DiscoveryFreshness, DiscoveryKind};
-use super::spans::EvidenceValidity;
+use super::validity::EvidenceValidity;
 use super::worker::{DoubtPolicy, ReportedCapacity, WorkerEvidence};
 use crate::api::{DiscoverySignal, Micros, Settings, WorkerId, WorkerStatus};
 
@@ -236,7 +236,7 @@
 
     /// Records that a worker's address refuses connections: its process has ended. While discovery
     /// is available, the list alone decides.
-    pub fn on_process_gone(&mut self, now: Micros, id: WorkerId) {
+    pub fn on_process_ended(&mut self, now: Micros, id: WorkerId) {
         if self.validity.is_none() || !self.discovery.is_lost(now) {
             return;
         }
@@ -285,7 +285,7 @@
             }
             Some(DiscoveryChange::Restored { lost_for }) => {
                 self.on_discovery_restored();
-                self.report(EvidenceChange::DiscoveryHeard { lost_for });
+                self.report(EvidenceChange::DiscoveryRestored { lost_for });
             }
             None => {}
         }
--- a/src/policy/evidence/view.rs
+++ b/src/policy/evidence/view.rs
@@ -81,7 +81,7 @@
     }
 
     /// Takes over evidence of time `at` from another process of this gateway.
-    pub fn adopt(&mut self, id: WorkerId, at: Micros) {
+    pub fn import(&mut self, id: WorkerId, at: Micros) {
         if let Some(worker) = self.workers.get_mut(&id) {
             if worker.reported_unavailable_at.is_none() && worker.process_ended_at.is_none() {
                 worker.served_at = worker.served_at.max(Some(at));
--- a/src/policy/evidence/worker.rs
+++ b/src/policy/evidence/worker.rs
@@ -1,7 +1,7 @@
 //! Evidence about one worker that is listed as ready.
 
 use super::change::DoubtReason;
-use super::spans::EvidenceValidity;
+use super::validity::EvidenceValidity;
 use crate::api::{LoadReport, Micros};
 
 /// The maximum of reported requests in flight with which a worker has free capacity.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
 //! The decision module: chooses a worker for each request, and decides on retries, rejections and
 //! loads.
 //!
-//! It is deterministic and performs no I/O. [`Policy::take`] takes events; [`Policy::settle`]
+//! It is deterministic and performs no I/O. [`Policy::handle_event`] takes events; [`Policy::append_actions`]
 //! appends the resulting actions. `src/api` defines both. Queued requests are sent by Fair Choice
 //! on total processing time (FCP): the function with the lowest demand first. All instances try a
 //! function's workers in the same rendezvous-hash order, so that they find the same copies without
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Handles one event. After all events of a batch, call [`Policy::settle`] once.
-    pub fn take(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    /// Handles one event. After all events of a batch, call [`Policy::append_actions`] once.
+    pub fn handle_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::WorkerList { update, workers } => self.on_worker_list(now, update, workers),
             Event::Discovery(signal) => self.evidence.on_discovery(now, signal),
-            Event::WorkerRefused { worker } => self.evidence.on_process_gone(now, worker),
+            Event::ConnectionRefused { worker } => self.evidence.on_process_ended(now, worker),
             Event::Request(arrival) => self.on_request(now, &arrival),
             Event::AttemptEnded(end) => self.on_attempt_ended(now, &end, actions),
             Event::Streaming { request } => self.on_streaming(request),
@@ -177,7 +177,7 @@
     }
 
     /// Makes the decisions that follow from the handled events, and appends the actions.
-    pub fn settle(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub fn append_actions(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.apply_evidence(now, actions);
         self.dispatch_queued(now, actions);
         self.expire_overdue(now, actions);
@@ -205,7 +205,7 @@
         }
         let checks = self.evidence.due_checks(now).into_iter();
         actions.extend(checks.map(|worker| Action::HealthCheck { worker }));
-        if self.evidence.take_reopen(now) {
+        if self.evidence.take_due_reopening(now) {
             actions.push(Action::ReopenDiscovery);
         }
     }
@@ -255,8 +255,8 @@
     }
 
     /// Takes over evidence from another process of this gateway.
-    pub(crate) fn adopt_evidence(&mut self, worker: WorkerId, at: Micros) {
-        self.evidence.adopt(worker, at);
+    pub(crate) fn import_evidence(&mut self, worker: WorkerId, at: Micros) {
+        self.evidence.import(worker, at);
     }
 
     /// The highest observed throughput of an average worker for this instance, in answers per
--- a/src/worker/connection.rs
+++ b/src/worker/connection.rs
@@ -23,14 +23,14 @@
     /// The tag of its frame.
     tag: u64,
     /// Whether the call must run at most once.
-    must_run_once: bool,
+    run_at_most_once: bool,
 }
 
 /// An exchange to be queued.
 struct Outgoing {
     identity: Rc<str>,
     exchange: Exchange,
-    must_run_once: bool,
+    run_at_most_once: bool,
     bytes: Vec<u8>,
 }
 
@@ -110,7 +110,7 @@
         let open = OpenExchange {
             exchange: outgoing.exchange,
             tag,
-            must_run_once: outgoing.must_run_once,
+            run_at_most_once: outgoing.run_at_most_once,
         };
         self.open.insert(outgoing.identity, open);
         match outgoing.exchange {
@@ -134,7 +134,7 @@
         let outgoing = Outgoing {
             identity: command.identity,
             exchange: Exchange::Attempt(command.attempt),
-            must_run_once: command.must_run_once,
+            run_at_most_once: command.run_at_most_once,
             bytes,
         };
         self.enqueue(outbox, outgoing);
@@ -154,7 +154,7 @@
         let outgoing = Outgoing {
             identity,
             exchange: Exchange::LoadOrder(order),
-            must_run_once: false,
+            run_at_most_once: false,
             bytes,
         };
         self.enqueue(outbox, outgoing);
@@ -167,7 +167,7 @@
         let outgoing = Outgoing {
             identity,
             exchange: Exchange::HealthCheck(check),
-            must_run_once: false,
+            run_at_most_once: false,
             bytes,
         };
         self.enqueue(outbox, outgoing);
@@ -329,7 +329,7 @@
             reason,
             CloseReason::NotLoaded | CloseReason::AtCapacity | CloseReason::Expired
         );
-        let may_be_duplicated = open.must_run_once && rejected;
+        let may_be_duplicated = open.run_at_most_once && rejected;
         if may_be_duplicated && self.is_duplicate_rejection(now, reply.identity) {
             return Ok(false);
         }
--- a/src/worker/exchange.rs
+++ b/src/worker/exchange.rs
@@ -65,5 +65,5 @@
     /// The payload.
     pub body: &'a [u8],
     /// Whether the call must run at most once.
-    pub must_run_once: bool,
+    pub run_at_most_once: bool,
 }
--- a/src/worker/tests.rs
+++ b/src/worker/tests.rs
@@ -41,7 +41,7 @@
             function: FunctionId(7),
             wait_ms: 9,
             body: b"x",
-            must_run_once: true,
+            run_at_most_once: true,
         };
         self.connection.send_attempt(&mut self.outbox, command);
         attempt
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -153,8 +153,8 @@
 
     fn tell(&mut self, instance: usize, event: Event) {
         let mut actions = Vec::new();
-        self.policies[instance].take(self.now, event, &mut actions);
-        self.policies[instance].settle(self.now, &mut actions);
+        self.policies[instance].handle_event(self.now, event, &mut actions);
+        self.policies[instance].append_actions(self.now, &mut actions);
         for action in actions {
             self.act(instance, action);
         }
--- a/tests/decisions/driver.rs
+++ b/tests/decisions/driver.rs
@@ -148,9 +148,9 @@
         for event in events {
             self.record.event(&event);
             self.fed += 1;
-            self.policy.take(self.now, event, &mut actions);
+            self.policy.handle_event(self.now, event, &mut actions);
         }
-        self.policy.settle(self.now, &mut actions);
+        self.policy.append_actions(self.now, &mut actions);
         for action in actions {
             self.record.action(self.now, &action);
             self.carry_out(action);
--- a/tests/decisions/record.rs
+++ b/tests/decisions/record.rs
@@ -135,7 +135,7 @@
         Event::InstanceLimits { .. } => "limits",
         Event::Wake { .. } => "wake",
         Event::Discovery(_) => "discovery",
-        Event::WorkerRefused { .. } => "refused",
+        Event::ConnectionRefused { .. } => "refused",
     }
 }
 
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -215,10 +215,13 @@
 fn contradicted_stream_is_opened_anew() {
     let mut rig = Rig::heard(&settings(true));
     rig.check(WORKER, CheckResult::Dead, None);
-    assert!(!rig.tracker.take_reopen(rig.now), "the list may lag");
+    assert!(!rig.tracker.take_due_reopening(rig.now), "the list may lag");
     rig.pass_with_heartbeats(4);
-    assert!(rig.tracker.take_reopen(rig.now));
-    assert!(!rig.tracker.take_reopen(rig.now), "not at once again");
+    assert!(rig.tracker.take_due_reopening(rig.now));
+    assert!(
+        !rig.tracker.take_due_reopening(rig.now),
+        "not at once again"
+    );
 }
 
 #[test]
@@ -329,7 +332,7 @@
     let mut reopened_at = Vec::new();
     for _ in 0..300 {
         rig.pass_with_heartbeats(1);
-        if rig.tracker.take_reopen(rig.now) {
+        if rig.tracker.take_due_reopening(rig.now) {
             reopened_at.push(rig.now);
             rig.signal(DiscoverySignal::Closed);
             rig.connect();
@@ -353,7 +356,7 @@
     let mut rig = Rig::heard(&settings(false));
     for _ in 0..600 {
         rig.pass_with_heartbeats(1);
-        assert!(!rig.tracker.take_reopen(rig.now));
+        assert!(!rig.tracker.take_due_reopening(rig.now));
         assert!(rig.may_send(WORKER) && rig.may_send(OTHER));
     }
 }
@@ -380,7 +383,7 @@
 fn returned_process_waits_until_its_start_would_be_told() {
     let mut rig = Rig::heard(&settings(true));
     rig.pass(4 * SECOND);
-    rig.tracker.on_process_gone(rig.now, WORKER);
+    rig.tracker.on_process_ended(rig.now, WORKER);
     rig.pass(6 * SECOND);
     assert!(!rig.may_send(WORKER));
     let returned_at = rig.now;
@@ -512,7 +515,7 @@
 #[test]
 fn evidence_of_another_process_is_adopted() {
     let mut rig = Rig::new(&settings(false));
-    rig.tracker.adopt(WORKER, rig.now - 2 * SECOND);
+    rig.tracker.import(WORKER, rig.now - 2 * SECOND);
     assert!(rig.may_send(WORKER));
     rig.pass(TOLD_AFTER + GRACE - 2 * SECOND);
     assert!(!rig.may_send(WORKER));
--- a/tests/evidence/world.rs
+++ b/tests/evidence/world.rs
@@ -194,7 +194,7 @@
                     .on_rejected(self.now, worker, sent_at, ReportedCapacity::Free);
             }
             (Truth::Gone(_), _) => {
-                self.tracker.on_process_gone(self.now, worker);
+                self.tracker.on_process_ended(self.now, worker);
                 if answer.is_check {
                     self.check_ended(worker, CheckResult::NoAnswer, sent_at);
                 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -82,8 +82,8 @@
     /// Actions other than timers.
     fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.policy.take(self.now, event, &mut out);
-        self.policy.settle(self.now, &mut out);
+        self.policy.handle_event(self.now, event, &mut out);
+        self.policy.append_actions(self.now, &mut out);
         out.retain(|a| !matches!(a, Action::Wake { .. }));
         out
     }
--- a/tests/operator_configuration.rs
+++ b/tests/operator_configuration.rs
@@ -153,7 +153,7 @@
     out.add("names.classes", &config.names.classes);
     out.add("names.tenants", &config.names.tenants);
     out.add("names.zones", &config.names.zones);
-    out.add("names.deadlines_us", &config.names.longest);
+    out.add("names.deadlines_us", &config.names.max_deadlines);
     out.add("connect_timeout_us", config.connect_limit);
     out.add("connection_idle_timeout_us", config.conn_idle);
     out.add("streams_per_connection", config.streams);
--- a/tests/wire_formats/board.rs
+++ b/tests/wire_formats/board.rs
@@ -97,15 +97,15 @@
     let mut roster = EndpointList::default();
     let AppliedUpdate {
         workers,
-        readdressed,
+        address_changes,
     } = roster.apply(&notice(41, SNAPSHOT));
     let numbers: Vec<WorkerId> = workers.iter().map(|entry| entry.worker).collect();
     assert_eq!(numbers[0], WorkerId(0x00c4_1f7a));
-    assert_eq!((numbers.len(), readdressed.len()), (2, 0));
+    assert_eq!((numbers.len(), address_changes.len()), (2, 0));
     let number = format!("plain {:08x}", numbers[1].0);
     check_lines("wire/worker_numbers.txt", &[number]);
     assert_eq!(
-        roster.apply(&notice(42, DELTA)).readdressed,
+        roster.apply(&notice(42, DELTA)).address_changes,
         [WorkerId(0x00c4_1f7a)],
         "it has another address"
     );
--- a/tests/wire_formats/worker.rs
+++ b/tests/wire_formats/worker.rs
@@ -32,7 +32,7 @@
         function: FUNCTION,
         wait_ms: 2500,
         body: b"{\"amount\":12}\r\n\x00\xff",
-        must_run_once: true,
+        run_at_most_once: true,
     };
     link.send_attempt(&mut outbox, go);
     let call = outbox.drain();
