--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -132,7 +132,7 @@
         let tenant_settings = TenantSettings {
             name: name.clone(),
             process,
-            copies: settings.copies,
+            copies: settings.replicas,
             ask: settings.request_timeout,
             without_agreed: settings.disabled_guards.tenant_agreement,
         };
--- a/src/gateway/replication/store_replies.rs
+++ b/src/gateway/replication/store_replies.rs
@@ -13,7 +13,7 @@
     /// This process is registered on its disk.
     pub(in crate::gateway) fn disk_registered(&mut self, reply: Result<Reply, StoreError>) {
         if let Ok(Reply::Disk(disk)) = reply {
-            self.notify_replicator(Input::Disk {
+            self.notify_replicator(Input::DiskOpened {
                 id: disk.id,
                 incarnation: disk.incarnation,
                 positions: disk.shards.into_iter().collect(),
--- a/src/replication/config.rs
+++ b/src/replication/config.rs
@@ -102,7 +102,7 @@
     /// The identifier of this process.
     pub process: u64,
     /// The number of replicas of a committed record.
-    pub copies: usize,
+    pub replicas: usize,
     /// The number of shards.
     pub shards: u16,
     /// The time without a message after which a gateway counts as unreachable.
@@ -229,7 +229,7 @@
         Settings {
             name: name.into(),
             process,
-            copies: self.copies,
+            replicas: self.copies,
             shards: self.shards,
             failure_timeout: self.silent_ms * 1_000,
             acknowledgement_timeout: self.stall_ms * 1_000,
--- a/src/replication/replicator.rs
+++ b/src/replication/replicator.rs
@@ -141,7 +141,7 @@
     /// Handles an input.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Disk {
+            Input::DiskOpened {
                 id,
                 incarnation,
                 positions,
--- a/src/replication/replicator/events.rs
+++ b/src/replication/replicator/events.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// This process has started on its disk.
-    Disk {
+    DiskOpened {
         /// The disk's identifier.
         id: u64,
         /// The number of process starts on the disk.
--- a/src/replication/replicator/membership.rs
+++ b/src/replication/replicator/membership.rs
@@ -205,7 +205,7 @@
         SetReview {
             can_propose: self.can_propose(now, id),
             caught_up: primary.caught_up_candidate(),
-            needs_member: lagging.is_some() || members.len() < self.settings.copies,
+            needs_member: lagging.is_some() || members.len() < self.settings.replicas,
             members,
             lagging,
             joining,
--- a/src/replication/tests/model/cluster.rs
+++ b/src/replication/tests/model/cluster.rs
@@ -241,7 +241,7 @@
         gateway.incarnation = 1;
         gateway.disk.clear();
         gateway.writes.clear();
-        let input = Input::Disk {
+        let input = Input::DiskOpened {
             id: gateway.disk_id,
             incarnation: gateway.incarnation,
             positions: BTreeMap::new(),
@@ -288,7 +288,7 @@
         let settings = scenario.settings(index, gateway.starts);
         gateway.replicator = Replicator::new(settings, gateway.now);
         gateway.seen_state = seen_state;
-        let input = Input::Disk {
+        let input = Input::DiskOpened {
             id: gateway.disk_id,
             incarnation: gateway.incarnation,
             positions: [(1, position_after(&gateway.disk))].into(),
--- a/src/replication/tests/model/scenario.rs
+++ b/src/replication/tests/model/scenario.rs
@@ -55,7 +55,7 @@
         Settings {
             name: gateway_name(index),
             process: 100 * (index as u64 + 1) + starts,
-            copies: 2,
+            replicas: 2,
             shards: 1,
             failure_timeout: FAILURE_TIMEOUT,
             acknowledgement_timeout: FAILURE_TIMEOUT / 2,
--- a/src/replication/tests/simulation.rs
+++ b/src/replication/tests/simulation.rs
@@ -152,7 +152,7 @@
         Settings {
             name: gateway_name(index),
             process: self.last_process,
-            copies: self.replicas,
+            replicas: self.replicas,
             shards: SHARDS,
             failure_timeout: 400 * MS,
             acknowledgement_timeout: 200 * MS,
@@ -174,7 +174,7 @@
         gateway.replicator = Some(Replicator::new(settings, self.now));
         gateway.seen_state = 0;
         let shards = gateway.disk.shards.iter();
-        let input = Input::Disk {
+        let input = Input::DiskOpened {
             id: gateway.disk.id,
             incarnation: gateway.disk.incarnation,
             positions: shards
--- a/src/replication/tests/simulation/outputs.rs
+++ b/src/replication/tests/simulation/outputs.rs
@@ -145,7 +145,7 @@
             ..DiskImage::default()
         };
         gateway.writes.clear();
-        let input = Input::Disk {
+        let input = Input::DiskOpened {
             id,
             incarnation: 1,
             positions: BTreeMap::new(),
