--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -9,9 +9,9 @@
 
 use super::ask::{at, plain, At};
 use crate::consensus::bootstrap::{bootstrap, new_replica, recover_state};
-use crate::consensus::config::File;
+use crate::consensus::config::ConsensusConfig;
 use crate::consensus::persistent_state::Record;
-use crate::consensus::replica_from_hash;
+use crate::consensus::replica_id_from_hash;
 use crate::consensus::state::State;
 use crate::store::disk::Disk;
 use crate::store::operations::Op;
@@ -181,7 +181,7 @@
     Ok(())
 }
 
-fn replica_disk(file: &File) -> Result<PathBuf, Box<dyn Error>> {
+fn replica_disk(file: &ConsensusConfig) -> Result<PathBuf, Box<dyn Error>> {
     file.replica_disk
         .clone()
         .ok_or_else(|| "the council file names no disk for a seat".into())
@@ -206,7 +206,7 @@
     from: Option<&Path>,
     names: &[String],
 ) -> Result<(), Box<dyn Error>> {
-    let file = File::read(config)?;
+    let file = ConsensusConfig::read(config)?;
     let own_name = name
         .or_else(|| file.name.clone())
         .ok_or("no name: give one by --name or in the file")?;
@@ -224,7 +224,7 @@
 }
 
 fn run_new_replica(config: &Path) -> Result<(), Box<dyn Error>> {
-    let file = File::read(config)?;
+    let file = ConsensusConfig::read(config)?;
     let path = replica_disk(&file)?;
     let parts = [
         &unix_micros().to_le_bytes()[..],
@@ -232,7 +232,7 @@
         path.as_os_str().as_encoded_bytes(),
     ];
     let hash = blake3::derive_key("molelug council seat 1", &parts.concat());
-    make_disk(&path, new_replica(replica_from_hash(&hash)))?;
+    make_disk(&path, new_replica(replica_id_from_hash(&hash)))?;
     println!("a seat was made; it votes once a council has made it a voter");
     Ok(())
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError, Operator};
-use crate::consensus::config::File;
+use crate::consensus::config::ConsensusConfig;
 use crate::gateway::{Gateway, OptionalSubsystems};
 use crate::membership::config::Gossip;
 
@@ -156,7 +156,9 @@
     let operator =
         operator.map_or_else(|| Ok(Operator::default()), |path| Operator::read(&path))?;
     let gossip = gossip.map(|path| Gossip::read(&path)).transpose()?;
-    let council = council.map(|path| File::read(&path)).transpose()?;
+    let council = council
+        .map(|path| ConsensusConfig::read(&path))
+        .transpose()?;
     let copies = copies
         .map(|path| crate::replication::config::ReplicationFile::read(&path))
         .transpose()?;
--- a/src/consensus/bootstrap.rs
+++ b/src/consensus/bootstrap.rs
@@ -6,7 +6,7 @@
 
 use super::persistent_state::{HardState, LogEntry, Metadata, PersistentState, Record, Snapshot};
 use super::state::{Entry, State};
-use super::{bootstrap_voter, ReplicaId, MAX_VOTERS};
+use super::{bootstrap_replica_id, ReplicaId, MAX_VOTERS};
 use crate::lease::table::LeaseTable;
 use crate::membership::is_name;
 
@@ -44,7 +44,7 @@
 ) -> Result<Record, BootstrapError> {
     let voters: BTreeMap<ReplicaId, Arc<str>> = names
         .iter()
-        .map(|name| (bootstrap_voter(generation, name), name.as_str().into()))
+        .map(|name| (bootstrap_replica_id(generation, name), name.as_str().into()))
         .collect();
     let valid = !names.is_empty() && names.iter().all(|name| is_name(name));
     if !valid || voters.len() != names.len() || names.len() > MAX_VOTERS {
@@ -57,7 +57,7 @@
         return Err(BootstrapError::GenerationNotHigher(old.generation));
     }
     let leases = old.map_or_else(LeaseTable::default, |state| {
-        state.leases.rebootstrapped(generation)
+        state.leases.for_generation(generation)
     });
     let (replica_sets, tenants) = old.map_or_else(Default::default, |state| {
         (state.replica_sets.clone(), state.tenants.clone())
@@ -72,7 +72,7 @@
         tenants,
     };
     Ok(initial_record(
-        bootstrap_voter(generation, own_name),
+        bootstrap_replica_id(generation, own_name),
         &state,
     ))
 }
--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -21,7 +21,7 @@
 /// The content of the file. Its keys are part of the operator interface.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct File {
+pub struct ConsensusConfig {
     /// The address on which this gateway accepts connections from other gateways.
     pub listen: SocketAddr,
     /// This gateway's name; defaults to the name in the gateway's own configuration.
@@ -74,16 +74,16 @@
     Err(ConfigError::Value(setting, value.to_string()))
 }
 
-impl File {
+impl ConsensusConfig {
     /// Reads and validates the file. Relative paths in it are resolved against the file's directory.
     ///
     /// # Errors
     ///
     /// Returns a [`ConfigError`] if the file cannot be read or a value is invalid.
-    pub fn read(path: &Path) -> Result<File, ConfigError> {
+    pub fn read(path: &Path) -> Result<ConsensusConfig, ConfigError> {
         let text =
             std::fs::read_to_string(path).map_err(|error| ConfigError::Read(path.into(), error))?;
-        let mut file: File = toml::from_str(&text)
+        let mut file: ConsensusConfig = toml::from_str(&text)
             .map_err(|error| ConfigError::Parse(path.into(), error.message().to_owned()))?;
         file.path = path.to_owned();
         file.resolve_paths(path.parent().unwrap_or(Path::new("")));
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -32,14 +32,14 @@
 
 /// Returns the replica ID of a bootstrap voter. It is derived from the generation and the name, so that bootstrap voters can
 /// compute one another's IDs.
-pub fn bootstrap_voter(generation: u32, name: &str) -> ReplicaId {
+pub fn bootstrap_replica_id(generation: u32, name: &str) -> ReplicaId {
     let content = [&generation.to_le_bytes()[..], name.as_bytes()].concat();
     let hash = blake3::derive_key("molelug council founder's seat 1", &content);
-    replica_from_hash(&hash)
+    replica_id_from_hash(&hash)
 }
 
 /// Derives a replica ID from the first bytes of a hash. The result is never 0, which stands for no replica.
-pub fn replica_from_hash(hash: &[u8; 32]) -> ReplicaId {
+pub fn replica_id_from_hash(hash: &[u8; 32]) -> ReplicaId {
     let prefix = hash.first_chunk::<8>();
     prefix.map_or(1, |bytes| u64::from_le_bytes(*bytes).max(1))
 }
--- a/src/consensus/participant/effects.rs
+++ b/src/consensus/participant/effects.rs
@@ -23,7 +23,7 @@
             holder: self.settings.name.clone(),
             content,
         };
-        self.record(HistoryEvent::Acted {
+        self.record(HistoryEvent::EffectCreated {
             lease: effect.lease.clone(),
             term,
             number: effect.number,
@@ -37,7 +37,7 @@
             self.learner.source().cloned().into_iter().collect()
         };
         for receiver in receivers {
-            let output = Output::SendOwn(receiver, effect.clone());
+            let output = Output::SendEffect(receiver, effect.clone());
             self.outputs.push_back(output);
         }
     }
@@ -130,7 +130,7 @@
         // The same effect may arrive through two voters.
         let position = (effect.term, effect.number);
         let last = self.last_accepted.entry(effect.lease.clone()).or_default();
-        if !self.settings.disabled_guards.terms && position <= *last {
+        if !self.settings.disabled_guards.term_check && position <= *last {
             return;
         }
         *last = position;
@@ -153,7 +153,7 @@
 
     fn check_fence(&mut self, effect: &LeaseEffect) -> Result<(), FenceError> {
         match self.fence.admit(&effect.lease, effect.term) {
-            Err(FenceError::Stale { .. }) if self.settings.disabled_guards.terms => Ok(()),
+            Err(FenceError::Stale { .. }) if self.settings.disabled_guards.term_check => Ok(()),
             other => other.map(|_| ()),
         }
     }
--- a/src/consensus/participant/frames.rs
+++ b/src/consensus/participant/frames.rs
@@ -6,7 +6,7 @@
 use crate::api::Micros;
 use crate::consensus::voter::{self, Voter};
 use crate::consensus::wire::{Body, LeaseEffect};
-use crate::consensus::{bootstrap_voter, ReplicaId, MAX_VOTERS};
+use crate::consensus::{bootstrap_replica_id, ReplicaId, MAX_VOTERS};
 
 impl Participant {
     pub(super) fn on_frame(&mut self, now: Micros, from: &Arc<str>, body: Body) {
@@ -131,7 +131,7 @@
             .settings
             .contacts
             .iter()
-            .find(|name| bootstrap_voter(state.generation, name) == replica);
+            .find(|name| bootstrap_replica_id(state.generation, name) == replica);
         bootstrap
             .or_else(|| self.unconfirmed_peers.get(&replica))
             .cloned()
--- a/src/consensus/participant/history.rs
+++ b/src/consensus/participant/history.rs
@@ -47,7 +47,8 @@
         term: Term,
     },
     /// This gateway created an effect under its lease.
-    Acted {
+    #[serde(rename = "acted")]
+    EffectCreated {
         /// The lease.
         #[serde(rename = "duty")]
         lease: LeaseName,
--- a/src/consensus/participant/messages.rs
+++ b/src/consensus/participant/messages.rs
@@ -20,17 +20,17 @@
     /// This gateway becomes eligible to hold leases, or is no longer eligible.
     SetEligible(bool),
     /// Send an effect under a lease of this gateway. Ignored unless the lease is valid.
-    Act(LeaseName, Vec<u8>),
+    SendEffect(LeaseName, Vec<u8>),
     /// Send a report to the holder of a lease. It may be lost.
     Report(LeaseName, Vec<u8>),
     /// Propose an entry of another subsystem. It may be lost.
     Submit(SubsystemEntry),
     /// Add a voter, remove one, or both, at the request of an operator.
-    Exchange {
+    ChangeVoters {
         /// The gateway to add. It has a replica and polls this gateway as a learner.
-        joins: Option<Arc<str>>,
+        added: Option<Arc<str>>,
         /// The gateway to remove.
-        leaves: Option<Arc<str>>,
+        removed: Option<Arc<str>>,
     },
     /// A deadline has passed.
     Tick,
@@ -42,7 +42,7 @@
     /// Send a frame to another gateway. It may be lost.
     Send(Arc<str>, Body),
     /// Send an effect of this gateway, unless the lease ends before the bytes are sent.
-    SendOwn(Arc<str>, LeaseEffect),
+    SendEffect(Arc<str>, LeaseEffect),
     /// Persist the record, then report its number by [`Input::Persisted`].
     Persist(u64, Box<Record>),
     /// This gateway acquired the lease.
--- a/src/consensus/participant/mod.rs
+++ b/src/consensus/participant/mod.rs
@@ -3,16 +3,16 @@
 //! A [`Participant`] is a voter or a learner. It grants leases while it leads, holds leases, and checks the fencing terms of
 //! the effects of other lease holders. The gateway's driver, the emulator and the tests all run this state machine.
 
+mod catch_up;
 mod effects;
 mod frames;
 mod history;
-mod leading;
-mod learning;
 mod messages;
+mod outputs;
+mod queries;
 mod settings;
 #[cfg(test)]
 mod tests;
-mod view;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 use crate::lease::grantor::{self, LeaseGrantor};
 use crate::lease::holder::{self, HolderState};
 use crate::lease::{LeaseHolder, LeaseName, Term};
-use leading::ReplyRoutes;
+use outputs::ReplyRoutes;
 
 /// The consensus state of one gateway.
 #[derive(Debug)]
@@ -167,10 +167,10 @@
                 self.holder
                     .handle(now, holder::Input::SetEligible(eligible));
             }
-            Input::Act(lease, content) => self.send_effect(now, lease, content),
+            Input::SendEffect(lease, content) => self.send_effect(now, lease, content),
             Input::Report(lease, content) => self.send_report(lease, content),
             Input::Submit(entry) => self.submit(entry, false),
-            Input::Exchange { joins, leaves } => self.change_voters(now, joins, leaves),
+            Input::ChangeVoters { added, removed } => self.change_voters(now, added, removed),
             Input::Tick => {}
         }
         self.handle_voter(now, voter::Input::Tick);
@@ -180,8 +180,8 @@
     }
 
     /// Proposes a change of voters for the replicas of the named gateways.
-    fn change_voters(&mut self, now: Micros, joins: Option<Arc<str>>, leaves: Option<Arc<str>>) {
-        let added = joins.and_then(|name| Some((self.learner_progress.replica(&name)?, name)));
+    fn change_voters(&mut self, now: Micros, added: Option<Arc<str>>, removed: Option<Arc<str>>) {
+        let added = added.and_then(|name| Some((self.learner_progress.replica(&name)?, name)));
         // A gateway may have an old replica that votes and a new one that is to be added.
         let added_replica = added.as_ref().map(|(replica, _)| *replica);
         let voters = &self.state().voters;
@@ -191,7 +191,7 @@
                 .find(|(replica, name)| **name == removed_name && Some(**replica) != added_replica)
                 .map(|(replica, _)| *replica)
         };
-        let removed = leaves.and_then(replica_of);
+        let removed = removed.and_then(replica_of);
         self.handle_voter(now, voter::Input::ChangeVoters { added, removed });
     }
 
--- a/src/consensus/participant/view.rs
+++ b/src/consensus/participant/queries.rs
@@ -7,13 +7,13 @@
 use crate::api::Micros;
 use crate::consensus::state::State;
 use crate::consensus::voter::Voter;
-use crate::lease::grantor::GrantReason;
+use crate::lease::grantor::VacancyReason;
 use crate::lease::{LeaseName, Term};
 
 impl Participant {
     /// Returns whether a test has disabled the second check of the lease, when an effect's bytes are queued.
     pub fn queue_guard_disabled(&self) -> bool {
-        self.settings.disabled_guards.queue
+        self.settings.disabled_guards.queue_check
     }
 
     /// Returns the gateway's name.
@@ -87,7 +87,7 @@
 
     /// Returns the term under which this gateway may act for a lease now, if it may.
     pub fn held_term(&self, now: Micros, lease: &LeaseName) -> Option<Term> {
-        if self.settings.disabled_guards.lease {
+        if self.settings.disabled_guards.lease_check {
             return self
                 .holder
                 .held_leases()
@@ -99,8 +99,8 @@
 
     /// Returns whether an effect under a lease may still be sent; checked when its bytes are queued.
     pub fn still_holds(&self, now: Micros, lease: &LeaseName, term: Term) -> bool {
-        self.settings.disabled_guards.queue
-            || self.settings.disabled_guards.lease
+        self.settings.disabled_guards.queue_check
+            || self.settings.disabled_guards.lease_check
             || self.holder.still_holds(now, lease, term)
     }
 
@@ -110,8 +110,8 @@
     }
 
     /// Returns the reason why no gateway may act under a lease, as far as a leader knows it.
-    pub fn grant_reason(&self, now: Micros, lease: &LeaseName) -> Option<GrantReason> {
-        self.grantor.grant_reason(now, lease)
+    pub fn vacancy_reason(&self, now: Micros, lease: &LeaseName) -> Option<VacancyReason> {
+        self.grantor.vacancy_reason(now, lease)
     }
 
     /// Returns the gateways to stay connected to: the other voters for a voter, the polled voter for a learner.
--- a/src/consensus/participant/settings.rs
+++ b/src/consensus/participant/settings.rs
@@ -33,9 +33,9 @@
     /// The guards of the voter.
     pub voter: DisabledVoterGuards,
     /// The receivers' check of an effect's term.
-    pub terms: bool,
+    pub term_check: bool,
     /// The holder's check of its lease before it creates an effect.
-    pub lease: bool,
+    pub lease_check: bool,
     /// The holder's second check of its lease, when the bytes of an effect are queued.
-    pub queue: bool,
+    pub queue_check: bool,
 }
--- a/src/consensus/participant/tests/mod.rs
+++ b/src/consensus/participant/tests/mod.rs
@@ -47,7 +47,7 @@
             5,
             5,
             DisabledGuards {
-                lease: guard_disabled,
+                lease_check: guard_disabled,
                 ..DisabledGuards::default()
             },
         );
@@ -59,11 +59,11 @@
         sim.run(20 * MS);
         sim.stopped.clear();
         // The former holder is asked to act before it receives any message.
-        sim.handle(holder, Input::Act(lease(), vec![2]));
+        sim.handle(holder, Input::SendEffect(lease(), vec![2]));
         let acted = sim
             .events
             .iter()
-            .any(|(n, event)| *n == holder && matches!(event, HistoryEvent::Acted { .. }));
+            .any(|(n, event)| *n == holder && matches!(event, HistoryEvent::EffectCreated { .. }));
         assert_eq!(
             acted, guard_disabled,
             "only the check of the lease prevents the effect"
@@ -83,7 +83,7 @@
             5,
             5,
             DisabledGuards {
-                terms: guard_disabled,
+                term_check: guard_disabled,
                 ..DisabledGuards::default()
             },
         );
@@ -120,19 +120,19 @@
             5,
             5,
             DisabledGuards {
-                queue: guard_disabled,
+                queue_check: guard_disabled,
                 ..DisabledGuards::default()
             },
         );
         let (holder, _) = sim.wait_for_holder_after(0);
         let now = sim.now;
         let participant = sim.participants[holder].as_mut().unwrap();
-        participant.handle(now, Input::Act(lease(), vec![1]));
+        participant.handle(now, Input::SendEffect(lease(), vec![1]));
         let outputs: Vec<Output> = std::iter::from_fn(|| participant.output()).collect();
         let effects: Vec<LeaseEffect> = outputs
             .into_iter()
             .filter_map(|output| {
-                if let Output::SendOwn(_, effect) = output {
+                if let Output::SendEffect(_, effect) = output {
                     Some(effect)
                 } else {
                     None
@@ -222,7 +222,7 @@
             name: name(holder),
             incarnation: 1,
         },
-        stamp: 1,
+        sequence: 1,
         eligible: false,
         held: vec![],
         released: vec![(lease(), term)],
@@ -272,9 +272,9 @@
                 .is_some_and(Participant::leads)
         })
     };
-    let joins = Input::Exchange {
-        joins: Some(name(3)),
-        leaves: None,
+    let joins = Input::ChangeVoters {
+        added: Some(name(3)),
+        removed: None,
     };
     sim.run(2 * LEASE_DURATION);
     // The new replica polls one voter, which then knows its ID. The exchange succeeds only at the leader, so the test
--- a/src/consensus/participant/tests/simulation.rs
+++ b/src/consensus/participant/tests/simulation.rs
@@ -109,7 +109,7 @@
         while let Some(output) = self.participants[n].as_mut().and_then(Participant::output) {
             match output {
                 Output::Send(to, body) => self.send_frame(n, &to, body),
-                Output::SendOwn(to, effect) => {
+                Output::SendEffect(to, effect) => {
                     if self.participants[n].as_ref().unwrap().still_holds(
                         self.now,
                         &effect.lease,
@@ -204,7 +204,7 @@
     }
 
     pub(super) fn send_effect(&mut self, n: usize) {
-        self.handle(n, Input::Act(lease(), vec![1]));
+        self.handle(n, Input::SendEffect(lease(), vec![1]));
     }
 
     pub(super) fn run(&mut self, span: Micros) {
--- a/src/consensus/peer_memory.rs
+++ b/src/consensus/peer_memory.rs
@@ -102,12 +102,12 @@
 
 /// The phase between a voter's start and its first message, in which the voter asks others about its replica.
 #[derive(Clone, Debug, Default)]
-pub struct Probation {
+pub struct StateCheck {
     replied: BTreeSet<ReplicaId>,
     requests: u32,
 }
 
-impl Probation {
+impl StateCheck {
     /// Handles the reply of a voter that has observed no state beyond that on the disk.
     pub fn on_reply(&mut self, from: ReplicaId) {
         self.replied.insert(from);
--- a/src/consensus/voter/messages.rs
+++ b/src/consensus/voter/messages.rs
@@ -37,7 +37,7 @@
     /// Raft's pre-vote and the leader's quorum check.
     pub pre_vote: bool,
     /// The exchange of known state that a new process completes before it takes part.
-    pub probation: bool,
+    pub state_check: bool,
     /// The wait for a record to be persisted before the messages that depend on it are sent.
     pub persistence: bool,
 }
--- a/src/consensus/voter/mod.rs
+++ b/src/consensus/voter/mod.rs
@@ -3,14 +3,14 @@
 //! [`Voter`] wraps the `RawNode` of the `raft` library. It outputs numbered records to persist and holds back the messages
 //! that depend on a record until the driver reports it persisted. Election timeouts are derived from the seed and the term
 //! instead of drawn at random, so that the emulator can replay a run exactly. A new process sends no Raft message before its
-//! [`Probation`] is over. A damaged disk can make the library panic; the panic retires the replica and does not end the
+//! [`StateCheck`] is over. A damaged disk can make the library panic; the panic retires the replica and does not end the
 //! gateway.
 
 mod durability;
 mod log;
 mod membership;
 mod messages;
-mod probation;
+mod state_check;
 #[cfg(test)]
 mod tests;
 
@@ -23,7 +23,7 @@
 use raft::{Config, RawNode, StateRole};
 
 use crate::api::Micros;
-use crate::consensus::peer_memory::{PeerMemory, Probation};
+use crate::consensus::peer_memory::{PeerMemory, StateCheck};
 use crate::consensus::persistent_state::{Metadata, PersistentState, Record};
 use crate::consensus::state::{Entry, State};
 use crate::consensus::ReplicaId;
@@ -51,7 +51,7 @@
     identity: Identity,
     state: State,
     peer_memory: PeerMemory,
-    probation: Option<Probation>,
+    state_check: Option<StateCheck>,
     retired: Option<String>,
     /// Records that are not persisted yet, in order.
     pending_records: VecDeque<PendingRecord>,
@@ -147,7 +147,7 @@
             },
             state,
             peer_memory: PeerMemory::default(),
-            probation: (!disabled_guards.probation).then(Probation::default),
+            state_check: (!disabled_guards.state_check).then(StateCheck::default),
             retired: None,
             pending_records: VecDeque::new(),
             last_record_number: 0,
@@ -192,7 +192,7 @@
 
     /// Returns the leader, which may be this voter, if known.
     pub fn leader(&self) -> Option<ReplicaId> {
-        let raw = self.raw.as_ref().filter(|_| self.probation.is_none())?;
+        let raw = self.raw.as_ref().filter(|_| self.state_check.is_none())?;
         Some(raw.raft.leader_id).filter(|leader| *leader != 0)
     }
 
@@ -212,9 +212,9 @@
         self.raw.as_ref().map_or(0, |raw| raw.raft.term)
     }
 
-    /// Returns whether this voter takes part: its probation is over and its replica is not retired.
+    /// Returns whether this voter takes part: its state check is over and its replica is not retired.
     pub fn votes(&self) -> bool {
-        self.raw.is_some() && self.probation.is_none() && self.retired.is_none()
+        self.raw.is_some() && self.state_check.is_none() && self.retired.is_none()
     }
 
     /// Returns the reason why the replica was retired, if it was.
@@ -322,7 +322,7 @@
         if self.pending_records.len() > MAX_PENDING_RECORDS {
             return;
         }
-        if self.probation.is_some() && !self.tick_probation() {
+        if self.state_check.is_some() && !self.tick_state_check() {
             return;
         }
         self.with_raft(|raw| raw.tick());
--- a/src/consensus/voter/probation.rs
+++ b/src/consensus/voter/state_check.rs
@@ -1,4 +1,4 @@
-//! Messages from other voters, and the probation of a new process.
+//! Messages from other voters, and the state check of a new process.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
@@ -36,8 +36,8 @@
     }
 }
 
-/// Returns whether a replica needs no probation, because it is the only voter or has never taken part.
-fn can_skip_probation(metadata: &Metadata) -> bool {
+/// Returns whether a replica needs no state check, because it is the only voter or has never taken part.
+fn can_skip_state_check(metadata: &Metadata) -> bool {
     metadata.voters.len() == 1 || metadata.voters.is_empty() && metadata.hard_state.term == 0
 }
 
@@ -80,17 +80,17 @@
         let Some(raw) = &self.raw else { return };
         let voters = &raw.store().metadata.voters;
         let from_voter = voters.contains(&from) || voters.is_empty();
-        if !from_voter || self.disabled_guards.probation {
+        if !from_voter || self.disabled_guards.state_check {
             return;
         }
-        // Late replies are also compared: a voter that was unreachable during the probation may have observed more.
+        // Late replies are also compared: a voter that was unreachable during the state check may have observed more.
         if let Err(loss) = compare(self.own_state(), known) {
             return self.retire(loss.to_string());
         }
-        if let Some(probation) = &mut self.probation {
-            probation.on_reply(from);
+        if let Some(state_check) = &mut self.state_check {
+            state_check.on_reply(from);
         }
-        self.update_probation();
+        self.update_state_check();
     }
 
     /// Returns this replica's state as stored on its disk.
@@ -108,23 +108,23 @@
         }
     }
 
-    fn update_probation(&mut self) {
+    fn update_state_check(&mut self) {
         let voters = self
             .raw
             .as_ref()
             .map_or(0, |raw| raw.store().metadata.voters.len());
-        self.probation
-            .take_if(|probation| probation.is_over(voters));
+        self.state_check
+            .take_if(|state_check| state_check.is_over(voters));
     }
 
-    /// Ends the probation, or sends the requests for known state again. Returns whether the library may tick.
-    pub(super) fn tick_probation(&mut self) -> bool {
+    /// Ends the state check, or sends the requests for known state again. Returns whether the library may tick.
+    pub(super) fn tick_state_check(&mut self) -> bool {
         let can_skip = self
             .raw
             .as_ref()
-            .is_some_and(|raw| can_skip_probation(&raw.store().metadata));
+            .is_some_and(|raw| can_skip_state_check(&raw.store().metadata));
         if can_skip {
-            self.probation = None;
+            self.state_check = None;
             return true;
         }
         // The number of starts has to be durable first. Otherwise, if this process were killed now, the next one would start
@@ -133,11 +133,11 @@
             return false;
         }
         let own = self.own_state();
-        if let Some(probation) = &mut self.probation {
-            probation.on_request();
+        if let Some(state_check) = &mut self.state_check {
+            state_check.on_request();
         }
         self.outputs.push_back(Output::RequestKnownState(own));
-        self.update_probation();
+        self.update_state_check();
         false
     }
 }
--- a/src/consensus/voter/tests/agreement.rs
+++ b/src/consensus/voter/tests/agreement.rs
@@ -3,7 +3,7 @@
 use super::runs::run_with_faults;
 use super::simulation::{name, Replica, Simulation, MS};
 use crate::consensus::bootstrap::{initial_state, new_replica};
-use crate::consensus::bootstrap_voter;
+use crate::consensus::bootstrap_replica_id;
 use crate::consensus::voter::{DisabledVoterGuards, Input, ENTRIES_PER_SNAPSHOT};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -139,7 +139,7 @@
 fn voters_are_added_and_removed_one_at_a_time() {
     let mut sim = Simulation::new(3, 23, DisabledVoterGuards::default());
     // The fourth replica is not a voter yet.
-    let metadata = initial_state(&new_replica(bootstrap_voter(1, &name(3)))).metadata;
+    let metadata = initial_state(&new_replica(bootstrap_replica_id(1, &name(3)))).metadata;
     sim.voters.push(Replica {
         voter: None,
         disk: (Some(metadata), Vec::new()),
@@ -152,7 +152,7 @@
     let leader = sim.leader().unwrap();
     let killed = (leader + 1) % 3;
     sim.kill(killed);
-    let added = Some((bootstrap_voter(1, &name(3)), name(3)));
+    let added = Some((bootstrap_replica_id(1, &name(3)), name(3)));
     sim.handle(
         leader,
         Input::ChangeVoters {
@@ -173,7 +173,7 @@
         leader,
         Input::ChangeVoters {
             added: None,
-            removed: Some(bootstrap_voter(1, &name(killed))),
+            removed: Some(bootstrap_replica_id(1, &name(killed))),
         },
     );
     sim.run_until("the removal", |sim| {
--- a/src/consensus/voter/tests/disks.rs
+++ b/src/consensus/voter/tests/disks.rs
@@ -2,7 +2,7 @@
 
 use super::runs::{run_with_faults, run_with_old_disks};
 use super::simulation::{bootstrap_disk, name, Simulation, MS};
-use crate::consensus::bootstrap_voter;
+use crate::consensus::bootstrap_replica_id;
 use crate::consensus::peer_memory::{compare, KnownState};
 use crate::consensus::persistent_state::{
     DamagedState, HardState, LogEntry, Metadata, PersistentState,
@@ -24,7 +24,7 @@
         "the order holds without the guard too"
     );
     let both = DisabledVoterGuards {
-        probation: true,
+        state_check: true,
         ..disabled_guards
     };
     assert!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn outdated_disk_is_retired_and_needs_probation_for_that() {
+fn outdated_disk_is_retired_and_needs_state_check_for_that() {
     let mut retired = 0;
     for seed in 0..40 {
         let (sim, agreement) = run_with_old_disks(seed, DisabledVoterGuards::default());
@@ -46,7 +46,7 @@
         "too few replicas with an old disk were retired"
     );
     let disabled_guards = DisabledVoterGuards {
-        probation: true,
+        state_check: true,
         ..DisabledVoterGuards::default()
     };
     let violated = (0..200).any(|seed| run_with_old_disks(seed, disabled_guards).1.is_err());
@@ -155,7 +155,7 @@
     sim.run_until("a leader", |sim| sim.leader().is_some());
     let (leader, from) = (
         sim.leader().unwrap(),
-        bootstrap_voter(1, &name((sim.leader().unwrap() + 1) % 3)),
+        bootstrap_replica_id(1, &name((sim.leader().unwrap() + 1) % 3)),
     );
     for bytes in [&b""[..], b"\xff\xff\xff", &[8; 4000]] {
         sim.handle(
--- a/src/consensus/voter/tests/simulation.rs
+++ b/src/consensus/voter/tests/simulation.rs
@@ -12,7 +12,7 @@
 use crate::consensus::voter::{
     DisabledVoterGuards, Identity, Input, Output, Settings, Voter, VoterError,
 };
-use crate::consensus::{bootstrap_voter, ReplicaId};
+use crate::consensus::{bootstrap_replica_id, ReplicaId};
 use crate::lease::table;
 use crate::lease::LeaseHolder;
 
@@ -177,7 +177,7 @@
                 Output::RequestKnownState(own) => {
                     for to in 0..self.voters.len() {
                         if to != n {
-                            self.send_packet(n, bootstrap_voter(1, &name(to)), || {
+                            self.send_packet(n, bootstrap_replica_id(1, &name(to)), || {
                                 Packet::KnownStateRequest(own)
                             });
                         }
@@ -210,7 +210,8 @@
     }
 
     pub(super) fn send_packet(&mut self, from: usize, to: ReplicaId, packet: impl Fn() -> Packet) {
-        let Some(to) = (0..self.voters.len()).find(|n| bootstrap_voter(1, &name(*n)) == to) else {
+        let Some(to) = (0..self.voters.len()).find(|n| bootstrap_replica_id(1, &name(*n)) == to)
+        else {
             return;
         };
         if self.blocked.contains(&(from, to))
@@ -232,7 +233,7 @@
         self.now += MS;
         while let Some(entry) = self.packets.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, from, packet) = entry.remove();
-            let from = bootstrap_voter(1, &name(from));
+            let from = bootstrap_replica_id(1, &name(from));
             if self.stopped.contains(&to) {
                 continue;
             }
--- a/src/consensus/wire/session.rs
+++ b/src/consensus/wire/session.rs
@@ -166,7 +166,7 @@
     }
 
     /// Encodes and seals a frame. Returns `None` while the session is not open, or if the frame would be too long.
-    pub fn pack(&mut self, keys: &Keys, body: &Body) -> Option<Vec<u8>> {
+    pub fn seal_frame(&mut self, keys: &Keys, body: &Body) -> Option<Vec<u8>> {
         let acceptor_challenge = self.acceptor_challenge?;
         let connector_challenge = self.connector_challenge?;
         let to = self.peer.clone()?;
@@ -197,7 +197,7 @@
     /// # Errors
     ///
     /// Returns a [`FrameError`] if the frame is rejected.
-    pub fn take(
+    pub fn read_frame(
         &mut self,
         keys: &Keys,
         bytes: &[u8],
--- a/src/consensus/wire/tests.rs
+++ b/src/consensus/wire/tests.rs
@@ -7,7 +7,7 @@
     let mut a = Session::connector("a", "b", challenge("a", 1, 1));
     let b = Session::acceptor("b", challenge("b", 2, 1));
     assert_eq!(
-        a.take(&each(0, 2), &challenge("b", 2, 1)),
+        a.read_frame(&each(0, 2), &challenge("b", 2, 1)),
         Ok(Some((CHALLENGE_BYTES, None)))
     );
     (a, b)
@@ -27,55 +27,68 @@
 fn frame_is_accepted_once_by_receiver_on_connection() {
     let (keys_a, keys_b) = (each(0, 2), each(1, 2));
     let (mut a, mut b) = session_pair();
-    let one = a.pack(&keys_a, &effect(1)).unwrap();
-    let two = a.pack(&keys_a, &effect(2)).unwrap();
+    let one = a.seal_frame(&keys_a, &effect(1)).unwrap();
+    let two = a.seal_frame(&keys_a, &effect(2)).unwrap();
     for cut in 0..one.len() {
-        assert_eq!(b.clone().take(&keys_b, &one[..cut]), Ok(None));
+        assert_eq!(b.clone().read_frame(&keys_b, &one[..cut]), Ok(None));
     }
     assert_eq!(
-        b.take(&keys_b, &one),
+        b.read_frame(&keys_b, &one),
         Ok(Some((one.len(), Some(effect(1)))))
     );
-    assert_eq!(b.clone().take(&keys_b, &one), Err(FrameError::Replayed));
+    assert_eq!(
+        b.clone().read_frame(&keys_b, &one),
+        Err(FrameError::Replayed)
+    );
     // A withdrawn frame leaves a gap in the numbers; the next frame is accepted.
-    let three = a.pack(&keys_a, &effect(3)).unwrap();
+    let three = a.seal_frame(&keys_a, &effect(3)).unwrap();
     let mut later = b.clone();
-    assert!(later.take(&keys_b, &three).is_ok());
-    assert_eq!(later.take(&keys_b, &two), Err(FrameError::Replayed));
+    assert!(later.read_frame(&keys_b, &three).is_ok());
+    assert_eq!(later.read_frame(&keys_b, &two), Err(FrameError::Replayed));
     // A reply is accepted; a frame sent back to its own sender is rejected.
-    let reply = b.pack(&keys_b, &effect(9)).unwrap();
+    let reply = b.seal_frame(&keys_b, &effect(9)).unwrap();
     assert_eq!(
-        a.clone().take(&keys_a, &reply),
+        a.clone().read_frame(&keys_a, &reply),
         Ok(Some((reply.len(), Some(effect(9)))))
     );
-    assert!(a.take(&keys_a, &two).is_err());
+    assert!(a.read_frame(&keys_a, &two).is_err());
     // The frame is rejected on another connection and by another receiver.
     let mut other = Session::acceptor("b", challenge("b", 2, 2));
-    assert_eq!(other.take(&keys_b, &one), Err(FrameError::InvalidSeal));
+    assert_eq!(
+        other.read_frame(&keys_b, &one),
+        Err(FrameError::InvalidSeal)
+    );
     let mut other = Session::acceptor("c", challenge("b", 2, 1));
-    assert_eq!(other.take(&keys_b, &one), Err(FrameError::ReceiverMismatch));
+    assert_eq!(
+        other.read_frame(&keys_b, &one),
+        Err(FrameError::ReceiverMismatch)
+    );
 }
 
 #[test]
 fn malformed_oversized_and_tampered_frames_are_rejected() {
     let (keys_a, keys_b) = (each(0, 2), each(1, 2));
     let (mut a, b) = session_pair();
-    let mut frame = a.pack(&keys_a, &effect(1)).unwrap();
+    let mut frame = a.seal_frame(&keys_a, &effect(1)).unwrap();
     let long = [&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes()[..], &[0; 9]].concat();
-    assert_eq!(b.clone().take(&keys_b, &long), Err(FrameError::TooLong));
     assert_eq!(
-        b.clone().take(&keys_b, &[3, 0, 0, 0, 0xff, 0xff, 0xff]),
+        b.clone().read_frame(&keys_b, &long),
+        Err(FrameError::TooLong)
+    );
+    assert_eq!(
+        b.clone()
+            .read_frame(&keys_b, &[3, 0, 0, 0, 0xff, 0xff, 0xff]),
         Err(FrameError::Malformed)
     );
     for at in 4..frame.len() {
         frame[at] ^= 1;
         assert!(
-            b.clone().take(&keys_b, &frame).is_err(),
+            b.clone().read_frame(&keys_b, &frame).is_err(),
             "changed byte {at} was accepted"
         );
         frame[at] ^= 1;
     }
-    assert!(b.clone().take(&keys_b, &frame).is_ok());
+    assert!(b.clone().read_frame(&keys_b, &frame).is_ok());
     let huge = Body::Raft {
         generation: 1,
         from: 1,
@@ -83,5 +96,5 @@
         process: 1,
         message: vec![0; MAX_FRAME_BYTES],
     };
-    assert_eq!(a.pack(&keys_a, &huge), None);
+    assert_eq!(a.seal_frame(&keys_a, &huge), None);
 }
--- a/src/gateway/consensus/mod.rs
+++ b/src/gateway/consensus/mod.rs
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub(super) struct ConsensusDriver {
     participant: Participant,
-    file: config::File,
+    file: config::ConsensusConfig,
     keys: Keys,
     peers: PeerConnections,
     /// The replica's disk, if there is one.
--- a/src/gateway/consensus/outputs.rs
+++ b/src/gateway/consensus/outputs.rs
@@ -12,7 +12,7 @@
     pub(super) fn on_consensus_output(&mut self, now: Micros, output: Output) {
         match output {
             Output::Send(to, body) => self.send_frame(now, &to, body),
-            Output::SendOwn(to, effect) => self.send_own_effect(&to, effect),
+            Output::SendEffect(to, effect) => self.send_own_effect(&to, effect),
             Output::Persist(number, record) => self.write_record(number, record),
             Output::LeaseAcquired(lease, term) => self.on_lease_acquired(now, &lease, term),
             Output::LeaseLost(lease, term) => self.on_lease_lost(now, &lease, term),
@@ -91,9 +91,9 @@
         leaves: Option<String>,
     ) {
         tracing::info!(?joins, ?leaves, "voter exchange requested");
-        self.handle_consensus(Input::Exchange {
-            joins: joins.map(Into::into),
-            leaves: leaves.map(Into::into),
+        self.handle_consensus(Input::ChangeVoters {
+            added: joins.map(Into::into),
+            removed: leaves.map(Into::into),
         });
         self.step_consensus(now);
     }
--- a/src/gateway/consensus/setup.rs
+++ b/src/gateway/consensus/setup.rs
@@ -16,7 +16,7 @@
 use crate::api::{Micros, WorkerId};
 use crate::config::ConfigError;
 use crate::consensus::participant::{DisabledGuards, Participant, Settings};
-use crate::consensus::{config, replica_from_hash, voter};
+use crate::consensus::{config, replica_id_from_hash, voter};
 use crate::gateway::{Gateway, GatewayError};
 use crate::lease::{self, LeaseName};
 use crate::load_coordination::LoadCoordinator;
@@ -33,7 +33,7 @@
         &uptime().to_le_bytes(),
         &std::process::id().to_le_bytes(),
     ];
-    replica_from_hash(&blake3::derive_key("molelug process 1", &parts.concat()))
+    replica_id_from_hash(&blake3::derive_key("molelug process 1", &parts.concat()))
 }
 
 /// The guards that the testbed switches off; a release build has none to switch off.
@@ -41,11 +41,11 @@
     let mut guards = DisabledGuards::default();
     if cfg!(debug_assertions) {
         match std::env::var("MOLELUG_WITHOUT").as_deref() {
-            Ok("terms") => guards.terms = true,
-            Ok("lease") => guards.lease = true,
-            Ok("queue") => guards.queue = true,
+            Ok("terms") => guards.term_check = true,
+            Ok("lease") => guards.lease_check = true,
+            Ok("queue") => guards.queue_check = true,
             Ok("pre-vote") => guards.voter.pre_vote = true,
-            Ok("probation") => guards.voter.probation = true,
+            Ok("probation") => guards.voter.state_check = true,
             Ok("kept") => guards.voter.persistence = true,
             _ => {}
         }
@@ -53,7 +53,12 @@
     guards
 }
 
-fn participant_settings(file: &config::File, name: &str, process: u64, seed: u64) -> Settings {
+fn participant_settings(
+    file: &config::ConsensusConfig,
+    name: &str,
+    process: u64,
+    seed: u64,
+) -> Settings {
     Settings {
         name: name.into(),
         process,
@@ -76,7 +81,7 @@
 }
 
 /// The configured leases.
-pub(super) fn lease_names(file: &config::File) -> BTreeSet<LeaseName> {
+pub(super) fn lease_names(file: &config::ConsensusConfig) -> BTreeSet<LeaseName> {
     file.leases
         .iter()
         .map(|lease| lease.as_str().into())
@@ -84,14 +89,14 @@
 }
 
 /// The addresses of the configured voters.
-fn voter_addresses(file: &config::File) -> BTreeMap<Arc<str>, SocketAddr> {
+fn voter_addresses(file: &config::ConsensusConfig) -> BTreeMap<Arc<str>, SocketAddr> {
     file.voters
         .iter()
         .map(|(name, address)| (name.as_str().into(), *address))
         .collect()
 }
 
-fn open_history(file: &config::File) -> Result<Option<File>, GatewayError> {
+fn open_history(file: &config::ConsensusConfig) -> Result<Option<File>, GatewayError> {
     file.history
         .as_ref()
         .map(|path| File::options().create(true).append(true).open(path))
@@ -124,7 +129,7 @@
     }
 
     /// Opens the replica's disk, if there is one. A disk that cannot be used is logged, and the gateway learns without it.
-    fn open_configured_disk(&self, file: &config::File) -> OpenedDisk {
+    fn open_configured_disk(&self, file: &config::ConsensusConfig) -> OpenedDisk {
         let Some(path) = &file.replica_disk else {
             return OpenedDisk::default();
         };
@@ -142,7 +147,7 @@
     pub(in crate::gateway) fn set_up_consensus(
         &mut self,
         now: Micros,
-        file: &config::File,
+        file: &config::ConsensusConfig,
         ready: BTreeSet<WorkerId>,
     ) -> Result<(), GatewayError> {
         let name = file
@@ -183,11 +188,11 @@
     fn set_up_lease_subsystems(
         &mut self,
         now: Micros,
-        file: &config::File,
+        file: &config::ConsensusConfig,
         name: &str,
         ready: BTreeSet<WorkerId>,
     ) {
-        if file.leases.contains(health_checks::NAME) {
+        if file.leases.contains(health_checks::LEASE_NAME) {
             self.set_up_health_checks(now, ready);
         }
         if let Some(coordinator) = LoadCoordinator::new(name.into(), &lease_names(file)) {
@@ -202,8 +207,8 @@
             return;
         };
         let name = driver.participant.name().to_string();
-        let reloaded =
-            config::File::read(&driver.file.path).and_then(|file| Ok((file.keys(&name)?, file)));
+        let reloaded = config::ConsensusConfig::read(&driver.file.path)
+            .and_then(|file| Ok((file.keys(&name)?, file)));
         match reloaded {
             Ok((keys, file)) => {
                 driver.keys = keys;
--- a/src/gateway/consensus/transport.rs
+++ b/src/gateway/consensus/transport.rs
@@ -245,7 +245,7 @@
             let Some(driver) = &mut self.cluster.consensus else {
                 return;
             };
-            let taken = peer.session.take(&driver.keys, conn.input.bytes());
+            let taken = peer.session.read_frame(&driver.keys, conn.input.bytes());
             let (bytes, body) = match taken {
                 Ok(Some(taken)) => taken,
                 Ok(None) => return,
@@ -330,7 +330,7 @@
         if conn.outbox.len() > MAX_QUEUED_BYTES {
             return;
         }
-        if let Some(bytes) = peer.session.pack(&driver.keys, body) {
+        if let Some(bytes) = peer.session.seal_frame(&driver.keys, body) {
             conn.outbox.push(tag, bytes);
             self.dirty.push(key);
         }
--- a/src/gateway/consensus/views.rs
+++ b/src/gateway/consensus/views.rs
@@ -46,7 +46,7 @@
     fn vacancy_reason(&self, now: Micros, lease: &LeaseName) -> Option<Value> {
         let participant = &self.participant;
         if participant.leads() {
-            let reason = participant.grant_reason(now, lease)?;
+            let reason = participant.vacancy_reason(now, lease)?;
             return Some(json!(reason));
         }
         let knows_leader = participant.leader().is_some();
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -9,7 +9,7 @@
 use crate::completion::CloseReason;
 use crate::consensus::participant;
 use crate::core::HealthCheckKey;
-use crate::health_checks::{HealthChecker, Input, Output, ProbeResult, Verdict, NAME};
+use crate::health_checks::{HealthChecker, Input, Output, ProbeResult, Verdict, LEASE_NAME};
 use crate::membership::group::Observed;
 
 #[cfg(test)]
@@ -82,14 +82,14 @@
 
     /// This gateway has acquired or lost a lease.
     pub(super) fn set_health_check_lease(&mut self, now: Micros, lease: &str, held: bool) {
-        if lease == NAME {
+        if lease == LEASE_NAME {
             self.handle_health_checks(now, Input::LeaseChanged(held));
         }
     }
 
     /// The holder of a lease has announced verdicts.
     pub(super) fn on_health_check_effect(&mut self, now: Micros, lease: &str, content: &[u8]) {
-        if lease == NAME {
+        if lease == LEASE_NAME {
             let verdicts = decode_verdicts(content);
             self.handle_health_checks(now, Input::Verdicts(verdicts));
         }
@@ -97,7 +97,7 @@
 
     /// Another gateway has reported a worker to the holder of a lease.
     pub(super) fn on_health_check_report(&mut self, now: Micros, lease: &str, content: &[u8]) {
-        if lease != NAME {
+        if lease != LEASE_NAME {
             return;
         }
         if let Ok(worker) = postcard::from_bytes::<u32>(content) {
@@ -159,7 +159,7 @@
         match output {
             Output::Report(worker) => {
                 let content = postcard::to_stdvec(&worker.0).unwrap_or_default();
-                self.handle_consensus(participant::Input::Report(NAME.into(), content));
+                self.handle_consensus(participant::Input::Report(LEASE_NAME.into(), content));
             }
             Output::Probe(worker) => {
                 let key = self.core.start_health_check(now, worker);
@@ -169,7 +169,7 @@
             }
             Output::Announce(verdicts) => {
                 let content = encode_verdicts(verdicts);
-                self.handle_consensus(participant::Input::Act(NAME.into(), content));
+                self.handle_consensus(participant::Input::SendEffect(LEASE_NAME.into(), content));
             }
             Output::Advise(worker, until) => self.core.update_peer_health(now, worker, until),
             Output::SetCapable(capable) => self.set_subsystems_capable(capable),
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -12,7 +12,7 @@
 use crate::core::LoadOrderKey;
 use crate::lease::LeaseName;
 use crate::load_coordination::{
-    CopyKey, Input, LoadCoordinator, LoadMessage, Output, MAX_ORDER_DELAY, PREFIX,
+    CopyKey, Input, LoadCoordinator, LoadMessage, Output, MAX_ORDER_DELAY, SHARD_LEASE_PREFIX,
 };
 
 /// An order of the decision module.
@@ -44,7 +44,7 @@
 
 /// Decodes a message under a lease of load coordination.
 fn decode(lease: &str, content: &[u8]) -> Option<LoadMessage> {
-    if !lease.starts_with(PREFIX) {
+    if !lease.starts_with(SHARD_LEASE_PREFIX) {
         return None;
     }
     postcard::from_bytes(content).ok()
@@ -130,14 +130,14 @@
 
     /// This gateway has acquired or lost a lease.
     pub(super) fn set_load_lease(&mut self, now: Micros, lease: &LeaseName, held: bool) {
-        if lease.starts_with(PREFIX) {
+        if lease.starts_with(SHARD_LEASE_PREFIX) {
             self.handle_load_coordination(now, Input::LeaseChanged(lease.clone(), held));
         }
     }
 
     /// The agreed state shows whether a lease has a holder.
     pub(super) fn set_load_holder_known(&mut self, now: Micros, lease: &LeaseName, known: bool) {
-        if lease.starts_with(PREFIX) {
+        if lease.starts_with(SHARD_LEASE_PREFIX) {
             self.handle_load_coordination(now, Input::HolderKnown(lease.clone(), known));
         }
     }
@@ -198,7 +198,7 @@
                 self.handle_consensus(report);
             }
             Output::Announce(lease, message) => {
-                let effect = participant::Input::Act(lease, encode(&message));
+                let effect = participant::Input::SendEffect(lease, encode(&message));
                 self.handle_consensus(effect);
             }
             Output::Load(number) => {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -135,7 +135,7 @@
     /// Gossip between instances.
     pub gossip: Option<Gossip>,
     /// Consensus between gateways.
-    pub consensus: Option<crate::consensus::config::File>,
+    pub consensus: Option<crate::consensus::config::ConsensusConfig>,
     /// Replication of the store to other gateways.
     pub replication: Option<crate::replication::config::ReplicationFile>,
 }
--- a/src/health_checks/mod.rs
+++ b/src/health_checks/mod.rs
@@ -1,7 +1,7 @@
 //! Health checks by a lease holder: one gateway probes unresponsive workers on behalf of all gateways.
 //!
 //! Each gateway observes the outcomes of its own requests. A gateway that gets no answer from a worker reports the worker to
-//! the holder of the lease [`NAME`]. The holder probes the worker itself. If the probe fails too, it announces the worker as
+//! the holder of the lease [`LEASE_NAME`]. The holder probes the worker itself. If the probe fails too, it announces the worker as
 //! unhealthy, repeats the probe with exponential backoff, and announces the worker as healthy once it answers. The decision
 //! module takes the announcements as advice: for a limited time it tries an unhealthy worker last, and it may use a healthy
 //! worker at once. While no gateway holds the lease, or the holder cannot be reached, nothing is announced, earlier
@@ -19,7 +19,7 @@
 use crate::membership::group::Observed;
 
 /// The name of the lease for health checks.
-pub const NAME: &str = "trials";
+pub const LEASE_NAME: &str = "trials";
 /// The number of consecutive failed requests from which on a worker is reported to the holder. One is enough: in a large fleet
 /// each gateway may send only one request to a silent worker, and the holder's probe shows whether the worker is unhealthy.
 const MIN_FAILURES_TO_REPORT: u32 = 1;
--- a/src/lease/grantor/mod.rs
+++ b/src/lease/grantor/mod.rs
@@ -44,7 +44,7 @@
 
 /// Why no gateway can act under a lease. The serialized names are part of the administration API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum GrantReason {
+pub enum VacancyReason {
     /// The lease of the last holder may still be valid.
     #[serde(rename = "WaitsOut")]
     AwaitingExpiry,
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ineligible {
     /// The sequence number of the request that reported it.
-    stamp: u64,
+    sequence: u64,
     /// Until when an older request of the gateway may still arrive.
     expires_at: Micros,
 }
@@ -127,15 +127,15 @@
     }
 
     /// Why no gateway can act under a lease now; `None` while its holder can.
-    pub fn grant_reason(&self, now: Micros, lease: &LeaseName) -> Option<GrantReason> {
+    pub fn vacancy_reason(&self, now: Micros, lease: &LeaseName) -> Option<VacancyReason> {
         if self.is_proposed(now, lease) {
-            return Some(GrantReason::Proposed);
+            return Some(VacancyReason::Proposed);
         }
         let holder = self.table.record(lease).holder;
         match holder.filter(|_| self.may_be_valid(now, lease)) {
             Some(holder) if self.candidates.contains_key(&holder) => None,
-            Some(_) => Some(GrantReason::AwaitingExpiry),
-            None => Some(GrantReason::NoCandidate),
+            Some(_) => Some(VacancyReason::AwaitingExpiry),
+            None => Some(VacancyReason::NoCandidate),
         }
     }
 
--- a/src/lease/grantor/requests.rs
+++ b/src/lease/grantor/requests.rs
@@ -37,7 +37,7 @@
         let outdated = self
             .ineligible
             .get(&request.from)
-            .is_some_and(|ineligible| ineligible.stamp > request.stamp);
+            .is_some_and(|ineligible| ineligible.sequence > request.sequence);
         if request.eligible && !outdated {
             self.candidates.insert(request.from.clone(), expires_at);
             self.limit_candidates();
@@ -46,7 +46,7 @@
         self.candidates.remove(&request.from);
         if !outdated && self.ineligible.len() < MAX_CANDIDATES {
             let ineligible = Ineligible {
-                stamp: request.stamp,
+                sequence: request.sequence,
                 expires_at,
             };
             self.ineligible.insert(request.from.clone(), ineligible);
@@ -106,7 +106,7 @@
         }
         self.outputs.push_back(Output::Reply(RenewReply {
             to: request.from,
-            stamp: request.stamp,
+            sequence: request.sequence,
             renewed,
             recalled,
         }));
--- a/src/lease/holder.rs
+++ b/src/lease/holder.rs
@@ -71,7 +71,7 @@
     released: BTreeMap<LeaseName, Term>,
     /// The sequence numbers of outstanding requests, and when each was sent.
     requests: VecDeque<(u64, Micros)>,
-    last_stamp: u64,
+    last_sequence: u64,
     next_request_at: Micros,
     outputs: VecDeque<Output>,
 }
@@ -86,7 +86,7 @@
             leases: BTreeMap::new(),
             released: BTreeMap::new(),
             requests: VecDeque::new(),
-            last_stamp: 0,
+            last_sequence: 0,
             next_request_at: now,
             outputs: VecDeque::new(),
         }
@@ -215,7 +215,7 @@
     }
 
     fn on_reply(&mut self, now: Micros, reply: RenewReply) {
-        let is_request = |(stamp, _): &(u64, Micros)| *stamp == reply.stamp;
+        let is_request = |(sequence, _): &(u64, Micros)| *sequence == reply.sequence;
         let Some(position) = self.requests.iter().position(is_request) else {
             return;
         };
@@ -294,8 +294,8 @@
 
     fn request_renewal(&mut self, now: Micros) {
         self.next_request_at = now + self.settings.renew_interval();
-        self.last_stamp += 1;
-        self.requests.push_back((self.last_stamp, now));
+        self.last_sequence += 1;
+        self.requests.push_back((self.last_sequence, now));
         while self.requests.len() > MAX_OUTSTANDING_REQUESTS {
             self.requests.pop_front();
         }
@@ -311,7 +311,7 @@
             .collect();
         self.outputs.push_back(Output::Renew(RenewRequest {
             from: self.own.clone(),
-            stamp: self.last_stamp,
+            sequence: self.last_sequence,
             eligible: self.eligible,
             held,
             released,
--- a/src/lease/renewal.rs
+++ b/src/lease/renewal.rs
@@ -10,7 +10,7 @@
     /// The sender.
     pub from: LeaseHolder,
     /// The sequence number of the request at its sender.
-    pub stamp: u64,
+    pub sequence: u64,
     /// Whether the sender accepts new leases.
     pub eligible: bool,
     /// The leases to renew, with their terms.
@@ -25,7 +25,7 @@
     /// The sender of the request.
     pub to: LeaseHolder,
     /// The sequence number of the request.
-    pub stamp: u64,
+    pub sequence: u64,
     /// The renewed leases, with their terms.
     pub renewed: Vec<(LeaseName, Term)>,
     /// The leases that the holder has to release because they move to another gateway, with their terms.
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -83,7 +83,7 @@
 
     /// Returns the initial state of a later generation. No lease has a holder, and all terms are above those that the previous
     /// generation can have granted, so that its late effects are rejected.
-    pub fn rebootstrapped(&self, generation: u32) -> LeaseTable {
+    pub fn for_generation(&self, generation: u32) -> LeaseTable {
         let first_term = Term::from(generation) << 32;
         let restarted = |record: &LeaseRecord| LeaseRecord {
             term: record.term.max(first_term),
--- a/src/lease/tests/mod.rs
+++ b/src/lease/tests/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use super::fence::{Fence, FenceError, MAX_FENCED_LEASES};
-use super::grantor::{self, GrantReason, LeaseGrantor};
+use super::grantor::{self, LeaseGrantor, VacancyReason};
 use super::holder::{self, HolderState, Output};
 use super::renewal::{RenewReply, RenewRequest};
 use super::table::{Entry, LeaseTable};
@@ -131,7 +131,7 @@
     let (renewed, recalled) = (request.held, Vec::new());
     let reply = RenewReply {
         to: gateway(1),
-        stamp: request.stamp,
+        sequence: request.sequence,
         renewed,
         recalled,
     };
@@ -245,19 +245,19 @@
 #[test]
 fn grant_reason_follows_the_lease_state() {
     let mut sim = Simulation::new(1, 1);
-    assert_eq!(sim.grantor.grant_reason(sim.now, &lease(0)), None);
+    assert_eq!(sim.grantor.vacancy_reason(sim.now, &lease(0)), None);
     sim.unreachable.insert(0);
     sim.run(ONE_SECOND);
-    assert_eq!(sim.grantor.grant_reason(sim.now, &lease(0)), None);
+    assert_eq!(sim.grantor.vacancy_reason(sim.now, &lease(0)), None);
     sim.run(ONE_SECOND + 3_000);
     assert_eq!(
-        sim.grantor.grant_reason(sim.now, &lease(0)),
-        Some(GrantReason::AwaitingExpiry)
+        sim.grantor.vacancy_reason(sim.now, &lease(0)),
+        Some(VacancyReason::AwaitingExpiry)
     );
     sim.run(10 * ONE_SECOND);
     assert_eq!(
-        sim.grantor.grant_reason(sim.now, &lease(0)),
-        Some(GrantReason::NoCandidate)
+        sim.grantor.vacancy_reason(sim.now, &lease(0)),
+        Some(VacancyReason::NoCandidate)
     );
 }
 
@@ -278,7 +278,7 @@
     let (renewed, recalled) = (vec![(lease(0), 1)], Vec::new());
     let reply = RenewReply {
         to: gateway(old),
-        stamp: request.stamp,
+        sequence: request.sequence,
         renewed,
         recalled,
     };
@@ -297,9 +297,9 @@
 /// a request that it had sent earlier arrived, and it was granted the lease again. It then ended as the holder.
 #[test]
 fn ineligible_gateway_gets_nothing_on_older_request() {
-    let request = |stamp, eligible, released: Vec<(LeaseName, Term)>| RenewRequest {
+    let request = |sequence, eligible, released: Vec<(LeaseName, Term)>| RenewRequest {
         from: gateway(0),
-        stamp,
+        sequence,
         eligible,
         held: vec![],
         released,
--- a/src/load_coordination/coordinator.rs
+++ b/src/load_coordination/coordinator.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::{
-    CopyKey, Input, LoadMessage, Output, ANSWER_TIMEOUT, LOAD_TIMEOUT, MAX_COPIES, PREFIX,
-    RESIDENT_WINDOW, SILENT_HOLDER_BACKOFF,
+    CopyKey, Input, LoadMessage, Output, ANSWER_TIMEOUT, LOAD_TIMEOUT, MAX_COPIES, RESIDENT_WINDOW,
+    SHARD_LEASE_PREFIX, SILENT_HOLDER_BACKOFF,
 };
 use crate::api::{FunctionId, Micros};
 use crate::lease::LeaseName;
@@ -62,7 +62,7 @@
     pub fn new(own_name: Arc<str>, leases: &BTreeSet<LeaseName>) -> Option<LoadCoordinator> {
         let shards: Vec<LeaseName> = leases
             .iter()
-            .filter(|lease| lease.starts_with(PREFIX))
+            .filter(|lease| lease.starts_with(SHARD_LEASE_PREFIX))
             .cloned()
             .collect();
         if shards.is_empty() {
--- a/src/load_coordination/mod.rs
+++ b/src/load_coordination/mod.rs
@@ -20,7 +20,7 @@
 use crate::api::Micros;
 
 /// The prefix of the names of shard leases; the number of the shard follows.
-pub const PREFIX: &str = "loads-";
+pub const SHARD_LEASE_PREFIX: &str = "loads-";
 /// How long an order waits for the holder's answer.
 pub const ANSWER_TIMEOUT: Micros = 60_000;
 /// How long an order waits for a copy that another gateway loads: no longer than a request can wait.
--- a/src/load_coordination/tests.rs
+++ b/src/load_coordination/tests.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
-    CopyKey, Input, LoadCoordinator, LoadMessage, Output, ANSWER_TIMEOUT, LOAD_TIMEOUT, PREFIX,
-    RESIDENT_WINDOW,
+    CopyKey, Input, LoadCoordinator, LoadMessage, Output, ANSWER_TIMEOUT, LOAD_TIMEOUT,
+    RESIDENT_WINDOW, SHARD_LEASE_PREFIX,
 };
 use crate::api::{FunctionId, Micros, WorkerId};
 use crate::lease::LeaseName;
@@ -16,7 +16,7 @@
 
 fn configured_leases(shards: usize) -> BTreeSet<LeaseName> {
     (0..shards)
-        .map(|i| format!("{PREFIX}{i}").into())
+        .map(|i| format!("{SHARD_LEASE_PREFIX}{i}").into())
         .chain(["trials".into()])
         .collect()
 }
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -261,8 +261,9 @@
 }
 
 fn duties(shards: usize) -> BTreeSet<LeaseName> {
-    let shards = (0..shards).map(|n| format!("{}{n}", load_coordination::PREFIX).into());
-    shards.chain([health_checks::NAME.into()]).collect()
+    let shards =
+        (0..shards).map(|n| format!("{}{n}", load_coordination::SHARD_LEASE_PREFIX).into());
+    shards.chain([health_checks::LEASE_NAME.into()]).collect()
 }
 
 fn name(n: usize) -> Arc<str> {
@@ -472,7 +473,7 @@
 
     /// Whoever owns the trials now, and under which term.
     fn owner(&self) -> Option<(usize, u64)> {
-        let duty = health_checks::NAME.into();
+        let duty = health_checks::LEASE_NAME.into();
         let of = |(n, i): (usize, &Instance)| {
             i.member
                 .as_ref()
@@ -969,7 +970,7 @@
             }
             load_coordination::Output::Announce(duty, word) => {
                 if let Some(m) = i.member.as_mut() {
-                    m.handle(now, participant::Input::Act(duty, text(&word)));
+                    m.handle(now, participant::Input::SendEffect(duty, text(&word)));
                 }
             }
             load_coordination::Output::Load(number) => {
@@ -1002,7 +1003,7 @@
         content: &[u8],
     ) -> bool {
         let now = self.now;
-        if !duty.starts_with(load_coordination::PREFIX) {
+        if !duty.starts_with(load_coordination::SHARD_LEASE_PREFIX) {
             return false;
         }
         if let (Some(l), Ok(word)) = (
@@ -1023,7 +1024,7 @@
         };
         for duty in duties(self.scenario.shards)
             .into_iter()
-            .filter(|d| d.starts_with(load_coordination::PREFIX))
+            .filter(|d| d.starts_with(load_coordination::SHARD_LEASE_PREFIX))
         {
             let owned = m.state().leases.record(&duty).holder.is_some();
             l.handle(now, load_coordination::Input::HolderKnown(duty, owned));
@@ -1033,7 +1034,7 @@
     fn of_trials(&mut self, n: usize, output: health_checks::Output) {
         let now = self.now;
         let i = &mut self.instances[n];
-        let duty = || health_checks::NAME.into();
+        let duty = || health_checks::LEASE_NAME.into();
         let input = match output {
             health_checks::Output::Report(w) => {
                 participant::Input::Report(duty(), w.0.to_le_bytes().to_vec())
@@ -1042,7 +1043,7 @@
                 let plain = verdicts
                     .into_iter()
                     .flat_map(|verdict| [verdict.worker.0, u32::from(verdict.unhealthy)]);
-                participant::Input::Act(duty(), plain.flat_map(u32::to_le_bytes).collect())
+                participant::Input::SendEffect(duty(), plain.flat_map(u32::to_le_bytes).collect())
             }
             health_checks::Output::SetCapable(able) => participant::Input::SetEligible(able),
             health_checks::Output::Advise(w, until) => {
@@ -1062,7 +1063,7 @@
     fn owns(&mut self, n: usize, duty: LeaseName, owns: bool) {
         let now = self.now;
         let i = &mut self.instances[n];
-        if *duty == *health_checks::NAME {
+        if *duty == *health_checks::LEASE_NAME {
             i.health_checker
                 .handle(now, health_checks::Input::LeaseChanged(owns));
         } else if let Some(l) = i.loads.as_mut() {
@@ -1074,7 +1075,7 @@
         let now = self.now;
         match output {
             Output::Send(to, body) => self.send(n, &to, body),
-            Output::SendOwn(to, effect) => {
+            Output::SendEffect(to, effect) => {
                 let still = |m: &Participant| m.still_holds(now, &effect.lease, effect.term);
                 if self.instances[n].member.as_ref().is_some_and(still) {
                     self.send(n, &to, Body::Effect(effect));
--- a/testbed/tests/owners.rs
+++ b/testbed/tests/owners.rs
@@ -477,9 +477,10 @@
     let mut first = [0; molelug::consensus::wire::CHALLENGE_BYTES];
     s.read_exact(&mut first).unwrap();
     let mut session = Session::connector("gw-1", &name(owner), challenge("gw-1", 1, 1));
-    session.take(&keys, &first).unwrap();
+    session.read_frame(&keys, &first).unwrap();
     let poll = Body::Poll(molelug::consensus::wire::Poll::default());
-    s.write_all(&session.pack(&keys, &poll).unwrap()).unwrap();
+    s.write_all(&session.seal_frame(&keys, &poll).unwrap())
+        .unwrap();
     assert_eq!(
         s.read(&mut [0; 8]).unwrap_or(0),
         0,
--- a/tests/operator_answers.rs
+++ b/tests/operator_answers.rs
@@ -16,7 +16,7 @@
 use jsonwebtoken::{Algorithm, EncodingKey, Header};
 use molelug::delivery::response::{DeadLetterReason, State};
 use molelug::delivery::Enabled;
-use molelug::lease::grantor::GrantReason;
+use molelug::lease::grantor::VacancyReason;
 use molelug::membership::group::PeerView;
 use molelug::membership::swim::MemberState;
 use serde_json::{json, Value};
@@ -380,9 +380,9 @@
     let enabled = json!([Enabled::Yes, Enabled::ByHand, Enabled::ByFailure]);
     assert_eq!(enabled, json!(["yes", "by_hand", "by_failure"]));
     let without_holder = json!([
-        GrantReason::AwaitingExpiry,
-        GrantReason::NoCandidate,
-        GrantReason::Proposed
+        VacancyReason::AwaitingExpiry,
+        VacancyReason::NoCandidate,
+        VacancyReason::Proposed
     ]);
     assert_eq!(
         without_holder,
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 
 use molelug::config::Operator;
-use molelug::consensus::config::File as CouncilFile;
+use molelug::consensus::config::ConsensusConfig as CouncilFile;
 use molelug::identity::Role;
 use molelug::membership::config::Gossip as GossipFile;
 use molelug::replication::config::{ReplicationFile as CopiesFile, WhenFewer};
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -10,7 +10,7 @@
 use molelug::consensus::state::{Entry, State, SubsystemEntry};
 use molelug::consensus::voter::{DisabledVoterGuards, Identity, Settings, Voter};
 use molelug::consensus::wire::{challenge, LeaseEffect, LeaseReport, Poll};
-use molelug::consensus::{bootstrap_voter, ReplicaId};
+use molelug::consensus::{bootstrap_replica_id, ReplicaId};
 use molelug::lease::fence::Fence;
 use molelug::lease::renewal::{RenewReply, RenewRequest};
 use molelug::lease::table::{self, LeaseTable};
@@ -217,7 +217,7 @@
     let mut pins = Pins::of("duty-messages.txt");
     let ask = RenewRequest {
         from: owner("n2"),
-        stamp: 31,
+        sequence: 31,
         eligible: true,
         held: vec![(duty(), 5)],
         released: vec![("loads-4".into(), 6)],
@@ -228,7 +228,7 @@
         "answer",
         &RenewReply {
             to: owner("n2"),
-            stamp: 31,
+            sequence: 31,
             renewed,
             recalled,
         },
@@ -480,7 +480,7 @@
 #[test]
 fn derived_identities_and_digests_stay() {
     let mut pins = Pins::of("derived.txt");
-    pins.line("founder's seat", &bootstrap_voter(2, "n1").to_string());
+    pins.line("founder's seat", &bootstrap_replica_id(2, "n1").to_string());
     pins.bytes("connection's word", &challenge("n1", 9001, 3));
     let first = LogPosition::default().advance(b"record");
     pins.postcard("place of a first record", &first);
--- a/tests/stored_data/histories.rs
+++ b/tests/stored_data/histories.rs
@@ -43,7 +43,7 @@
     );
     pins.json(
         "acted",
-        &HistoryEvent::Acted {
+        &HistoryEvent::EffectCreated {
             lease: duty.clone(),
             term: 5,
             number: 9,
--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -454,14 +454,14 @@
 fn renewal_bodies() -> Vec<(String, Body)> {
     let ask = RenewRequest {
         from: owner(BETA),
-        stamp: 99,
+        sequence: 99,
         eligible: true,
         held: vec![("loads-0".into(), 3)],
         released: vec![("trials".into(), 1)],
     };
     let answer = RenewReply {
         to: owner(BETA),
-        stamp: 99,
+        sequence: 99,
         renewed: vec![("loads-0".into(), 3)],
         recalled: vec![("trials".into(), 1)],
     };
@@ -566,7 +566,7 @@
     let accepted = challenge(BETA, 0x0b0b, 5);
     let mut connector = Session::connector(ALPHA, BETA, challenge(ALPHA, 0x0a0a, 4));
     let taken = connector
-        .take(&shared_keys(), &accepted)
+        .read_frame(&shared_keys(), &accepted)
         .expect("a word is taken");
     assert_eq!(taken, Some((accepted.len(), None)));
     (connector, Session::acceptor(BETA, accepted))
@@ -611,17 +611,21 @@
     let (mut connector, mut acceptor) = open_sessions();
     let mut lines = Vec::new();
     for (name, body) in bodies() {
-        let frame = connector.pack(&keys, &body).expect("the session is open");
+        let frame = connector
+            .seal_frame(&keys, &body)
+            .expect("the session is open");
         lines.push(hex_line(&name, &frame));
         assert_eq!(
-            acceptor.take(&keys, &frame),
+            acceptor.read_frame(&keys, &frame),
             Ok(Some((frame.len(), Some(body.clone())))),
             "{name}"
         );
-        let reply = acceptor.pack(&keys, &body).expect("the session is open");
+        let reply = acceptor
+            .seal_frame(&keys, &body)
+            .expect("the session is open");
         lines.push(hex_line(&format!("{name}-back"), &reply));
         assert_eq!(
-            connector.take(&keys, &reply),
+            connector.read_frame(&keys, &reply),
             Ok(Some((reply.len(), Some(body)))),
             "{name}"
         );
@@ -634,14 +638,14 @@
     let (mut connector, mut acceptor) = open_sessions();
     let body = Body::Effect(effect());
     let frame = connector
-        .pack(&own_keys(ALPHA), &body)
+        .seal_frame(&own_keys(ALPHA), &body)
         .expect("the session is open");
     check_lines(
         "wire/council_frame_signed.txt",
         &[hex_line("effect", &frame)],
     );
     assert_eq!(
-        acceptor.take(&own_keys(BETA), &frame),
+        acceptor.read_frame(&own_keys(BETA), &frame),
         Ok(Some((frame.len(), Some(body))))
     );
 }
--- a/tests/wire_formats/digests.rs
+++ b/tests/wire_formats/digests.rs
@@ -1,7 +1,7 @@
 //! Digests and signatures of fixed inputs: a changed context string or order of parts shows here.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
-use molelug::consensus::bootstrap_voter;
+use molelug::consensus::bootstrap_replica_id;
 use molelug::consensus::wire::challenge;
 use molelug::front::webhook::replay::mark;
 use molelug::front::webhook::signature::{sign, verify};
@@ -47,7 +47,10 @@
     let identity = mark("acme", MESSAGE_ID);
     let lines = [
         hex_line("session-word", &challenge("alpha", 0x0a0a, 4)),
-        hex_line("founder-seat", &bootstrap_voter(3, "alpha").to_le_bytes()),
+        hex_line(
+            "founder-seat",
+            &bootstrap_replica_id(3, "alpha").to_le_bytes(),
+        ),
         hex_line("record-chain", &place.chain),
         hex_line("call-identity", &identity),
         hex_line("tenant-digest", &digest(b"kept tenant").to_le_bytes()),
