--- a/src/store/checksums.rs
+++ b/src/store/checksums.rs
@@ -1,9 +1,10 @@
-//! Checksums of what a disk holds of each shard. They are updated in each commit, so that a disk
-//! can detect by itself whether its rows are still those that were written.
+//! Checksums of the rows of each shard on a disk. They are updated in each commit and detect rows
+//! that were corrupted on disk, without a comparison with other replicas.
 //!
-//! The rows of a shard fall into [`RANGE_COUNT`] ranges. The checksum of a range is the wrapping
-//! sum of its rows' digests, so that adding or removing a row changes it by the row's digest alone.
-//! Checksums of different replicas are not compared: each disk applies retention by its own clock.
+//! The rows of a shard are divided into [`RANGE_COUNT`] ranges. The checksum of a range is the
+//! wrapping sum of the digests of its rows, so that it is updated with the digest of an added or
+//! removed row alone. Checksums of different replicas are not compared, because each disk applies
+//! retention by its own clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,11 +16,11 @@
 use crate::delivery::Seq;
 use crate::replication::ShardId;
 
-/// Ranges of a shard.
+/// The number of ranges of a shard.
 const RANGE_COUNT: usize = 16;
-/// Rows that are read at a time while all of them are counted.
+/// The number of rows read at a time while the checksums of all shards are computed.
 const SCAN_PAGE_ROWS: usize = 256;
-/// Tables with rows of shards that are found by an identity.
+/// Tables with rows of shards whose keys are identities.
 const TABLES_BY_IDENTITY: [Table; 2] = [Table::Identities, Table::CallStates];
 
 /// The checksums of a shard's ranges.
@@ -33,7 +34,7 @@
 }
 
 impl ShardRange {
-    /// Returns the range of a row; none if the row is not replicated or cannot be read.
+    /// Returns the range of a row; none if the row is not replicated or has no readable shard.
     fn of_row(table: Table, row_key: &[u8], value: &[u8]) -> Option<ShardRange> {
         let last_byte = usize::from(row_key.last().copied().unwrap_or(0));
         let (shard, range) = match table {
@@ -70,11 +71,11 @@
         .map_or(0, |bytes| u128::from_le_bytes(*bytes))
 }
 
-/// Computes checksums from rows that are added one by one.
+/// Accumulates checksums from rows.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ChecksumCounter(BTreeMap<ShardId, ShardChecksums>);
+pub(super) struct ChecksumAccumulator(BTreeMap<ShardId, ShardChecksums>);
 
-impl ChecksumCounter {
+impl ChecksumAccumulator {
     /// Adds rows of a table.
     pub(super) fn add_rows(&mut self, table: Table, rows: &[KeyValue]) {
         for (row_key, value) in rows {
@@ -93,7 +94,7 @@
         self.0.get(&shard).copied().unwrap_or_default()
     }
 
-    /// Returns the ranges of a shard whose computed checksum differs from the stored one.
+    /// Returns the ranges of a shard whose computed and stored checksums differ.
     pub(super) fn mismatches(
         &self,
         reader: &dyn KeyspaceReader,
@@ -126,17 +127,17 @@
         .map(drop)
 }
 
-/// Checks a shard's rows against its checksums.
+/// Returns an error if rows of a shard do not match the stored checksums.
 pub(super) fn verify_shard(reader: &dyn KeyspaceReader, shard: ShardId) -> Result<(), StoreError> {
-    let mut counter = ChecksumCounter::default();
+    let mut accumulator = ChecksumAccumulator::default();
     let (from, to) = shard_key_range(shard);
     for table in TABLES_BY_SEQUENCE {
-        counter.add_rows(table, &reader.scan_all(table, &from, &to)?);
+        accumulator.add_rows(table, &reader.scan_all(table, &from, &to)?);
     }
     for table in TABLES_BY_IDENTITY {
-        counter.add_rows(table, &reader.scan_all(table, &[], &KEY_END)?);
+        accumulator.add_rows(table, &reader.scan_all(table, &[], &KEY_END)?);
     }
-    let mismatches = counter.mismatches(reader, shard)?;
+    let mismatches = accumulator.mismatches(reader, shard)?;
     if mismatches.is_empty() {
         Ok(())
     } else {
@@ -144,15 +145,15 @@
     }
 }
 
-/// Counts the rows of all shards, a page at a time.
-fn count_all(reader: &dyn KeyspaceReader) -> Result<ChecksumCounter, StoreError> {
-    let mut counter = ChecksumCounter::default();
+/// Computes the checksums of all shards, reading a page of rows at a time.
+fn accumulate_all(reader: &dyn KeyspaceReader) -> Result<ChecksumAccumulator, StoreError> {
+    let mut accumulator = ChecksumAccumulator::default();
     for table in TABLES_BY_SEQUENCE.into_iter().chain(TABLES_BY_IDENTITY) {
         let mut from = Vec::new();
         loop {
             let order = ScanOrder::Ascending;
             let page = reader.scan(table, &from, &KEY_END, SCAN_PAGE_ROWS, order)?;
-            counter.add_rows(table, &page);
+            accumulator.add_rows(table, &page);
             let Some((last_key, _)) = page.last().filter(|_| page.len() == SCAN_PAGE_ROWS) else {
                 break;
             };
@@ -161,28 +162,28 @@
             from.push(0);
         }
     }
-    Ok(counter)
+    Ok(accumulator)
 }
 
-/// Returns for each shard the ranges whose rows do not match their checksums.
+/// Returns the ranges of each shard whose rows do not match their checksums.
 pub(super) fn verify(reader: &dyn KeyspaceReader) -> Result<Vec<(ShardId, Vec<u8>)>, StoreError> {
-    let counter = count_all(reader)?;
+    let accumulator = accumulate_all(reader)?;
     let mut verified = Vec::new();
     for (shard_key, _) in reader.scan_all(Table::Shards, &[], &KEY_END)? {
         // The keys are written from shard numbers.
         let shard = key_part(&shard_key, 0) as ShardId;
-        verified.push((shard, counter.mismatches(reader, shard)?));
+        verified.push((shard, accumulator.mismatches(reader, shard)?));
     }
     Ok(verified)
 }
 
-/// A keyspace that tracks how writes change the checksums of shards.
+/// A keyspace that tracks the changes of checksums by writes.
 pub(super) struct ChecksummedKeyspace<'a> {
     keyspace: &'a mut dyn Keyspace,
-    /// The change of each range's checksum.
+    /// The pending change of each range's checksum.
     changes: BTreeMap<ShardRange, u128>,
-    /// Shards whose checksums are computed from all of their rows.
-    recounted: BTreeSet<ShardId>,
+    /// Shards whose checksums are recomputed from all rows.
+    to_recompute: BTreeSet<ShardId>,
 }
 
 impl<'a> ChecksummedKeyspace<'a> {
@@ -191,26 +192,27 @@
         ChecksummedKeyspace {
             keyspace,
             changes: BTreeMap::new(),
-            recounted: BTreeSet::new(),
+            to_recompute: BTreeSet::new(),
         }
     }
 
-    /// Has a shard's checksums computed from all of its rows, whatever was stored before.
-    pub(super) fn recount(&mut self, shard: ShardId) {
-        self.recounted.insert(shard);
+    /// Marks a shard whose checksums are recomputed from all rows at the next flush, regardless of
+    /// the stored checksums.
+    pub(super) fn recompute(&mut self, shard: ShardId) {
+        self.to_recompute.insert(shard);
     }
 
-    /// Stores the checksums: before an operation that compares them with rows, and as the last step
-    /// of a commit but for the store's header.
+    /// Stores the changed checksums. Called before an operation that compares checksums with rows,
+    /// and at the end of a commit, before the store's header is written.
     pub(super) fn flush(&mut self) -> Result<(), StoreError> {
         self.flush_changes()?;
-        let recounted = std::mem::take(&mut self.recounted);
-        if recounted.is_empty() {
+        let to_recompute = std::mem::take(&mut self.to_recompute);
+        if to_recompute.is_empty() {
             return Ok(());
         }
-        let counter = count_all(self.keyspace)?;
-        for shard in recounted {
-            for (range, checksum) in counter.checksums(shard).into_iter().enumerate() {
+        let accumulator = accumulate_all(self.keyspace)?;
+        for shard in to_recompute {
+            for (range, checksum) in accumulator.checksums(shard).into_iter().enumerate() {
                 store_checksum(self.keyspace, ShardRange { shard, range }, checksum)?;
             }
         }
@@ -219,7 +221,7 @@
 
     fn flush_changes(&mut self) -> Result<(), StoreError> {
         for (range, change) in std::mem::take(&mut self.changes) {
-            if self.recounted.contains(&range.shard) {
+            if self.to_recompute.contains(&range.shard) {
                 continue;
             }
             let checksum = stored_checksum(self.keyspace, range)?.wrapping_add(change);
--- a/src/store/checksums/fixture_tests.rs
+++ b/src/store/checksums/fixture_tests.rs
@@ -1,6 +1,6 @@
-//! Digests of rows, compared with their recorded bytes.
+//! Comparison of row digests with recorded bytes.
 //!
-//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` rewrites the recorded file.
 
 use super::{row_digest, Table};
 use crate::fixtures::check_lines;
--- a/src/store/consensus_log.rs
+++ b/src/store/consensus_log.rs
@@ -1,18 +1,19 @@
-//! The tables of the consensus log: its entries by index, and the voter's state beside them.
+//! Storage of the consensus log: the entries by index, and the voter's metadata.
 
 use super::error::StoreError;
 use super::keys::{decode, encode, key, key_part, KEY_END};
 use super::keyspace::{Keyspace, KeyspaceReader, Table};
 use crate::consensus::persistent_state::{LogEntry, Metadata, Record};
 
-/// The key of the voter's state in [`Table::Meta`].
+/// The key of the voter's metadata in [`Table::Meta`].
 const VOTER_KEY: &[u8] = b"seat";
-const ENTRY: &str = "an entry of the log";
+const LOG_ENTRY: &str = "an entry of the log";
 
-/// What the disk holds of a voter.
+/// A voter's metadata, if stored, and its log entries.
 pub type VoterState = (Option<Metadata>, Vec<LogEntry>);
 
-/// Persists a change, as [`crate::consensus::persistent_state::PersistentState::apply`] makes it in memory.
+/// Persists a change to the log or metadata. The change in memory is made by
+/// [`crate::consensus::persistent_state::PersistentState::apply`].
 pub(super) fn append(keyspace: &mut dyn Keyspace, record: &Record) -> Result<(), StoreError> {
     if record.reset {
         remove_range(keyspace, &[], &KEY_END)?;
@@ -39,7 +40,7 @@
     Ok(())
 }
 
-/// Reads the voter's state and its log. An entry that is stored under another index is unreadable.
+/// Reads the voter's metadata and log. An entry whose index differs from its key is an error.
 pub(super) fn read(reader: &dyn KeyspaceReader) -> Result<VoterState, StoreError> {
     let metadata = reader
         .get(Table::Meta, VOTER_KEY)?
@@ -47,9 +48,9 @@
         .transpose()?;
     let mut entries = Vec::new();
     for (entry_key, value) in reader.scan_all(Table::Log, &[], &KEY_END)? {
-        let entry: LogEntry = decode(&value, ENTRY)?;
+        let entry: LogEntry = decode(&value, LOG_ENTRY)?;
         if entry.index != key_part(&entry_key, 0) {
-            return Err(StoreError::Unreadable(ENTRY));
+            return Err(StoreError::Unreadable(LOG_ENTRY));
         }
         entries.push(entry);
     }
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -1,4 +1,4 @@
-//! The store's file: an embedded database whose commits are atomic and synced.
+//! The file of the store: an embedded database with atomic, synced commits.
 
 use std::fs::OpenOptions;
 use std::io::ErrorKind;
@@ -19,9 +19,9 @@
 
 use transaction::{ReadSnapshot, Transaction};
 
-/// The size of the database's cache.
+/// The size of the database cache in bytes.
 const CACHE_BYTES: usize = 8 << 20;
-/// The file contains tenants' data, so only its owner may read it.
+/// The mode of a new file. Only the owner may read it, because it contains tenants' data.
 const FILE_MODE: u32 = 0o600;
 
 fn io_error(error: impl std::fmt::Display) -> StoreError {
@@ -51,7 +51,7 @@
         .map_err(open_error)
 }
 
-/// Creates an empty file, unless there is one.
+/// Creates an empty file, unless the file exists.
 fn create_file(path: &Path) -> Result<(), StoreError> {
     let created = OpenOptions::new()
         .write(true)
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reads the file as of its last commit, on any thread.
+/// A reader of the last committed state of the file, for use on any thread.
 #[derive(Debug)]
 pub struct Reader(Arc<Database>);
 
@@ -85,8 +85,8 @@
 }
 
 impl Disk {
-    /// Opens or creates a file, and returns what is recovered from it. `max_bytes` limits the bytes
-    /// of stored bodies.
+    /// Opens or creates a file, and returns the state recovered from it. `max_bytes` limits the
+    /// total size of stored bodies.
     pub fn open(
         path: &Path,
         max_bytes: u64,
@@ -96,8 +96,8 @@
         Disk::recover(open_database(path)?, max_bytes, now)
     }
 
-    /// Opens a file again after an error within one process. Attempts that were started are still
-    /// in flight, so nothing is recovered.
+    /// Reopens a file after an error, in the same process. Nothing is recovered, because the
+    /// attempts that were started are still in flight.
     pub fn reopen(path: &Path, max_bytes: u64) -> Result<Disk, StoreError> {
         let database = open_database(path)?;
         let write = database.begin_write().map_err(io_error)?;
@@ -132,7 +132,7 @@
         let (tables, recovered) = match opened {
             Ok(opened) => opened,
             Err(error) => {
-                // The file stays as it was.
+                // Leaves the file unchanged.
                 write.abort().map_err(io_error)?;
                 return Err(error);
             }
@@ -173,12 +173,12 @@
         Ok(replies)
     }
 
-    /// Returns free space in the file to the file system, and whether there was any.
+    /// Returns free space in the file to the file system; returns whether there was any.
     pub fn compact(&mut self) -> Result<bool, StoreError> {
         self.exclusive()?.compact().map_err(io_error)
     }
 
-    /// Checks the whole file and repairs it; returns whether it was intact.
+    /// Checks and repairs the whole file; returns whether the file was intact.
     pub fn check_integrity(&mut self) -> Result<bool, StoreError> {
         self.exclusive()?.check_integrity().map_err(io_error)
     }
@@ -193,15 +193,16 @@
     }
 }
 
-/// Applies an operation, and notes the shards whose checksums have to be computed from all of their
-/// rows. One that compares rows with checksums gets the checksums of all operations before it.
+/// Applies an operation, and marks the shards whose checksums have to be recomputed from all rows.
+/// Before an operation that compares rows with checksums, the pending checksums are stored.
 pub(super) fn apply_checksummed(
     tables: &mut Tables,
     keyspace: &mut ChecksummedKeyspace<'_>,
     op: Op,
 ) -> Result<Reply, StoreError> {
     if op.verifies_checksums() {
-        // Otherwise a shard that the same commit has changed is taken for a damaged one.
+        // Otherwise a shard that an earlier operation of the same commit changed would appear
+        // damaged.
         keyspace.flush()?;
     }
     let installed = match &op {
@@ -209,8 +210,11 @@
         _ => None,
     };
     let reply = tables.apply(keyspace, op);
-    for shard in installed.into_iter().chain(tables.take_uncounted_shards()) {
-        keyspace.recount(shard);
+    for shard in installed
+        .into_iter()
+        .chain(tables.take_shards_to_recompute())
+    {
+        keyspace.recompute(shard);
     }
     reply
 }
--- a/src/store/disk/transaction.rs
+++ b/src/store/disk/transaction.rs
@@ -1,4 +1,4 @@
-//! The tables of the file, in a transaction of the database.
+//! Access to the tables of the file in a database transaction.
 
 use redb::{
     ReadOnlyTable, ReadTransaction, ReadableTable, TableDefinition, TableError, WriteTransaction,
@@ -90,11 +90,11 @@
     }
 }
 
-/// A read transaction, beside the thread that writes.
+/// A read transaction, which can run concurrently with the writer thread.
 pub(super) struct ReadSnapshot(pub(super) ReadTransaction);
 
 impl ReadSnapshot {
-    /// Opens a table; none if nothing was ever written to it.
+    /// Opens a table; none if the table was never written.
     fn table(&self, table: Table) -> Result<Option<BytesReadTable>, StoreError> {
         match self.0.open_table(definition(table)) {
             Ok(table) => Ok(Some(table)),
--- a/src/store/keyspace.rs
+++ b/src/store/keyspace.rs
@@ -1,46 +1,46 @@
-//! Ordered tables of bytes, which the store's logic runs over: in memory, or in a transaction of
-//! the file.
+//! Ordered tables of byte keys and values: the storage interface of [`super::tables`], and its
+//! implementation in memory. [`super::disk`] implements the interface for the file.
 
 use std::collections::BTreeMap;
 
 use super::error::StoreError;
 
-/// A table.
+/// A table of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Table {
-    /// The header, the disk's identity, and the voter's state.
+    /// The store's header, the disk's identity, and the voter's metadata, by name.
     Meta,
-    /// Calls without an outcome, by number.
+    /// Calls without an outcome, by sequence number.
     Calls,
-    /// Messages, by number.
+    /// Messages, by sequence number.
     Messages,
-    /// Bodies of messages, by number.
+    /// Bodies of messages, by sequence number.
     Bodies,
-    /// Messages that wait here, by endpoint, due time and number.
+    /// Messages that this gateway has to deliver, by endpoint, due time and sequence number.
     Waiting,
-    /// Started attempts, by the message's number.
+    /// Start times of unfinished attempts, by the message's sequence number.
     StartedAttempts,
-    /// Finished attempts, by the message's number and a counter.
+    /// Finished attempts, by the message's sequence number and a counter.
     Attempts,
-    /// Messages, by tenant and number.
+    /// Index of messages by tenant and sequence number.
     MessagesByTenant,
-    /// States of calls, by tenant and identity.
+    /// States of calls, by tenant and call identity.
     CallStates,
-    /// States of calls, by time.
+    /// Index of call states by time, for retention.
     CallStateAges,
-    /// Identities that were seen, by digest.
+    /// Identities of accepted calls, by digest.
     Identities,
-    /// Identities that were seen, by time.
+    /// Index of identities by expiry time, for retention.
     IdentityAges,
     /// The first message of each order key, by endpoint and order key.
     OrderHeads,
-    /// Messages behind the first of their order key, by endpoint, order key and number.
+    /// Messages behind the first of their order key, by endpoint, order key and sequence number.
     OrderQueue,
     /// Entries of the consensus log, by index.
     Log,
     /// Headers of shards, by shard.
     Shards,
-    /// Checksums, by shard and range.
+    /// Checksums of rows, by shard and range.
     Checksums,
 }
 
@@ -125,18 +125,18 @@
 
 /// Read and write access to ordered tables of bytes.
 pub trait Keyspace: KeyspaceReader {
-    /// Sets a value and returns the previous one.
+    /// Sets the value of a key and returns its previous value.
     fn put(
         &mut self,
         table: Table,
         key: &[u8],
         value: &[u8],
     ) -> Result<Option<Vec<u8>>, StoreError>;
-    /// Removes a value and returns it.
+    /// Removes a key and returns its value.
     fn remove(&mut self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError>;
 }
 
-/// Tables in memory, which last as long as the process.
+/// Tables in memory. Their content is lost when the process exits.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryKeyspace(BTreeMap<(Table, Vec<u8>), Vec<u8>>);
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,11 +1,12 @@
-//! The store: accepted calls, messages with their attempts, identities, replicas of shards, and the
-//! consensus log. It is the only part that writes these to disk.
+//! Storage of accepted calls, messages with their delivery attempts, call identities, shard
+//! replicas, and the consensus log. Only this module writes them to disk.
 //!
-//! [`tables::Tables`] is the logic, over memory or over a transaction of the file; [`disk::Disk`]
-//! is the file; [`writer::Writer`] is the thread that commits; [`recovery`] decides about calls and
-//! attempts that a start finds; the checksums detect rows that changed on the disk by themselves.
-//! [`operations`] is the interface, [`records`] what is persisted, and [`replicated_op`] what is
-//! replicated.
+//! - [`operations`] defines the operations and replies, [`records`] the persisted records, and
+//!   [`replicated_op`] the replicated operations.
+//! - [`tables::Tables`] applies operations to tables in memory or in a transaction of the file.
+//! - [`disk::Disk`] manages the file, and [`writer::Writer`] commits to it from one thread.
+//! - [`recovery`] selects the action for calls and attempts that were open before a restart.
+//! - `checksums` detects rows that were corrupted on disk.
 
 mod checksums;
 mod consensus_log;
--- a/src/store/operations.rs
+++ b/src/store/operations.rs
@@ -1,5 +1,5 @@
-//! Operations of the store and their replies. They are not encoded; see [`super::replicated_op`]
-//! for those that are.
+//! Operations of the store and their replies. [`super::replicated_op`] has the encoded form of the
+//! operations that are replicated.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,20 +12,20 @@
 use crate::delivery::{EndpointId, Seq, Waiting};
 use crate::replication::{LogPosition, ShardId};
 
-/// A query for messages of a tenant. All criteria that are given must match.
+/// A query for messages of a tenant. A message must match all criteria that are set.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Filter {
     /// The tenant's serial number.
     pub serial: u64,
-    /// The name of the delivery's state.
+    /// The name of the delivery state.
     pub state: Option<String>,
-    /// The type of event.
+    /// The event type.
     pub kind: Option<String>,
-    /// The endpoint.
+    /// The endpoint of the messages.
     pub endpoint: Option<EndpointId>,
-    /// The earliest time of creation.
+    /// The earliest time of creation, in Unix microseconds.
     pub since: Option<Micros>,
-    /// The page's cursor: only messages older than this one match.
+    /// The cursor of the page: only messages with a lower sequence number match.
     pub before: Option<Seq>,
     /// The maximum number of messages.
     pub limit: usize,
@@ -38,14 +38,14 @@
     pub call: Box<CallRecord>,
     /// The digest of the call's identity.
     pub identity: IdentityDigest,
-    /// The time until which a repetition of the identity has to be detected.
+    /// The time until which a repeated call with this identity must be detected.
     pub valid_until: Micros,
 }
 
 /// Replaces a call by its outcome and its messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompleteCall {
-    /// The call's number.
+    /// The call's sequence number.
     pub call: Seq,
     /// The outcome.
     pub outcome: String,
@@ -56,18 +56,18 @@
 /// Starts an attempt to deliver a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BeginAttempt {
-    /// The message's number.
+    /// The message's sequence number.
     pub message: Seq,
-    /// Whether the start has to be durable before the attempt is sent.
+    /// Whether the start must be durable before the attempt is sent.
     pub durable: bool,
-    /// When the attempt starts.
+    /// The start time of the attempt, in Unix microseconds.
     pub at: Micros,
 }
 
-/// Sets the state of a message, after an attempt or without one.
+/// Sets the state of a message at the end of an attempt, or without an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinishAttempt {
-    /// The message as the delivery scheduler has it.
+    /// The message with the delivery scheduler's updates.
     pub waiting: Box<Waiting>,
     /// The new state.
     pub state: State,
@@ -78,27 +78,27 @@
 /// Sends a message again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resend {
-    /// The message's number.
+    /// The message's sequence number.
     pub message: Seq,
     /// The tenant's serial number.
     pub serial: u64,
-    /// When it is due.
+    /// The current time, at which the message becomes due.
     pub now: Micros,
-    /// The operator who accepts that it may arrive twice. Without one a message that is not
+    /// The operator who accepts that the message may arrive twice. If none, a message that is not
     /// idempotent and may have arrived is not sent again.
     pub acknowledged_by: Option<String>,
 }
 
-/// Sends an endpoint's dead letters again, as far as that is safe.
+/// Sends an endpoint's dead letters again, except those that need an operator's acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResendDeadLetters {
-    /// The endpoint.
+    /// The endpoint of the dead letters.
     pub endpoint: EndpointId,
     /// The tenant's serial number.
     pub serial: u64,
-    /// The earliest time of creation.
+    /// The earliest time of creation, in Unix microseconds.
     pub since: Micros,
-    /// When they are due.
+    /// The current time, at which the dead letters become due.
     pub now: Micros,
     /// The maximum number of messages.
     pub limit: usize,
@@ -109,9 +109,9 @@
 pub struct ApplyRetention {
     /// The current time.
     pub now: Micros,
-    /// The maximum age of a record.
+    /// The maximum age of a record, in microseconds.
     pub max_age: Micros,
-    /// Stored bytes above which finished messages are deleted whatever their age.
+    /// The size of stored bodies, in bytes, above which finished messages of any age are deleted.
     pub max_bytes: u64,
     /// The maximum number of records of each kind that the pass examines.
     pub limit: usize,
@@ -120,16 +120,16 @@
 /// Registers the start of a process on this disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RegisterDisk {
-    /// The identifier that the disk gets if it has none.
+    /// The identifier to assign if the disk has none or is reset.
     pub id: u64,
-    /// Whether the disk gets a new identifier in any case and drops all shards that it holds.
+    /// Whether to assign a new identifier and drop all shards on the disk.
     pub reset: bool,
 }
 
 /// Applies a replicated operation to this replica of a shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApplyToShard {
-    /// The shard.
+    /// The shard of the replica.
     pub shard: ShardId,
     /// The position of the replica's log after the operation.
     pub position: LogPosition,
@@ -140,11 +140,11 @@
 /// Replaces a shard's content on this disk by a snapshot from another replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstallShard {
-    /// The shard.
+    /// The shard to replace.
     pub shard: ShardId,
-    /// The position of the snapshot.
+    /// The position of the replica's log that the snapshot corresponds to.
     pub position: LogPosition,
-    /// The snapshot.
+    /// The encoded snapshot.
     pub content: Vec<u8>,
 }
 
@@ -153,15 +153,15 @@
 pub enum Op {
     /// Persists an accepted call.
     AcceptCall(AcceptCall),
-    /// Removes a call whose acceptance could not be confirmed, with its identity.
+    /// Removes a call whose acceptance could not be confirmed, and the call's identity.
     RevokeCall(Seq, IdentityDigest),
-    /// Records when the first attempt of an unsafe call is sent.
+    /// Records the time at which the first attempt of a call that must not run twice is sent.
     SetSent(Seq, Micros),
     /// Records that no attempt of a call has run.
     ClearSent(Seq),
     /// Replaces a call by its outcome and its messages.
     CompleteCall(CompleteCall),
-    /// Persists messages that answer no call, with their bodies.
+    /// Persists messages that do not report a call's outcome, with their bodies.
     Publish(Vec<(MessageRecord, Vec<u8>)>),
     /// Starts an attempt to deliver a message.
     BeginAttempt(BeginAttempt),
@@ -169,7 +169,7 @@
     FinishAttempt(FinishAttempt),
     /// Reads the first waiting messages of an endpoint, up to a limit.
     FetchDue(EndpointId, usize),
-    /// Ends waiting messages of an endpoint that was removed, up to a limit.
+    /// Ends the waiting messages of a removed endpoint, up to a limit.
     PurgeEndpoint(EndpointId, usize),
     /// Sends a message again.
     Resend(Resend),
@@ -187,7 +187,7 @@
     Stats,
     /// Compares the rows of all shards with their checksums.
     VerifyChecksums,
-    /// Reads messages after a number, the oldest first, up to a limit.
+    /// Reads messages after a sequence number, the oldest first, up to a limit.
     ExportMessages(Option<Seq>, usize),
     /// Persists a change of the consensus log.
     AppendLog(Box<Record>),
@@ -199,7 +199,7 @@
     ReadShard(ShardId),
     /// Replaces a shard's content by a snapshot.
     InstallShard(InstallShard),
-    /// Accepts what is readable of a damaged shard that no other disk has.
+    /// Keeps the readable rows of a damaged shard that has no intact replica, and drops the others.
     AcceptDamage(ShardId),
     /// Makes this gateway the primary of a shard, and reads the shard's state.
     BecomePrimary(ShardId),
@@ -208,8 +208,8 @@
 }
 
 impl Op {
-    /// Returns the shard whose replicas must have the operation before it is committed; none if it
-    /// is not replicated.
+    /// Returns the shard whose replicas must have the operation before its commit; none if the
+    /// operation is not replicated.
     pub fn shard(&self) -> Option<ShardId> {
         let seq = match self {
             Op::AcceptCall(accept) => accept.call.seq,
@@ -234,17 +234,17 @@
 /// The reply to an [`Op`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The operation is done.
+    /// The operation succeeded and returns no data.
     Done,
-    /// Messages that now wait for an attempt.
+    /// The messages that are now waiting for an attempt.
     Queued(Vec<Waiting>),
-    /// The message to send, with its body; none if it does not wait any more.
+    /// The message to send, with its body; none if the message is no longer waiting.
     Attempt(Option<Box<(MessageRecord, Vec<u8>)>>),
     /// The first waiting messages, and the due time of the next one after them.
     Due(Vec<Waiting>, Option<Micros>),
-    /// Whether there may be more to do.
+    /// Whether the limit was reached, so that more messages may remain.
     More(bool),
-    /// The reason for which a message is not sent again.
+    /// The reason why a message is not sent again.
     ResendRejected(&'static str),
     /// A list of messages.
     Messages(Vec<MessageRecord>),
@@ -258,9 +258,9 @@
     Stats(StoreStats),
     /// The disk's identity and content.
     Disk(DiskState),
-    /// For each shard the ranges of rows that do not match their checksums.
+    /// The ranges of each shard whose rows do not match their checksums.
     Verified(Vec<(ShardId, Vec<u8>)>),
-    /// A snapshot of a shard, and its position.
+    /// The position and the encoded snapshot of a shard.
     ShardContent(LogPosition, Vec<u8>),
     /// The state of a shard of which this gateway has become the primary.
     PrimaryState(Box<ShardState>),
@@ -269,9 +269,9 @@
 /// The result of a pass of retention.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetentionResult {
-    /// Messages that expired while they waited.
+    /// The messages that expired while they waited.
     pub expired: Vec<Seq>,
-    /// Messages of the same order keys that wait in their place.
+    /// The next messages of the same order keys, which are now waiting.
     pub released: Vec<Waiting>,
     /// Whether there may be more records to examine.
     pub more: bool,
@@ -282,24 +282,24 @@
 pub struct DiskState {
     /// The disk's identifier.
     pub id: u64,
-    /// How often a process has started on the disk.
+    /// The number of process starts on the disk.
     pub incarnation: u64,
     /// The shards on the disk, with the positions of their logs.
     pub shards: Vec<(ShardId, LogPosition)>,
 }
 
-/// The state of a shard that is taken over.
+/// The state of a shard that its new primary needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardState {
     /// Calls without an outcome.
     pub calls: Vec<CallRecord>,
-    /// Identities seen, with the time until which each is valid.
+    /// The identities of accepted calls, with the time until which each is valid.
     pub identities: Vec<(IdentityDigest, Micros)>,
-    /// Messages that wait.
+    /// Messages that wait for an attempt.
     pub waiting: Vec<Waiting>,
-    /// Messages of which an attempt was started, and when.
+    /// Messages with a started attempt, and the start time of the attempt.
     pub in_flight: Vec<(Waiting, Micros)>,
-    /// Identities that were valid until this time may have been removed.
+    /// Identities that expired at or before this time may have been removed.
     pub identities_expired_until: Micros,
 }
 
@@ -308,8 +308,8 @@
 pub struct MessageDetails {
     /// The message.
     pub record: MessageRecord,
-    /// Its latest attempts, in order.
+    /// The latest attempts, in chronological order.
     pub attempts: Vec<AttemptRecord>,
-    /// Its body.
+    /// The body of the message.
     pub body: Vec<u8>,
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,5 +1,5 @@
-//! Records that the store persists. They are encoded by postcard, so the order of their fields is
-//! part of the format.
+//! Records that the store persists. They are encoded with postcard, so the order of their fields is
+//! part of the file format.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,90 +8,90 @@
 use crate::delivery::{Seq, Waiting};
 use crate::replication::ShardId;
 
-/// The digest of a call's identity.
+/// The digest of the identity by which repeated calls are detected.
 pub type IdentityDigest = [u8; 32];
 
-/// An accepted call, from its 202 until its outcome is committed.
+/// An accepted call. The record exists from the 202 response until the outcome is committed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// The sequence number.
+    /// The call's sequence number.
     pub seq: Seq,
     /// The tenant's name.
     pub tenant: String,
-    /// The tenant's serial number, which tells tenants of one name apart.
+    /// The tenant's serial number, which distinguishes tenants that had the same name.
     pub serial: u64,
-    /// The identity that the caller gave the call.
+    /// The `webhook-id` that the caller sent with the call.
     pub webhook_id: String,
-    /// The identity under which workers receive the call.
+    /// The identifier of the call in requests to workers.
     pub worker_id: String,
     /// The name of the request class.
     pub class: String,
     /// The effect of running the call more than once.
     pub effect: Effect,
-    /// The function that is called.
+    /// The identifier of the called function.
     pub function: u64,
-    /// When the call expires, in Unix microseconds.
+    /// The time at which the call expires, in Unix microseconds.
     pub expires: Micros,
-    /// The caller's estimate of the work.
+    /// The caller's estimate of the run time, in microseconds.
     pub work: Option<Micros>,
-    /// Memory of one copy of the function.
+    /// The memory of one copy of the function, in megabytes.
     pub memory_mb: f64,
-    /// Calls that one copy runs at a time.
+    /// The number of calls that one copy runs concurrently.
     pub concurrency_per_copy: u32,
-    /// The usual time to load a copy.
+    /// The usual time to load a copy, in microseconds.
     pub load_time: Option<Micros>,
-    /// The body that is sent to the worker.
+    /// The request body for the worker.
     pub body: Vec<u8>,
-    /// The order key; callbacks of one key are delivered in order.
+    /// The order key. Callbacks with the same key are delivered in order.
     pub order: Option<String>,
-    /// When an attempt was first sent that may have run.
+    /// The time at which the first attempt that may have run was sent, in Unix microseconds.
     pub sent: Option<Micros>,
 }
 
-/// A message to an endpoint.
+/// A message to a tenant's endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageRecord {
-    /// The part that the delivery scheduler uses.
+    /// The data that the delivery scheduler uses.
     pub waiting: Waiting,
     /// The state of the delivery.
     pub state: State,
     /// The tenant's name.
     pub tenant: String,
-    /// The tenant's serial number, which tells tenants of one name apart.
+    /// The tenant's serial number, which distinguishes tenants that had the same name.
     pub serial: u64,
     /// The `webhook-id`, which is the same for every attempt.
     pub id: String,
-    /// The type of event.
+    /// The event type.
     pub kind: String,
-    /// The identity of the call that the message answers, if it answers one.
+    /// The identity of the call whose outcome the message reports; none for other messages.
     pub call: Option<String>,
-    /// When the message was created.
+    /// The time of creation, in Unix microseconds.
     pub created: Micros,
-    /// The order key; messages of one key are delivered in order.
+    /// The order key. Messages with the same key are delivered in order.
     pub order: Option<u64>,
-    /// The operator who requested a resend although the message may have arrived.
+    /// The operator who accepted, in a resend request, that the message may arrive twice.
     pub acknowledged: Option<String>,
 }
 
 /// A finished attempt to deliver a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// When it ended.
+    /// The time at which the attempt ended, in Unix microseconds.
     pub at: Micros,
-    /// How long it took.
+    /// The duration of the attempt, in microseconds.
     pub took: Micros,
-    /// How it ended.
+    /// The result of the attempt.
     pub ending: String,
-    /// The status code of the response.
+    /// The status code of the response; none if there was no response.
     pub status: Option<u16>,
     /// Whether the message may have arrived.
     pub may_have_arrived: bool,
 }
 
-/// The state of a call, as its caller can query it.
+/// The state of a call that its caller can query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallState {
-    /// The time from which retention measures the state's age.
+    /// The time from which retention measures the age of the state, in Unix microseconds.
     pub taken: Micros,
     /// `served`, `refused`, `failed` or `unknown`; none while the call is open.
     pub outcome: Option<String>,
@@ -99,15 +99,15 @@
     pub shard: ShardId,
 }
 
-/// Counts of the store's content. The names of the fields are keys of JSON.
+/// Counts of the store's content. The field names are JSON keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStats {
-    /// Calls without an outcome.
+    /// The number of calls without an outcome.
     pub calls: u64,
-    /// All messages.
+    /// The number of all messages.
     pub messages: u64,
-    /// Messages whose delivery is not over.
+    /// The number of messages whose delivery is not over.
     pub waiting: u64,
-    /// Bytes of the bodies.
+    /// The total size of the bodies of calls and messages, in bytes.
     pub bytes: u64,
 }
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of calls and attempts after a restart or the loss of a gateway.
+//! Recovery of calls and delivery attempts after a restart or the loss of a gateway.
 
 use super::records::{AttemptRecord, CallRecord};
 use crate::api::{Effect, Micros};
@@ -6,23 +6,23 @@
 use crate::delivery::Waiting;
 use crate::policy::permitted_after;
 
-/// What is done with a call that a start finds without an outcome.
+/// The action for a call without an outcome that is recovered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryAction {
-    /// The call runs as if it had just been accepted.
+    /// Run the call as if it had just been accepted.
     Run,
-    /// The call is rejected at once; calling again is safe.
+    /// Reject the call at once; its caller can safely retry.
     Reject,
-    /// It is unknown whether the call ran. Its callback reports that, and the call is never run
-    /// again.
+    /// Report in the callback that it is unknown whether the call ran. The call is not run again.
     ReportUnknown,
 }
 
 /// Chooses the action for a recovered call.
 ///
 /// A call with an idempotency key that may have run is not run again: the decision module does not
-/// know the first attempt, so it cannot tell when workers forget the key. If the clock went back
-/// that time is not known at all, and the call is treated as one that must not run twice.
+/// know the first attempt, so it cannot determine when workers forget the key. If the clock went
+/// backwards, the age of the key is unknown, and the call is treated as one that must not run
+/// twice.
 pub fn recovery_action(call: &CallRecord, now: Micros, clock_regressed: bool) -> RecoveryAction {
     let is_idempotent = call.effect == Effect::Idempotent;
     if call.sent.is_some() && !is_idempotent {
@@ -40,31 +40,31 @@
     }
 }
 
-/// What this process itself has of a call that it is to continue with, as the primary of its shard
-/// once more.
+/// The progress in this process of a call in the shard of a new primary. The process may have been
+/// the shard's primary before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalRun {
-    /// Nothing.
+    /// The call is not open in this process.
     None,
-    /// The call is under way here, and its outcome is still recorded.
+    /// The call is in progress in this process, and its outcome will be recorded.
     UnderWay,
-    /// The call was cancelled here, and its last attempt has not ended.
+    /// The call was cancelled in this process, but its last attempt has not ended.
     Ending,
 }
 
-/// What is done with a call that a primary finds in its shard.
+/// The action for a call without an outcome in the shard of a new primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumeAction {
-    /// The call is recovered.
+    /// Recover the call.
     Recover(RecoveryAction),
-    /// Nothing: the call goes on.
+    /// Let the call continue in this process.
     Keep,
-    /// The decision is made once the last attempt has ended here. A call that may run must not be
-    /// rejected because it is not closed here yet.
+    /// Choose the action again once the last attempt has ended in this process. A call that may run
+    /// must not be rejected because its last attempt is still open.
     Postpone,
 }
 
-/// Chooses the action for a call that a primary finds in its shard.
+/// Chooses the action for a call without an outcome in the shard of a new primary.
 pub fn resume_action(
     call: &CallRecord,
     now: Micros,
@@ -80,9 +80,9 @@
     }
 }
 
-/// Settles an attempt that was in flight when its gateway was lost. By its effect the message waits
-/// again, or it is unknown whether it arrived. A message with an idempotency key is not sent again
-/// if the clock went back.
+/// Settles an attempt that was in flight when its gateway was lost. Depending on the effect, the
+/// message waits for another attempt, or ends because it is unknown whether it arrived. A message
+/// with an idempotency key is not sent again if the clock went backwards.
 pub fn settle_attempt(
     waiting: &mut Waiting,
     started_at: Micros,
@@ -109,8 +109,8 @@
     (state, attempt)
 }
 
-/// Settles an attempt whose start was recorded by another machine. The clocks of two machines are
-/// not compared, so a message with an idempotency key is not sent again.
+/// Settles an attempt whose start was recorded by another machine. A message with an idempotency
+/// key is not sent again, because the clocks of two machines are not compared.
 pub fn settle_remote_attempt(
     waiting: &mut Waiting,
     started_at: Micros,
--- a/src/store/replicated_op.rs
+++ b/src/store/replicated_op.rs
@@ -1,5 +1,5 @@
-//! Operations that are replicated. Postcard encodes them, so the order of variants and fields is
-//! part of the format.
+//! Operations that are replicated. They are encoded with postcard, so the order of variants and
+//! fields is part of the format.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,20 +10,20 @@
 use crate::api::Micros;
 use crate::delivery::Seq;
 
-/// An operation that is committed once enough replicas have it.
+/// An operation that is committed once enough replicas have acknowledged it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplicatedOp {
     /// A call is accepted.
     AcceptCall(AcceptCall),
     /// The acceptance of a call is revoked.
     RevokeCall(Seq, IdentityDigest),
-    /// An attempt of an unsafe call is about to be sent.
+    /// The first attempt of a call that must not run twice is about to be sent.
     SetSent(Seq, Micros),
     /// No attempt of a call has run.
     ClearSent(Seq),
-    /// A call has its outcome, with its callbacks.
+    /// A call has an outcome, and its callbacks are created.
     CompleteCall(CompleteCall),
-    /// An attempt at a callback that must not arrive twice is about to be sent.
+    /// A delivery attempt of a callback that must not arrive twice is about to be sent.
     BeginAttempt(Seq, Micros),
     /// A callback has a new state.
     FinishAttempt(FinishAttempt),
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Returns the operation that applies this to a replica.
+    /// Returns the store operation to apply on a replica.
     pub fn into_op(self) -> Op {
         match self {
             ReplicatedOp::AcceptCall(accept) => Op::AcceptCall(accept),
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -1,8 +1,9 @@
-//! Shards in the tables: the replicas that a disk holds.
+//! The replicas of shards in the tables of a disk.
 //!
-//! Calls and messages belong to the shard in their number; identities and states of calls have
-//! their shard in the value. A replica holds all of a shard but its rows in [`Table::Waiting`].
-//! Those are made when this gateway becomes the primary, and removed when it resigns.
+//! The sequence number of a call or message contains its shard; identities and states of calls
+//! store the shard in the value. A replica has all rows of a shard except those in
+//! [`Table::Waiting`], which are created when this gateway becomes the primary and removed when the
+//! gateway resigns.
 
 use std::collections::BTreeSet;
 
@@ -31,13 +32,14 @@
     position: LogPosition,
     /// Whether this gateway is the shard's primary.
     is_primary: bool,
-    /// Identities that were valid until this time may have been removed, here or on a disk that
-    /// this content came from.
+    /// Identities that expired at or before this time may have been removed, on this disk or on the
+    /// disk from which a snapshot was installed.
     identities_expired_until: Micros,
 }
 
 impl ShardHeader {
-    /// Decodes a header. Earlier versions wrote no time of expired identities.
+    /// Decodes a header. Earlier versions stored no expiry time of removed identities; it is then
+    /// 0.
     fn decode(bytes: &[u8]) -> Result<ShardHeader, StoreError> {
         decode(bytes, "a shard").or_else(|error| {
             let (position, is_primary) = decode(bytes, "a shard").map_err(|_: StoreError| error)?;
@@ -67,8 +69,8 @@
     key(&[u64::from(shard)])
 }
 
-/// Returns whether this gateway delivers a message: it is not replicated, or this gateway is its
-/// shard's primary.
+/// Returns whether this gateway delivers a message: either the message is not replicated, or this
+/// gateway is the primary of its shard.
 pub(super) fn is_local_or_primary(reader: &dyn KeyspaceReader, seq: Seq) -> bool {
     seq.shard() == 0 || ShardHeader::read(reader, seq.shard()).is_ok_and(|header| header.is_primary)
 }
@@ -105,7 +107,7 @@
     keyspace.remove(Table::Shards, &shard_key(shard)).map(drop)
 }
 
-/// Resigns as the primary of all shards. A process that starts is no primary.
+/// Resigns as the primary of all shards, because a starting process is not a primary.
 pub(super) fn resign_all(keyspace: &mut dyn Keyspace) -> Result<(), StoreError> {
     for (shard, _) in positions(keyspace)? {
         resign_primary(keyspace, shard)?;
@@ -113,7 +115,7 @@
     Ok(())
 }
 
-/// Ends this gateway's role as a shard's primary: none of its messages wait here any more.
+/// Ends this gateway's role as the primary of a shard, and removes the shard's waiting rows.
 pub(super) fn resign_primary(
     keyspace: &mut dyn Keyspace,
     shard: ShardId,
@@ -132,8 +134,8 @@
     header.write(keyspace, shard)
 }
 
-/// Makes this gateway a shard's primary, and returns the shard's state. A damaged replica is not
-/// promoted: one whose rows match their checksums has to be.
+/// Makes this gateway the primary of a shard, and returns the shard's state. Fails if rows do not
+/// match their checksums: another replica, which is intact, has to be promoted.
 pub(super) fn become_primary(
     keyspace: &mut dyn Keyspace,
     shard: ShardId,
@@ -210,7 +212,7 @@
     Ok(identities)
 }
 
-/// Accepts what is readable of a damaged shard, and removes the rows that are not.
+/// Accepts a damaged shard: keeps its readable rows and removes the others.
 pub(super) fn accept_damage(keyspace: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
     for table in TABLES_BY_SEQUENCE {
         for (row_key, value) in shard_rows(keyspace, table, shard)? {
@@ -219,7 +221,7 @@
             }
         }
     }
-    // Of the rows found by identity only those that cannot be read, which belong to no shard.
+    // No shard has this number, so this removes only the rows that cannot be read.
     remove_rows_by_identity(keyspace, ShardId::MAX)
 }
 
@@ -233,7 +235,7 @@
     }
 }
 
-/// Removes all rows of a shard, damaged or not.
+/// Removes all rows of a shard, including damaged ones.
 fn remove_shard(keyspace: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
     resign_primary(keyspace, shard)?;
     for (table, part) in [(Table::MessagesByTenant, 1), (Table::OrderQueue, 2)] {
@@ -252,8 +254,8 @@
     remove_rows_by_identity(keyspace, shard)
 }
 
-/// Removes the identities and the states of calls of a shard, with the rows of their ages. A row
-/// that cannot be read belongs to no shard, and is removed with any.
+/// Removes a shard's identities and states of calls, and the rows that index them by time. Rows
+/// that cannot be read are removed too, because their shard is unknown.
 fn remove_rows_by_identity(keyspace: &mut dyn Keyspace, shard: ShardId) -> Result<(), StoreError> {
     let identities = remove_rows(keyspace, Table::Identities, |_, value| {
         decode_identity(value).map_or(true, |entry| entry.shard == shard)
@@ -265,7 +267,7 @@
     remove_ages(keyspace, Table::CallStateAges, &states)
 }
 
-/// Removes the rows of a table that match, and returns their keys.
+/// Removes the matching rows of a table, and returns their keys.
 fn remove_rows(
     keyspace: &mut dyn Keyspace,
     table: Table,
@@ -281,7 +283,7 @@
     Ok(removed)
 }
 
-/// Removes the rows of the ages of removed rows.
+/// Removes the rows that index removed rows by time.
 fn remove_ages(
     keyspace: &mut dyn Keyspace,
     table: Table,
--- a/src/store/shards/snapshot.rs
+++ b/src/store/shards/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of shards, by which another replica catches up or is repaired.
+//! Snapshots of shards, with which another replica catches up or is repaired.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,13 +19,13 @@
 /// A row of one of the [`TABLES_BY_SEQUENCE`].
 #[derive(Debug, Serialize, Deserialize)]
 struct SnapshotRow {
-    /// The index of the table.
+    /// The index of the table in [`TABLES_BY_SEQUENCE`].
     table: u8,
     key: Vec<u8>,
     value: Vec<u8>,
 }
 
-/// The content of a shard. Postcard encodes it, so the order of its fields is part of the format.
+/// The content of a shard, encoded with postcard: the order of the fields is part of the format.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(in crate::store) struct ShardSnapshot {
     position: LogPosition,
@@ -42,8 +42,8 @@
     pub(in crate::store) after: StoreStats,
 }
 
-/// Reads a snapshot of a shard, if its rows match their checksums: damage is not passed on. Returns
-/// the position and the encoded snapshot.
+/// Reads a snapshot of a shard, and returns the position and the encoded snapshot. Fails if rows do
+/// not match their checksums, so that damage is not replicated.
 pub(in crate::store) fn read(
     reader: &dyn KeyspaceReader,
     shard: ShardId,
@@ -79,7 +79,7 @@
     Ok((snapshot.position, encode(&snapshot)?))
 }
 
-/// Replaces the content of a shard by a snapshot, and returns how the counts of the shard changed.
+/// Replaces the content of a shard by a snapshot, and returns the counts before and after.
 pub(in crate::store) fn install(
     keyspace: &mut dyn Keyspace,
     shard: ShardId,
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-/// Writes the rows by which a message is found by its tenant and order key.
+/// Writes the index rows of a message: by tenant and by order key.
 fn index_message(keyspace: &mut dyn Keyspace, message: &MessageRecord) -> Result<(), StoreError> {
     let endpoint = message.waiting.endpoint.0;
     let seq = message.waiting.seq.0;
@@ -152,7 +152,8 @@
     Ok(())
 }
 
-/// Counts what the disk holds of a shard. Rows that cannot be read are left out.
+/// Counts the calls, messages and bytes of a shard on this disk. An unreadable call adds no bytes,
+/// and an unreadable message is not counted as waiting.
 fn shard_stats(reader: &dyn KeyspaceReader, shard: ShardId) -> Result<StoreStats, StoreError> {
     let calls = shard_rows(reader, Table::Calls, shard)?;
     let mut stats = StoreStats {
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -1,21 +1,22 @@
-//! The store's logic: the effect of each [`Op`] on the tables. It does no I/O of its own; it runs
-//! over a [`Keyspace`].
+//! The effect of each [`Op`] on the tables. This module does no I/O; it operates on a [`Keyspace`].
+//!
+//! Tables by their names in the file (`seq` is a sequence number):
 //!
 //! | table | key | value | removed by |
 //! | --- | --- | --- | --- |
-//! | calls | number | the call | its outcome |
-//! | messages, bodies | number | the message; its body | retention |
-//! | waiting | endpoint, due time, number | the delivery scheduler's part of the message | the end of the attempt |
-//! | begun | number | when the attempt started | the end of the attempt |
-//! | attempts | number, counter | a finished attempt | retention, with its message |
-//! | by_tenant | tenant, number | - | retention, with its message |
+//! | calls | seq | the call | its outcome |
+//! | messages, bodies | seq | the message; its body | retention |
+//! | waiting | endpoint, due time, seq | the scheduler's data | the end of the attempt |
+//! | begun | seq | the start time of the attempt | the end of the attempt |
+//! | attempts | seq, counter | a finished attempt | retention, with its message |
+//! | by_tenant | tenant, seq | - | retention, with its message |
 //! | by_call, call_ages | tenant, identity; prefixed by time | the state of the call | retention |
-//! | replays, replay_ages | digest; prefixed by time | until when the identity is valid, its shard | retention, once invalid |
-//! | heads, behind | endpoint, order key (, number) | the first message of the key; those behind it | the end of the key's last message |
+//! | replays, replay_ages | digest; prefixed by time | expiry time, shard | expiry (retention) |
+//! | heads, behind | endpoint, order key (, seq) | first message; - | the end of the last message |
 //! | log | index | an entry of the consensus log | a snapshot |
-//! | shards | shard | position of the replica; whether it is primary; expired identities | never |
-//! | sums | shard, range | the sum of the digests of its rows | never |
-//! | meta | name | header, disk identity; the voter's state | never |
+//! | shards | shard | log position, role, expiry time of removed identities | a reset of the disk |
+//! | sums | shard, range | the sum of the digests of the rows | never |
+//! | meta | name | the header; the disk's identity; the voter's metadata | never |
 
 use serde::{Deserialize, Serialize};
 
@@ -38,65 +39,65 @@
 mod retention;
 mod shard_ops;
 
-/// The format of the tables; a file with a higher one is not opened.
+/// The current format of the tables. A file with a higher format is not opened.
 pub const FORMAT: u32 = 3;
-/// The format of a file without replicated data, which earlier versions can read.
+/// The format of a file without replicated data. Earlier versions can read such a file.
 const UNREPLICATED_FORMAT: u32 = 1;
 /// The key of the header in [`Table::Meta`].
 const HEADER_KEY: &[u8] = b"head";
 
-/// Data of the store as a whole, persisted with each commit. Postcard encodes it, so the order of
-/// its fields is part of the format.
+/// Data of the whole store, persisted with each commit. The header is encoded with postcard, so the
+/// order of its fields is part of the format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Header {
     format: u32,
-    /// The highest number given to a call or message that is not replicated.
+    /// The highest sequence number of a call or message that is not replicated.
     last_sequence_number: u64,
-    /// The latest time that was written, by which a clock that went back is detected.
+    /// The latest time of a commit, used to detect a clock that went backwards.
     written_at: Micros,
-    /// Identities that were valid until this time may have been removed.
+    /// Identities that expired at or before this time may have been removed.
     identities_expired_until: Micros,
     stats: StoreStats,
 }
 
-/// What a start finds in the store.
+/// The state that a starting process recovers from the store.
 #[derive(Debug, Default)]
 pub struct RecoveredState {
     /// Calls without an outcome.
     pub calls: Vec<CallRecord>,
-    /// Endpoints for which messages wait, with the first due time of each.
+    /// Endpoints with waiting messages, and the first due time of each.
     pub endpoints: Vec<(EndpointId, Micros)>,
-    /// Identities seen, with the time until which each is valid.
+    /// Identities of accepted calls, with the time until which each is valid.
     pub identities: Vec<(IdentityDigest, Micros)>,
-    /// The highest number given.
+    /// The highest sequence number of a call or message that is not replicated.
     pub last_sequence_number: u64,
-    /// Identities that were valid until this time may have been removed.
+    /// Identities that expired at or before this time may have been removed.
     pub identities_expired_until: Micros,
-    /// Whether the clock shows an earlier time than when the store was last written.
+    /// Whether the clock is behind the time of the last commit.
     pub clock_regressed: bool,
-    /// Messages of which it is unknown whether they arrived.
+    /// The number of messages that ended because it is unknown whether they arrived.
     pub unknown_deliveries: u64,
-    /// The voter's state and log, if the file has them.
+    /// The voter's metadata and log, if the file has them.
     pub log: VoterState,
 }
 
-/// The store's logic over one keyspace.
+/// The state of the store that is kept in memory beside one keyspace.
 #[derive(Clone, Debug)]
 pub struct Tables {
     header: Header,
     /// Whether finished messages are kept until retention removes them.
     history: bool,
-    /// The maximum number of bytes in bodies.
+    /// The maximum total size of bodies, in bytes.
     max_bytes: u64,
-    /// The message number at which retention continues.
+    /// The sequence number of the message at which the next retention pass continues.
     retention_cursor: u64,
-    /// Shards whose checksums have to be computed from all of their rows.
-    uncounted_shards: Vec<ShardId>,
+    /// Shards whose checksums have to be recomputed from all rows.
+    shards_to_recompute: Vec<ShardId>,
 }
 
 impl Tables {
-    /// Opens the tables, and returns what a start at `now` finds in them. Attempts that were
-    /// started by the previous process are settled by their effect.
+    /// Opens the tables in a new process, and returns the state recovered at `now`. Attempts that
+    /// the previous process started are settled according to the effect of their message.
     pub fn open(
         keyspace: &mut dyn Keyspace,
         history: bool,
@@ -123,7 +124,7 @@
         Ok((tables, recovered))
     }
 
-    /// Opens tables that this process has had open before.
+    /// Opens tables that were already open in this process.
     pub fn resume(
         keyspace: &mut dyn Keyspace,
         history: bool,
@@ -148,7 +149,7 @@
             history,
             max_bytes,
             retention_cursor: 0,
-            uncounted_shards: Vec::new(),
+            shards_to_recompute: Vec::new(),
         })
     }
 
@@ -157,9 +158,9 @@
         self.header.stats
     }
 
-    /// Takes the shards whose checksums have to be computed from all of their rows.
-    pub(super) fn take_uncounted_shards(&mut self) -> Vec<ShardId> {
-        std::mem::take(&mut self.uncounted_shards)
+    /// Takes the shards whose checksums have to be recomputed from all rows.
+    pub(super) fn take_shards_to_recompute(&mut self) -> Vec<ShardId> {
+        std::mem::take(&mut self.shards_to_recompute)
     }
 
     /// Persists the header. This is the last step of a commit.
@@ -192,7 +193,7 @@
             Op::GetCall(serial, id) => queries::get_call(keyspace, serial, &id),
             Op::ApplyRetention(retention) => self.apply_retention(keyspace, retention),
             Op::Stats => Ok(Reply::Stats(self.stats())),
-            // Where there is a writer, this is read beside its thread instead.
+            // The writer thread does not get here; it verifies checksums on a separate thread.
             Op::VerifyChecksums => checksums::verify(keyspace).map(Reply::Verified),
             Op::ExportMessages(after, limit) => queries::export_messages(keyspace, after, limit),
             Op::AppendLog(record) => consensus_log::append(keyspace, &record).map(|()| Reply::Done),
@@ -208,7 +209,8 @@
         }
     }
 
-    /// Counts a number that is in use. Numbers of shards are counted by their primaries.
+    /// Tracks the highest sequence number in use. Sequence numbers of shards are tracked by their
+    /// primaries.
     fn observe_sequence_number(&mut self, seq: Seq) {
         if seq.shard() == 0 {
             self.header.last_sequence_number = self.header.last_sequence_number.max(seq.0);
@@ -232,7 +234,7 @@
     Ok(calls)
 }
 
-/// Returns the endpoints for which messages wait, with the first due time of each.
+/// Returns the endpoints with waiting messages, and the first due time of each.
 fn endpoints_with_waiting_messages(
     reader: &dyn KeyspaceReader,
 ) -> Result<Vec<(EndpointId, Micros)>, StoreError> {
@@ -254,8 +256,8 @@
     }
 }
 
-/// Returns the identities, with the time until which each is valid. An unreadable one is an error
-/// unless the disk holds replicated shards, which are repaired from another replica.
+/// Returns the identities, with the time until which each is valid. An unreadable identity is an
+/// error, unless the disk holds replicated shards: these are repaired from another replica.
 fn readable_identities(
     reader: &dyn KeyspaceReader,
 ) -> Result<Vec<(IdentityDigest, Micros)>, StoreError> {
--- a/src/store/tables/attempts.rs
+++ b/src/store/tables/attempts.rs
@@ -1,5 +1,4 @@
-//! Attempts to deliver messages: their start and end, recovery after a crash, and delivery in
-//! order.
+//! Delivery attempts: their start and end, recovery after a crash, and in-order delivery.
 
 use super::messages::enqueue;
 use super::queries::{read_message, write_message};
@@ -15,12 +14,12 @@
 use crate::store::recovery::settle_attempt;
 use crate::store::shards;
 
-/// The maximum number of attempts that are kept of one message.
+/// The maximum number of finished attempts stored for a message.
 pub(super) const MAX_ATTEMPTS_PER_MESSAGE: usize = 100;
 
 impl Tables {
-    /// Starts an attempt, if the message still waits. A start that is not durable is the primary's
-    /// own.
+    /// Starts an attempt, if the message still waits. A start that does not have to be durable is
+    /// not replicated; only the primary may start such an attempt of a replicated message.
     pub(super) fn begin_attempt(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -46,8 +45,8 @@
         Ok(Reply::Attempt(Some(Box::new((message, body)))))
     }
 
-    /// Sets the state of a message, and returns the message of its order key that waits in its
-    /// place, if there is one.
+    /// Sets the state of a message. If the message is finished, returns the next message of its
+    /// order key, which is now waiting.
     pub(super) fn finish_attempt(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -56,8 +55,8 @@
         let (waiting, state) = (*finish.waiting, finish.state);
         let seq = waiting.seq;
         keyspace.remove(Table::StartedAttempts, &sequence_key(seq))?;
-        // The message may have been deleted, or have ended in another way, such as by its
-        // endpoint's removal.
+        // The message may have been deleted, or have ended for another reason, such as the removal
+        // of its endpoint.
         let Some(mut message) = read_message(keyspace, seq)? else {
             return Ok(Vec::new());
         };
@@ -90,8 +89,8 @@
     }
 
     /// Settles the attempts that the previous process had started, and returns the number of
-    /// messages of which it is unknown whether they arrived. Those of shards are settled by the
-    /// shard's primary.
+    /// messages that ended because it is unknown whether they arrived. Attempts of replicated
+    /// messages are settled by the primary of their shard.
     pub(super) fn settle_started_attempts(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -125,7 +124,7 @@
     }
 }
 
-/// Appends a finished attempt, in place of the oldest one if there are too many.
+/// Appends a finished attempt, and removes the oldest one if the maximum number is exceeded.
 fn append_attempt(
     keyspace: &mut dyn Keyspace,
     seq: Seq,
@@ -144,7 +143,7 @@
         .map(drop)
 }
 
-/// Makes the next message of a finished message's order key wait, and returns it.
+/// Changes the next message of a finished message's order key to waiting, and returns it.
 fn release_next_in_order(
     keyspace: &mut dyn Keyspace,
     finished: &MessageRecord,
--- a/src/store/tables/calls.rs
+++ b/src/store/tables/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: acceptance, the time of the first attempt, and completion.
+//! Calls: acceptance, the send time of the first attempt, and completion.
 
 use super::Tables;
 use crate::api::Micros;
@@ -45,7 +45,7 @@
         Ok(Reply::Done)
     }
 
-    /// Removes a call, its identity and its state.
+    /// Removes a call, its identity and its state, if the call has no outcome yet.
     pub(super) fn revoke_call(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -78,8 +78,8 @@
         Ok(Reply::Done)
     }
 
-    /// Replaces a call by its outcome and its messages. A call that is already complete publishes
-    /// nothing.
+    /// Replaces a call by its outcome and its messages. If the call is already complete, publishes
+    /// no messages.
     pub(super) fn complete_call(
         &mut self,
         keyspace: &mut dyn Keyspace,
--- a/src/store/tables/messages.rs
+++ b/src/store/tables/messages.rs
@@ -12,7 +12,7 @@
 use crate::store::records::MessageRecord;
 use crate::store::shards;
 
-/// Makes a message wait for its attempt on this gateway.
+/// Adds a message to the messages that wait for an attempt by this gateway.
 pub(super) fn enqueue(keyspace: &mut dyn Keyspace, waiting: &Waiting) -> Result<(), StoreError> {
     keyspace
         .put(Table::Waiting, &waiting_key(waiting), &encode(waiting)?)
@@ -20,8 +20,8 @@
 }
 
 impl Tables {
-    /// Persists messages with their bodies. A message waits unless another one of its order key is
-    /// before it.
+    /// Persists messages with their bodies. A message waits for an attempt, unless an earlier
+    /// message of its order key is unfinished.
     pub(super) fn publish(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -46,7 +46,7 @@
         Ok(Reply::Queued(queued))
     }
 
-    /// Ends waiting messages of a removed endpoint.
+    /// Ends up to `limit` waiting messages of a removed endpoint.
     pub(super) fn purge_endpoint(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -64,7 +64,7 @@
                 keyspace.remove(Table::Waiting, row_key)?;
                 continue;
             }
-            // Messages that are released in its place are of the same endpoint.
+            // Ending a message releases the next one of its order key, which has the same endpoint.
             let mut removed = vec![waiting];
             while let Some(waiting) = removed.pop() {
                 let finish = FinishAttempt {
@@ -78,8 +78,8 @@
         Ok(Reply::More(rows.len() == limit))
     }
 
-    /// Makes a finished message wait again. A message that may have arrived and is not idempotent
-    /// needs an acknowledgement.
+    /// Changes a finished message to waiting. If the message may have arrived and is not
+    /// idempotent, an operator has to acknowledge the resend.
     pub(super) fn resend(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -113,7 +113,7 @@
         Ok(Reply::Queued(vec![message.waiting]))
     }
 
-    /// Makes an endpoint's dead letters wait again, as far as that needs no acknowledgement.
+    /// Changes an endpoint's dead letters to waiting, except those that need an acknowledgement.
     pub(super) fn resend_dead_letters(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Puts a message at the head of its order key, or behind the messages that are before it.
+/// Makes a message the head of its order key, or queues it behind the existing head.
 fn queue_in_order(
     keyspace: &mut dyn Keyspace,
     message: &mut MessageRecord,
--- a/src/store/tables/queries.rs
+++ b/src/store/tables/queries.rs
@@ -1,4 +1,4 @@
-//! Reads of messages and calls.
+//! Queries for messages and calls.
 
 use super::attempts::MAX_ATTEMPTS_PER_MESSAGE;
 use crate::delivery::{EndpointId, Seq};
@@ -10,7 +10,7 @@
 use crate::store::operations::{Filter, MessageDetails, Reply};
 use crate::store::records::MessageRecord;
 
-/// Rows that a list of messages reads at a time.
+/// The number of rows that [`list_messages`] reads at a time.
 const LIST_PAGE_ROWS: usize = 64;
 
 /// Reads a message.
@@ -135,7 +135,7 @@
     Ok(Reply::Call(state))
 }
 
-/// Reads messages after a number, the oldest first.
+/// Reads messages after a sequence number, the oldest first.
 pub(super) fn export_messages(
     reader: &dyn KeyspaceReader,
     after: Option<Seq>,
--- a/src/store/tables/retention.rs
+++ b/src/store/tables/retention.rs
@@ -1,5 +1,5 @@
-//! Retention: the deletion of old records, and of finished messages while too many bytes are
-//! stored.
+//! Retention: the deletion of old records, and of finished messages while stored bodies exceed the
+//! limit.
 
 use super::queries::read_message;
 use super::Tables;
@@ -13,8 +13,8 @@
 use crate::store::shards;
 
 impl Tables {
-    /// Runs one pass of retention. Messages that wait are not deleted because of the stored bytes;
-    /// past the maximum age they end as expired.
+    /// Runs one pass of retention. Waiting messages are not deleted to reduce the stored bytes;
+    /// they end as expired once they exceed the maximum age.
     pub(super) fn apply_retention(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -23,12 +23,12 @@
         let ApplyRetention { now, limit, .. } = retention;
         let mut result = RetentionResult::default();
         let more_messages = self.retain_messages(keyspace, retention, &mut result)?;
-        let oldest = now.saturating_sub(retention.max_age);
+        let cutoff = now.saturating_sub(retention.max_age);
         let states = remove_older(
             keyspace,
             Table::CallStateAges,
             Table::CallStates,
-            oldest,
+            cutoff,
             limit,
         )?;
         let identities =
@@ -44,7 +44,7 @@
         Ok(Reply::Retained(result))
     }
 
-    /// Examines the next messages, and returns whether there are more after them.
+    /// Examines the next page of messages, and returns whether more messages may follow.
     fn retain_messages(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -79,7 +79,7 @@
         result: &mut RetentionResult,
     ) -> Result<(), StoreError> {
         let seq = Seq(key_part(row_key, 0));
-        // Read again, because the message before it in the page may have released it.
+        // Reads the message again, because an earlier message of the page may have released it.
         let Some(message) = read_message(keyspace, seq)? else {
             return Ok(());
         };
@@ -107,15 +107,15 @@
     }
 }
 
-/// Removes up to `limit` rows that are older than a time, and returns the rows of their ages.
+/// Removes up to `limit` rows with times before `cutoff`, and returns their rows in `ages`.
 fn remove_older(
     keyspace: &mut dyn Keyspace,
     ages: Table,
     rows: Table,
-    oldest: Micros,
+    cutoff: Micros,
     limit: usize,
 ) -> Result<Vec<KeyValue>, StoreError> {
-    let removed = keyspace.scan(ages, &[], &key(&[oldest]), limit, ScanOrder::Ascending)?;
+    let removed = keyspace.scan(ages, &[], &key(&[cutoff]), limit, ScanOrder::Ascending)?;
     for (age_key, _) in &removed {
         keyspace.remove(ages, age_key)?;
         keyspace.remove(rows, &age_key[KEY_PART_BYTES..])?;
--- a/src/store/tables/shard_ops.rs
+++ b/src/store/tables/shard_ops.rs
@@ -1,4 +1,4 @@
-//! Operations on the replicas that the disk holds, with their effect on the store's header.
+//! Operations on the disk's shard replicas, which also update the store's header.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,11 +14,11 @@
 /// The key of the disk's identity in [`Table::Meta`].
 const DISK_KEY: &[u8] = b"disk";
 
-/// The identity of the disk, as it is stored.
+/// The stored identity of the disk.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct DiskIdentity {
     id: u64,
-    /// How often a process has started on the disk.
+    /// The number of process starts on the disk.
     incarnation: u64,
 }
 
@@ -46,7 +46,7 @@
         keyspace.put(Table::Meta, DISK_KEY, &encode(&identity)?)?;
         let mut shards = shards::positions(keyspace)?;
         if register.reset || self.header.format < FORMAT {
-            self.uncounted_shards
+            self.shards_to_recompute
                 .extend(shards.iter().map(|(shard, _)| *shard));
         }
         self.header.format = FORMAT;
@@ -76,7 +76,7 @@
         shards::remove_header(keyspace, shard)
     }
 
-    /// Applies a replicated operation, and moves the replica to its position.
+    /// Applies a replicated operation, and sets the position of the replica's log.
     pub(super) fn apply_to_shard(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -118,13 +118,13 @@
         Ok(Reply::Done)
     }
 
-    /// Accepts what is readable of a damaged shard.
+    /// Accepts a damaged shard: keeps its readable rows and removes the others.
     pub(super) fn accept_damage(
         &mut self,
         keyspace: &mut dyn Keyspace,
         shard: ShardId,
     ) -> Result<Reply, StoreError> {
-        self.uncounted_shards.push(shard);
+        self.shards_to_recompute.push(shard);
         shards::accept_damage(keyspace, shard).map(|()| Reply::Done)
     }
 
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -1,10 +1,10 @@
-//! The thread that writes: it commits operations in batches and passes the replies on.
+//! The writer thread, which commits operations in batches and passes on the replies.
 //!
 //! After an error no operation of the batch counts as durable. Operations that the caller can
 //! repeat, or that must not take effect unless they are durable, are answered with the error.
-//! Operations that record what has already happened are queued in order until the file can be
-//! opened again. The queue is bounded by what was in progress when the disk failed, because nothing
-//! new is accepted meanwhile.
+//! Operations that record past events are queued in order until the file is reopened. The queue is
+//! bounded by the operations in progress when the disk failed, because nothing new is accepted
+//! until then.
 
 use std::collections::VecDeque;
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
@@ -18,24 +18,25 @@
 
 /// The maximum number of operations in one commit.
 const MAX_BATCH_OPS: usize = 512;
-/// The interval at which a closed file is opened again.
+/// The interval between attempts to reopen the file after an error.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
-/// The number of an operation whose reply nobody waits for.
+/// The number of an operation whose reply is discarded.
 const NO_REPLY: u64 = 0;
 
-/// Opens the store again.
+/// Reopens the store after an error.
 pub type StoreOpener = Box<dyn FnMut() -> Result<Disk, StoreError> + Send>;
 /// Receives each reply with the number of its operation.
 pub type ReplyHandler = Box<dyn FnMut(u64, Result<Reply, StoreError>) + Send>;
 
 enum Job {
     Op(u64, Op),
-    /// The result of a read beside the thread.
+    /// The result of a read on another thread.
     ReadDone(u64, Result<Reply, StoreError>),
     Stop,
 }
 
-/// The handle of the thread. Dropping it stops the thread after the operations that were submitted.
+/// The handle of the writer thread. Dropping the handle executes the submitted operations and stops
+/// the thread.
 #[derive(Debug)]
 pub struct Writer {
     jobs: Sender<Job>,
@@ -50,7 +51,7 @@
         reply_handler: ReplyHandler,
     ) -> std::io::Result<Writer> {
         let (jobs, receiver) = mpsc::channel();
-        let worker = WriterThread {
+        let writer_thread = WriterThread {
             disk: Some(disk),
             opener,
             reply_handler,
@@ -60,16 +61,16 @@
         };
         let thread = std::thread::Builder::new()
             .name("store".into())
-            .spawn(move || worker.run(&receiver))?;
+            .spawn(move || writer_thread.run(&receiver))?;
         Ok(Writer {
             jobs,
             thread: Some(thread),
         })
     }
 
-    /// Submits an operation; its reply comes under the number.
+    /// Submits an operation. The reply handler receives the reply with `number`.
     pub fn submit(&self, number: u64, op: Op) {
-        // The thread is gone only at the end of the process, when nobody waits for a reply.
+        // The thread has ended only when the process exits; the reply is not needed then.
         let _ = self.jobs.send(Job::Op(number, op));
     }
 }
@@ -83,8 +84,8 @@
     }
 }
 
-/// Returns whether an operation records what has already happened, so that it must become durable
-/// in the end.
+/// Returns whether an operation must eventually become durable, because it records an event that
+/// has already happened.
 fn must_become_durable(op: &Op) -> bool {
     matches!(
         op,
@@ -104,23 +105,24 @@
     )
 }
 
-/// Returns the operation that reverts one which failed. A commit that failed may still have reached
-/// the disk.
+/// Returns the operation that reverts a failed operation, because a failed commit may still have
+/// reached the disk.
 fn compensation(op: &Op) -> Option<Op> {
     match op {
         Op::AcceptCall(accept) => Some(Op::RevokeCall(accept.call.seq, accept.identity)),
-        // A started attempt that is recorded too often is safe; the attempt's end corrects it.
+        // A recorded start of an attempt that was not sent is safe; the end of an attempt corrects
+        // the record.
         Op::SetSent(seq, _) => Some(Op::ClearSent(*seq)),
         _ => None,
     }
 }
 
 struct WriterThread {
-    /// The open store; none after an error.
+    /// The open store; none from an error until the store is reopened.
     disk: Option<Disk>,
     opener: StoreOpener,
     reply_handler: ReplyHandler,
-    /// Operations that are committed once the store is open again.
+    /// Operations to commit once the store is reopened.
     deferred: VecDeque<(u64, Op)>,
     clock: Clock,
     jobs: Sender<Job>,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Waits for a job; without an open store only until the store is to be opened again.
+    /// Waits for a job. If the store is closed, returns after [`REOPEN_INTERVAL`] at the latest.
     fn wait(&self, receiver: &Receiver<Job>) -> Result<Option<Job>, mpsc::RecvError> {
         if self.disk.is_some() {
             return receiver.recv().map(Some);
@@ -162,15 +164,15 @@
         }
     }
 
-    /// Verifies checksums on a thread of its own, so that no commit waits for it.
+    /// Verifies checksums on a separate thread, so that commits do not wait for the verification.
     fn verify_checksums(&mut self, number: u64) {
         let Some(disk) = &self.disk else {
-            return (self.reply_handler)(number, Err(closed()));
+            return (self.reply_handler)(number, Err(closed_error()));
         };
         let (reader, jobs) = (disk.reader(), self.jobs.clone());
         let verify = move || {
             let reply = reader.verify().map(Reply::Verified);
-            // The receiver is gone only at the end of the process.
+            // The receiver is dropped only when the process exits.
             let _ = jobs.send(Job::ReadDone(number, reply));
         };
         let spawned = std::thread::Builder::new()
@@ -198,7 +200,7 @@
             return;
         }
         let Some(disk) = &mut self.disk else {
-            return self.fail(batch, &closed());
+            return self.fail(batch, &closed_error());
         };
         let now = self.clock.now();
         match disk.commit(batch.iter().map(|(_, op)| op.clone()), now) {
@@ -220,7 +222,8 @@
         }
     }
 
-    /// Defers what must become durable, and answers the rest of a failed batch with the error.
+    /// Defers the operations of a failed batch that must become durable, and answers the others
+    /// with the error. Their compensations are deferred too.
     fn fail(&mut self, batch: Vec<(u64, Op)>, error: &StoreError) {
         for (number, op) in batch {
             if must_become_durable(&op) {
@@ -235,6 +238,6 @@
     }
 }
 
-fn closed() -> StoreError {
+fn closed_error() -> StoreError {
     StoreError::Io("closed".into())
 }
