--- a/src/store/checksums.rs
+++ b/src/store/checksums.rs
@@ -2,9 +2,9 @@
 //! that were corrupted on disk, without a comparison with other replicas.
 //!
 //! The rows of a shard are divided into [`RANGE_COUNT`] ranges. The checksum of a range is the
-//! wrapping sum of the digests of its rows, so that it is updated with the digest of an added or
-//! removed row alone. Checksums of different replicas are not compared, because each disk applies
-//! retention by its own clock.
+//! wrapping sum of the digests of its rows, so that an added or removed row changes the checksum by
+//! the digest of this row alone. Checksums of different replicas are not compared, because each
+//! disk applies retention by its own clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -69,8 +69,8 @@
 pub struct Reader(Arc<Database>);
 
 impl Reader {
-    /// Compares the rows of all shards with their checksums, and returns the ranges of each shard
-    /// that do not match.
+    /// Compares the rows of all shards with their checksums, and returns the mismatched ranges of
+    /// each shard.
     pub fn verify(&self) -> Result<Vec<(ShardId, Vec<u8>)>, StoreError> {
         let transaction = self.0.begin_read().map_err(io_error)?;
         checksums::verify(&ReadSnapshot(transaction))
@@ -145,8 +145,8 @@
         Ok((disk, recovered))
     }
 
-    /// Applies all operations in one synced commit, or none of them. An operation that the store
-    /// itself rejects, such as a call that exceeds the limit of bytes, fails alone.
+    /// Applies all operations in one synced commit, or none of them. If the store rejects an
+    /// operation, for example because of its size limit, only this operation fails.
     pub fn commit(
         &mut self,
         ops: impl IntoIterator<Item = Op>,
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -86,11 +86,11 @@
 pub(super) struct IdentityEntry {
     /// The time until which a repeated call with this identity must be detected.
     pub(super) valid_until: Micros,
-    /// The shard of the call; 0 if it is not replicated.
+    /// The shard of the call; 0 if the call is not replicated.
     pub(super) shard: ShardId,
 }
 
-/// Decodes the value of a call identity. Earlier versions stored no shard; it is then 0.
+/// Decodes the value of a call identity. Earlier versions stored no shard; the shard is then 0.
 pub(super) fn decode_identity(bytes: &[u8]) -> Result<IdentityEntry, StoreError> {
     decode(bytes, "a digest").or_else(|_: StoreError| {
         Ok(IdentityEntry {
@@ -100,7 +100,7 @@
     })
 }
 
-/// Decodes the state of a call. Earlier versions stored no shard; it is then 0.
+/// Decodes the state of a call. Earlier versions stored no shard; the shard is then 0.
 pub(super) fn decode_call_state(bytes: &[u8]) -> Result<CallState, StoreError> {
     decode(bytes, "a call's state").or_else(|error| {
         let (taken, outcome) = decode(bytes, "a call's state").map_err(|_: StoreError| error)?;
--- a/src/store/operations.rs
+++ b/src/store/operations.rs
@@ -240,7 +240,7 @@
     Queued(Vec<Waiting>),
     /// The message to send, with its body; none if the message is no longer waiting.
     Attempt(Option<Box<(MessageRecord, Vec<u8>)>>),
-    /// The first waiting messages, and the due time of the next one after them.
+    /// The first waiting messages of an endpoint, and the due time of the message after them.
     Due(Vec<Waiting>, Option<Micros>),
     /// Whether the limit was reached, so that more messages may remain.
     More(bool),
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -95,7 +95,7 @@
     pub taken: Micros,
     /// `served`, `refused`, `failed` or `unknown`; none while the call is open.
     pub outcome: Option<String>,
-    /// The call's shard; 0 if it is not replicated.
+    /// The shard of the call; 0 if the call is not replicated.
     pub shard: ShardId,
 }
 
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -38,8 +38,8 @@
 }
 
 impl ShardHeader {
-    /// Decodes a header. Earlier versions stored no expiry time of removed identities; it is then
-    /// 0.
+    /// Decodes a header. Earlier versions stored no expiry time of removed identities; the time is
+    /// then 0.
     fn decode(bytes: &[u8]) -> Result<ShardHeader, StoreError> {
         decode(bytes, "a shard").or_else(|error| {
             let (position, is_primary) = decode(bytes, "a shard").map_err(|_: StoreError| error)?;
--- a/src/store/tables/queries.rs
+++ b/src/store/tables/queries.rs
@@ -33,7 +33,7 @@
         .map(drop)
 }
 
-/// Reads the first waiting messages of an endpoint, and the due time of the next one after them.
+/// Reads the first waiting messages of an endpoint, and the due time of the message after them.
 pub(super) fn fetch_due(
     reader: &dyn KeyspaceReader,
     endpoint: EndpointId,
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the store: against a model, on a faulty disk, and for each effect of a call.
+//! Tests of the store: comparison with a model, faulty disks, recovery by effect, and checksums.
 
 use super::operations::{
     AcceptCall, ApplyRetention, BeginAttempt, CompleteCall, FinishAttempt, Op,
@@ -115,7 +115,7 @@
     })
 }
 
-/// A pass of retention that deletes by age alone.
+/// Returns a retention pass that deletes records by age only.
 fn retain(now: Micros, max_age: Micros) -> Op {
     Op::ApplyRetention(ApplyRetention {
         now,
--- a/src/store/tests/batches.rs
+++ b/src/store/tests/batches.rs
@@ -1,5 +1,5 @@
-//! Commits of several operations: a reply, a row or a checksum does not depend on how operations
-//! fall into commits.
+//! Commits with several operations: replies, rows and checksums do not depend on the division of
+//! operations into commits.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 
 /// The time of all commits.
 const NOW: Micros = 7;
-/// The shard of the tests with one shard.
+/// The shard in tests with a single shard.
 const SHARD: ShardId = 3;
 /// The endpoint of all messages.
 const ENDPOINT: u64 = 4;
@@ -102,7 +102,7 @@
     }
 }
 
-/// A file in memory that outlives the store over it.
+/// A file in memory that can be opened again after its store is dropped.
 #[derive(Clone, Debug, Default)]
 struct SharedFile(Arc<InMemoryBackend>);
 
@@ -188,7 +188,8 @@
     })
 }
 
-/// Asserts that a shard can be read for a replica, and promoted, in the commit of its last change.
+/// Asserts that a shard can be read as a snapshot, or promoted, in the same commit as its last
+/// change.
 fn assert_readable_after(change: &Op) {
     for read in [Op::ReadShard(SHARD), Op::BecomePrimary(SHARD)] {
         let mut store = DiskStore::new();
@@ -198,14 +199,14 @@
     }
 }
 
-/// Guards against an intact shard that is taken for a damaged one because its last record is in
-/// the commit of the read.
+/// Guards against an intact shard reported as damaged because its last record is in the same commit
+/// as the read.
 #[test]
 fn shard_is_intact_in_commit_of_its_record() {
     assert_readable_after(&accept_in_shard(SHARD, 2));
 }
 
-/// Guards against the same after a snapshot, which has all checksums computed anew.
+/// Guards against the same after a snapshot, which causes all checksums to be recomputed.
 #[test]
 fn shard_is_intact_in_commit_of_its_snapshot() {
     assert_readable_after(&install(SHARD));
@@ -253,16 +254,18 @@
 }
 
 fn any_record() -> impl Strategy<Value = Op> {
-    let any_place = || (1u16..4, 0u32..6);
+    let any_shard_and_number = || (1u16..4, 0u32..6);
     prop_oneof![
-        any_place().prop_map(|(shard, number)| accept_in_shard(shard, number)),
-        any_place().prop_map(|(shard, number)| complete_in_shard(shard, number)),
-        any_place().prop_map(|(shard, number)| record(shard, Op::SetSent(seq(shard, number), 3))),
-        any_place().prop_map(|(shard, number)| record(shard, Op::ClearSent(seq(shard, number)))),
-        any_place().prop_map(|(shard, number)| {
+        any_shard_and_number().prop_map(|(shard, number)| accept_in_shard(shard, number)),
+        any_shard_and_number().prop_map(|(shard, number)| complete_in_shard(shard, number)),
+        any_shard_and_number()
+            .prop_map(|(shard, number)| record(shard, Op::SetSent(seq(shard, number), 3))),
+        any_shard_and_number()
+            .prop_map(|(shard, number)| record(shard, Op::ClearSent(seq(shard, number)))),
+        any_shard_and_number().prop_map(|(shard, number)| {
             record(shard, begin_durably(seq(shard, 100 + number), 5))
         }),
-        (any_place(), any::<bool>()).prop_map(|((shard, number), delivered)| {
+        (any_shard_and_number(), any::<bool>()).prop_map(|((shard, number), delivered)| {
             let callback = seq(shard, 100 + number);
             let (message, _) = message(callback.0, ENDPOINT, Effect::NonIdempotent, None);
             let state = if delivered {
@@ -303,8 +306,8 @@
     ]
 }
 
-/// Runs operations, with a commit after each one that is marked and after the last, and returns
-/// their replies and the rows.
+/// Applies operations, with a commit after each operation marked in `ends_commit` and after the
+/// last one, and returns the replies and the rows.
 fn run(mut store: impl Store, ops: &[Op], ends_commit: &[bool]) -> (Replies, Rows) {
     let mut replies = Vec::new();
     let mut batch = Vec::new();
@@ -321,18 +324,18 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
 
-    /// Guards against a reply that depends on how operations fell into commits.
+    /// Guards against replies or rows that depend on the division of operations into commits.
     #[test]
     fn replies_and_rows_do_not_depend_on_commits(
         steps in prop::collection::vec((any_op(), any::<bool>()), 1..24),
     ) {
-        let (ops, at_random): (Vec<Op>, Vec<bool>) = steps.into_iter().unzip();
+        let (ops, random_commits): (Vec<Op>, Vec<bool>) = steps.into_iter().unzip();
         let expected = run(MemoryStore::new(), &ops, &vec![true; ops.len()]);
         let is_mismatch = |reply: &Result<Reply, _>| {
             matches!(reply, Err(StoreError::ChecksumMismatch(..)))
         };
         prop_assert!(!expected.0.iter().any(is_mismatch), "nothing is damaged");
-        for ends_commit in [vec![true; ops.len()], vec![false; ops.len()], at_random] {
+        for ends_commit in [vec![true; ops.len()], vec![false; ops.len()], random_commits] {
             prop_assert_eq!(&run(MemoryStore::new(), &ops, &ends_commit), &expected);
             prop_assert_eq!(&run(DiskStore::new(), &ops, &ends_commit), &expected);
         }
--- a/src/store/tests/checksums.rs
+++ b/src/store/tests/checksums.rs
@@ -1,4 +1,4 @@
-//! Checksums: they match whatever the store does, and a row that changes by itself is detected.
+//! Checksums: they match after every operation, and detect corrupted or lost rows.
 
 use proptest::prelude::*;
 use redb::backends::InMemoryBackend;
@@ -43,7 +43,7 @@
     value: Vec<u8>,
 }
 
-/// A snapshot of a shard.
+/// A snapshot of a shard, and its position.
 #[derive(Clone, Debug)]
 struct Snapshot {
     position: LogPosition,
@@ -85,7 +85,7 @@
             .unwrap();
     }
 
-    /// Accepts six calls; every other one is completed, and its callback in flight.
+    /// Accepts six calls, completes every other call, and starts an attempt of each callback.
     fn fill(&mut self, shard: ShardId, first: u32) {
         for number in first..first + 6 {
             let call = seq(shard, number);
@@ -202,8 +202,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// A byte that changes, or a row that is lost, is detected in its shard alone, and a snapshot
-    /// from another disk repairs it.
+    /// A changed byte or a lost row is detected, and a snapshot from another disk repairs the
+    /// damaged shard.
     #[test]
     fn damage_is_detected_and_repaired(
         steps in prop::collection::vec(any_step(), 1..12),
@@ -266,7 +266,8 @@
     assert_eq!(state.calls.len(), calls.len() - 1);
 }
 
-/// The other disk's clock has not come so far.
+/// Guards against a replica that does not know of identities removed before the snapshot, because
+/// its own disk has not removed identities up to that time.
 #[test]
 fn snapshot_carries_time_of_expired_identities() {
     let mut store = Store::new();
@@ -297,7 +298,8 @@
     assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
 }
 
-/// A file of format 2 has no checksums. They are computed once, when a process registers.
+/// A file of format 2 has no checksums. They are computed once, at the first registration of a
+/// process.
 #[test]
 fn format_2_file_gets_checksums_at_registration() {
     let mut store = Store::new();
@@ -305,7 +307,7 @@
     for row in store.scan_all(Table::Checksums) {
         store.keyspace.remove(Table::Checksums, &row.key).unwrap();
     }
-    // The shard's header and the format as version 2 wrote them.
+    // The shard's header and the file's header as format 2 has them.
     let shard_header = encode(&(store.position, false)).unwrap();
     store
         .keyspace
--- a/src/store/tests/faults.rs
+++ b/src/store/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The store on a disk that fails, tears writes, or loses what was not synced.
+//! The store on a disk that fails, tears writes, or loses unsynced data.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{mpsc, Arc, Mutex};
@@ -17,13 +17,13 @@
 
 const REPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A disk that can fail, lose what was not synced, or tear the write at which it fails.
+/// A disk that can fail, lose unsynced data, or tear the write at which it fails.
 #[derive(Clone, Debug, Default)]
 struct FaultyDisk {
     synced: Arc<Mutex<Vec<u8>>>,
-    /// What was written, synced or not.
+    /// All written data, synced or not.
     cache: Arc<InMemoryBackend>,
-    /// Changes that still succeed.
+    /// The number of changes that succeed before the disk fails.
     remaining_changes: Arc<AtomicU64>,
     tears_writes: Arc<AtomicBool>,
     failed: Arc<AtomicBool>,
@@ -48,8 +48,8 @@
         Ok(())
     }
 
-    /// Returns the disk after a crash: what was synced, on a healthy disk; of a torn write also its
-    /// first half.
+    /// Returns the state after a crash: a healthy disk with the synced data, including the first
+    /// half of a torn write.
     fn after_crash(&self) -> FaultyDisk {
         let bytes = self.synced.lock().unwrap().clone();
         let healthy = FaultyDisk::new(u64::MAX, false);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Commits calls until the disk fails, and returns those that were confirmed.
+/// Commits up to six calls until the disk fails, and returns the confirmed calls.
 fn commit_calls(disk: &mut Disk) -> Vec<u64> {
     let mut confirmed = Vec::new();
     for seq in 1..=6 {
@@ -118,8 +118,8 @@
     confirmed
 }
 
-/// At each change at which the disk can fail the file opens after the crash. What was answered with
-/// an error may be there or not, and is removed by [`Op::RevokeCall`].
+/// Lets the disk fail at each change in turn: the file can be opened after the crash, and has all
+/// confirmed calls. A call whose commit failed may be present, and [`Op::RevokeCall`] removes it.
 #[test]
 fn confirmed_commits_survive_failure_of_any_write() {
     for tears_writes in [false, true] {
@@ -160,8 +160,8 @@
     }
 }
 
-/// Nothing new is accepted while the disk fails. What has happened is persisted once the disk is
-/// back, and what was answered with an error is reverted.
+/// No call is accepted while the disk fails. Once the disk is repaired, deferred operations are
+/// persisted, and operations that were answered with an error are reverted.
 #[test]
 fn writer_loses_no_confirmed_operation_when_disk_fails() {
     let faulty = FaultyDisk::new(u64::MAX, false);
--- a/src/store/tests/messages.rs
+++ b/src/store/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages: order keys, recovery of attempts, and resending.
+//! Messages: order keys, recovery of attempts, and resends.
 
 use super::{begin_durably, begin_unrecorded, message, retain, MAX_BYTES};
 use crate::api::Effect;
@@ -42,8 +42,8 @@
     }
 }
 
-/// The delivery scheduler learns of the released message. Purging an endpoint ends all of its
-/// messages.
+/// Retention returns the released message for the delivery scheduler. Purging an endpoint ends all
+/// of its messages.
 #[test]
 fn expired_message_releases_next_of_order_key() {
     let mut store = Store::new();
--- a/src/store/tests/model.rs
+++ b/src/store/tests/model.rs
@@ -1,4 +1,5 @@
-//! The store against a model: calls become messages, and messages end, with restarts between.
+//! Comparison of the store with a model: calls complete with a message, and messages are delivered
+//! or expire, with restarts in between.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +15,7 @@
 use crate::store::operations::{Op, Reply};
 use crate::store::tables::Tables;
 
-/// Bytes of a call's body and of a message's body.
+/// The size in bytes of each call's body and each message's body.
 const BODY_BYTES: u64 = 4;
 
 #[derive(Clone, Debug)]
@@ -44,7 +45,7 @@
     order: Option<u64>,
 }
 
-/// The store in memory, and what it has to contain.
+/// The store in memory, and its expected content.
 struct Harness {
     keyspace: MemoryKeyspace,
     tables: Tables,
@@ -115,7 +116,8 @@
         self.apply(complete(call, vec![message]));
     }
 
-    /// Returns the messages that may be sent: of each order key the oldest.
+    /// Returns the messages that may be sent: those without an order key, and the oldest of each
+    /// order key.
     fn deliverable(&self) -> Vec<u64> {
         let is_oldest = |seq: u64, message: &PendingMessage| {
             let oldest = self
@@ -169,8 +171,7 @@
         self.apply(begin);
     }
 
-    /// Notes that a message's delivery is over, and returns the message of its order key that was
-    /// over before.
+    /// Marks a message as finished, and returns the previous finished message of its order key.
     fn count_finished(&mut self, seq: Seq) -> Option<u64> {
         let message = self.pending.remove(&seq.0).unwrap();
         self.finished += 1;
@@ -214,8 +215,8 @@
         };
         let (calls, pending) = (self.calls.len() as u64, self.pending.len() as u64);
         prop_assert_eq!((stats.calls, stats.waiting), (calls, pending));
-        let at_most = stats.waiting + self.finished;
-        prop_assert!(stats.messages >= stats.waiting && stats.messages <= at_most);
+        let max_messages = stats.waiting + self.finished;
+        prop_assert!(stats.messages >= stats.waiting && stats.messages <= max_messages);
         prop_assert_eq!(stats.bytes, BODY_BYTES * (stats.messages + stats.calls));
         Ok(())
     }
@@ -224,8 +225,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
 
-    /// No call or message is lost or ends twice, messages of one order key go out in order, and the
-    /// counts are right.
+    /// No call or message is lost or finished twice, messages of one order key are delivered in
+    /// order, and the counts are correct.
     #[test]
     fn random_steps_lose_and_repeat_nothing(steps in prop::collection::vec(any_step(), 1..120)) {
         let mut harness = Harness::new();
--- a/src/store/tests/recovery.rs
+++ b/src/store/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Calls that a restart finds: the action for each effect and stage.
+//! Recovery of calls after a restart: the action for each effect and progress.
 
 use super::{accept, call, complete, retain, MAX_BYTES, SECOND_US};
 use crate::api::{Effect, IdempotencyScope};
@@ -20,8 +20,7 @@
 fn recovery_action_follows_effect_and_progress() {
     let all = keyed(IdempotencyScope::All);
     let zone = keyed(IdempotencyScope::Zone);
-    // The effect, when the first attempt was sent, the time of recovery (both in seconds), the
-    // action.
+    // Effect, send time of the first attempt, time of recovery (both in seconds), expected action.
     let rows = [
         (Effect::NonIdempotent, None, 10, RecoveryAction::Run),
         (Effect::NonIdempotent, None, 200, RecoveryAction::Reject),
@@ -66,8 +65,8 @@
     );
 }
 
-/// Guards against calls that may run and are answered as rejected, or run beside themselves,
-/// because the same process still has them open.
+/// Guards against recovered calls that are still open in the same process, and are therefore
+/// rejected although they may run, or run twice concurrently.
 #[test]
 fn resumed_call_waits_for_own_last_attempt() {
     let never_sent = *call(1, Effect::NonIdempotent);
@@ -75,12 +74,16 @@
         sent: Some(5 * SECOND_US),
         ..never_sent.clone()
     };
-    let safe = CallRecord {
+    let sent_idempotent = CallRecord {
         sent: Some(5 * SECOND_US),
         ..*call(2, Effect::Idempotent)
     };
     let (run, unknown) = (RecoveryAction::Run, RecoveryAction::ReportUnknown);
-    for (call, action) in [(&never_sent, run), (&safe, run), (&sent, unknown)] {
+    for (call, action) in [
+        (&never_sent, run),
+        (&sent_idempotent, run),
+        (&sent, unknown),
+    ] {
         let resumed = |local_run| resume_action(call, 10 * SECOND_US, true, local_run);
         assert_eq!(resumed(LocalRun::None), ResumeAction::Recover(action));
         assert_eq!(resumed(LocalRun::UnderWay), ResumeAction::Keep);
@@ -92,8 +95,8 @@
     }
 }
 
-/// Identities that retention removed are reported too, because the clock makes their stamps valid
-/// again.
+/// The expiry time of removed identities is recovered too, because a clock that went backwards
+/// makes the timestamps of their calls valid again.
 #[test]
 fn regressed_clock_is_reported() {
     let mut keyspace = MemoryKeyspace::default();
