--- a/src/delivery/breaker/tests.rs
+++ b/src/delivery/breaker/tests.rs
@@ -24,17 +24,17 @@
     b.succeeded(8);
     assert!(
         b.attempts_allowed(now, 8).is_err(),
-        "the late answer to an old attempt closes nothing"
+        "a late answer to an old attempt does not close the breaker"
     );
     now = b.attempts_allowed(now, 8).unwrap_err();
     b.sent(now);
     b.succeeded(8);
-    let mut rooms = vec![b.attempts_allowed(now, 8).unwrap()];
+    let mut allowed = vec![b.attempts_allowed(now, 8).unwrap()];
     for _ in 0..6 {
         b.succeeded(8);
-        rooms.push(b.attempts_allowed(now, 8).unwrap());
+        allowed.push(b.attempts_allowed(now, 8).unwrap());
     }
-    assert_eq!((rooms, b.name()), (vec![2, 3, 4, 5, 6, 7, 8], "closed"));
+    assert_eq!((allowed, b.name()), (vec![2, 3, 4, 5, 6, 7, 8], "closed"));
 }
 
 #[test]
--- a/src/delivery/egress.rs
+++ b/src/delivery/egress.rs
@@ -1,14 +1,16 @@
-//! Which addresses callbacks may go to: allowed and denied networks, the longest prefix deciding.
+//! Addresses that callbacks may go to: allowed and denied policy. The longest matching prefix
+//! decides.
 
 use std::net::IpAddr;
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 
-/// What is denied unless a longer or equal prefix is allowed: this network, link-local (where
-/// clouds keep their machines' credentials), multicast, private and shared ranges, documentation
-/// and reserved addresses (RFC 6890 and the registries that it set up). Loopback is not: portals
-/// beside the gateway are usual, and an operator who wants it closed denies it.
+/// Networks that are denied unless a prefix of equal or greater length is allowed: this network,
+/// link-local (where clouds serve the credentials of their machines), multicast, private and
+/// shared ranges, documentation and reserved addresses (RFC 6890 and the registries that it set
+/// up). Loopback is allowed, because portals on the gateway's machine are common; an operator can
+/// deny it.
 const DENIED: [&str; 20] = [
     "0.0.0.0/8",
     "10.0.0.0/8",
@@ -32,7 +34,7 @@
     "ff00::/8",
 ];
 
-/// The networks that portals may be in.
+/// Networks that callbacks may be sent to.
 #[derive(Clone, Debug)]
 pub struct EgressPolicy {
     v4: PrefixMap<Ipv4Net, bool>,
@@ -46,18 +48,18 @@
 }
 
 impl EgressPolicy {
-    /// The defaults, with these allowed and these denied besides. Of two equal prefixes the denied
-    /// one counts.
+    /// Creates a policy of the default policy and further allowed and denied ones. If the same
+    /// prefix is in both lists, it is denied.
     pub fn new(allow: &[IpNet], deny: &[IpNet]) -> EgressPolicy {
-        let mut networks = EgressPolicy {
+        let mut policy = EgressPolicy {
             v4: PrefixMap::new(),
             v6: PrefixMap::new(),
         };
-        let standard = DENIED.iter().filter_map(|n| n.parse::<IpNet>().ok());
-        standard.for_each(|n| networks.set(n, false));
-        allow.iter().for_each(|n| networks.set(*n, true));
-        deny.iter().for_each(|n| networks.set(*n, false));
-        networks
+        let defaults = DENIED.iter().filter_map(|n| n.parse::<IpNet>().ok());
+        defaults.for_each(|n| policy.set(n, false));
+        allow.iter().for_each(|n| policy.set(*n, true));
+        deny.iter().for_each(|n| policy.set(*n, false));
+        policy
     }
 
     fn set(&mut self, net: IpNet, allowed: bool) {
@@ -67,7 +69,8 @@
         };
     }
 
-    /// Whether a callback may go there. An IPv4 address written as IPv6 is judged as what it is.
+    /// Returns whether callbacks may be sent to an address. An IPv4-mapped IPv6 address follows the
+    /// rules of its IPv4 address.
     pub fn allows(&self, address: IpAddr) -> bool {
         match address.to_canonical() {
             IpAddr::V4(a) => self
--- a/src/delivery/egress/tests.rs
+++ b/src/delivery/egress/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 #[test]
-fn the_longest_prefix_decides_and_disguises_are_seen_through() {
+fn longest_prefix_decides_also_for_mapped_addresses() {
     let net = |t: &str| t.parse::<IpNet>().unwrap();
     let n = EgressPolicy::new(
         &[net("10.1.0.0/16"), net("fd00::/8")],
         &[net("10.1.2.0/24"), net("127.0.0.0/8")],
     );
     let allows = |a: &str| n.allows(a.parse().unwrap());
-    for good in [
+    for allowed in [
         "10.1.0.9",
         "10.1.3.1",
         "8.8.8.8",
@@ -18,9 +18,9 @@
         "2606::1",
         "::ffff:10.1.0.9",
     ] {
-        assert!(allows(good), "{good}");
+        assert!(allows(allowed), "{allowed}");
     }
-    for bad in [
+    for denied in [
         "10.1.2.3",
         "10.2.0.1",
         "127.0.0.1",
@@ -35,12 +35,12 @@
         "0.0.0.0",
         "64:ff9b::a01:203",
     ] {
-        assert!(!allows(bad), "{bad}");
+        assert!(!allows(denied), "{denied}");
     }
     assert!(EgressPolicy::default().allows("127.0.0.1".parse().unwrap()));
     assert_eq!(
         n.v4.len() + n.v6.len(),
         DENIED.len() + 4,
-        "every default was read"
+        "every default network was parsed"
     );
 }
--- a/src/delivery/endpoint_state.rs
+++ b/src/delivery/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What delivery knows of one endpoint: its limits, its due messages, and what the store has of it.
+//! State of one endpoint: its limits, its loaded messages and what the store still has.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -14,34 +14,35 @@
     pub(super) breaker: CircuitBreaker,
     pub(super) bucket: Option<TokenBucket>,
     pub(super) budget: RetryBudget,
-    /// Due messages without an attempt so far, in their order.
+    /// Due messages without an attempt so far, in the order in which they became due.
     pub(super) first_attempts: VecDeque<Seq>,
-    /// Due messages to be retried, in their order.
+    /// Due messages to be retried, in the order in which they became due.
     pub(super) retries: VecDeque<Seq>,
     pub(super) in_flight: u32,
-    /// All of its messages that are loaded.
+    /// All loaded messages of the endpoint.
     pub(super) loaded: BTreeSet<Seq>,
-    /// When the first of its messages that is only in the store is due.
+    /// Earliest due time of the messages that are only in the store.
     pub(super) next_stored_at: Option<Micros>,
+    /// Whether a fetch from the store is pending.
     pub(super) fetching: bool,
-    /// Messages that changed while others were fetched: what is fetched of these is outdated.
+    /// Messages that changed during the pending fetch. Their fetched copies are outdated.
     pub(super) changed_while_fetching: HashSet<Seq>,
-    /// When the endpoint is looked at again, and the timer for it.
+    /// When the endpoint is checked again, and the timer for the check.
     pub(super) recheck: Option<(Micros, TimerKey)>,
 }
 
 impl EndpointState {
-    /// The number of due messages.
+    /// Returns the number of loaded messages that are due.
     pub(super) fn ready(&self) -> usize {
         self.first_attempts.len() + self.retries.len()
     }
 
-    /// Notes that the store has a message that is due at this time.
+    /// Records that the store has a message with this due time.
     pub(super) fn note_stored(&mut self, due: Micros) {
         self.next_stored_at = Some(self.next_stored_at.map_or(due, |s| s.min(due)));
     }
 
-    /// A new endpoint.
+    /// Creates the state of a new endpoint.
     pub(super) fn new(plan: EndpointPlan, now: Micros) -> Self {
         EndpointState {
             plan,
@@ -59,8 +60,9 @@
         }
     }
 
-    /// The message that may be sent now. Otherwise the instant at which one may be sent, if that
-    /// depends on time alone.
+    /// Returns the message to send now. If none may be sent, the error is the time from which one
+    /// may, or none if that depends on another event. Retries go before first attempts while the
+    /// retry budget permits them.
     pub(super) fn next_message(&mut self, now: Micros) -> Result<Seq, Option<Micros>> {
         if self.plan.enabled != Enabled::Yes || self.ready() == 0 {
             return Err(None);
--- a/src/delivery/fair_queue.rs
+++ b/src/delivery/fair_queue.rs
@@ -1,65 +1,66 @@
-//! Fair turns: deficit round robin (Shreedhar and Varghese, 1995) over tenants, then over a
+//! Fair queueing: deficit round robin (Shreedhar and Varghese, 1995) over tenants, then over a
 //! tenant's endpoints.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// What a place may spend more with each round.
+/// Cost that each round adds to the deficit counter of a queue.
 const QUANTUM: u32 = 8;
 
-/// One ring of places that have something to send.
+/// Ring of the queues that have something to send, each known by a key.
 #[derive(Clone, Debug)]
 pub struct DeficitRoundRobin<K> {
     order: VecDeque<K>,
-    saved: HashMap<K, u32>,
+    /// Deficit counter of each queue in the ring.
+    deficits: HashMap<K, u32>,
 }
 
 impl<K> Default for DeficitRoundRobin<K> {
     fn default() -> DeficitRoundRobin<K> {
         DeficitRoundRobin {
             order: VecDeque::new(),
-            saved: HashMap::new(),
+            deficits: HashMap::new(),
         }
     }
 }
 
 impl<K: Copy + Eq + Hash> DeficitRoundRobin<K> {
-    /// Takes a place in, at the end, unless it is in.
-    pub fn join(&mut self, key: K) {
-        if self.saved.try_insert_new(key) {
+    /// Appends a queue to the ring, unless the ring contains it.
+    pub fn enqueue(&mut self, key: K) {
+        if self.deficits.try_insert_new(key) {
             self.order.push_back(key);
         }
     }
 
-    /// Whether nothing is in.
+    /// Returns whether the ring is empty.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Whose turn it is, and what it costs. `cost` tells what a place's next piece costs (1 and
-    /// up), or none if it has nothing that may go now: then it leaves the ring with what it had
-    /// saved.
+    /// Returns the queue whose turn it is and the cost of its next item. `cost` returns the cost of
+    /// a queue's next item, at least 1, or none if the queue may not send now. Such a queue leaves
+    /// the ring and loses its deficit counter.
     pub fn next(&mut self, mut cost: impl FnMut(K) -> Option<u32>) -> Option<(K, u32)> {
         loop {
             let key = *self.order.front()?;
             let Some(cost) = cost(key) else {
                 self.order.pop_front();
-                self.saved.remove(&key);
+                self.deficits.remove(&key);
                 continue;
             };
-            let saved = self.saved.entry(key).or_default();
-            if *saved >= cost {
+            let deficit = self.deficits.entry(key).or_default();
+            if *deficit >= cost {
                 return Some((key, cost));
             }
-            *saved += QUANTUM;
+            *deficit += QUANTUM;
             self.order.rotate_left(1);
         }
     }
 
-    /// Charges a place for what went.
+    /// Deducts the cost of a sent item from the deficit counter of a queue.
     pub fn charge(&mut self, key: K, cost: u32) {
-        if let Some(saved) = self.saved.get_mut(&key) {
-            *saved = saved.saturating_sub(cost);
+        if let Some(deficit) = self.deficits.get_mut(&key) {
+            *deficit = deficit.saturating_sub(cost);
         }
     }
 }
@@ -80,7 +81,7 @@
     }
 }
 
-/// Tenants, each with its endpoints.
+/// Two-level fair queue: tenants, and the endpoints of each tenant.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T, E> {
     tenants: DeficitRoundRobin<T>,
@@ -97,18 +98,18 @@
 }
 
 impl<T: Copy + Eq + Hash, E: Copy + Eq + Hash> FairQueue<T, E> {
-    /// An endpoint has something to send.
-    pub fn join(&mut self, tenant: T, endpoint: E) {
-        self.endpoints.entry(tenant).or_default().join(endpoint);
-        self.tenants.join(tenant);
+    /// Adds an endpoint that has something to send.
+    pub fn enqueue(&mut self, tenant: T, endpoint: E) {
+        self.endpoints.entry(tenant).or_default().enqueue(endpoint);
+        self.tenants.enqueue(tenant);
     }
 
-    /// The endpoint whose turn it is, charged for its piece. `cost` as for
-    /// [`DeficitRoundRobin::next`].
+    /// Returns the endpoint whose turn it is and deducts the cost of its next item. `cost` is as
+    /// for [`DeficitRoundRobin::next`].
     pub fn next(&mut self, mut cost: impl FnMut(E) -> Option<u32>) -> Option<E> {
         let endpoints = &mut self.endpoints;
         let mut chosen = None;
-        let (tenant, paid) = self.tenants.next(|tenant| {
+        let (tenant, charged_cost) = self.tenants.next(|tenant| {
             let ring = endpoints.get_mut(&tenant)?;
             match ring.next(&mut cost) {
                 Some((endpoint, cost)) => {
@@ -122,9 +123,9 @@
             }
         })?;
         let endpoint = chosen?;
-        self.tenants.charge(tenant, paid);
+        self.tenants.charge(tenant, charged_cost);
         if let Some(ring) = self.endpoints.get_mut(&tenant) {
-            ring.charge(endpoint, paid);
+            ring.charge(endpoint, charged_cost);
         }
         Some(endpoint)
     }
--- a/src/delivery/loading.rs
+++ b/src/delivery/loading.rs
@@ -1,17 +1,17 @@
-//! Which messages are loaded from the store, and when more are fetched.
+//! Loading of messages from the store, and when more are fetched.
 
 use super::ids::{EndpointId, Seq};
 use super::messages::{Enabled, Output, Waiting};
 use super::outcomes::VOID_ATTEMPT_PAUSE;
 use super::response::{DeadLetterReason, State};
-use super::{Delivery, Due, LoadedState};
+use super::{Delivery, LoadedState, TimerPurpose};
 use crate::api::Micros;
 
-/// Messages that every endpoint may load, however many others are loaded.
+/// Messages that every endpoint may load even if the limit of all endpoints is reached.
 const MIN_LOADED_PER_ENDPOINT: usize = 4;
 
 impl Delivery {
-    /// Unloads an endpoint's messages. They go on waiting in the store.
+    /// Unloads an endpoint's messages that are not in flight. They remain in the store.
     pub(super) fn unload_endpoint(&mut self, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get(&id) else {
             return;
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Unloads a message.
+    /// Unloads a message and returns it with its state.
     pub(super) fn unload(&mut self, seq: Seq) -> Option<(Waiting, LoadedState)> {
-        let (message, place) = self.loaded.remove(&seq)?;
+        let (message, loaded_state) = self.loaded.remove(&seq)?;
         if let Some(endpoint) = self.endpoints.get_mut(&message.endpoint) {
             endpoint.loaded.remove(&seq);
-            match place {
+            match loaded_state {
                 LoadedState::Ready => {
                     endpoint.first_attempts.retain(|s| *s != seq);
                     endpoint.retries.retain(|s| *s != seq);
@@ -46,13 +46,13 @@
                     self.in_flight -= 1;
                 }
             }
-        } else if matches!(place, LoadedState::InFlight(_)) {
+        } else if matches!(loaded_state, LoadedState::InFlight(_)) {
             self.in_flight -= 1;
         }
-        Some((message, place))
+        Some((message, loaded_state))
     }
 
-    /// Loads a message, or leaves it to the store.
+    /// Loads a message if the limits permit. Otherwise it is only in the store.
     pub(super) fn load(&mut self, now: Micros, message: Waiting) {
         if self.loaded.contains_key(&message.seq) {
             return;
@@ -67,7 +67,7 @@
             });
         };
         let due = message.due <= now;
-        // Every endpoint may load a few messages, however many others wait, so that none starves.
+        // Every endpoint may load a few messages beyond the common limit, so that none starves.
         let has_capacity = !full || endpoint.loaded.len() < MIN_LOADED_PER_ENDPOINT;
         let fits = has_capacity
             && if due {
@@ -75,30 +75,33 @@
             } else {
                 message.due - now <= self.limits.load_horizon
             };
-        // A due message goes behind those that the store has of before.
-        let behind = due && endpoint.next_stored_at.is_some_and(|s| s <= message.due);
-        if endpoint.plan.enabled != Enabled::Yes || !fits || behind {
+        // Messages of an earlier due time that are only in the store go first.
+        let has_predecessors = due && endpoint.next_stored_at.is_some_and(|s| s <= message.due);
+        if endpoint.plan.enabled != Enabled::Yes || !fits || has_predecessors {
             endpoint.note_stored(message.due);
             return self.refill(now, message.endpoint);
         }
         endpoint.loaded.insert(message.seq);
-        let place = if due {
+        let loaded_state = if due {
             LoadedState::Ready
         } else {
-            LoadedState::Scheduled(self.timers.insert(message.due, Due::Message(message.seq)))
+            LoadedState::Scheduled(
+                self.timers
+                    .insert(message.due, TimerPurpose::Message(message.seq)),
+            )
         };
-        self.loaded.insert(message.seq, (message, place));
+        self.loaded.insert(message.seq, (message, loaded_state));
         if due {
-            self.fell_due(message.seq);
+            self.queue_due_message(message.seq);
         }
     }
 
-    /// A loaded message is due.
-    pub(super) fn fell_due(&mut self, seq: Seq) {
-        let Some((message, place)) = self.loaded.get_mut(&seq) else {
+    /// Queues a loaded message that is due.
+    pub(super) fn queue_due_message(&mut self, seq: Seq) {
+        let Some((message, loaded_state)) = self.loaded.get_mut(&seq) else {
             return;
         };
-        *place = LoadedState::Ready;
+        *loaded_state = LoadedState::Ready;
         let Some(endpoint) = self.endpoints.get_mut(&message.endpoint) else {
             return;
         };
@@ -109,15 +112,15 @@
         };
         queue.push_back(seq);
         self.endpoint_queue
-            .join(endpoint.plan.tenant, message.endpoint);
+            .enqueue(endpoint.plan.tenant, message.endpoint);
     }
 
-    /// Fetches more of an endpoint's messages when few are loaded.
+    /// Fetches more of an endpoint's messages if few are loaded.
     pub(super) fn refill(&mut self, now: Micros, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        let Some(stored) = endpoint.next_stored_at else {
+        let Some(stored_due) = endpoint.next_stored_at else {
             return;
         };
         if endpoint.fetching
@@ -129,21 +132,21 @@
         if self.loaded.len() >= self.limits.max_loaded
             && endpoint.loaded.len() >= MIN_LOADED_PER_ENDPOINT
         {
-            // What is fetched could not be loaded; capacity returns as other endpoints' messages
-            // end.
-            self.recheck_at(id, now.max(stored) + VOID_ATTEMPT_PAUSE);
-        } else if stored <= now {
+            // Fetched messages could not be loaded now. Capacity becomes available as messages of
+            // other endpoints end.
+            self.recheck_at(id, now.max(stored_due) + VOID_ATTEMPT_PAUSE);
+        } else if stored_due <= now {
             (endpoint.fetching, endpoint.next_stored_at) = (true, None);
             self.outputs.push_back(Output::Fetch(
                 id,
                 self.limits.max_ready_per_endpoint + endpoint.loaded.len(),
             ));
         } else {
-            self.recheck_at(id, stored);
+            self.recheck_at(id, stored_due);
         }
     }
 
-    /// Looks at an endpoint again at this instant, or earlier if that is planned already.
+    /// Schedules a check of an endpoint at this time, unless an earlier check is scheduled.
     pub(super) fn recheck_at(&mut self, id: EndpointId, at: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
@@ -154,6 +157,6 @@
             }
             self.timers.cancel(timer);
         }
-        endpoint.recheck = Some((at, self.timers.insert(at, Due::Recheck(id))));
+        endpoint.recheck = Some((at, self.timers.insert(at, TimerPurpose::Recheck(id))));
     }
 }
--- a/src/delivery/messages.rs
+++ b/src/delivery/messages.rs
@@ -7,7 +7,7 @@
 use super::schedule::Schedule;
 use crate::api::{Effect, Micros};
 
-/// What is known of a message that waits to be delivered.
+/// A message that waits to be delivered, without its body.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Waiting {
     /// The message.
@@ -16,9 +16,9 @@
     pub endpoint: EndpointId,
     /// When its next attempt is due.
     pub due: Micros,
-    /// How far it may be sent again.
+    /// Which retries are safe.
     pub effect: Effect,
-    /// When the first attempt was sent that may have arrived.
+    /// When the first attempt was sent that the endpoint may have received.
     pub ran: Option<Micros>,
     /// The number of attempts so far.
     pub tries: u32,
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Enabled {
-    /// They are.
+    /// Messages are sent.
     #[default]
     Yes,
     /// An operator disabled the endpoint. Its messages wait.
@@ -42,30 +42,31 @@
 /// An endpoint's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointPlan {
-    /// The tenant that it belongs to.
+    /// Serial number of the endpoint's tenant.
     pub tenant: u64,
     /// Whether messages are sent to it.
     pub enabled: Enabled,
-    /// The most attempts a second; 0 for no such limit.
+    /// Maximum rate of attempts per second; 0 for no limit.
     pub per_s: f64,
-    /// The most attempts in flight.
+    /// Maximum number of attempts in flight.
     pub in_flight: u32,
-    /// When a message is retried.
+    /// Pauses before retries.
     pub schedule: Schedule,
 }
 
-/// Limits on what is loaded and in flight.
+/// Limits on loaded messages and attempts in flight, and the time after which an endpoint is
+/// disabled.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The most attempts in flight, over all endpoints.
+    /// Maximum number of attempts in flight, over all endpoints.
     pub max_in_flight: u32,
-    /// The most due messages of one endpoint that are loaded.
+    /// Maximum number of loaded messages of one endpoint that are due.
     pub max_ready_per_endpoint: usize,
-    /// The most messages that are loaded in all.
+    /// Maximum number of loaded messages, over all endpoints.
     pub max_loaded: usize,
     /// How far ahead of their due time messages are loaded, in microseconds.
     pub load_horizon: Micros,
-    /// An endpoint that has only failed for this long, in microseconds, is disabled.
+    /// Time without a success after which a failing endpoint is disabled, in microseconds.
     pub disable_after: Micros,
 }
 
@@ -82,7 +83,7 @@
     }
 }
 
-/// What happened.
+/// An event that delivery reacts to.
 #[derive(Debug)]
 pub enum Input {
     /// An endpoint was added or has changed.
@@ -93,28 +94,28 @@
     MessagePending(Waiting),
     /// The store has messages of an endpoint, the first of them due at this time.
     Stored(EndpointId, Micros),
-    /// The answer to [`Output::Fetch`]: the first messages that wait, and when the next one is due.
+    /// The answer to [`Output::Fetch`]: the first waiting messages, and when the next one is due.
     Fetched(EndpointId, Vec<Waiting>, Option<Micros>),
     /// An attempt ended.
     AttemptEnded(Seq, DeliveryReport),
-    /// A message is no longer in the store, or no longer waits there.
+    /// A message was removed from the store or no longer waits in it.
     MessageRemoved(Seq),
-    /// A deadline is due.
+    /// The time of [`super::Delivery::next_deadline`] is reached.
     Tick,
-    /// No further attempt is begun: the gateway shuts down.
+    /// The gateway shuts down: no further attempt is begun.
     Stop,
 }
 
-/// What is to be done.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Begin an attempt. If `recorded`, that it begins is committed before a byte is sent.
+    /// Begin an attempt. If `recorded`, the start is committed before a byte is sent.
     Begin {
         /// The message.
         seq: Seq,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Whether the class requires that the attempt is recorded first.
+        /// Whether the attempt must be recorded before it is sent.
         recorded: bool,
     },
     /// Store the state of a message.
@@ -123,14 +124,14 @@
         message: Waiting,
         /// Its state.
         state: State,
-        /// The attempt that led to the state, if one did.
+        /// The attempt that led to the state, if any.
         attempt: Option<DeliveryReport>,
     },
-    /// Fetch so many of the endpoint's first waiting messages from the store.
+    /// Fetch up to this number of the endpoint's first waiting messages from the store.
     Fetch(EndpointId, usize),
-    /// An endpoint was disabled, for this reason.
+    /// An endpoint was disabled for this reason.
     EndpointDisabled(EndpointId, &'static str),
-    /// End all messages that still wait for a removed endpoint.
+    /// End all waiting messages of a removed endpoint.
     Purge(EndpointId),
 }
 
@@ -139,7 +140,7 @@
 pub struct Health {
     /// The breaker's state.
     pub breaker: &'static str,
-    /// Since when it has only failed, in Unix microseconds.
+    /// When the current run of failures began, in Unix microseconds.
     pub failing_since: Option<Micros>,
     /// Attempts in flight.
     pub in_flight: u32,
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -1,14 +1,12 @@
-//! Delivery of callbacks: which message is sent to which endpoint, when, and what follows from how
-//! an attempt ended.
+//! Delivery of callbacks: selection and timing of attempts, and the effects of their outcomes.
 //!
 //! [`Delivery`] is one value without I/O: [`Delivery::handle`] takes an [`Input`] and the time, and
-//! leaves [`Output`]s. Messages are in the store. A bounded number of those that are due soon is
-//! loaded, without their bodies, and more are fetched when an endpoint runs low. Deadlines are in a
-//! [`timing_wheel::TimingWheel`]; the caller sets a timer for [`Delivery::next_deadline`] and
-//! reports it by [`Input::Tick`].
+//! queues [`Output`]s. The store holds all messages. A bounded number of messages that are due soon
+//! is loaded, without their bodies, and more are fetched when an endpoint has few
+//! loaded. Deadlines are in a [`timing_wheel::TimingWheel`]; the caller sets a timer for
+//! [`Delivery::next_deadline`] and reports it by [`Input::Tick`].
 //!
-//! Kept by identifier: endpoints until [`Input::EndpointRemoved`]; messages until they end or are
-//! unloaded.
+//! Endpoints are kept until [`Input::EndpointRemoved`]; messages until they end or are unloaded.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -35,18 +33,20 @@
 use fair_queue::FairQueue;
 use timing_wheel::{TimerKey, TimingWheel};
 
-/// What a loaded message waits for.
+/// State of a loaded message.
 #[derive(Debug)]
 enum LoadedState {
+    /// Due and queued.
     Ready,
+    /// Due when the timer expires.
     Scheduled(TimerKey),
     /// Sent at this time.
     InFlight(Micros),
 }
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum TimerPurpose {
     Message(Seq),
     Recheck(EndpointId),
 }
@@ -55,11 +55,11 @@
 #[derive(Debug)]
 pub struct Delivery {
     limits: Limits,
-    /// Makes the jitter of the schedules.
+    /// Seed of the jitter of the retry schedules.
     seed: u64,
     endpoints: HashMap<EndpointId, EndpointState>,
     endpoint_queue: FairQueue<u64, EndpointId>,
-    timers: TimingWheel<Due>,
+    timers: TimingWheel<TimerPurpose>,
     loaded: HashMap<Seq, (Waiting, LoadedState)>,
     in_flight: u32,
     stopped: bool,
@@ -67,7 +67,8 @@
 }
 
 impl Delivery {
-    /// A delivery without endpoints and messages. The seed makes the jitter of the schedules.
+    /// Creates a delivery without endpoints and messages. The seed determines the jitter of the
+    /// retry schedules.
     pub fn new(limits: Limits, seed: u64, now: Micros) -> Delivery {
         Delivery {
             limits,
@@ -82,12 +83,12 @@
         }
     }
 
-    /// The next output, if any.
+    /// Removes and returns the next output.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Input::Tick`] is due next.
+    /// Returns when [`Input::Tick`] is due next.
     pub fn next_deadline(&self) -> Option<Micros> {
         if self.stopped {
             return None;
@@ -95,8 +96,8 @@
         self.timers.next_deadline()
     }
 
-    /// The loaded messages of a shard.
-    pub fn of_shard(&self, shard: u16) -> Vec<Seq> {
+    /// Returns the loaded messages of a shard.
+    pub fn loaded_of_shard(&self, shard: u16) -> Vec<Seq> {
         self.loaded
             .keys()
             .filter(|seq| seq.shard() == shard)
@@ -104,17 +105,17 @@
             .collect()
     }
 
-    /// The number of attempts in flight.
-    pub fn out(&self) -> u32 {
+    /// Returns the number of attempts in flight.
+    pub fn attempts_in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The number of loaded messages.
+    /// Returns the number of loaded messages.
     pub fn loaded(&self) -> usize {
         self.loaded.len()
     }
 
-    /// The state of an endpoint, for operators.
+    /// Returns the state of an endpoint for operators.
     pub fn health(&self, endpoint: EndpointId) -> Option<Health> {
         let state = self.endpoints.get(&endpoint)?;
         Some(Health {
@@ -124,7 +125,7 @@
         })
     }
 
-    /// Takes an input.
+    /// Processes an input and begins the attempts that have become possible.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             Input::EndpointChanged(id, plan) => self.on_endpoint_changed(now, id, plan),
@@ -182,8 +183,8 @@
         self.timers.expire(now, &mut due);
         for (_, purpose) in due {
             match purpose {
-                Due::Message(seq) => self.fell_due(seq),
-                Due::Recheck(id) => self.recheck(now, id),
+                TimerPurpose::Message(seq) => self.queue_due_message(seq),
+                TimerPurpose::Recheck(id) => self.recheck(now, id),
             }
         }
     }
@@ -191,7 +192,7 @@
     fn recheck(&mut self, now: Micros, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.recheck = None;
-            self.endpoint_queue.join(endpoint.plan.tenant, id);
+            self.endpoint_queue.enqueue(endpoint.plan.tenant, id);
         }
         self.refill(now, id);
     }
@@ -207,13 +208,13 @@
             Some(bucket) => bucket.change(plan.per_s, burst),
             none => *none = Some(TokenBucket::new(plan.per_s, burst, now)),
         }
-        // An operator who enables an endpoint again has presumably repaired it.
+        // An endpoint that an operator enables again is presumed to be repaired.
         if plan.enabled == Enabled::Yes && endpoint.plan.enabled != Enabled::Yes {
             endpoint.breaker = CircuitBreaker::default();
         }
         endpoint.plan = plan;
         if endpoint.plan.enabled == Enabled::Yes {
-            self.endpoint_queue.join(endpoint.plan.tenant, id);
+            self.endpoint_queue.enqueue(endpoint.plan.tenant, id);
             self.refill(now, id);
         } else {
             self.unload_endpoint(id);
@@ -228,7 +229,7 @@
         if let Some((_, timer)) = endpoint.recheck {
             self.timers.cancel(timer);
         }
-        // Attempts in flight end by themselves. Their end is stored, and nothing follows from it.
+        // Attempts in flight run to their end. Their outcome is stored and has no other effect.
         self.outputs.push_back(Output::Purge(id));
     }
 }
--- a/src/delivery/outcomes.rs
+++ b/src/delivery/outcomes.rs
@@ -1,4 +1,4 @@
-//! What follows from how an attempt ended, for the message and for its endpoint.
+//! Effects of the end of an attempt on the message and on its endpoint.
 
 use super::ids::{EndpointId, Seq};
 use super::messages::{Enabled, Output, Waiting};
@@ -7,16 +7,16 @@
 use crate::api::Micros;
 use crate::policy::permitted_after;
 
-/// How long a message waits after an attempt that did not begin for a reason of this side, in
+/// How long a message waits after an attempt that the gateway itself did not begin, in
 /// microseconds.
 pub(super) const VOID_ATTEMPT_PAUSE: Micros = 1_000_000;
 
-/// Why an endpoint is disabled after an attempt; operators see these words.
-const ANSWERED_GONE: &str = "gone";
-const KEPT_FAILING: &str = "failing";
+/// Reasons for which an endpoint is disabled after an attempt, as operators see them.
+const REASON_GONE: &str = "gone";
+const REASON_FAILING: &str = "failing";
 
 impl Delivery {
-    /// Has the state of a message stored.
+    /// Requests that the state of a message is stored.
     pub(super) fn persist(
         &mut self,
         message: Waiting,
@@ -35,10 +35,10 @@
         });
     }
 
-    /// An endpoint may have one more attempt in flight.
+    /// Queues an endpoint that may have one more attempt in flight.
     pub(super) fn attempt_slot_freed(&mut self, now: Micros, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get(&id) {
-            self.endpoint_queue.join(endpoint.plan.tenant, id);
+            self.endpoint_queue.enqueue(endpoint.plan.tenant, id);
         }
         self.refill(now, id);
     }
@@ -73,8 +73,8 @@
         self.attempt_slot_freed(now, id);
     }
 
-    /// Records a response with its endpoint's breaker. Returns why the endpoint is to be disabled,
-    /// if it is.
+    /// Updates the endpoint's breaker and retry budget. Returns the reason if the endpoint is to be
+    /// disabled.
     fn record_response(
         &mut self,
         now: Micros,
@@ -86,15 +86,16 @@
         match class {
             ResponseClass::Delivered => {
                 endpoint.breaker.succeeded(endpoint.plan.in_flight);
-                endpoint.budget.earn();
+                endpoint.budget.add_success();
                 None
             }
-            ResponseClass::OptedOut => Some(ANSWERED_GONE),
-            ResponseClass::Failed(advice) => {
-                endpoint.breaker.failed(now, advice);
+            ResponseClass::OptedOut => Some(REASON_GONE),
+            ResponseClass::Failed(retry_after) => {
+                endpoint.breaker.failed(now, retry_after);
                 let failing_since = endpoint.breaker.failing_since();
-                let for_too_long = failing_since.is_some_and(|since| now >= since + disable_after);
-                for_too_long.then_some(KEPT_FAILING)
+                let failing_too_long =
+                    failing_since.is_some_and(|since| now >= since + disable_after);
+                failing_too_long.then_some(REASON_FAILING)
             }
             ResponseClass::Void => {
                 endpoint.breaker.attempt_void(now);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The state of a message after a response, with its next due time if it is sent again.
+    /// Returns the state of a message after a response. Sets the next due time if it is sent again.
     fn state_after(&self, now: Micros, message: &mut Waiting, class: ResponseClass) -> State {
         match class {
             ResponseClass::Delivered => State::Delivered,
@@ -115,17 +116,22 @@
                 State::Dead(DeadLetterReason::Unknown)
             }
             ResponseClass::OptedOut => State::Dead(DeadLetterReason::Gone),
-            ResponseClass::Failed(advice) => self.schedule_retry(now, message, advice),
+            ResponseClass::Failed(retry_after) => self.schedule_retry(now, message, retry_after),
         }
     }
 
-    fn schedule_retry(&self, now: Micros, message: &mut Waiting, advice: Option<Micros>) -> State {
+    fn schedule_retry(
+        &self,
+        now: Micros,
+        message: &mut Waiting,
+        retry_after: Option<Micros>,
+    ) -> State {
         let Some(endpoint) = self.endpoints.get(&message.endpoint) else {
             return State::Dead(DeadLetterReason::Gone);
         };
         let schedule = &endpoint.plan.schedule;
         let jitter_seed = self.seed ^ message.seq.0;
-        match schedule.pause(message.tries + 1, jitter_seed, advice) {
+        match schedule.pause(message.tries + 1, jitter_seed, retry_after) {
             Some(pause) => {
                 message.due = now + pause;
                 State::Waiting
--- a/src/delivery/response.rs
+++ b/src/delivery/response.rs
@@ -1,4 +1,4 @@
-//! How an attempt at a callback ended, and the states of a message.
+//! Outcomes of attempts to deliver callbacks, and the states of a message.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,17 +6,17 @@
 use crate::completion::{CloseReason, SendProgress};
 use crate::policy::never_ran;
 
-/// How an attempt at a callback ended.
+/// Outcome of an attempt to deliver a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeliveryReport {
-    /// How its connection ended, or [`CloseReason::Served`] and [`CloseReason::Failed`] for a whole
-    /// answer.
+    /// How the connection ended, or [`CloseReason::Served`] or [`CloseReason::Failed`] for a
+    /// complete answer.
     pub close_reason: CloseReason,
-    /// How much of it had been sent.
+    /// How much of the request was sent.
     pub send_progress: SendProgress,
     /// The status of a complete answer.
     pub status: Option<u16>,
-    /// The answer's `Retry-After`, in microseconds from then.
+    /// The answer's `Retry-After`, in microseconds from its arrival.
     pub retry_after: Option<Micros>,
 }
 
@@ -27,15 +27,16 @@
     Delivered,
     /// 410: the endpoint wants no further messages.
     OptedOut,
-    /// It failed, perhaps because of the endpoint, which may ask for a Retry-After in microseconds.
+    /// The attempt failed, perhaps because of the endpoint. Holds the requested Retry-After in
+    /// microseconds, if any.
     Failed(Option<Micros>),
-    /// It ended on this side before a byte was sent. Nothing is known of the endpoint, and the
-    /// attempt does not count.
+    /// The gateway ended the attempt before a byte was sent. It says nothing about the endpoint and
+    /// does not count.
     Void,
 }
 
 impl DeliveryReport {
-    /// An attempt that was not sent for a reason of this side.
+    /// An attempt that the gateway itself did not send.
     pub const VOID: DeliveryReport = DeliveryReport {
         close_reason: CloseReason::LocalLimit,
         send_progress: SendProgress::Unsent,
@@ -43,14 +44,14 @@
         retry_after: None,
     };
 
-    /// Whether the endpoint may have received the message. One that answers has received it,
-    /// whatever the answer.
+    /// Returns whether the endpoint may have received the message. An endpoint that answers has
+    /// received it, whatever the answer.
     pub fn may_have_arrived(&self) -> bool {
         !never_ran(self.close_reason.outcome(self.send_progress))
     }
 
-    /// The class of the response. 3xx is a failure like any other: a signed message goes only to
-    /// the address that the operator has set.
+    /// Returns the class of the response. A redirect (3xx) is a failure: a signed message goes only
+    /// to the configured address.
     pub fn class(&self) -> ResponseClass {
         match (self.status, self.close_reason, self.send_progress) {
             (Some(200..=299), CloseReason::Served, _) => ResponseClass::Delivered,
@@ -67,17 +68,17 @@
     }
 }
 
-/// Why a message is not sent any more.
+/// Why delivery of a message was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeadLetterReason {
-    /// Its schedule has ended without a confirmation. It may have arrived.
+    /// The schedule ended without a confirmation. The message may have arrived.
     Exhausted,
-    /// It may have arrived, and its class does not permit a retry.
+    /// The message may have arrived, and its class does not permit a retry.
     Unknown,
-    /// Its endpoint answered 410, or was removed.
+    /// The endpoint answered 410 or was removed.
     Gone,
-    /// It waited for longer than the retention of messages.
+    /// The message waited longer than the retention period.
     Expired,
 }
 
@@ -85,18 +86,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It waits for its first attempt or a retry.
+    /// The message waits for its first attempt or a retry.
     Waiting,
-    /// It waits for an earlier message of its order key to end.
+    /// The message waits for the end of an earlier message with the same order key.
     Behind,
-    /// The endpoint has confirmed it.
+    /// The endpoint has confirmed the message.
     Delivered,
-    /// It is not sent any more.
+    /// Delivery was given up.
     Dead(DeadLetterReason),
 }
 
 impl State {
-    /// Its name in listings.
+    /// Returns the name in listings.
     pub fn name(self) -> &'static str {
         match self {
             State::Waiting | State::Behind => "waiting",
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Whether nothing more becomes of it by itself.
+    /// Returns whether the state is final unless an operator intervenes.
     pub fn is_over(self) -> bool {
         matches!(self, State::Delivered | State::Dead(_))
     }
--- a/src/delivery/response/tests.rs
+++ b/src/delivery/response/tests.rs
@@ -4,17 +4,17 @@
 
 #[test]
 fn every_status_has_its_response_class() {
-    let of = |status, advice| {
-        let ending = if status / 100 == 2 {
+    let of = |status, retry_after_us| {
+        let reason = if status / 100 == 2 {
             CloseReason::Served
         } else {
             CloseReason::Failed
         };
         DeliveryReport {
-            close_reason: ending,
+            close_reason: reason,
             send_progress: SendProgress::Started,
             status: Some(status),
-            retry_after: advice,
+            retry_after: retry_after_us,
         }
         .class()
     };
@@ -32,20 +32,20 @@
         )
     );
     assert_eq!(of(410, None), ResponseClass::OptedOut);
-    let cut = |ending, left| DeliveryReport {
-        close_reason: ending,
-        send_progress: left,
+    let interrupted = |reason, progress| DeliveryReport {
+        close_reason: reason,
+        send_progress: progress,
         status: None,
         retry_after: None,
     };
     assert_eq!(
-        cut(CloseReason::Shutdown, SendProgress::Unsent).class(),
+        interrupted(CloseReason::Shutdown, SendProgress::Unsent).class(),
         ResponseClass::Void
     );
     assert_eq!(
-        cut(CloseReason::Shutdown, SendProgress::Started).class(),
+        interrupted(CloseReason::Shutdown, SendProgress::Started).class(),
         ResponseClass::Failed(None)
     );
-    assert!(!cut(CloseReason::Refused, SendProgress::Unsent).may_have_arrived());
-    assert!(cut(CloseReason::TimedOut, SendProgress::Started).may_have_arrived());
+    assert!(!interrupted(CloseReason::Refused, SendProgress::Unsent).may_have_arrived());
+    assert!(interrupted(CloseReason::TimedOut, SendProgress::Started).may_have_arrived());
 }
--- a/src/delivery/schedule.rs
+++ b/src/delivery/schedule.rs
@@ -1,4 +1,4 @@
-//! When a callback is retried.
+//! Retry schedule of callbacks.
 //!
 //! The default is the schedule that the Standard Webhooks specification recommends ("Deliverability
 //! and reliability"): at once, then after 5 s, 5 min, 30 min, 2 h, 5 h, 10 h, 14 h, 20 h and 24 h.
@@ -11,14 +11,14 @@
 use crate::api::Micros;
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
-/// The most pauses of a schedule.
+/// Maximum number of pauses of a schedule.
 const MAX_PAUSES: usize = 64;
 /// The longest pause, in microseconds.
 const MAX_PAUSE: Micros = 7 * 86_400 * MICROS_PER_SECOND;
-/// The longest `Retry-After` of an endpoint that is obeyed, in microseconds.
+/// Upper bound on the `Retry-After` of an endpoint, in microseconds.
 pub const MAX_RETRY_AFTER: Micros = 86_400 * MICROS_PER_SECOND;
-/// The share of itself by which a pause is changed at most, so that messages that failed together
-/// are not retried together.
+/// Largest change of a pause by jitter, as a share of the pause. Jitter spreads the retries of
+/// messages that failed together.
 const JITTER: f64 = 0.2;
 
 /// Pauses between the attempts at one message, in microseconds.
@@ -27,10 +27,10 @@
     pauses: Vec<Micros>,
 }
 
-/// A schedule that cannot be used. The operator corrects it in the operator's file or request.
+/// Invalid schedule. The operator must correct the configuration or the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScheduleError {
-    /// It is empty, too long, or a pause is not between 1 ms and 7 days.
+    /// The schedule is empty or too long, or a pause is not between 1 ms and 7 days.
     #[error("a schedule is 1 to {MAX_PAUSES} pauses of 0.001 s to 7 days")]
     OutOfRange,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Schedule {
-    /// A schedule of these pauses, in seconds.
+    /// Creates a schedule of pauses in seconds.
     pub fn from_seconds(pauses: &[f64]) -> Result<Schedule, ScheduleError> {
         let micros = |s: &f64| {
             let at = (s * 1e6) as Micros;
@@ -68,35 +68,40 @@
         })
     }
 
-    /// The schedule of a gateway without a store: 0.25 s, doubling up to 8 s, for `window`
-    /// microseconds in all.
+    /// Creates the schedule of a gateway without a store: 0.25 s, doubling up to 8 s, less than
+    /// `window` microseconds in total, but at least one pause.
     pub fn short(window: Micros) -> Schedule {
         let mut pauses = Vec::new();
-        let (mut pause, mut all) = (MICROS_PER_SECOND / 4, 0);
-        while pauses.len() < MAX_PAUSES && (all + pause < window || pauses.is_empty()) {
+        let (mut pause, mut total) = (MICROS_PER_SECOND / 4, 0);
+        while pauses.len() < MAX_PAUSES && (total + pause < window || pauses.is_empty()) {
             pauses.push(pause);
-            all += pause;
+            total += pause;
             pause = (pause * 2).min(8 * MICROS_PER_SECOND);
         }
         Schedule { pauses }
     }
 
-    /// The pauses in seconds.
+    /// Returns the pauses in seconds.
     pub fn seconds(&self) -> Vec<f64> {
         self.pauses.iter().map(|p| *p as f64 / 1e6).collect()
     }
 
-    /// The sum of the pauses, without jitter, in microseconds.
+    /// Returns the sum of the pauses, without jitter, in microseconds.
     pub fn total(&self) -> Micros {
         self.pauses.iter().sum()
     }
 
-    /// The pause after this many attempts, from 1; none after the last. Its jitter depends on
-    /// `salt` alone, so that a message is due at the same time in every run. The endpoint's
-    /// Retry-After makes it longer, never shorter.
-    pub fn pause(&self, attempts: u32, salt: u64, retry_after: Option<Micros>) -> Option<Micros> {
+    /// Returns the pause after this number of attempts, from 1; none after the last. The jitter
+    /// depends only on `jitter_seed` and the number, so that every run computes the same due time.
+    /// The endpoint's Retry-After can only lengthen the pause.
+    pub fn pause(
+        &self,
+        attempts: u32,
+        jitter_seed: u64,
+        retry_after: Option<Micros>,
+    ) -> Option<Micros> {
         let pause = *self.pauses.get(attempts.checked_sub(1)? as usize)?;
-        let mut random = ChaCha8Rng::seed_from_u64(salt ^ (u64::from(attempts) << 48));
+        let mut random = ChaCha8Rng::seed_from_u64(jitter_seed ^ (u64::from(attempts) << 48));
         let unit = (random.next_u32() as f64 / f64::from(u32::MAX)) * 2.0 - 1.0;
         let with_jitter = (pause as f64 * (1.0 + JITTER * unit)) as Micros;
         Some(
@@ -107,12 +112,12 @@
     }
 }
 
-/// Parses a `Retry-After` field (RFC 9110, 10.2.3), seconds or a date, as a span from now. None if
-/// it cannot be read.
+/// Parses a `Retry-After` field (RFC 9110, 10.2.3), seconds or a date, as a duration from now in
+/// microseconds. Returns none for an invalid value.
 pub fn retry_after(value: &str, now: Micros) -> Option<Micros> {
     let value = value.trim();
     if !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit()) {
-        // A number that does not fit is a long time.
+        // A number too large for the type counts as the maximum.
         return Some(
             value
                 .parse::<u64>()
--- a/src/delivery/schedule/tests.rs
+++ b/src/delivery/schedule/tests.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 #[test]
-fn a_schedule_is_jittered_obeys_advice_and_ends() {
+fn schedule_has_jitter_obeys_retry_after_and_ends() {
     let s = Schedule::default();
     assert_eq!(
         s.seconds(),
         [5.0, 300.0, 1800.0, 7200.0, 18e3, 36e3, 50_400.0, 72e3, 86_400.0]
     );
-    for salt in 0..200 {
-        let p = s.pause(1, salt, None).unwrap();
+    for jitter_seed in 0..200 {
+        let p = s.pause(1, jitter_seed, None).unwrap();
         assert!(
             (4 * MICROS_PER_SECOND..=6 * MICROS_PER_SECOND).contains(&p),
             "{p}"
         );
-        assert_eq!(s.pause(1, salt, None), Some(p));
+        assert_eq!(s.pause(1, jitter_seed, None), Some(p));
     }
     assert!(
         (0..20)
@@ -31,15 +31,18 @@
     assert_eq!(
         s.pause(1, 3, Some(Micros::MAX)),
         Some(MAX_RETRY_AFTER),
-        "a year is a day"
+        "a longer Retry-After is limited to a day"
     );
     assert!(
         s.pause(1, 3, Some(1)) > Some(MICROS_PER_SECOND),
-        "advice makes nothing shorter"
+        "a Retry-After does not shorten a pause"
     );
     assert_eq!((s.pause(10, 3, None), s.pause(0, 3, None)), (None, None));
-    for bad in [&[][..], &[0.0], &[f64::NAN], &[-1.0], &[1e9], &[1.0; 65]] {
-        assert_eq!(Schedule::from_seconds(bad), Err(ScheduleError::OutOfRange));
+    for invalid in [&[][..], &[0.0], &[f64::NAN], &[-1.0], &[1e9], &[1.0; 65]] {
+        assert_eq!(
+            Schedule::from_seconds(invalid),
+            Err(ScheduleError::OutOfRange)
+        );
     }
     let short = Schedule::short(60 * MICROS_PER_SECOND);
     assert!(
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn advice_is_seconds_or_a_date_and_junk_is_none() {
+fn retry_after_is_seconds_or_date_otherwise_none() {
     let now = 784_111_700 * MICROS_PER_SECOND;
     assert_eq!(retry_after("120", now), Some(120 * MICROS_PER_SECOND));
     assert_eq!(
@@ -68,7 +71,7 @@
         retry_after("99999999999999999999999", now),
         Some(Micros::MAX)
     );
-    for junk in ["", "soon", "-5", "1.5", "Sun, 99 Nov"] {
-        assert_eq!(retry_after(junk, now), None, "{junk}");
+    for invalid in ["", "soon", "-5", "1.5", "Sun, 99 Nov"] {
+        assert_eq!(retry_after(invalid, now), None, "{invalid}");
     }
 }
--- a/src/delivery/sending.rs
+++ b/src/delivery/sending.rs
@@ -1,4 +1,4 @@
-//! Begins attempts.
+//! Start of attempts.
 
 use super::ids::EndpointId;
 use super::messages::Output;
@@ -7,12 +7,11 @@
 use crate::api::{Effect, Micros};
 use crate::policy::permitted_after;
 
-/// The size of a message that counts as one unit of a fair queue's cost, in bytes.
+/// Message size that adds one unit to the cost in the fair queue, in bytes.
 const BYTES_PER_COST_UNIT: u32 = 4096;
 
 impl Delivery {
-    /// Begins attempts, fairly among tenants and endpoints, while the limit on those in flight
-    /// permits.
+    /// Begins attempts, fairly among tenants and endpoints, up to the limit of attempts in flight.
     pub(super) fn begin_attempts(&mut self, now: Micros) {
         while !self.stopped && self.in_flight < self.limits.max_in_flight {
             let (endpoints, loaded) = (&mut self.endpoints, &self.loaded);
@@ -45,7 +44,7 @@
         let Ok(seq) = endpoint.next_message(now) else {
             return;
         };
-        let Some((message, place)) = self.loaded.get_mut(&seq) else {
+        let Some((message, loaded_state)) = self.loaded.get_mut(&seq) else {
             return;
         };
         if endpoint.first_attempts.front() == Some(&seq) {
@@ -54,7 +53,7 @@
             endpoint.retries.pop_front();
         }
         if !permitted_after(message.effect, message.ran, now, 0).retry {
-            // The window in which a retry is safe passed while the message waited.
+            // The time in which a retry is safe has passed while the message waited.
             let message = *message;
             self.unload(seq);
             return self.persist(message, State::Dead(DeadLetterReason::Unknown), None);
@@ -66,7 +65,7 @@
         if message.tries > 0 {
             endpoint.budget.take();
         }
-        *place = LoadedState::InFlight(now);
+        *loaded_state = LoadedState::InFlight(now);
         endpoint.in_flight += 1;
         self.in_flight += 1;
         let recorded = message.effect != Effect::Idempotent;
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -1,4 +1,4 @@
-//! Delivery against a plain model: a store that is a map, portals that do as they are told.
+//! Tests of delivery against a model: a store that is a map, and portals with scripted answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,24 +12,24 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// The store and the portals around one delivery, and what must hold at every step.
-struct World {
+/// One delivery with its store and portals, and the invariants that are checked after each step.
+struct Model {
     delivery: Delivery,
     now: Micros,
     plans: BTreeMap<EndpointId, EndpointPlan>,
     store: BTreeMap<Seq, (Waiting, State)>,
-    /// What waits, in the order in which it is fetched.
+    /// Waiting messages in the order in which they are fetched.
     index: BTreeSet<(EndpointId, Micros, Seq)>,
-    out: BTreeMap<Seq, Micros>,
-    /// Messages that an attempt may have brought to their portal.
+    in_flight_since: BTreeMap<Seq, Micros>,
+    /// Messages that their portal may have received.
     arrived: BTreeSet<Seq>,
     begun: BTreeMap<Seq, u32>,
-    /// Fetches that the store has not answered.
+    /// Unanswered fetches.
     fetches: Vec<(EndpointId, Vec<Waiting>, Option<Micros>)>,
     disabled: Vec<EndpointId>,
-    /// When each endpoint was last begun to.
+    /// Start times of the attempts at each endpoint.
     sent: BTreeMap<EndpointId, Vec<Micros>>,
-    caps: Limits,
+    limits: Limits,
 }
 
 fn plan(tenant: u64) -> EndpointPlan {
@@ -44,13 +44,13 @@
 }
 
 fn answer(status: u16) -> DeliveryReport {
-    let ending = if status / 100 == 2 {
+    let reason = if status / 100 == 2 {
         CloseReason::Served
     } else {
         CloseReason::Failed
     };
     DeliveryReport {
-        close_reason: ending,
+        close_reason: reason,
         send_progress: SendProgress::Started,
         status: Some(status),
         retry_after: None,
@@ -63,28 +63,28 @@
     status: None,
     retry_after: None,
 };
-const CUT: DeliveryReport = DeliveryReport {
+const RESET: DeliveryReport = DeliveryReport {
     close_reason: CloseReason::Reset,
     send_progress: SendProgress::Started,
     status: None,
     retry_after: None,
 };
 
-impl World {
-    fn new(caps: Limits, endpoints: u64) -> World {
-        let mut w = World {
-            delivery: Delivery::new(caps, 7, 1),
+impl Model {
+    fn new(limits: Limits, endpoints: u64) -> Model {
+        let mut w = Model {
+            delivery: Delivery::new(limits, 7, 1),
             now: 1,
             plans: BTreeMap::new(),
             store: BTreeMap::new(),
             index: BTreeSet::new(),
-            out: BTreeMap::new(),
+            in_flight_since: BTreeMap::new(),
             arrived: BTreeSet::new(),
             begun: BTreeMap::new(),
             fetches: Vec::new(),
             disabled: Vec::new(),
             sent: BTreeMap::new(),
-            caps,
+            limits,
         };
         for n in 0..endpoints {
             w.plan(EndpointId(n), plan(n / 2));
@@ -99,7 +99,7 @@
 
     fn input(&mut self, input: Input) {
         self.delivery.handle(self.now, input);
-        self.settle();
+        self.process_outputs();
     }
 
     fn publish(&mut self, seq: u64, endpoint: u64, effect: Effect) {
@@ -113,11 +113,11 @@
             tries: 0,
             size: 9000,
         };
-        self.keep(message, State::Waiting);
+        self.store_message(message, State::Waiting);
         self.input(Input::MessagePending(message));
     }
 
-    fn keep(&mut self, message: Waiting, state: State) {
+    fn store_message(&mut self, message: Waiting, state: State) {
         if let Some((old, _)) = self.store.insert(message.seq, (message, state)) {
             self.index.remove(&(old.endpoint, old.due, old.seq));
         }
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Does what delivery asks for, and checks it.
-    fn settle(&mut self) {
+    /// Executes the outputs of delivery and checks the invariants.
+    fn process_outputs(&mut self) {
         while let Some(output) = self.delivery.output() {
             match output {
                 Output::Begin {
@@ -138,10 +138,10 @@
                 } => {
                     let (m, state) = self.store[&seq];
                     assert_eq!((m.endpoint, state), (endpoint, State::Waiting));
-                    assert!(m.due <= self.now, "{seq:?} before its time");
+                    assert!(m.due <= self.now, "{seq:?} begins before its due time");
                     assert!(
-                        self.out.insert(seq, self.now).is_none(),
-                        "{seq:?} is out twice"
+                        self.in_flight_since.insert(seq, self.now).is_none(),
+                        "{seq:?} is in flight twice"
                     );
                     assert_eq!(recorded, m.effect != Effect::Idempotent);
                     assert!(
@@ -151,21 +151,21 @@
                     *self.begun.entry(seq).or_default() += 1;
                     self.sent.entry(endpoint).or_default().push(self.now);
                     let at = |id| {
-                        self.out
+                        self.in_flight_since
                             .keys()
                             .filter(|s| self.store[s].0.endpoint == id)
                             .count()
                     };
                     assert!(at(endpoint) as u32 <= self.plans[&endpoint].in_flight);
                     assert_eq!(self.plans[&endpoint].enabled, Enabled::Yes);
-                    assert!(self.out.len() as u32 <= self.caps.max_in_flight);
+                    assert!(self.in_flight_since.len() as u32 <= self.limits.max_in_flight);
                 }
                 Output::Persist { message, state, .. } => {
                     assert!(
                         !self.store[&message.seq].1.is_over(),
                         "{message:?} ends twice"
                     );
-                    self.keep(message, state);
+                    self.store_message(message, state);
                 }
                 Output::Fetch(id, limit) => {
                     let mut mine = self
@@ -195,16 +195,19 @@
                     let mine: Vec<Waiting> = mine.map(|(m, _)| *m).collect();
                     for m in mine
                         .into_iter()
-                        .filter(|m| !self.out.contains_key(&m.seq))
+                        .filter(|m| !self.in_flight_since.contains_key(&m.seq))
                         .collect::<Vec<_>>()
                     {
-                        self.keep(m, State::Dead(DeadLetterReason::Gone));
+                        self.store_message(m, State::Dead(DeadLetterReason::Gone));
                     }
                 }
             }
         }
-        assert_eq!(self.delivery.out() as usize, self.out.len());
-        assert!(self.delivery.loaded() <= self.caps.max_loaded + 4 * self.plans.len());
+        assert_eq!(
+            self.delivery.attempts_in_flight() as usize,
+            self.in_flight_since.len()
+        );
+        assert!(self.delivery.loaded() <= self.limits.max_loaded + 4 * self.plans.len());
     }
 
     fn answer_fetch(&mut self) {
@@ -215,30 +218,34 @@
     }
 
     fn end(&mut self, nth: usize, report: DeliveryReport) {
-        let Some(&seq) = self.out.keys().nth(nth % self.out.len().max(1)) else {
+        let Some(&seq) = self
+            .in_flight_since
+            .keys()
+            .nth(nth % self.in_flight_since.len().max(1))
+        else {
             return;
         };
-        self.out.remove(&seq);
+        self.in_flight_since.remove(&seq);
         if report.may_have_arrived() {
             self.arrived.insert(seq);
         }
         self.input(Input::AttemptEnded(seq, report));
     }
 
-    fn pass(&mut self, span: Micros) {
+    fn advance(&mut self, span: Micros) {
         self.now += span;
         self.input(Input::Tick);
     }
 
-    /// Lets time pass, with portals that answer so, until nothing waits any more or so much time is
-    /// over.
-    fn run_out(&mut self, span: Micros, report: impl Fn(Seq, Micros) -> DeliveryReport) {
+    /// Answers all attempts with `report` and advances the time from deadline to deadline until
+    /// `span` has passed.
+    fn run_for(&mut self, span: Micros, report: impl Fn(Seq, Micros) -> DeliveryReport) {
         let end = self.now + span;
         loop {
             while !self.fetches.is_empty() {
                 self.answer_fetch();
             }
-            if let Some(&seq) = self.out.keys().next() {
+            if let Some(&seq) = self.in_flight_since.keys().next() {
                 let report = report(seq, self.now);
                 self.end(0, report);
                 continue;
@@ -267,8 +274,8 @@
     Publish(u64, bool),
     End(usize, u8),
     Fetched,
-    Pass(Micros),
-    Switch(u64, bool),
+    Advance(Micros),
+    SetEnabled(u64, bool),
     Remove(u64),
 }
 
@@ -277,16 +284,16 @@
         6 => (0u64..6, any::<bool>()).prop_map(|(e, safe)| Step::Publish(e, safe)),
         6 => (any::<usize>(), 0u8..8).prop_map(|(n, how)| Step::End(n, how)),
         3 => Just(Step::Fetched),
-        3 => (0u32..32).prop_map(|e| Step::Pass(1 << e)),
-        1 => (0u64..6, any::<bool>()).prop_map(|(e, on)| Step::Switch(e, on)),
+        3 => (0u32..32).prop_map(|e| Step::Advance(1 << e)),
+        1 => (0u64..6, any::<bool>()).prop_map(|(e, on)| Step::SetEnabled(e, on)),
         1 => (0u64..40).prop_map(Step::Remove),
     ]
 }
 
-fn ending(how: u8) -> DeliveryReport {
+fn report_of_kind(how: u8) -> DeliveryReport {
     match how {
         0 => REFUSED,
-        1 => CUT,
+        1 => RESET,
         2 => answer(500),
         3 => DeliveryReport {
             retry_after: Some(30 * SECOND),
@@ -304,14 +311,14 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// Whatever happens in whatever order: the checks in [`World::settle`] hold, and in the end,
-    /// with portals that answer, nothing is left waiting, nothing safe was lost, and nothing ended
-    /// without an attempt or a reason.
+    /// For any order of events, the checks in [`Model::process_outputs`] hold. Once all portals
+    /// answer, no message is left waiting, no idempotent message was lost, and each message ended
+    /// by an attempt or for a valid reason.
     #[test]
-    fn no_order_of_events_loses_doubles_or_sticks(steps in prop::collection::vec(step(), 1..300)) {
-        // Small windows, so that most of it lies in the store.
-        let caps = Limits { max_in_flight: 5, max_ready_per_endpoint: 3, max_loaded: 8, load_horizon: 20 * SECOND, ..Limits::default() };
-        let mut w = World::new(caps, 6);
+    fn events_in_any_order_lose_no_message(steps in prop::collection::vec(step(), 1..300)) {
+        // Small limits, so that most messages are only in the store.
+        let limits = Limits { max_in_flight: 5, max_ready_per_endpoint: 3, max_loaded: 8, load_horizon: 20 * SECOND, ..Limits::default() };
+        let mut w = Model::new(limits, 6);
         let mut removed = BTreeSet::new();
         for (n, step) in steps.into_iter().enumerate() {
             match step {
@@ -319,16 +326,16 @@
                     w.publish(n as u64, e, if safe { Effect::Idempotent } else { Effect::NonIdempotent });
                 }
                 Step::Publish(..) => {}
-                Step::End(nth, how) => w.end(nth, ending(how)),
+                Step::End(nth, how) => w.end(nth, report_of_kind(how)),
                 Step::Fetched => w.answer_fetch(),
-                Step::Pass(span) => w.pass(span),
-                Step::Switch(e, on) if !removed.contains(&e) => {
+                Step::Advance(span) => w.advance(span),
+                Step::SetEnabled(e, on) if !removed.contains(&e) => {
                     let enabled = if on { Enabled::Yes } else { Enabled::ByHand };
                     let p = EndpointPlan { enabled, ..w.plans[&EndpointId(e)].clone() };
                     w.plan(EndpointId(e), p);
                 }
-                Step::Switch(..) => {}
-                // Only now and then: most runs keep their endpoints.
+                Step::SetEnabled(..) => {}
+                // Rare, so that most runs keep their endpoints.
                 Step::Remove(e) if e < 6 => {
                     removed.insert(e);
                     w.input(Input::EndpointRemoved(EndpointId(e)));
@@ -340,8 +347,8 @@
             let p = EndpointPlan { enabled: Enabled::Yes, ..w.plans[&EndpointId(e)].clone() };
             w.plan(EndpointId(e), p);
         }
-        w.run_out(100 * 86_400 * SECOND, |_, _| answer(204));
-        prop_assert!(w.out.is_empty() && w.fetches.is_empty() && w.delivery.loaded() == 0);
+        w.run_for(100 * 86_400 * SECOND, |_, _| answer(204));
+        prop_assert!(w.in_flight_since.is_empty() && w.fetches.is_empty() && w.delivery.loaded() == 0);
         for (m, state) in w.store.values() {
             let begun = w.begun.get(&m.seq).copied().unwrap_or(0);
             match state {
@@ -352,15 +359,15 @@
                 other => prop_assert!(false, "{:?} is left {:?}", m, other),
             }
         }
-        prop_assert!(w.delivery.timers.is_empty(), "no timer outlives what it was for");
+        prop_assert!(w.delivery.timers.is_empty(), "no timer is left without its message or endpoint");
     }
 }
 
-/// A portal that comes back after an hour with 100,000 waiting is not run over, and gets all of
-/// them.
+/// A portal that recovers after an hour with 100,000 waiting messages is not overloaded and
+/// receives all of them.
 #[test]
 fn recovered_endpoint_starts_slowly_and_gets_all_messages() {
-    let mut w = World::new(
+    let mut w = Model::new(
         Limits {
             max_in_flight: 64,
             max_ready_per_endpoint: 32,
@@ -391,25 +398,25 @@
         );
     }
     let back = w.now + 3600 * SECOND;
-    w.run_out(3600 * SECOND, |_, _| REFUSED);
+    w.run_for(3600 * SECOND, |_, _| REFUSED);
     let tried: usize = w.begun.values().map(|n| *n as usize).sum();
     assert!(
         tried < 60,
         "a dead portal costs {tried} attempts in an hour, not 100,000"
     );
     let before = w.sent[&EndpointId(0)].len();
-    w.run_out(2 * day, |_, _| answer(204));
+    w.run_for(2 * day, |_, _| answer(204));
     assert_eq!(w.states(), BTreeMap::from([("delivered", 100_000)]));
     let times = &w.sent[&EndpointId(0)][before..];
     assert!(times[0] >= back && w.delivery.loaded() == 0);
-    // Its repeats, of the messages that were tried in the hour, come at the budget's pace.
+    // The retry budget limits the retries of the messages that were attempted during the hour.
     assert!(w.begun.values().all(|n| *n <= 6));
 }
 
-/// One dead and one slow tenant take nothing from the others.
+/// One unreachable and one slow endpoint do not delay the others.
 #[test]
 fn dead_or_slow_endpoint_does_not_delay_others() {
-    let mut w = World::new(
+    let mut w = Model::new(
         Limits {
             max_in_flight: 16,
             max_ready_per_endpoint: 16,
@@ -435,16 +442,24 @@
             seq += 1;
         }
         loop {
-            let other = w.out.keys().position(|s| w.store[s].0.endpoint.0 != 1);
+            let other = w
+                .in_flight_since
+                .keys()
+                .position(|s| w.store[s].0.endpoint.0 != 1);
             let Some(nth) = other else { break };
-            let report = if w.store[w.out.keys().nth(nth).unwrap()].0.endpoint.0 == 0 {
+            let report = if w.store[w.in_flight_since.keys().nth(nth).unwrap()]
+                .0
+                .endpoint
+                .0
+                == 0
+            {
                 REFUSED
             } else {
                 answer(200)
             };
             w.end(nth, report);
         }
-        w.pass(SECOND / 10);
+        w.advance(SECOND / 10);
     }
     let done = |e: u64| {
         w.store
@@ -454,18 +469,18 @@
     };
     assert!(
         (2..50).all(|e| done(e) == 10),
-        "each of the others has all of its ten within the round"
+        "each of the others has received all ten messages"
     );
     assert_eq!(
-        (done(0), done(1), w.out.len()),
+        (done(0), done(1), w.in_flight_since.len()),
         (0, 0, 4),
-        "the slow one holds its own four places"
+        "the slow endpoint holds only its own four attempts"
     );
 }
 
 #[test]
-fn an_endpoint_is_switched_off_by_410_or_long_failure_and_its_messages_wait() {
-    let mut w = World::new(
+fn endpoint_is_disabled_by_410_or_long_failure() {
+    let mut w = Model::new(
         Limits {
             disable_after: 100 * SECOND,
             ..Limits::default()
@@ -484,22 +499,22 @@
     );
     w.end(0, REFUSED);
     w.publish(3, 0, Effect::NonIdempotent);
-    w.run_out(3600 * SECOND, |_, _| answer(204));
+    w.run_for(3600 * SECOND, |_, _| answer(204));
     assert_eq!(w.states(), BTreeMap::from([("gone", 1), ("waiting", 2)]));
     w.plan(EndpointId(0), plan(0));
-    w.run_out(3600 * SECOND, |_, _| answer(204));
+    w.run_for(3600 * SECOND, |_, _| answer(204));
     assert_eq!(w.states(), BTreeMap::from([("gone", 1), ("delivered", 2)]));
     for n in 10..30 {
         w.publish(n, 1, Effect::Idempotent);
     }
-    w.run_out(400 * SECOND, |_, _| answer(500));
+    w.run_for(400 * SECOND, |_, _| answer(500));
     assert_eq!(w.disabled, [EndpointId(0), EndpointId(1)]);
     assert!(w.states()["waiting"] > 0, "{:?}", w.states());
 }
 
 #[test]
 fn rate_holds_and_unsafe_retry_is_not_sent() {
-    let mut w = World::new(Limits::default(), 0);
+    let mut w = Model::new(Limits::default(), 0);
     w.plan(
         EndpointId(0),
         EndpointPlan {
@@ -509,7 +524,7 @@
         },
     );
     (0..100).for_each(|n| w.publish(n, 0, Effect::Idempotent));
-    w.run_out(10 * SECOND, |_, _| answer(200));
+    w.run_for(10 * SECOND, |_, _| answer(200));
     let sent = w.sent[&EndpointId(0)].len();
     assert!((50..=56).contains(&sent), "{sent}");
     w.plan(EndpointId(1), plan(1));
@@ -518,12 +533,12 @@
         window: SECOND / 2,
     };
     w.publish(1000, 1, keyed);
-    w.end(w.out.len() - 1, CUT);
-    w.run_out(1000 * SECOND, |_, _| answer(200));
+    w.end(w.in_flight_since.len() - 1, RESET);
+    w.run_for(1000 * SECOND, |_, _| answer(200));
     assert_eq!(
         w.store[&Seq(1000)].1,
         State::Dead(DeadLetterReason::Unknown),
-        "the portal forgets it after half a second"
+        "the portal detects duplicates for half a second only"
     );
     assert_eq!(w.begun[&Seq(1000)], 1);
 }
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -281,7 +281,7 @@
     pub(super) fn is_idle(&self, now: Micros) -> bool {
         let late = self.is_late(now);
         let kept = if self.durable() {
-            self.delivery.out() == 0 && (self.pending_store_ops.is_empty() || late)
+            self.delivery.attempts_in_flight() == 0 && (self.pending_store_ops.is_empty() || late)
         } else {
             self.waiting() == 0 && self.pending_store_ops.is_empty()
         };
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -125,7 +125,7 @@
             !is_of_shard
         });
         self.postponed.retain(|call| call.seq.shard() != shard);
-        for seq in self.delivery.of_shard(shard) {
+        for seq in self.delivery.loaded_of_shard(shard) {
             self.out.remove(&seq);
             self.delivery.handle(now, Input::MessageRemoved(seq));
         }
