--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -1,5 +1,6 @@
-//! Drives the second front: calls to the store and the core, deliveries to portals. It decides nothing: who may go
-//! is [`Delivery`]'s, what is kept the store's, what may be taken [`Inbound`]'s.
+//! Driver of the secondary front: passes calls to the store and the core, and callbacks to portals.
+//! The decisions are made elsewhere: [`Inbound`] admits calls, the store persists them, and
+//! [`Delivery`] schedules callbacks.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -54,35 +55,37 @@
 pub(super) use shard_calls::IncomingCall;
 
 new_key_type! {
-    /// The slot of a call that came as a webhook.
+    /// Key of an open call that arrived as a webhook.
     pub(super) struct JobKey;
 }
 
-/// An idle connection to a portal is kept for this long.
-const PORTAL_IDLE: Micros = 10_000_000;
-/// Idle connections kept to one endpoint.
-const MOST_IDLE: usize = 4;
-/// How long an attempt may wait for its record before its worker is asked no more: well under the time within which
-/// a worker that drains may still be sent something.
-const STALE: Micros = 250_000;
-/// Records that one pass of retention looks at, and the pauses between passes.
-const RETAINED: usize = 256;
-const RETAIN_SOON: Micros = 50_000;
-const RETAIN_LATER: Micros = 5_000_000;
-/// Questions to the store that may be open before nothing new is taken.
+/// How long an idle connection to a portal is kept, in microseconds.
+const PORTAL_IDLE_TIMEOUT: Micros = 10_000_000;
+/// Maximum number of idle connections to one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 4;
+/// How long an attempt may wait for its record before it is withdrawn, in microseconds: well under
+/// the time within which a draining worker still accepts attempts.
+const MAX_RECORD_WAIT: Micros = 250_000;
+/// Number of records that one pass of retention or of purging an endpoint processes.
+const RETENTION_BATCH: usize = 256;
+/// Pause before the next pass of retention if records are left to process, in microseconds.
+const RETENTION_CONTINUE_DELAY: Micros = 50_000;
+/// Pause before the next pass of retention otherwise, in microseconds.
+const RETENTION_INTERVAL: Micros = 5_000_000;
+/// Maximum number of pending store operations at which new calls are accepted.
 const MAX_PENDING_STORE_OPS: usize = 8192;
-/// How long after the last call the disk is waited for at the end.
-const LAST_WORD: Micros = 2_000_000;
+/// How long shutdown waits for pending store operations, in microseconds.
+const SHUTDOWN_STORE_TIMEOUT: Micros = 2_000_000;
 
-/// Identities of one shard that are remembered at most.
+/// Maximum number of stored identities of one shard.
 pub(super) const MAX_IDENTITIES: usize = 65_536;
 
-/// Who is owed the word that a call is taken.
+/// Recipient of the answer on whether a call is accepted.
 #[derive(Clone, Debug)]
 pub(super) enum Caller {
-    /// A caller of this gateway.
+    /// A client connection of this gateway.
     Here(ConnKey),
-    /// Another gateway, or this one, by the number of its question.
+    /// Another gateway, or this one, with the number of its request.
     Gateway(Name, u64),
 }
 
@@ -91,69 +94,70 @@
 pub(super) struct PortalLink {
     endpoint: EndpointId,
     address: SocketAddr,
-    /// The message that is out on it, and since when.
+    /// The message that is in flight on the connection, and when it was sent.
     current: Option<(Seq, Micros)>,
-    /// What is known of the answer before its end.
+    /// Status and Retry-After of an answer that is not complete yet.
     status: Option<(u16, Option<Micros>)>,
 }
 
 impl PortalLink {
-    /// Whether nothing is out on it.
+    /// Returns whether no message is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.current.is_none()
     }
 
-    /// Whether not one byte of what is out on it has left.
+    /// Returns whether a message is in flight of which no byte was sent.
     pub(super) fn untouched(&self, out: &net::Outbox) -> bool {
         self.current.is_some_and(|(seq, _)| out.is_unsent(seq.0))
     }
 }
 
-/// A call whose answer is owed.
+/// An accepted call without its final answer.
 #[derive(Debug)]
-struct Held {
+struct OpenCall {
     seq: Seq,
     job: Job,
+    /// The identity that workers are told.
     id: Rc<str>,
     /// The call in the core, while it runs.
     request: Option<RequestKey>,
 }
 
-/// A call that must not run twice, by the identity that workers are told.
+/// A call that must not run twice.
 #[derive(Debug)]
-struct Guard {
+struct AtMostOnceCall {
     seq: Seq,
-    /// Whether an attempt is not proved never to have run.
+    /// Whether an attempt may have run.
     ran: bool,
 }
 
-/// An attempt that waits for its record.
+/// An attempt that is sent once its record is persisted.
 #[derive(Debug)]
 struct UnrecordedAttempt {
     dispatch: AttemptDispatch,
     since: Micros,
 }
 
-/// What a pending operation of the store is for.
+/// Purpose of a pending store operation.
 #[derive(Debug)]
 enum PendingStoreOp {
-    /// An accepted call is persisted.
+    /// Persists an accepted call.
     AcceptCall {
         caller: Caller,
         call: Box<Call<Job>>,
         seq: Seq,
-        mark: IdentityDigest,
+        identity_digest: IdentityDigest,
     },
-    /// It is recorded that an attempt of an unsafe call is sent.
+    /// Records that an attempt of an unsafe call is sent.
     RecordAttempt(AttemptKey),
-    /// Messages are persisted that may wait now.
+    /// Persists a change that may release messages for delivery.
     EnqueueMessages,
-    /// An attempt to deliver a message begins.
+    /// Records the beginning of an attempt to deliver a message.
     BeginDelivery(Seq),
     FetchDue(EndpointId),
     PurgeEndpoint(EndpointId),
     ApplyRetention,
-    /// A caller here asks for the state of a call.
+    /// Reads the state of a call for a client of this gateway.
     ReadCallState {
         conn: ConnKey,
         id: String,
@@ -163,20 +167,20 @@
         limit: Option<usize>,
         key: Option<(String, String)>,
     },
-    /// Something is recorded that nobody waits for.
+    /// Records a change whose result has no recipient.
     RecordOnly,
     RegisterDisk,
-    /// A record or a snapshot of a shard is stored, for a commit if there is a waiter.
+    /// Stores a record or a snapshot of a shard; the number is that of the waiting commit, if any.
     StoreRecord(ShardId, Option<u64>),
-    /// A snapshot of a shard is read for a replica.
+    /// Reads a snapshot of a shard for a replica.
     ReadSnapshot(ShardId, Name),
-    /// The state of a shard is read.
+    /// Reads the state of a shard for its new primary.
     BecomePrimary(ShardId, Epoch),
     VerifyDisk,
     AcceptDamage(ShardId),
-    /// A delivery is settled whose attempt another process had begun.
+    /// Settles a delivery whose attempt another process had begun.
     SettleAttempt(Waiting, State),
-    /// Another gateway asks for the state of a call.
+    /// Reads the state of a call for another gateway.
     ForwardCallState(Name, u64),
 }
 
@@ -195,41 +199,48 @@
     }
 }
 
-/// Webhooks, while they are on.
+/// State of webhooks while they are enabled.
 #[derive(Debug)]
 pub(super) struct WebhookDriver {
     inbound: Inbound,
     delivery: Delivery,
-    jobs: SlotMap<JobKey, Held>,
+    jobs: SlotMap<JobKey, OpenCall>,
     backend: Backend,
     replies: VecDeque<(u64, Result<Reply, StoreError>)>,
     pending_store_ops: HashMap<u64, PendingStoreOp>,
     last_store_op: u64,
     last_seq: u64,
-    /// Messages whose attempt is being made, and their endpoint.
+    /// Messages with an attempt in flight.
     out: HashMap<Seq, Box<MessageRecord>>,
+    /// Idle connections to portals.
     idle: HashMap<EndpointId, Vec<ConnKey>>,
-    guards: HashMap<Rc<str>, Guard>,
-    guarded: SecondaryMap<AttemptKey, Rc<str>>,
+    at_most_once_calls: HashMap<Rc<str>, AtMostOnceCall>,
+    at_most_once_attempts: SecondaryMap<AttemptKey, Rc<str>>,
     unrecorded: SecondaryMap<AttemptKey, UnrecordedAttempt>,
-    networks: EgressPolicy,
+    egress_policy: EgressPolicy,
     schedule: Schedule,
-    hung: Option<Micros>,
+    /// Deadline of delivery for which a timer is set.
+    armed_deadline: Option<Micros>,
+    /// Limit on open calls, pending callbacks in memory included.
     pending: usize,
-    answer_limit: Micros,
+    /// How long a portal may take to answer, in microseconds.
+    answer_timeout: Micros,
+    /// Maximum age in microseconds and maximum size in bytes of the retained records.
     retention: (Micros, u64),
+    /// When shutdown began.
     stopping: Option<Micros>,
-    /// What is to be copied before it counts: the question's number, the shard, the record and how many disks it asks for.
+    /// Records to replicate: the number of the store operation, the shard, the record and the
+    /// minimum number of replicas.
     pub(super) shared: VecDeque<(u64, ShardId, Vec<u8>, usize)>,
-    /// Calls of shards led here whose earlier attempt here has not ended; at most as many as were
-    /// under way. Removed when it ends, or with the shard.
+    /// Calls of shards of this primary whose earlier attempt here has not ended; at most as many as
+    /// were in progress. A call is removed when the attempt ends, or with the shard.
     postponed: Vec<CallRecord>,
-    /// The epoch and the last number given in each shard that is led here.
+    /// The epoch and the last assigned number of each shard of which this process is the primary.
     numbers: HashMap<ShardId, (Epoch, u32)>,
 }
 
 impl WebhookDriver {
-    /// Callbacks that wait in memory; those in a file need no room here.
+    /// Returns the number of callbacks that wait in memory; 0 if they are on disk.
     fn waiting(&self) -> usize {
         match &self.backend {
             Backend::Memory(both) => both.1.stats().waiting as usize,
@@ -241,18 +252,19 @@
         matches!(self.backend, Backend::Disk(_))
     }
 
-    fn ask(&mut self, ask: PendingStoreOp, op: Op) {
-        self.ask_for(ask, op, 0);
+    fn submit(&mut self, purpose: PendingStoreOp, op: Op) {
+        self.submit_for_replicas(purpose, op, 0);
     }
 
-    /// Asks for something that is to stand on so many disks, if it is a shard's.
-    fn ask_for(&mut self, ask: PendingStoreOp, op: Op, want: usize) {
+    /// Submits an operation. An operation of a shard is replicated to `min_replicas` replicas at
+    /// least.
+    fn submit_for_replicas(&mut self, purpose: PendingStoreOp, op: Op, min_replicas: usize) {
         self.last_store_op += 1;
         let number = self.last_store_op;
-        self.pending_store_ops.insert(number, ask);
+        self.pending_store_ops.insert(number, purpose);
         if let (Some(shard), Some(shared)) = (op.shard(), ReplicatedOp::from_op(&op)) {
             match shared.encode() {
-                Ok(bytes) => self.shared.push_back((number, shard, bytes, want)),
+                Ok(bytes) => self.shared.push_back((number, shard, bytes, min_replicas)),
                 Err(e) => self.replies.push_back((number, Err(e))),
             }
             return;
@@ -272,12 +284,13 @@
         Seq(self.last_seq)
     }
 
-    /// Whether what was waited for at the end of the process has taken too long.
+    /// Returns whether shutdown has waited too long for the store.
     pub(super) fn is_late(&self, now: Micros) -> bool {
-        self.stopping.is_some_and(|t| now > t + LAST_WORD)
+        self.stopping
+            .is_some_and(|t| now > t + SHUTDOWN_STORE_TIMEOUT)
     }
 
-    /// Whether nothing is left that the end of the process would lose or leave in doubt.
+    /// Returns whether the process can end without losing calls or leaving outcomes unknown.
     pub(super) fn is_idle(&self, now: Micros) -> bool {
         let late = self.is_late(now);
         let kept = if self.durable() {
@@ -288,12 +301,12 @@
         self.jobs.is_empty() && kept
     }
 
-    /// What can be seen of an endpoint.
+    /// Returns the state of an endpoint for operators.
     pub(super) fn health(&self, id: EndpointId) -> Option<crate::delivery::Health> {
         self.delivery.health(id)
     }
 
-    /// Notes a reply of the store's thread.
+    /// Queues a reply of the store's thread.
     pub(super) fn reply(&mut self, number: u64, reply: Result<Reply, StoreError>) {
         self.replies.push_back((number, reply));
     }
@@ -303,14 +316,14 @@
     GatewayError::Operator(ConfigError::Parse(path, e.to_string()))
 }
 
-fn answered(status: u16, advice: Option<Micros>) -> DeliveryReport {
-    let ending = if (200..300).contains(&status) {
+fn answer_report(status: u16, advice: Option<Micros>) -> DeliveryReport {
+    let reason = if (200..300).contains(&status) {
         CloseReason::Served
     } else {
         CloseReason::Failed
     };
     DeliveryReport {
-        close_reason: ending,
+        close_reason: reason,
         send_progress: SendProgress::Started,
         status: Some(status),
         retry_after: advice,
@@ -329,9 +342,9 @@
     }
 }
 
-fn order(key: &str) -> u64 {
-    let mark = replay::mark("", key);
-    mark.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b))
+fn order_key_hash(key: &str) -> u64 {
+    let digest = replay::mark("", key);
+    digest.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b))
 }
 
 fn new_message(seq: Seq, e: &Endpoint, kind: &str, now: Micros, body: &[u8]) -> MessageRecord {
@@ -357,7 +370,7 @@
     }
 }
 
-/// The bytes of a refusal.
+/// Returns the response to a refused request.
 pub(super) fn refuse(bad: &Bad, stays: bool) -> Vec<u8> {
     let extra = if bad.status == 503 {
         "Content-Type: text/plain\r\nRetry-After: 1\r\n"
@@ -368,7 +381,8 @@
 }
 
 impl Gateway {
-    /// Writes the answer that a client of the second front is owed, and reads on.
+    /// Writes the pending answer to a client of the secondary front, and continues to read its
+    /// requests.
     pub(super) fn answer_second(
         &mut self,
         key: ConnKey,
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -1,16 +1,16 @@
-//! Calls: taken, run and answered.
+//! Calls: acceptance, execution and final answer.
 
 use super::{
-    fault_injection_point, http, message, new_message, order, plain, refuse, replay, AcceptCall,
-    AttemptDispatch, AttemptKey, Call, CallRecord, Caller, CloseReason, CompleteCall, Completed,
-    ConnKey, Effect, Exchange, Gateway, Guard, Held, IdentityDigest, Job, JobKey, Micros, Op,
-    Origin, Outcome, PendingStoreOp, PrimaryRequest, ReplicationError, Reply, RequestOrigin,
-    RequestOutcome, SendProgress, Seq, StoreError, UnrecordedAttempt, COMPLETED,
-    MAX_PENDING_STORE_OPS, STALE,
+    fault_injection_point, http, message, new_message, order_key_hash, plain, refuse, replay,
+    AcceptCall, AtMostOnceCall, AttemptDispatch, AttemptKey, Call, CallRecord, Caller, CloseReason,
+    CompleteCall, Completed, ConnKey, Effect, Exchange, Gateway, IdentityDigest, Job, JobKey,
+    Micros, Op, OpenCall, Origin, Outcome, PendingStoreOp, PrimaryRequest, ReplicationError, Reply,
+    RequestOrigin, RequestOutcome, SendProgress, Seq, StoreError, UnrecordedAttempt, COMPLETED,
+    MAX_PENDING_STORE_OPS, MAX_RECORD_WAIT,
 };
 
 impl Gateway {
-    /// Takes a webhook, or turns it away; none while its answer waits for the store.
+    /// Handles a webhook request. Returns the answer, or none if the answer depends on the store.
     pub(in crate::gateway) fn take_webhook(
         &mut self,
         key: ConnKey,
@@ -36,13 +36,13 @@
                         .path
                         .strip_prefix("/webhooks/")
                         .and_then(|p| p.split_once('/'));
-                    let mark = replay::mark(tenant.map_or("", |(t, _)| t), id);
+                    let identity_digest = replay::mark(tenant.map_or("", |(t, _)| t), id);
                     let (id, shard) = (
                         id.to_owned(),
                         self.cluster
                             .replication
                             .as_ref()
-                            .map_or(0, |s| s.shard_of(&mark)),
+                            .map_or(0, |s| s.shard_of(&identity_digest)),
                     );
                     self.send_to_primary(
                         shard,
@@ -52,17 +52,17 @@
                     None
                 }
                 Ok((serial, id)) => {
-                    let ask = PendingStoreOp::ReadCallState {
+                    let purpose = PendingStoreOp::ReadCallState {
                         conn: key,
                         id: id.to_owned(),
                     };
-                    hooks.ask(ask, Op::GetCall(serial, id.to_owned()));
+                    hooks.submit(purpose, Op::GetCall(serial, id.to_owned()));
                     None
                 }
                 Err(bad) => Some(refuse(&bad, stays)),
             };
         }
-        // Taken only with room for what follows: what got a 202 is owed a callback.
+        // A call is accepted only if there is capacity for its callback, which a 202 promises.
         let full = hooks.jobs.len()
             + hooks.waiting()
             + hooks
@@ -70,17 +70,17 @@
                 .len()
                 .saturating_sub(MAX_PENDING_STORE_OPS)
             >= hooks.pending;
-        let taken = if full || hooks.pending_store_ops.len() >= MAX_PENDING_STORE_OPS {
+        let admitted = if full || hooks.pending_store_ops.len() >= MAX_PENDING_STORE_OPS {
             Err(plain(503, "too many calls under way"))
         } else {
             hooks.inbound.take(r, tenants, &self.config.names, now)
         };
-        match taken {
-            // Answers on workers' connections are told apart by identity alone.
+        match admitted {
+            // Answers on workers' connections are distinguished by identity alone.
             Ok((call, ..)) if self.core.is_open(&call.identity) => {
                 Some(refuse(&plain(409, "already taken"), stays))
             }
-            Ok((call, mark, until)) => {
+            Ok((call, identity_digest, until)) => {
                 let (seq, job, a) = (hooks.seq(), &call.origin, &call.arrival);
                 let record = CallRecord {
                     seq,
@@ -100,31 +100,40 @@
                     order: job.order.clone(),
                     sent: None,
                 };
-                if let Some(shard) = self.cluster.replication.as_ref().map(|s| s.shard_of(&mark)) {
-                    let left = record.expires.saturating_sub(now);
+                if let Some(shard) = self
+                    .cluster
+                    .replication
+                    .as_ref()
+                    .map(|s| s.shard_of(&identity_digest))
+                {
+                    let remaining = record.expires.saturating_sub(now);
                     let request = PrimaryRequest::AcceptCall {
                         call: Box::new(CallRecord {
-                            expires: left,
+                            expires: remaining,
                             ..record
                         }),
-                        identity: mark,
+                        identity: identity_digest,
                         valid_until: until,
                     };
-                    self.send_to_primary(shard, &request, RequestOrigin::AcceptCall(key, mark));
+                    self.send_to_primary(
+                        shard,
+                        &request,
+                        RequestOrigin::AcceptCall(key, identity_digest),
+                    );
                     return None;
                 }
-                let ask = PendingStoreOp::AcceptCall {
+                let purpose = PendingStoreOp::AcceptCall {
                     caller: Caller::Here(key),
                     call: Box::new(call),
                     seq,
-                    mark,
+                    identity_digest,
                 };
                 let accept = AcceptCall {
                     call: Box::new(record),
-                    identity: mark,
+                    identity: identity_digest,
                     valid_until: until,
                 };
-                hooks.ask(ask, Op::AcceptCall(accept));
+                hooks.submit(purpose, Op::AcceptCall(accept));
                 None
             }
             Err(bad) => {
@@ -134,23 +143,24 @@
         }
     }
 
-    /// A call is kept, or not: it gets its 202 and goes to the module, or is turned away.
-    pub(super) fn taken(
+    /// Answers a call whose record is persisted with a 202 and submits it to the core. Rejects the
+    /// call if the store has failed.
+    pub(super) fn call_persisted(
         &mut self,
         now: Micros,
         caller: Caller,
         call: Call<Job>,
         seq: Seq,
-        mark: IdentityDigest,
-        kept: Result<Reply, StoreError>,
+        identity_digest: IdentityDigest,
+        reply: Result<Reply, StoreError>,
     ) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
-        if let Err(e) = kept {
+        if let Err(e) = reply {
             return match (caller, e) {
                 (Caller::Here(conn), e) => {
-                    hooks.inbound.replays.forget(&mark);
+                    hooks.inbound.replays.forget(&identity_digest);
                     self.core.counters.webhooks_rejected += 1;
                     let full = e == StoreError::Full;
                     let why = if full {
@@ -162,7 +172,7 @@
                 }
                 (Caller::Gateway(to, number), e) => {
                     let shard = seq.shard();
-                    self.remove_identity(shard, &mark);
+                    self.remove_identity(shard, &identity_digest);
                     let why = match e {
                         StoreError::NotCommitted(why) => why,
                         _ => ReplicationError::PrimaryUnreachable { shard },
@@ -171,12 +181,14 @@
                 }
             };
         }
-        let kept = if hooks.durable() { "store" } else { "memory" };
+        let kept_in = if hooks.durable() { "store" } else { "memory" };
         let id = call.identity.clone();
         if call.origin.effect != Effect::Idempotent && hooks.durable() {
-            hooks.guards.insert(id.clone(), Guard { seq, ran: false });
+            hooks
+                .at_most_once_calls
+                .insert(id.clone(), AtMostOnceCall { seq, ran: false });
         }
-        let job = hooks.jobs.insert(Held {
+        let job = hooks.jobs.insert(OpenCall {
             seq,
             job: call.origin.clone(),
             id,
@@ -186,7 +198,7 @@
             Caller::Here(conn) => {
                 self.core.counters.webhooks_accepted += 1;
                 self.answer_second(conn, now, |stays| {
-                    http::response(202, &format!("X-Kept-In: {kept}\r\n"), b"", stays)
+                    http::response(202, &format!("X-Kept-In: {kept_in}\r\n"), b"", stays)
                 });
             }
             Caller::Gateway(to, number) => {
@@ -201,7 +213,7 @@
         self.set_call_request(job, request);
     }
 
-    /// Holds back an attempt of a call that must not run twice until it is recorded that it is sent; hands back an
+    /// Defers an attempt of a call that must not run twice until its start is recorded. Returns an
     /// attempt that needs no record.
     pub(in crate::gateway) fn defer_until_recorded(
         &mut self,
@@ -211,25 +223,28 @@
         let Some(hooks) = &mut self.secondary.hooks else {
             return Some(dispatch);
         };
-        let Some(guard) = hooks.guards.get(&dispatch.identity) else {
+        let Some(guard) = hooks.at_most_once_calls.get(&dispatch.identity) else {
             return Some(dispatch);
         };
         let seq = guard.seq;
         let attempt = dispatch.attempt;
-        hooks.guarded.insert(attempt, dispatch.identity.clone());
+        hooks
+            .at_most_once_attempts
+            .insert(attempt, dispatch.identity.clone());
         let waiting = UnrecordedAttempt {
             dispatch,
             since: now,
         };
         hooks.unrecorded.insert(attempt, waiting);
-        hooks.ask(
+        hooks.submit(
             PendingStoreOp::RecordAttempt(attempt),
             Op::SetSent(seq, now),
         );
         None
     }
 
-    /// Whether an attempt still waited for its record: then it never left.
+    /// Discards an attempt that waits for its record. Returns whether there was one; such an
+    /// attempt was never sent.
     pub(in crate::gateway) fn unrecorded(&mut self, attempt: AttemptKey) -> bool {
         self.secondary
             .hooks
@@ -237,14 +252,14 @@
             .is_some_and(|h| h.unrecorded.remove(attempt).is_some())
     }
 
-    pub(super) fn recorded(&mut self, now: Micros, attempt: AttemptKey, kept: bool) {
+    pub(super) fn attempt_recorded(&mut self, now: Micros, attempt: AttemptKey, is_recorded: bool) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
         let Some(waiting) = hooks.unrecorded.remove(attempt) else {
             return;
         };
-        if !kept || now > waiting.since + STALE {
+        if !is_recorded || now > waiting.since + MAX_RECORD_WAIT {
             return self.completed.push_back(Completed::without_reply(
                 Exchange::Attempt(attempt),
                 CloseReason::Withdrawn,
@@ -255,74 +270,76 @@
         self.send_attempt(now, waiting.dispatch);
     }
 
-    /// An attempt has ended; whether it is proved never to have run.
+    /// Handles the end of an attempt. `never_ran` is set if the attempt is proved not to have run.
     pub(in crate::gateway) fn guarded_ended(&mut self, attempt: AttemptKey, never_ran: bool) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
-        let Some(id) = hooks.guarded.remove(attempt) else {
+        let Some(id) = hooks.at_most_once_attempts.remove(attempt) else {
             return;
         };
-        let Some(guard) = hooks.guards.get_mut(&id) else {
+        let Some(guard) = hooks.at_most_once_calls.get_mut(&id) else {
             return;
         };
         fault_injection_point("attempt answered");
         guard.ran |= !never_ran;
         let (seq, ran) = (guard.seq, guard.ran);
         if !ran {
-            hooks.ask(PendingStoreOp::RecordOnly, Op::ClearSent(seq));
+            hooks.submit(PendingStoreOp::RecordOnly, Op::ClearSent(seq));
         }
     }
 
-    /// A webhook's call has its final answer: it is kept with its messages, in place of the call.
+    /// Handles the final answer of a webhook's call: the store replaces the call by its outcome and
+    /// the callback messages.
     pub(in crate::gateway) fn call_back(&mut self, now: Micros, job: JobKey, outcome: &Outcome) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
-        let Some(held) = hooks.jobs.remove(job) else {
+        let Some(open_call) = hooks.jobs.remove(job) else {
             return;
         };
-        hooks.guards.remove(&held.id);
-        let body = message::event(COMPLETED, now, &message::completed(&held.job, outcome));
+        hooks.at_most_once_calls.remove(&open_call.id);
+        let body = message::event(COMPLETED, now, &message::completed(&open_call.job, outcome));
         let tenant = self
             .secondary
             .tenants
-            .same(&held.job.tenant, held.job.serial);
+            .same(&open_call.job.tenant, open_call.job.serial);
         let mut messages = Vec::new();
         for e in tenant
             .iter()
             .flat_map(|t| t.endpoints.values())
             .filter(|e| e.wants(COMPLETED))
         {
-            let shard = held.seq.shard();
+            let shard = open_call.seq.shard();
             let mut m = new_message(hooks.next_sequence_number(shard), e, COMPLETED, now, &body);
-            m.id = format!("msg_{}", held.id);
-            (m.tenant, m.serial) = (held.job.tenant.clone(), held.job.serial);
-            m.waiting.effect = held.job.effect;
-            m.call = Some(held.job.webhook_id.clone());
-            // Each shard has its own order of a key.
-            m.order = held
+            m.id = format!("msg_{}", open_call.id);
+            (m.tenant, m.serial) = (open_call.job.tenant.clone(), open_call.job.serial);
+            m.waiting.effect = open_call.job.effect;
+            m.call = Some(open_call.job.webhook_id.clone());
+            // Messages with the same order key are ordered within a shard.
+            m.order = open_call
                 .job
                 .order
                 .as_ref()
                 .filter(|_| e.ordered)
-                .map(|k| order(k) ^ u64::from(shard));
+                .map(|k| order_key_hash(k) ^ u64::from(shard));
             messages.push((m, body.clone()));
         }
         if messages.is_empty() {
             self.core.counters.callbacks_undelivered += 1;
         }
-        hooks.ask(
+        hooks.submit(
             PendingStoreOp::EnqueueMessages,
             Op::CompleteCall(CompleteCall {
-                call: held.seq,
+                call: open_call.seq,
                 outcome: outcome.name().into(),
                 messages,
             }),
         );
     }
 
-    /// An operational event to those of a tenant's endpoints that want it.
+    /// Sends an operational event to the tenant's endpoints that subscribe to it, or only to the
+    /// endpoint `only`.
     pub(in crate::gateway) fn tell_tenant(
         &mut self,
         now: Micros,
@@ -347,7 +364,7 @@
             }
         }
         if !messages.is_empty() {
-            hooks.ask(PendingStoreOp::EnqueueMessages, Op::Publish(messages));
+            hooks.submit(PendingStoreOp::EnqueueMessages, Op::Publish(messages));
         }
     }
 }
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -1,45 +1,47 @@
-//! Connections to portals, and what administrators ask of the store.
+//! Connections to portals, and store requests of administrators.
 
 use super::{
-    answer, answered, fault_injection_point, io, message, net, plain, Bad, CloseReason, ConnKey,
-    DeliveryReport, Effect, Endpoint, Gateway, Input, MessageRecord, Micros, Op, PendingStoreOp,
-    PortalLink, Progress, Role, SendProgress, Seq, MOST_IDLE, PORTAL_IDLE,
+    answer, answer_report, fault_injection_point, io, message, net, plain, Bad, CloseReason,
+    ConnKey, DeliveryReport, Effect, Endpoint, Gateway, Input, MessageRecord, Micros, Op,
+    PendingStoreOp, PortalLink, Progress, Role, SendProgress, Seq, MAX_IDLE_PER_ENDPOINT,
+    PORTAL_IDLE_TIMEOUT,
 };
 
 impl Gateway {
-    /// Makes an attempt at a message, on a connection that is idle or a new one.
-    pub(super) fn attempt(&mut self, now: Micros, mut record: MessageRecord, body: &[u8]) {
+    /// Sends a message on an idle connection or a new one.
+    pub(super) fn send_message(&mut self, now: Micros, mut record: MessageRecord, body: &[u8]) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
         let (seq, id) = (record.waiting.seq, record.waiting.endpoint);
         let tenant = self.secondary.tenants.same(&record.tenant, record.serial);
         let Some((tenant, e)) = tenant.and_then(|t| t.endpoint(id).map(|(_, e)| (t, e))) else {
-            // Removed at this very moment; its end is kept by the removal.
+            // The endpoint was removed meanwhile; the removal ends its messages.
             return hooks
                 .delivery
                 .handle(now, Input::AttemptEnded(seq, DeliveryReport::VOID));
         };
         let (address, secrets) = (e.portal.address, tenant.signing(e, now));
-        let failed = |ending| DeliveryReport {
+        let unsent = |ending| DeliveryReport {
             close_reason: ending,
             send_progress: SendProgress::Unsent,
             status: None,
             retry_after: None,
         };
-        if !hooks.networks.allows(address.ip()) || secrets.is_empty() {
-            // Nothing is sent where the operator does not allow it, or unsigned.
+        if !hooks.egress_policy.allows(address.ip()) || secrets.is_empty() {
+            // Messages go only to allowed networks, and only signed.
             return hooks.delivery.handle(
                 now,
-                Input::AttemptEnded(seq, failed(CloseReason::ConnectTimeout)),
+                Input::AttemptEnded(seq, unsent(CloseReason::ConnectTimeout)),
             );
         }
-        // One that must not come twice has a connection of its own: an idle one may be at its end unseen.
+        // A message that must not arrive twice gets a new connection: the portal may have closed an
+        // idle one without the gateway having noticed.
         let reuse = record.waiting.effect == Effect::Idempotent;
         let bytes = message::request(&e.portal, &record.id, &secrets, now, body, reuse);
         record.waiting.due = now;
         hooks.out.insert(seq, Box::new(record));
-        let deadline = now + hooks.answer_limit;
+        let deadline = now + hooks.answer_timeout;
         let idle = hooks.idle.get_mut(&id).filter(|_| reuse).and_then(Vec::pop);
         let key = match idle {
             Some(key) => Ok(key),
@@ -67,7 +69,7 @@
             Err(e) => {
                 let ending = match e.kind() {
                     io::ErrorKind::ConnectionRefused => CloseReason::Refused,
-                    // Out of descriptors: nothing is known of the portal.
+                    // Out of file descriptors (ENFILE, EMFILE): says nothing about the portal.
                     _ if e.raw_os_error().is_some_and(|n| n == 24 || n == 23) => {
                         CloseReason::LocalLimit
                     }
@@ -76,19 +78,19 @@
                 if let Some(hooks) = &mut self.secondary.hooks {
                     hooks
                         .delivery
-                        .handle(now, Input::AttemptEnded(seq, failed(ending)));
+                        .handle(now, Input::AttemptEnded(seq, unsent(ending)));
                 }
             }
         }
     }
 
-    /// Something has come from a portal.
+    /// Handles input from a portal.
     pub(in crate::gateway) fn on_portal(&mut self, key: ConnKey, now: Micros) {
         let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else {
             return;
         };
         let Some((seq, _)) = link.current else {
-            // It says something unasked.
+            // The portal sent data without a request.
             if !conn.input.bytes().is_empty() {
                 self.close(key, CloseReason::Malformed);
             }
@@ -102,12 +104,13 @@
                 conn.input.consume(size);
                 (link.current, link.status) = (None, None);
                 let (id, address) = (link.endpoint, link.address);
-                // An answer ahead of the request's end: what is left of it would be read as the next request.
+                // If the answer came before the whole request was sent, the portal would read the
+                // rest of the request as the next one.
                 let clean = keep
                     && conn.outbox.is_empty()
                     && conn.input.bytes().is_empty()
                     && !conn.peer_closed;
-                self.portal_ended(now, seq, answered(status, advice));
+                self.delivery_ended(now, seq, answer_report(status, advice));
                 let Some(hooks) = &mut self.secondary.hooks else {
                     return;
                 };
@@ -117,9 +120,10 @@
                     .iter()
                     .any(|(_, t)| t.endpoint(id).is_some_and(|(_, e)| same(e)));
                 let idle = hooks.idle.entry(id).or_default();
-                if clean && known && idle.len() < MOST_IDLE && hooks.stopping.is_none() {
+                if clean && known && idle.len() < MAX_IDLE_PER_ENDPOINT && hooks.stopping.is_none()
+                {
                     idle.push(key);
-                    self.set_deadline(key, Some(now + PORTAL_IDLE));
+                    self.set_deadline(key, Some(now + PORTAL_IDLE_TIMEOUT));
                 } else {
                     if idle.is_empty() {
                         hooks.idle.remove(&id);
@@ -130,7 +134,7 @@
         }
     }
 
-    /// A portal's connection has ended.
+    /// Handles the end of a portal's connection.
     pub(in crate::gateway) fn portal_closed(
         &mut self,
         now: Micros,
@@ -149,34 +153,35 @@
         }
         let Some((seq, _)) = link.current else { return };
         let report = match link.status {
-            // Its head told the answer; what was missing is of no use to anybody.
-            Some((status, advice)) => answered(status, advice),
+            // The head of the answer has the status; the missing body is not needed.
+            Some((status, advice)) => answer_report(status, advice),
             None => {
-                let left = if untouched {
+                let progress = if untouched {
                     SendProgress::Unsent
                 } else {
                     SendProgress::Started
                 };
                 DeliveryReport {
                     close_reason: ending,
-                    send_progress: left,
+                    send_progress: progress,
                     status: None,
                     retry_after: None,
                 }
             }
         };
-        self.portal_ended(now, seq, report);
+        self.delivery_ended(now, seq, report);
     }
 
-    pub(super) fn portal_ended(&mut self, now: Micros, seq: Seq, report: DeliveryReport) {
+    pub(super) fn delivery_ended(&mut self, now: Micros, seq: Seq, report: DeliveryReport) {
         fault_injection_point("callback answered");
         if let Some(hooks) = &mut self.secondary.hooks {
             hooks.delivery.handle(now, Input::AttemptEnded(seq, report));
         }
     }
 
-    /// Nothing more is begun towards portals: what waits goes on at the next start, what is out ends now and
-    /// follows its class. Without a store all of it is awaited as before.
+    /// Stops deliveries: waiting messages resume at the next start, and attempts in flight end now
+    /// and are retried if their class permits. Without a store, all deliveries continue to their
+    /// end.
     pub(in crate::gateway) fn stop_webhooks(&mut self, now: Micros) {
         let Some(hooks) = self.secondary.hooks.as_mut().filter(|h| h.durable()) else {
             return;
@@ -194,7 +199,7 @@
             .for_each(|key| self.close(key, CloseReason::Shutdown));
     }
 
-    /// Asks the store for an administrator.
+    /// Submits an administrator's operation to the store.
     pub(in crate::gateway) fn ask_for_admin(
         &mut self,
         conn: ConnKey,
@@ -210,7 +215,7 @@
             Op::ListMessages(filter) => Some(filter.limit),
             _ => None,
         };
-        hooks.ask(PendingStoreOp::AdminRequest { conn, limit, key }, op);
+        hooks.submit(PendingStoreOp::AdminRequest { conn, limit, key }, op);
         Ok(())
     }
 }
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -1,32 +1,33 @@
-//! The store's replies, and what delivery asks for.
+//! Replies of the store, and outputs of delivery.
 
 use super::{
     fault_injection_point, http, plain, refuse, ApplyRetention, AttemptRecord, Bad, BeginAttempt,
     CallState, ConnKey, DeadLetterReason, DeliveryReport, FinishAttempt, Gateway, GatewayDeadline,
     Input, Micros, Op, Output, PendingStoreOp, ReplicationError, Reply, RequestOutcome,
-    RetentionResult, State, StoreError, Waiting, COMPLETED, RETAINED, RETAIN_LATER, RETAIN_SOON,
+    RetentionResult, State, StoreError, Waiting, COMPLETED, RETENTION_BATCH,
+    RETENTION_CONTINUE_DELAY, RETENTION_INTERVAL,
 };
 use crate::delivery::{EndpointId, Seq};
 use crate::replication::replicator::Input as ReplicatorInput;
 use crate::replication::Name;
 
-/// The pause before messages are read again from a store that has failed.
+/// Pause before messages are read again from a store that has failed, in microseconds.
 const FETCH_RETRY_INTERVAL: Micros = 1_000_000;
 
 impl Gateway {
-    /// Does one thing that the store or delivery asks for; whether there was one.
+    /// Handles one reply of the store or one output of delivery. Returns whether there was one.
     pub(in crate::gateway) fn step_webhooks(&mut self, now: Micros) -> bool {
         let Some(hooks) = &mut self.secondary.hooks else {
             return false;
         };
         if let Some((number, reply)) = hooks.replies.pop_front() {
-            if let Some(ask) = hooks.pending_store_ops.remove(&number) {
-                self.handle_store_reply(now, ask, reply);
+            if let Some(purpose) = hooks.pending_store_ops.remove(&number) {
+                self.handle_store_reply(now, purpose, reply);
             }
             return true;
         }
         if let Some(output) = hooks.delivery.output() {
-            self.deliver(now, output);
+            self.handle_delivery_output(now, output);
             return true;
         }
         if !hooks.postponed.is_empty() && self.resume_postponed(now) {
@@ -36,11 +37,11 @@
             return false;
         };
         let next = hooks.delivery.next_deadline();
-        if next != hooks.hung {
-            if let Some(old) = hooks.hung {
+        if next != hooks.armed_deadline {
+            if let Some(old) = hooks.armed_deadline {
                 self.core.unschedule(old, GatewayDeadline::Delivery.into());
             }
-            hooks.hung = next;
+            hooks.armed_deadline = next;
             if let Some(at) = next {
                 self.core.schedule(at, GatewayDeadline::Delivery.into());
             }
@@ -48,10 +49,10 @@
         false
     }
 
-    /// Delivery's own deadline fell due.
+    /// Handles the expiry of delivery's deadline.
     pub(in crate::gateway) fn tick_webhooks(&mut self, now: Micros) {
         if let Some(hooks) = &mut self.secondary.hooks {
-            hooks.hung = None;
+            hooks.armed_deadline = None;
             hooks.delivery.handle(now, Input::Tick);
         }
     }
@@ -68,8 +69,8 @@
                 caller,
                 call,
                 seq,
-                mark,
-            } => self.taken(now, caller, *call, seq, mark, reply),
+                identity_digest,
+            } => self.call_persisted(now, caller, *call, seq, identity_digest, reply),
             PendingStoreOp::RegisterDisk => self.disk_registered(reply),
             PendingStoreOp::StoreRecord(shard, waiter) => self.record_stored(shard, waiter, reply),
             PendingStoreOp::ReadSnapshot(shard, peer) => self.shard_read(shard, peer, reply),
@@ -86,7 +87,9 @@
             PendingStoreOp::ForwardCallState(peer, number) => {
                 self.forward_call_state(peer, number, reply);
             }
-            PendingStoreOp::RecordAttempt(attempt) => self.recorded(now, attempt, reply.is_ok()),
+            PendingStoreOp::RecordAttempt(attempt) => {
+                self.attempt_recorded(now, attempt, reply.is_ok())
+            }
             PendingStoreOp::EnqueueMessages | PendingStoreOp::RecordOnly => {
                 self.enqueue_released(now, reply);
             }
@@ -110,7 +113,7 @@
         }
     }
 
-    /// The checksums of all shards were compared with their rows.
+    /// Handles the result of verifying the checksums of all shards.
     fn disk_verified(&mut self, reply: Result<Reply, StoreError>) {
         let verified = match reply {
             Ok(Reply::Verified(verified)) => Some(verified),
@@ -119,7 +122,7 @@
         self.notify_replicator(ReplicatorInput::Verified(verified));
     }
 
-    /// A delivery was settled whose attempt another process had begun.
+    /// Handles the settlement of a delivery whose attempt another process had begun.
     fn attempt_settled(
         &mut self,
         now: Micros,
@@ -134,7 +137,7 @@
         self.enqueue_released(now, reply);
     }
 
-    /// The state of a call was read for another gateway.
+    /// Sends the state of a call to the gateway that asked for it.
     fn forward_call_state(&mut self, peer: Name, number: u64, reply: Result<Reply, StoreError>) {
         let outcome = match reply {
             Ok(Reply::Call(state)) => {
@@ -147,11 +150,11 @@
         self.respond_to_request(peer, number, outcome);
     }
 
-    /// The beginning of a delivery was recorded.
+    /// Sends a delivery whose beginning was recorded.
     fn delivery_begun(&mut self, now: Micros, seq: Seq, reply: Result<Reply, StoreError>) {
         if let Ok(Reply::Attempt(Some(message))) = reply {
             fault_injection_point("callback's intent promised");
-            return self.attempt(now, message.0, &message.1);
+            return self.send_message(now, message.0, &message.1);
         }
         let input = match reply {
             Ok(_) => Input::MessageRemoved(seq),
@@ -162,11 +165,11 @@
         }
     }
 
-    /// The first messages that wait at an endpoint were read.
+    /// Passes the fetched messages of an endpoint to delivery.
     fn due_fetched(&mut self, now: Micros, endpoint: EndpointId, reply: Result<Reply, StoreError>) {
         let input = match reply {
             Ok(Reply::Due(messages, next)) => Input::Fetched(endpoint, messages, next),
-            // The store has failed and keeps what it has; it is read again later.
+            // The store has failed. Its messages remain, and a later fetch reads them.
             _ => Input::Fetched(endpoint, Vec::new(), Some(now + FETCH_RETRY_INTERVAL)),
         };
         if let Some(hooks) = &mut self.secondary.hooks {
@@ -174,16 +177,16 @@
         }
     }
 
-    /// Some messages of a removed endpoint were ended.
+    /// Continues to purge a removed endpoint if it has more messages.
     fn endpoint_purged(&mut self, endpoint: EndpointId, reply: &Result<Reply, StoreError>) {
         let has_more = matches!(reply, Ok(Reply::More(true)));
         if let Some(hooks) = self.secondary.hooks.as_mut().filter(|_| has_more) {
-            let purge = Op::PurgeEndpoint(endpoint, RETAINED);
-            hooks.ask(PendingStoreOp::PurgeEndpoint(endpoint), purge);
+            let purge = Op::PurgeEndpoint(endpoint, RETENTION_BATCH);
+            hooks.submit(PendingStoreOp::PurgeEndpoint(endpoint), purge);
         }
     }
 
-    /// A pass of retention has ended.
+    /// Handles the result of a pass of retention and schedules the next pass.
     fn retention_applied(&mut self, now: Micros, reply: Result<Reply, StoreError>) {
         let RetentionResult {
             expired,
@@ -202,12 +205,16 @@
                 self.core.counters.callbacks_undelivered += 1;
             }
         }
-        let pause = if more { RETAIN_SOON } else { RETAIN_LATER };
+        let pause = if more {
+            RETENTION_CONTINUE_DELAY
+        } else {
+            RETENTION_INTERVAL
+        };
         self.core
             .schedule(now + pause, GatewayDeadline::Retention.into());
     }
 
-    /// Tells a caller how its call stands.
+    /// Answers a client's request for the state of a call.
     pub(in crate::gateway) fn answer_state(
         &mut self,
         now: Micros,
@@ -239,7 +246,7 @@
             .for_each(|w| hooks.delivery.handle(now, Input::MessagePending(w)));
     }
 
-    /// A pass of retention is due.
+    /// Begins a pass of retention.
     pub(in crate::gateway) fn retain(&mut self, now: Micros) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
@@ -249,15 +256,15 @@
             now,
             max_age,
             max_bytes,
-            limit: RETAINED,
+            limit: RETENTION_BATCH,
         };
-        hooks.ask(
+        hooks.submit(
             PendingStoreOp::ApplyRetention,
             Op::ApplyRetention(retention),
         );
     }
 
-    pub(super) fn deliver(&mut self, now: Micros, output: Output) {
+    pub(super) fn handle_delivery_output(&mut self, now: Micros, output: Output) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
         };
@@ -268,14 +275,14 @@
                     durable: recorded,
                     at: now,
                 };
-                hooks.ask(PendingStoreOp::BeginDelivery(seq), Op::BeginAttempt(begin))
+                hooks.submit(PendingStoreOp::BeginDelivery(seq), Op::BeginAttempt(begin))
             }
             Output::Fetch(id, limit) => {
-                hooks.ask(PendingStoreOp::FetchDue(id), Op::FetchDue(id, limit))
+                hooks.submit(PendingStoreOp::FetchDue(id), Op::FetchDue(id, limit))
             }
-            Output::Purge(id) => hooks.ask(
+            Output::Purge(id) => hooks.submit(
                 PendingStoreOp::PurgeEndpoint(id),
-                Op::PurgeEndpoint(id, RETAINED),
+                Op::PurgeEndpoint(id, RETENTION_BATCH),
             ),
             Output::Persist {
                 message,
@@ -301,10 +308,10 @@
                         status = a.status,
                         ending = a.ending,
                         state,
-                        "an attempt has ended"
+                        "delivery attempt ended"
                     );
                 }
-                hooks.ask(
+                hooks.submit(
                     PendingStoreOp::EnqueueMessages,
                     Op::FinishAttempt(FinishAttempt {
                         waiting: Box::new(message),
@@ -313,7 +320,7 @@
                     }),
                 );
                 if state.is_over() {
-                    self.count(&message, state);
+                    self.count_outcome(&message, state);
                     let record =
                         record.filter(|r| r.kind == COMPLETED && matches!(state, State::Dead(_)));
                     if let Some(r) = record.filter(|_| state != State::Dead(DeadLetterReason::Gone))
@@ -336,7 +343,7 @@
         }
     }
 
-    pub(super) fn count(&mut self, message: &Waiting, state: State) {
+    pub(super) fn count_outcome(&mut self, message: &Waiting, state: State) {
         let counters = &mut self.core.counters;
         match state {
             State::Delivered => counters.callbacks_delivered += 1,
--- a/src/gateway/webhooks/shard_calls.rs
+++ b/src/gateway/webhooks/shard_calls.rs
@@ -2,7 +2,9 @@
 
 use std::rc::Rc;
 
-use super::{job_of, refuse, Caller, Guard, Held, JobKey, PendingStoreOp, WebhookDriver};
+use super::{
+    job_of, refuse, AtMostOnceCall, Caller, JobKey, OpenCall, PendingStoreOp, WebhookDriver,
+};
 use crate::api::{Arrival, ClassId, Effect, FunctionId, Micros, RequestId};
 use crate::core::{Answer, Call, RequestKey};
 use crate::front::http::{self, plain};
@@ -22,7 +24,7 @@
     pub(in crate::gateway) shard: ShardId,
     pub(in crate::gateway) record: CallRecord,
     pub(in crate::gateway) identity: IdentityDigest,
-    /// The time until which a repetition of the identity has to be detected.
+    /// The time until which a repetition of the identity must be detected.
     pub(in crate::gateway) valid_until: Micros,
     pub(in crate::gateway) caller: Caller,
 }
@@ -49,12 +51,12 @@
         action
     }
 
-    /// Returns what this process has of a call.
+    /// Returns whether a call is in progress or ending in this process.
     fn local_run(&self, call: &CallRecord) -> LocalRun {
         let webhooks = self.secondary.hooks.as_ref();
         let is_held = |webhooks: &WebhookDriver| {
             let mut jobs = webhooks.jobs.values();
-            jobs.any(|held| held.seq == call.seq)
+            jobs.any(|open_call| open_call.seq == call.seq)
         };
         if webhooks.is_some_and(is_held) {
             LocalRun::UnderWay
@@ -85,7 +87,7 @@
             return;
         };
         let id: Rc<str> = call.worker_id.as_str().into();
-        let key = webhooks.jobs.insert(Held {
+        let key = webhooks.jobs.insert(OpenCall {
             seq: call.seq,
             job: job_of(call),
             id: id.clone(),
@@ -95,7 +97,9 @@
             (RecoveryAction::Run, Some(runnable)) => {
                 if call.effect != Effect::Idempotent {
                     let seq = call.seq;
-                    webhooks.guards.insert(id, Guard { seq, ran: false });
+                    webhooks
+                        .at_most_once_calls
+                        .insert(id, AtMostOnceCall { seq, ran: false });
                 }
                 let request = self
                     .core
@@ -103,7 +107,7 @@
                 self.set_call_request(key, request);
             }
             (RecoveryAction::ReportUnknown, _) => self.call_back(now, key, &Outcome::Unknown),
-            // The call's class or tenant was removed; it never ran, or may run again.
+            // The class or tenant of the call was removed. The call never ran, or may run again.
             (RecoveryAction::Run, None) | (RecoveryAction::Reject, _) => {
                 let rejected = Outcome::Answered(Answer::Rejected { retry_after: 0 });
                 self.call_back(now, key, &rejected);
@@ -114,12 +118,12 @@
     /// Notes the request in the core that runs a call.
     pub(super) fn set_call_request(&mut self, key: JobKey, request: RequestKey) {
         let webhooks = self.secondary.hooks.as_mut();
-        if let Some(held) = webhooks.and_then(|webhooks| webhooks.jobs.get_mut(key)) {
-            held.request = Some(request);
+        if let Some(open_call) = webhooks.and_then(|webhooks| webhooks.jobs.get_mut(key)) {
+            open_call.request = Some(request);
         }
     }
 
-    /// Returns the call of a record; none if its class or tenant is not known here.
+    /// Creates the call of a record; none if its class or tenant is not known here.
     pub(super) fn call_of(&self, call: &CallRecord) -> Option<Call<Job>> {
         let class = Names::index_of(&self.config.names.classes, &call.class)?;
         let tenant = self.secondary.tenants.same(&call.tenant, call.serial)?.id;
@@ -166,29 +170,29 @@
         webhooks.check_capacity()?;
         let seq = webhooks.next_sequence_number(shard);
         record.seq = seq;
-        let ask = PendingStoreOp::AcceptCall {
+        let purpose = PendingStoreOp::AcceptCall {
             caller: incoming.caller,
             call: Box::new(call),
             seq,
-            mark: incoming.identity,
+            identity_digest: incoming.identity,
         };
         let accept = AcceptCall {
             call: Box::new(record),
             identity: incoming.identity,
             valid_until: incoming.valid_until,
         };
-        webhooks.ask_for(ask, Op::AcceptCall(accept), min_replicas);
+        webhooks.submit_for_replicas(purpose, Op::AcceptCall(accept), min_replicas);
         Ok(())
     }
 
-    /// Confirms a caller's call that the primary of its shard has committed.
+    /// Confirms a client's call that the primary of its shard has committed.
     pub(in crate::gateway) fn confirm_call(&mut self, now: Micros, conn: ConnKey, replicas: u8) {
         self.core.counters.webhooks_accepted += 1;
         let head = format!("X-Kept-In: store\r\nX-Copies: {replicas}\r\n");
         self.answer_second(conn, now, |stays| http::response(202, &head, b"", stays));
     }
 
-    /// Rejects a caller's call that is not committed.
+    /// Rejects a client's call that is not committed.
     pub(in crate::gateway) fn reject_call(
         &mut self,
         now: Micros,
@@ -202,12 +206,12 @@
         }
         self.core.counters.webhooks_rejected += 1;
         let (status, problem) = problem_of(error);
-        tracing::debug!(%error, remedy = error.remedy(), "a call is not committed");
+        tracing::debug!(%error, remedy = error.remedy(), "call rejected: not committed");
         self.answer_second(conn, now, |stays| refuse(&plain(status, problem), stays));
     }
 }
 
-/// Returns the status and the problem that a caller gets for an error.
+/// Returns the status and the problem text that a client receives for an error.
 fn problem_of(error: &ReplicationError) -> (u16, &'static str) {
     match error {
         ReplicationError::DuplicateIdentity => (409, "already taken"),
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -1,4 +1,4 @@
-//! Shards: store operations for the replicator.
+//! Store operations of shards for the replicator.
 
 use super::{PendingStoreOp, WebhookDriver, MAX_PENDING_STORE_OPS};
 use crate::api::Micros;
@@ -30,7 +30,7 @@
             id: id.max(1),
             reset,
         };
-        self.ask(PendingStoreOp::RegisterDisk, Op::RegisterDisk(register));
+        self.submit(PendingStoreOp::RegisterDisk, Op::RegisterDisk(register));
     }
 
     /// Writes a record of a shard to the disk. A record that cannot be decoded moves the position
@@ -51,7 +51,7 @@
             position,
             op: Box::new(op),
         };
-        self.ask(
+        self.submit(
             PendingStoreOp::StoreRecord(shard, waiter),
             Op::ApplyToShard(apply),
         );
@@ -69,7 +69,7 @@
             position,
             content,
         };
-        self.ask(
+        self.submit(
             PendingStoreOp::StoreRecord(shard, None),
             Op::InstallShard(install),
         );
@@ -77,7 +77,7 @@
 
     /// Reads a snapshot of a shard for a replica.
     pub(in crate::gateway) fn read_shard_snapshot(&mut self, shard: ShardId, peer: Name) {
-        self.ask(
+        self.submit(
             PendingStoreOp::ReadSnapshot(shard, peer),
             Op::ReadShard(shard),
         );
@@ -85,29 +85,29 @@
 
     /// Verifies the checksums of all shards on the disk.
     pub(in crate::gateway) fn verify_shards(&mut self) {
-        self.ask(PendingStoreOp::VerifyDisk, Op::VerifyChecksums);
+        self.submit(PendingStoreOp::VerifyDisk, Op::VerifyChecksums);
     }
 
-    /// Accepts what is readable of a damaged shard.
+    /// Accepts the readable part of a damaged shard.
     pub(in crate::gateway) fn accept_shard_damage(&mut self, shard: ShardId) {
-        self.ask(PendingStoreOp::AcceptDamage(shard), Op::AcceptDamage(shard));
+        self.submit(PendingStoreOp::AcceptDamage(shard), Op::AcceptDamage(shard));
     }
 
     /// Reads the state of a shard of which this process has become the primary.
     pub(in crate::gateway) fn become_shard_primary(&mut self, shard: ShardId, epoch: Epoch) {
-        self.ask(
+        self.submit(
             PendingStoreOp::BecomePrimary(shard, epoch),
             Op::BecomePrimary(shard),
         );
     }
 
-    /// Gives the numbers of a shard from here on, under an epoch.
+    /// Starts the assignment of a shard's sequence numbers in an epoch.
     pub(in crate::gateway) fn start_numbering(&mut self, shard: ShardId, epoch: Epoch) {
         self.numbers.insert(shard, (epoch, 0));
     }
 
-    /// Ends the role of a shard's primary: its calls and messages are neither run nor delivered
-    /// here any more. Returns the requests to cancel.
+    /// Ends the role as a shard's primary: this process no longer runs the shard's calls or
+    /// delivers its messages. Returns the requests to cancel.
     pub(in crate::gateway) fn resign_shard(
         &mut self,
         now: Micros,
@@ -115,12 +115,12 @@
     ) -> Vec<RequestKey> {
         self.numbers.remove(&shard);
         let mut cancelled = Vec::new();
-        let guards = &mut self.guards;
-        self.jobs.retain(|_, held| {
-            let is_of_shard = held.seq.shard() == shard;
+        let at_most_once_calls = &mut self.at_most_once_calls;
+        self.jobs.retain(|_, open_call| {
+            let is_of_shard = open_call.seq.shard() == shard;
             if is_of_shard {
-                guards.remove(&held.id);
-                cancelled.extend(held.request);
+                at_most_once_calls.remove(&open_call.id);
+                cancelled.extend(open_call.request);
             }
             !is_of_shard
         });
@@ -129,7 +129,7 @@
             self.out.remove(&seq);
             self.delivery.handle(now, Input::MessageRemoved(seq));
         }
-        self.ask(PendingStoreOp::RecordOnly, Op::ResignPrimary(shard));
+        self.submit(PendingStoreOp::RecordOnly, Op::ResignPrimary(shard));
         cancelled
     }
 
@@ -146,7 +146,7 @@
                 state,
                 attempt: Some(attempt),
             };
-            self.ask(
+            self.submit(
                 PendingStoreOp::SettleAttempt(waiting, state),
                 Op::FinishAttempt(finish),
             );
@@ -168,13 +168,13 @@
         from: Name,
         number: u64,
     ) {
-        self.ask(
+        self.submit(
             PendingStoreOp::ForwardCallState(from, number),
             Op::GetCall(serial, id),
         );
     }
 
-    /// Returns the next number of a shard, or one that is not replicated if this process is not the
+    /// Returns the next sequence number of a shard, or a local one if this process is not the
     /// shard's primary.
     pub(super) fn next_sequence_number(&mut self, shard: ShardId) -> Seq {
         match self.numbers.get_mut(&shard) {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Returns why no further call can be accepted, if none can.
+    /// Returns an error if no further call can be accepted.
     pub(super) fn check_capacity(&self) -> Result<(), ReplicationError> {
         if self.stopping.is_some() {
             return Err(ReplicationError::ShuttingDown);
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -1,30 +1,30 @@
-//! The start of webhooks, and what the process before has left.
+//! Start of webhooks, and recovery of the calls of the previous process.
 
 use super::{
     channel, store_error, Backend, CloseReason, ConfigError, Delivery, Disk, EgressPolicy,
     EndpointId, Gateway, GatewayDeadline, GatewayError, HashMap, Inbound, Input, Limits,
     ListenerKind, MemoryKeyspace, Micros, Op, PathBuf, PendingStoreOp, RecoveredState,
     RecoveryAction, Replays, ResumeAction, Schedule, SecondaryMap, SlotMap, StoreError, Tables,
-    VecDeque, WebhookDriver, Webhooks, Writer, RETAINED, RETAIN_SOON,
+    VecDeque, WebhookDriver, Webhooks, Writer, RETENTION_BATCH, RETENTION_CONTINUE_DELAY,
 };
 
 impl Gateway {
-    /// Sets webhooks up, and goes on with what the store holds.
+    /// Sets up webhooks and resumes the calls and messages in the store.
     pub(in crate::gateway) fn set_up_webhooks(
         &mut self,
         now: Micros,
         w: Webhooks,
     ) -> Result<(), GatewayError> {
         let seed = self.config.seed;
-        let most_bytes = w.store_mb << 20;
+        let max_bytes = w.store_mb << 20;
         let mut found = RecoveredState::default();
         let backend = match &w.store {
             Some(path) => {
                 let (disk, f) =
-                    Disk::open(path, most_bytes, now).map_err(|e| store_error(path.clone(), &e))?;
+                    Disk::open(path, max_bytes, now).map_err(|e| store_error(path.clone(), &e))?;
                 found = f;
-                let (tell, told) = channel::channel();
-                let note = |event, _: &mut (), node: &mut Gateway| {
+                let (sender, replies) = channel::channel();
+                let on_reply = |event, _: &mut (), node: &mut Gateway| {
                     if let (channel::Event::Msg((number, reply)), Some(h)) =
                         (event, &mut node.secondary.hooks)
                     {
@@ -32,14 +32,15 @@
                     }
                 };
                 self.handle
-                    .insert_source(told, note)
+                    .insert_source(replies, on_reply)
                     .map_err(|e| GatewayError::Loop(e.error))?;
-                let again = path.clone();
-                // What a start would settle was settled then; what was begun since ends by its own report.
-                let opener = move || Disk::reopen(&again, most_bytes);
+                let reopen_path = path.clone();
+                // Opening the disk at the start has settled earlier attempts. Attempts that began
+                // since then end with their own report.
+                let opener = move || Disk::reopen(&reopen_path, max_bytes);
                 let answered = move |number, reply| {
-                    // The loop is gone only at the end of the process.
-                    let _ = tell.send((number, reply));
+                    // Sending fails only at the end of the process, when the event loop is gone.
+                    let _ = sender.send((number, reply));
                 };
                 let writer = Writer::start(disk, Box::new(opener), Box::new(answered));
                 Backend::Disk(
@@ -49,7 +50,7 @@
             }
             None => {
                 let mut space = MemoryKeyspace::default();
-                let opened = Tables::open(&mut space, false, most_bytes, now);
+                let opened = Tables::open(&mut space, false, max_bytes, now);
                 let (tables, _) = opened.map_err(|e| store_error(PathBuf::new(), &e))?;
                 Backend::Memory(Box::new((space, tables)))
             }
@@ -68,18 +69,23 @@
             (None, true) => Schedule::default(),
             (None, false) => Schedule::short(w.callback_window_ms * 1000),
         };
-        // What waits in memory is bounded by what may be taken: all of it is known to delivery.
-        let all = Limits {
+        // The limit on accepted calls bounds the messages in memory, so that delivery loads all of
+        // them.
+        let unlimited = Limits {
             max_ready_per_endpoint: usize::MAX / 2,
             max_loaded: usize::MAX / 2,
             load_horizon: Micros::MAX / 2,
             ..Limits::default()
         };
-        let caps = if durable { Limits::default() } else { all };
-        let caps = Limits {
+        let limits = if durable {
+            Limits::default()
+        } else {
+            unlimited
+        };
+        let limits = Limits {
             max_in_flight: w.portals,
             disable_after: w.disable_after_s * 1_000_000,
-            ..caps
+            ..limits
         };
         self.secondary.hooks = Some(WebhookDriver {
             inbound: Inbound {
@@ -90,7 +96,7 @@
                 seed,
                 classes: self.config.settings.classes.clone(),
             },
-            delivery: Delivery::new(caps, seed, now),
+            delivery: Delivery::new(limits, seed, now),
             jobs: SlotMap::with_key(),
             backend,
             replies: VecDeque::new(),
@@ -99,14 +105,14 @@
             last_seq: found.last_sequence_number,
             out: HashMap::new(),
             idle: HashMap::new(),
-            guards: HashMap::new(),
-            guarded: SecondaryMap::new(),
+            at_most_once_calls: HashMap::new(),
+            at_most_once_attempts: SecondaryMap::new(),
             unrecorded: SecondaryMap::new(),
-            networks: EgressPolicy::new(&w.allow_networks, &w.deny_networks),
+            egress_policy: EgressPolicy::new(&w.allow_networks, &w.deny_networks),
             schedule,
-            hung: None,
+            armed_deadline: None,
             pending: w.pending,
-            answer_limit: w.callback_answer_ms * 1000,
+            answer_timeout: w.callback_answer_ms * 1000,
             retention: (w.retention_days * 86_400_000_000, w.retention_mb << 20),
             stopping: None,
             shared: VecDeque::new(),
@@ -123,13 +129,15 @@
         self.listen(ListenerKind::Webhook, w.listen)?;
         self.recover(now, found);
         if durable {
-            self.core
-                .schedule(now + RETAIN_SOON, GatewayDeadline::Retention.into());
+            self.core.schedule(
+                now + RETENTION_CONTINUE_DELAY,
+                GatewayDeadline::Retention.into(),
+            );
         }
         Ok(())
     }
 
-    /// Goes on with what the process before left: one row of the crash table for each call.
+    /// Resumes the calls, deliveries and endpoints that the previous process left in the store.
     pub(super) fn recover(&mut self, now: Micros, found: RecoveredState) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
@@ -138,9 +146,9 @@
             if hooks.delivery.health(*id).is_some() {
                 hooks.delivery.handle(now, Input::Stored(*id, *due));
             } else {
-                hooks.ask(
+                hooks.submit(
                     PendingStoreOp::PurgeEndpoint(*id),
-                    Op::PurgeEndpoint(*id, RETAINED),
+                    Op::PurgeEndpoint(*id, RETENTION_BATCH),
                 );
             }
         }
@@ -161,15 +169,15 @@
                 refused,
                 unknown,
                 callbacks,
-                "went on with the calls of the process before"
+                "resumed the calls of the previous process"
             );
         }
         if found.clock_regressed {
-            tracing::warn!("the clock shows less than when the store was last written");
+            tracing::warn!("the clock is behind the time of the last write to the store");
         }
     }
 
-    /// Tells delivery of a tenant's endpoints as they are now.
+    /// Passes the current settings of a tenant's endpoints to delivery.
     pub(in crate::gateway) fn tell_endpoints(&mut self, now: Micros, tenant: &str) {
         let (Some(hooks), Some(t)) = (
             &mut self.secondary.hooks,
@@ -185,7 +193,7 @@
         }
     }
 
-    /// Endpoints are no more.
+    /// Removes endpoints from delivery and closes their idle connections.
     pub(in crate::gateway) fn forget_endpoints(&mut self, now: Micros, ids: &[EndpointId]) {
         for id in ids {
             let Some(hooks) = &mut self.secondary.hooks else {
