--- a/src/delivery/egress.rs
+++ b/src/delivery/egress.rs
@@ -1,4 +1,4 @@
-//! Addresses that callbacks may go to: allowed and denied policy. The longest matching prefix
+//! Addresses that callbacks may go to: allowed and denied networks. The longest matching prefix
 //! decides.
 
 use std::net::IpAddr;
@@ -48,7 +48,7 @@
 }
 
 impl EgressPolicy {
-    /// Creates a policy of the default policy and further allowed and denied ones. If the same
+    /// Creates a policy of the default networks and further allowed and denied ones. If the same
     /// prefix is in both lists, it is denied.
     pub fn new(allow: &[IpNet], deny: &[IpNet]) -> EgressPolicy {
         let mut policy = EgressPolicy {
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -72,12 +72,12 @@
 const RETENTION_CONTINUE_DELAY: Micros = 50_000;
 /// Pause before the next pass of retention otherwise, in microseconds.
 const RETENTION_INTERVAL: Micros = 5_000_000;
-/// Maximum number of pending store operations at which new calls are accepted.
+/// Number of pending store operations from which new calls are rejected.
 const MAX_PENDING_STORE_OPS: usize = 8192;
 /// How long shutdown waits for pending store operations, in microseconds.
 const SHUTDOWN_STORE_TIMEOUT: Micros = 2_000_000;
 
-/// Maximum number of stored identities of one shard.
+/// Maximum number of identities remembered per shard.
 pub(super) const MAX_IDENTITIES: usize = 65_536;
 
 /// Recipient of the answer on whether a call is accepted.
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -15,7 +15,8 @@
 const FETCH_RETRY_INTERVAL: Micros = 1_000_000;
 
 impl Gateway {
-    /// Handles one reply of the store or one output of delivery. Returns whether there was one.
+    /// Handles one reply of the store or one output of delivery, or resumes a postponed call.
+    /// Returns whether there was one of these. If not, updates the timer of delivery.
     pub(in crate::gateway) fn step_webhooks(&mut self, now: Micros) -> bool {
         let Some(hooks) = &mut self.secondary.hooks else {
             return false;
