--- a/src/gateway/accepting.rs
+++ b/src/gateway/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepting clients, from the first to the last.
+//! Accepts clients, from the start of the gateway until it has drained.
 
 use std::io;
 use std::net::TcpStream;
@@ -9,46 +9,46 @@
 use crate::api::Micros;
 use crate::completion::CloseReason;
 
-/// Connections accepted from one listener in one turn.
+/// Maximum number of connections accepted from one listener in one turn.
 const MAX_ACCEPTS_PER_TURN: usize = 256;
 /// How long accepting pauses when the machine has no descriptor or memory for a connection.
 pub(super) const ACCEPT_RETRY_INTERVAL: Micros = 50_000;
-/// While no slot is free, a connection that has been idle for this long may be closed for a new one: long enough for a
-/// request that is on its way to have come.
+/// While no slot is free, a connection that has been idle for this long may be closed in favour of a
+/// new one. Within this time a request that is on its way has arrived.
 const MIN_IDLE_BEFORE_EVICTION: Micros = 150_000;
 
-/// What is left in a listener's queue.
+/// The state of a listener's queue after accepting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptOutcome {
-    /// Nothing.
+    /// No connection is left.
     Empty,
-    /// Perhaps more than one turn takes.
+    /// More connections than one turn accepts may be left.
     More,
-    /// A connection for which there is no capacity now; accepting is tried again.
+    /// A connection is left for which there is no capacity now; accepting is tried again.
     NoCapacity,
 }
 
 impl Gateway {
-    /// Accepts from all listeners, as far as one turn goes.
+    /// Accepts from all listeners, up to one turn's limit each.
     pub(super) fn accept_all(&mut self) {
         self.listeners.accept_pending = false;
         if !self.ops.lifecycle.accepts(self.clock.now()) {
             return;
         }
         for place in 0..self.listeners.sockets.len() {
-            // Guards all others against a flood: who is left waits for the next turn.
+            // The remaining connections wait for the next turn, so that a flood does not delay others.
             self.listeners.accept_pending |= self.accept_from(place) == AcceptOutcome::More;
         }
     }
 
-    /// Accepts from one listener until its queue is empty, as many as one turn takes.
+    /// Accepts from one listener until its queue is empty or the turn's limit is reached.
     fn accept_from(&mut self, place: usize) -> AcceptOutcome {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = self.listeners.sockets.get(place).cloned() else {
                 return AcceptOutcome::Empty;
             };
             let kind = listener.kind;
-            // A connection that is not accepted waits in the machine's queue until another has ended.
+            // A connection that is not accepted waits in the kernel's queue until a slot is free.
             if !self.client_slots.has_free(kind) && !self.evict_idle_client(kind) {
                 return AcceptOutcome::NoCapacity;
             }
@@ -58,8 +58,8 @@
                     io::ErrorKind::WouldBlock => return AcceptOutcome::Empty,
                     io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted => {}
                     _ => {
-                        // Out of descriptors or memory: the queue stays, and so would the event. Without a pause this
-                        // would be a busy loop.
+                        // Out of descriptors or memory: the queue stays non-empty, and accepting again at
+                        // once would be a busy loop.
                         let retry_at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
                         self.core
                             .schedule(retry_at, GatewayDeadline::AcceptRetry.into());
@@ -96,9 +96,9 @@
         self.on_ready(key);
     }
 
-    /// No slot is free: closes the connection that has been idle for longest. Guards the slots against clients that
-    /// send one request and stay, or that connect and say nothing. Where none has been idle for long enough, accepting
-    /// is tried again once one has.
+    /// Closes the connection that has been idle for longest, to free a slot; returns whether one was
+    /// closed. This guards the slots against clients that stay after one request or connect and send
+    /// nothing. If no connection has been idle for long enough, accepting is tried again once one has.
     fn evict_idle_client(&mut self, kind: ListenerKind) -> bool {
         let Some((idle_since, key)) = self.longest_idle_client(kind) else {
             return false;
@@ -114,7 +114,8 @@
         true
     }
 
-    /// The client without a pending request, among those that share slots with `kind`, that has been idle for longest.
+    /// Returns the longest idle client without a pending request among those that share slots with
+    /// `kind`.
     fn longest_idle_client(&self, kind: ListenerKind) -> Option<(Micros, ConnKey)> {
         self.connections
             .iter()
@@ -147,12 +148,12 @@
         }
     }
 
-    /// Closes the listeners once nobody waits there any more; tells whether they are closed. Guards connections that
-    /// the machine has accepted already: closing a listener resets them. Where another process shares the socket, they
-    /// are that process's.
+    /// Closes the listeners once no connection waits there; returns whether they are closed. Closing a
+    /// listener resets the connections in the kernel's queue, so these are accepted first, unless
+    /// another process shares the socket and accepts them.
     pub(super) fn stop_accepting(&mut self, now: Micros) -> bool {
-        let somebody_waits = self.ops.lifecycle.accepts_backlog(now) && self.accept_remaining();
-        if somebody_waits {
+        let connections_wait = self.ops.lifecycle.accepts_backlog(now) && self.accept_remaining();
+        if connections_wait {
             self.core.schedule(
                 now + ACCEPT_RETRY_INTERVAL,
                 GatewayDeadline::StopAccepting.into(),
@@ -166,19 +167,20 @@
         true
     }
 
-    /// Accepts all that the machine has accepted; tells whether somebody is left for whom there is no capacity yet.
+    /// Accepts all connections in the kernel's queues; returns whether one is left for which there is no
+    /// capacity yet.
     fn accept_remaining(&mut self) -> bool {
-        let mut somebody_waits = false;
+        let mut connections_wait = false;
         for place in 0..self.listeners.sockets.len() {
             let mut outcome = AcceptOutcome::More;
-            // One full queue at most, or a flood would keep the listener open.
+            // At most one full queue is accepted, or a flood would keep the listener open.
             for _ in 0..=LISTEN_BACKLOG as usize / MAX_ACCEPTS_PER_TURN {
                 if outcome == AcceptOutcome::More {
                     outcome = self.accept_from(place);
                 }
             }
-            somebody_waits |= outcome == AcceptOutcome::NoCapacity;
+            connections_wait |= outcome == AcceptOutcome::NoCapacity;
         }
-        somebody_waits
+        connections_wait
     }
 }
--- a/src/gateway/admin_api.rs
+++ b/src/gateway/admin_api.rs
@@ -1,4 +1,4 @@
-//! The administration API: its callers, their idempotency keys, and what their requests change.
+//! The administration API: admission of callers, idempotency keys, and changes to tenants.
 
 use std::path::PathBuf;
 
@@ -21,7 +21,7 @@
     /// How often the trust bundle is read again.
     refresh_interval: Micros,
     /// Idempotency keys that are in use or answered.
-    keys: Keys,
+    idempotency_keys: Keys,
 }
 
 /// A caller's request that passed admission.
@@ -34,7 +34,7 @@
     /// The digests of the key and of the request, if it has a key.
     digests: Option<([u8; 32], [u8; 32])>,
     /// Whether the connection stays open after the response.
-    stays: bool,
+    keep_open: bool,
     now: Micros,
 }
 
@@ -54,15 +54,15 @@
             gate,
             bundle: config.bundle,
             refresh_interval: config.refresh_s.max(1) * 1_000_000,
-            keys: Keys::default(),
+            idempotency_keys: Keys::default(),
         });
         self.listen(ListenerKind::Admin, config.listen)?;
         self.load_bundle(now);
         Ok(())
     }
 
-    /// Reads the trust bundle, and again after a while, as its keys rotate. One that cannot be read leaves the keys as
-    /// they are.
+    /// Reads the trust bundle and schedules the next reading, as its keys rotate. If the bundle cannot
+    /// be used, the keys stay as they are.
     pub(super) fn load_bundle(&mut self, now: Micros) {
         let Some(admin) = &mut self.secondary.admin else {
             return;
@@ -71,26 +71,27 @@
         let loaded =
             text.and_then(|text| admin.gate.load(&text).map_err(|error| error.to_string()));
         if let Err(error) = loaded {
-            tracing::warn!(bundle = %admin.bundle.display(), %error, "the trust bundle stays as it is");
+            tracing::warn!(bundle = %admin.bundle.display(), %error, "trust bundle not reloaded");
         }
-        let again = now + admin.refresh_interval;
+        let reload_at = now + admin.refresh_interval;
         self.core
-            .schedule(again, GatewayDeadline::BundleReload.into());
+            .schedule(reload_at, GatewayDeadline::BundleReload.into());
     }
 
-    /// Handles an administrator's request; the response, unless it waits for the store or for other gateways.
+    /// Handles an administrator's request. Returns the response, unless it has to wait for the store
+    /// or for other gateways.
     pub(super) fn administer(
         &mut self,
         connection: ConnKey,
         request: &http::Request<'_>,
-        stays: bool,
+        keep_open: bool,
         now: Micros,
     ) -> Option<Vec<u8>> {
         let caller = match self.admit_caller(request, now) {
             Ok(caller) => caller,
-            Err(bad) => return Some(admin::answer(&Err(bad), stays)),
+            Err(bad) => return Some(admin::answer(&Err(bad), keep_open)),
         };
-        if let Some(response) = self.reject_before_tenants_known(request, stays) {
+        if let Some(response) = self.reject_before_tenants_known(request, keep_open) {
             return Some(response);
         }
         let key = request
@@ -103,13 +104,13 @@
             digests: key.map(|key| tenants::digests(&caller, key, &contents)),
             key: key.map(str::to_owned),
             caller,
-            stays,
+            keep_open,
             now,
         };
         match self.begin_idempotency_key(&admitted, &contents) {
             Ok(None) => self.handle_admitted(&admitted),
             Ok(Some(response)) => Some(response),
-            Err(bad) => Some(admin::answer(&Err(bad), stays)),
+            Err(bad) => Some(admin::answer(&Err(bad), keep_open)),
         }
     }
 
@@ -120,20 +121,22 @@
         admin::admit(request, &admin.gate, now)
     }
 
-    /// The response to a request on tenants while this gateway does not know the fleet's tenants.
+    /// Returns the error response to a request that concerns a tenant, while this gateway does not
+    /// know the fleet's tenants.
     fn reject_before_tenants_known(
         &mut self,
         request: &http::Request<'_>,
-        stays: bool,
+        keep_open: bool,
     ) -> Option<Vec<u8>> {
         let refusal = self.knows_tenants().err()?;
         admin::tenant_of(request.path)?;
         let detail = refusal.to_string();
         let remedy = Some(refusal.remedy());
-        Some(admin::problem(refusal.status(), &detail, remedy, stays))
+        Some(admin::problem(refusal.status(), &detail, remedy, keep_open))
     }
 
-    /// Begins the request's idempotency key, if it has one; the response, if the request has been answered before.
+    /// Marks the request's idempotency key, if it has one, as in use. Returns the earlier response if
+    /// the request has been answered before.
     fn begin_idempotency_key(
         &mut self,
         admitted: &AdmittedRequest<'_>,
@@ -149,7 +152,7 @@
             return Err(plain(404, "off"));
         };
         match admin
-            .keys
+            .idempotency_keys
             .begin(&admitted.caller, key, contents, admitted.now)
         {
             Known::New => {}
@@ -161,7 +164,7 @@
                 ))
             }
         }
-        // Another gateway may have answered it.
+        // Another gateway may have answered the request.
         let answered = admitted
             .digests
             .and_then(|(key, request)| self.answered_before(&key, &request));
@@ -169,7 +172,7 @@
             return Ok(None);
         };
         self.finish_idempotency_key(admitted.caller_and_key(), false, &[]);
-        let response = answered.unwrap_or_else(|bad| admin::answer(&Err(bad), admitted.stays));
+        let response = answered.unwrap_or_else(|bad| admin::answer(&Err(bad), admitted.keep_open));
         Ok(Some(response))
     }
 
@@ -191,12 +194,12 @@
             .map_or(Vec::new(), |handled| std::mem::take(&mut handled.changes));
         if self.cluster.tenants.is_some() && changes.iter().any(Change::is_kept) {
             if let Ok(handled) = handled {
-                self.agree_on_change(admitted, tenants_before, handled, changes);
+                self.propose_change(admitted, tenants_before, handled, changes);
             }
             return None;
         }
         let handled = self.apply_changes(admitted, tenants_before, handled, changes);
-        let response = admin::answer(&handled, admitted.stays);
+        let response = admin::answer(&handled, admitted.keep_open);
         let key = admitted.caller_and_key();
         self.finish_idempotency_key(key, is_final(&handled), &response);
         Some(response)
@@ -204,7 +207,7 @@
 
     fn handle_admin_request(&mut self, admitted: &AdmittedRequest<'_>) -> Result<Done, Bad> {
         let fleet = match admitted.request.path {
-            "/v1/peers" => self.peers(admitted.now),
+            "/v1/peers" => self.gossip_view(admitted.now),
             "/v1/council" | "/v1/council/voters" => self.consensus_view(),
             "/v1/duties" => self.leases_view(),
             _ => serde_json::Value::Null,
@@ -221,8 +224,8 @@
         admin::handle(admitted.request, &admitted.caller, &mut context)
     }
 
-    /// Proposes a change of tenants to the fleet. Until it is agreed on, the tenants stay as they were.
-    fn agree_on_change(
+    /// Proposes a change of a tenant to the fleet, and undoes it here until it is agreed on.
+    fn propose_change(
         &mut self,
         admitted: &AdmittedRequest<'_>,
         tenants_before: Registry,
@@ -239,17 +242,18 @@
             .clone()
             .zip(admitted.digests)
             .map(|(key, (key_digest, request_digest))| (key, key_digest, request_digest));
-        let asker = tenants::Asker {
-            conn: admitted.connection,
-            who: admitted.caller.clone(),
+        let pending = tenants::PendingAdminRequest {
+            connection: admitted.connection,
+            caller: admitted.caller.clone(),
             key,
             handled,
             changes,
         };
-        self.agree_on(tenant, changed, asker);
+        self.propose_tenant_change(tenant, changed, pending);
     }
 
-    /// Writes the changed tenants to their file and applies what follows; a change that cannot be written is undone.
+    /// Writes the changed tenants to their file and applies the changes that follow. If the file
+    /// cannot be written, the change is undone.
     fn apply_changes(
         &mut self,
         admitted: &AdmittedRequest<'_>,
@@ -268,7 +272,7 @@
             caller = admitted.caller,
             method = admitted.request.method,
             path = admitted.request.path,
-            "administered"
+            "administration request applied"
         );
         for change in changes {
             self.apply_change(admitted.now, change);
@@ -276,7 +280,7 @@
         handled
     }
 
-    /// Ends a caller's idempotency key, with the response if it is final.
+    /// Releases a caller's idempotency key, and stores the response with it if the response is final.
     pub(super) fn finish_idempotency_key(
         &mut self,
         key: Option<(String, String)>,
@@ -284,7 +288,9 @@
         response: &[u8],
     ) {
         if let (Some((caller, key)), Some(admin)) = (key, &mut self.secondary.admin) {
-            admin.keys.end(&caller, &key, is_final.then_some(response));
+            admin
+                .idempotency_keys
+                .end(&caller, &key, is_final.then_some(response));
         }
     }
 
@@ -300,8 +306,8 @@
         let handled = admin::messages::answer(limit, reply);
         let bytes = admin::answer(&handled, true);
         self.finish_idempotency_key(key, is_final(&handled), &bytes);
-        self.answer_second(conn, now, |stays| {
-            if stays {
+        self.answer_second(conn, now, |keep_open| {
+            if keep_open {
                 bytes
             } else {
                 admin::answer(&handled, false)
@@ -309,7 +315,7 @@
         });
     }
 
-    /// Applies what follows from a change of tenants.
+    /// Applies a change that follows from an administrator's request.
     pub(super) fn apply_change(&mut self, now: Micros, change: Change) {
         match change {
             Change::Share(tenant, per_s) => self.core.set_tenant_quota(now, tenant, per_s),
--- a/src/gateway/client_slots.rs
+++ b/src/gateway/client_slots.rs
@@ -1,16 +1,17 @@
-//! How many clients may be connected, and how many are.
+//! The limits on connected clients and their current numbers.
 
 use super::ListenerKind;
 
-/// One descriptor in so many is for clients; the others stay free for workers, service discovery, the operator console,
-/// files and the event loop, whatever clients do.
+/// One in this many descriptors is for clients; the others stay free for workers, service discovery,
+/// the operator console, files and the event loop.
 const DESCRIPTORS_PER_CLIENT: usize = 2;
-/// Slots for clients, however few descriptors there are.
+/// Minimum number of client slots, even with few descriptors.
 const MIN_CLIENTS: usize = 8;
-/// One client slot in so many is for the secondary listeners, if there are any.
+/// One in this many client slots is for the secondary listeners, if there are any.
 const CLIENTS_PER_SECONDARY_CLIENT: usize = 4;
 
-/// The slots of connected clients. The platform's clients keep theirs whatever comes to the secondary listeners.
+/// The slots of connected clients. Clients of the secondary listeners cannot use the slots of the
+/// platform's clients.
 #[derive(Debug, Default)]
 pub(super) struct ClientSlots {
     /// Whether there are secondary listeners.
@@ -23,7 +24,8 @@
 }
 
 impl ClientSlots {
-    /// Slots of a gateway with or without secondary listeners; there are none before their limit is set.
+    /// Creates the slots of a gateway with or without secondary listeners. There are none until
+    /// [`Self::set_max_descriptors`] is called.
     pub(super) fn new(has_secondary: bool) -> ClientSlots {
         ClientSlots {
             has_secondary,
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Sets how many slots there are by the descriptors that this process may hold.
+    /// Sets the number of slots from the number of descriptors that this process may hold.
     pub(super) fn set_max_descriptors(&mut self, descriptors: usize) {
         self.max_clients = (descriptors / DESCRIPTORS_PER_CLIENT).max(MIN_CLIENTS);
         self.max_secondary = if self.has_secondary {
@@ -51,13 +53,13 @@
         }
     }
 
-    /// A client was accepted.
+    /// Occupies a slot for an accepted client.
     pub(super) fn occupy(&mut self, kind: ListenerKind) {
         self.clients += 1;
         self.secondary += usize::from(kind.is_secondary());
     }
 
-    /// A client's connection was closed.
+    /// Releases the slot of a client whose connection was closed.
     pub(super) fn release(&mut self, kind: ListenerKind) {
         self.clients -= 1;
         self.secondary -= usize::from(kind.is_secondary());
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -1,4 +1,4 @@
-//! The platform's clients: their requests, the answers, and idle connections.
+//! The platform's clients: requests, answers, and idle connections.
 
 use super::{ConnKey, Gateway, Origin, PendingResponse, Role};
 use crate::api::Micros;
@@ -8,20 +8,20 @@
 use crate::front::platform::{self, Ask};
 use crate::net::UNTAGGED_FRAME;
 
-/// A client's connection without a pending request is closed after this; the platform's clients close theirs after 4 s,
-/// but for those that send one request and stay.
+/// A client's connection without a pending request is closed after this time. The platform's clients
+/// close theirs after 4 s, except for those that send one request and stay connected.
 pub(super) const CLIENT_IDLE_TIMEOUT: Micros = 4_500_000;
-/// A client has this long to send a complete request, counted from its connect or from the request's first byte.
+/// Time for a client to send a complete request, from its connect or from the request's first byte.
 pub(super) const CLIENT_REQUEST_TIMEOUT: Micros = 2_000_000;
-/// How long a connection that is to be closed may go on with a request that has come in part.
+/// Time for the rest of a partial request on an idle connection that would otherwise be closed.
 const PARTIAL_REQUEST_TIMEOUT: Micros = 200_000;
 /// Answers larger than this are counted against [`MAX_UNSENT_BYTES`].
 const LARGE_ANSWER_BYTES: usize = 16 << 10;
-/// Bytes that may wait to be written to all clients before a large answer closes its connection instead.
+/// Unsent bytes to all clients beyond which a large answer is not sent and its connection is closed.
 const MAX_UNSENT_BYTES: usize = 48 << 20;
-/// How long a connection that was rejected may still send.
+/// How long a connection with a rejected request stays open for its peer's remaining input.
 pub(super) const LINGER_TIMEOUT: Micros = 1_000_000;
-/// `Retry-After` of a call that is rejected because too many are pending.
+/// `Retry-After` of a call that is rejected because too many calls are pending.
 const OVERLOAD_RETRY_AFTER: Micros = 1_000_000;
 
 /// Whether reading a client's requests goes on.
@@ -53,7 +53,7 @@
 }
 
 impl Gateway {
-    /// Handles the requests that have come on a client's connection, until one waits for its answer.
+    /// Handles the requests received on a client's connection, up to one that waits for its answer.
     pub(super) fn read_client_requests(&mut self, key: ConnKey, now: Micros) {
         while self.read_client_request(key, now) == ReadProgress::Continue {}
     }
@@ -81,28 +81,29 @@
         };
         connection.input.consume(taken.size);
         connection.idle_since = now;
-        // A complete request came: the time for the next one begins anew.
+        // The request is complete: the time for the next request starts again.
         self.set_deadline(key, Some(now + CLIENT_IDLE_TIMEOUT));
-        let stays = taken.keep && self.ops.lifecycle.keeps_alive(now);
+        let keep_open = taken.keep && self.ops.lifecycle.keeps_alive(now);
         if let Some((_, Role::Client { keep_alive, .. })) = self.connections.get_mut(key) {
-            *keep_alive = stays;
+            *keep_alive = keep_open;
         }
-        self.handle_client_request(key, now, taken.ask, AfterResponse::keep_open_if(stays))
+        self.handle_client_request(key, now, taken.ask, AfterResponse::keep_open_if(keep_open))
     }
 
-    /// The input ends within a request: reads on, or waits for the rest.
+    /// Reads the rest of a partial request, or waits for it.
     fn await_rest_of_request(&mut self, key: ConnKey, now: Micros) -> ReadProgress {
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return ReadProgress::Stop;
         };
-        // The buffer was full while a request was pending: what waits in the socket raises no event any more.
+        // If the buffer was full while a request was pending, the input left in the socket raises no
+        // further event.
         if connection.refill(READ_LIMIT) {
             return ReadProgress::Continue;
         }
         if connection.peer_closed {
             self.ready.push(key);
         }
-        // A request that comes in parts has its time from its first byte on.
+        // The time for a partial request counts from its first byte.
         let request_deadline = now + CLIENT_REQUEST_TIMEOUT;
         let later = connection
             .deadline
@@ -130,8 +131,8 @@
                 }
             },
             Ok(Ask::Ping) => {
-                let emptied = self.ops.lifecycle.is_draining();
-                let status = if emptied || !self.core.knows_workers(now) {
+                let draining = self.ops.lifecycle.is_draining();
+                let status = if draining || !self.core.knows_workers(now) {
                     503
                 } else {
                     200
@@ -147,10 +148,11 @@
         ReadProgress::Continue
     }
 
-    /// The response to a call that the decision module does not see; `None` if the call is to be submitted.
+    /// Returns the response to a call that is rejected before the decision module sees it; `None` if
+    /// the call is to be submitted.
     fn reject_client_call(&mut self, call: &Call<()>, after: AfterResponse) -> Option<Vec<u8>> {
         if self.core.pending_requests() >= self.config.most_held {
-            // As the platform does beyond `mostHeld`.
+            // The platform does the same beyond `mostHeld`.
             self.core.count_rejected(call.arrival.class);
             let answer = Answer::Rejected {
                 retry_after: OVERLOAD_RETRY_AFTER,
@@ -189,7 +191,7 @@
         if self.is_over_unsent_limit(answer) {
             return self.close(key, CloseReason::LocalLimit);
         }
-        let may_stay = self.ops.lifecycle.keeps_alive(now);
+        let may_keep_open = self.ops.lifecycle.keeps_alive(now);
         let Some((connection, role)) = self.connections.get_mut(key) else {
             return;
         };
@@ -203,7 +205,7 @@
         };
         *pending = None;
         connection.idle_since = now;
-        let after = AfterResponse::keep_open_if(*keep_alive && may_stay);
+        let after = AfterResponse::keep_open_if(*keep_alive && may_keep_open);
         let response = platform::answer(answer, after.keeps_open());
         self.set_deadline(key, Some(now + CLIENT_IDLE_TIMEOUT));
         self.respond_to_client(key, response, after);
@@ -211,8 +213,8 @@
         self.read_client_requests(key, now);
     }
 
-    /// Whether an answer is large and too much waits to be written already. Guards memory against clients that ask for
-    /// much and read nothing.
+    /// Whether an answer is large and too many bytes are unsent already. This guards the memory against
+    /// clients that request large answers and do not read them.
     fn is_over_unsent_limit(&self, answer: &Answer) -> bool {
         let Answer::Served(body) = answer else {
             return false;
@@ -234,7 +236,7 @@
         let closing = self.ops.lifecycle.idle_close_deadline(now, 0, 1).is_some();
         for (key, (connection, role)) in self.connections.iter_mut() {
             match role {
-                // A partial request has its own time, and its answer closes the connection.
+                // A partial request has its own deadline, and its answer closes the connection.
                 Role::Client { pending: None, .. }
                     if !connection.input.bytes().is_empty() && !connection.closing => {}
                 Role::Client { pending: None, .. } if connection.outbox.is_empty() => {
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Closes a client's connection that has been idle, or within a request, for as long as it may.
+    /// Closes a client's connection whose idle time or request time has run out.
     pub(super) fn close_idle_client(&mut self, key: ConnKey, now: Micros) {
         if self.read_before_close(key, now) {
             return;
@@ -268,19 +270,19 @@
                 UNTAGGED_FRAME,
                 platform::turn_away(&platform::too_slow(), false),
             );
-            // The connection is closed whether or not the peer still takes this.
+            // The connection is closed even if the response cannot be written.
             let _ = connection.flush();
         }
         self.close(key, CloseReason::Idle);
     }
 
-    /// Reads once more from an idle connection that is about to be closed: what has come by now still counts. Tells
-    /// whether the connection stays for it.
+    /// Reads once more from an idle connection that is about to be closed, as a request may have
+    /// arrived by now. Returns whether the connection stays open for the request.
     fn read_before_close(&mut self, key: ConnKey, now: Micros) -> bool {
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return false;
         };
-        // A connection that has had its time for the rest of a request gets no more.
+        // A connection whose time for the rest of a request has run out gets no more time.
         if connection.closing || !connection.input.bytes().is_empty() {
             return false;
         }
@@ -292,7 +294,7 @@
             return true;
         };
         if pending.is_none() && !connection.closing && !connection.input.bytes().is_empty() {
-            // A partial request: its rest may come soon.
+            // The rest of the partial request may arrive soon.
             self.set_deadline(key, Some(now + PARTIAL_REQUEST_TIMEOUT));
         }
         true
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -1,4 +1,4 @@
-//! The core's commands carried out on workers' connections, and completed exchanges reported to it.
+//! Carries out the core's commands and reports completed exchanges to the core.
 
 use super::load_coordination::Order;
 use super::{ConnKey, Gateway, Origin, Role};
@@ -10,7 +10,8 @@
 use crate::worker::{AttemptCommand, Completed, Exchange};
 
 impl Gateway {
-    /// Carries out commands and reports completed exchanges until there is nothing left; then writes.
+    /// Carries out commands and reports completed exchanges until none are left; then writes the output
+    /// of connections.
     pub(super) fn run_commands(&mut self) {
         loop {
             let now = self.clock.now();
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Writes what a connection's peer takes, and closes a connection that is to be closed once all is written.
+    /// Writes a connection's output as far as the socket accepts it. Closes a closing connection once
+    /// all its output is written.
     fn flush_connection(&mut self, key: ConnKey) {
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return;
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Tells the core, and whoever else follows exchanges, that one has ended.
+    /// Reports a completed exchange to the core and to the subsystems that observe exchanges.
     pub(super) fn report_completed(&mut self, now: Micros, completed: Completed) {
         let reason = completed.reason;
         let progress = completed.progress;
@@ -64,7 +66,7 @@
                 self.routes.attempts.remove(key);
                 self.guarded_ended(key, never_ran(reason.outcome(progress)));
                 let worker = self.core.worker_of(key);
-                self.tell_outcome(now, worker, reason, progress);
+                self.observe_outcome(now, worker, reason, progress);
                 self.core
                     .attempt_ended(now, key, reason, progress, completed.reply);
             }
@@ -77,7 +79,7 @@
             Exchange::HealthCheck(key) => {
                 let connection = self.routes.health_checks.remove(key);
                 let opened_at = connection.and_then(|key| self.worker_connection_opened_at(key));
-                // The lease holder's checker has a timeout of its own.
+                // The lease holder's health checker has a timeout of its own.
                 if reason != CloseReason::TimedOut {
                     self.on_health_check_probe_ended(now, key, reason);
                 }
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Reports an exchange of which no byte was sent.
+    /// Queues the report of an exchange of which no byte was sent.
     fn complete_unsent(&mut self, exchange: Exchange, reason: CloseReason) {
         let completed = Completed::without_reply(exchange, reason, SendProgress::Unsent);
         self.completed.push_back(completed);
@@ -177,8 +179,8 @@
         ));
     }
 
-    /// Withdraws attempts and load orders of which no byte has left if their worker is not known any more to take new
-    /// work: the evidence may have expired while they waited behind a connect.
+    /// Withdraws unsent attempts and load orders if the core no longer has evidence that the worker
+    /// accepts new work. The evidence may expire while they wait for the connection to open.
     fn withdraw_without_evidence(&mut self, now: Micros, key: ConnKey) {
         let Some((connection, Role::Worker(worker))) = self.connections.get_mut(key) else {
             return;
@@ -192,8 +194,9 @@
         self.completed.extend(withdrawn);
     }
 
-    /// Whether a worker may be sent new work, by the list, the operators and the evidence.
-    fn takes_new_work(&mut self, now: Micros, worker: WorkerId) -> bool {
+    /// Whether a worker may be sent new work, according to service discovery, the operators'
+    /// overrides and the evidence.
+    fn accepts_new_work(&mut self, now: Micros, worker: WorkerId) -> bool {
         if self.discovery.endpoints.is_draining(worker) {
             return false;
         }
@@ -202,7 +205,7 @@
         has_evidence
     }
 
-    /// Has a worker unload a function's idle copies; without a connection they stay.
+    /// Tells a worker to unload a function's idle copies; without a connection they stay loaded.
     fn send_unload(&mut self, now: Micros, worker: WorkerId, function: FunctionId) {
         let Ok(key) = self.connection_to(now, worker, "") else {
             return;
@@ -227,10 +230,10 @@
         self.dirty.push(key);
     }
 
-    /// Sends a load order, unless its worker is not known to take new work.
+    /// Sends a load order if its worker may be sent new work.
     pub(super) fn send_load_order(&mut self, now: Micros, order: Order) {
         let exchange = Exchange::LoadOrder(order.key);
-        if !self.takes_new_work(now, order.worker) {
+        if !self.accepts_new_work(now, order.worker) {
             return self.complete_unsent(exchange, CloseReason::Withdrawn);
         }
         let key = match self.connection_to(now, order.worker, "") {
@@ -282,13 +285,13 @@
         self.dirty.push(connection_key);
     }
 
-    /// The connection for an attempt, unless its worker is not known to take new work.
+    /// Returns the connection for an attempt if its worker may be sent new work.
     fn connection_for(
         &mut self,
         now: Micros,
         dispatch: &AttemptDispatch,
     ) -> Result<ConnKey, CloseReason> {
-        if !self.takes_new_work(now, dispatch.worker) {
+        if !self.accepts_new_work(now, dispatch.worker) {
             return Err(CloseReason::Withdrawn);
         }
         self.connection_to(now, dispatch.worker, &dispatch.identity)
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -1,4 +1,4 @@
-//! Connections from their start to their end: what becomes readable, what falls due, and what ends with one.
+//! The lifecycle of connections: registration, input, deadlines, and closing.
 
 use std::io;
 use std::rc::Rc;
@@ -16,7 +16,8 @@
 use crate::front::operator_console;
 use crate::net::{Connection, SharedStream};
 
-/// How long a worker's connection may be idle: shorter than the worker's own limit, so that this side closes first.
+/// Returns the idle timeout of a worker's connection, which is shorter than the worker's own limit so
+/// that the gateway closes first.
 fn worker_idle_timeout(limit: Micros) -> Micros {
     limit * 4 / 5
 }
@@ -44,7 +45,7 @@
         })
     }
 
-    /// Sets or removes the instant at which a connection falls due.
+    /// Sets or removes a connection's deadline.
     pub(super) fn set_deadline(&mut self, key: ConnKey, at: Option<Micros>) {
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return;
@@ -68,14 +69,10 @@
         self.handle.remove(connection.token);
         let now = self.clock.now();
         match role {
-            Role::Client {
-                kind,
-                pending: open,
-                ..
-            } => {
+            Role::Client { kind, pending, .. } => {
                 self.client_slots.release(kind);
                 self.listeners.accept_pending |= !self.listeners.sockets.is_empty();
-                if let Some(PendingResponse::Call(request)) = open {
+                if let Some(PendingResponse::Call(request)) = pending {
                     self.core.client_disconnected(now, request);
                 }
             }
@@ -99,14 +96,14 @@
             Role::Discovery(stream) => {
                 self.discovery_closed(now, &stream, reason);
             }
-            Role::Portal(worker) => {
-                let untouched = worker.untouched(&connection.outbox);
-                self.portal_closed(now, key, &worker, reason, untouched);
+            Role::Portal(portal) => {
+                let untouched = portal.untouched(&connection.outbox);
+                self.portal_closed(now, key, &portal, reason, untouched);
             }
         }
     }
 
-    /// Reads from a connection whose socket is ready, and handles what has come.
+    /// Reads from a connection whose socket is ready, and handles the input.
     pub(super) fn on_ready(&mut self, key: ConnKey) {
         let now = self.clock.now();
         let Some((connection, role)) = self.connections.get_mut(key) else {
@@ -137,7 +134,7 @@
             self.set_deadline(key, Some(next));
         }
         self.dirty.push(key);
-        // What came before the peer closed still counts.
+        // Input received before the peer closed is still handled.
         self.on_input(key, now);
         let Some((connection, role)) = self.connections.get(key) else {
             return;
@@ -145,9 +142,9 @@
         match read {
             Err(reason) => self.close(key, reason),
             Ok(()) if connection.peer_closed => self.close(key, CloseReason::Closed),
-            // Clients' buffers are read on when their request has been answered.
+            // More of a client's input is read once its request has been answered.
             Ok(()) if !connection.has_more_input || matches!(role, Role::Client { .. }) => {}
-            // An input longer than the buffer would never be complete, nor anything behind it.
+            // Input that fills the buffer without a complete message can never become complete.
             Ok(()) if connection.input.bytes().len() >= limit => {
                 self.close(key, CloseReason::Malformed)
             }
@@ -259,7 +256,7 @@
             Role::Worker(_) if !connection.connected => {
                 self.close(key, CloseReason::ConnectTimeout)
             }
-            // Guards what waits behind a partial reply: nothing after it can be told apart.
+            // Replies behind an incomplete one cannot be separated from it, so the connection is closed.
             Role::Worker(worker)
                 if worker
                     .partial_reply_since
@@ -283,7 +280,7 @@
                 };
                 self.set_deadline(key, Some(next));
             }
-            Role::Portal(worker) if worker.is_idle() => self.close(key, CloseReason::Idle),
+            Role::Portal(portal) if portal.is_idle() => self.close(key, CloseReason::Idle),
             Role::Console | Role::Peer(_) => self.close(key, CloseReason::Idle),
             Role::Discovery(_) | Role::Portal(_) => {
                 let reason = if connection.connected {
--- a/src/gateway/consensus/outputs.rs
+++ b/src/gateway/consensus/outputs.rs
@@ -1,4 +1,5 @@
-//! Carries out what the participant asks for, and passes leases and effects to the subsystems that work under them.
+//! Carries out the participant's outputs, and passes leases and effects to the subsystems that work
+//! under leases.
 
 use super::setup::lease_names;
 use crate::api::Micros;
@@ -26,7 +27,7 @@
             }
             Output::SubsystemChanged => {
                 self.update_replica_sets();
-                self.tenants_agreed(now);
+                self.update_agreed_tenants(now);
             }
             Output::Record(event) => self.on_history_event(now, &event),
         }
@@ -83,7 +84,7 @@
         }
     }
 
-    /// An operator adds or removes a voter.
+    /// Proposes that a voter is added, removed or replaced, as an operator has requested.
     pub(in crate::gateway) fn exchange_voters(
         &mut self,
         now: Micros,
--- a/src/gateway/deadlines.rs
+++ b/src/gateway/deadlines.rs
@@ -5,28 +5,28 @@
 use super::ConnKey;
 use crate::core::ExternalDeadline;
 
-/// What falls due at a deadline of the gateway.
+/// A deadline of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GatewayDeadline {
-    /// A connection has been idle, or within an exchange, for as long as it may.
+    /// The idle timeout of a connection, or the timeout of an exchange on it.
     Connection(ConnKey),
-    /// Service discovery is connected to again.
+    /// The next connect to service discovery.
     DiscoveryReconnect,
-    /// The listeners are closed, as the gateway drains.
+    /// The closing of the listeners, as the gateway drains.
     StopAccepting,
-    /// The listeners are accepted from again after a lack of room.
+    /// The next attempt to accept after a lack of capacity.
     AcceptRetry,
-    /// The tenants' bundle is loaded again.
+    /// The next reading of the trust bundle.
     BundleReload,
-    /// The next delivery to an endpoint, or the time-out of one.
+    /// The next delivery to an endpoint, or the timeout of a delivery.
     Delivery,
     /// The next pass of retention over the store.
     Retention,
     /// The gossip driver's next step.
     Gossip,
-    /// The operator console is accepted from again.
+    /// The next attempt to accept clients of the operator console.
     ConsoleAcceptRetry,
-    /// The next look at other processes of the same gateway.
+    /// The next reading of the states of the gateway's other processes.
     HotRestart,
     /// The consensus driver's next step.
     Consensus,
@@ -40,12 +40,13 @@
     Tenants,
 }
 
-/// [`ExternalDeadline::kind`] of connections' deadlines; the number is the connection's slot.
+/// [`ExternalDeadline::kind`] of connections' deadlines; the number is the connection's key.
 const CONNECTION_KIND: u8 = 0;
-/// [`ExternalDeadline::kind`] of deadlines that exist once; the number is the place in [`SINGLE_DEADLINES`].
+/// [`ExternalDeadline::kind`] of deadlines that exist once; the number is the index in
+/// [`SINGLE_DEADLINES`].
 const SINGLE_KIND: u8 = 2;
 
-/// The deadlines that exist once. Their order is that in which deadlines of one instant fall due.
+/// The deadlines that exist once. Deadlines of the same instant fall due in this order.
 const SINGLE_DEADLINES: [GatewayDeadline; 14] = [
     GatewayDeadline::DiscoveryReconnect,
     GatewayDeadline::StopAccepting,
@@ -71,13 +72,13 @@
                 number: key.data().as_ffi(),
             };
         }
-        let place = SINGLE_DEADLINES
+        let index = SINGLE_DEADLINES
             .iter()
             .position(|single| *single == deadline);
         ExternalDeadline {
             kind: SINGLE_KIND,
-            // Every deadline but a connection's is listed, which a test checks.
-            number: place.unwrap_or(SINGLE_DEADLINES.len()) as u64,
+            // All deadlines except those of connections are listed, which a test checks.
+            number: index.unwrap_or(SINGLE_DEADLINES.len()) as u64,
         }
     }
 }
--- a/src/gateway/discovery_state.rs
+++ b/src/gateway/discovery_state.rs
@@ -1,8 +1,8 @@
-//! What the gateway knows from service discovery, and how recent it is.
+//! The list of workers from service discovery, and its revision.
 
 use crate::discovery::EndpointList;
 
-/// The list of workers and the revision up to which it is known.
+/// The list of workers and its revision.
 #[derive(Debug, Default)]
 pub(super) struct DiscoveryState {
     /// The workers.
@@ -11,6 +11,6 @@
     pub(super) last_revision: u64,
     /// The revision after which an update was missed or unreadable and has been asked for again.
     pub(super) revision_gap: Option<u64>,
-    /// Connections to service discovery in a row that ended before it answered.
+    /// Consecutive connections to service discovery that ended before it answered.
     pub(super) failed_connects: u32,
 }
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! The connection to service discovery, and what its updates change.
+//! The connection to service discovery, and the application of its updates.
 
 use super::{ConnKey, Gateway, GatewayDeadline, Role};
 use crate::api::{DiscoverySignal, ListUpdate, Micros, WorkerEntry, WorkerId, WorkerStatus};
@@ -6,13 +6,14 @@
 use crate::discovery::{reconnect_pause, WatchEvent, WatchStream};
 use crate::{discovery, net};
 
-/// Service discovery sends a comment every second; after so long a silence it is connected to again.
+/// The gateway reconnects to service discovery after this much silence; a heartbeat comment arrives
+/// every second.
 pub(super) const DISCOVERY_SILENCE_TIMEOUT: Micros = 2_200_000;
-/// How long a connection to service discovery may take to be established.
+/// Time for a connection to service discovery to be established.
 const DISCOVERY_CONNECT_TIMEOUT: Micros = 1_000_000;
 
 impl Gateway {
-    /// Connects to service discovery, if there is one and no connection to it.
+    /// Connects to service discovery, if one is configured and no connection to it exists.
     pub(super) fn connect_discovery(&mut self, now: Micros) {
         let Some(address) = self.config.board else {
             return;
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Logs the end of a discovery connection: that of a stream that had answered, and the first failed connect after it.
-    /// Connects again after a pause.
+    /// Handles the end of a discovery connection and schedules the next connect. Logs only the end of a
+    /// stream that had answered and the first failed connect after it.
     pub(super) fn discovery_closed(
         &mut self,
         now: Micros,
@@ -79,7 +80,7 @@
             .schedule(now + pause, GatewayDeadline::DiscoveryReconnect.into());
     }
 
-    /// Ends the stream of service discovery and opens a new one at once.
+    /// Closes the discovery stream and opens a new one at once.
     pub(super) fn reopen_discovery(&mut self, now: Micros) {
         let open: Vec<ConnKey> = self
             .connections
@@ -93,7 +94,7 @@
         self.connect_discovery(now);
     }
 
-    /// Handles one event; `false` if service discovery is to be asked again for what was missed.
+    /// Handles one event. Returns `false` if the stream has to be reopened to request the event again.
     pub(super) fn read_watch_event(
         &mut self,
         now: Micros,
@@ -102,14 +103,14 @@
         let update = match WatchEvent::parse(&event.data, &self.config.names) {
             Ok(update) => update,
             Err(error) => {
-                // The list stays as it is, and so does its revision: the event is asked for once more, as it may have
-                // been damaged on the way. Unreadable again, it is skipped.
+                // The list and its revision stay as they are. The event is requested once more, as it may
+                // have been damaged in transit; if it is unreadable again, it is skipped.
                 self.core.counters.unreadable += 1;
                 tracing::warn!(revision = ?event.id, %error, "watch event cannot be read");
-                let asked_before =
+                let requested_before =
                     self.discovery.revision_gap == Some(self.discovery.last_revision);
                 self.discovery.revision_gap = Some(self.discovery.last_revision);
-                return asked_before;
+                return requested_before;
             }
         };
         let is_complete = self.apply_watch_event(now, &update);
@@ -120,8 +121,8 @@
         is_complete
     }
 
-    /// Applies one update; `false` if one before it was missed. One that is older than the list is skipped: an event may
-    /// be sent twice, and an old snapshot would bring back workers that were removed.
+    /// Applies one update. Returns `false` if an earlier update was missed. An update older than the list
+    /// is skipped: an event may be sent twice, and an old snapshot would restore removed workers.
     pub(super) fn apply_watch_event(&mut self, now: Micros, update: &WatchEvent) -> bool {
         if update.revision < self.discovery.last_revision
             || update.revision == self.discovery.last_revision && !update.snapshot
@@ -149,7 +150,7 @@
         for worker in &workers {
             self.apply_worker_status(worker);
         }
-        self.tell_ready(now, update.snapshot, &workers);
+        self.update_ready_workers(now, update.snapshot, &workers);
         for worker in applied.address_changes {
             self.retire_connections(worker, None);
         }
@@ -180,21 +181,22 @@
         }
     }
 
-    /// Tells the core of an update; a snapshot without the workers that it removes.
+    /// Passes an update to the core; a snapshot without the workers that it removes.
     fn update_core_workers(&mut self, now: Micros, snapshot: bool, workers: Vec<WorkerEntry>) {
         let update = if snapshot {
             ListUpdate::Snapshot
         } else {
             ListUpdate::Delta
         };
-        let told = workers
+        let entries = workers
             .into_iter()
             .filter(|entry| !snapshot || entry.status != WorkerStatus::Removed)
             .collect();
-        self.core.update_workers(now, update, told);
+        self.core.update_workers(now, update, entries);
     }
 
-    /// Notes a worker's status, and retires connections to it that are of no more use.
+    /// Records a worker's status. Retires the connections from before its start, or all of them if it
+    /// is draining or removed.
     pub(super) fn apply_worker_status(&mut self, entry: &WorkerEntry) {
         let worker = entry.worker;
         self.discovery
--- a/src/gateway/error.rs
+++ b/src/gateway/error.rs
@@ -1,9 +1,9 @@
-//! Why a gateway cannot start or go on.
+//! Errors that prevent a gateway from starting or continuing.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the gateway cannot start or go on.
+/// An error that prevents the gateway from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     /// An address cannot be listened on.
@@ -17,7 +17,7 @@
     /// The operator's file cannot be used.
     #[error("{0}")]
     Operator(#[source] crate::config::ConfigError),
-    /// The administration API's callers cannot be used.
+    /// The identity settings of the administration API cannot be used.
     #[error("{0}")]
     Identity(#[source] crate::identity::IdentityError),
 }
--- a/src/gateway/event_loop.rs
+++ b/src/gateway/event_loop.rs
@@ -1,4 +1,4 @@
-//! The gateway's turns: what is ready and due is done, then the event loop waits.
+//! The gateway's turns: handling of ready connections and due deadlines, then waiting for events.
 
 use std::time::Duration;
 
@@ -9,9 +9,12 @@
 use crate::api::Micros;
 
 impl Gateway {
-    /// Has SIGTERM and SIGINT drain the gateway, SIGHUP reload the configuration and SIGUSR1 print the counters. It is
-    /// to be called before the gateway is said to be ready, as an unhandled signal ends the process, and before
-    /// [`Gateway::new`]: the store's thread inherits the signal mask of the thread that starts it.
+    /// Registers the signal handlers: SIGTERM and SIGINT drain the gateway, SIGHUP reloads the
+    /// configuration, and SIGUSR1 prints the counters.
+    ///
+    /// Call this before the gateway is reported as ready, as an unhandled signal ends the process,
+    /// and before [`Gateway::new`], as the store's thread inherits the signal mask of the thread that
+    /// starts it.
     ///
     /// # Errors
     ///
@@ -32,7 +35,7 @@
         Ok(())
     }
 
-    /// Serves until told to stop; then every accepted call has been answered.
+    /// Serves until the gateway has been drained and every accepted call has been answered.
     ///
     /// # Errors
     ///
@@ -49,7 +52,7 @@
         Ok(())
     }
 
-    /// How long the event loop may wait for events; `None` if nothing falls due.
+    /// Returns how long the event loop may wait for events; `None` if no deadline is scheduled.
     fn wait_timeout(&mut self) -> Option<Duration> {
         let now = self.clock.now();
         let has_work = !self.ready.is_empty()
@@ -63,14 +66,14 @@
         Some(Duration::from_micros(next.saturating_sub(now)))
     }
 
-    /// Does all that is ready and due.
+    /// Runs one turn: handles signals, ready connections, due deadlines and the core's commands.
     fn run_once(&mut self) {
         self.handle_signals();
         self.serve_console();
         for key in std::mem::take(&mut self.ready) {
             self.on_ready(key);
         }
-        // A reply that has been read counts before a deadline that has passed in the same turn.
+        // A reply that has been read takes precedence over a deadline that passes in the same turn.
         while let Some(completed) = self.completed.pop_front() {
             let now = self.clock.now();
             self.report_completed(now, completed);
@@ -83,7 +86,7 @@
         let now = self.clock.now();
         self.step_gossip(now);
         self.step_consensus(now);
-        // What peers advise may have caused further commands.
+        // Advice from peers may have caused further commands.
         self.run_commands();
         self.stop_if_drained(now);
     }
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Stops once a draining gateway has no listener, no client and no webhook left, and its copies are handed over.
+    /// Stops a draining gateway that has no listener, client or webhook call left and has handed its
+    /// shards over.
     fn stop_if_drained(&mut self, now: Micros) {
         let webhooks = self.secondary.hooks.as_ref();
         let webhooks_idle = webhooks.is_none_or(|webhooks| webhooks.is_idle(now));
@@ -128,7 +132,7 @@
             GatewayDeadline::StopAccepting => {
                 if self.stop_accepting(now) {
                     self.stop_webhooks(now);
-                    self.leave_group(now);
+                    self.leave_gossip_group(now);
                 }
             }
             GatewayDeadline::AcceptRetry => self.listeners.accept_pending = true,
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -1,5 +1,5 @@
-//! Drives gossip: datagrams from and to the socket, own outcomes and the list of workers in, advice to the module. It
-//! decides nothing.
+//! Drives gossip: passes datagrams, outcomes of own attempts and the list of workers to [`Group`],
+//! and its datagrams and health advice to the socket and the core. It decides nothing.
 
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
@@ -16,14 +16,16 @@
 use crate::membership::swim::Record;
 use crate::membership::wire::MTU;
 
-/// Datagrams taken in one turn; the others wait in the socket, and then are lost, as datagrams may be.
-const MOST_IN_TURN: usize = 64;
-/// The list of members is written at most this often.
-const KEEP_PAUSE: Micros = 5_000_000;
+/// Datagrams read in one turn; the others stay in the socket's buffer, which drops datagrams once it
+/// is full.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+/// Minimum interval between two writes of the members' file.
+const MEMBERS_WRITE_INTERVAL: Micros = 5_000_000;
 
-struct Udp(Rc<UdpSocket>);
+/// The registration of the socket with the event loop.
+struct SocketFd(Rc<UdpSocket>);
 
-impl std::os::fd::AsFd for Udp {
+impl std::os::fd::AsFd for SocketFd {
     fn as_fd(&self) -> std::os::fd::BorrowedFd<'_> {
         self.0.as_fd()
     }
@@ -34,12 +36,16 @@
 pub(super) struct GossipDriver {
     group: Group,
     socket: Rc<UdpSocket>,
+    /// The configuration file, which a reload reads again.
     file: PathBuf,
     name: String,
+    /// The file of the known members, if one is configured.
     state: Option<PathBuf>,
     readable: bool,
-    hung: Option<Micros>,
-    keep_at: Option<Micros>,
+    /// When the scheduled deadline is due.
+    scheduled_at: Option<Micros>,
+    /// When the members' file is to be written.
+    write_at: Option<Micros>,
 }
 
 impl GossipDriver {
@@ -49,9 +55,9 @@
     }
 }
 
-/// A member as the file for the next start keeps it.
+/// A member in the file that the next start reads.
 #[derive(serde::Deserialize, serde::Serialize)]
-struct Kept {
+struct StoredMember {
     name: String,
     address: SocketAddr,
     incarnation: u64,
@@ -60,15 +66,15 @@
 
 fn read_members(path: &Path) -> Vec<Record> {
     use base64::prelude::{Engine, BASE64_STANDARD};
-    // What cannot be read is only a slower start.
+    // Without the file, members are found more slowly.
     let text = std::fs::read_to_string(path).unwrap_or_default();
-    let all: Vec<Kept> = serde_json::from_str(&text).unwrap_or_default();
-    let record = |k: Kept| {
-        let seal = BASE64_STANDARD.decode(k.seal).ok()?;
+    let all: Vec<StoredMember> = serde_json::from_str(&text).unwrap_or_default();
+    let record = |member: StoredMember| {
+        let seal = BASE64_STANDARD.decode(member.seal).ok()?;
         Some(Record {
-            name: k.name,
-            address: k.address,
-            incarnation: k.incarnation,
+            name: member.name,
+            address: member.address,
+            incarnation: member.incarnation,
             leaving: false,
             seal,
         })
@@ -78,13 +84,13 @@
 
 fn write_members(path: &Path, members: Vec<Record>) -> io::Result<()> {
     use base64::prelude::{Engine, BASE64_STANDARD};
-    let kept = |r: Record| Kept {
-        name: r.name,
-        address: r.address,
-        incarnation: r.incarnation,
-        seal: BASE64_STANDARD.encode(r.seal),
+    let stored = |record: Record| StoredMember {
+        name: record.name,
+        address: record.address,
+        incarnation: record.incarnation,
+        seal: BASE64_STANDARD.encode(record.seal),
     };
-    let all: Vec<Kept> = members.into_iter().map(kept).collect();
+    let all: Vec<StoredMember> = members.into_iter().map(stored).collect();
     let text = serde_json::to_string(&all).map_err(io::Error::other)?;
     let fresh = path.with_extension("new");
     std::fs::write(&fresh, text)?;
@@ -92,44 +98,47 @@
 }
 
 impl Gateway {
-    /// Begins to talk. Called once the list of workers is known.
+    /// Starts gossip with the workers that are ready.
     pub(super) fn set_up_gossip(
         &mut self,
         now: Micros,
-        g: &Gossip,
+        config: &Gossip,
         ready: BTreeSet<WorkerId>,
     ) -> Result<(), GatewayError> {
-        let name = g.name.clone().unwrap_or_else(|| self.config.name.clone());
+        let name = config
+            .name
+            .clone()
+            .unwrap_or_else(|| self.config.name.clone());
         if !crate::membership::is_name(&name) {
             return Err(GatewayError::Operator(ConfigError::Value(
                 "gossip.name",
                 name,
             )));
         }
-        let keys = g.keys(&name).map_err(GatewayError::Operator)?;
-        let fail = |e| GatewayError::Listen(g.listen, e);
-        let socket = UdpSocket::bind(g.listen).map_err(fail)?;
-        socket.set_nonblocking(true).map_err(fail)?;
-        let address = g
+        let keys = config.keys(&name).map_err(GatewayError::Operator)?;
+        let listen_error = |error| GatewayError::Listen(config.listen, error);
+        let socket = UdpSocket::bind(config.listen).map_err(listen_error)?;
+        socket.set_nonblocking(true).map_err(listen_error)?;
+        let address = config
             .advertise
             .map_or_else(|| socket.local_addr(), Ok)
-            .map_err(fail)?;
+            .map_err(listen_error)?;
         let socket = Rc::new(socket);
-        let source = Generic::new(Udp(socket.clone()), Interest::READ, Mode::Edge);
-        let note = |_, _: &mut _, node: &mut Gateway| {
-            if let Some(talk) = &mut node.cluster.gossip {
-                talk.readable = true;
+        let source = Generic::new(SocketFd(socket.clone()), Interest::READ, Mode::Edge);
+        let on_readable = |_, _: &mut _, gateway: &mut Gateway| {
+            if let Some(driver) = &mut gateway.cluster.gossip {
+                driver.readable = true;
             }
             Ok(PostAction::Continue)
         };
         self.handle
-            .insert_source(source, note)
-            .map_err(|e| GatewayError::Loop(e.error))?;
+            .insert_source(source, on_readable)
+            .map_err(|error| GatewayError::Loop(error.error))?;
         let settings = Settings {
             name: name.clone(),
             address,
-            bytes_per_s: g.bytes_per_s,
-            datagrams_per_s: g.datagrams_per_s,
+            bytes_per_s: config.bytes_per_s,
+            datagrams_per_s: config.datagrams_per_s,
             swim: crate::membership::swim::Settings::default(),
             bounds: crate::membership::reputation::Bounds::default(),
         };
@@ -137,178 +146,185 @@
         group.handle(
             now,
             Input::Known(
-                g.state.as_deref().map_or(Vec::new(), read_members),
-                g.seeds.clone(),
+                config.state.as_deref().map_or(Vec::new(), read_members),
+                config.seeds.clone(),
             ),
         );
         group.handle(now, Input::Ready(ready));
-        tracing::info!("{name} talks on {address}");
+        tracing::info!(name, %address, "gossip started");
         self.cluster.gossip = Some(GossipDriver {
             group,
             socket,
-            file: g.file.clone(),
+            file: config.file.clone(),
             name,
-            state: g.state.clone(),
+            state: config.state.clone(),
             readable: true,
-            hung: None,
-            keep_at: None,
+            scheduled_at: None,
+            write_at: None,
         });
         Ok(())
     }
 
-    /// The list of workers has changed.
-    pub(super) fn tell_ready(&mut self, now: Micros, snapshot: bool, members: &[WorkerEntry]) {
-        let Some(ready) = &mut self.cluster.ready else {
+    /// Updates the workers that are ready, after the list of workers has changed.
+    pub(super) fn update_ready_workers(
+        &mut self,
+        now: Micros,
+        snapshot: bool,
+        entries: &[WorkerEntry],
+    ) {
+        let Some(ready) = &mut self.cluster.ready_workers else {
             return;
         };
         if snapshot {
             ready.clear();
         }
-        for m in members {
-            if m.status == WorkerStatus::Ready {
-                ready.insert(m.worker);
+        for entry in entries {
+            if entry.status == WorkerStatus::Ready {
+                ready.insert(entry.worker);
             } else {
-                ready.remove(&m.worker);
+                ready.remove(&entry.worker);
             }
         }
         let ready = ready.clone();
         self.set_health_check_workers(now, ready.clone());
-        if let Some(talk) = &mut self.cluster.gossip {
-            talk.group.handle(now, Input::Ready(ready));
+        if let Some(driver) = &mut self.cluster.gossip {
+            driver.group.handle(now, Input::Ready(ready));
         }
     }
 
-    /// An own attempt at a worker has ended.
-    pub(super) fn tell_outcome(
+    /// Passes on what the end of an own attempt shows of its worker.
+    pub(super) fn observe_outcome(
         &mut self,
         now: Micros,
         worker: Option<WorkerId>,
-        ending: CloseReason,
-        left: SendProgress,
+        reason: CloseReason,
+        progress: SendProgress,
     ) {
-        let (Some(worker), Some(seen)) = (worker, ending.observation(left)) else {
+        let (Some(worker), Some(observed)) = (worker, reason.observation(progress)) else {
             return;
         };
-        self.observe_for_health_checks(now, worker, seen);
-        if let Some(talk) = &mut self.cluster.gossip {
-            talk.group.handle(now, Input::Outcome(worker, seen));
+        self.observe_for_health_checks(now, worker, observed);
+        if let Some(driver) = &mut self.cluster.gossip {
+            driver.group.handle(now, Input::Outcome(worker, observed));
         }
     }
 
-    /// Takes what came, and does what follows.
+    /// Reads datagrams, carries out the outputs and schedules the next deadline.
     pub(super) fn step_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.cluster.gossip else {
+        let Some(driver) = &mut self.cluster.gossip else {
             return;
         };
-        if talk.readable {
+        if driver.readable {
             let mut bytes = [0; MTU + 1];
-            talk.readable = false;
-            for n in 0..=MOST_IN_TURN {
-                if n == MOST_IN_TURN {
-                    talk.readable = true;
+            driver.readable = false;
+            for count in 0..=MAX_DATAGRAMS_PER_TURN {
+                if count == MAX_DATAGRAMS_PER_TURN {
+                    driver.readable = true;
                     break;
                 }
-                match talk.socket.recv_from(&mut bytes) {
-                    Ok((size, from)) => talk
+                match driver.socket.recv_from(&mut bytes) {
+                    Ok((size, from)) => driver
                         .group
                         .handle(now, Input::Datagram(from, &bytes[..size])),
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                    // Nothing more; or an error that a datagram of ours drew, which is cleared by having been read.
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
+                    // An error reported for a datagram that was sent earlier; reading has cleared it.
                     Err(_) => {}
                 }
             }
         }
-        while let Some(output) = talk.group.output() {
+        while let Some(output) = driver.group.output() {
             match output {
-                // One that the machine has no room for is lost, as any may be.
-                Output::Datagram(to, bytes) => drop(talk.socket.send_to(&bytes, to)),
+                // A datagram that cannot be sent is dropped: gossip tolerates losses.
+                Output::Datagram(to, bytes) => drop(driver.socket.send_to(&bytes, to)),
                 Output::Advice(worker, HealthAdvice::Down(until)) => {
                     self.core.update_peer_health(now, worker, Some(until))
                 }
                 Output::Advice(worker, HealthAdvice::Well) => {
                     self.core.update_peer_health(now, worker, None)
                 }
-                Output::Changed(name, standing) => {
-                    self.core.counters.gossip_alive = talk.group.alive() as u64;
+                Output::Changed(name, state) => {
+                    self.core.counters.gossip_alive = driver.group.alive() as u64;
                     tracing::info!(
                         peer = name,
-                        standing = standing.name(),
-                        "a peer stands otherwise"
+                        state = state.name(),
+                        "gossip peer changed state"
                     );
                 }
                 Output::Keep => {
-                    talk.keep_at.get_or_insert(now + KEEP_PAUSE);
+                    driver.write_at.get_or_insert(now + MEMBERS_WRITE_INTERVAL);
                 }
             }
         }
         let counters = &mut self.core.counters;
         (counters.gossip_bytes, counters.gossip_datagrams) =
-            (talk.group.sent_bytes, talk.group.sent_datagrams);
-        counters.gossip_rejected = talk.group.refused().0.values().sum();
-        let next = talk.group.next_deadline();
-        let next = next.map(|t| talk.keep_at.map_or(t, |k| t.min(k)));
-        if next != talk.hung {
-            if let Some(old) = talk.hung {
+            (driver.group.sent_bytes, driver.group.sent_datagrams);
+        counters.gossip_rejected = driver.group.refused().0.values().sum();
+        let next = driver.group.next_deadline();
+        let next = next.map(|at| driver.write_at.map_or(at, |write_at| at.min(write_at)));
+        if next != driver.scheduled_at {
+            if let Some(old) = driver.scheduled_at {
                 self.core.unschedule(old, GatewayDeadline::Gossip.into());
             }
-            talk.hung = next;
+            driver.scheduled_at = next;
             if let Some(at) = next {
                 self.core.schedule(at, GatewayDeadline::Gossip.into());
             }
         }
     }
 
-    /// Gossip's deadline fell due.
+    /// Handles gossip's deadline.
     pub(super) fn tick_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.cluster.gossip else {
+        let Some(driver) = &mut self.cluster.gossip else {
             return;
         };
-        talk.hung = None;
-        talk.group.handle(now, Input::Tick);
-        if talk.keep_at.is_some_and(|t| t <= now) {
-            talk.keep_at = None;
-            if let Some(path) = &talk.state {
-                if let Err(e) = write_members(path, talk.group.keep()) {
-                    tracing::warn!(file = %path.display(), "members are not kept: {e}");
+        driver.scheduled_at = None;
+        driver.group.handle(now, Input::Tick);
+        if driver.write_at.is_some_and(|at| at <= now) {
+            driver.write_at = None;
+            if let Some(path) = &driver.state {
+                if let Err(error) = write_members(path, driver.group.keep()) {
+                    tracing::warn!(file = %path.display(), %error, "gossip members cannot be written");
                 }
             }
         }
     }
 
-    /// Reads seeds and keys anew; what cannot be used leaves those held.
+    /// Reads the seeds and keys again; if that fails, the previous ones stay in use.
     pub(super) fn reload_gossip(&mut self, now: Micros) {
-        let Some(talk) = &mut self.cluster.gossip else {
+        let Some(driver) = &mut self.cluster.gossip else {
             return;
         };
-        match Gossip::read(&talk.file).and_then(|g| Ok((g.keys(&talk.name)?, g.seeds))) {
+        match Gossip::read(&driver.file)
+            .and_then(|config| Ok((config.keys(&driver.name)?, config.seeds)))
+        {
             Ok((keys, seeds)) => {
-                talk.group.handle(now, Input::Keys(keys));
-                talk.group.handle(now, Input::Known(Vec::new(), seeds));
-                tracing::info!("seeds and keys of the group were read anew");
+                driver.group.handle(now, Input::Keys(keys));
+                driver.group.handle(now, Input::Known(Vec::new(), seeds));
+                tracing::info!("gossip seeds and keys reloaded");
             }
-            Err(e) => tracing::error!("seeds and keys of the group stay as they are: {e}"),
+            Err(error) => tracing::error!(%error, "gossip reload failed"),
         }
     }
 
-    /// Leaves the group in order.
-    pub(super) fn leave_group(&mut self, now: Micros) {
-        if let Some(talk) = &mut self.cluster.gossip {
-            talk.group.handle(now, Input::Leave);
+    /// Leaves the gossip group and tells the other members.
+    pub(super) fn leave_gossip_group(&mut self, now: Micros) {
+        if let Some(driver) = &mut self.cluster.gossip {
+            driver.group.handle(now, Input::Leave);
             self.step_gossip(now);
         }
     }
 
-    /// What can be seen of the group.
-    pub(super) fn peers(&self, now: Micros) -> serde_json::Value {
-        let Some(talk) = &self.cluster.gossip else {
+    /// Describes the gossip group for operators; null while gossip is off.
+    pub(super) fn gossip_view(&self, now: Micros) -> serde_json::Value {
+        let Some(driver) = &self.cluster.gossip else {
             return serde_json::Value::Null;
         };
-        let (refused, withheld) = talk.group.refused();
-        let (rumours, held) = talk.group.sizes();
-        serde_json::json!({ "name": talk.name, "peers": talk.group.peers(now), "refused": refused,
-            "withheld": withheld, "rumours": rumours, "sightings_held": held,
-            "sent_bytes": talk.group.sent_bytes, "sent_datagrams": talk.group.sent_datagrams })
+        let (rejected, withheld) = driver.group.refused();
+        let (rumours, observations) = driver.group.sizes();
+        serde_json::json!({ "name": driver.name, "peers": driver.group.peers(now), "refused": rejected,
+            "withheld": withheld, "rumours": rumours, "sightings_held": observations,
+            "sent_bytes": driver.group.sent_bytes, "sent_datagrams": driver.group.sent_datagrams })
     }
 }
 
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -1,4 +1,5 @@
-//! Drives health checks: own outcomes, the worker list and verdicts in; probes, reports and advice out. It decides nothing.
+//! Drives health checks: passes own outcomes, the list of workers and verdicts to [`HealthChecker`],
+//! and carries out its probes, reports and advice. It decides nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -65,12 +66,12 @@
         }
     }
 
-    /// The workers that are ready have changed.
+    /// Passes on the workers that are ready, after they have changed.
     pub(super) fn set_health_check_workers(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
         self.handle_health_checks(now, Input::Ready(ready));
     }
 
-    /// A request of this gateway has shown whether a worker answers.
+    /// Passes on what a request of this gateway has shown of a worker.
     pub(super) fn observe_for_health_checks(
         &mut self,
         now: Micros,
@@ -80,14 +81,14 @@
         self.handle_health_checks(now, Input::Outcome(worker, observed));
     }
 
-    /// This gateway has acquired or lost a lease.
+    /// Passes on that this gateway has acquired or lost a lease.
     pub(super) fn set_health_check_lease(&mut self, now: Micros, lease: &str, held: bool) {
         if lease == LEASE_NAME {
             self.handle_health_checks(now, Input::LeaseChanged(held));
         }
     }
 
-    /// The holder of a lease has announced verdicts.
+    /// Passes on the verdicts that the holder of a lease has announced.
     pub(super) fn on_health_check_effect(&mut self, now: Micros, lease: &str, content: &[u8]) {
         if lease == LEASE_NAME {
             let verdicts = decode_verdicts(content);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Another gateway has reported a worker to the holder of a lease.
+    /// Passes on another gateway's report of a worker to the holder of a lease.
     pub(super) fn on_health_check_report(&mut self, now: Micros, lease: &str, content: &[u8]) {
         if lease != LEASE_NAME {
             return;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// A probe has ended; it counts here if it was one of the lease holder.
+    /// Handles the end of a health check, if it was a probe of the lease holder.
     pub(super) fn on_health_check_probe_ended(
         &mut self,
         now: Micros,
@@ -125,7 +126,7 @@
         self.handle_health_checks(now, Input::ProbeEnded(worker, result));
     }
 
-    /// Carries out what the checker asks for.
+    /// Carries out the checker's outputs and schedules its deadline.
     pub(super) fn step_health_checks(&mut self, now: Micros) {
         while let Some(output) = self
             .cluster
@@ -176,7 +177,7 @@
         }
     }
 
-    /// The deadline has passed.
+    /// Handles the deadline of the driver.
     pub(super) fn tick_health_checks(&mut self, now: Micros) {
         if let Some(driver) = &mut self.cluster.health_checks {
             driver.scheduled_at = None;
@@ -184,7 +185,7 @@
         self.handle_health_checks(now, Input::Tick);
     }
 
-    /// What operators see of health checks; null while the lease is not configured.
+    /// Describes health checks for operators; null while the lease is not configured.
     pub(super) fn health_checks_view(&self) -> Value {
         let Some(driver) = &self.cluster.health_checks else {
             return Value::Null;
--- a/src/gateway/history.rs
+++ b/src/gateway/history.rs
@@ -1,4 +1,5 @@
-//! Histories: what a subsystem did, a line of JSON each with the process's name and id, for a separate checker.
+//! Histories of subsystems, for a separate checker: one line of JSON for each event, with the process's
+//! name and number.
 
 use std::fs::File;
 use std::io::Write;
@@ -20,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// The system's, where the file cannot be opened.
+    /// [`std::io::Error`]: the file cannot be opened.
     pub(super) fn beside(
         consensus_file: Option<&Path>,
         extension: &str,
@@ -40,13 +41,13 @@
         })
     }
 
-    /// Writes an event in one write, which a kill does not cut. A history that cannot be written weakens the check and is
-    /// no reason to stop.
+    /// Writes an event in a single write, which a kill does not interrupt. If writing fails, the history
+    /// ends, which weakens the check, and the process continues.
     pub(super) fn record(&mut self, event: &impl Serialize) {
         let Some(file) = &mut self.file else { return };
         let line = serde_json::json!({ "name": self.name, "process": self.process, "note": event });
         if let Err(error) = file.write_all(format!("{line}\n").as_bytes()) {
-            tracing::warn!(%error, "history is not written any more");
+            tracing::warn!(%error, "history stopped");
             self.file = None;
         }
     }
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -9,10 +9,10 @@
 
 use super::{Gateway, GatewayError};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 pub(super) const LISTEN_BACKLOG: i32 = 1024;
 
-/// What a listener and its connections speak.
+/// The protocol of a listener and its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerKind {
     /// The platform's calls.
@@ -24,7 +24,7 @@
 }
 
 impl ListenerKind {
-    /// Whether it is not the platform's.
+    /// Whether this is not the platform's listener.
     pub(super) fn is_secondary(self) -> bool {
         self != ListenerKind::Platform
     }
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub(super) struct Listeners {
     pub(super) sockets: Vec<Listener>,
-    /// Whether somebody may wait to be accepted.
+    /// Whether connections may wait to be accepted.
     pub(super) accept_pending: bool,
 }
 
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    /// Binds an address; `on_connect` is called when somebody connects.
+    /// Binds an address; `on_connect` is called when a connection arrives.
     pub(super) fn bind_listener(
         &self,
         address: SocketAddr,
@@ -103,7 +103,8 @@
     ) -> Result<(Rc<TcpListener>, RegistrationToken), GatewayError> {
         let listen_error = |error| GatewayError::Listen(address, error);
         let socket = TcpListener::bind(address).map_err(listen_error)?;
-        // The library's queue of 128 overflows in a flood, and a connect that is dropped is retried after a second only.
+        // The standard library's backlog of 128 overflows in a flood, and a dropped connect is only
+        // retried after a second.
         rustix::net::listen(&socket, LISTEN_BACKLOG).map_err(|errno| listen_error(errno.into()))?;
         self.register_listener(socket, on_connect)
             .map_err(|error| match error {
@@ -112,7 +113,7 @@
             })
     }
 
-    /// Registers a listening socket with the event loop; `on_connect` is called when somebody connects.
+    /// Registers a listening socket with the event loop; `on_connect` is called when a connection arrives.
     pub(super) fn register_listener(
         &self,
         socket: TcpListener,
@@ -142,17 +143,17 @@
             .and_then(|listener| listener.socket.local_addr().ok())
     }
 
-    /// Where clients connect.
+    /// The address for the platform's clients.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address_of(ListenerKind::Platform)
     }
 
-    /// Where signed webhooks come in, if they are on.
+    /// The address for signed webhooks, if they are on.
     pub fn webhook_address(&self) -> Option<SocketAddr> {
         self.address_of(ListenerKind::Webhook)
     }
 
-    /// Where the administration API listens, if it is on.
+    /// The address of the administration API, if it is on.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.address_of(ListenerKind::Admin)
     }
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -1,4 +1,5 @@
-//! Drives load coordination: the module's orders wait for the holder of a shard. It decides nothing.
+//! Drives load coordination: load orders of the decision module wait for the holder of their shard's
+//! lease. It decides nothing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,7 +16,7 @@
     CopyKey, Input, LoadCoordinator, LoadMessage, Output, MAX_ORDER_DELAY, SHARD_LEASE_PREFIX,
 };
 
-/// An order of the decision module.
+/// A load order of the decision module.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Order {
     pub(super) key: LoadOrderKey,
@@ -28,7 +29,7 @@
 #[derive(Debug)]
 pub(super) struct LoadDriver {
     coordinator: LoadCoordinator,
-    /// Orders that wait or were made, by number.
+    /// Orders that wait or were sent, by number.
     orders: BTreeMap<u64, Order>,
     numbers: BTreeMap<LoadOrderKey, u64>,
     last_number: u64,
@@ -51,17 +52,17 @@
 }
 
 impl Gateway {
-    /// Starts load coordination. An order may leave later than it was decided on, so the rate limit's window grows by the
-    /// maximum delay.
+    /// Starts load coordination. As an order may be sent later than it was decided on, the rate limit's
+    /// window grows by the maximum delay.
     pub(super) fn set_up_load_coordination(&mut self, now: Micros, coordinator: LoadCoordinator) {
         let settings = &self.config.settings;
         if let Some(limit) = settings.load_rate_limit {
-            let longer = LoadRateLimit {
+            let widened = LoadRateLimit {
                 window: limit.window + MAX_ORDER_DELAY,
                 ..limit
             };
             self.core
-                .set_instance_limits(now, Some(longer), settings.overload_multiple, 0.0);
+                .set_instance_limits(now, Some(widened), settings.overload_multiple, 0.0);
         }
         self.cluster.loads = Some(LoadDriver {
             coordinator,
@@ -78,9 +79,9 @@
         }
     }
 
-    /// The module orders copies; returns whether the order waits for a holder's answer.
+    /// Delays an order until a holder answers; returns whether the order is delayed.
     pub(super) fn delay_order(&mut self, now: Micros, order: Order) -> bool {
-        // An order of no copies only asks for the worker's state.
+        // An order of zero copies only requests the worker's state.
         if order.copies == 0 {
             return false;
         }
@@ -99,7 +100,7 @@
         true
     }
 
-    /// The module no longer needs an order; returns whether the order still waited.
+    /// Cancels an order that the decision module no longer needs; returns whether it was still waiting.
     pub(super) fn cancel_delayed_order(&mut self, now: Micros, order: LoadOrderKey) -> bool {
         let Some(driver) = &mut self.cluster.loads else {
             return false;
@@ -107,7 +108,7 @@
         let Some(number) = driver.numbers.get(&order).copied() else {
             return false;
         };
-        // An order that was made ends by itself, and the holder is notified.
+        // An order that was sent ends by itself, and the holder is notified.
         if self.routes.load_orders.contains_key(order) {
             return false;
         }
@@ -117,7 +118,7 @@
         true
     }
 
-    /// An order that was made has ended.
+    /// Passes on the end of an order that was sent.
     pub(super) fn on_load_order_ended(&mut self, now: Micros, order: LoadOrderKey, copies: u32) {
         let Some(driver) = &mut self.cluster.loads else {
             return;
@@ -128,28 +129,28 @@
         }
     }
 
-    /// This gateway has acquired or lost a lease.
+    /// Passes on that this gateway has acquired or lost a lease.
     pub(super) fn set_load_lease(&mut self, now: Micros, lease: &LeaseName, held: bool) {
         if lease.starts_with(SHARD_LEASE_PREFIX) {
             self.handle_load_coordination(now, Input::LeaseChanged(lease.clone(), held));
         }
     }
 
-    /// The agreed state shows whether a lease has a holder.
+    /// Passes on whether a lease has a holder in the agreed state.
     pub(super) fn set_load_holder_known(&mut self, now: Micros, lease: &LeaseName, known: bool) {
         if lease.starts_with(SHARD_LEASE_PREFIX) {
             self.handle_load_coordination(now, Input::HolderKnown(lease.clone(), known));
         }
     }
 
-    /// The holder of a lease has announced a message.
+    /// Passes on a message that the holder of a lease has announced.
     pub(super) fn on_load_effect(&mut self, now: Micros, lease: &str, content: &[u8]) {
         if let Some(message) = decode(lease, content) {
             self.handle_load_coordination(now, Input::Announced(message));
         }
     }
 
-    /// Another gateway has sent a message to the holder of a lease.
+    /// Passes on another gateway's message to the holder of a lease.
     pub(super) fn on_load_report(
         &mut self,
         now: Micros,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Carries out what the coordinator asks for.
+    /// Carries out the coordinator's outputs and schedules its deadline.
     pub(super) fn step_load_coordination(&mut self, now: Micros) {
         while let Some(output) = self
             .cluster
@@ -207,7 +208,7 @@
                     .and_then(|driver| driver.orders.get(&number))
                     .copied();
                 if let Some(order) = order {
-                    self.make_delayed_order(now, order);
+                    self.send_delayed_order(now, order);
                 }
             }
             Output::AlreadyResident(number, copies) => {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// An order is not needed, as a copy of another gateway is resident.
+    /// Ends an order that is not needed, as a copy that another gateway ordered is loaded.
     fn on_already_resident(&mut self, now: Micros, number: u64, copies: u32) {
         let Some(driver) = &mut self.cluster.loads else {
             return;
@@ -234,9 +235,9 @@
         );
     }
 
-    /// Makes an order that waited, unless its worker has gone or started to drain meanwhile.
-    fn make_delayed_order(&mut self, now: Micros, order: Order) {
-        let ready = self.cluster.ready.as_ref();
+    /// Sends an order that waited, unless its worker was removed or started to drain meanwhile.
+    fn send_delayed_order(&mut self, now: Micros, order: Order) {
+        let ready = self.cluster.ready_workers.as_ref();
         if ready.is_none_or(|ready| ready.contains(&order.worker)) {
             return self.send_load_order(now, order);
         }
@@ -250,7 +251,7 @@
         );
     }
 
-    /// The deadline has passed.
+    /// Handles the deadline of the driver.
     pub(super) fn tick_load_coordination(&mut self, now: Micros) {
         if let Some(driver) = &mut self.cluster.loads {
             driver.scheduled_at = None;
@@ -258,7 +259,7 @@
         self.handle_load_coordination(now, Input::Tick);
     }
 
-    /// What operators see of load coordination; null while no shards are configured.
+    /// Describes load coordination for operators; null while no shards are configured.
     pub(super) fn load_coordination_view(&self) -> Value {
         let Some(driver) = &self.cluster.loads else {
             return Value::Null;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,6 +1,7 @@
-//! The gateway itself: the event loop's events to connections, connections to the core, the core's commands back.
+//! The gateway: passes the event loop's events to connections, the connections' input to the core, and
+//! the core's commands back to connections.
 //!
-//! Callbacks only note what is ready; all work is done after them, in [`Gateway::run`].
+//! The event loop's callbacks only mark what is ready; [`Gateway::run`] does the work after them.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::io;
@@ -62,20 +63,20 @@
 use worker_routes::WorkerRoutes;
 
 new_key_type! {
-    /// The slot of a connection.
+    /// The key of a connection.
     pub struct ConnKey;
 }
 
-/// Who is owed the answer to a call.
+/// The receiver of the answer to a call.
 #[derive(Clone, Copy, Debug)]
 enum Origin {
     /// The client of a connection.
     Client(ConnKey),
-    /// A webhook's call, whose answer is delivered as a callback.
+    /// A webhook call, whose answer is delivered as a callback.
     Webhook(JobKey),
 }
 
-/// What a client's response waits for.
+/// The source of the response that a client waits for.
 #[derive(Clone, Copy, Debug)]
 enum PendingResponse {
     /// The decision module.
@@ -84,7 +85,7 @@
     Store,
 }
 
-/// What a connection is for, with the state of its protocol.
+/// The kind of a connection's peer, with the state of its protocol.
 #[derive(Debug)]
 enum Role {
     /// A client of one of the listeners.
@@ -105,11 +106,11 @@
     Portal(PortalLink),
 }
 
-/// The subsystems that run between gateways, as far as they are switched on.
+/// The drivers of the subsystems between gateways; `None` if a subsystem is off.
 #[derive(Debug, Default)]
 struct ClusterDrivers {
-    /// The workers that are ready, while one of the subsystems needs to know.
-    ready: Option<BTreeSet<WorkerId>>,
+    /// The workers that are ready; `None` if no subsystem uses them.
+    ready_workers: Option<BTreeSet<WorkerId>>,
     gossip: Option<gossip::GossipDriver>,
     consensus: Option<consensus::ConsensusDriver>,
     health_checks: Option<health_checks::HealthCheckDriver>,
@@ -119,7 +120,7 @@
 }
 
 impl ClusterDrivers {
-    /// Whether something waits to be read or accepted.
+    /// Whether datagrams wait to be read or connections to be accepted.
     fn busy(&self) -> bool {
         self.gossip.as_ref().is_some_and(gossip::GossipDriver::busy)
             || self
@@ -129,7 +130,7 @@
     }
 }
 
-/// What else an operator has switched on at the start.
+/// The configuration of optional subsystems; `None` if a subsystem is off.
 #[derive(Debug, Default)]
 pub struct OptionalSubsystems {
     /// Gossip between instances.
@@ -140,7 +141,7 @@
     pub replication: Option<crate::replication::config::ReplicationFile>,
 }
 
-/// One gateway.
+/// A gateway.
 #[derive(Debug)]
 pub struct Gateway {
     handle: LoopHandle<'static, Gateway>,
@@ -155,18 +156,18 @@
     secondary: SecondaryListeners,
     cluster: ClusterDrivers,
     ops: OperationsDriver,
-    /// Connections on which something can be read.
+    /// Connections whose socket has become readable or writable.
     ready: Vec<ConnKey>,
-    /// Connections on which something may wait to be written.
+    /// Connections that may have output to write.
     dirty: Vec<ConnKey>,
-    /// Exchanges that have ended and that the core has not been told of.
+    /// Completed exchanges that have not been reported to the core.
     completed: VecDeque<Completed>,
     signals: Vec<Signal>,
     stop: bool,
 }
 
 impl Gateway {
-    /// The counters so far.
+    /// The gateway's counters.
     pub fn counters(&self) -> &crate::counters::Counters {
         &self.core.counters
     }
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -277,7 +277,7 @@
     /// Tells the core and the subsystems of a worker whose status an operator changed.
     pub(super) fn announce_worker(&mut self, now: Micros, worker: WorkerEntry) {
         self.apply_worker_status(&worker);
-        self.tell_ready(now, false, std::slice::from_ref(&worker));
+        self.update_ready_workers(now, false, std::slice::from_ref(&worker));
         self.core
             .update_workers(now, ListUpdate::Delta, vec![worker]);
     }
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -1,33 +1,34 @@
-//! SIGHUP: the configuration reloaded while calls go on.
+//! Reloads the configuration on SIGHUP, while calls are in progress.
 
 use super::Gateway;
 
 impl Gateway {
-    /// Reads the configuration's file again and moves to the discovery service that it names, from the revision at hand.
-    /// A file that cannot be used changes nothing. What pending calls depend on (names, limits, the decision module's
-    /// settings) stays until a restart; a file that would change it is logged.
+    /// Reads the configuration file again and connects to the discovery service that it names, from
+    /// the current revision. A file that cannot be used changes nothing. Settings that pending calls
+    /// depend on (names, limits, the decision module's settings) stay until a restart; a file that
+    /// changes them is logged.
     pub(super) fn reload(&mut self) {
-        let fresh = match self.config.again() {
-            Ok(fresh) => fresh,
+        let reloaded = match self.config.again() {
+            Ok(reloaded) => reloaded,
             Err(error) => return tracing::error!(%error, "the settings stay as they are"),
         };
         let now = self.clock.now();
         self.reload_gossip(now);
         self.reload_consensus();
-        if self.config.fixed() != fresh.fixed() {
+        if self.config.fixed() != reloaded.fixed() {
             tracing::warn!(
-                "only the notice board is taken from the new configuration before a restart"
+                "only the notice board address is reloaded; other changes need a restart"
             );
         }
-        for update in &fresh.known {
-            // An update that was missed in between is asked of service discovery.
+        for update in &reloaded.known {
+            // If an update in between was missed, service discovery is asked for it.
             if !self.apply_watch_event(now, update) {
                 break;
             }
         }
-        self.config.board = fresh.board;
+        self.config.board = reloaded.board;
         self.reopen_discovery(now);
-        let address = fresh
+        let address = reloaded
             .board
             .map_or("none".to_owned(), |address| address.to_string());
         tracing::info!(discovery = %address, "the configuration was read anew");
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -1,4 +1,4 @@
-//! The secondary listeners, for webhooks and the administration API: requests off their connections, and the tenants.
+//! The secondary listeners, for webhooks and the administration API: their requests, and the tenants.
 
 use std::collections::BTreeSet;
 use std::fs::OpenOptions;
@@ -16,33 +16,37 @@
 use crate::net::UNTAGGED_FRAME;
 use crate::tenancy::{Registry, TenantError};
 
-/// The tenants, and what is reached through the secondary listeners.
+/// The tenants and the drivers behind the secondary listeners.
 #[derive(Debug, Default)]
 pub(super) struct SecondaryListeners {
     pub(super) tenants: Registry,
     /// Tenants that the operator's file names.
     pub(super) listed: BTreeSet<String>,
-    /// The file that tenants are written to.
-    state: Option<PathBuf>,
+    /// The file that tenants are written to, if one is configured.
+    state_file: Option<PathBuf>,
     pub(super) hooks: Option<WebhookDriver>,
     pub(super) admin: Option<AdminApi>,
 }
 
 /// A request of a secondary listener's client that has been handled.
 struct HandledRequest {
-    /// The bytes that the request takes up.
+    /// The size of the request.
     size_bytes: usize,
     /// The response; `None` while it waits for the store or for other gateways.
     response: Option<Vec<u8>>,
     /// Whether the connection stays open after the response.
-    stays: bool,
-    /// Whether it could not be read as a request.
+    keep_open: bool,
+    /// Whether the input could not be parsed as a request.
     malformed: bool,
 }
 
 impl Gateway {
-    /// Sets up what an operator's file asks for.
-    pub(super) fn set_up(&mut self, now: Micros, operator: Operator) -> Result<(), GatewayError> {
+    /// Sets up the tenants, webhooks and administration API of the operator's file.
+    pub(super) fn set_up_secondary(
+        &mut self,
+        now: Micros,
+        operator: Operator,
+    ) -> Result<(), GatewayError> {
         self.load_tenants(&operator)?;
         for (tenant, quota_per_s) in self.secondary.tenants.shares() {
             self.core.set_tenant_quota(now, tenant, quota_per_s);
@@ -56,7 +60,7 @@
         Ok(())
     }
 
-    /// Takes over the tenants of the settings, of the operator's file and of the file that they were written to.
+    /// Loads the tenants of the settings, of the operator's file and of the tenants' state file.
     fn load_tenants(&mut self, operator: &Operator) -> Result<(), GatewayError> {
         let names = self.config.names.tenants.iter().cloned();
         let settings = self.config.settings.tenants.iter();
@@ -71,8 +75,8 @@
             .iter()
             .map(|(name, _)| name.clone())
             .collect();
-        secondary.state = operator.state.clone();
-        let Some(path) = secondary.state.as_ref().filter(|path| path.exists()) else {
+        secondary.state_file = operator.state.clone();
+        let Some(path) = secondary.state_file.as_ref().filter(|path| path.exists()) else {
             return Ok(());
         };
         let text = std::fs::read_to_string(path)
@@ -83,7 +87,8 @@
         secondary.tenants.restore(&text).map_err(parse_error)
     }
 
-    /// Handles the requests that have come on a webhook's or administrator's connection, until one waits for its answer.
+    /// Handles the requests received on a connection of a secondary listener, up to one that waits for
+    /// its answer.
     pub(super) fn read_secondary_requests(&mut self, key: ConnKey, now: Micros) {
         while self.read_secondary_request(key, now) == ReadProgress::Continue {}
     }
@@ -97,12 +102,12 @@
             return ReadProgress::Stop;
         }
         let kind = *kind;
-        // The request borrows the connection's buffer, which is put back once it is answered.
+        // The request borrows the connection's input, which is put back after the request is handled.
         let mut input = std::mem::take(&mut connection.input);
         let handled = match http::request(input.bytes()) {
             Ok(None) => {
                 connection.input = input;
-                return self.read_on(key);
+                return self.await_rest_of_secondary_request(key);
             }
             Ok(Some(request)) => self.handle_secondary_request(key, kind, &request, now),
             Err(bad) => {
@@ -110,7 +115,7 @@
                 HandledRequest {
                     size_bytes: 0,
                     response: Some(refuse(&bad, false)),
-                    stays: false,
+                    keep_open: false,
                     malformed: true,
                 }
             }
@@ -122,8 +127,8 @@
         self.respond_to_secondary(key, now, handled)
     }
 
-    /// The input ends within a request: reads on, or waits for the rest.
-    fn read_on(&mut self, key: ConnKey) -> ReadProgress {
+    /// Reads the rest of a partial request, or waits for it.
+    fn await_rest_of_secondary_request(&mut self, key: ConnKey) -> ReadProgress {
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return ReadProgress::Stop;
         };
@@ -143,20 +148,20 @@
         request: &http::Request<'_>,
         now: Micros,
     ) -> HandledRequest {
-        let stays = request.keep && self.ops.lifecycle.keeps_alive(now);
+        let keep_open = request.keep && self.ops.lifecycle.keeps_alive(now);
         if let Some((_, Role::Client { keep_alive, .. })) = self.connections.get_mut(key) {
-            *keep_alive = stays;
+            *keep_alive = keep_open;
         }
         let response = match kind {
-            ListenerKind::Admin => self.administer(key, request, stays, now),
+            ListenerKind::Admin => self.administer(key, request, keep_open, now),
             ListenerKind::Platform | ListenerKind::Webhook => {
-                self.take_webhook(key, request, stays, now)
+                self.take_webhook(key, request, keep_open, now)
             }
         };
         HandledRequest {
             size_bytes: request.size,
             response,
-            stays,
+            keep_open,
             malformed: false,
         }
     }
@@ -176,7 +181,7 @@
             return ReadProgress::Stop;
         };
         connection.outbox.push(UNTAGGED_FRAME, response);
-        connection.closing = !handled.stays;
+        connection.closing = !handled.keep_open;
         connection.linger = handled.malformed;
         self.dirty.push(key);
         let timeout = if handled.malformed {
@@ -188,9 +193,9 @@
         ReadProgress::Continue
     }
 
-    /// Writes the tenants to their file, if they have one; `false` if that failed.
+    /// Writes the tenants to their state file, if one is configured; returns `false` on failure.
     pub(super) fn persist_tenants(&self) -> bool {
-        let Some(path) = &self.secondary.state else {
+        let Some(path) = &self.secondary.state_file else {
             return true;
         };
         match write_private_file(path, &self.secondary.tenants.state()) {
@@ -203,16 +208,16 @@
     }
 }
 
-/// Writes a file for its owner alone, completely or not at all.
+/// Writes a file that only its owner can read, completely or not at all.
 fn write_private_file(path: &Path, text: &str) -> std::io::Result<()> {
-    let fresh = path.with_extension("new");
+    let new_path = path.with_extension("new");
     let mut file = OpenOptions::new()
         .write(true)
         .create(true)
         .truncate(true)
         .mode(0o600)
-        .open(&fresh)?;
+        .open(&new_path)?;
     file.write_all(text.as_bytes())?;
     file.sync_all()?;
-    std::fs::rename(&fresh, path)
+    std::fs::rename(&new_path, path)
 }
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a gateway: its listeners, the list of workers it was given, and its subsystems.
+//! The start of a gateway: its listeners, the configured list of workers, and its subsystems.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::TcpListener;
@@ -16,11 +16,13 @@
 use crate::config::{Config, Operator};
 use crate::core::Core;
 
-/// Microseconds of a second, between the core's rates and those that processes tell each other.
+/// Converts between the core's rates, per microsecond, and the rates per second in the processes'
+/// state files.
 pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Gateway {
-    /// Listens and takes over the known list of workers; serves once [`Gateway::run`] is called.
+    /// Binds the listeners, applies the configured list of workers and sets up the subsystems;
+    /// [`Gateway::run`] serves.
     ///
     /// # Errors
     ///
@@ -64,12 +66,12 @@
             .core
             .schedule(now, GatewayDeadline::DiscoveryReconnect.into());
         gateway.set_up_console()?;
-        gateway.set_up(now, operator)?;
+        gateway.set_up_secondary(now, operator)?;
         gateway.set_up_subsystems(now, &subsystems, ready)?;
         Ok(gateway)
     }
 
-    /// Listens for the platform's clients, on a socket that was handed over if there is one.
+    /// Listens for the platform's clients, on the inherited socket if there is one.
     fn listen_for_platform(
         &mut self,
         now: Micros,
@@ -86,7 +88,7 @@
         Ok(())
     }
 
-    /// Sets up what runs between gateways.
+    /// Sets up the subsystems that run between gateways.
     fn set_up_subsystems(
         &mut self,
         now: Micros,
@@ -94,7 +96,7 @@
         ready: BTreeSet<WorkerId>,
     ) -> Result<(), GatewayError> {
         if subsystems.gossip.is_some() || subsystems.consensus.is_some() {
-            self.cluster.ready = Some(ready.clone());
+            self.cluster.ready_workers = Some(ready.clone());
         }
         if let Some(gossip) = &subsystems.gossip {
             self.set_up_gossip(now, gossip, ready.clone())?;
@@ -108,7 +110,7 @@
         Ok(())
     }
 
-    /// Applies the updates known at the start; returns the workers that are ready.
+    /// Applies the configured list of workers; returns the workers that are ready.
     fn apply_known_events(&mut self, now: Micros) -> BTreeSet<WorkerId> {
         let mut workers: BTreeMap<WorkerId, WorkerEntry> = BTreeMap::new();
         for event in &self.config.known {
@@ -146,7 +148,7 @@
         ready
     }
 
-    /// Sets this process's part of the gateway's limits, while other processes of the same gateway live.
+    /// Sets this process's share of the gateway's limits, which all processes of the gateway divide.
     pub(super) fn update_client_limits(&mut self, now: Micros) {
         if let Some(hot_restart) = &self.ops.hot_restart {
             let siblings = hot_restart.siblings();
@@ -163,7 +165,7 @@
             .set_max_descriptors(self.max_descriptors());
     }
 
-    /// Descriptors that this process may hold.
+    /// The number of descriptors that this process may hold.
     pub(super) fn max_descriptors(&self) -> usize {
         self.config.limits.sockets / self.process_count()
     }
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -1,11 +1,12 @@
-//! Drives changes of tenants that all gateways agree on, while copies are on: it decides nothing, which is [`Changes`]'.
+//! Drives changes of tenants that all gateways agree on, while replication is on. The decisions
+//! are made by [`Changes`].
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
 use crate::admin::{self, Change, Handled};
 use crate::api::Micros;
-use crate::consensus::participant::Input as Say;
+use crate::consensus::participant::Input as ConsensusInput;
 use crate::consensus::state::SubsystemEntry;
 use crate::delivery::EndpointId;
 use crate::front::http::{plain, Bad};
@@ -21,126 +22,132 @@
 use crate::tenancy::replicated::LONGEST_ANSWER;
 use crate::tenancy::Tenant;
 
-/// An administrator who waits for a change to be agreed on.
+/// An administrator's request that waits until its change of a tenant is agreed on.
 #[derive(Debug)]
-pub(super) struct Asker {
-    /// The connection.
-    pub(super) conn: ConnKey,
-    /// Who asks.
-    pub(super) who: String,
-    /// The request's key, if it had one, and the digests of both.
+pub(super) struct PendingAdminRequest {
+    /// The administrator's connection.
+    pub(super) connection: ConnKey,
+    /// The authenticated caller.
+    pub(super) caller: String,
+    /// The request's idempotency key, if it has one, with the digests of the key and of the request.
     pub(super) key: Option<(String, [u8; 32], [u8; 32])>,
-    /// The answer once it is agreed.
+    /// The response once the change is agreed on.
     pub(super) handled: Handled,
-    /// What else follows then.
+    /// The changes that follow once the change is agreed on.
     pub(super) changes: Vec<Change>,
 }
 
-/// Who waits for a change.
+/// The origin of a proposed change.
 #[derive(Debug)]
-enum Waits {
-    Asker(Box<Asker>),
-    /// An endpoint was switched off here, as it failed for so long; its version before.
+enum ChangeOrigin {
+    /// A request of an administrator.
+    Admin(Box<PendingAdminRequest>),
+    /// An endpoint that this gateway disabled after repeated failures, and its version before that.
     Disabled(EndpointId, u64),
 }
 
-/// Agreed tenants, while they are on.
+/// The driver, while tenants are agreed on between gateways.
 #[derive(Debug)]
 pub(super) struct TenantDriver {
-    machine: Changes,
+    changes: Changes,
     /// Tenants that the operator's file names.
     listed: BTreeSet<String>,
-    waits: HashMap<Ticket, Waits>,
-    tickets: Ticket,
-    /// What the machine is told at the next step: an answer must not come while its request is still being read.
-    wanted: VecDeque<(Ticket, ChangeRequest)>,
-    hung: Option<Micros>,
+    /// The origins of the changes that are not agreed on yet.
+    origins: HashMap<Ticket, ChangeOrigin>,
+    last_ticket: Ticket,
+    /// Requests for the next step: a response must not be sent while its request is still being read.
+    queued: VecDeque<(Ticket, ChangeRequest)>,
+    /// When the scheduled deadline is due.
+    scheduled_at: Option<Micros>,
     history: History,
-    /// Whether it was heard since the start what is agreed.
-    heard: bool,
+    /// Whether the agreed tenants have been received since the start of the process.
+    caught_up: bool,
 }
 
-/// The digests of a caller with its key, and of its request.
-pub(super) fn digests(who: &str, key: &str, request: &[u8]) -> ([u8; 32], [u8; 32]) {
-    let whose = [
-        &(who.len() as u64).to_le_bytes()[..],
-        who.as_bytes(),
+/// Returns the digests of a caller with its idempotency key, and of its request.
+pub(super) fn digests(caller: &str, key: &str, request: &[u8]) -> ([u8; 32], [u8; 32]) {
+    let caller_and_key = [
+        &(caller.len() as u64).to_le_bytes()[..],
+        caller.as_bytes(),
         key.as_bytes(),
     ]
     .concat();
     (
-        blake3::derive_key("molelug idempotency key 1", &whose),
+        blake3::derive_key("molelug idempotency key 1", &caller_and_key),
         *blake3::hash(request).as_bytes(),
     )
 }
 
 impl Gateway {
-    /// Begins to agree on tenants with the other gateways.
+    /// Starts to agree on tenants with the other gateways.
     pub(super) fn set_up_tenants(&mut self, now: Micros, settings: Settings, history: History) {
         self.cluster.tenants = Some(TenantDriver {
-            machine: Changes::new(settings),
+            changes: Changes::new(settings),
             listed: self.secondary.listed.clone(),
-            waits: HashMap::new(),
-            tickets: 0,
-            wanted: VecDeque::new(),
-            hung: None,
+            origins: HashMap::new(),
+            last_ticket: 0,
+            queued: VecDeque::new(),
+            scheduled_at: None,
             history,
-            heard: false,
+            caught_up: false,
         });
-        if let Some(side) = &mut self.cluster.tenants {
-            side.history.record(&HistoryEvent::Begun);
+        if let Some(driver) = &mut self.cluster.tenants {
+            driver.history.record(&HistoryEvent::Begun);
         }
-        self.tenants_agreed(now);
+        self.update_agreed_tenants(now);
     }
 
-    /// What is agreed may have changed.
-    pub(super) fn tenants_agreed(&mut self, now: Micros) {
-        let Some(side) = &self.cluster.tenants else {
+    /// Passes the agreed tenants on, if they have changed.
+    pub(super) fn update_agreed_tenants(&mut self, now: Micros) {
+        let Some(driver) = &self.cluster.tenants else {
             return;
         };
-        let Some(hall) = self
+        let Some(state) = self
             .cluster
             .consensus
             .as_ref()
-            .map(|h| h.participant().state())
+            .map(|consensus| consensus.participant().state())
         else {
             return;
         };
-        // Most changes of what is agreed are of shards.
-        if (side.machine.agreed().changes, side.machine.voters())
-            != (hall.tenants.changes, hall.voters.len())
+        // Most changes of the agreed state concern shards.
+        if (driver.changes.agreed().changes, driver.changes.voters())
+            != (state.tenants.changes, state.voters.len())
         {
-            let agreed = Input::Agreed(Arc::new(hall.tenants.clone()), hall.voters.len());
-            self.tell_tenants(now, agreed);
+            let agreed = Input::Agreed(Arc::new(state.tenants.clone()), state.voters.len());
+            self.handle_tenants(now, agreed);
         }
     }
 
-    /// Whether tenants are as all agree. A process that has just begun goes by its files until it has heard: one that was
-    /// removed, or a secret that was taken back, must not count again meanwhile.
+    /// Checks that this gateway has the tenants that all gateways agree on. A new process has only
+    /// its files until it has caught up: a removed tenant or a revoked secret must not be valid again
+    /// meanwhile.
     pub(super) fn knows_tenants(&mut self) -> Result<(), Refusal> {
-        let Some(side) = &mut self.cluster.tenants else {
+        let Some(driver) = &mut self.cluster.tenants else {
             return Ok(());
         };
-        side.heard |= self
+        driver.caught_up |= self
             .cluster
             .consensus
             .as_ref()
-            .is_some_and(|h| h.participant().is_caught_up());
-        if side.heard {
+            .is_some_and(|consensus| consensus.participant().is_caught_up());
+        if driver.caught_up {
             Ok(())
         } else {
             Err(Refusal::Unheard)
         }
     }
 
+    /// Handles the deadline of the driver.
     pub(super) fn tick_tenants(&mut self, now: Micros) {
-        if let Some(side) = &mut self.cluster.tenants {
-            side.hung = None;
+        if let Some(driver) = &mut self.cluster.tenants {
+            driver.scheduled_at = None;
         }
-        self.tell_tenants(now, Input::Tick);
+        self.handle_tenants(now, Input::Tick);
     }
 
-    /// Whether an answer was agreed on with a request of this key: the answer, or that the key came with another request.
+    /// Returns the agreed response to an earlier request with this idempotency key; an error if the
+    /// key was used for another request.
     pub(super) fn answered_before(
         &self,
         key: &[u8; 32],
@@ -150,186 +157,203 @@
             .cluster
             .tenants
             .as_ref()?
-            .machine
+            .changes
             .agreed()
             .answer(key)?;
-        let other = plain(409, "the Idempotency-Key is in use for another request");
+        let conflict = plain(409, "the Idempotency-Key is in use for another request");
         Some(if answer.request == *request {
             Ok(answer.bytes.clone())
         } else {
-            Err(other)
+            Err(conflict)
         })
     }
 
-    /// An administrator's change of a tenant is to be agreed on; it is answered once it is.
-    pub(super) fn agree_on(&mut self, tenant: &str, kept: Option<Vec<u8>>, asker: Asker) {
-        let bytes = admin::answer(&Ok(asker.handled.clone()), true);
-        let answer = asker.key.as_ref().filter(|_| bytes.len() <= LONGEST_ANSWER);
+    /// Proposes an administrator's change of a tenant; the response follows once it is agreed on.
+    pub(super) fn propose_tenant_change(
+        &mut self,
+        tenant: &str,
+        encoded: Option<Vec<u8>>,
+        pending: PendingAdminRequest,
+    ) {
+        let bytes = admin::answer(&Ok(pending.handled.clone()), true);
+        let answer = pending
+            .key
+            .as_ref()
+            .filter(|_| bytes.len() <= LONGEST_ANSWER);
         let answer = answer.map(|(_, key, request)| Answer {
             key: *key,
             request: *request,
             bytes,
         });
-        self.want(tenant, kept, answer, Waits::Asker(Box::new(asker)));
+        let origin = ChangeOrigin::Admin(Box::new(pending));
+        self.queue_tenant_change(tenant, encoded, answer, origin);
     }
 
-    /// An endpoint was switched off here: all are to know.
+    /// Proposes to all gateways that an endpoint is disabled, which this gateway has done.
     pub(super) fn agree_on_disabled(&mut self, now: Micros, tenant: &str, id: EndpointId) {
         let version = self
             .secondary
             .tenants
             .get(tenant)
-            .and_then(|t| t.endpoint(id))
-            .map(|(_, e)| e.version);
-        let kept = self.secondary.tenants.told(tenant, now);
-        self.want(
+            .and_then(|tenant| tenant.endpoint(id))
+            .map(|(_, endpoint)| endpoint.version);
+        let encoded = self.secondary.tenants.told(tenant, now);
+        self.queue_tenant_change(
             tenant,
-            kept,
+            encoded,
             None,
-            Waits::Disabled(id, version.map_or(0, |v| v.saturating_sub(1))),
+            ChangeOrigin::Disabled(id, version.map_or(0, |version| version.saturating_sub(1))),
         );
     }
 
-    fn want(&mut self, tenant: &str, kept: Option<Vec<u8>>, answer: Option<Answer>, waits: Waits) {
-        let Some(side) = &mut self.cluster.tenants else {
+    fn queue_tenant_change(
+        &mut self,
+        tenant: &str,
+        encoded: Option<Vec<u8>>,
+        answer: Option<Answer>,
+        origin: ChangeOrigin,
+    ) {
+        let Some(driver) = &mut self.cluster.tenants else {
             return;
         };
-        side.tickets += 1;
-        side.waits.insert(side.tickets, waits);
-        let (ticket, listed) = (side.tickets, side.listed.contains(tenant));
-        side.wanted.push_back((
+        driver.last_ticket += 1;
+        driver.origins.insert(driver.last_ticket, origin);
+        let (ticket, listed) = (driver.last_ticket, driver.listed.contains(tenant));
+        driver.queued.push_back((
             ticket,
             ChangeRequest {
                 tenant: tenant.to_owned(),
-                kept,
+                kept: encoded,
                 listed,
                 answer,
             },
         ));
     }
 
-    /// Does what there is to do; whether there was something.
+    /// Handles the next queued request; returns whether there was one.
     pub(super) fn step_tenants(&mut self, now: Micros) -> bool {
-        let wanted = self
+        let queued = self
             .cluster
             .tenants
             .as_mut()
-            .and_then(|s| s.wanted.pop_front());
-        let Some((ticket, wanted)) = wanted else {
+            .and_then(|driver| driver.queued.pop_front());
+        let Some((ticket, request)) = queued else {
             return false;
         };
-        self.tell_tenants(now, Input::Change(ticket, wanted));
+        self.handle_tenants(now, Input::Change(ticket, request));
         true
     }
 
-    fn tell_tenants(&mut self, now: Micros, input: Input) {
-        let Some(side) = &mut self.cluster.tenants else {
+    /// Passes an input to [`Changes`], carries out its outputs and schedules its deadline.
+    fn handle_tenants(&mut self, now: Micros, input: Input) {
+        let Some(driver) = &mut self.cluster.tenants else {
             return;
         };
-        side.machine.handle(uptime(), input);
+        driver.changes.handle(uptime(), input);
         let mut adopted = false;
         while let Some(output) = self
             .cluster
             .tenants
             .as_mut()
-            .and_then(|s| s.machine.output())
+            .and_then(|driver| driver.changes.output())
         {
             match output {
                 Output::Propose(entry) => {
-                    self.handle_consensus(Say::Submit(SubsystemEntry::Tenants(Box::new(entry))));
+                    self.handle_consensus(ConsensusInput::Submit(SubsystemEntry::Tenants(
+                        Box::new(entry),
+                    )));
                 }
                 Output::Removals(removals) => self.secondary.tenants.set_removals(removals),
-                Output::Adopt(tenant, kept) => {
+                Output::Adopt(tenant, encoded) => {
                     adopted = true;
-                    self.adopt_tenant(now, &tenant, kept.as_deref());
+                    self.adopt_tenant(now, &tenant, encoded.as_deref());
+                }
+                Output::Done(ticket) => self.on_tenant_change_agreed(now, ticket),
+                Output::Refused(ticket, refusal) => {
+                    self.on_tenant_change_refused(now, ticket, &refusal);
                 }
-                Output::Done(ticket) => self.change_agreed(now, ticket),
-                Output::Refused(ticket, why) => self.change_refused(now, ticket, &why),
-                Output::Noted(note) => {
-                    if let Some(side) = &mut self.cluster.tenants {
-                        side.history.record(&note);
+                Output::Noted(event) => {
+                    if let Some(driver) = &mut self.cluster.tenants {
+                        driver.history.record(&event);
                     }
                 }
             }
         }
         if adopted {
-            // What is agreed holds, whatever becomes of the file; a failure was told.
+            // The agreed tenants apply even if their file cannot be written, which is logged.
             self.persist_tenants();
         }
-        let Some(side) = &mut self.cluster.tenants else {
+        let Some(driver) = &mut self.cluster.tenants else {
             return;
         };
-        let up = uptime();
-        let next = side
-            .machine
+        let uptime = uptime();
+        let next = driver
+            .changes
             .next_deadline()
-            .map(|t| now + t.saturating_sub(up).max(1));
-        if let Some(old) = side.hung.take() {
+            .map(|at| now + at.saturating_sub(uptime).max(1));
+        if let Some(old) = driver.scheduled_at.take() {
             self.core.unschedule(old, GatewayDeadline::Tenants.into());
         }
-        side.hung = next;
+        driver.scheduled_at = next;
         if let Some(at) = next {
             self.core.schedule(at, GatewayDeadline::Tenants.into());
         }
     }
 
-    fn adopt_tenant(&mut self, now: Micros, tenant: &str, kept: Option<&[u8]>) {
-        match self.secondary.tenants.adopt(now, tenant, kept) {
+    /// Takes over a tenant as agreed; `None` removes it.
+    fn adopt_tenant(&mut self, now: Micros, tenant: &str, encoded: Option<&[u8]>) {
+        match self.secondary.tenants.adopt(now, tenant, encoded) {
             Ok(Some(adopted)) => {
-                tracing::info!(
-                    tenant,
-                    removed = kept.is_none(),
-                    "took over a tenant as it is agreed on"
-                );
+                tracing::info!(tenant, removed = encoded.is_none(), "agreed tenant adopted");
                 self.core
                     .set_tenant_quota(now, adopted.share.0, adopted.share.1);
                 self.forget_endpoints(now, &adopted.gone);
                 self.tell_endpoints(now, tenant);
             }
             Ok(None) => {}
-            Err(e) => {
-                let why = Refusal::Unreadable {
+            Err(error) => {
+                let refusal = Refusal::Unreadable {
                     tenant: tenant.to_owned(),
-                    why: e.to_string(),
+                    why: error.to_string(),
                 };
-                tracing::error!(remedy = why.remedy(), "{why}");
+                tracing::error!(remedy = refusal.remedy(), "{refusal}");
             }
         }
-        // A removal that was taken over has counted itself.
-        if let Some(side) = &self.cluster.tenants {
+        // Adopting a removal has increased the registry's own count.
+        if let Some(driver) = &self.cluster.tenants {
             self.secondary
                 .tenants
-                .set_removals(side.machine.agreed().removals);
+                .set_removals(driver.changes.agreed().removals);
         }
     }
 
-    fn change_agreed(&mut self, now: Micros, ticket: Ticket) {
-        let waits = self
+    fn on_tenant_change_agreed(&mut self, now: Micros, ticket: Ticket) {
+        let origin = self
             .cluster
             .tenants
             .as_mut()
-            .and_then(|s| s.waits.remove(&ticket));
-        let Some(Waits::Asker(asker)) = waits else {
+            .and_then(|driver| driver.origins.remove(&ticket));
+        let Some(ChangeOrigin::Admin(pending)) = origin else {
             return;
         };
-        let Asker {
-            conn,
-            who,
+        let PendingAdminRequest {
+            connection,
+            caller,
             key,
             handled,
             changes,
-        } = *asker;
-        tracing::info!(who, "administered, as all agree");
-        // The tenant itself was taken over like any other's change.
-        let told = |c: &Change| matches!(c, Change::Rotated(..));
+        } = *pending;
+        tracing::info!(caller, "tenant change agreed");
+        // The tenant itself was adopted in the same way as a change of another gateway.
+        let is_rotation = |change: &Change| matches!(change, Change::Rotated(..));
         changes
             .into_iter()
-            .filter(told)
-            .for_each(|c| self.apply_change(now, c));
+            .filter(is_rotation)
+            .for_each(|change| self.apply_change(now, change));
         let bytes = admin::answer(&Ok(handled.clone()), true);
-        self.finish_idempotency_key(key.map(|(key, ..)| (who, key)), true, &bytes);
-        self.answer_second(conn, now, |stays| {
-            if stays {
+        self.finish_idempotency_key(key.map(|(key, ..)| (caller, key)), true, &bytes);
+        self.answer_second(connection, now, |keep_open| {
+            if keep_open {
                 bytes
             } else {
                 admin::answer(&Ok(handled), false)
@@ -337,35 +361,43 @@
         });
     }
 
-    fn change_refused(&mut self, now: Micros, ticket: Ticket, why: &Refusal) {
-        tracing::warn!(remedy = why.remedy(), "{why}");
+    fn on_tenant_change_refused(&mut self, now: Micros, ticket: Ticket, refusal: &Refusal) {
+        tracing::warn!(remedy = refusal.remedy(), "{refusal}");
         match self
             .cluster
             .tenants
             .as_mut()
-            .and_then(|s| s.waits.remove(&ticket))
+            .and_then(|driver| driver.origins.remove(&ticket))
         {
-            Some(Waits::Asker(asker)) => {
-                let Asker { conn, who, key, .. } = *asker;
-                // It may be made again under the same key, whatever became of it.
-                self.finish_idempotency_key(key.map(|(key, ..)| (who, key)), false, &[]);
-                let (status, text) = (why.status(), why.to_string());
-                self.answer_second(conn, now, |stays| {
-                    admin::problem(status, &text, Some(why.remedy()), stays)
+            Some(ChangeOrigin::Admin(pending)) => {
+                let PendingAdminRequest {
+                    connection,
+                    caller,
+                    key,
+                    ..
+                } = *pending;
+                // The caller may repeat the request with the same key, whether or not the change is
+                // still agreed on later.
+                self.finish_idempotency_key(key.map(|(key, ..)| (caller, key)), false, &[]);
+                let (status, text) = (refusal.status(), refusal.to_string());
+                self.answer_second(connection, now, |keep_open| {
+                    admin::problem(status, &text, Some(refusal.remedy()), keep_open)
                 });
             }
-            // Switched off it stays, on what others have changed since, unless that was this very endpoint; also where nobody
-            // agreed in time, and only this gateway knows.
-            Some(Waits::Disabled(id, version)) if why.may_come_again() => {
-                let of =
-                    |(name, t): (&String, &Tenant)| Some((name.clone(), t.endpoint(id)?.1.version));
-                let found = self.secondary.tenants.iter().find_map(of);
+            // The endpoint stays disabled, and this is proposed again on top of the others' changes,
+            // unless those changed this endpoint; likewise if the proposal timed out and only this
+            // gateway knows of it.
+            Some(ChangeOrigin::Disabled(id, version)) if refusal.may_come_again() => {
+                let with_endpoint = |(name, tenant): (&String, &Tenant)| {
+                    Some((name.clone(), tenant.endpoint(id)?.1.version))
+                };
+                let found = self.secondary.tenants.iter().find_map(with_endpoint);
                 match found {
-                    Some((tenant, now_at)) if now_at == version => {
+                    Some((tenant, current)) if current == version => {
                         self.secondary.tenants.disable(id);
                         self.agree_on_disabled(now, &tenant, id);
                     }
-                    Some((tenant, now_at)) if now_at == version + 1 => {
+                    Some((tenant, current)) if current == version + 1 => {
                         self.agree_on_disabled(now, &tenant, id)
                     }
                     _ => {}
--- a/src/gateway/worker_connections.rs
+++ b/src/gateway/worker_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: chosen or opened for an exchange, and retired.
+//! Connections to workers: selection, opening, cancellation of exchanges, and retirement.
 
 use std::io;
 
@@ -9,25 +9,26 @@
 use crate::net;
 use crate::worker::{Exchange, WorkerConnection};
 
-/// A reply that has come in part is complete within this, or its connection is of no more use.
+/// Time for the rest of a partial reply, after which the connection is closed.
 pub(super) const PARTIAL_REPLY_TIMEOUT: Micros = 200_000;
-/// Bytes that may wait on a worker's connection before new exchanges take another.
+/// Unsent bytes on a worker's connection from which new exchanges use another connection.
 const MAX_WORKER_BACKLOG_BYTES: usize = 256 << 10;
-/// A worker's connection on which an exchange is cancelled after so long a silence takes nothing new.
+/// A worker's connection that has been silent for this long when an exchange is cancelled is retired.
 const WORKER_SILENCE_TIMEOUT: Micros = 1_000_000;
-/// How often a retired connection is checked, to be closed once nothing is in flight on it.
+/// How often a retired connection is checked; it is closed once nothing is in flight on it.
 pub(super) const RETIRED_CHECK_INTERVAL: Micros = 250_000;
 /// How soon a retired connection with nothing in flight is closed.
 const RETIRED_CLOSE_DELAY: Micros = 100_000;
-/// How long the identity of a cancelled exchange is not sent again on its connection.
+/// How long the identity of a cancelled exchange is not sent again on the same connection.
 const CANCELLED_IDENTITY_WINDOW: Micros = 10_000_000;
-/// Connections to one worker at once.
+/// Maximum number of open connections to one worker.
 const MAX_CONNECTIONS_PER_WORKER: usize = 4;
-/// Descriptors that workers' connections leave to service discovery, the operator console, files and the event loop.
+/// Descriptors that workers' connections leave free for service discovery, the operator console, files
+/// and the event loop.
 const RESERVED_DESCRIPTORS: usize = 24;
 
 impl Gateway {
-    /// Withdraws an attempt if none of its bytes have been sent; tells whether it was withdrawn.
+    /// Withdraws an attempt if none of its bytes have been sent; returns whether it was withdrawn.
     pub(super) fn withdraw_attempt(&mut self, attempt: AttemptKey) -> bool {
         let Some(key) = self.routes.attempts.get(attempt) else {
             return false;
@@ -38,8 +39,8 @@
         worker.withdraw(&mut connection.outbox, Exchange::Attempt(attempt))
     }
 
-    /// Cancels an exchange on a connection. A connection that has been silent since takes nothing new: its machine may
-    /// have vanished, and then only a new connection shows whether it is back.
+    /// Cancels an exchange on a connection. A connection that has been silent for long is retired: the
+    /// worker's machine may be gone, and only a new connection shows whether it is back.
     pub(super) fn cancel_exchange(
         &mut self,
         now: Micros,
@@ -51,8 +52,8 @@
         };
         let until = now + CANCELLED_IDENTITY_WINDOW;
         let progress = worker.cancel(&mut connection.outbox, exchange, now, until);
-        let last_sign_of_life = worker.last_received_at.max(worker.last_active_at);
-        let silent = now > last_sign_of_life + WORKER_SILENCE_TIMEOUT;
+        let last_activity_at = worker.last_received_at.max(worker.last_active_at);
+        let silent = now > last_activity_at + WORKER_SILENCE_TIMEOUT;
         if progress == SendProgress::Started && silent {
             worker.retired = true;
         }
@@ -63,7 +64,7 @@
         progress
     }
 
-    /// When a connection to a worker was opened.
+    /// Returns when a connection to a worker was opened.
     pub(super) fn worker_connection_opened_at(&self, key: ConnKey) -> Option<Micros> {
         match self.connections.get(key) {
             Some((_, Role::Worker(worker))) => Some(worker.opened_at),
@@ -71,14 +72,16 @@
         }
     }
 
-    /// A connection to a worker that takes an exchange under this identity; opened if there is none.
+    /// Returns a connection to a worker that accepts an exchange under this identity; opens one if
+    /// there is none.
     pub(super) fn connection_to(
         &mut self,
         now: Micros,
         worker: WorkerId,
         identity: &str,
     ) -> Result<ConnKey, CloseReason> {
-        // An empty entry stays where no connection can be opened: the worker counts as in use by the list.
+        // The entry stays, empty, if no connection can be opened: it keeps the worker in the endpoint
+        // list.
         let keys = self.routes.connections.entry(worker).or_default();
         let open_connections = keys.len();
         let max_open = self.config.streams;
@@ -99,7 +102,7 @@
         Ok(key)
     }
 
-    /// Opens a connection to a worker that has so many open already.
+    /// Opens a connection to a worker, which has `open_connections` already.
     fn open_connection_to(
         &mut self,
         now: Micros,
@@ -142,7 +145,7 @@
         Ok(key)
     }
 
-    /// Tells the core of a refused connection, unless another one is open.
+    /// Reports a refused connection to the core, unless another connection to the worker is open.
     pub(super) fn note_refused(&mut self, now: Micros, worker: WorkerId) {
         let keys = self.routes.connections.get(&worker);
         if keys.is_none_or(Vec::is_empty) {
@@ -150,8 +153,8 @@
         }
     }
 
-    /// Retires a worker's connections that were opened before an instant (or all): what was not sent is withdrawn, what
-    /// was sent may still be replied to, and nothing new is sent.
+    /// Retires a worker's connections that were opened before an instant, or all of them: withdraws
+    /// unsent exchanges, still accepts replies to sent ones, and sends nothing new.
     pub(super) fn retire_connections(&mut self, worker: WorkerId, before: Option<Micros>) {
         let mut completed = Vec::new();
         let keys = self.routes.connections.get(&worker).cloned();
--- a/src/gateway/worker_routes.rs
+++ b/src/gateway/worker_routes.rs
@@ -1,4 +1,4 @@
-//! Which connections lead to which worker, and which carry which exchange.
+//! The connections to each worker, and the connection that carries each exchange.
 
 use std::collections::BTreeMap;
 
