--- a/src/gateway/accepting.rs
+++ b/src/gateway/accepting.rs
@@ -13,8 +13,8 @@
 const MAX_ACCEPTS_PER_TURN: usize = 256;
 /// How long accepting pauses when the machine has no descriptor or memory for a connection.
 pub(super) const ACCEPT_RETRY_INTERVAL: Micros = 50_000;
-/// While no slot is free, a connection that has been idle for this long may be closed in favour of a
-/// new one. Within this time a request that is on its way has arrived.
+/// While no slot is free, a connection that has been idle for this long may be closed in favour of
+/// a new one. Within this time a request that is on its way has arrived.
 const MIN_IDLE_BEFORE_EVICTION: Micros = 150_000;
 
 /// The state of a listener's queue after accepting.
@@ -36,7 +36,8 @@
             return;
         }
         for place in 0..self.listeners.sockets.len() {
-            // The remaining connections wait for the next turn, so that a flood does not delay others.
+            // The remaining connections wait for the next turn, so that a flood does not delay
+            // others.
             self.listeners.accept_pending |= self.accept_from(place) == AcceptOutcome::More;
         }
     }
@@ -58,8 +59,8 @@
                     io::ErrorKind::WouldBlock => return AcceptOutcome::Empty,
                     io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted => {}
                     _ => {
-                        // Out of descriptors or memory: the queue stays non-empty, and accepting again at
-                        // once would be a busy loop.
+                        // Out of descriptors or memory: the queue stays non-empty, and accepting
+                        // again at once would be a busy loop.
                         let retry_at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
                         self.core
                             .schedule(retry_at, GatewayDeadline::AcceptRetry.into());
@@ -96,9 +97,10 @@
         self.on_ready(key);
     }
 
-    /// Closes the connection that has been idle for longest, to free a slot; returns whether one was
-    /// closed. This guards the slots against clients that stay after one request or connect and send
-    /// nothing. If no connection has been idle for long enough, accepting is tried again once one has.
+    /// Closes the connection that has been idle for longest, to free a slot; returns whether one
+    /// was closed. This guards the slots against clients that stay after one request or connect and
+    /// send nothing. If no connection has been idle for long enough, accepting is tried again once
+    /// one has.
     fn evict_idle_client(&mut self, kind: ListenerKind) -> bool {
         let Some((idle_since, key)) = self.longest_idle_client(kind) else {
             return false;
@@ -148,9 +150,9 @@
         }
     }
 
-    /// Closes the listeners once no connection waits there; returns whether they are closed. Closing a
-    /// listener resets the connections in the kernel's queue, so these are accepted first, unless
-    /// another process shares the socket and accepts them.
+    /// Closes the listeners once no connection waits there; returns whether they are closed.
+    /// Closing a listener resets the connections in the kernel's queue, so these are accepted
+    /// first, unless another process shares the socket and accepts them.
     pub(super) fn stop_accepting(&mut self, now: Micros) -> bool {
         let connections_wait = self.ops.lifecycle.accepts_backlog(now) && self.accept_remaining();
         if connections_wait {
@@ -167,8 +169,8 @@
         true
     }
 
-    /// Accepts all connections in the kernel's queues; returns whether one is left for which there is no
-    /// capacity yet.
+    /// Accepts all connections in the kernel's queues; returns whether one is left for which there
+    /// is no capacity yet.
     fn accept_remaining(&mut self) -> bool {
         let mut connections_wait = false;
         for place in 0..self.listeners.sockets.len() {
--- a/src/gateway/admin_api.rs
+++ b/src/gateway/admin_api.rs
@@ -61,8 +61,8 @@
         Ok(())
     }
 
-    /// Reads the trust bundle and schedules the next reading, as its keys rotate. If the bundle cannot
-    /// be used, the keys stay as they are.
+    /// Reads the trust bundle and schedules the next reading, as its keys rotate. If the bundle
+    /// cannot be used, the keys stay as they are.
     pub(super) fn load_bundle(&mut self, now: Micros) {
         let Some(admin) = &mut self.secondary.admin else {
             return;
@@ -78,8 +78,8 @@
             .schedule(reload_at, GatewayDeadline::BundleReload.into());
     }
 
-    /// Handles an administrator's request. Returns the response, unless it has to wait for the store
-    /// or for other gateways.
+    /// Handles an administrator's request. Returns the response, unless it has to wait for the
+    /// store or for other gateways.
     pub(super) fn administer(
         &mut self,
         connection: ConnKey,
@@ -135,8 +135,8 @@
         Some(admin::problem(refusal.status(), &detail, remedy, keep_open))
     }
 
-    /// Marks the request's idempotency key, if it has one, as in use. Returns the earlier response if
-    /// the request has been answered before.
+    /// Marks the request's idempotency key, if it has one, as in use. Returns the earlier response
+    /// if the request has been answered before.
     fn begin_idempotency_key(
         &mut self,
         admitted: &AdmittedRequest<'_>,
@@ -280,7 +280,8 @@
         handled
     }
 
-    /// Releases a caller's idempotency key, and stores the response with it if the response is final.
+    /// Releases a caller's idempotency key, and stores the response with it if the response is
+    /// final.
     pub(super) fn finish_idempotency_key(
         &mut self,
         key: Option<(String, String)>,
--- a/src/gateway/client_slots.rs
+++ b/src/gateway/client_slots.rs
@@ -2,8 +2,8 @@
 
 use super::ListenerKind;
 
-/// One in this many descriptors is for clients; the others stay free for workers, service discovery,
-/// the operator console, files and the event loop.
+/// One in this many descriptors is for clients; the others stay free for workers, service
+/// discovery, the operator console, files and the event loop.
 const DESCRIPTORS_PER_CLIENT: usize = 2;
 /// Minimum number of client slots, even with few descriptors.
 const MIN_CLIENTS: usize = 8;
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -8,8 +8,8 @@
 use crate::front::platform::{self, Ask};
 use crate::net::UNTAGGED_FRAME;
 
-/// A client's connection without a pending request is closed after this time. The platform's clients
-/// close theirs after 4 s, except for those that send one request and stay connected.
+/// A client's connection without a pending request is closed after this time. The platform's
+/// clients close theirs after 4 s, except for those that send one request and stay connected.
 pub(super) const CLIENT_IDLE_TIMEOUT: Micros = 4_500_000;
 /// Time for a client to send a complete request, from its connect or from the request's first byte.
 pub(super) const CLIENT_REQUEST_TIMEOUT: Micros = 2_000_000;
@@ -17,14 +17,15 @@
 const PARTIAL_REQUEST_TIMEOUT: Micros = 200_000;
 /// Answers larger than this are counted against [`MAX_UNSENT_BYTES`].
 const LARGE_ANSWER_BYTES: usize = 16 << 10;
-/// Unsent bytes to all clients beyond which a large answer is not sent and its connection is closed.
+/// Unsent bytes to all clients beyond which a large answer is not sent and its connection is
+/// closed.
 const MAX_UNSENT_BYTES: usize = 48 << 20;
 /// How long a connection with a rejected request stays open for its peer's remaining input.
 pub(super) const LINGER_TIMEOUT: Micros = 1_000_000;
 /// `Retry-After` of a call that is rejected because too many calls are pending.
 const OVERLOAD_RETRY_AFTER: Micros = 1_000_000;
 
-/// Whether reading a client's requests goes on.
+/// Whether to continue reading a client's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadProgress {
     Continue,
@@ -95,8 +96,8 @@
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return ReadProgress::Stop;
         };
-        // If the buffer was full while a request was pending, the input left in the socket raises no
-        // further event.
+        // If the buffer was full while a request was pending, the input left in the socket raises
+        // no further event.
         if connection.refill(READ_LIMIT) {
             return ReadProgress::Continue;
         }
@@ -148,8 +149,8 @@
         ReadProgress::Continue
     }
 
-    /// Returns the response to a call that is rejected before the decision module sees it; `None` if
-    /// the call is to be submitted.
+    /// Returns the response to a call that is rejected before the decision module sees it; `None`
+    /// if the call is to be submitted.
     fn reject_client_call(&mut self, call: &Call<()>, after: AfterResponse) -> Option<Vec<u8>> {
         if self.core.pending_requests() >= self.config.most_held {
             // The platform does the same beyond `mostHeld`.
@@ -213,8 +214,8 @@
         self.read_client_requests(key, now);
     }
 
-    /// Whether an answer is large and too many bytes are unsent already. This guards the memory against
-    /// clients that request large answers and do not read them.
+    /// Whether an answer is large and too many bytes are unsent already. This guards the memory
+    /// against clients that request large answers and do not read them.
     fn is_over_unsent_limit(&self, answer: &Answer) -> bool {
         let Answer::Served(body) = answer else {
             return false;
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -10,8 +10,8 @@
 use crate::worker::{AttemptCommand, Completed, Exchange};
 
 impl Gateway {
-    /// Carries out commands and reports completed exchanges until none are left; then writes the output
-    /// of connections.
+    /// Carries out commands and reports completed exchanges until none are left; then writes the
+    /// output of connections.
     pub(super) fn run_commands(&mut self) {
         loop {
             let now = self.clock.now();
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Writes a connection's output as far as the socket accepts it. Closes a closing connection once
-    /// all its output is written.
+    /// Writes a connection's output as far as the socket accepts it. Closes a closing connection
+    /// once all its output is written.
     fn flush_connection(&mut self, key: ConnKey) {
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return;
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -16,8 +16,8 @@
 use crate::front::operator_console;
 use crate::net::{Connection, SharedStream};
 
-/// Returns the idle timeout of a worker's connection, which is shorter than the worker's own limit so
-/// that the gateway closes first.
+/// Returns the idle timeout of a worker's connection, which is shorter than the worker's own limit
+/// so that the gateway closes first.
 fn worker_idle_timeout(limit: Micros) -> Micros {
     limit * 4 / 5
 }
@@ -256,7 +256,8 @@
             Role::Worker(_) if !connection.connected => {
                 self.close(key, CloseReason::ConnectTimeout)
             }
-            // Replies behind an incomplete one cannot be separated from it, so the connection is closed.
+            // Replies behind an incomplete one cannot be separated from it, so the connection is
+            // closed.
             Role::Worker(worker)
                 if worker
                     .partial_reply_since
--- a/src/gateway/consensus/disk.rs
+++ b/src/gateway/consensus/disk.rs
@@ -18,7 +18,8 @@
 /// Why the replica's disk cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum ReplicaDiskError {
-    /// The disk has to be made by an operator: a lost disk must not come back as a bootstrap voter's by itself.
+    /// There is no disk. An operator has to create it: a lost disk must not be replaced
+    /// automatically by that of a bootstrap voter.
     #[error("there is none; 'molelug council found' or 'molelug council seat' makes one")]
     Missing,
     /// The disk cannot be read or written.
@@ -102,7 +103,7 @@
 
 impl ConsensusDriver {
     /// Schedules another attempt, as another process uses the disk or the address.
-    fn retry_resources_at(&mut self, now: Micros) {
+    fn schedule_resource_retry(&mut self, now: Micros) {
         self.resource_retry_at = Some(now + RESOURCE_RETRY_INTERVAL);
     }
 }
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Tries the address and the disk again: the previous process may have released them.
+    /// Tries to use the address and the disk again, as the previous process may have released them.
     pub(super) fn retry_resources(&mut self, now: Micros) {
         let Some(driver) = &mut self.cluster.consensus else {
             return;
@@ -140,7 +141,7 @@
             driver.peers.listener = listener;
             driver.peers.accept_pending = true;
         } else {
-            driver.retry_resources_at(now);
+            driver.schedule_resource_retry(now);
         }
     }
 
@@ -159,7 +160,7 @@
             return;
         };
         match opened {
-            Ok(disk) if disk.in_use => driver.retry_resources_at(now),
+            Ok(disk) if disk.in_use => driver.schedule_resource_retry(now),
             Ok(disk) => {
                 driver.writer = disk.writer;
                 if let Some(persistent) = disk.persistent {
--- a/src/gateway/consensus/effects.rs
+++ b/src/gateway/consensus/effects.rs
@@ -1,4 +1,5 @@
-//! Effects of this gateway's leases: sent while the lease is valid, withdrawn if it ends before their bytes have left.
+//! Effects under this gateway's leases: sent while the lease is valid, and withdrawn if it ends
+//! before their bytes are written.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -9,7 +10,7 @@
 use crate::gateway::{ConnKey, Gateway, Role};
 use crate::lease::{LeaseName, Term};
 
-/// Effects that are remembered to be withdrawn; beyond it all are forgotten, as most have left.
+/// Maximum number of remembered effects; beyond it all are forgotten, as most have been sent.
 const MAX_QUEUED_EFFECTS: usize = 1024;
 
 /// Effects of this gateway whose bytes may still be queued, by the tag of their frames.
@@ -48,8 +49,8 @@
 }
 
 impl Gateway {
-    /// Sends an effect of this gateway. Its lease is checked once more before the bytes are queued, and the effect does not
-    /// wait for a connection to open.
+    /// Sends an effect of this gateway. The lease is checked once more before the bytes are queued.
+    /// If no connection is open, the effect is dropped.
     pub(super) fn send_own_effect(&mut self, to: &Arc<str>, effect: LeaseEffect) {
         let Some(driver) = &mut self.cluster.consensus else {
             return;
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Withdraws the effects of ended leases before the bytes of a connection between gateways are written: the process may
-    /// have been stopped since they were queued.
+    /// Withdraws the effects of ended leases before the bytes of a connection between gateways are
+    /// written: the process may have been stopped since they were queued.
     pub(in crate::gateway) fn withdraw_expired_effects(&mut self, key: ConnKey) {
         let has_output = matches!(
             self.connections.get(key),
--- a/src/gateway/consensus/eligibility.rs
+++ b/src/gateway/consensus/eligibility.rs
@@ -5,13 +5,13 @@
 use crate::consensus::participant::Input;
 use crate::gateway::Gateway;
 
-/// What decides whether this gateway is eligible.
+/// The conditions for this gateway's eligibility.
 #[derive(Debug)]
 pub(super) struct Eligibility {
     /// Whether the subsystems that work under leases can do so here.
     subsystems_capable: bool,
     has_free_descriptors: bool,
-    /// Whether the process is to end.
+    /// Whether the process is shutting down.
     draining: bool,
     /// The eligibility that the participant was notified of last.
     pub(super) announced: bool,
@@ -29,7 +29,8 @@
 }
 
 impl Eligibility {
-    /// Notes the number of free descriptors; with hysteresis, so that one descriptor does not move leases back and forth.
+    /// Updates the condition on free descriptors, with hysteresis, so that a single descriptor does
+    /// not move leases back and forth.
     fn set_free_descriptors(&mut self, free: usize) {
         let required = if self.has_free_descriptors {
             MIN_FREE_DESCRIPTORS
@@ -45,7 +46,7 @@
 }
 
 impl Gateway {
-    /// Notes whether the subsystems that work under leases can do so here.
+    /// Sets whether the subsystems that work under leases can do so here.
     pub(in crate::gateway) fn set_subsystems_capable(&mut self, capable: bool) {
         if let Some(driver) = &mut self.cluster.consensus {
             driver.eligibility.subsystems_capable = capable;
@@ -53,7 +54,7 @@
         self.update_eligibility();
     }
 
-    /// Tells the participant if this gateway has become eligible to hold leases, or no longer is.
+    /// Notifies the participant if this gateway's eligibility to hold leases has changed.
     pub(super) fn update_eligibility(&mut self) {
         let free = self
             .max_descriptors()
@@ -76,7 +77,7 @@
         self.handle_consensus(Input::SetEligible(eligible));
     }
 
-    /// Releases the leases, as the process is to end.
+    /// Releases the leases, as the process is shutting down.
     pub(in crate::gateway) fn release_leases(&mut self, now: Micros) {
         if let Some(driver) = &mut self.cluster.consensus {
             driver.eligibility.draining = true;
--- a/src/gateway/consensus/mod.rs
+++ b/src/gateway/consensus/mod.rs
@@ -1,7 +1,9 @@
-//! Drives consensus: frames from and to other gateways, records to the disk, deadlines. It decides nothing.
+//! Drives consensus: frames from and to other gateways, records to the disk, and deadlines. It
+//! decides nothing.
 //!
-//! Each gateway connects to those it has frames for; answers may also use a connection that the other has made. Time is the
-//! machine's since it started, asleep or not: a lease must not outlive a sleep that its grantor did not have.
+//! Each gateway connects to those it has frames for; answers may also use a connection that the
+//! other gateway has made. Time is the machine's uptime including sleep: otherwise a lease would
+//! last longer at a holder that has slept than at its grantor.
 
 mod disk;
 mod effects;
@@ -35,7 +37,7 @@
 
 /// Bytes read from one gateway before they are handled.
 pub(super) const READ_LIMIT_BYTES: usize = MAX_FRAME_BYTES + 4;
-/// How long after the disk or the address was in use by another process it is tried again.
+/// How often the disk or the address is tried again while another process uses it.
 const RESOURCE_RETRY_INTERVAL: Micros = 500_000;
 
 /// The driver, while consensus is on.
@@ -87,7 +89,8 @@
         };
         let name = self.participant.name();
         let line = json!({ "at": uptime(), "name": name, "process": self.process, "note": event });
-        // In one write, which a kill does not cut. Without a history only the checker is worse off.
+        // A single write is not interrupted by a kill. Only the separate checker needs the history,
+        // so a failure does not stop the process.
         if let Err(error) = file.write_all(format!("{line}\n").as_bytes()) {
             tracing::warn!(%error, "consensus history stopped");
             self.history = None;
@@ -95,19 +98,19 @@
     }
 }
 
-/// Who this gateway is to others.
+/// The identity of this gateway in the consensus group.
 #[derive(Clone, Debug)]
 pub(super) struct Identity {
-    /// Its name.
+    /// The gateway's name.
     pub(super) name: Arc<str>,
-    /// Its process.
+    /// The process's number.
     pub(super) process: u64,
-    /// The file of its history.
+    /// The history file of consensus.
     pub(super) history: Option<PathBuf>,
 }
 
 impl Gateway {
-    /// The deadline has passed; the outputs are handled at the end of the turn.
+    /// Handles the deadline of the driver; the outputs are handled at the end of the turn.
     pub(super) fn tick_consensus(&mut self) {
         let Some(driver) = &mut self.cluster.consensus else {
             return;
@@ -174,7 +177,7 @@
         self.core.schedule(next, GatewayDeadline::Consensus.into());
     }
 
-    /// Who this gateway is to others; `None` while consensus is off.
+    /// Returns this gateway's identity in the consensus group; `None` while consensus is off.
     pub(super) fn consensus_identity(&self) -> Option<Identity> {
         let driver = self.cluster.consensus.as_ref()?;
         Some(Identity {
@@ -184,7 +187,7 @@
         })
     }
 
-    /// The agreed shards and the disks that hold them, as far as known here.
+    /// Returns the agreed shards and the disks that hold them, as far as known here.
     pub(super) fn agreed_replica_sets(&self) -> Option<ReplicaSets> {
         let driver = self.cluster.consensus.as_ref()?;
         Some(driver.participant.state().replica_sets.clone())
--- a/src/gateway/consensus/outputs.rs
+++ b/src/gateway/consensus/outputs.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Tells load coordination which of its leases have a holder in the agreed state.
+    /// Notifies load coordination which of its leases have a holder in the agreed state.
     pub(super) fn update_known_load_holders(&mut self, now: Micros) {
         let Some(driver) = &self.cluster.consensus else {
             return;
--- a/src/gateway/consensus/setup.rs
+++ b/src/gateway/consensus/setup.rs
@@ -22,7 +22,7 @@
 use crate::load_coordination::LoadCoordinator;
 use crate::{health_checks, membership};
 
-/// A number that no other process has.
+/// Returns a number that identifies this process among all processes of the fleet.
 fn unique_process(name: &str) -> u64 {
     let unix_nanos = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -36,7 +36,7 @@
     replica_id_from_hash(&blake3::derive_key("molelug process 1", &parts.concat()))
 }
 
-/// The guards that the testbed switches off; a release build has none to switch off.
+/// Returns the guards that the testbed disables; a release build disables none.
 fn disabled_guards() -> DisabledGuards {
     let mut guards = DisabledGuards::default();
     if cfg!(debug_assertions) {
@@ -105,7 +105,8 @@
 }
 
 impl Gateway {
-    /// Listens for other gateways; `None` while another process, the previous one, uses the address.
+    /// Listens for other gateways; `None` while another process, the previous one, uses the
+    /// address.
     pub(super) fn listen_for_peers(
         &self,
         address: SocketAddr,
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Opens the replica's disk, if there is one. A disk that cannot be used is logged, and the gateway learns without it.
+    /// Opens the replica's disk, if there is one. A disk that cannot be used is logged, and the
+    /// gateway learns without it.
     fn open_configured_disk(&self, file: &config::ConsensusConfig) -> OpenedDisk {
         let Some(path) = &file.replica_disk else {
             return OpenedDisk::default();
@@ -139,7 +141,7 @@
         })
     }
 
-    /// Starts to take part, with the workers that are ready.
+    /// Starts consensus and the subsystems under leases, with the workers that are ready.
     ///
     /// # Errors
     ///
@@ -201,7 +203,8 @@
         self.update_known_load_holders(now);
     }
 
-    /// Reads the voters' addresses and the keys again; if that fails, the previous ones stay in use.
+    /// Reads the voters' addresses and the keys again; if that fails, the previous ones stay in
+    /// use.
     pub(in crate::gateway) fn reload_consensus(&mut self) {
         let Some(driver) = &mut self.cluster.consensus else {
             return;
--- a/src/gateway/consensus/transport.rs
+++ b/src/gateway/consensus/transport.rs
@@ -15,9 +15,10 @@
 use crate::net;
 use crate::replication;
 
-/// A silent connection is closed after this; voters send heartbeats, and learners poll.
+/// A silent connection is closed after this time; voters send heartbeats, and learners poll.
 pub(in crate::gateway) const PEER_SILENCE_TIMEOUT: Micros = 10_000_000;
-/// Descriptors that have to be free for this gateway to hold leases; workers' connections are refused at 24.
+/// Descriptors that have to be free for this gateway to hold leases; workers' connections are
+/// refused at 24.
 pub(super) const MIN_FREE_DESCRIPTORS: usize = 52;
 /// Bytes that may be queued for one gateway; frames beyond it are dropped.
 const MAX_QUEUED_BYTES: usize = 2 * MAX_FRAME_BYTES;
@@ -107,7 +108,8 @@
 }
 
 impl Gateway {
-    /// Connects to the gateways that the participant and replication need, and closes other connections.
+    /// Connects to the gateways that the participant and replication need, and closes other
+    /// connections.
     pub(super) fn update_peer_connections(&mut self, now: Micros) {
         let replication_peers = self.replication_peers();
         let Some(driver) = &mut self.cluster.consensus else {
@@ -221,7 +223,8 @@
         self.add_unidentified(key);
     }
 
-    /// Remembers a connection until its peer is authenticated; closes the oldest if there are too many.
+    /// Remembers a connection until its peer is authenticated; closes the oldest if there are too
+    /// many.
     fn add_unidentified(&mut self, key: ConnKey) {
         let Some(driver) = &mut self.cluster.consensus else {
             return;
@@ -279,7 +282,8 @@
         }
     }
 
-    /// The peer of an accepted connection is authenticated; its newest connection replaces older ones.
+    /// Records the authenticated peer of an accepted connection, which replaces the peer's older
+    /// one.
     fn identify_peer(&mut self, key: ConnKey, name: &Arc<str>) {
         let Some(driver) = &mut self.cluster.consensus else {
             return;
@@ -300,7 +304,7 @@
         }
     }
 
-    /// A connection between gateways has closed.
+    /// Handles the end of a connection between gateways.
     pub(in crate::gateway) fn peer_closed(&mut self, now: Micros, key: ConnKey, peer: &Peer) {
         let Some(driver) = &mut self.cluster.consensus else {
             return;
@@ -336,7 +340,7 @@
         }
     }
 
-    /// Whether a connection is one between gateways whose session is open.
+    /// Whether a connection leads to a gateway and its session is open.
     pub(super) fn is_open_peer(&self, key: ConnKey) -> bool {
         match self.connections.get(key) {
             Some((_, Role::Peer(peer))) => peer.session.is_open(),
@@ -356,7 +360,7 @@
         }
     }
 
-    /// Sends a frame, or keeps it until the connection opens; it may get lost.
+    /// Sends a frame, or keeps it until the connection opens. The frame may be dropped.
     pub(in crate::gateway) fn send_frame(&mut self, now: Micros, to: &Arc<str>, body: Body) {
         let Some(driver) = &self.cluster.consensus else {
             return;
--- a/src/gateway/consensus/views.rs
+++ b/src/gateway/consensus/views.rs
@@ -1,4 +1,4 @@
-//! What operators see of consensus and of leases. The keys are part of the administration API.
+//! Views of consensus and leases for operators. Their JSON keys are part of the administration API.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +10,11 @@
 use crate::gateway::Gateway;
 use crate::lease::LeaseName;
 
-/// The reason in place of a grantor's while no leader is known.
+/// The vacancy reason that is shown while no leader is known.
 const NO_LEADER_KNOWN: &str = "no_leader_known";
 
 impl ConsensusDriver {
-    /// The leases with their holders and, if nobody acts under one, the reason as far as known here.
+    /// The leases with their holders and, for a vacant lease, the reason as far as known here.
     fn lease_views(&self) -> Vec<Value> {
         let now = uptime();
         let participant = &self.participant;
@@ -42,7 +42,7 @@
         names.iter().map(view).collect()
     }
 
-    /// Why nobody acts under a lease, as far as known here.
+    /// The reason why no gateway acts under a lease, as far as known here.
     fn vacancy_reason(&self, now: Micros, lease: &LeaseName) -> Option<Value> {
         let participant = &self.participant;
         if participant.leads() {
--- a/src/gateway/discovery_state.rs
+++ b/src/gateway/discovery_state.rs
@@ -9,7 +9,7 @@
     pub(super) endpoints: EndpointList,
     /// The revision of the last update that was applied.
     pub(super) last_revision: u64,
-    /// The revision after which an update was missed or unreadable and has been asked for again.
+    /// The revision after which an update was missed or unreadable and has been requested again.
     pub(super) revision_gap: Option<u64>,
     /// Consecutive connections to service discovery that ended before it answered.
     pub(super) failed_connects: u32,
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Handles the end of a discovery connection and schedules the next connect. Logs only the end of a
-    /// stream that had answered and the first failed connect after it.
+    /// Handles the end of a discovery connection and schedules the next connect. Logs only the end
+    /// of a stream that had answered and the first failed connect after it.
     pub(super) fn discovery_closed(
         &mut self,
         now: Micros,
@@ -94,7 +94,8 @@
         self.connect_discovery(now);
     }
 
-    /// Handles one event. Returns `false` if the stream has to be reopened to request the event again.
+    /// Handles one event. Returns `false` if the stream has to be reopened to request the event
+    /// again.
     pub(super) fn read_watch_event(
         &mut self,
         now: Micros,
@@ -103,8 +104,8 @@
         let update = match WatchEvent::parse(&event.data, &self.config.names) {
             Ok(update) => update,
             Err(error) => {
-                // The list and its revision stay as they are. The event is requested once more, as it may
-                // have been damaged in transit; if it is unreadable again, it is skipped.
+                // The list and its revision stay as they are. The event is requested once more, as
+                // it may have been damaged in transit; if it is unreadable again, it is skipped.
                 self.core.counters.unreadable += 1;
                 tracing::warn!(revision = ?event.id, %error, "watch event cannot be read");
                 let requested_before =
@@ -121,8 +122,9 @@
         is_complete
     }
 
-    /// Applies one update. Returns `false` if an earlier update was missed. An update older than the list
-    /// is skipped: an event may be sent twice, and an old snapshot would restore removed workers.
+    /// Applies one update. Returns `false` if an earlier update was missed. An update older than
+    /// the list is skipped: an event may be sent twice, and an old snapshot would restore removed
+    /// workers.
     pub(super) fn apply_watch_event(&mut self, now: Micros, update: &WatchEvent) -> bool {
         if update.revision < self.discovery.last_revision
             || update.revision == self.discovery.last_revision && !update.snapshot
@@ -195,8 +197,8 @@
         self.core.update_workers(now, update, entries);
     }
 
-    /// Records a worker's status. Retires the connections from before its start, or all of them if it
-    /// is draining or removed.
+    /// Records a worker's status. Retires the connections from before its start, or all of them if
+    /// it is draining or removed.
     pub(super) fn apply_worker_status(&mut self, entry: &WorkerEntry) {
         let worker = entry.worker;
         self.discovery
--- a/src/gateway/event_loop.rs
+++ b/src/gateway/event_loop.rs
@@ -13,8 +13,8 @@
     /// configuration, and SIGUSR1 prints the counters.
     ///
     /// Call this before the gateway is reported as ready, as an unhandled signal ends the process,
-    /// and before [`Gateway::new`], as the store's thread inherits the signal mask of the thread that
-    /// starts it.
+    /// and before [`Gateway::new`], as the store's thread inherits the signal mask of the thread
+    /// that starts it.
     ///
     /// # Errors
     ///
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Stops a draining gateway that has no listener, client or webhook call left and has handed its
-    /// shards over.
+    /// Stops a draining gateway that has no listener, client or webhook call left and has handed
+    /// its shards over.
     fn stop_if_drained(&mut self, now: Micros) {
         let webhooks = self.secondary.hooks.as_ref();
         let webhooks_idle = webhooks.is_none_or(|webhooks| webhooks.is_idle(now));
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -16,8 +16,8 @@
 use crate::membership::swim::Record;
 use crate::membership::wire::MTU;
 
-/// Datagrams read in one turn; the others stay in the socket's buffer, which drops datagrams once it
-/// is full.
+/// Datagrams read in one turn; the others stay in the socket's buffer, which drops datagrams once
+/// it is full.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 /// Minimum interval between two writes of the members' file.
 const MEMBERS_WRITE_INTERVAL: Micros = 5_000_000;
@@ -151,7 +151,7 @@
             ),
         );
         group.handle(now, Input::Ready(ready));
-        tracing::info!(name, %address, "gossip started");
+        tracing::info!("gossip started as {name} on {address}");
         self.cluster.gossip = Some(GossipDriver {
             group,
             socket,
@@ -228,7 +228,7 @@
                         .handle(now, Input::Datagram(from, &bytes[..size])),
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                    // An error reported for a datagram that was sent earlier; reading has cleared it.
+                    // The error of an earlier send, which this read has cleared.
                     Err(_) => {}
                 }
             }
@@ -247,7 +247,7 @@
                     self.core.counters.gossip_alive = driver.group.alive() as u64;
                     tracing::info!(
                         peer = name,
-                        state = state.name(),
+                        standing = state.name(),
                         "gossip peer changed state"
                     );
                 }
@@ -284,7 +284,7 @@
             driver.write_at = None;
             if let Some(path) = &driver.state {
                 if let Err(error) = write_members(path, driver.group.keep()) {
-                    tracing::warn!(file = %path.display(), %error, "gossip members cannot be written");
+                    tracing::warn!(file = %path.display(), "gossip members cannot be written: {error}");
                 }
             }
         }
@@ -303,7 +303,7 @@
                 driver.group.handle(now, Input::Known(Vec::new(), seeds));
                 tracing::info!("gossip seeds and keys reloaded");
             }
-            Err(error) => tracing::error!(%error, "gossip reload failed"),
+            Err(error) => tracing::error!("gossip reload failed: {error}"),
         }
     }
 
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -1,5 +1,5 @@
-//! Drives health checks: passes own outcomes, the list of workers and verdicts to [`HealthChecker`],
-//! and carries out its probes, reports and advice. It decides nothing.
+//! Drives health checks: passes own outcomes, the list of workers and verdicts to
+//! [`HealthChecker`], and carries out its probes, reports and advice. It decides nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,7 +26,8 @@
     scheduled_at: Option<Micros>,
 }
 
-/// Encodes verdicts for the other gateways, as pairs of a worker's number and whether it is unhealthy.
+/// Encodes verdicts for the other gateways, as pairs of a worker's number and whether it is
+/// unhealthy.
 fn encode_verdicts(verdicts: Vec<Verdict>) -> Vec<u8> {
     let pairs: Vec<(u32, bool)> = verdicts
         .into_iter()
@@ -139,7 +140,8 @@
         let Some(driver) = &mut self.cluster.health_checks else {
             return;
         };
-        // The core does not report probes that it gave up; the checker has a timeout of its own for them.
+        // The core does not report probes that it gave up; the checker has a timeout of its own for
+        // them.
         let core = &self.core;
         driver.probes.retain(|key, _| core.has_health_check(*key));
         let next = driver.checker.next_deadline().map(|at| at.max(now));
--- a/src/gateway/health_checks/fixture_tests.rs
+++ b/src/gateway/health_checks/fixture_tests.rs
@@ -1,4 +1,5 @@
-//! What the holder of the lease `trials` announces, compared with its recorded bytes.
+//! Guards the encoding of the verdicts announced under the lease `trials` against its recorded
+//! bytes.
 //!
 //! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file again.
 
--- a/src/gateway/history.rs
+++ b/src/gateway/history.rs
@@ -1,5 +1,5 @@
-//! Histories of subsystems, for a separate checker: one line of JSON for each event, with the process's
-//! name and number.
+//! Histories of subsystems, for a separate checker: one line of JSON for each event, with the
+//! process's name and number.
 
 use std::fs::File;
 use std::io::Write;
@@ -41,8 +41,8 @@
         })
     }
 
-    /// Writes an event in a single write, which a kill does not interrupt. If writing fails, the history
-    /// ends, which weakens the check, and the process continues.
+    /// Writes an event in a single write, which a kill does not interrupt. If writing fails, the
+    /// history ends, which weakens the check, and the process continues.
     pub(super) fn record(&mut self, event: &impl Serialize) {
         let Some(file) = &mut self.file else { return };
         let line = serde_json::json!({ "name": self.name, "process": self.process, "note": event });
--- a/src/gateway/history/fixture_tests.rs
+++ b/src/gateway/history/fixture_tests.rs
@@ -1,4 +1,5 @@
-//! Whole lines of histories as checkers read them; `tests/stored_data/histories.rs` has a note of each kind.
+//! Whole lines of histories as checkers read them; `tests/stored_data/histories.rs` has an event of
+//! each kind.
 
 use std::sync::Arc;
 
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -1,8 +1,10 @@
-//! Drives the hot restart between processes of one gateway: its folder in `$TMPDIR`, its files, and the socket that both
-//! hold. What their states mean is decided in `operations::hot_restart` and `operations::overrides`.
+//! Drives the hot restart between processes of one gateway, which share the listening socket and a
+//! folder in `$TMPDIR`. The processes' states are interpreted in `operations::hot_restart` and
+//! `operations::overrides`.
 //!
-//! In the folder each process has `PID.lock`, locked while it lives, and `PID.word` with its state, written beside and
-//! renamed. Both stay at its end: its last state is read by the process that lives or starts next, which removes them.
+//! In the folder each process has `PID.lock`, which is locked while the process lives, and
+//! `PID.word` with its state, which is replaced by a rename. Both files stay when the process ends:
+//! a process that lives then or starts next reads the last state and removes them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File, TryLockError};
@@ -17,35 +19,38 @@
     ProcessState, SiblingProcesses, SiblingState, MAX_STATE_BYTES, WRITE_INTERVAL,
 };
 
-/// How often the other processes' states are read: well within the grace that the rules give after a call.
+/// How often the other processes' states are read: well within the grace that the rules give after
+/// a call.
 const SIBLING_READ_INTERVAL: Micros = 100_000;
-/// A new process that has not heard from service discovery by then serves with the list that it was given.
+/// A new process that service discovery has not answered within this time serves with the
+/// configured list of workers.
 const DISCOVERY_START_TIMEOUT: Micros = 1_500_000;
 
-/// The most that a worker is told to have served, in answers a second.
-const MAX_TOLD_CAPACITY_PER_S: f64 = 1e5;
+/// Maximum capacity reported to other processes, in answers per second of a worker.
+const MAX_REPORTED_CAPACITY_PER_S: f64 = 1e5;
 
-/// The hot restart, while the clients' socket is one that the platform holds.
+/// The driver, while the platform's listening socket is inherited.
 #[derive(Debug)]
 pub(super) struct HotRestartDriver {
-    /// The folder, and the lock of this process; none if there is no place for it.
+    /// The folder and the lock of this process; `None` if the folder cannot be used.
     folder: Option<(PathBuf, File)>,
     pid: u32,
     siblings: SiblingProcesses,
-    /// The state files read last, by process: when each was written and how long it is.
-    read: BTreeMap<u32, (SystemTime, u64)>,
-    written: (String, Micros),
+    /// The modification time and length of the state file read last, by process.
+    last_read: BTreeMap<u32, (SystemTime, u64)>,
+    /// The state written last, and when.
+    last_written: (String, Micros),
     started_at: Micros,
     /// Whether service discovery has answered since the start.
     discovery_answered: bool,
 }
 
-/// What the files of other processes hold.
+/// The contents of the other processes' files.
 #[derive(Debug, Default)]
 struct SiblingReadings {
     living: BTreeSet<u32>,
     dead: Vec<u32>,
-    /// The states that have changed since the last time.
+    /// The states that have changed since the previous reading.
     states: Vec<SiblingReading>,
 }
 
@@ -55,12 +60,12 @@
     pid: u32,
     alive: bool,
     state: SiblingState,
-    /// How long ago it was written, by the time of the system.
+    /// The time since the state was written, by the system clock.
     age: Micros,
 }
 
 impl HotRestartDriver {
-    /// Reads the files of other processes; `None` if there is no folder for them.
+    /// Reads the files of other processes; `None` if there is no folder.
     fn read_files(&mut self, gateway: &str) -> Option<SiblingReadings> {
         let (folder, _) = self.folder.as_ref()?;
         let folder = folder.clone();
@@ -84,11 +89,13 @@
                 Err(error) => tracing::error!(pid, %error, "process state cannot be read"),
             }
         }
-        self.read.retain(|pid, _| readings.living.contains(pid));
+        self.last_read
+            .retain(|pid, _| readings.living.contains(pid));
         Some(readings)
     }
 
-    /// The state that another process has written and its age; `None` if there is none, or none since the last time.
+    /// Returns the state that another process has written, and its age; `None` if there is no state
+    /// or it has not changed since the previous reading.
     fn read_state(
         &mut self,
         pid: u32,
@@ -101,7 +108,7 @@
         };
         let modified = metadata.modified().unwrap_or(SystemTime::UNIX_EPOCH);
         let version = (modified, metadata.len());
-        if self.read.insert(pid, version) == Some(version) {
+        if self.last_read.insert(pid, version) == Some(version) {
             return Ok(None);
         }
         let age = SystemTime::now()
@@ -117,12 +124,13 @@
             Err(error) => Err(io::Error::other(error.to_string())),
         }
     }
+
     pub(super) fn siblings(&self) -> &SiblingProcesses {
         &self.siblings
     }
 }
 
-/// The other processes that have a file in the folder.
+/// Returns the other processes that have a file in the folder.
 fn sibling_pids(folder: &Path, own: u32) -> BTreeSet<u32> {
     let mut pids = BTreeSet::new();
     for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
@@ -136,37 +144,43 @@
     pids
 }
 
-/// Whether a living process holds a lock. A missing file, or one without a lock, is left by a process that has died, at
-/// whatever step.
+/// Whether a living process holds a lock. If the file is missing or not locked, its process has
+/// ended.
 fn is_locked(path: &Path) -> bool {
     File::open(path)
         .is_ok_and(|file| matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)))
 }
 
+/// Creates the folder and the locked lock file of a process.
 fn create_lock(folder: PathBuf, pid: u32) -> io::Result<(PathBuf, File)> {
     fs::create_dir_all(&folder)?;
-    // Locked before it gets its name: another process takes a file without a lock for that of a dead process.
-    let fresh = folder.join(format!("{pid}.fresh"));
-    let file = File::create(&fresh)?;
+    // The file is locked before it gets its name, as an unlocked file counts as that of a dead
+    // process.
+    let new_path = folder.join(format!("{pid}.fresh"));
+    let file = File::create(&new_path)?;
     file.try_lock().map_err(io::Error::other)?;
-    fs::rename(fresh, folder.join(format!("{pid}.lock")))?;
+    fs::rename(new_path, folder.join(format!("{pid}.lock")))?;
     Ok((folder, file))
 }
 
 impl Gateway {
-    /// Begins the hot restart, before any list is taken over: the bans of another process apply from the first moment.
+    /// Starts the hot restart, before any list of workers is applied, so that the exclusions of
+    /// other processes apply from the start.
     pub(super) fn start_hot_restart(&mut self, now: Micros) {
         let pid = std::process::id();
-        let place = std::env::var_os("TMPDIR").filter(|t| !t.is_empty());
+        let temp_dir = std::env::var_os("TMPDIR").filter(|t| !t.is_empty());
         let folder =
-            match place.map(|t| create_lock(PathBuf::from(t).join("molelug-handover"), pid)) {
+            match temp_dir.map(|t| create_lock(PathBuf::from(t).join("molelug-handover"), pid)) {
                 Some(Ok(folder)) => Some(folder),
                 Some(Err(error)) => {
-                    tracing::error!(%error, "hot restart has no folder");
+                    tracing::error!(%error, "hot restart folder cannot be used");
                     None
                 }
                 None => {
-                    tracing::error!(error = "TMPDIR is not set", "hot restart has no folder");
+                    tracing::error!(
+                        error = "TMPDIR is not set",
+                        "hot restart folder cannot be used"
+                    );
                     None
                 }
             };
@@ -174,8 +188,8 @@
             folder,
             pid,
             siblings: SiblingProcesses::default(),
-            read: BTreeMap::new(),
-            written: (String::new(), 0),
+            last_read: BTreeMap::new(),
+            last_written: (String::new(), 0),
             started_at: now,
             discovery_answered: false,
         };
@@ -183,7 +197,7 @@
         self.read_siblings(now);
     }
 
-    /// Reads the other processes' states and writes the own, and again after [`SIBLING_READ_INTERVAL`].
+    /// Reads the other processes' states, writes this process's state, and schedules the next step.
     pub(super) fn step_hot_restart(&mut self, now: Micros) {
         self.read_siblings(now);
         self.check_start(now);
@@ -194,7 +208,7 @@
         );
     }
 
-    /// Reads what the other processes have written since the last time, and applies it.
+    /// Reads and applies the states that other processes have changed since the previous reading.
     pub(super) fn read_siblings(&mut self, now: Micros) {
         let Some(hot_restart) = &mut self.ops.hot_restart else {
             return;
@@ -203,18 +217,18 @@
             return;
         };
         let changed = hot_restart.siblings.retain_living(&readings.living);
-        let mut bans = Vec::new();
+        let mut exclusions = Vec::new();
         let mut evidence = Vec::new();
         for reading in readings.states {
             for name in &reading.state.known_workers {
                 self.ops.overrides.remember(name);
             }
-            bans.extend(
+            exclusions.extend(
                 reading
                     .state
                     .exclusions
                     .iter()
-                    .map(|(name, (banned, at))| (name.clone(), *banned, *at)),
+                    .map(|(name, (excluded, at))| (name.clone(), *excluded, *at)),
             );
             if reading.alive {
                 evidence.push((reading.state.clone(), reading.age));
@@ -223,10 +237,10 @@
         }
         let processes = hot_restart.siblings.process_count();
         let own_capacity = self.core.observed_capacity() * MICROS_PER_SECOND;
-        let capacity_learnt = hot_restart.siblings.observed_capacity() > own_capacity;
-        for (name, banned, at) in bans {
-            if let Some(worker) = self.ops.overrides.merge(&name, banned, at, now) {
-                tracing::info!(worker = name, excluded = banned, "worker override received");
+        let capacity_increased = hot_restart.siblings.observed_capacity() > own_capacity;
+        for (name, excluded, at) in exclusions {
+            if let Some(worker) = self.ops.overrides.merge(&name, excluded, at, now) {
+                tracing::info!(worker = name, excluded, "worker override received");
                 self.announce_worker(now, worker);
             }
         }
@@ -236,29 +250,31 @@
         if changed {
             tracing::info!(processes, "processes of this gateway changed");
         }
-        if changed || capacity_learnt {
+        if changed || capacity_increased {
             self.update_client_limits(now);
         }
         if !readings.dead.is_empty() {
-            // The dead processes' bans are in this process's own state before their files are removed.
+            // This process's state includes the dead processes' exclusions before their files are
+            // removed.
             self.write_state(now);
             self.remove_files_of(&readings.dead);
         }
     }
 
-    /// Takes over what a living process knows of workers, from a text that is so old.
-    fn import_evidence(&mut self, now: Micros, state: &SiblingState, text_age: Micros) {
+    /// Imports a living process's evidence about workers, from a state file of the given age.
+    fn import_evidence(&mut self, now: Micros, state: &SiblingState, file_age: Micros) {
         for (name, age) in &state.evidence {
             let Some(worker) = self.discovery.endpoints.find(name) else {
                 continue;
             };
-            // It was written up to one interval after the ages were taken.
-            let age = age + text_age + SIBLING_READ_INTERVAL;
+            // The file was written up to one interval after the ages were computed.
+            let age = age + file_age + SIBLING_READ_INTERVAL;
             self.core.import_evidence(worker, now.saturating_sub(age));
         }
     }
 
-    /// What this process knows of workers, for others; nothing while discovery tells them itself.
+    /// Returns this process's evidence about workers for other processes; empty unless discovery is
+    /// lost, as otherwise they learn of workers from discovery.
     fn evidence_for_siblings(&self, now: Micros) -> BTreeMap<String, Micros> {
         if !self.core.is_discovery_lost(now) {
             return BTreeMap::new();
@@ -284,16 +300,17 @@
             .iter()
             .flat_map(|pid| ["fresh", "new", "word", "lock"].map(|k| (pid, k)))
         {
-            // Most do not exist.
+            // Most of these files do not exist.
             let _ = fs::remove_file(folder.join(format!("{pid}.{kind}")));
         }
     }
 
-    /// Writes this process's state for the others, if it has changed or was written long ago.
+    /// Writes this process's state for other processes, if the state has changed or the last write
+    /// is at least [`WRITE_INTERVAL`] ago.
     pub(super) fn write_state(&mut self, now: Micros) {
         let evidence = self.evidence_for_siblings(now);
-        let life = &self.ops.lifecycle;
-        let state = match (life.is_shutting_down(), life.has_started()) {
+        let lifecycle = &self.ops.lifecycle;
+        let state = match (lifecycle.is_shutting_down(), lifecycle.has_started()) {
             (true, _) => ProcessState::Stopping,
             (false, true) => ProcessState::Ready,
             (false, false) => ProcessState::Starting,
@@ -304,32 +321,32 @@
         let Some((folder, _)) = &hot_restart.folder else {
             return;
         };
-        let upkeep = &self.ops.overrides;
-        let word = SiblingState {
+        let overrides = &self.ops.overrides;
+        let own_state = SiblingState {
             gateway: self.config.name.clone(),
             state,
             list_revision: self.discovery.last_revision,
             observed_capacity: (self.core.observed_capacity() * MICROS_PER_SECOND)
-                .min(MAX_TOLD_CAPACITY_PER_S),
-            exclusions: upkeep.bans().clone(),
-            known_workers: upkeep.seen().map(str::to_owned).collect(),
+                .min(MAX_REPORTED_CAPACITY_PER_S),
+            exclusions: overrides.bans().clone(),
+            known_workers: overrides.seen().map(str::to_owned).collect(),
             evidence,
         };
-        let text = word.encode();
-        if text == hot_restart.written.0 && now < hot_restart.written.1 + WRITE_INTERVAL {
+        let text = own_state.encode();
+        if text == hot_restart.last_written.0 && now < hot_restart.last_written.1 + WRITE_INTERVAL {
             return;
         }
-        let (fresh, path) = (
+        let (new_path, path) = (
             folder.join(format!("{}.new", hot_restart.pid)),
             folder.join(format!("{}.word", hot_restart.pid)),
         );
-        match fs::write(&fresh, &text).and_then(|()| fs::rename(&fresh, &path)) {
-            Ok(()) => hot_restart.written = (text, now),
+        match fs::write(&new_path, &text).and_then(|()| fs::rename(&new_path, &path)) {
+            Ok(()) => hot_restart.last_written = (text, now),
             Err(error) => tracing::error!(%error, "process state cannot be written"),
         }
     }
 
-    /// Service discovery has answered.
+    /// Notes that service discovery has answered.
     pub(super) fn note_discovery_answer(&mut self, now: Micros) {
         if let Some(hot_restart) = self
             .ops
@@ -342,7 +359,8 @@
         }
     }
 
-    /// A process that inherited its socket accepts connections once it knows what the others know.
+    /// Lets a process that inherited its socket accept connections once its list of workers is as
+    /// recent as that of the other processes, or after [`DISCOVERY_START_TIMEOUT`].
     pub(super) fn check_start(&mut self, now: Micros) {
         let Some(hot_restart) = &self.ops.hot_restart else {
             return;
@@ -350,8 +368,9 @@
         if self.ops.lifecycle.has_started() {
             return;
         }
-        let told = self.config.board.is_none() || hot_restart.discovery_answered;
-        if told && self.discovery.last_revision >= hot_restart.siblings.latest_list_revision()
+        let discovery_known = self.config.board.is_none() || hot_restart.discovery_answered;
+        if discovery_known
+            && self.discovery.last_revision >= hot_restart.siblings.latest_list_revision()
             || now >= hot_restart.started_at + DISCOVERY_START_TIMEOUT
         {
             self.ops.lifecycle.start();
@@ -364,7 +383,7 @@
         }
     }
 
-    /// Whether another process takes the connections once this one stops.
+    /// Whether another process accepts connections once this one stops.
     pub(super) fn is_taken_over(&self) -> bool {
         self.ops
             .hot_restart
@@ -372,7 +391,7 @@
             .is_some_and(|h| h.siblings.any_is_ready())
     }
 
-    /// Processes that share one gateway's limits.
+    /// Returns the number of processes that share the gateway's limits.
     pub(super) fn process_count(&self) -> usize {
         self.ops
             .hot_restart
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -113,7 +113,8 @@
             })
     }
 
-    /// Registers a listening socket with the event loop; `on_connect` is called when a connection arrives.
+    /// Registers a listening socket with the event loop; `on_connect` is called when a connection
+    /// arrives.
     pub(super) fn register_listener(
         &self,
         socket: TcpListener,
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -1,5 +1,5 @@
-//! Drives load coordination: load orders of the decision module wait for the holder of their shard's
-//! lease. It decides nothing.
+//! Drives load coordination: load orders of the decision module wait for the holder of their
+//! shard's lease. It decides nothing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -52,8 +52,8 @@
 }
 
 impl Gateway {
-    /// Starts load coordination. As an order may be sent later than it was decided on, the rate limit's
-    /// window grows by the maximum delay.
+    /// Starts load coordination. As an order may be sent later than it was decided on, the rate
+    /// limit's window grows by the maximum delay.
     pub(super) fn set_up_load_coordination(&mut self, now: Micros, coordinator: LoadCoordinator) {
         let settings = &self.config.settings;
         if let Some(limit) = settings.load_rate_limit {
@@ -100,7 +100,8 @@
         true
     }
 
-    /// Cancels an order that the decision module no longer needs; returns whether it was still waiting.
+    /// Cancels an order that the decision module no longer needs; returns whether it was still
+    /// waiting.
     pub(super) fn cancel_delayed_order(&mut self, now: Micros, order: LoadOrderKey) -> bool {
         let Some(driver) = &mut self.cluster.loads else {
             return false;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! The gateway: passes the event loop's events to connections, the connections' input to the core, and
-//! the core's commands back to connections.
+//! The gateway: passes the event loop's events to connections, the connections' input to the core,
+//! and the core's commands back to connections.
 //!
 //! The event loop's callbacks only mark what is ready; [`Gateway::run`] does the work after them.
 
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -1,4 +1,4 @@
-//! Drives the operator console and what its commands change. It decides nothing.
+//! Drives the operator console and carries out its commands. It decides nothing.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -18,15 +18,15 @@
 use crate::operations::metrics::{self, Gauges, WorkerEvidenceLine};
 use crate::operations::overrides::{OverrideError, WorkerOverrides};
 
-/// Clients of the operator console at once; beyond it the oldest is closed.
+/// Maximum number of operator console clients; beyond it the oldest connection is closed.
 const MAX_CONSOLE_CLIENTS: usize = 16;
-/// Console clients accepted in one turn.
+/// Maximum number of console clients accepted in one turn.
 const MAX_CONSOLE_ACCEPTS_PER_TURN: usize = 64;
-/// A console client that sends nothing is closed after this.
+/// The connection of a console client that sends nothing is closed after this time.
 const CONSOLE_IDLE_TIMEOUT: Micros = 5_000_000;
-/// Microseconds of a millisecond, in which ages are told.
+/// Microseconds per millisecond, the unit of reported ages.
 const MICROS_PER_MILLI: Micros = 1_000;
-/// Descriptors reserved for the operator console, for when the machine has none left.
+/// Descriptors reserved for the operator console, for the case that no others are left.
 const SPARE_DESCRIPTORS: usize = 2;
 
 /// The operator console, and the state that operators change.
@@ -42,20 +42,23 @@
 #[derive(Debug)]
 struct OperatorConsole {
     socket: Rc<TcpListener>,
-    accept: bool,
-    /// The clients, in the order in which they connected.
+    /// Whether clients may wait to be accepted.
+    accept_pending: bool,
+    /// The clients in the order in which they connected.
     clients: VecDeque<ConnKey>,
-    spares: Vec<File>,
+    /// Open files that are closed to free a descriptor for a client.
+    spare_descriptors: Vec<File>,
 }
 
 impl OperatorConsole {
-    fn refill_spares(&mut self) {
-        while self.spares.len() < SPARE_DESCRIPTORS {
-            // Fails only while there are none to spare; tried again when a client has disconnected.
+    fn refill_spare_descriptors(&mut self) {
+        while self.spare_descriptors.len() < SPARE_DESCRIPTORS {
+            // This fails only while no descriptors are free, and is tried again when a client has
+            // disconnected.
             let Ok(file) = File::open("/dev/null") else {
                 return;
             };
-            self.spares.push(file);
+            self.spare_descriptors.push(file);
         }
     }
 }
@@ -64,18 +67,20 @@
     pub(super) fn console_client_closed(&mut self, key: ConnKey) {
         if let Some(console) = &mut self.console {
             console.clients.retain(|k| *k != key);
-            console.refill_spares();
+            console.refill_spare_descriptors();
         }
     }
 
     /// Whether clients wait to be accepted.
     pub(super) fn is_busy(&self) -> bool {
-        self.console.as_ref().is_some_and(|console| console.accept)
+        self.console
+            .as_ref()
+            .is_some_and(|console| console.accept_pending)
     }
 }
 
 impl Gateway {
-    /// Listens for the operator console, if there is to be one.
+    /// Listens for the operator console, if one is configured.
     ///
     /// # Errors
     ///
@@ -86,21 +91,21 @@
         };
         let (socket, _) = self.bind_listener(address, |gateway| {
             if let Some(console) = &mut gateway.ops.console {
-                console.accept = true;
+                console.accept_pending = true;
             }
         })?;
         let mut console = OperatorConsole {
             socket,
-            accept: true,
+            accept_pending: true,
             clients: VecDeque::new(),
-            spares: Vec::new(),
+            spare_descriptors: Vec::new(),
         };
-        console.refill_spares();
+        console.refill_spare_descriptors();
         self.ops.console = Some(console);
         Ok(())
     }
 
-    /// Where the operator console listens, if it is on.
+    /// The address of the operator console, if it is on.
     pub fn console_address(&self) -> Option<SocketAddr> {
         self.ops
             .console
@@ -124,18 +129,23 @@
             self.on_ready(key);
         }
         for _ in 0..MAX_CONSOLE_ACCEPTS_PER_TURN {
-            let Some(console) = self.ops.console.as_mut().filter(|console| console.accept) else {
+            let Some(console) = self
+                .ops
+                .console
+                .as_mut()
+                .filter(|console| console.accept_pending)
+            else {
                 return;
             };
             match console.socket.accept() {
                 Ok((stream, _)) => self.add_console_client(stream),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => console.accept = false,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => console.accept_pending = false,
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 // Out of descriptors: a reserved one is freed for each client.
-                Err(_) if console.spares.pop().is_some() => {}
+                Err(_) if console.spare_descriptors.pop().is_some() => {}
                 Err(_) => {
-                    console.accept = false;
+                    console.accept_pending = false;
                     let at = self.clock.now() + ACCEPT_RETRY_INTERVAL;
                     self.core
                         .schedule(at, GatewayDeadline::ConsoleAcceptRetry.into());
@@ -145,10 +155,10 @@
         }
     }
 
-    /// Accepting console clients is tried again after the machine had no descriptor for one.
+    /// Accepts console clients again, after no descriptor was free for one.
     pub(super) fn retry_console_accept(&mut self) {
         if let Some(console) = &mut self.ops.console {
-            console.accept = true;
+            console.accept_pending = true;
         }
     }
 
@@ -165,7 +175,7 @@
             return;
         };
         console.clients.push_back(key);
-        // Guards the descriptors against clients that send nothing and stay.
+        // This guards the descriptors against clients that stay connected and send nothing.
         let oldest = console
             .clients
             .front()
@@ -187,7 +197,7 @@
         };
         let bytes = match operator_console::take(connection.input.bytes(), connection.peer_closed) {
             Ok(None) => return,
-            Ok(Some(ask)) => self.answer_console(now, ask),
+            Ok(Some(request)) => self.answer_console(now, request),
             Err(e) => operator_console::answer(false, e),
         };
         self.set_deadline(key, Some(now + LINGER_TIMEOUT));
@@ -197,13 +207,14 @@
         connection.outbox.push(net::UNTAGGED_FRAME, bytes);
         connection.closing = true;
         connection.linger = true;
-        // Written at once, not when the turn's other work is done; an error shows at the next read.
+        // The answer is written at once, not at the end of the turn. The next read reports a write
+        // error.
         let _ = connection.flush();
         self.dirty.push(key);
     }
 
-    fn answer_console(&mut self, now: Micros, ask: Request) -> Vec<u8> {
-        match ask {
+    fn answer_console(&mut self, now: Micros, request: Request) -> Vec<u8> {
+        match request {
             Request::Ready if self.ops.lifecycle.is_ready() && self.core.knows_workers(now) => {
                 operator_console::answer(true, "ready")
             }
@@ -229,14 +240,14 @@
             }
             Request::Evacuate => {
                 if self.ops.lifecycle.begin_draining(now) {
-                    tracing::info!("evacuation began");
+                    tracing::info!("draining started");
                     self.schedule_idle_closes(now);
                 }
                 operator_console::answer(true, "no connection stays")
             }
             Request::Activate => {
                 if self.ops.lifecycle.is_draining() {
-                    tracing::info!("evacuation ended");
+                    tracing::info!("draining ended");
                     self.ops.lifecycle.resume();
                     self.schedule_idle_closes(now);
                 }
@@ -245,7 +256,8 @@
         }
     }
 
-    /// Applies an operator's change of a worker, and tells other processes, before the answer says so.
+    /// Applies an operator's override of a worker, and writes it for other processes, before the
+    /// operator gets the answer.
     fn apply_override(
         &mut self,
         now: Micros,
@@ -274,7 +286,7 @@
         }
     }
 
-    /// Tells the core and the subsystems of a worker whose status an operator changed.
+    /// Passes a worker whose status an operator has changed to the core and the subsystems.
     pub(super) fn announce_worker(&mut self, now: Micros, worker: WorkerEntry) {
         self.apply_worker_status(&worker);
         self.update_ready_workers(now, false, std::slice::from_ref(&worker));
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -4,9 +4,9 @@
 
 impl Gateway {
     /// Reads the configuration file again and connects to the discovery service that it names, from
-    /// the current revision. A file that cannot be used changes nothing. Settings that pending calls
-    /// depend on (names, limits, the decision module's settings) stay until a restart; a file that
-    /// changes them is logged.
+    /// the current revision. A file that cannot be used changes nothing. Settings that pending
+    /// calls depend on (names, limits, the decision module's settings) stay until a restart; a file
+    /// that changes them is logged.
     pub(super) fn reload(&mut self) {
         let reloaded = match self.config.again() {
             Ok(reloaded) => reloaded,
@@ -21,7 +21,7 @@
             );
         }
         for update in &reloaded.known {
-            // If an update in between was missed, service discovery is asked for it.
+            // If an update in between was missed, service discovery is asked to send it.
             if !self.apply_watch_event(now, update) {
                 break;
             }
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -39,13 +39,13 @@
     uncommitted_replies: HashMap<u64, Reply>,
     pending_requests: HashMap<u64, RequestOrigin>,
     last_request: u64,
-    /// When the timer is set for.
+    /// When the scheduled deadline is due.
     tick_at: Option<Micros>,
     shutdown_started: bool,
     history: History,
 }
 
-/// Ends the process at a step of a call, if a test has asked for it; a release build never does.
+/// Aborts the process at a step of a call, if a test has requested it; a release build never does.
 pub(super) fn fault_injection_point(step: &str) {
     let is_chosen = || std::env::var("MOLELUG_ENDS_AT").is_ok_and(|chosen| chosen == step);
     let is_armed = || std::env::var("MOLELUG_ENDS_IF").is_ok_and(|file| Path::new(&file).exists());
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Passes the agreed replica sets on, after they have changed.
+    /// Passes the agreed replica sets to the replicator, after they have changed.
     pub(super) fn update_replica_sets(&mut self) {
         if self.cluster.replication.is_none() {
             return;
@@ -177,12 +177,12 @@
         }
     }
 
-    /// Passes a message of another gateway on.
+    /// Passes a message of another gateway to the replicator.
     pub(super) fn receive_replication_message(&mut self, from: Name, message: Message) {
         self.notify_replicator(Input::Received(from, message));
     }
 
-    /// Handles the timer of replication.
+    /// Handles the deadline of replication.
     pub(super) fn tick_replication(&mut self) {
         if let Some(driver) = &mut self.cluster.replication {
             driver.tick_at = None;
@@ -194,7 +194,7 @@
     pub(super) fn replica_count(&self, shard: ShardId) -> u8 {
         let driver = self.cluster.replication.as_ref();
         let replica = driver.and_then(|driver| driver.replicator.shards().get(&shard));
-        // A set has five members at most.
+        // A replica set has at most five members.
         replica.map_or(0, |replica| replica.set.members.len().min(255) as u8)
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Hands this process's shards over to other gateways, at the end of the process. Returns
-    /// whether it is the primary of no shard any more.
+    /// `true` once it is the primary of no shard.
     pub(super) fn hand_over_shards(&mut self) -> bool {
         let Some(driver) = &mut self.cluster.replication else {
             return true;
@@ -221,7 +221,7 @@
         false
     }
 
-    /// Does one step of what replication has to do; returns whether there was something.
+    /// Handles one waiting record or one output of the replicator; returns whether there was one.
     pub(super) fn step_replication(&mut self, now: Micros) -> bool {
         let Some(driver) = &mut self.cluster.replication else {
             return false;
@@ -246,7 +246,7 @@
         false
     }
 
-    /// Sets the timer, if it is not set or set for too late.
+    /// Schedules the next deadline, unless one is scheduled that is due no later.
     fn schedule_replication_tick(&mut self, now: Micros) {
         let Some(driver) = &mut self.cluster.replication else {
             return;
--- a/src/gateway/replication/outputs.rs
+++ b/src/gateway/replication/outputs.rs
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Stops the calls and deliveries of a shard of which this process is the primary no more.
+    /// Stops the calls and deliveries of a shard of which this process is no longer the primary.
     fn step_down_from_shard(&mut self, now: Micros, shard: ShardId) {
         if let Some(driver) = &mut self.cluster.replication {
             driver.open_shards.remove(&shard);
         }
-        tracing::warn!(shard, "a shard is led here no more");
+        tracing::warn!(shard, "stepped down as primary of a shard");
         let Some(webhooks) = &mut self.secondary.hooks else {
             return;
         };
@@ -80,11 +80,11 @@
         }
     }
 
-    /// Gives the disk a new identifier and drops its shards.
+    /// Gives the rejected disk a new identifier and drops its shards.
     fn replace_rejected_disk(&mut self) {
         tracing::error!(
-            "the disk is an old copy, or another process has begun on it since: what it held for others is let go \
-             of and copied anew; start each gateway on its own newest disk"
+            "the disk is an old copy, or another process has used it since: its shards are dropped and copied again \
+             from other gateways; start each gateway on its own newest disk"
         );
         let id = self.config.seed ^ consensus::uptime();
         if let Some(webhooks) = &mut self.secondary.hooks {
@@ -101,33 +101,34 @@
             epoch,
             members,
             ..
-        } => tracing::info!(shard, epoch, ?members, "a shard is led here"),
+        } => tracing::info!(shard, epoch, ?members, "became primary of a shard"),
         HistoryEvent::DataLost { shard } => tracing::error!(
             shard,
-            "all disks that held this shard are lost, and what was promised in it with them; raise copies, \
+            "all disks that held this shard are lost, and its acknowledged records with them; raise copies, \
              or spread members over more halls"
         ),
         HistoryEvent::RecoveredFromFormer { shard } => tracing::error!(
             shard,
-            "all disks that held this shard are lost; this one had been left out and has what was promised until then: \
-             what was taken on fewer machines since is gone; raise copies, or spread members over more halls"
+            "all disks that held this shard are lost; this disk had left the replica set and has the records \
+             acknowledged until then; records accepted by fewer machines since are lost; raise copies, or spread \
+             members over more halls"
         ),
         HistoryEvent::Damaged { shard, ranges } => tracing::error!(
             shard,
             ?ranges,
-            "the disk does not hold what was written: the shard is copied anew from another; look at this machine's \
-             disk and memory, and replace it if that comes again"
+            "the disk does not hold what was written: the shard is copied again from another disk; check this \
+             machine's disk and memory, and replace the machine if this recurs"
         ),
         HistoryEvent::WaitingForReplica { shard, members } => tracing::error!(
             shard,
             ?members,
-            "the disk here is damaged, and no other that holds the shard can be heard: bring one of them back; or, if \
-             their disks are lost, start them with empty ones, and what is left here counts"
+            "this gateway's disk is damaged, and no other gateway that holds the shard can be reached: bring one of \
+             them back; or, if their disks are lost, start them with empty disks, and the rest of the data here is used"
         ),
         HistoryEvent::DamageRefuted { shard } => tracing::warn!(
             shard,
-            "one read of a shard found damage and a second one did not: the shard goes on; look at this machine's memory \
-             if that comes again"
+            "one read of a shard found damage and a second read did not: the shard continues; check this machine's \
+             memory if this recurs"
         ),
         HistoryEvent::Repaired { shard, accepted } => log_repair(*shard, *accepted),
         _ => {}
@@ -138,10 +139,10 @@
     if accepted {
         tracing::error!(
             shard,
-            "no other disk has a damaged shard: what is left of it counts, and something promised may be gone; \
+            "no other disk has a damaged shard: the rest of its data is used, and acknowledged records may be lost; \
              raise copies"
         );
     } else {
-        tracing::info!(shard, "a damaged shard was mended from another disk");
+        tracing::info!(shard, "damaged shard repaired from another disk");
     }
 }
--- a/src/gateway/replication/requests.rs
+++ b/src/gateway/replication/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the primary of a shard: of callers here, and of other gateways.
+//! Requests to the primary of a shard, from callers of this gateway and from other gateways.
 
 use serde::{Deserialize, Serialize};
 
@@ -21,7 +21,7 @@
 /// part of the format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::gateway) enum PrimaryRequest {
-    /// Accept a call, whose expiry is relative to now.
+    /// Accept a call, whose `expires` is the time left.
     AcceptCall {
         call: Box<CallRecord>,
         identity: IdentityDigest,
@@ -31,12 +31,12 @@
     CallState(u64, String),
 }
 
-/// Who waits for the response of a primary.
+/// The caller that waits for the response of a primary.
 #[derive(Debug)]
 pub(in crate::gateway) enum RequestOrigin {
-    /// A caller whose call is to be accepted, and its identity.
+    /// A caller whose call is to be accepted, and the digest of the call's identity.
     AcceptCall(ConnKey, IdentityDigest),
-    /// A caller who queries the state of a call, and its identity.
+    /// A caller who queries the state of a call, and the call's identity.
     CallState(ConnKey, String),
 }
 
@@ -149,7 +149,7 @@
             return Err(ReplicationError::ShuttingDown);
         };
         let min_replicas = driver.min_replicas(&call.record.class);
-        // None while the state of the shard is still being loaded.
+        // The shard is absent while its state is being loaded.
         let Some(used) = driver.open_shards.get_mut(&call.shard) else {
             return Err(ReplicationError::NotPrimary {
                 shard: call.shard,
@@ -160,7 +160,7 @@
         Ok(min_replicas)
     }
 
-    /// Notes that an identity was not used after all.
+    /// Removes an identity whose call was not accepted.
     pub(in crate::gateway) fn remove_identity(
         &mut self,
         shard: ShardId,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Handles the response of a primary to a request of a caller here.
+    /// Handles the response of a primary to a request of this gateway's caller.
     pub(super) fn handle_primary_response(
         &mut self,
         now: Micros,
--- a/src/gateway/replication/requests/digest_tests.rs
+++ b/src/gateway/replication/requests/digest_tests.rs
@@ -1,6 +1,6 @@
-//! Questions to a shard's primary, compared with their recorded bytes.
+//! Guards the encoding of requests to a shard's primary against their recorded bytes.
 //!
-//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file again.
 
 use super::PrimaryRequest;
 use crate::api::{Effect, IdempotencyScope};
--- a/src/gateway/replication/requests/fixture_tests.rs
+++ b/src/gateway/replication/requests/fixture_tests.rs
@@ -1,4 +1,4 @@
-//! Questions to a shard's primary as postcard.
+//! Guards the postcard encoding of requests to a shard's primary.
 
 use super::PrimaryRequest;
 use crate::api::Effect;
@@ -65,7 +65,7 @@
         valid_until,
     }, PrimaryRequest::CallState(serial, id)] = &stored[..]
     else {
-        panic!("other questions: {stored:?}")
+        panic!("other requests: {stored:?}")
     };
     assert_eq!(
         (&**stored_call, *identity, *valid_until),
--- a/src/gateway/replication/store_replies.rs
+++ b/src/gateway/replication/store_replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the store that concern replicas.
+//! Handles the store's replies to operations of replication.
 
 use super::fault_injection_point;
 use crate::api::Micros;
@@ -10,7 +10,7 @@
 use crate::store::operations::{Reply, ShardState};
 
 impl Gateway {
-    /// This process is registered on its disk.
+    /// Handles the reply to the registration of this process on its disk.
     pub(in crate::gateway) fn disk_registered(&mut self, reply: Result<Reply, StoreError>) {
         if let Ok(Reply::Disk(disk)) = reply {
             self.notify_replicator(Input::DiskOpened {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A record or a snapshot is on the disk.
+    /// Handles the reply to storing a record or a snapshot.
     pub(in crate::gateway) fn record_stored(
         &mut self,
         shard: ShardId,
@@ -42,7 +42,7 @@
         self.notify_replicator(Input::Persisted(shard));
     }
 
-    /// A snapshot was read for a replica.
+    /// Handles the reply to reading a snapshot for a replica.
     pub(in crate::gateway) fn shard_read(
         &mut self,
         shard: ShardId,
@@ -63,7 +63,7 @@
         self.notify_replicator(Input::SnapshotReadFailed(shard, peer));
     }
 
-    /// The state of a shard was loaded of which this process has become the primary.
+    /// Handles the loaded state of a shard of which this process has become the primary.
     pub(in crate::gateway) fn shard_state_loaded(
         &mut self,
         now: Micros,
@@ -91,7 +91,7 @@
         self.resume_shard(now, shard, epoch, *state);
     }
 
-    /// Continues with the calls and messages of a shard, as after a restart.
+    /// Resumes the calls and messages of a shard, as after a restart.
     fn resume_shard(&mut self, now: Micros, shard: ShardId, epoch: Epoch, state: ShardState) {
         let Some(webhooks) = &mut self.secondary.hooks else {
             return;
@@ -103,7 +103,7 @@
         webhooks.settle_in_flight(now, state.in_flight);
         webhooks.enqueue_messages(now, state.waiting);
         for call in state.calls {
-            // Times of another machine are not compared with this one's clock.
+            // Times that another machine recorded are not compared with this machine's clock.
             self.resume_call(now, call, true);
         }
         tracing::info!(
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -1,4 +1,5 @@
-//! The secondary listeners, for webhooks and the administration API: their requests, and the tenants.
+//! The secondary listeners, for webhooks and the administration API: their requests, and the
+//! tenants.
 
 use std::collections::BTreeSet;
 use std::fs::OpenOptions;
@@ -87,8 +88,8 @@
         secondary.tenants.restore(&text).map_err(parse_error)
     }
 
-    /// Handles the requests received on a connection of a secondary listener, up to one that waits for
-    /// its answer.
+    /// Handles the requests received on a connection of a secondary listener, up to one that waits
+    /// for its answer.
     pub(super) fn read_secondary_requests(&mut self, key: ConnKey, now: Micros) {
         while self.read_secondary_request(key, now) == ReadProgress::Continue {}
     }
@@ -102,7 +103,8 @@
             return ReadProgress::Stop;
         }
         let kind = *kind;
-        // The request borrows the connection's input, which is put back after the request is handled.
+        // The request borrows the connection's input, which is put back after the request is
+        // handled.
         let mut input = std::mem::take(&mut connection.input);
         let handled = match http::request(input.bytes()) {
             Ok(None) => {
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -148,7 +148,8 @@
         ready
     }
 
-    /// Sets this process's share of the gateway's limits, which all processes of the gateway divide.
+    /// Sets this process's share of the gateway's limits, which all processes of the gateway
+    /// divide.
     pub(super) fn update_client_limits(&mut self, now: Micros) {
         if let Some(hot_restart) = &self.ops.hot_restart {
             let siblings = hot_restart.siblings();
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -1,5 +1,5 @@
-//! Drives changes of tenants that all gateways agree on, while replication is on. The decisions
-//! are made by [`Changes`].
+//! Drives changes of tenants that all gateways agree on, while replication is on. [`Changes`] makes
+//! the decisions.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -29,7 +29,8 @@
     pub(super) connection: ConnKey,
     /// The authenticated caller.
     pub(super) caller: String,
-    /// The request's idempotency key, if it has one, with the digests of the key and of the request.
+    /// The request's idempotency key, if it has one, with the digests of the key and of the
+    /// request.
     pub(super) key: Option<(String, [u8; 32], [u8; 32])>,
     /// The response once the change is agreed on.
     pub(super) handled: Handled,
@@ -55,7 +56,8 @@
     /// The origins of the changes that are not agreed on yet.
     origins: HashMap<Ticket, ChangeOrigin>,
     last_ticket: Ticket,
-    /// Requests for the next step: a response must not be sent while its request is still being read.
+    /// Requests for the next step: a response must not be sent while its request is still being
+    /// read.
     queued: VecDeque<(Ticket, ChangeRequest)>,
     /// When the scheduled deadline is due.
     scheduled_at: Option<Micros>,
@@ -97,7 +99,7 @@
         self.update_agreed_tenants(now);
     }
 
-    /// Passes the agreed tenants on, if they have changed.
+    /// Passes the agreed tenants to [`Changes`], if they have changed.
     pub(super) fn update_agreed_tenants(&mut self, now: Micros) {
         let Some(driver) = &self.cluster.tenants else {
             return;
@@ -120,8 +122,8 @@
     }
 
     /// Checks that this gateway has the tenants that all gateways agree on. A new process has only
-    /// its files until it has caught up: a removed tenant or a revoked secret must not be valid again
-    /// meanwhile.
+    /// its files until it has caught up: a removed tenant or a revoked secret must not be valid
+    /// again meanwhile.
     pub(super) fn knows_tenants(&mut self) -> Result<(), Refusal> {
         let Some(driver) = &mut self.cluster.tenants else {
             return Ok(());
@@ -185,8 +187,12 @@
             request: *request,
             bytes,
         });
-        let origin = ChangeOrigin::Admin(Box::new(pending));
-        self.queue_tenant_change(tenant, encoded, answer, origin);
+        self.queue_tenant_change(
+            tenant,
+            encoded,
+            answer,
+            ChangeOrigin::Admin(Box::new(pending)),
+        );
     }
 
     /// Proposes to all gateways that an endpoint is disabled, which this gateway has done.
@@ -270,7 +276,7 @@
                 }
                 Output::Done(ticket) => self.on_tenant_change_agreed(now, ticket),
                 Output::Refused(ticket, refusal) => {
-                    self.on_tenant_change_refused(now, ticket, &refusal);
+                    self.on_tenant_change_refused(now, ticket, &refusal)
                 }
                 Output::Noted(event) => {
                     if let Some(driver) = &mut self.cluster.tenants {
@@ -343,7 +349,7 @@
             handled,
             changes,
         } = *pending;
-        tracing::info!(caller, "tenant change agreed");
+        tracing::info!(who = caller, "tenant change agreed");
         // The tenant itself was adopted in the same way as a change of another gateway.
         let is_rotation = |change: &Change| matches!(change, Change::Rotated(..));
         changes
@@ -384,9 +390,9 @@
                     admin::problem(status, &text, Some(refusal.remedy()), keep_open)
                 });
             }
-            // The endpoint stays disabled, and this is proposed again on top of the others' changes,
-            // unless those changed this endpoint; likewise if the proposal timed out and only this
-            // gateway knows of it.
+            // The endpoint stays disabled, and the change is proposed again on top of the others'
+            // changes, unless those changed this endpoint; likewise if the proposal timed out and
+            // only this gateway knows of it.
             Some(ChangeOrigin::Disabled(id, version)) if refusal.may_come_again() => {
                 let with_endpoint = |(name, tenant): (&String, &Tenant)| {
                     Some((name.clone(), tenant.endpoint(id)?.1.version))
--- a/src/gateway/tenants/digest_tests.rs
+++ b/src/gateway/tenants/digest_tests.rs
@@ -1,6 +1,6 @@
 //! Digests of keyed requests, compared with their recorded bytes.
 //!
-//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file again.
 
 use super::digests;
 use crate::fixtures::check_lines;
--- a/src/gateway/tenants/fixture_tests.rs
+++ b/src/gateway/tenants/fixture_tests.rs
@@ -1,4 +1,5 @@
-//! The digests under which the agreed log keeps answers to requests with a key.
+//! Guards the digests under which the agreed log stores responses to requests with an idempotency
+//! key.
 
 use super::digests;
 use crate::fixture;
--- a/src/gateway/worker_connections.rs
+++ b/src/gateway/worker_connections.rs
@@ -13,7 +13,8 @@
 pub(super) const PARTIAL_REPLY_TIMEOUT: Micros = 200_000;
 /// Unsent bytes on a worker's connection from which new exchanges use another connection.
 const MAX_WORKER_BACKLOG_BYTES: usize = 256 << 10;
-/// A worker's connection that has been silent for this long when an exchange is cancelled is retired.
+/// A worker's connection that has been silent for this long when an exchange is cancelled is
+/// retired.
 const WORKER_SILENCE_TIMEOUT: Micros = 1_000_000;
 /// How often a retired connection is checked; it is closed once nothing is in flight on it.
 pub(super) const RETIRED_CHECK_INTERVAL: Micros = 250_000;
@@ -23,8 +24,8 @@
 const CANCELLED_IDENTITY_WINDOW: Micros = 10_000_000;
 /// Maximum number of open connections to one worker.
 const MAX_CONNECTIONS_PER_WORKER: usize = 4;
-/// Descriptors that workers' connections leave free for service discovery, the operator console, files
-/// and the event loop.
+/// Descriptors that workers' connections leave free for service discovery, the operator console,
+/// files and the event loop.
 const RESERVED_DESCRIPTORS: usize = 24;
 
 impl Gateway {
@@ -39,8 +40,8 @@
         worker.withdraw(&mut connection.outbox, Exchange::Attempt(attempt))
     }
 
-    /// Cancels an exchange on a connection. A connection that has been silent for long is retired: the
-    /// worker's machine may be gone, and only a new connection shows whether it is back.
+    /// Cancels an exchange on a connection. A connection that has been silent for long is retired:
+    /// the worker's machine may be gone, and only a new connection shows whether it is back.
     pub(super) fn cancel_exchange(
         &mut self,
         now: Micros,
@@ -80,8 +81,8 @@
         worker: WorkerId,
         identity: &str,
     ) -> Result<ConnKey, CloseReason> {
-        // The entry stays, empty, if no connection can be opened: it keeps the worker in the endpoint
-        // list.
+        // The entry stays, empty, if no connection can be opened: it keeps the worker in the
+        // endpoint list.
         let keys = self.routes.connections.entry(worker).or_default();
         let open_connections = keys.len();
         let max_open = self.config.streams;
