--- a/src/gateway/replication/outputs.rs
+++ b/src/gateway/replication/outputs.rs
@@ -71,7 +71,7 @@
         if let Some(driver) = &mut self.cluster.replication {
             driver.open_shards.remove(&shard);
         }
-        tracing::warn!(shard, "stepped down as primary of a shard");
+        tracing::warn!(shard, "a shard is led here no more");
         let Some(webhooks) = &mut self.secondary.hooks else {
             return;
         };
@@ -101,7 +101,7 @@
             epoch,
             members,
             ..
-        } => tracing::info!(shard, epoch, ?members, "became primary of a shard"),
+        } => tracing::info!(shard, epoch, ?members, "a shard is led here"),
         HistoryEvent::DataLost { shard } => tracing::error!(
             shard,
             "all disks that held this shard are lost, and its acknowledged records with them; raise copies, \
