--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -1,23 +1,23 @@
-//! What the HTTP listeners share: one request off a buffer, one answer into bytes.
+//! HTTP/1.1 for all listeners: parses a request from a buffer and encodes a response.
 
 use std::fmt;
 
-/// Bytes that a request's head may take.
-pub const HEAD_LIMIT: usize = 8 * 1024;
-/// Bytes that a body may take.
-pub const BODY_LIMIT: usize = 16 * 1024;
-/// Bytes that a client's connection may hold.
-pub const READ_LIMIT: usize = HEAD_LIMIT + BODY_LIMIT;
-const MOST_HEADERS: usize = 48;
+/// Maximum size of a request's head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Maximum size of a request's body, in bytes.
+pub const MAX_BODY_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes buffered for a client's connection.
+pub const READ_LIMIT: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
+const MAX_HEADERS: usize = 48;
 
-/// Why a request is turned away, with its status.
+/// A rejected request: the status and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bad {
-    /// The status, a 4xx.
+    /// The status code.
     pub status: u16,
-    /// Why, in a few words.
+    /// The reason, sent as the body or problem detail.
     pub why: &'static str,
-    /// Whether the connection is of no more use.
+    /// True if the connection must be closed, as the next request's start is unknown.
     pub fatal: bool,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// A request whose framing is in doubt: what follows on the connection cannot be told apart.
+/// Creates an error that closes the connection, for a request with ambiguous framing.
 pub fn fatal(status: u16, why: &'static str) -> Bad {
     Bad {
         status,
@@ -36,7 +36,7 @@
     }
 }
 
-/// A request that is well framed and still cannot be taken.
+/// Creates an error that leaves the connection usable, for a well-framed request.
 pub fn plain(status: u16, why: &'static str) -> Bad {
     Bad {
         status,
@@ -45,7 +45,7 @@
     }
 }
 
-/// One whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request<'a> {
     /// The method.
@@ -55,14 +55,14 @@
     headers: Vec<(&'a str, &'a [u8])>,
     /// The body.
     pub body: &'a [u8],
-    /// Bytes that it takes up.
+    /// The request's size in the buffer, in bytes.
     pub size: usize,
-    /// Whether the connection stays.
+    /// True if the connection stays open after the response.
     pub keep: bool,
 }
 
 impl<'a> Request<'a> {
-    /// The one value of a header; none if it is absent, comes twice or is not text.
+    /// The value of a header; `None` if the header is absent, repeated or not UTF-8.
     pub fn header(&self, name: &str) -> Option<&'a str> {
         let mut found = self
             .headers
@@ -76,27 +76,27 @@
     }
 }
 
-/// Reads the first request in `bytes`; `None` while it is not whole.
+/// Parses the first request in `bytes`; `None` while the request is incomplete.
 pub fn request(bytes: &[u8]) -> Result<Option<Request<'_>>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let size = match head.parse(bytes) {
-        Ok(httparse::Status::Complete(n)) if n <= HEAD_LIMIT => n,
-        Ok(httparse::Status::Partial) if bytes.len() <= HEAD_LIMIT => return Ok(None),
+        Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD_BYTES => n,
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(fatal(431, "head too large")),
         Err(_) => return Err(fatal(400, "malformed request")),
     };
     let headers: Vec<(&str, &[u8])> = head.headers.iter().map(|h| (h.name, h.value)).collect();
-    let all = |name: &'static str| {
+    let headers_named = |name: &'static str| {
         headers
             .iter()
             .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
     };
-    if all("transfer-encoding").next().is_some() {
+    if headers_named("transfer-encoding").next().is_some() {
         return Err(fatal(411, "a body needs Content-Length"));
     }
     let mut length = None;
-    for (_, value) in all("content-length") {
+    for (_, value) in headers_named("content-length") {
         let text = std::str::from_utf8(value).ok().map(str::trim);
         let digits = text.filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()));
         match digits.and_then(|t| t.parse::<u64>().ok()) {
@@ -105,22 +105,22 @@
         }
     }
     let length = length.unwrap_or(0);
-    if length > BODY_LIMIT as u64 {
+    if length > MAX_BODY_BYTES as u64 {
         return Err(fatal(413, "body too large"));
     }
     let Some(body) = bytes.get(size..size + length as usize) else {
         return Ok(None);
     };
-    let says = |word: &str| {
-        all("connection").any(|(_, v)| {
+    let connection_has = |option: &str| {
+        headers_named("connection").any(|(_, v)| {
             std::str::from_utf8(v)
-                .is_ok_and(|v| v.split(',').any(|p| p.trim().eq_ignore_ascii_case(word)))
+                .is_ok_and(|v| v.split(',').any(|p| p.trim().eq_ignore_ascii_case(option)))
         })
     };
     let keep = if head.version == Some(1) {
-        !says("close")
+        !connection_has("close")
     } else {
-        says("keep-alive")
+        connection_has("keep-alive")
     };
     Ok(Some(Request {
         method: head.method.unwrap_or_default(),
@@ -160,7 +160,7 @@
     }
 }
 
-/// Writes an answer; `extra` are further header lines, each with its line end.
+/// Encodes a response. `extra` holds further header lines, each with its CRLF.
 pub fn response(status: u16, extra: &str, body: &[u8], keep: bool) -> Vec<u8> {
     let close = if keep { "" } else { "Connection: close\r\n" };
     let head = format!(
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts: bytes into the core's calls, and its answers into bytes. Neither decides anything.
+//! The fronts: decode requests into calls for the core and encode its answers, without any policy.
 
 pub mod http;
 pub mod operator_console;
--- a/src/front/operator_console.rs
+++ b/src/front/operator_console.rs
@@ -1,47 +1,49 @@
-//! The second address: one line in, one answer, close. Bytes only; what a call does is not decided here.
+//! The operator console's protocol: one command line per connection, one answer, then close.
+//!
+//! This module only parses and encodes; `gateway::operations` runs the commands.
 
 use std::fmt;
 
-/// Bytes that a line may have.
+/// Maximum length of a line, in bytes.
 const MAX_LINE_BYTES: usize = 256;
-/// Bytes that a connection may hold.
+/// Maximum number of bytes buffered for a connection.
 pub const READ_LIMIT: usize = 2 * MAX_LINE_BYTES;
 
-/// What a line asks for.
+/// A command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Whether this process can serve.
+    /// Asks if this process can serve.
     Ready,
-    /// The figures.
+    /// Asks for the metrics.
     Telemetry,
-    /// How old what is known of discovery and of each worker is.
+    /// Asks for the age of the endpoint list and of the evidence for each worker.
     Evidence,
-    /// Take a worker out.
+    /// Excludes a worker.
     Exclude(String),
-    /// Put a worker back.
+    /// Includes an excluded worker again.
     Include(String),
-    /// Empty the gateway.
+    /// Starts to drain the gateway.
     Evacuate,
-    /// End the drain.
+    /// Ends the drain.
     Activate,
 }
 
-/// Why a line cannot be used.
+/// Why a line is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// It does not end.
+    /// The line exceeds [`MAX_LINE_BYTES`].
     TooLong,
-    /// The connection ended within it.
+    /// The connection ended before the line did.
     Half,
-    /// It holds bytes that are not plain text.
+    /// The line contains bytes other than printable ASCII.
     NotText,
-    /// It is empty.
+    /// The line has no words.
     Empty,
-    /// Its first word is no call.
+    /// The first word is not a command.
     Unknown,
-    /// The call names a worker and the line has none.
+    /// The command needs a worker's name, and the line has none.
     NoWorker,
-    /// It has more words than the call takes.
+    /// The line has more words than the command takes.
     Superfluous,
 }
 
@@ -61,8 +63,8 @@
 
 impl std::error::Error for RequestError {}
 
-/// Reads the one line; `None` while it is not whole. `ended` if nothing more will come: then half a line is an
-/// error, and no line at all is none.
+/// Parses the connection's line; `None` while the line is incomplete. `ended` is true once the
+/// peer has closed its side: an incomplete line is then an error, and an empty input is `None`.
 pub fn take(bytes: &[u8], ended: bool) -> Result<Option<Request>, RequestError> {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return match bytes.len() {
@@ -81,14 +83,14 @@
     }
     let text = std::str::from_utf8(line).map_err(|_| RequestError::NotText)?;
     let mut words = text.split(' ').filter(|w| !w.is_empty());
-    let call = words.next().ok_or(RequestError::Empty)?;
+    let command = words.next().ok_or(RequestError::Empty)?;
     let mut worker = || {
         words
             .next()
             .map(str::to_owned)
             .ok_or(RequestError::NoWorker)
     };
-    let ask = match call {
+    let request = match command {
         "readyz" => Request::Ready,
         "telemetry" => Request::Telemetry,
         "evidence" => Request::Evidence,
@@ -99,17 +101,17 @@
         _ => return Err(RequestError::Unknown),
     };
     match words.next() {
-        None => Ok(Some(ask)),
+        None => Ok(Some(request)),
         Some(_) => Err(RequestError::Superfluous),
     }
 }
 
-/// The answer of one line: yes or no, and a few words.
-pub fn answer(yes: bool, words: impl fmt::Display) -> Vec<u8> {
-    format!("{} {words}\n", if yes { 200 } else { 400 }).into_bytes()
+/// Encodes a one-line answer: 200 on success, else 400, and a short text.
+pub fn answer(success: bool, text: impl fmt::Display) -> Vec<u8> {
+    format!("{} {text}\n", if success { 200 } else { 400 }).into_bytes()
 }
 
-/// The answer that carries figures.
+/// Encodes an answer of several lines, which ends with `EOF`.
 pub fn figures(text: &str) -> Vec<u8> {
     format!("200 OK\n{text}EOF\n").into_bytes()
 }
--- a/src/front/operator_console/tests.rs
+++ b/src/front/operator_console/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_call_is_read_and_each_damage_told() {
+fn commands_are_parsed_and_malformed_lines_rejected() {
     let one = |text: &str| take(text.as_bytes(), false);
     assert_eq!(one("readyz\n"), Ok(Some(Request::Ready)));
     assert_eq!(one("telemetry\r\n"), Ok(Some(Request::Telemetry)));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn half_a_line_waits_until_its_connection_ends() {
+fn incomplete_line_waits_until_connection_ends() {
     let line = b"exclude s-1\n";
     for cut in 0..line.len() {
         assert_eq!(take(&line[..cut], false), Ok(None), "{cut}");
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: one call a POST, its fields in headers.
+//! The platform's front: each call is a POST with its fields in headers.
 
 use std::rc::Rc;
 
@@ -7,34 +7,34 @@
 use crate::core::{Answer, Call};
 use crate::names::Names;
 
-/// The longest time that a caller may ask for where its class states none, and the longest for a figure that is
-/// a time, in milliseconds.
-const LONGEST_MS: f64 = 600_000.0;
-/// What one copy may take and do at the most; no machine is larger.
-const MOST_MEMORY_MB: f64 = 1e6;
-const MOST_LANES: f64 = 1024.0;
+/// The longest deadline for a class that states none, and the largest estimate or load duration,
+/// in milliseconds.
+const MAX_DURATION_MS: f64 = 600_000.0;
+/// The largest memory and concurrency of one copy; no machine is larger.
+const MAX_MEMORY_MB: f64 = 1e6;
+const MAX_CONCURRENCY: f64 = 1024.0;
 
-/// What a client asks.
+/// A client's request.
 #[derive(Debug)]
 pub enum Ask {
-    /// Whether the gateway is there.
+    /// A liveness check.
     Ping,
-    /// A call, without its origin.
+    /// A call whose origin the caller of [`take`] fills in.
     Call(Call<()>),
 }
 
-/// A request off a client's connection.
+/// A request taken from a client's connection.
 #[derive(Debug)]
 pub struct Taken {
-    /// What it asks, or why it is turned away.
+    /// The request, or the error to answer it with.
     pub ask: Result<Ask, Bad>,
-    /// Bytes that it takes up.
+    /// The request's size in the buffer, in bytes.
     pub size: usize,
-    /// Whether the connection stays.
+    /// True if the connection stays open after the response.
     pub keep: bool,
 }
 
-/// Sixteen lower-case hex digits, as all identities on this wire are written.
+/// Parses 16 lower-case hex digits, the form of all identities on this wire.
 pub fn hex16(text: &str) -> Option<u64> {
     let fits = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     fits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
@@ -46,7 +46,7 @@
         .filter(|n| n.is_finite() && *n >= 0.0)
 }
 
-/// Reads the next request; `None` while it is not whole.
+/// Parses the next request; `None` while the request is incomplete.
 pub fn take(bytes: &[u8], names: &Names, now: Micros) -> Result<Option<Taken>, Bad> {
     let Some(r) = http::request(bytes)? else {
         return Ok(None);
@@ -54,11 +54,11 @@
     Ok(Some(Taken {
         size: r.size,
         keep: r.keep,
-        ask: ask(&r, names, now),
+        ask: parse(&r, names, now),
     }))
 }
 
-fn ask(r: &Request<'_>, names: &Names, now: Micros) -> Result<Ask, Bad> {
+fn parse(r: &Request<'_>, names: &Names, now: Micros) -> Result<Ask, Bad> {
     if r.path == "/ping" {
         return if r.method == "GET" {
             Ok(Ask::Ping)
@@ -85,29 +85,29 @@
     let id = r
         .header("X-Correlation-Id")
         .filter(|id| hex16(id).is_some());
-    let stated = class
+    let class_deadline = class
         .and_then(|c| names.max_deadlines.get(c))
         .filter(|t| **t > 0);
-    // A little more than stated is a clock's or a rounding's doing.
-    let longest = stated.map_or(LONGEST_MS, |t| *t as f64 / 1e3 * 1.05);
-    let wait = r
+    // The 5 % tolerance covers clock differences and rounding at the client.
+    let longest_ms = class_deadline.map_or(MAX_DURATION_MS, |t| *t as f64 / 1e3 * 1.05);
+    let deadline_ms = r
         .header("X-Deadline-Ms")
         .and_then(number)
-        .filter(|ms| *ms > 0.0 && *ms <= longest);
-    let estimate = |w| {
-        number(w)
-            .filter(|ms| *ms <= LONGEST_MS)
+        .filter(|ms| *ms > 0.0 && *ms <= longest_ms);
+    let parse_estimate = |text| {
+        number(text)
+            .filter(|ms| *ms <= MAX_DURATION_MS)
             .ok_or(plain(400, "bad X-Estimate-Ms"))
     };
-    let work = r.header("X-Estimate-Ms").map(estimate);
+    let estimate_ms = r.header("X-Estimate-Ms").map(parse_estimate);
     let id = id.ok_or(plain(400, "bad X-Correlation-Id"))?;
     let mut arrival = Arrival {
         request: RequestId(0),
         class: ClassId(class.ok_or(plain(400, "unknown class"))? as u8),
         tenant: TenantId(tenant.ok_or(plain(400, "unknown tenant"))? as u32),
         function,
-        expires_at: now + (wait.ok_or(plain(400, "bad X-Deadline-Ms"))? * 1e3) as Micros,
-        expected_work: work.transpose()?.map(|ms| (ms * 1e3) as Micros),
+        expires_at: now + (deadline_ms.ok_or(plain(400, "bad X-Deadline-Ms"))? * 1e3) as Micros,
+        expected_work: estimate_ms.transpose()?.map(|ms| (ms * 1e3) as Micros),
         memory_mb: 0.0,
         concurrency_per_copy: 1,
         load_duration: None,
@@ -121,17 +121,17 @@
     }))
 }
 
-/// Reads `name:value;name:value`; names that mean nothing are passed over.
+/// Parses `name:value;name:value` into `arrival`; unknown names are ignored.
 fn extras(text: &str, arrival: &mut Arrival) -> Result<(), Bad> {
     for part in text.split(';').filter(|p| !p.trim().is_empty()) {
         let (name, value) = part.split_once(':').ok_or(plain(400, "bad X-Extras"))?;
         let value = number(value.trim()).ok_or(plain(400, "bad X-Extras"))?;
         match name.trim() {
-            "memory_mb" if value > MOST_MEMORY_MB => return Err(plain(400, "bad X-Extras")),
-            "lanes" if !(1.0..=MOST_LANES).contains(&value) => {
+            "memory_mb" if value > MAX_MEMORY_MB => return Err(plain(400, "bad X-Extras")),
+            "lanes" if !(1.0..=MAX_CONCURRENCY).contains(&value) => {
                 return Err(plain(400, "bad X-Extras"))
             }
-            "load_ms" if value > LONGEST_MS => return Err(plain(400, "bad X-Extras")),
+            "load_ms" if value > MAX_DURATION_MS => return Err(plain(400, "bad X-Extras")),
             "memory_mb" => arrival.memory_mb = value,
             "lanes" => arrival.concurrency_per_copy = value as u32,
             "load_ms" => arrival.load_duration = Some((value * 1e3) as Micros).filter(|t| *t > 0),
@@ -141,7 +141,7 @@
     Ok(())
 }
 
-/// The bytes of a final answer. A refusal says when to come back, in whole seconds as HTTP has it.
+/// Encodes a final answer. A rejection has a `Retry-After` header in whole seconds, rounded up.
 pub fn answer(answer: &Answer, keep: bool) -> Vec<u8> {
     match answer {
         Answer::Served(body) => http::response(
@@ -158,7 +158,7 @@
     }
 }
 
-/// The bytes for a request that is turned away before it reaches the module.
+/// Encodes the response to a request that is rejected before it reaches the decision module.
 pub fn turn_away(bad: &Bad, keep: bool) -> Vec<u8> {
     http::response(
         bad.status,
@@ -168,7 +168,7 @@
     )
 }
 
-/// What a connection that is idle within a request for too long is told.
+/// The error for a connection that sends no complete request in time.
 pub fn too_slow() -> Bad {
     fatal(408, "request took too long")
 }
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -16,7 +16,7 @@
     X-Extras: memory_mb:512;lanes:2;load_ms:640;new:1\r\nContent-Length: 3\r\n\r\nabc";
 
 #[test]
-fn a_call_is_read_with_an_absolute_deadline() {
+fn call_is_parsed_with_an_absolute_deadline() {
     let taken = take(GOOD.as_bytes(), &names(), 1_000).unwrap().unwrap();
     let Ok(Ask::Call(call)) = taken.ask else {
         panic!("a call")
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn damage_is_turned_away_or_waited_on_and_never_panics() {
+fn malformed_or_incomplete_request_never_panics() {
     for cut in 0..GOOD.len() {
         assert!(
             matches!(take(&GOOD.as_bytes()[..cut], &names(), 0), Ok(None)),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn figures_out_of_range_are_turned_away() {
+fn values_out_of_range_are_rejected() {
     let names = Names {
         max_deadlines: vec![2_000_000],
         ..names()
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_in_whole_seconds() {
+fn rejection_has_retry_after_in_whole_seconds() {
     for (advice, seconds) in [(0, 0), (1, 1), (500_000, 1), (1_000_001, 2)] {
         let bytes = answer(
             &Answer::Rejected {
--- a/src/front/webhook/answer.rs
+++ b/src/front/webhook/answer.rs
@@ -1,37 +1,41 @@
-//! A portal's answer, read whole within limits.
+//! Parses a portal's HTTP response within size limits.
 
 use crate::api::Micros;
 use crate::delivery::schedule::retry_after;
 
-/// Bytes that an answer's head may take.
-const HEAD: usize = 16 * 1024;
-/// Bytes of an answer's body that are read on, so that its connection can be used again.
-const BODY: usize = 64 * 1024;
-/// Bytes that a portal's connection may hold.
-pub const READ_LIMIT: usize = HEAD + BODY + 1024;
+/// Maximum size of a response's head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The largest response body that is read to its end so that the connection can be reused, in
+/// bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum number of bytes buffered for a portal's connection.
+pub const READ_LIMIT: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + 1024;
 
-/// What has come of an answer.
+/// How much of a response has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Not even its head is whole.
+    /// The head is incomplete.
     Waits,
-    /// Its status is known; its body is still coming.
+    /// The head is complete and the body is not: the status and the `Retry-After` time.
     Status(u16, Option<Micros>),
-    /// It is whole, and takes up so many bytes; whether the connection can be used again.
+    /// The response is finished: the status, the `Retry-After` time, the response's size in bytes,
+    /// and true if the connection can be reused.
     Whole(u16, Option<Micros>, usize, bool),
-    /// It cannot be read.
+    /// The head cannot be parsed.
     Malformed,
 }
 
-/// Reads the first answer in `bytes`.
+/// Parses the first final response in `bytes`; skips 1xx responses other than 101.
 pub fn read(bytes: &[u8], now: Micros) -> Progress {
     let mut at = 0;
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 64];
         let mut head = httparse::Response::new(&mut headers);
         let size = match head.parse(&bytes[at..]) {
-            Ok(httparse::Status::Complete(n)) if n <= HEAD => n,
-            Ok(httparse::Status::Partial) if bytes.len() - at <= HEAD => return Progress::Waits,
+            Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD_BYTES => n,
+            Ok(httparse::Status::Partial) if bytes.len() - at <= MAX_HEAD_BYTES => {
+                return Progress::Waits
+            }
             _ => return Progress::Malformed,
         };
         let Some(status) = head.code else {
@@ -41,7 +45,7 @@
         if (100..200).contains(&status) && status != 101 {
             continue;
         }
-        let all = |name: &'static str| {
+        let values_of = |name: &'static str| {
             head.headers
                 .iter()
                 .filter(move |h| h.name.eq_ignore_ascii_case(name))
@@ -53,45 +57,49 @@
                 .trim()
                 .to_ascii_lowercase()
         };
-        let advice = all("retry-after")
+        let retry_after_time = values_of("retry-after")
             .next()
             .and_then(|v| retry_after(std::str::from_utf8(v).ok()?, now));
-        let closes = all("connection").any(|v| text(v).split(',').any(|w| w.trim() == "close"));
-        let keeps = head.version == Some(1) && !closes;
+        let closes =
+            values_of("connection").any(|v| text(v).split(',').any(|w| w.trim() == "close"));
+        let reusable = head.version == Some(1) && !closes;
         let rest = &bytes[at..];
-        let mut lengths: Vec<String> = all("content-length").map(text).collect();
+        let mut lengths: Vec<String> = values_of("content-length").map(text).collect();
         lengths.dedup();
-        let coded = all("transfer-encoding").next().map(text);
-        // The status is told in any case; what follows only decides whether the connection can be used again.
-        let end = match (status, coded.as_deref(), lengths.as_slice()) {
+        let transfer_coding = values_of("transfer-encoding").next().map(text);
+        // The status is reported in any case; the body only decides if the connection is reusable.
+        let end = match (status, transfer_coding.as_deref(), lengths.as_slice()) {
             (204 | 304, ..) => Some(0),
             (_, Some("chunked"), []) => match chunked(rest) {
                 Ok(end) => end,
-                Err(()) => return Progress::Whole(status, advice, bytes.len(), false),
+                Err(()) => return Progress::Whole(status, retry_after_time, bytes.len(), false),
             },
             (_, None, [one]) => match one.parse::<usize>() {
-                Ok(n) if n <= BODY => (rest.len() >= n).then_some(n),
-                _ => return Progress::Whole(status, advice, bytes.len(), false),
+                Ok(n) if n <= MAX_BODY_BYTES => (rest.len() >= n).then_some(n),
+                _ => return Progress::Whole(status, retry_after_time, bytes.len(), false),
             },
-            // Until the connection ends, or in doubt: this one is not used again, so nothing waits for the rest.
-            _ => return Progress::Whole(status, advice, bytes.len(), false),
+            // The body ends with the connection, or its framing is ambiguous: the connection is not
+            // reused, so the rest of the body is not awaited.
+            _ => return Progress::Whole(status, retry_after_time, bytes.len(), false),
         };
         return match end {
-            Some(n) => Progress::Whole(status, advice, at + n, keeps),
-            None if rest.len() > BODY => Progress::Whole(status, advice, bytes.len(), false),
-            None => Progress::Status(status, advice),
+            Some(n) => Progress::Whole(status, retry_after_time, at + n, reusable),
+            None if rest.len() > MAX_BODY_BYTES => {
+                Progress::Whole(status, retry_after_time, bytes.len(), false)
+            }
+            None => Progress::Status(status, retry_after_time),
         };
     }
 }
 
-/// Where a chunked body ends, if it has come whole.
+/// The offset of a chunked body's end; `None` while the body is incomplete.
 fn chunked(bytes: &[u8]) -> Result<Option<usize>, ()> {
     let mut at = 0;
     loop {
         match httparse::parse_chunk_size(&bytes[at..]) {
             Ok(httparse::Status::Complete((head, 0))) => {
                 at += head;
-                // Trailers, if any, and the empty line.
+                // Skips trailers, if any, up to and including the empty line.
                 loop {
                     let Some(line) = bytes[at..].windows(2).position(|w| w == b"\r\n") else {
                         return Ok(None);
@@ -105,7 +113,7 @@
             Ok(httparse::Status::Complete((head, size))) => {
                 let next = usize::try_from(size)
                     .ok()
-                    .filter(|n| *n <= BODY)
+                    .filter(|n| *n <= MAX_BODY_BYTES)
                     .map(|n| at + head + n + 2);
                 at = next.ok_or(())?;
                 if at > bytes.len() {
--- a/src/front/webhook/answer/tests.rs
+++ b/src/front/webhook/answer/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_answer_is_read_to_its_end_whatever_its_framing() {
+fn response_is_read_to_its_end_for_each_framing() {
     let whole = |text: &str| match read(text.as_bytes(), 0) {
         Progress::Whole(status, advice, size, keep) => (status, advice, size == text.len(), keep),
         other => panic!("{text}: {other:?}"),
@@ -25,16 +25,17 @@
     let chunks =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: y\r\n\r\n";
     assert_eq!(whole(chunks), (200, None, true, true));
-    // Without a length, with two, with one too long, or with a torn chunk: told, and not used again.
-    for doubtful in [
+    // No length, two lengths, a length too large, or a length with a transfer coding: the status is
+    // reported and the connection is not reused.
+    for framing in [
         "",
         "Content-Length: 1\r\nContent-Length: 2\r\n",
         "Content-Length: 99999999999\r\n",
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
     ] {
         assert!(
-            !whole(&format!("HTTP/1.1 200 OK\r\n{doubtful}\r\nabc")).3,
-            "{doubtful}"
+            !whole(&format!("HTTP/1.1 200 OK\r\n{framing}\r\nabc")).3,
+            "{framing}"
         );
     }
     assert!(!whole("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcXX").3);
@@ -48,6 +49,10 @@
         );
     }
     assert_eq!(read(b"SSH-2.0-x\r\n", 0), Progress::Malformed);
-    let endless = [b"HTTP/1.1 200 OK\r\n".to_vec(), vec![b'a'; HEAD + 1]].concat();
+    let endless = [
+        b"HTTP/1.1 200 OK\r\n".to_vec(),
+        vec![b'a'; MAX_HEAD_BYTES + 1],
+    ]
+    .concat();
     assert_eq!(read(&endless, 0), Progress::Malformed);
 }
--- a/src/front/webhook/inbound.rs
+++ b/src/front/webhook/inbound.rs
@@ -1,4 +1,4 @@
-//! A signed webhook becomes a call.
+//! Verifies signed webhooks and turns them into calls.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde::Deserialize;
@@ -14,10 +14,10 @@
 use crate::store::records::IdentityDigest;
 use crate::tenancy::{Registry, Tenant, COMPLETED};
 
-/// The longest identity that is taken.
-const LONGEST_ID: usize = 128;
+/// Maximum length of a `webhook-id` and of an order key, in bytes.
+const MAX_ID_BYTES: usize = 128;
 
-/// What a call's body says. Whatever else it holds is passed over; above all, no address is taken from it.
+/// The body of a call. Other fields are ignored; in particular, no callback address is read.
 #[derive(Debug, Deserialize)]
 struct Event {
     #[serde(rename = "type")]
@@ -36,58 +36,58 @@
     #[serde(default)]
     lanes: u32,
     load_ms: Option<f64>,
-    /// The worker's input, in base64.
+    /// The input for the worker, in base64.
     #[serde(default)]
     payload: String,
-    /// Answers under one key go out in their order, to endpoints that ask for it.
+    /// Callbacks with the same key are delivered in order, to endpoints that ask for it.
     order_key: Option<String>,
 }
 
-/// The type of event that asks for a call.
+/// The event type of a call.
 pub const REQUESTED: &str = "call.requested";
 
-/// What is known of an accepted call until its callback.
+/// An accepted call's data for its callback.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// The tenant's name.
     pub tenant: String,
-    /// Which of that name.
+    /// Distinguishes tenants that have had the same name.
     pub serial: u64,
-    /// The identity that the caller gave it.
+    /// The portal's `webhook-id` for the call.
     pub webhook_id: String,
     /// The class's name.
     pub class: String,
-    /// What repeating a call of its class does.
+    /// The effect of repeating a call of the class.
     pub effect: Effect,
     /// The function.
     pub function: FunctionId,
-    /// Answers under one key go out in their order.
+    /// The order key: callbacks with the same key are delivered in order.
     pub order: Option<String>,
 }
 
-/// The rules for calls from outside.
+/// Checks incoming webhooks.
 #[derive(Debug)]
 pub struct Inbound {
-    /// How far a time stamp may be off, in seconds.
+    /// The largest accepted difference between a time stamp and this clock, in seconds.
     pub tolerance_s: u64,
-    /// When this process started, if it forgot what was taken before: that may have been taken by the process
-    /// before it.
+    /// The start time of this process if the identities accepted before it are unknown: the
+    /// previous process may have accepted an older webhook already.
     pub started: Option<Micros>,
-    /// Identities whose stamps were good until then may have been forgotten: after a clock has stepped back they
-    /// would be taken again.
+    /// Identities valid until this time may have been forgotten. Webhooks with such time stamps are
+    /// rejected, as they would be accepted a second time after the clock stepped back.
     pub forgotten: Micros,
-    /// What was taken.
+    /// The identities already accepted.
     pub replays: Replays,
-    /// Makes identities for workers that no other gateway or start makes.
+    /// Seed for the identities sent to workers; differs per gateway and per start.
     pub seed: u64,
-    /// The classes, as the module knows them.
+    /// The decision module's classes, indexed by class id.
     pub classes: Vec<Class>,
 }
 
 impl Inbound {
-    /// Checks a request and makes a call of it, with the digest of its identity and the time until which that is
-    /// remembered. The order matters: what is not signed learns nothing and takes
-    /// no room in the replay store.
+    /// Verifies a request and returns its call, the digest of its identity and the time until which
+    /// the identity is remembered. The signature is checked first, so that an unsigned request
+    /// learns nothing and takes no room in the replay store.
     pub fn take(
         &mut self,
         r: &Request<'_>,
@@ -102,8 +102,8 @@
         if r.method != "POST" {
             return Err(plain(405, "a webhook is a POST"));
         }
-        let (tenant, id, stamp) = self.signed(r, name, tenants, now)?;
-        let call = self.call(r.body, (name, tenant), id, names, now)?;
+        let (tenant, id, stamp) = self.verify(r, name, tenants, now)?;
+        let call = self.parse_call(r.body, (name, tenant), id, names, now)?;
         if !tenant.wants(COMPLETED) {
             return Err(plain(422, "the tenant has no portal for the answer"));
         }
@@ -118,8 +118,9 @@
         }
     }
 
-    /// Who signed a request, under which identity and when; an error unless its signature and time hold.
-    fn signed<'a, 't>(
+    /// Verifies the signature and time stamp of a request. Returns the tenant, the `webhook-id` and
+    /// the time stamp in seconds.
+    fn verify<'a, 't>(
         &self,
         r: &Request<'a>,
         name: &str,
@@ -128,10 +129,10 @@
     ) -> Result<(&'t Tenant, &'a str, u64), Bad> {
         let refused = plain(401, "signature refused");
         let tenant = tenants.get(name).ok_or(refused)?;
-        // A full stop separates what is signed; within an identity it would let one signature fit two readings.
+        // Full stops separate the signed parts; one inside an identity would make them ambiguous.
         let id = r
             .header("webhook-id")
-            .filter(|id| !id.is_empty() && id.len() <= LONGEST_ID && !id.contains('.'))
+            .filter(|id| !id.is_empty() && id.len() <= MAX_ID_BYTES && !id.contains('.'))
             .ok_or(refused)?;
         let stamp = r
             .header("webhook-timestamp")
@@ -146,15 +147,16 @@
         if stamp.abs_diff(seconds) > self.tolerance_s || started.is_some_and(|s| stamp < s) {
             return Err(plain(401, "time stamp refused"));
         }
-        // Time stamps are whole seconds: this one may be of either process.
+        // Time stamps are whole seconds: the previous process may have accepted this webhook.
         if started == Some(stamp) {
             return Err(plain(503, "just started"));
         }
         Ok((tenant, id, stamp))
     }
 
-    /// Checks a signed question for the state of a call, `GET /webhooks/TENANT/calls/ID`: the identity signed is
-    /// the call's. Returns which tenant, and the call's identity. It changes nothing, so it may be repeated.
+    /// Verifies a signed query for a call's state, `GET /webhooks/TENANT/calls/ID`, whose
+    /// `webhook-id` must equal the call's. Returns the tenant's serial and the call's identity. The
+    /// query is read-only, so its identity is not recorded against replays.
     pub fn ask<'a>(
         &self,
         r: &Request<'a>,
@@ -168,14 +170,14 @@
         let (name, call) = rest
             .split_once("/calls/")
             .ok_or(plain(404, "no such path"))?;
-        let (tenant, id, _) = self.signed(r, name, tenants, now)?;
+        let (tenant, id, _) = self.verify(r, name, tenants, now)?;
         if id != call || !r.body.is_empty() {
             return Err(plain(401, "signature refused"));
         }
         Ok((tenant.serial, id))
     }
 
-    fn call(
+    fn parse_call(
         &self,
         body: &[u8],
         (name, tenant): (&str, &Tenant),
@@ -189,15 +191,19 @@
             return Err(plain(422, "unknown type of event"));
         }
         let d = event.data;
-        let place = Names::index_of(&names.classes, &d.class).ok_or(plain(422, "unknown class"))?;
-        let class = self.classes.get(place).ok_or(plain(422, "unknown class"))?;
+        let class_index =
+            Names::index_of(&names.classes, &d.class).ok_or(plain(422, "unknown class"))?;
+        let class = self
+            .classes
+            .get(class_index)
+            .ok_or(plain(422, "unknown class"))?;
         let function =
             FunctionId(hex16(&d.function).ok_or(plain(422, "a function is 16 hex digits"))?);
-        let sane = |ms: &f64| ms.is_finite() && *ms > 0.0 && *ms <= 600_000.0;
+        let in_range = |ms: &f64| ms.is_finite() && *ms > 0.0 && *ms <= 600_000.0;
         if ![d.deadline_ms, d.estimate_ms, d.load_ms]
             .iter()
             .flatten()
-            .all(sane)
+            .all(in_range)
             || d.memory_mb.is_nan()
             || d.memory_mb < 0.0
         {
@@ -207,7 +213,7 @@
         let payload = BASE64_STANDARD
             .decode(&d.payload)
             .map_err(|_| plain(422, "payload is not base64"))?;
-        let wait = d
+        let deadline = d
             .deadline_ms
             .map_or(class.deadline, micros)
             .min(class.deadline);
@@ -220,20 +226,20 @@
             function,
             order: d
                 .order_key
-                .filter(|k| !k.is_empty() && k.len() <= LONGEST_ID),
+                .filter(|k| !k.is_empty() && k.len() <= MAX_ID_BYTES),
         };
         let arrival = Arrival {
             request: RequestId(0),
-            class: ClassId(place as u8),
+            class: ClassId(class_index as u8),
             tenant: tenant.id,
             function,
-            expires_at: now + wait,
+            expires_at: now + deadline,
             expected_work: d.estimate_ms.map(micros),
             memory_mb: d.memory_mb,
             concurrency_per_copy: d.lanes.max(1),
             load_duration: d.load_ms.map(micros),
         };
-        let id = self.identity(name, webhook_id).into();
+        let id = self.worker_identity(name, webhook_id).into();
         Ok(Call {
             origin: job,
             identity: id,
@@ -242,8 +248,8 @@
         })
     }
 
-    /// The identity that workers are told: 16 hex digits that follow from the call's own.
-    fn identity(&self, tenant: &str, webhook_id: &str) -> String {
+    /// Derives the identity sent to workers, 16 hex digits, from the tenant and the `webhook-id`.
+    fn worker_identity(&self, tenant: &str, webhook_id: &str) -> String {
         let mut hash = Sha256::new();
         hash.update(self.seed.to_le_bytes());
         hash.update((tenant.len() as u64).to_le_bytes());
--- a/src/front/webhook/inbound/fixture_tests.rs
+++ b/src/front/webhook/inbound/fixture_tests.rs
@@ -1,6 +1,6 @@
-//! The identity that workers are told of a call, compared with its recorded value.
+//! Compares the identity sent to workers with its recorded value.
 //!
-//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` rewrites the file.
 
 use super::Inbound;
 use crate::fixtures::check_lines;
@@ -18,6 +18,9 @@
     };
     check_lines(
         "wire/worker_identity.txt",
-        &[format!("identity {}", inbound.identity("acme", "msg_1"))],
+        &[format!(
+            "identity {}",
+            inbound.worker_identity("acme", "msg_1")
+        )],
     );
 }
--- a/src/front/webhook/message.rs
+++ b/src/front/webhook/message.rs
@@ -1,4 +1,4 @@
-//! Messages to portals: their bodies, and the bytes of an attempt.
+//! Messages to portals: event bodies and the signed HTTP request of an attempt.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde_json::{json, Value};
@@ -11,23 +11,23 @@
 use crate::core::Answer;
 use crate::tenancy::{Portal, Secret};
 
-/// An answer larger than this, in bytes, is not passed on.
-const LONGEST_PAYLOAD: usize = 64 * 1024;
+/// The largest answer that a callback carries, in bytes.
+const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
 
-/// How a call ended, for its caller.
+/// The outcome of a call, as reported to the portal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// As the module decided.
+    /// The gateway's final answer.
     Answered(Answer),
-    /// A kill came between: nobody can tell whether it ran, and it is not run again.
+    /// The gateway was killed during the call: it may have run, and is not run again.
     Unknown,
 }
 
 impl Outcome {
-    /// Its name: `served`, `refused`, `failed` or `unknown`.
+    /// The outcome's name in an event: `served`, `refused`, `failed` or `unknown`.
     pub fn name(&self) -> &'static str {
         match self {
-            Outcome::Answered(Answer::Served(body)) if body.len() <= LONGEST_PAYLOAD => "served",
+            Outcome::Answered(Answer::Served(body)) if body.len() <= MAX_PAYLOAD_BYTES => "served",
             Outcome::Answered(Answer::Rejected { .. }) => "refused",
             Outcome::Answered(_) => "failed",
             Outcome::Unknown => "unknown",
@@ -35,7 +35,7 @@
     }
 }
 
-/// Unix microseconds as RFC 3339 has them, to the second; empty for a year past 9999.
+/// Formats Unix microseconds after RFC 3339, to the second; empty for a year after 9999.
 pub fn timestamp(at: Micros) -> String {
     let at = i64::try_from(at / 1_000_000)
         .ok()
@@ -44,14 +44,14 @@
         .unwrap_or_default()
 }
 
-/// The body of an event.
+/// Encodes the body of an event.
 pub fn event(kind: &str, now: Micros, data: &Value) -> Vec<u8> {
     json!({ "type": kind, "timestamp": timestamp(now), "data": data })
         .to_string()
         .into_bytes()
 }
 
-/// What the event `call.completed` tells of a call.
+/// The data of the event `call.completed`.
 pub fn completed(job: &Job, outcome: &Outcome) -> Value {
     let mut data = json!({
         "call": job.webhook_id,
@@ -60,7 +60,7 @@
         "outcome": outcome.name(),
     });
     match outcome {
-        Outcome::Answered(Answer::Served(body)) if body.len() <= LONGEST_PAYLOAD => {
+        Outcome::Answered(Answer::Served(body)) if body.len() <= MAX_PAYLOAD_BYTES => {
             data["payload"] = BASE64_STANDARD.encode(body).into();
         }
         Outcome::Answered(Answer::Served(_)) => {
@@ -78,7 +78,7 @@
     data
 }
 
-/// The bytes of an attempt, signed for this moment with each of the secrets.
+/// Encodes the HTTP request of an attempt, signed with each of the secrets at time `now`.
 pub fn request(
     portal: &Portal,
     id: &str,
--- a/src/front/webhook/message/tests.rs
+++ b/src/front/webhook/message/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn times_are_written_as_the_calendar_has_them() {
+fn timestamp_formats_calendar_times() {
     assert_eq!(timestamp(0), "1970-01-01T00:00:00Z");
     assert_eq!(timestamp(951_827_696_000_000), "2000-02-29T12:34:56Z");
     assert_eq!(timestamp(1_796_135_851_999_999), "2026-12-01T14:37:31Z");
--- a/src/front/webhook/mod.rs
+++ b/src/front/webhook/mod.rs
@@ -1,4 +1,4 @@
-//! Signed webhooks, as the Standard Webhooks specification has them: calls in, callbacks out.
+//! Signed webhooks after the Standard Webhooks specification: incoming calls, outgoing callbacks.
 
 pub mod answer;
 pub mod inbound;
--- a/src/front/webhook/replay.rs
+++ b/src/front/webhook/replay.rs
@@ -1,4 +1,5 @@
-//! The store of identities seen: bounded, and closed rather than forgetful when it is full.
+//! A bounded store of accepted webhook identities, against replays. A full store rejects new
+//! identities instead of forgetting valid ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, OpenOptions};
@@ -10,13 +11,14 @@
 use crate::api::Micros;
 use crate::store::records::IdentityDigest;
 
-/// A file is written anew once it holds so many times more lines than the store holds marks, and no fewer.
-const SLACK: usize = 2;
-const FEWEST: usize = 4096;
+/// The file is rewritten once it has more lines than [`MIN_REWRITE_LINES`] and than this multiple
+/// of the number of stored identities.
+const REWRITE_FACTOR: usize = 2;
+const MIN_REWRITE_LINES: usize = 4096;
 
-/// Where the store is kept: a line for each identity, `UNTIL MARK`. It survives the process.
+/// The store's file, with one line `UNTIL DIGEST` per identity. The file outlives the process.
 #[derive(Debug)]
-struct Kept {
+struct ReplayFile {
     path: PathBuf,
     file: File,
     lines: usize,
@@ -38,7 +40,7 @@
     Some((until.parse().ok()?, mark))
 }
 
-/// The digest of a tenant's identity.
+/// The digest of a tenant's `webhook-id`.
 pub fn mark(tenant: &str, id: &str) -> IdentityDigest {
     let mut hash = Sha256::new();
     hash.update((tenant.len() as u64).to_le_bytes());
@@ -47,41 +49,41 @@
     hash.finalize().into()
 }
 
-/// What an identity is to the store.
+/// The result of recording an identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seen {
-    /// It is new, and now taken.
+    /// The identity is new and now recorded.
     New,
-    /// It was taken before.
+    /// The identity was recorded before.
     Before,
-    /// There is no room to remember it, or it could not be written.
+    /// The store is full, or the file could not be written.
     Full,
 }
 
-/// Identities of calls taken, for as long as their time stamps would be accepted.
+/// Identities of accepted calls, kept as long as their time stamps are accepted.
 #[derive(Debug)]
 pub struct Replays {
-    most: usize,
+    capacity: usize,
     until: BTreeMap<IdentityDigest, Micros>,
     order: BTreeSet<(Micros, IdentityDigest)>,
-    kept: Option<Kept>,
+    kept: Option<ReplayFile>,
 }
 
 impl Replays {
-    /// A store for so many.
-    pub fn new(most: usize) -> Replays {
+    /// Creates a store in memory for at most `capacity` identities.
+    pub fn new(capacity: usize) -> Replays {
         Replays {
-            most,
+            capacity,
             until: BTreeMap::new(),
             order: BTreeSet::new(),
             kept: None,
         }
     }
 
-    /// A store kept in a file, with what it holds that is still valid. A line cut off by a kill is passed over:
-    /// its call was never answered with 202.
-    pub fn open(path: &Path, most: usize, now: Micros) -> io::Result<Replays> {
-        let mut store = Replays::new(most);
+    /// Opens a store in a file and loads the identities that are still valid. A line truncated by a
+    /// kill is skipped: its call was never answered with 202.
+    pub fn open(path: &Path, capacity: usize, now: Micros) -> io::Result<Replays> {
+        let mut store = Replays::new(capacity);
         let text = match std::fs::read_to_string(path) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => String::new(),
             text => text?,
@@ -98,7 +100,7 @@
         Ok(store)
     }
 
-    /// Takes identities in that were kept elsewhere.
+    /// Adds identities that were stored elsewhere.
     pub fn load(&mut self, kept: &[(IdentityDigest, Micros)]) {
         for (mark, until) in kept {
             if self.until.insert(*mark, *until).is_none() {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Forgets an identity whose call could not be kept.
+    /// Removes an identity whose call could not be stored.
     pub fn forget(&mut self, mark: &IdentityDigest) {
         if let Some(until) = self.until.remove(mark) {
             self.order.remove(&(until, *mark));
@@ -124,7 +126,7 @@
         std::fs::write(&fresh, text)?;
         std::fs::rename(&fresh, path)?;
         let file = OpenOptions::new().append(true).open(path)?;
-        self.kept = Some(Kept {
+        self.kept = Some(ReplayFile {
             path: path.to_owned(),
             file,
             lines: self.order.len(),
@@ -132,21 +134,21 @@
         Ok(())
     }
 
-    fn keep(&mut self, until: Micros, mark: &IdentityDigest) -> io::Result<()> {
+    fn append(&mut self, until: Micros, mark: &IdentityDigest) -> io::Result<()> {
         let Some(kept) = &mut self.kept else {
             return Ok(());
         };
         kept.file.write_all(line(until, mark).as_bytes())?;
         kept.lines += 1;
-        if kept.lines > FEWEST.max(SLACK * self.until.len()) {
+        if kept.lines > MIN_REWRITE_LINES.max(REWRITE_FACTOR * self.until.len()) {
             let path = kept.path.clone();
             self.rewrite(&path)?;
         }
         Ok(())
     }
 
-    /// Takes an identity of a tenant, to be remembered until `until`. Guards against forgetting under a flood:
-    /// what is still valid is never dropped for something newer.
+    /// Records an identity of a tenant until `until`. A valid identity is never dropped for a newer
+    /// one, so a flood of calls cannot make the store forget.
     pub fn take(&mut self, tenant: &str, id: &str, now: Micros, until: Micros) -> Seen {
         while let Some(&(t, mark)) = self.order.first().filter(|(t, _)| *t < now) {
             self.order.remove(&(t, mark));
@@ -156,13 +158,13 @@
         if self.until.contains_key(&mark) {
             return Seen::Before;
         }
-        if self.until.len() >= self.most {
+        if self.until.len() >= self.capacity {
             return Seen::Full;
         }
-        // Held first: a file written anew at this moment must have it too.
+        // Inserted before the write, as `append` may rewrite the file from the maps.
         self.until.insert(mark, until);
         self.order.insert((until, mark));
-        if self.keep(until, &mark).is_err() {
+        if self.append(until, &mark).is_err() {
             self.until.remove(&mark);
             self.order.remove(&(until, mark));
             return Seen::Full;
--- a/src/front/webhook/replay/tests.rs
+++ b/src/front/webhook/replay/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_full_store_takes_nothing_until_something_has_run_out() {
+fn full_store_rejects_until_an_identity_expires() {
     let mut r = Replays::new(2);
     assert_eq!(r.take("t", "a", 0, 10), Seen::New);
     assert_eq!(
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_file_outlives_the_process_and_a_line_cut_off() {
+fn file_survives_restart_and_truncated_line() {
     let folder = std::env::temp_dir().join(format!("molelug-replays-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("seen");
@@ -40,13 +40,13 @@
         (r.take("t", "a", 15, 30), r.take("t", "b", 15, 30)),
         (Seen::New, Seen::Before)
     );
-    // Written anew before it has grown without bound, and nothing valid is lost by it.
-    for i in 0..2 * FEWEST as u64 {
+    // The file is rewritten before it grows without bound, and no valid identity is lost.
+    for i in 0..2 * MIN_REWRITE_LINES as u64 {
         assert_eq!(r.take("t", &format!("c{i}"), 100 + i, 100 + i), Seen::New);
     }
-    assert!(std::fs::read_to_string(&path).unwrap().lines().count() <= FEWEST + 1);
-    let last = format!("c{}", 2 * FEWEST - 1);
-    let now = 99 + 2 * FEWEST as u64;
+    assert!(std::fs::read_to_string(&path).unwrap().lines().count() <= MIN_REWRITE_LINES + 1);
+    let last = format!("c{}", 2 * MIN_REWRITE_LINES - 1);
+    let now = 99 + 2 * MIN_REWRITE_LINES as u64;
     assert_eq!(
         Replays::open(&path, 3, now)
             .unwrap()
--- a/src/front/webhook/signature.rs
+++ b/src/front/webhook/signature.rs
@@ -1,11 +1,11 @@
-//! The header `webhook-signature`: signatures over `id.timestamp.body`, apart by spaces.
+//! The header `webhook-signature`: signatures over `id.timestamp.body`, separated by spaces.
 
 use crate::tenancy::Secret;
 
-/// Signatures of one header that are looked at.
-const MOST: usize = 16;
+/// Maximum number of signatures checked in one header.
+const MAX_SIGNATURES: usize = 16;
 
-fn content(id: &str, timestamp: u64, body: &[u8]) -> Vec<u8> {
+fn signed_content(id: &str, timestamp: u64, body: &[u8]) -> Vec<u8> {
     [format!("{id}.{timestamp}.").as_bytes(), body].concat()
 }
 
@@ -16,14 +16,14 @@
     timestamp: u64,
     body: &[u8],
 ) -> String {
-    let content = content(id, timestamp, body);
+    let content = signed_content(id, timestamp, body);
     secrets
         .filter_map(|s| s.sign(&content))
         .collect::<Vec<_>>()
         .join(" ")
 }
 
-/// Whether one of the signatures is one of the secrets'.
+/// Returns true if one of the header's signatures verifies with one of the secrets.
 pub fn verify<'a>(
     secrets: impl Iterator<Item = &'a Secret>,
     id: &str,
@@ -31,11 +31,11 @@
     body: &[u8],
     header: &str,
 ) -> bool {
-    let content = content(id, timestamp, body);
+    let content = signed_content(id, timestamp, body);
     let given: Vec<&str> = header
         .split(' ')
         .filter(|s| !s.is_empty())
-        .take(MOST)
+        .take(MAX_SIGNATURES)
         .collect();
     secrets
         .into_iter()
--- a/src/front/webhook/signature/tests.rs
+++ b/src/front/webhook/signature/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use base64::prelude::{Engine, BASE64_STANDARD};
 
-/// The example of the Standard Webhooks specification's libraries.
+/// Uses the example of the Standard Webhooks specification's libraries.
 #[test]
-fn the_specifications_example_holds_and_any_change_breaks_it() {
+fn specification_example_verifies_and_any_change_fails() {
     let secret = Secret::parse("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw").unwrap();
     let (id, at, body) = (
         "msg_p5jXN8AQM9LWM0D4loKWxJek",
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn keys_of_both_kinds_sign_together_and_each_checks_its_own() {
+fn both_key_types_sign_and_verify_their_own_version() {
     let hmac = Secret::parse(&format!("whsec_{}", BASE64_STANDARD.encode([1; 32]))).unwrap();
     let ed = Secret::parse(&format!("whsk_{}", BASE64_STANDARD.encode([2; 32]))).unwrap();
     let public = Secret::parse(&ed.public().unwrap()).unwrap();
