--- a/src/operations/hot_restart.rs
+++ b/src/operations/hot_restart.rs
@@ -15,8 +15,8 @@
 //! sum 6f0c…
 //! ```
 //!
-//! `served` stands only while discovery is lost: how long ago a worker last showed that it takes new work, in
-//! microseconds. An age, as a step of the system's time must not move it.
+//! `served` lines are written only while discovery is lost: the age in microseconds of the latest
+//! evidence that a worker takes new work. An age is not affected by a step of the system clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,7 +27,7 @@
 const VERSION: &str = "1";
 /// The largest text, in bytes.
 pub const MAX_STATE_BYTES: usize = 3 * MAX_WORKERS_SEEN * (MAX_NAME_BYTES + 32);
-/// The largest capacity of one worker that is believed, in answers a second.
+/// The largest worker capacity that is accepted as valid, in answers per second.
 const MAX_CAPACITY_PER_S: f64 = 1e5;
 /// A text of an ended process that is older than this, in microseconds, is not part of an upgrade.
 pub const ABANDONED_AFTER: Micros = 60_000_000;
@@ -35,15 +35,15 @@
 /// text does not look abandoned.
 pub const WRITE_INTERVAL: Micros = 5_000_000;
 
-/// What a process does with connections.
+/// A process's state with regard to connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It accepts none yet.
+    /// The process does not accept connections yet.
     #[default]
     Starting,
-    /// It accepts connections.
+    /// The process accepts connections.
     Ready,
-    /// It accepts none any more.
+    /// The process no longer accepts connections.
     Stopping,
 }
 
@@ -58,18 +58,19 @@
 pub struct SiblingState {
     /// The name of the gateway that the process belongs to.
     pub gateway: String,
-    /// What it does with connections.
+    /// The process's state.
     pub state: ProcessState,
-    /// The revision of the endpoint list that it has applied.
+    /// The revision of the endpoint list that the process has applied.
     pub list_revision: u64,
-    /// The most that a worker served for it, in answers a second.
+    /// The highest rate at which one worker served this process, in answers per second.
     pub observed_capacity: f64,
-    /// Workers that operators have excluded (true) or included again, and when.
+    /// Workers that operators have excluded (true) or included again (false), and the time of the
+    /// change.
     pub exclusions: BTreeMap<String, (bool, Micros)>,
     /// Names of workers that were listed at some time.
     pub known_workers: Vec<String>,
-    /// Workers that took new work, and how long ago, in microseconds. Told while discovery is lost: a process that starts
-    /// then knows nothing else of them.
+    /// Workers that took new work, and the age of that evidence in microseconds. Shared while
+    /// discovery is lost: a process that starts then has no other source.
     pub evidence: BTreeMap<String, Micros>,
 }
 
@@ -77,39 +78,40 @@
 /// if both processes are to run for longer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HotRestartError {
-    /// It is no such text, or was written by another version. The operator finishes the upgrade.
+    /// The text is not a sibling's state, or another version wrote it. The operator finishes the
+    /// upgrade.
     #[error("'{0}' is not the form that this version reads")]
     Version(String),
-    /// Its checksum does not match: it is damaged or incomplete. It is written again within
-    /// seconds.
+    /// The checksum does not match: the text is damaged or incomplete. The sibling writes it again
+    /// within seconds.
     #[error("its sum does not fit")]
     Damaged,
-    /// It is larger than a text can be. The operator removes the file.
+    /// The text exceeds [`MAX_STATE_BYTES`]. The operator removes the file.
     #[error("it is too large")]
     TooLarge,
-    /// A line has no meaning. The operator removes the file.
+    /// A line has an unknown key or an invalid value. The operator removes the file.
     #[error("the line '{0}' has no meaning")]
     UnknownLine(String),
-    /// It belongs to another gateway. The operator gives each gateway a `TMPDIR` of its own.
+    /// The text belongs to another gateway. The operator gives each gateway a `TMPDIR` of its own.
     #[error("it is of the gateway '{0}'")]
     Foreign(String),
-    /// Its process ended too long ago to be part of an upgrade. Nothing needs to be done.
+    /// The process ended too long ago to be part of an upgrade. Nothing needs to be done.
     #[error("its process died long ago")]
     Abandoned,
 }
 
-fn sum(text: &str) -> String {
+fn checksum(text: &str) -> String {
     blake3::hash(text.as_bytes()).to_hex().as_str()[..32].to_owned()
 }
 
-fn usable(name: &str) -> bool {
+fn is_encodable(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= MAX_NAME_BYTES
         && name.bytes().all(|b| (0x21..0x7f).contains(&b))
 }
 
 impl SiblingState {
-    /// Writes the text. Names that do not fit on a line are omitted.
+    /// Encodes the text. Names that cannot be written on a line are omitted.
     pub fn encode(&self) -> String {
         let state = STATES
             .iter()
@@ -119,22 +121,22 @@
             "molelug-handover {VERSION}\ngateway {}\nstate {state}\nrev {}\nbears {:.1}\n",
             self.gateway, self.list_revision, self.observed_capacity
         );
-        for (name, (banned, at)) in self.exclusions.iter().filter(|(n, _)| usable(n)) {
-            text += &format!("{} {name} {at}\n", if *banned { "ban" } else { "free" });
+        for (name, (excluded, at)) in self.exclusions.iter().filter(|(n, _)| is_encodable(n)) {
+            text += &format!("{} {name} {at}\n", if *excluded { "ban" } else { "free" });
         }
-        for name in self.known_workers.iter().filter(|n| usable(n)) {
+        for name in self.known_workers.iter().filter(|n| is_encodable(n)) {
             text += &format!("seen {name}\n");
         }
-        let evidence = self.evidence.iter().filter(|(name, _)| usable(name));
+        let evidence = self.evidence.iter().filter(|(name, _)| is_encodable(name));
         for (name, age) in evidence.take(MAX_WORKERS_SEEN) {
             text += &format!("served {name} {age}\n");
         }
-        let sum = sum(&text);
-        text + &format!("sum {sum}\n")
+        let checksum = checksum(&text);
+        text + &format!("sum {checksum}\n")
     }
 
-    /// Reads the text that a process of the gateway `name` wrote `age` microseconds ago. `alive`
-    /// says whether that process still runs.
+    /// Decodes the text that a process of the gateway `name` wrote `age` microseconds ago. `alive`
+    /// is true if that process still runs.
     pub fn decode(
         bytes: &[u8],
         name: &str,
@@ -154,7 +156,7 @@
             .and_then(|t| t.rsplit_once("\nsum "));
         let (body, stated) = body.ok_or(HotRestartError::Damaged)?;
         let covered = format!("{body}\n");
-        if sum(&covered) != stated {
+        if checksum(&covered) != stated {
             return Err(HotRestartError::Damaged);
         }
         let mut state = SiblingState::default();
@@ -187,25 +189,25 @@
             "ban" | "free" => {
                 let (name, at) = rest.split_once(' ')?;
                 self.exclusions.insert(
-                    Some(name).filter(|n| usable(n))?.to_owned(),
+                    Some(name).filter(|n| is_encodable(n))?.to_owned(),
                     (key == "ban", at.parse().ok()?),
                 );
             }
             "served" => {
                 let (name, age) = rest.split_once(' ')?;
-                let name = Some(name).filter(|name| usable(name))?.to_owned();
+                let name = Some(name).filter(|name| is_encodable(name))?.to_owned();
                 self.evidence.insert(name, age.parse().ok()?);
             }
             "seen" => self
                 .known_workers
-                .push(Some(rest).filter(|n| usable(n))?.to_owned()),
+                .push(Some(rest).filter(|n| is_encodable(n))?.to_owned()),
             _ => return None,
         }
         Some(())
     }
 }
 
-/// The other processes of this gateway that run.
+/// The other running processes of this gateway.
 #[derive(Debug, Default)]
 pub struct SiblingProcesses {
     living: BTreeMap<u32, SiblingState>,
@@ -213,14 +215,14 @@
 }
 
 impl SiblingProcesses {
-    /// Records what a running process shares.
+    /// Records the state of a running process.
     pub fn update(&mut self, pid: u32, state: SiblingState) {
         self.observed_capacity = self.observed_capacity.max(state.observed_capacity);
         self.living.insert(pid, state);
     }
 
-    /// Keeps only the processes that run. One that has shared nothing yet counts as starting.
-    /// Returns whether the number of processes has changed.
+    /// Keeps only the running processes. A process that has shared no state yet counts as starting.
+    /// Returns true if the set of processes has changed.
     pub fn retain_living(&mut self, living: &BTreeSet<u32>) -> bool {
         let before = self.living.len();
         self.living.retain(|pid, _| living.contains(pid));
@@ -236,14 +238,14 @@
         1 + self.living.len()
     }
 
-    /// The most that a worker was ever seen to serve for this gateway, in answers a second. A new
-    /// process relies on it: it sees too few answers of its own while workers are in slow start.
+    /// The highest rate at which one worker ever served this gateway, in answers per second. A new
+    /// process relies on it, as it sees too few answers of its own while workers are in slow start.
     pub fn observed_capacity(&self) -> f64 {
         self.observed_capacity
     }
 
-    /// This process's part of the load rate limit and of the overload multiple. The part of the
-    /// rate limit that depends on requests is not divided: each process counts its own requests.
+    /// This process's share of the load rate limit and of the overload multiple. The rate limit's
+    /// term per request is not divided: each process counts its own requests.
     pub fn limits(&self, settings: &Settings) -> (Option<LoadRateLimit>, f64) {
         let processes = self.process_count() as f64;
         let load_rate_limit = settings.load_rate_limit.map(|limit| LoadRateLimit {
@@ -253,16 +255,18 @@
         (load_rate_limit, settings.overload_multiple / processes)
     }
 
-    /// Whether another process accepts connections.
+    /// Returns true if another process accepts connections.
     pub fn any_is_ready(&self) -> bool {
-        self.living.values().any(|w| w.state == ProcessState::Ready)
+        self.living
+            .values()
+            .any(|state| state.state == ProcessState::Ready)
     }
 
     /// The latest revision of the endpoint list that another process has applied.
     pub fn latest_list_revision(&self) -> u64 {
         self.living
             .values()
-            .map(|w| w.list_revision)
+            .map(|state| state.list_revision)
             .max()
             .unwrap_or(0)
     }
--- a/src/operations/hot_restart/fixture_tests.rs
+++ b/src/operations/hot_restart/fixture_tests.rs
@@ -1,14 +1,14 @@
-//! The sum over what one process hands to another, compared with its recorded value.
+//! Compares the checksum over a process's shared state with its recorded value.
 //!
-//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` rewrites the file.
 
-use super::sum;
+use super::checksum;
 use crate::fixtures::check_lines;
 
 #[test]
 fn handover_sum_matches_its_recorded_value() {
     check_lines(
         "wire/handover_sum.txt",
-        &[format!("sum {}", sum("state ready\n"))],
+        &[format!("sum {}", checksum("state ready\n"))],
     );
 }
--- a/src/operations/hot_restart/tests.rs
+++ b/src/operations/hot_restart/tests.rs
@@ -3,29 +3,29 @@
 use super::*;
 use proptest::prelude::*;
 
-fn word() -> SiblingState {
-    let bans = [
+fn sample_state() -> SiblingState {
+    let exclusions = [
         ("s-1".to_owned(), (true, 7)),
         ("s-2".to_owned(), (false, 9)),
     ];
-    let seen = vec!["s-1".into(), "s-2".into(), "s-3".into()];
+    let known_workers = vec!["s-1".into(), "s-2".into(), "s-3".into()];
     SiblingState {
         gateway: "n3".into(),
         state: ProcessState::Ready,
         list_revision: 41,
         observed_capacity: 24.5,
-        exclusions: bans.into(),
-        known_workers: seen,
+        exclusions: exclusions.into(),
+        known_workers,
         evidence: BTreeMap::new(),
     }
 }
 
 #[test]
 fn written_state_is_read_and_damage_is_refused() {
-    let text = word().encode();
+    let text = sample_state().encode();
     assert_eq!(
         SiblingState::decode(text.as_bytes(), "n3", true, 0),
-        Ok(word())
+        Ok(sample_state())
     );
     for cut in 0..text.len() {
         assert!(
@@ -54,11 +54,11 @@
     );
     assert!(
         SiblingState::decode(text.as_bytes(), "n3", true, ABANDONED_AFTER + 1).is_ok(),
-        "a living one's counts"
+        "a running process's state is used"
     );
     assert!(
         SiblingState::decode(text.as_bytes(), "n3", false, ABANDONED_AFTER).is_ok(),
-        "one just killed, too"
+        "so is that of a process just killed"
     );
     let newer = text.replace("handover 1", "handover 2");
     assert!(matches!(
@@ -66,9 +66,9 @@
         HotRestartError::Version(_)
     ));
     let body = "molelug-handover 1\ngateway n3\nlanes 4\n";
-    let odd = format!("{body}sum {}\n", sum(body));
+    let unknown = format!("{body}sum {}\n", checksum(body));
     assert_eq!(
-        read(&odd, "n3", true, 0),
+        read(&unknown, "n3", true, 0),
         HotRestartError::UnknownLine("lanes 4".into())
     );
     assert_eq!(
@@ -78,20 +78,20 @@
 }
 
 #[test]
-fn unusable_names_are_omitted_and_largest_text_is_read() {
-    let mut w = word();
-    w.exclusions.insert("a b".into(), (true, 1));
-    w.known_workers.push("x\ny".into());
+fn names_not_encodable_are_omitted_and_largest_text_is_read() {
+    let mut state = sample_state();
+    state.exclusions.insert("a b".into(), (true, 1));
+    state.known_workers.push("x\ny".into());
     assert_eq!(
-        SiblingState::decode(w.encode().as_bytes(), "n3", true, 0),
-        Ok(word())
+        SiblingState::decode(state.encode().as_bytes(), "n3", true, 0),
+        Ok(sample_state())
     );
     let name = |n: usize| format!("{n:0>MAX_NAME_BYTES$}");
-    w.known_workers = (0..MAX_WORKERS_SEEN).map(name).collect();
-    w.exclusions = (0..MAX_WORKERS_SEEN)
+    state.known_workers = (0..MAX_WORKERS_SEEN).map(name).collect();
+    state.exclusions = (0..MAX_WORKERS_SEEN)
         .map(|n| (name(n), (true, Micros::MAX)))
         .collect();
-    assert!(SiblingState::decode(w.encode().as_bytes(), "n3", true, 0).is_ok());
+    assert!(SiblingState::decode(state.encode().as_bytes(), "n3", true, 0).is_ok());
 }
 
 #[test]
@@ -102,27 +102,27 @@
     assert_eq!(
         (others.process_count(), others.any_is_ready()),
         (2, false),
-        "it has told nothing yet"
+        "it has shared nothing yet"
     );
     others.update(
         8,
         SiblingState {
             state: ProcessState::Starting,
-            ..word()
+            ..sample_state()
         },
     );
     assert!(!others.any_is_ready());
-    others.update(8, word());
+    others.update(8, sample_state());
     assert!(others.any_is_ready() && others.latest_list_revision() == 41);
     others.update(
         8,
         SiblingState {
             state: ProcessState::Stopping,
-            ..word()
+            ..sample_state()
         },
     );
     assert!(!others.any_is_ready());
-    others.update(8, word());
+    others.update(8, sample_state());
     assert!(others.retain_living(&BTreeSet::new()));
     assert_eq!(
         (
@@ -135,32 +135,32 @@
     assert_eq!(
         others.observed_capacity(),
         24.5,
-        "what workers bear does not end with who saw it"
+        "the observed capacity outlives the process that reported it"
     );
 }
 
-/// Guards the rules on loads and cold workers, which see one gateway in two processes.
+/// The limits on loads and on overload apply to a gateway, whatever its number of processes.
 #[test]
 fn two_processes_have_the_limits_of_one_together() {
-    let ration = LoadRateLimit {
+    let limit = LoadRateLimit {
         window: 10,
         base_loads: 3.0,
         loads_per_request: 0.3,
     };
     let settings = Settings {
-        load_rate_limit: Some(ration),
+        load_rate_limit: Some(limit),
         overload_multiple: 3.0,
         ..Settings::default()
     };
     let mut others = SiblingProcesses::default();
-    assert_eq!(others.limits(&settings), (Some(ration), 3.0));
+    assert_eq!(others.limits(&settings), (Some(limit), 3.0));
     others.retain_living(&BTreeSet::from([8, 9]));
     assert_eq!(
         others.limits(&settings),
         (
             Some(LoadRateLimit {
                 base_loads: 1.0,
-                ..ration
+                ..limit
             }),
             1.0
         )
@@ -169,24 +169,27 @@
 
 proptest! {
     #[test]
-    fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(SiblingState::decode(&bytes, "n3", true, 0).is_err());
     }
 }
 
 #[test]
-fn evidence_is_handed_on_and_older_texts_are_still_read() {
-    let old = word();
+fn evidence_is_shared_and_older_texts_still_decode() {
+    let old = sample_state();
     let with_evidence = SiblingState {
         evidence: [("s-1".to_owned(), 120_000), ("s-3".to_owned(), 0)].into(),
-        ..word()
+        ..sample_state()
     };
     let text = with_evidence.encode();
     assert_eq!(
         SiblingState::decode(text.as_bytes(), "n3", true, 0),
         Ok(with_evidence)
     );
-    assert!(!old.encode().contains("served"), "the former form");
+    assert!(
+        !old.encode().contains("served"),
+        "the form without evidence"
+    );
     assert_eq!(
         SiblingState::decode(old.encode().as_bytes(), "n3", true, 0),
         Ok(old)
--- a/src/operations/lifecycle.rs
+++ b/src/operations/lifecycle.rs
@@ -1,7 +1,8 @@
-//! Whether the gateway starts, serves, drains or shuts down, and what that means for connections.
+//! The gateway's lifecycle (starting, serving, draining, shutting down) and its effect on
+//! connections.
 //!
-//! Every listener and connection asks here. Draining and shutdown are independent: a call for
-//! either may come at any time, in any order and more than once, and only shutdown is final.
+//! Every listener and connection consults this state. Draining and shutdown are independent: a call
+//! for either may come at any time, in any order and more than once, and only shutdown is final.
 
 use crate::api::Micros;
 
@@ -11,7 +12,7 @@
 /// How much longer connections are accepted that wait in the listener's backlog, in microseconds.
 const BACKLOG_WINDOW: Micros = 1_000_000;
 /// While the gateway drains, idle connections are closed one after the other between these two
-/// times from the call, in microseconds. Clients connect for 0.3 s at most.
+/// times after the drain begins, in microseconds. Clients connect for 0.3 s at most.
 const DRAIN_CLOSE_FROM: Micros = 300_000;
 const DRAIN_CLOSE_UNTIL: Micros = 1_500_000;
 /// The same after SIGTERM if a sibling process has taken over. Requests that come before the second
@@ -22,64 +23,64 @@
 /// microseconds.
 const DRAIN_FIRST_REQUEST_TIMEOUT: Micros = 500_000;
 
-/// What the gateway does with connections.
+/// The gateway's lifecycle state.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     started: bool,
-    /// Since when it drains.
+    /// The start of the drain.
     draining_since: Option<Micros>,
-    /// Since when it shuts down, and whether a sibling process accepts connections.
+    /// The start of the shutdown, and true if a sibling process accepts connections.
     shutdown: Option<(Micros, bool)>,
 }
 
 impl Lifecycle {
-    /// The gateway can serve.
+    /// Marks the gateway as able to serve.
     pub fn start(&mut self) {
         self.started = true;
     }
 
-    /// Begins to drain. Returns whether it did not drain before.
+    /// Begins to drain. Returns false if the gateway is draining already.
     pub fn begin_draining(&mut self, now: Micros) -> bool {
         let new = self.draining_since.is_none();
         self.draining_since.get_or_insert(now);
         new
     }
 
-    /// Serves again, unless it shuts down.
+    /// Ends the drain. A shutdown is not affected.
     pub fn resume(&mut self) {
         self.draining_since = None;
     }
 
-    /// Begins to shut down. `taken_over` says that a sibling process accepts connections from now
-    /// on. Returns whether the shutdown had not begun before.
+    /// Begins to shut down. `taken_over` is true if a sibling process accepts connections from
+    /// now on. Returns false if the shutdown has begun already.
     pub fn begin_shutdown(&mut self, now: Micros, taken_over: bool) -> bool {
         let new = self.shutdown.is_none();
         self.shutdown.get_or_insert((now, taken_over));
         new
     }
 
-    /// Whether it has begun to serve.
+    /// Returns true once the gateway can serve.
     pub fn has_started(&self) -> bool {
         self.started
     }
 
-    /// Whether it reports that it is ready.
+    /// Returns true if the gateway reports that it is ready.
     pub fn is_ready(&self) -> bool {
         self.started && self.draining_since.is_none() && self.shutdown.is_none()
     }
 
-    /// Whether it drains.
+    /// Returns true while the gateway drains.
     pub fn is_draining(&self) -> bool {
         self.draining_since.is_some()
     }
 
-    /// Whether it shuts down.
+    /// Returns true once the shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown.is_some()
     }
 
-    /// Whether connections are accepted. They still are while it drains, since clients may not have
-    /// noticed yet.
+    /// Returns true if connections are accepted. A draining gateway still accepts connections, as
+    /// clients may not have noticed the drain yet.
     pub fn accepts(&self, now: Micros) -> bool {
         match self.shutdown {
             None => self.started,
@@ -89,8 +90,8 @@
         }
     }
 
-    /// Whether connections in the listener's backlog are still accepted, as no sibling process
-    /// does.
+    /// Returns true if connections in the listener's backlog are still accepted, as no sibling
+    /// process accepts them. They are for `BACKLOG_WINDOW` after the accept window.
     pub fn accepts_backlog(&self, now: Micros) -> bool {
         self.started
             && self.shutdown.is_some_and(|(since, taken_over)| {
@@ -98,7 +99,7 @@
             })
     }
 
-    /// When accepting ends, once the shutdown has begun.
+    /// The time at which accepting ends, once the shutdown has begun.
     pub fn accepts_until(&self) -> Option<Micros> {
         self.shutdown.map(|(since, taken_over)| {
             if taken_over {
@@ -109,7 +110,7 @@
         })
     }
 
-    /// Whether a connection stays open after its answer.
+    /// Returns true if a connection stays open after its response.
     pub fn keeps_alive(&self, now: Micros) -> bool {
         self.draining_since.is_none()
             && match self.shutdown {
@@ -118,27 +119,31 @@
             }
     }
 
-    /// When an idle connection is closed, if idle connections are closed now. Its place is `rank`
-    /// of `all`, the longest idle first.
-    pub fn idle_close_deadline(&self, now: Micros, rank: usize, all: usize) -> Option<Micros> {
-        let emptied = self
+    /// The time at which an idle connection is closed, if idle connections are being closed. The
+    /// connection has position `rank` among `count` idle connections, the longest idle first.
+    pub fn idle_close_deadline(&self, now: Micros, rank: usize, count: usize) -> Option<Micros> {
+        let drain_span = self
             .draining_since
             .map(|t| (t + DRAIN_CLOSE_FROM, t + DRAIN_CLOSE_UNTIL));
-        let handed = self.shutdown.filter(|(_, taken_over)| *taken_over);
-        let handed = handed.map(|(t, _)| (t + HANDOVER_CLOSE_FROM, t + HANDOVER_CLOSE_UNTIL));
-        let span = |(from, by): (Micros, Micros)| {
-            from + (by - from) * (rank as Micros + 1) / (all as Micros).max(1)
+        let handover = self.shutdown.filter(|(_, taken_over)| *taken_over);
+        let handover_span =
+            handover.map(|(t, _)| (t + HANDOVER_CLOSE_FROM, t + HANDOVER_CLOSE_UNTIL));
+        let close_time = |(from, until): (Micros, Micros)| {
+            from + (until - from) * (rank as Micros + 1) / (count as Micros).max(1)
         };
-        let at = emptied.into_iter().chain(handed).map(span).min();
-        let over = self
+        let staggered = drain_span
+            .into_iter()
+            .chain(handover_span)
+            .map(close_time)
+            .min();
+        let immediate = self
             .shutdown
             .filter(|(t, taken_over)| !taken_over && now >= t + SHUTDOWN_ACCEPT_WINDOW)
             .map(|_| now);
-        at.into_iter().chain(over).min()
+        staggered.into_iter().chain(immediate).min()
     }
 
-    /// When a connection that is accepted now must have sent a request, if it gets less time than
-    /// usual.
+    /// The time by which a connection accepted now must have sent a request, if earlier than usual.
     pub fn first_request_deadline(&self, now: Micros) -> Option<Micros> {
         (self.draining_since.is_some() || self.shutdown.is_some())
             .then_some(now + DRAIN_FIRST_REQUEST_TIMEOUT)
--- a/src/operations/lifecycle/tests.rs
+++ b/src/operations/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! What the gateway does with those who connect, in any order of calls.
+//! Tests of `operations::lifecycle`.
 
 use super::*;
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
     );
 }
 
-/// Guards a planned restart without another process: what comes in its first 0.6 s is taken.
+/// In a planned restart without a sibling process, connections of the first 0.6 s are accepted.
 #[test]
 fn shutdown_accepts_longer_unless_sibling_took_over() {
     for taken_over in [false, true] {
@@ -55,31 +55,32 @@
         assert!(
             l.idle_close_deadline(SECOND + SHUTDOWN_ACCEPT_WINDOW, 0, 1)
                 .is_some(),
-            "then no idle one stays"
+            "idle connections are closed after the accept window"
         );
     }
 }
 
 proptest! {
-    /// Calls in any order: ready only if started and neither emptied nor ending; the end is final.
+    /// The gateway is ready only if started and neither draining nor shutting down, whatever the
+    /// order of calls; a shutdown is final.
     #[test]
     fn calls_in_any_order_keep_readiness_consistent(calls in proptest::collection::vec(0..5u8, 0..40)) {
         let mut l = Lifecycle::default();
-        let (mut started, mut emptied, mut ending) = (false, false, false);
+        let (mut started, mut draining, mut shutting_down) = (false, false, false);
         for (n, call) in calls.into_iter().enumerate() {
             let now = n as Micros * 100_000;
             match call {
                 0 => { l.start(); started = true }
-                1 => { l.begin_draining(now); emptied = true }
-                2 => { l.resume(); emptied = false }
-                3 => { l.begin_shutdown(now, false); ending = true }
+                1 => { l.begin_draining(now); draining = true }
+                2 => { l.resume(); draining = false }
+                3 => { l.begin_shutdown(now, false); shutting_down = true }
                 _ => {}
             }
-            prop_assert_eq!(l.is_ready(), started && !emptied && !ending);
+            prop_assert_eq!(l.is_ready(), started && !draining && !shutting_down);
             prop_assert!(!l.is_ready() || l.accepts(now) && l.keeps_alive(now));
-            prop_assert_eq!(l.is_shutting_down(), ending);
+            prop_assert_eq!(l.is_shutting_down(), shutting_down);
             prop_assert!(started || !l.accepts(now));
-            prop_assert!(!emptied || !l.keeps_alive(now));
+            prop_assert!(!draining || !l.keeps_alive(now));
         }
     }
 }
--- a/src/operations/metrics.rs
+++ b/src/operations/metrics.rs
@@ -1,4 +1,5 @@
-//! The metrics of the second address, under the platform's names, one a line.
+//! The metrics and the evidence report of the operator console, one value per line. Metrics have
+//! the platform's names.
 
 use std::fmt::Write;
 
@@ -7,29 +8,29 @@
 /// Values that are read from the state when the metrics are asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not yet answered.
+    /// Requests accepted and not yet answered.
     pub pending: usize,
     /// Workers on the endpoint list.
     pub members: usize,
-    /// Those of them that get no requests now: excluded by an operator, draining, or unhealthy.
+    /// Listed workers that get no requests: excluded by an operator, draining, or unhealthy.
     pub unavailable: usize,
 }
 
 /// Writes the metrics as text. Every class is included from the start.
 pub fn encode(
     classes: &[String],
-    ends: &[FinalAnswerCounts],
+    answers: &[FinalAnswerCounts],
     attempts: u64,
     gauges: Gauges,
 ) -> String {
     let mut out = String::new();
     let none = FinalAnswerCounts::default();
     for (index, class) in classes.iter().enumerate() {
-        let ends_of_class = ends.get(index).unwrap_or(&none);
+        let answers_of_class = answers.get(index).unwrap_or(&none);
         for (outcome, count) in [
-            ("completed", ends_of_class.served),
-            ("rejected", ends_of_class.rejected),
-            ("failed", ends_of_class.failed),
+            ("completed", answers_of_class.served),
+            ("rejected", answers_of_class.rejected),
+            ("failed", answers_of_class.failed),
         ] {
             // Writing to a string does not fail.
             let _ = writeln!(out, "app.downstream_requests.{class}.{outcome}:{count}|c");
@@ -46,19 +47,20 @@
     out
 }
 
-/// How old what is known of one worker is.
+/// The age of the evidence for one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEvidenceLine {
-    /// Its name on the endpoint list.
+    /// The worker's name on the endpoint list.
     pub name: String,
-    /// The age of the latest evidence, in milliseconds; none if there is none.
+    /// The age of the latest evidence, in milliseconds; `None` without evidence.
     pub age_ms: Option<u64>,
-    /// Whether it gets nothing new.
+    /// True if the worker gets no new requests.
     pub suspended: bool,
 }
 
-/// Writes how old the list is, whether discovery is lost, and a line for each worker: its name, the age of the evidence
-/// that it takes new work, and whether it is used. Ages are in milliseconds, `-` where there is none.
+/// Encodes the age of the endpoint list, the state of discovery, and a line for each worker: its
+/// name, the age of the latest evidence that it takes new work, and `used` or `suspended`. Ages are
+/// in milliseconds, `-` if unknown.
 pub fn encode_evidence(
     list_age_ms: Option<u64>,
     discovery_lost: bool,
--- a/src/operations/metrics/tests.rs
+++ b/src/operations/metrics/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn every_class_is_there_from_the_start() {
+fn every_class_is_encoded_from_the_start() {
     let gauges = Gauges {
         pending: 14,
         members: 3,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn evidence_names_each_worker_with_its_age() {
+fn evidence_lists_each_worker_with_its_age() {
     let line = |name: &str, age_ms, suspended| WorkerEvidenceLine {
         name: name.into(),
         age_ms,
--- a/src/operations/mod.rs
+++ b/src/operations/mod.rs
@@ -1,7 +1,7 @@
-//! What operators do with a gateway in service: state machines without I/O.
+//! Operation of a running gateway (drain, exclusions, hot restart, metrics): state without I/O.
 //!
-//! The driver is `gateway::operations`, the protocol of the second address
-//! `front::operator_console`. `docs/operators/daily.md` describes how it is used.
+//! The driver is `gateway::operations`, the operator console's protocol `front::operator_console`.
+//! `docs/operators/daily.md` describes how it is used.
 
 pub mod hot_restart;
 pub mod lifecycle;
--- a/src/operations/overrides.rs
+++ b/src/operations/overrides.rs
@@ -1,13 +1,13 @@
-//! Workers that operators have excluded: the endpoint list and the operators' exclusions, as one
-//! view of each worker.
+//! Combines the endpoint list with the operators' exclusions of workers.
 //!
-//! Bounds: what is listed, and [`MAX_WORKERS_SEEN`] names that were. Only those can be excluded.
+//! Only known workers can be excluded: those on the list, and up to [`MAX_WORKERS_SEEN`] names that
+//! were on it. Thus memory is bounded.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::api::{Micros, WorkerEntry, WorkerStatus};
 
-/// Names that are remembered after they have left the list. The oldest is forgotten first.
+/// Number of names remembered after they have left the list. The oldest is forgotten first.
 pub const MAX_WORKERS_SEEN: usize = 1024;
 /// The longest name that is remembered, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
@@ -15,21 +15,21 @@
 /// Why a worker cannot be excluded or included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
-    /// It was never listed. The operator checks the name against the endpoint list.
+    /// The worker was never listed. The operator checks the name against the endpoint list.
     #[error("no worker of that name was ever listed")]
     NeverListed,
-    /// As many workers as are remembered are excluded already. The operator includes others first.
+    /// [`MAX_WORKERS_SEEN`] workers are excluded already. The operator includes others first.
     #[error("too many workers are out")]
     TooMany,
 }
 
-/// What the endpoint list and the operators say of the workers.
+/// The endpoint list's entries and the operators' exclusions.
 #[derive(Debug, Default)]
 pub struct WorkerOverrides {
     /// The latest entry of each worker on the list.
     listed: BTreeMap<String, WorkerEntry>,
-    /// Whether an operator excluded a worker last, or included it, and when. An inclusion is kept
-    /// so that sibling processes learn of it.
+    /// The operators' latest change of each worker (true: excluded) and its time. An inclusion is
+    /// kept so that sibling processes learn of it.
     exclusions: BTreeMap<String, (bool, Micros)>,
     known_workers: BTreeSet<String>,
     /// The known names, in the order in which they were first listed.
@@ -89,7 +89,7 @@
         entry
     }
 
-    /// Whether a worker of this name is remembered as listed.
+    /// Returns true if this name was listed and is still remembered.
     pub fn is_known(&self, name: &str) -> bool {
         self.known_workers.contains(name)
     }
@@ -168,22 +168,22 @@
         }
         let entry = self.listed.get_mut(name)?;
         if !excluded {
-            // It was probably restarted meanwhile, at the latest now: as one in slow start it is
-            // not overloaded.
+            // The worker was probably restarted meanwhile, at the latest now: slow start keeps it
+            // from being overloaded.
             entry.started_at = Some(entry.started_at.unwrap_or(0).max(now));
         }
         let entry = entry.clone();
         Some(self.with_exclusion(name, entry))
     }
 
-    /// Whether this worker is excluded.
+    /// Returns true if this worker is excluded.
     pub fn is_excluded(&self, name: &str) -> bool {
         self.exclusions
             .get(name)
             .is_some_and(|(is_excluded, _)| *is_excluded)
     }
 
-    /// The operators' latest change of each worker (true: excluded), and when it was made.
+    /// The operators' latest change of each worker (true: excluded) and its time.
     pub fn bans(&self) -> &BTreeMap<String, (bool, Micros)> {
         &self.exclusions
     }
--- a/src/operations/overrides/tests.rs
+++ b/src/operations/overrides/tests.rs
@@ -4,7 +4,7 @@
 use crate::api::{CellId, WorkerId, ZoneId};
 use proptest::prelude::*;
 
-fn member(id: u32, status: WorkerStatus) -> WorkerEntry {
+fn worker_entry(id: u32, status: WorkerStatus) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(id),
         zone: ZoneId(0),
@@ -15,8 +15,13 @@
     }
 }
 
-fn list(u: &mut WorkerOverrides, whole: bool, name: &str, status: WorkerStatus) -> WorkerStatus {
-    u.apply_list(whole, [(name, member(1, status))])
+fn list(
+    u: &mut WorkerOverrides,
+    is_snapshot: bool,
+    name: &str,
+    status: WorkerStatus,
+) -> WorkerStatus {
+    u.apply_list(is_snapshot, [(name, worker_entry(1, status))])
         .remove(0)
         .status
 }
@@ -36,7 +41,7 @@
     );
     assert!(
         u.exclude("s-1", 5).unwrap().is_none(),
-        "again is harmless, and nothing new"
+        "a repeated exclusion changes nothing"
     );
     assert_eq!(
         list(&mut u, false, "s-1", WorkerStatus::Ready),
@@ -49,18 +54,18 @@
     assert_eq!(
         list(&mut u, true, "s-2", WorkerStatus::Ready),
         WorkerStatus::Ready,
-        "a whole new list without it"
+        "a snapshot without s-1"
     );
     assert_eq!(
         list(&mut u, false, "s-1", WorkerStatus::Ready),
         WorkerStatus::Draining,
-        "listed anew"
+        "listed again"
     );
     let back = u.include("s-1", 77).unwrap().unwrap();
     assert_eq!(
         (back.status, back.started_at),
         (WorkerStatus::Ready, Some(77)),
-        "it comes back cold"
+        "it returns in slow start"
     );
     assert!(u.include("s-1", 80).unwrap().is_none());
     assert_eq!(
@@ -110,69 +115,70 @@
 }
 
 proptest! {
-    /// Two processes that hear the same words in any order, some twice, hold the same bans.
+    /// Two processes that merge the same changes in any order, some twice, agree on the exclusions.
     #[test]
     fn merge_order_does_not_matter(
-        words in proptest::collection::vec((0..3usize, any::<bool>(), 0..6u64), 0..20),
-        turn in any::<prop::sample::Index>(),
+        changes in proptest::collection::vec((0..3usize, any::<bool>(), 0..6u64), 0..20),
+        rotation in any::<prop::sample::Index>(),
     ) {
         let names = ["a", "b", "c"];
-        let heard = |words: &[(usize, bool, u64)]| {
+        let merged = |changes: &[(usize, bool, u64)]| {
             let mut u = WorkerOverrides::default();
-            for (n, ban, at) in words {
-                u.merge(names[*n], *ban, *at, 9);
+            for (n, excluded, at) in changes {
+                u.merge(names[*n], *excluded, *at, 9);
             }
             u.bans().clone()
         };
-        let mut other = words.clone();
+        let mut other = changes.clone();
         if !other.is_empty() {
-            let by = turn.index(other.len());
+            let by = rotation.index(other.len());
             other.rotate_left(by);
             other.extend_from_within(..by);
         }
-        prop_assert_eq!(heard(&words), heard(&other));
+        prop_assert_eq!(merged(&changes), merged(&other));
     }
 
-    /// Against a plain model: told as ready only if the list says so and no ban holds.
+    /// Compares with a simple model: a worker is reported as ready only if it is listed as ready
+    /// and not excluded.
     #[test]
     fn effective_state_combines_list_and_exclusions(
         steps in proptest::collection::vec((0..6u8, 0..4usize), 0..60),
     ) {
         let names = ["a", "b", "c", "d"];
         let mut u = WorkerOverrides::default();
-        let (mut ready, mut banned, mut ever) = ([false; 4], [false; 4], [false; 4]);
-        let mut told = [false; 4];
-        for (what, n) in steps {
-            let out = match what {
+        let (mut ready, mut excluded, mut known) = ([false; 4], [false; 4], [false; 4]);
+        let mut reported = [false; 4];
+        for (step, n) in steps {
+            let entries = match step {
                 0..=2 => {
-                    let status = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Removed][what as usize];
-                    (ready[n], ever[n]) = (what == 0, true);
-                    u.apply_list(false, [(names[n], member(n as u32, status))])
+                    let status = [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Removed][step as usize];
+                    (ready[n], known[n]) = (step == 0, true);
+                    u.apply_list(false, [(names[n], worker_entry(n as u32, status))])
                 }
                 3 => {
                     ready = [false; 4];
-                    (ready[n], ever[n]) = (true, true);
-                    told = [false; 4];
-                    u.apply_list(true, [(names[n], member(n as u32, WorkerStatus::Ready))])
+                    (ready[n], known[n]) = (true, true);
+                    reported = [false; 4];
+                    u.apply_list(true, [(names[n], worker_entry(n as u32, WorkerStatus::Ready))])
                 }
                 4 => {
                     let got = u.exclude(names[n], 5);
-                    prop_assert_eq!(got.is_ok(), ever[n]);
-                    banned[n] |= ever[n];
+                    prop_assert_eq!(got.is_ok(), known[n]);
+                    excluded[n] |= known[n];
                     got.ok().flatten().into_iter().collect()
                 }
                 _ => {
                     let got = u.include(names[n], 5);
-                    prop_assert_eq!(got.is_ok(), ever[n]);
-                    banned[n] = false;
+                    prop_assert_eq!(got.is_ok(), known[n]);
+                    excluded[n] = false;
                     got.ok().flatten().into_iter().collect()
                 }
             };
-            for m in out {
-                told[m.worker.0 as usize] = m.status == WorkerStatus::Ready;
+            for entry in entries {
+                reported[entry.worker.0 as usize] = entry.status == WorkerStatus::Ready;
             }
             for n in 0..4 {
-                prop_assert_eq!(told[n], ready[n] && !banned[n]);
+                prop_assert_eq!(reported[n], ready[n] && !excluded[n]);
             }
         }
     }
