--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,5 @@
-//! What a gateway is told: RELAY_* and the JSON that they point to.
+//! Configuration: the `RELAY_*` variables, the platform's JSON file that they name, and the
+//! operator's TOML file.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,21 +18,22 @@
 use crate::settings;
 use crate::tenancy::{Registry, Spec};
 
-/// What service discovery has to tell counts as told after this, whether it was in reach or not.
+/// Changes at service discovery count as known after this time, in microseconds, even if discovery
+/// is unreachable.
 const LIST_MAX_AGE: Micros = 7_000_000;
 
-/// Why a configuration cannot be used.
+/// Why a configuration is rejected.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// A variable is not set.
+    /// A required variable or setting is not set.
     Missing(&'static str),
     /// A file cannot be read.
     Read(PathBuf, std::io::Error),
-    /// A file is not what it should be.
+    /// A file cannot be parsed.
     Parse(PathBuf, String),
-    /// A value cannot be used.
+    /// A value is invalid.
     Value(&'static str, String),
-    /// The platform's settings cannot be used.
+    /// The platform's settings are invalid.
     Settings(settings::SettingsError),
 }
 
@@ -55,7 +57,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// The limits of the machine.
+/// The machine's limits.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
     /// Memory, in MB.
@@ -84,7 +86,7 @@
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     admin_addr: Option<String>,
@@ -94,12 +96,12 @@
     limits: Limits,
     board: Option<String>,
     #[serde(default)]
-    known: Known,
+    known: KnownUpdates,
     settings: Value,
 }
 
 #[derive(Default, Deserialize)]
-struct Known {
+struct KnownUpdates {
     #[serde(default)]
     rev: u64,
     #[serde(default)]
@@ -113,64 +115,64 @@
     pub file: Option<PathBuf>,
     /// Its name.
     pub name: String,
-    /// Where clients connect.
+    /// The address of the platform's front.
     pub listen: SocketAddr,
-    /// Where staff and the platform ask line by line; none if it is not to be.
+    /// The address of the operator console; `None` if it is off.
     pub admin_addr: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed for random numbers.
     pub seed: u64,
-    /// Limits.
+    /// The machine's limits.
     pub limits: Limits,
-    /// The notice board, if there is one.
+    /// The address of service discovery; `None` if there is none.
     pub board: Option<SocketAddr>,
-    /// The last notice known at the start.
+    /// The revision of the last discovery update in the file.
     pub known_rev: u64,
-    /// The notices known at the start.
+    /// The discovery updates in the file, applied at the start.
     pub known: Vec<WatchEvent>,
-    /// The module's settings.
+    /// The decision module's settings.
     pub settings: Settings,
-    /// The names.
+    /// The names of classes, tenants and zones, and the classes' deadlines.
     pub names: Names,
-    /// A connect that has not come up by then has failed.
+    /// The timeout for connecting to a worker, in microseconds.
     pub connect_limit: Micros,
-    /// Workers close connections that have been idle for so long.
+    /// The time after which workers close idle connections, in microseconds.
     pub conn_idle: Micros,
-    /// Requests that a worker connection carries at once.
+    /// Maximum number of concurrent requests on a worker connection.
     pub streams: usize,
-    /// Requests held at once.
+    /// Maximum number of pending requests.
     pub most_held: usize,
 }
 
 impl Config {
-    /// Reads what the environment names.
+    /// Reads the configuration that the environment names.
     pub fn from_env() -> Result<Config, ConfigError> {
         let var = |name| std::env::var(name).ok().filter(|v| !v.is_empty());
         let path = var("RELAY_CONFIG").ok_or(ConfigError::Missing("RELAY_CONFIG"))?;
         let mut config = Config::read(Path::new(&path), var("RELAY_NAME"), var("RELAY_LISTEN"))?;
         if let Some(text) = var("RELAY_ADMIN_ADDR") {
-            config.admin_addr = Some(address("RELAY_ADMIN_ADDR", &text)?);
+            config.admin_addr = Some(parse_address("RELAY_ADMIN_ADDR", &text)?);
         }
         Ok(config)
     }
 
-    /// Reads a file; `name` and `listen` win over what it says.
+    /// Reads a file; `name` and `listen` take precedence over its values.
     pub fn read(
         path: &Path,
         name: Option<String>,
         listen: Option<String>,
     ) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e))?;
-        let read = Config::parse(&text, name, listen).map_err(|e| match e {
+        let config = Config::parse(&text, name, listen).map_err(|e| match e {
             ConfigError::Parse(_, e) => ConfigError::Parse(path.into(), e),
             e => e,
         })?;
         Ok(Config {
             file: Some(path.into()),
-            ..read
+            ..config
         })
     }
 
-    /// Reads the same file again, under the same name and for the same listener.
+    /// Reads the same file again, with the same name and listen address.
     pub fn again(&self) -> Result<Config, ConfigError> {
         let path = self
             .file
@@ -179,7 +181,7 @@
         Config::read(path, Some(self.name.clone()), Some(self.listen.to_string()))
     }
 
-    /// All that a running gateway keeps until it is started anew.
+    /// The values that a running gateway can change only by a restart.
     pub fn fixed(&self) -> impl PartialEq + '_ {
         let limits = (
             self.limits.sockets,
@@ -191,32 +193,33 @@
         (&self.settings, &self.names, limits)
     }
 
-    /// Reads the JSON itself.
+    /// Parses the JSON; `name` and `listen` take precedence over its values.
     pub fn parse(
         text: &str,
         name: Option<String>,
         listen: Option<String>,
     ) -> Result<Config, ConfigError> {
-        let raw: Raw = serde_json::from_str(text)
+        let raw: ConfigFile = serde_json::from_str(text)
             .map_err(|e| ConfigError::Parse(PathBuf::from("configuration"), e.to_string()))?;
         let listen = listen
             .or(raw.listen)
             .ok_or(ConfigError::Missing("RELAY_LISTEN"))?;
         let board = raw.board.filter(|b| !b.is_empty());
         let admin = raw.admin_addr.filter(|a| !a.is_empty());
-        let facts = settings::nested(&raw.settings);
-        settings::check(&facts)?;
-        let (mut module, _) = settings::from_map(&facts);
+        let values = settings::nested(&raw.settings);
+        settings::check(&values)?;
+        let (mut module, _) = settings::from_map(&values);
         let number = |key: &str| {
-            facts
+            values
                 .get(key)
                 .and_then(|v| v.parse::<f64>().ok())
                 .filter(|v| *v > 0.0)
         };
-        // Clients of the simulator are told nothing; on sockets every refusal says when to come back.
+        // The simulator's clients get no Retry-After without `caps.retryAfter`; on sockets every
+        // rejection has one.
         let advice = number("caps.maxRetryAfterMs").unwrap_or(0.0);
         module.max_retry_after = module.max_retry_after.max((advice * 1e3) as Micros);
-        // On sockets discovery pushes, and its heartbeats tell how old the list is.
+        // On sockets discovery pushes updates, and its heartbeats show the age of the list.
         module.discovery_heartbeats = board.is_some();
         module.list_max_age = board.is_some().then_some(LIST_MAX_AGE);
         let listed = |list: &str, field: &str| -> Vec<String> {
@@ -253,11 +256,11 @@
         Ok(Config {
             file: None,
             name: name.or(raw.name).unwrap_or_default(),
-            listen: address("RELAY_LISTEN", &listen)?,
-            admin_addr: admin.map(|a| address("admin_addr", &a)).transpose()?,
-            seed: seed(&raw.seed)?,
+            listen: parse_address("RELAY_LISTEN", &listen)?,
+            admin_addr: admin.map(|a| parse_address("admin_addr", &a)).transpose()?,
+            seed: parse_seed(&raw.seed)?,
             limits: raw.limits,
-            board: board.map(|b| address("board", &b)).transpose()?,
+            board: board.map(|b| parse_address("board", &b)).transpose()?,
             known_rev: raw.known.rev,
             known: known.collect::<Result<_, _>>()?,
             names,
@@ -271,13 +274,13 @@
     }
 }
 
-fn address(what: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+fn parse_address(setting: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse()
-        .map_err(|_| ConfigError::Value(what, text.to_owned()))
+        .map_err(|_| ConfigError::Value(setting, text.to_owned()))
 }
 
-/// A seed comes as 16 hex digits; a number will do too.
-fn seed(value: &Value) -> Result<u64, ConfigError> {
+/// Parses a seed: a string of hex digits, or a number.
+fn parse_seed(value: &Value) -> Result<u64, ConfigError> {
     match value {
         Value::Null => Ok(0),
         Value::Number(n) => n
@@ -290,15 +293,15 @@
     }
 }
 
-/// An operator's file: what is on besides the platform's front.
+/// An operator's file: optional subsystems and tenants.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// Signed webhooks.
+    /// The settings of signed webhooks; `None` if webhooks are off.
     pub webhooks: Option<Webhooks>,
-    /// The administration API.
+    /// The settings of the administration API; `None` if the API is off.
     pub admin: Option<Admin>,
-    /// Where tenants are kept over restarts. Once it is there, it and not this file tells the tenants.
+    /// The file that keeps tenants across restarts. Once the file exists, it replaces `tenants`.
     pub state: Option<PathBuf>,
     /// The tenants at the first start.
     #[serde(default)]
@@ -309,49 +312,50 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Webhooks {
-    /// Where calls come in.
+    /// The address for incoming calls.
     pub listen: SocketAddr,
-    /// How far a time stamp may be off.
+    /// The largest accepted deviation of a time stamp, in seconds.
     #[serde(default = "default_tolerance")]
     pub tolerance_s: u64,
-    /// Identities remembered against replays.
+    /// Maximum number of identities remembered against replays.
     #[serde(default = "default_replays")]
     pub replay_entries: usize,
-    /// Where they are kept over restarts.
+    /// The file that keeps these identities across restarts.
     pub replay_file: Option<PathBuf>,
-    /// Where calls and callbacks are kept; without it they last as long as the process.
+    /// The store's file for calls and callbacks; without it they last as long as the process.
     pub store: Option<PathBuf>,
-    /// Bytes of calls and callbacks that the store takes at most, in MiB.
+    /// Maximum size of calls and callbacks in the store, in MiB.
     #[serde(default = "default_store_mb")]
     pub store_mb: u64,
-    /// How long messages are kept, in days; one that still waits then has expired.
+    /// Retention time of messages, in days; a message that is still pending then expires.
     #[serde(default = "default_retention_days")]
     pub retention_days: u64,
-    /// Above so many MiB, messages that are over go before their time.
+    /// Size in MiB above which finished messages are removed before their retention time.
     #[serde(default = "default_retention_mb")]
     pub retention_mb: u64,
-    /// Pauses between the attempts at a callback, in seconds; where none are given, those of the Standard Webhooks
-    /// specification with a store, and short ones within `callback_window_ms` without.
+    /// Pauses between the attempts at a callback, in seconds. The default is the schedule of the
+    /// Standard Webhooks specification with a store, and short pauses within `callback_window_ms`
+    /// without.
     pub schedule_s: Option<Vec<f64>>,
-    /// An endpoint that has only failed for so many seconds is switched off.
+    /// Time in seconds after which an endpoint whose attempts have all failed is disabled.
     #[serde(default = "default_disable")]
     pub disable_after_s: u64,
-    /// Networks that portals may be in, besides the public ones and loopback.
+    /// Networks in which portals are allowed, besides public networks and loopback.
     #[serde(default)]
     pub allow_networks: Vec<IpNet>,
-    /// Networks that portals may not be in.
+    /// Networks in which portals are not allowed.
     #[serde(default)]
     pub deny_networks: Vec<IpNet>,
-    /// Attempts at callbacks that are out at once.
+    /// Maximum number of concurrent attempts at callbacks.
     #[serde(default = "default_portals")]
     pub portals: u32,
-    /// Calls under way at once; without a store, calls and callbacks.
+    /// Maximum number of pending calls; without a store, of pending calls and callbacks.
     #[serde(default = "default_pending")]
     pub pending: usize,
-    /// How long a callback is tried.
+    /// The window for the attempts at a callback without a store, in milliseconds.
     #[serde(default = "default_window")]
     pub callback_window_ms: u64,
-    /// How long a portal may take over one attempt.
+    /// The timeout of one attempt at a callback, in milliseconds.
     #[serde(default = "default_answer")]
     pub callback_answer_ms: u64,
 }
@@ -400,18 +404,18 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Admin {
-    /// Its own loopback listener.
+    /// The address of the API; must be loopback.
     pub listen: SocketAddr,
     /// The SPIFFE trust domain of its callers.
     pub trust_domain: String,
-    /// What their tokens are for.
+    /// The audience that callers' tokens must name.
     pub audience: String,
     /// The trust domain's bundle, a JWKS file.
     pub bundle: PathBuf,
-    /// How often the bundle is read anew.
+    /// The interval at which the bundle is read again, in seconds.
     #[serde(default = "default_refresh")]
     pub refresh_s: u64,
-    /// Who may do what; whoever is not named may do nothing.
+    /// The callers with a role; any other caller is rejected.
     #[serde(default)]
     pub callers: Vec<Caller>,
 }
@@ -441,7 +445,7 @@
 }
 
 impl Operator {
-    /// Reads an operator's file; a relative path in it is taken from the file's folder.
+    /// Reads an operator's file; relative paths in it are resolved against the file's directory.
     pub fn read(path: &Path) -> Result<Operator, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e))?;
         let mut operator = Operator::parse(&text).map_err(|e| match e {
@@ -461,9 +465,9 @@
         Ok(operator)
     }
 
-    /// Reads the text itself, and checks all that can be checked without the machine.
+    /// Parses the text and performs all checks that need no I/O.
     pub fn parse(text: &str) -> Result<Operator, ConfigError> {
-        // The error of a file that may hold secrets is told without the line it is about.
+        // The file may contain secrets, so the error omits the line.
         let operator: Operator = toml::from_str(text).map_err(|e| {
             ConfigError::Parse(PathBuf::from("operator's file"), e.message().to_owned())
         })?;
@@ -486,7 +490,7 @@
         Ok(operator)
     }
 
-    /// The tenants as a registry in which the platform's keep their numbers.
+    /// Builds the registry of tenants, in which the platform's tenants keep their ids.
     pub fn registry(&self, platform: &[(String, f64)]) -> Result<Registry, ConfigError> {
         let mut registry = Registry::new(platform);
         for spec in &self.tenants {
--- a/src/identity.rs
+++ b/src/identity.rs
@@ -1,6 +1,6 @@
-//! SPIFFE identities: JWT-SVIDs checked against a trust domain's bundle, and the role that each caller has.
+//! SPIFFE identities: verifies JWT-SVIDs with a trust domain's bundle and looks up callers' roles.
 //!
-//! Signatures are jsonwebtoken's; the times are checked here, against the caller's clock.
+//! The crate jsonwebtoken verifies signatures; times are checked here, against the `now` passed in.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -22,21 +22,21 @@
     Algorithm::PS384,
     Algorithm::PS512,
 ];
-/// The longest SPIFFE ID, in bytes.
-const LONGEST_ID: usize = 2048;
+/// Maximum length of a SPIFFE ID, in bytes.
+const MAX_ID_BYTES: usize = 2048;
 
-/// Why a caller is not let in.
+/// Why a caller or the trust bundle is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IdentityError {
     /// The bundle cannot be read.
     Bundle(String),
     /// A SPIFFE ID is malformed or of another trust domain.
     Id(String),
-    /// The token is not a JWT-SVID: its form, algorithm or key.
+    /// The token's form, algorithm or key is not that of a JWT-SVID.
     Token(&'static str),
-    /// Its signature, audience or a claim does not hold.
+    /// The token's signature, audience or a claim is invalid.
     Claims(String),
-    /// It has expired, or is not valid yet.
+    /// The token has expired or is not valid yet.
     Time,
 }
 
@@ -54,12 +54,12 @@
 
 impl std::error::Error for IdentityError {}
 
-/// Checks that a text is a SPIFFE ID with a path, of this trust domain.
+/// Checks that `id` is a SPIFFE ID with a path, in this trust domain.
 pub fn check_id(id: &str, trust_domain: &str) -> Result<(), IdentityError> {
     let bad = || IdentityError::Id(id.chars().take(80).collect());
     let rest = id
         .strip_prefix("spiffe://")
-        .filter(|_| id.len() <= LONGEST_ID)
+        .filter(|_| id.len() <= MAX_ID_BYTES)
         .ok_or_else(bad)?;
     let (domain, path) = rest.split_once('/').ok_or_else(bad)?;
     let segment = |s: &str| {
@@ -74,13 +74,13 @@
         .ok_or_else(bad)
 }
 
-/// What a caller may do.
+/// A caller's permissions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Read tenants and counters.
+    /// May read.
     Viewer,
-    /// Change tenants and rotate secrets too.
+    /// May read and change.
     Operator,
 }
 
@@ -91,7 +91,7 @@
     nbf: Option<f64>,
 }
 
-/// A trust domain's keys, and who has which role. Whoever is not named has none.
+/// A trust domain's keys and the roles by SPIFFE ID. A caller without an entry has no role.
 #[derive(Debug)]
 pub struct Gate {
     trust_domain: String,
@@ -101,7 +101,7 @@
 }
 
 impl Gate {
-    /// A gate without keys: it lets nobody in.
+    /// Creates a gate without keys, which rejects every token.
     pub fn new(
         trust_domain: &str,
         audience: &str,
@@ -116,13 +116,14 @@
         })
     }
 
-    /// Takes a bundle's keys for JWT-SVIDs over. On an error those held stay.
+    /// Replaces the keys with a bundle's keys for JWT-SVIDs and returns their number. On an error
+    /// the current keys stay.
     pub fn load(&mut self, bundle: &str) -> Result<usize, IdentityError> {
         let fail = |e: &dyn fmt::Display| IdentityError::Bundle(e.to_string());
         let set: JwkSet = serde_json::from_str(bundle).map_err(|e| fail(&e))?;
         let mut keys = BTreeMap::new();
         for jwk in &set.keys {
-            // A bundle holds keys for X.509 too; only those marked for JWT-SVIDs count.
+            // A bundle also contains keys for X.509-SVIDs; these are skipped.
             if jwk.common.public_key_use != Some(PublicKeyUse::Other("jwt-svid".into())) {
                 continue;
             }
@@ -137,7 +138,7 @@
         Ok(self.keys.len())
     }
 
-    /// Who presents a token, and the caller's role if it has one.
+    /// Verifies a token. Returns the caller's SPIFFE ID and its role, if any.
     pub fn check(&self, token: &str, now: Micros) -> Result<(String, Option<Role>), IdentityError> {
         let header = jsonwebtoken::decode_header(token)
             .map_err(|_| IdentityError::Token("no readable header"))?;
@@ -151,12 +152,12 @@
         {
             return Err(IdentityError::Token("type not allowed"));
         }
-        // The specification leaves `kid` optional; without it any of the bundle's keys may be the one.
-        let fits = |kid: &&String| header.kid.as_ref().is_none_or(|k| k == *kid);
+        // `kid` is optional in the specification; without it each of the bundle's keys is tried.
+        let matches_kid = |kid: &&String| header.kid.as_ref().is_none_or(|k| k == *kid);
         let keys: Vec<&DecodingKey> = self
             .keys
             .iter()
-            .filter(|(kid, _)| fits(kid))
+            .filter(|(kid, _)| matches_kid(kid))
             .map(|(_, k)| k)
             .collect();
         if keys.is_empty() {
@@ -168,8 +169,8 @@
         rules.validate_exp = false;
         let mut claims = Err(IdentityError::Token("no key"));
         for key in keys {
-            let read = jsonwebtoken::decode::<Claims>(token, key, &rules);
-            claims = read
+            let decoded = jsonwebtoken::decode::<Claims>(token, key, &rules);
+            claims = decoded
                 .map(|t| t.claims)
                 .map_err(|e| IdentityError::Claims(e.to_string()));
             if claims.is_ok() {
@@ -178,7 +179,7 @@
         }
         let claims = claims?;
         let seconds = now as f64 / 1e6;
-        // Written so that a value that is no number lets nobody in.
+        // A NaN in `exp` or `nbf` makes the token invalid.
         let valid = seconds < claims.exp && claims.nbf.is_none_or(|nbf| nbf <= seconds);
         if !valid {
             return Err(IdentityError::Time);
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,14 +1,14 @@
-//! Whether settings can be used: each value of the kind and within the bounds that its key has. Nothing that is stated is
-//! replaced by a default.
+//! Validates settings: each value must have its key's type and be within its bounds. An invalid
+//! value is never replaced by a default.
 
 use std::collections::BTreeSet;
 
 use super::SettingsMap;
 
-/// Why settings cannot be used.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A key is absent that has no default.
+    /// A key without a default is absent.
     #[error("settings.{key} is missing: {expected} is expected; state it, as no default would fit every deployment")]
     Missing {
         /// The key.
@@ -16,17 +16,17 @@
         /// What it may be.
         expected: String,
     },
-    /// A value is of another kind or out of bounds.
+    /// A value has the wrong type or is out of bounds.
     #[error("settings.{key} = '{value}' cannot be used: {expected} is expected; correct it or, where it has a default, leave it out")]
     Value {
         /// The key.
         key: String,
-        /// What was read.
+        /// The value.
         value: String,
         /// What it may be.
         expected: String,
     },
-    /// A name stands twice.
+    /// A name is used twice.
     #[error("settings.{key} = '{value}' stands twice: names are expected to differ; rename or remove one")]
     Twice {
         /// The key.
@@ -34,15 +34,15 @@
         /// The name.
         value: String,
     },
-    /// Shares together are more than the whole.
+    /// The tenants' fractions add up to more than 1.
     #[error("settings.orgs: the fractions add up to {sum}: 1 at the most is expected; lower them")]
     Shares {
-        /// What they add up to.
+        /// The sum of the fractions.
         sum: String,
     },
 }
 
-/// What a value may be.
+/// The type and bounds of a value.
 #[derive(Clone, Copy, Debug)]
 enum Kind {
     /// A number between two bounds, both included.
@@ -53,19 +53,19 @@
     Word(&'static [&'static str]),
     /// `true` or `false`.
     Flag,
-    /// Any text but an empty one.
+    /// Any text that is not blank.
     Name,
 }
 
-/// No stated time or count is larger.
-const MOST: f64 = 1e12;
-/// Shares may be rounded to whole hundredths each.
-const SHARES_SLACK: f64 = 0.05;
+/// The largest accepted time or count.
+const MAX_NUMBER: f64 = 1e12;
+/// Tolerance of the sum of fractions, as each may be rounded to hundredths.
+const FRACTION_SUM_TOLERANCE: f64 = 0.05;
 
-const COUNT: Kind = Kind::Number(0.0, MOST);
+const COUNT: Kind = Kind::Number(0.0, MAX_NUMBER);
 const SHARE: Kind = Kind::Number(0.0, 1.0);
 
-/// Keys that may be absent; each then has its default in [`super::from_facts`].
+/// Optional keys; their defaults are in [`super::from_map`].
 const OPTIONAL: &[(&str, Kind)] = &[
     ("groupSize", Kind::Number(1.0, 4096.0)),
     ("tickMs", COUNT),
@@ -100,7 +100,7 @@
         let number = || value.trim().parse::<f64>().ok().filter(|n| n.is_finite());
         match self {
             Kind::Number(least, most) => number().is_some_and(|n| (least..=most).contains(&n)),
-            Kind::Above0 => number().is_some_and(|n| n > 0.0 && n <= MOST),
+            Kind::Above0 => number().is_some_and(|n| n > 0.0 && n <= MAX_NUMBER),
             Kind::Word(words) => words.contains(&value),
             Kind::Flag => value == "true" || value == "false",
             Kind::Name => !value.trim().is_empty(),
@@ -109,7 +109,9 @@
 
     fn expected(self) -> String {
         match self {
-            Kind::Number(least, most) if most == MOST => format!("a number of at least {least}"),
+            Kind::Number(least, most) if most == MAX_NUMBER => {
+                format!("a number of at least {least}")
+            }
             Kind::Number(least, most) => format!("a number from {least} to {most}"),
             Kind::Above0 => "a number above 0".to_owned(),
             Kind::Word(words) => format!("one of {}", words.join(", ")),
@@ -119,8 +121,8 @@
     }
 }
 
-fn optional(facts: &SettingsMap, key: &str, kind: Kind) -> Result<(), SettingsError> {
-    match facts.get(key) {
+fn optional(settings: &SettingsMap, key: &str, kind: Kind) -> Result<(), SettingsError> {
+    match settings.get(key) {
         Some(value) if value != "null" && !kind.fits(value) => Err(SettingsError::Value {
             key: key.to_owned(),
             value: value.clone(),
@@ -130,30 +132,30 @@
     }
 }
 
-fn required(facts: &SettingsMap, key: &str, kind: Kind) -> Result<(), SettingsError> {
-    if facts.get(key).is_none_or(|v| v == "null") {
+fn required(settings: &SettingsMap, key: &str, kind: Kind) -> Result<(), SettingsError> {
+    if settings.get(key).is_none_or(|v| v == "null") {
         return Err(SettingsError::Missing {
             key: key.to_owned(),
             expected: kind.expected(),
         });
     }
-    optional(facts, key, kind)
+    optional(settings, key, kind)
 }
 
-fn count(facts: &SettingsMap, list: &str) -> usize {
-    facts
+fn count(settings: &SettingsMap, list: &str) -> usize {
+    settings
         .get(&format!("{list}.count"))
         .and_then(|n| n.parse().ok())
         .unwrap_or(0)
 }
 
-/// The names of a list; each is there, and none twice.
-fn names(facts: &SettingsMap, list: &str) -> Result<(), SettingsError> {
+/// Checks that each entry of a list has a name and that no name is used twice.
+fn check_names(settings: &SettingsMap, list: &str) -> Result<(), SettingsError> {
     let mut seen = BTreeSet::new();
-    for i in 0..count(facts, list) {
+    for i in 0..count(settings, list) {
         let key = format!("{list}.{i}.name");
-        required(facts, &key, Kind::Name)?;
-        if let Some(value) = facts.get(&key).filter(|value| !seen.insert(*value)) {
+        required(settings, &key, Kind::Name)?;
+        if let Some(value) = settings.get(&key).filter(|value| !seen.insert(*value)) {
             return Err(SettingsError::Twice {
                 key,
                 value: value.clone(),
@@ -163,36 +165,40 @@
     Ok(())
 }
 
-fn class(facts: &SettingsMap, i: usize) -> Result<(), SettingsError> {
+fn check_class(settings: &SettingsMap, i: usize) -> Result<(), SettingsError> {
     let key = |name: &str| format!("services.{i}.{name}");
-    required(facts, &key("aimMs"), COUNT)?;
-    required(facts, &key("hardLimitMs"), COUNT)?;
+    required(settings, &key("aimMs"), COUNT)?;
+    required(settings, &key("hardLimitMs"), COUNT)?;
     let effects = &["read_like", "idempotency_key", "non_idempotent"];
-    required(facts, &key("repeat"), Kind::Word(effects))?;
-    optional(facts, &key("worth"), COUNT)?;
-    optional(facts, &key("lateWorth"), SHARE)?;
-    if facts
+    required(settings, &key("repeat"), Kind::Word(effects))?;
+    optional(settings, &key("worth"), COUNT)?;
+    optional(settings, &key("lateWorth"), SHARE)?;
+    if settings
         .get(&key("repeat"))
         .is_some_and(|effect| effect == "idempotency_key")
     {
-        required(facts, &key("dedupWindowMs"), Kind::Above0)?;
-        required(facts, &key("group"), Kind::Word(&["all", "zone", "cell"]))?;
+        required(settings, &key("dedupWindowMs"), Kind::Above0)?;
+        required(
+            settings,
+            &key("group"),
+            Kind::Word(&["all", "zone", "cell"]),
+        )?;
     }
     Ok(())
 }
 
-fn shares(facts: &SettingsMap) -> Result<(), SettingsError> {
+fn check_tenants(settings: &SettingsMap) -> Result<(), SettingsError> {
     let mut sum = 0.0;
-    for i in 0..count(facts, "orgs") {
+    for i in 0..count(settings, "orgs") {
         let key = format!("orgs.{i}.fraction");
-        optional(facts, &key, SHARE)?;
-        optional(facts, &format!("orgs.{i}.quotaPerS"), COUNT)?;
-        sum += facts
+        optional(settings, &key, SHARE)?;
+        optional(settings, &format!("orgs.{i}.quotaPerS"), COUNT)?;
+        sum += settings
             .get(&key)
             .and_then(|v| v.parse::<f64>().ok())
             .unwrap_or(0.0);
     }
-    if sum > 1.0 + SHARES_SLACK {
+    if sum > 1.0 + FRACTION_SUM_TOLERANCE {
         return Err(SettingsError::Shares {
             sum: format!("{sum:.3}"),
         });
@@ -200,9 +206,9 @@
     Ok(())
 }
 
-/// Whether all that is stated can be used, and nothing is missing that has no default.
-pub fn check(facts: &SettingsMap) -> Result<(), SettingsError> {
-    if count(facts, "services") == 0 {
+/// Checks that all given values are valid and that no key without a default is absent.
+pub fn check(settings: &SettingsMap) -> Result<(), SettingsError> {
+    if count(settings, "services") == 0 {
         let expected = "a list of classes".to_owned();
         return Err(SettingsError::Missing {
             key: "services".to_owned(),
@@ -210,20 +216,20 @@
         });
     }
     for (key, kind) in OPTIONAL {
-        optional(facts, key, *kind)?;
+        optional(settings, key, *kind)?;
     }
-    names(facts, "services")?;
-    names(facts, "orgs")?;
-    (0..count(facts, "services")).try_for_each(|i| class(facts, i))?;
-    shares(facts)?;
-    let above_0 = |key: &str| {
-        facts
+    check_names(settings, "services")?;
+    check_names(settings, "orgs")?;
+    (0..count(settings, "services")).try_for_each(|i| check_class(settings, i))?;
+    check_tenants(settings)?;
+    let is_above_0 = |key: &str| {
+        settings
             .get(key)
             .and_then(|v| v.parse::<f64>().ok())
             .is_some_and(|n| n > 0.0)
     };
-    if above_0("obligations.fallMultiple") {
-        required(facts, "obligations.fallMs", Kind::Above0)?;
+    if is_above_0("obligations.fallMultiple") {
+        required(settings, "obligations.fallMs", Kind::Above0)?;
     }
     Ok(())
 }
--- a/src/settings/check/tests.rs
+++ b/src/settings/check/tests.rs
@@ -1,4 +1,4 @@
-//! Settings of every deployment's kind are taken, and each damage to one is told with key, value and remedy.
+//! Tests of `settings::check`: valid settings pass; each error names key, value and remedy.
 
 use serde_json::{json, Value};
 
@@ -20,15 +20,15 @@
     })
 }
 
-fn told(change: impl FnOnce(&mut Value)) -> Result<(), String> {
+fn check_changed(change: impl FnOnce(&mut Value)) -> Result<(), String> {
     let mut settings = good();
     change(&mut settings);
     check(&nested(&settings)).map_err(|e| e.to_string())
 }
 
 #[test]
-fn what_is_absent_has_its_default() {
-    assert_eq!(told(|_| {}), Ok(()));
+fn absent_values_have_defaults() {
+    assert_eq!(check_changed(|_| {}), Ok(()));
     for list in [
         "orgs",
         "caps",
@@ -39,13 +39,13 @@
         "overShareWorth",
     ] {
         assert_eq!(
-            told(|s| drop(s.as_object_mut().unwrap().remove(list))),
+            check_changed(|s| drop(s.as_object_mut().unwrap().remove(list))),
             Ok(()),
             "{list}"
         );
     }
     assert_eq!(
-        told(|s| s["orgs"] = json!([])),
+        check_changed(|s| s["orgs"] = json!([])),
         Ok(()),
         "a deployment without tenants"
     );
@@ -53,8 +53,8 @@
 
 #[test]
 fn each_error_names_key_value_and_what_is_expected() {
-    type Damage = (fn(&mut Value), &'static [&'static str]);
-    let cases: [Damage; 12] = [
+    type Case = (fn(&mut Value), &'static [&'static str]);
+    let cases: [Case; 12] = [
         (
             |s| s["services"] = json!([]),
             &["services is missing", "a list of classes"],
@@ -105,7 +105,7 @@
         ),
     ];
     for (change, parts) in cases {
-        let error = told(change).expect_err("it cannot be used");
+        let error = check_changed(change).expect_err("invalid settings");
         assert!(parts.iter().all(|part| error.contains(part)), "{error}");
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings as facts: one `path=value` each, whether they came as lines or as nested JSON.
+//! The platform's settings as a map from path to value, from `path=value` lines or nested JSON.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,27 @@
 mod check;
 pub use check::{check, SettingsError};
 
-/// After a subscription has failed, the list counts as told after so many times `obligations.askWithinMs`.
+/// Maximum age of the endpoint list where discovery requires a subscription, as a multiple of
+/// `obligations.askWithinMs`: after a failed subscription, changes count as known from then on.
 const FAILED_SUBSCRIPTION_FACTOR: Micros = 4;
 
 /// Values by path.
 pub type SettingsMap = BTreeMap<String, String>;
 
-/// The values of a load report, in the order in which they come.
+/// A value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// Requests waiting.
+    /// Queued requests.
     Queue,
-    /// Requests held.
+    /// Requests in flight.
     Inflight,
-    /// Share of the processors at work.
+    /// Fraction of CPU time in use.
     Busy,
-    /// Share of memory that cannot be freed.
+    /// Fraction of memory that cannot be freed.
     Pinned,
-    /// Loads under way.
+    /// Active loads.
     Loads,
-    /// Anything else.
+    /// A value that the decision module does not use.
     Other,
 }
 
@@ -38,7 +39,7 @@
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
-/// Facts from lines of `path=value`; a line without a value is passed over.
+/// Parses lines of `path=value`; lines without `=` are ignored.
 pub fn lines(text: &str) -> SettingsMap {
     text.lines()
         .filter_map(|l| l.split_once('='))
@@ -46,21 +47,22 @@
         .collect()
 }
 
-/// Facts from nested JSON: a list of simple values is joined by commas, a list of objects is counted.
+/// Flattens nested JSON. A list of simple values is joined by commas; a list of objects gets a
+/// `count` and one path per index.
 pub fn nested(value: &Value) -> SettingsMap {
-    let mut facts = SettingsMap::new();
-    flatten(String::new(), value, &mut facts);
-    facts
+    let mut values = SettingsMap::new();
+    flatten(String::new(), value, &mut values);
+    values
 }
 
-fn plain(value: &Value) -> String {
+fn simple_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn flatten(path: String, value: &Value, facts: &mut SettingsMap) {
-    let under = |name: &str| {
+fn flatten(path: String, value: &Value, values: &mut SettingsMap) {
+    let child_path = |name: &str| {
         if path.is_empty() {
             name.to_owned()
         } else {
@@ -70,25 +72,28 @@
     match value {
         Value::Object(map) => map
             .iter()
-            .for_each(|(name, v)| flatten(under(name), v, facts)),
+            .for_each(|(name, v)| flatten(child_path(name), v, values)),
         Value::Array(list) if list.iter().any(Value::is_object) => {
-            facts.insert(under("count"), list.len().to_string());
+            values.insert(child_path("count"), list.len().to_string());
             list.iter()
                 .enumerate()
-                .for_each(|(i, v)| flatten(under(&i.to_string()), v, facts));
+                .for_each(|(i, v)| flatten(child_path(&i.to_string()), v, values));
         }
         Value::Array(list) => {
-            facts.insert(path, list.iter().map(plain).collect::<Vec<_>>().join(","));
+            values.insert(
+                path,
+                list.iter().map(simple_text).collect::<Vec<_>>().join(","),
+            );
         }
         simple => {
-            facts.insert(path, plain(simple));
+            values.insert(path, simple_text(simple));
         }
     }
 }
 
-/// Reads the settings from facts, and the names of a load report's values in their order.
-pub fn from_map(facts: &SettingsMap) -> (Settings, Vec<Field>) {
-    let get = |key: &str| facts.get(key).map(String::as_str);
+/// Builds the settings, and the list of a load report's values in order.
+pub fn from_map(values: &SettingsMap) -> (Settings, Vec<Field>) {
+    let get = |key: &str| values.get(key).map(String::as_str);
     let number = |key: &str| {
         get(key)
             .and_then(|v| v.trim().parse::<f64>().ok())
