--- a/src/admin/consensus.rs
+++ b/src/admin/consensus.rs
@@ -1,4 +1,4 @@
-//! Consensus and its leases as an operator sees them, and the exchange of voters.
+//! Consensus and leases in the administration API: views, and the exchange of voters.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -16,7 +16,7 @@
     leaves: Option<String>,
 }
 
-/// Takes the view, which is null while consensus is off.
+/// Takes the view; an error while consensus is off and the view is null.
 fn take_view(view: &mut Value) -> Result<Value, Bad> {
     match view.take() {
         Value::Null => Err(plain(404, "the council is off")),
@@ -24,7 +24,7 @@
     }
 }
 
-/// Answers with the view of consensus or of leases.
+/// Shows the view of consensus or of leases.
 pub fn show(context: &mut Context<'_>) -> Result<Done, Bad> {
     let view = take_view(&mut context.fleet)?;
     Ok(Done::Now(Handled::new(200, view)))
--- a/src/admin/endpoints.rs
+++ b/src/admin/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: `/v1/tenants/NAME/endpoints/ENDPOINT`, and what can be done with one.
+//! Endpoints: `/v1/tenants/NAME/endpoints/ENDPOINT`, and the actions on an endpoint.
 
 use serde::Deserialize;
 use serde_json::json;
@@ -9,11 +9,11 @@
 use crate::store::operations::{Op, ResendDeadLetters};
 use crate::tenancy::{Endpoint, EndpointSpec, TenantError};
 
-/// Messages that one recovery sends again.
-const MOST_RECOVERED: usize = 1000;
+/// Maximum number of messages that one recovery resends.
+const MAX_RECOVERED_MESSAGES: usize = 1000;
 
-fn find<'a>(cx: &'a Context<'_>, tenant: &str, name: &str) -> Result<&'a Endpoint, Bad> {
-    let t = cx
+fn find<'a>(context: &'a Context<'_>, tenant: &str, name: &str) -> Result<&'a Endpoint, Bad> {
+    let t = context
         .tenants
         .get(tenant)
         .ok_or(refused(TenantError::Unknown))?;
@@ -22,10 +22,10 @@
         .ok_or(refused(TenantError::UnknownEndpoint))
 }
 
-fn shown(cx: &Context<'_>, status: u16, tenant: &str, name: &str) -> Result<Handled, Bad> {
-    let e = find(cx, tenant, name)?;
-    let mut view = json!(e.view(name, cx.now));
-    if let Some(health) = (cx.health)(e.id) {
+fn shown(context: &Context<'_>, status: u16, tenant: &str, name: &str) -> Result<Handled, Bad> {
+    let e = find(context, tenant, name)?;
+    let mut view = json!(e.view(name, context.now));
+    if let Some(health) = (context.health)(e.id) {
         view["health"] = json!(health);
     }
     Ok(Handled {
@@ -34,49 +34,52 @@
     })
 }
 
-/// All endpoints of a tenant.
-pub fn list(cx: &Context<'_>, tenant: &str) -> Result<Handled, Bad> {
-    let t = cx
+/// Lists all endpoints of a tenant.
+pub fn list(context: &Context<'_>, tenant: &str) -> Result<Handled, Bad> {
+    let t = context
         .tenants
         .get(tenant)
         .ok_or(refused(TenantError::Unknown))?;
     let all: Result<Vec<_>, Bad> = t
         .endpoints
         .keys()
-        .map(|name| Ok(shown(cx, 200, tenant, name)?.body))
+        .map(|name| Ok(shown(context, 200, tenant, name)?.body))
         .collect();
     Ok(Handled::new(200, json!(all?)))
 }
 
-/// One endpoint: shown, created or changed, removed.
+/// Shows, creates, changes or removes an endpoint.
 pub fn one(
-    r: &Request<'_>,
-    cx: &mut Context<'_>,
+    request: &Request<'_>,
+    context: &mut Context<'_>,
     tenant: &str,
     name: &str,
 ) -> Result<Handled, Bad> {
-    let version = find(cx, tenant, name).ok().map(|e| e.version);
-    match r.method {
-        "GET" => shown(cx, 200, tenant, name),
+    let version = find(context, tenant, name).ok().map(|e| e.version);
+    match request.method {
+        "GET" => shown(context, 200, tenant, name),
         "PUT" => {
-            matches(r, version)?;
-            let spec: EndpointSpec = body(r, "body is not an endpoint")?;
+            matches(request, version)?;
+            let spec: EndpointSpec = body(request, "body is not an endpoint")?;
             if !spec.name.is_empty() && spec.name != name {
                 return Err(plain(422, "the name is the path's"));
             }
-            let new = cx
+            let new = context
                 .tenants
                 .put_endpoint(tenant, name, &spec)
                 .map_err(refused)?;
             let changes = vec![Change::Endpoints(tenant.to_owned())];
             Ok(Handled {
                 changes,
-                ..shown(cx, if new { 201 } else { 200 }, tenant, name)?
+                ..shown(context, if new { 201 } else { 200 }, tenant, name)?
             })
         }
         "DELETE" => {
-            matches(r, version)?;
-            let id = cx.tenants.remove_endpoint(tenant, name).map_err(refused)?;
+            matches(request, version)?;
+            let id = context
+                .tenants
+                .remove_endpoint(tenant, name)
+                .map_err(refused)?;
             let changes = vec![Change::Removed(vec![id])];
             Ok(Handled {
                 status: 204,
@@ -89,40 +92,42 @@
     }
 }
 
-/// Switches one on or off, rotates its secrets, or sends it a test event.
+/// Enables or disables an endpoint, rotates its secrets, or sends it a test event.
 pub fn act(
-    r: &Request<'_>,
-    cx: &mut Context<'_>,
+    request: &Request<'_>,
+    context: &mut Context<'_>,
     tenant: &str,
     name: &str,
-    what: &str,
+    action: &str,
 ) -> Result<Handled, Bad> {
-    let e = find(cx, tenant, name)?;
-    matches(r, Some(e.version))?;
-    match what {
+    let e = find(context, tenant, name)?;
+    matches(request, Some(e.version))?;
+    match action {
         "enable" | "disable" => {
             let spec = EndpointSpec {
-                enabled: Some(what == "enable"),
+                enabled: Some(action == "enable"),
                 ..EndpointSpec::default()
             };
-            cx.tenants
+            context
+                .tenants
                 .put_endpoint(tenant, name, &spec)
                 .map_err(refused)?;
             let changes = vec![Change::Endpoints(tenant.to_owned())];
             Ok(Handled {
                 changes,
-                ..shown(cx, 200, tenant, name)?
+                ..shown(context, 200, tenant, name)?
             })
         }
         "secrets" => {
-            let (secret, until) = rotation(r, cx.now)?;
-            cx.tenants
-                .rotate_endpoint(tenant, name, &secret, cx.now, until)
+            let (secret, until) = rotation(request, context.now)?;
+            context
+                .tenants
+                .rotate_endpoint(tenant, name, &secret, context.now, until)
                 .map_err(refused)?;
             let changes = vec![Change::Rotated(tenant.to_owned(), Some(name.to_owned()))];
             Ok(Handled {
                 changes,
-                ..shown(cx, 200, tenant, name)?
+                ..shown(context, 200, tenant, name)?
             })
         }
         "test" => {
@@ -139,24 +144,29 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Recovery {
-    /// Seconds back from now.
+    /// Age of the oldest messages to recover, in seconds.
     since_s: u64,
 }
 
-/// Sends again all that was given up since a time and may be sent again.
-pub fn recover(r: &Request<'_>, cx: &Context<'_>, tenant: &str, name: &str) -> Result<Done, Bad> {
-    let e = find(cx, tenant, name)?;
-    matches(r, Some(e.version))?;
-    let recovery: Recovery = body(r, "body is not a recovery")?;
-    let since = cx
+/// Resends the messages that became dead letters since a time and may be sent again.
+pub fn recover(
+    request: &Request<'_>,
+    context: &Context<'_>,
+    tenant: &str,
+    name: &str,
+) -> Result<Done, Bad> {
+    let e = find(context, tenant, name)?;
+    matches(request, Some(e.version))?;
+    let recovery: Recovery = body(request, "body is not a recovery")?;
+    let since = context
         .now
         .saturating_sub(recovery.since_s.saturating_mul(1_000_000));
-    let serial = cx.tenants.get(tenant).map_or(0, |t| t.serial);
+    let serial = context.tenants.get(tenant).map_or(0, |t| t.serial);
     Ok(Done::Ask(Op::ResendDeadLetters(ResendDeadLetters {
         endpoint: e.id,
         serial,
         since,
-        now: cx.now,
-        limit: MOST_RECOVERED,
+        now: context.now,
+        limit: MAX_RECOVERED_MESSAGES,
     })))
 }
--- a/src/admin/idempotency.rs
+++ b/src/admin/idempotency.rs
@@ -1,23 +1,24 @@
-//! `Idempotency-Key`: the answer to a POST is given again to whoever repeats it with the same key.
+//! `Idempotency-Key`: a POST that is repeated with the same key gets the first response again.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::api::Micros;
 
-/// Answers kept, and for how long.
-const MOST: usize = 1024;
-const KEPT: Micros = 86_400_000_000;
-/// The longest key.
-const LONGEST: usize = 128;
+/// Maximum number of keys.
+const MAX_KEYS: usize = 1024;
+/// Lifetime of a key, in microseconds.
+const KEY_LIFETIME: Micros = 86_400_000_000;
+/// Maximum length of a key, in bytes.
+const MAX_KEY_BYTES: usize = 128;
 
-/// What a key says of a request.
+/// The state of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Known {
-    /// It is the first with this key.
+    /// The request is the first with this key.
     New,
-    /// It was answered so.
+    /// The first request's response.
     Answered(Vec<u8>),
-    /// Its first is still under way, or the key came with another request before.
+    /// The first request is still pending, or it had other content.
     Conflict,
 }
 
@@ -27,7 +28,7 @@
     answer: Option<Vec<u8>>,
 }
 
-/// The keys of the last day, at most 1024. They last as long as the process.
+/// The keys of the last day, at most 1024, in memory only.
 #[derive(Debug, Default)]
 pub struct Keys {
     entries: HashMap<(String, String), Entry>,
@@ -35,14 +36,19 @@
 }
 
 impl Keys {
-    /// Whether a key can be used.
+    /// Returns true if a key has a valid length.
     pub fn usable(key: &str) -> bool {
-        !key.is_empty() && key.len() <= LONGEST
+        !key.is_empty() && key.len() <= MAX_KEY_BYTES
     }
 
-    /// Takes a request's key in.
+    /// Records a request's key and returns the key's state before.
     pub fn begin(&mut self, who: &str, key: &str, request: &[u8], now: Micros) -> Known {
-        while self.order.front().is_some_and(|(t, _)| t + KEPT < now) || self.order.len() >= MOST {
+        while self
+            .order
+            .front()
+            .is_some_and(|(t, _)| t + KEY_LIFETIME < now)
+            || self.order.len() >= MAX_KEYS
+        {
             if let Some((_, old)) = self.order.pop_front() {
                 self.entries.remove(&old);
             }
@@ -65,7 +71,8 @@
         }
     }
 
-    /// Keeps a request's answer; one that failed on this side is not kept, so that it can be tried again.
+    /// Stores a request's response. `None` removes the key after a failure at this gateway, so that
+    /// the request can be retried.
     pub fn end(&mut self, who: &str, key: &str, answer: Option<&[u8]>) {
         let name = (who.to_owned(), key.to_owned());
         match (answer, self.entries.get_mut(&name)) {
--- a/src/admin/idempotency/tests.rs
+++ b/src/admin/idempotency/tests.rs
@@ -3,10 +3,14 @@
 use super::*;
 
 #[test]
-fn a_key_gives_its_answer_again_to_the_same_request_of_the_same_caller() {
+fn key_repeats_answer_to_same_request_and_caller() {
     let mut keys = Keys::default();
     assert_eq!(keys.begin("a", "k", b"r", 0), Known::New);
-    assert_eq!(keys.begin("a", "k", b"r", 1), Known::Conflict, "under way");
+    assert_eq!(
+        keys.begin("a", "k", b"r", 1),
+        Known::Conflict,
+        "the first is pending"
+    );
     keys.end("a", "k", Some(b"done"));
     assert_eq!(
         keys.begin("a", "k", b"r", 2),
@@ -18,15 +22,15 @@
     assert_eq!(
         keys.begin("b", "k", b"r", 3),
         Known::New,
-        "it failed, and may be tried again"
+        "a failed request may be retried"
     );
     assert_eq!(
-        keys.begin("a", "k", b"r", KEPT + 1),
+        keys.begin("a", "k", b"r", KEY_LIFETIME + 1),
         Known::New,
-        "a day is over"
+        "the key has expired"
     );
-    for n in 0..3 * MOST {
-        keys.begin("c", &n.to_string(), b"r", KEPT + 2);
+    for n in 0..3 * MAX_KEYS {
+        keys.begin("c", &n.to_string(), b"r", KEY_LIFETIME + 2);
     }
-    assert!(keys.entries.len() <= MOST && keys.order.len() == keys.entries.len());
+    assert!(keys.entries.len() <= MAX_KEYS && keys.order.len() == keys.entries.len());
 }
--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -1,4 +1,4 @@
-//! Messages and their attempts: `/v1/tenants/NAME/messages`, in cursor pages, the newest first.
+//! Messages and their attempts: `/v1/tenants/NAME/messages`, in pages with a cursor, newest first.
 
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -12,9 +12,9 @@
 use crate::store::records::{AttemptRecord, MessageRecord};
 use crate::tenancy::TenantError;
 
-/// Messages on one page, where nothing is said and at most.
-const PAGE: usize = 50;
-const LONGEST_PAGE: usize = 200;
+/// Default and maximum number of messages on a page.
+const DEFAULT_PAGE_LEN: usize = 50;
+const MAX_PAGE_LEN: usize = 200;
 
 fn seq(text: &str) -> Result<Seq, Bad> {
     text.parse()
@@ -22,16 +22,17 @@
         .map_err(|_| plain(404, "no such message"))
 }
 
-fn serial(cx: &Context<'_>, tenant: &str) -> Result<u64, Bad> {
-    cx.tenants
+fn serial(context: &Context<'_>, tenant: &str) -> Result<u64, Bad> {
+    context
+        .tenants
         .get(tenant)
         .map(|t| t.serial)
         .ok_or(refused(TenantError::Unknown))
 }
 
-/// A page of a tenant's messages, by state, type, endpoint and time.
-pub fn list(cx: &Context<'_>, tenant: &str, q: &str) -> Result<Done, Bad> {
-    let t = cx
+/// Lists a page of a tenant's messages, filtered by state, type, endpoint and time.
+pub fn list(context: &Context<'_>, tenant: &str, q: &str) -> Result<Done, Bad> {
+    let t = context
         .tenants
         .get(tenant)
         .ok_or(refused(TenantError::Unknown))?;
@@ -42,8 +43,8 @@
             .transpose()
     };
     let endpoint = query(q, "endpoint").map(|name| t.endpoints.get(name).map(|e| e.id));
-    let limit = number("limit")?.map_or(PAGE, |n| n as usize);
-    if limit == 0 || limit > LONGEST_PAGE || endpoint == Some(None) {
+    let limit = number("limit")?.map_or(DEFAULT_PAGE_LEN, |n| n as usize);
+    if limit == 0 || limit > MAX_PAGE_LEN || endpoint == Some(None) {
         return Err(bad);
     }
     Ok(Done::Ask(Op::ListMessages(Filter {
@@ -57,37 +58,37 @@
     })))
 }
 
-/// One message, its attempts and its body.
-pub fn one(cx: &Context<'_>, tenant: &str, message: &str) -> Result<Done, Bad> {
+/// Shows a message, its attempts and its body.
+pub fn one(context: &Context<'_>, tenant: &str, message: &str) -> Result<Done, Bad> {
     Ok(Done::Ask(Op::GetMessage(
         seq(message)?,
-        serial(cx, tenant)?,
+        serial(context, tenant)?,
     )))
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Again {
-    /// Send it although it may have arrived and its class forbids to send it twice.
+struct ResendRequest {
+    /// Resend the message although it may have arrived and its class forbids a repetition.
     #[serde(default)]
     acknowledge_duplicate: bool,
 }
 
-/// Sends one again.
+/// Resends a message.
 pub fn again(
-    r: &Request<'_>,
-    cx: &Context<'_>,
+    request: &Request<'_>,
+    context: &Context<'_>,
     who: &str,
     tenant: &str,
     message: &str,
 ) -> Result<Done, Bad> {
-    let again: Again = body(r, "body is not a request to send again")?;
-    let by = again.acknowledge_duplicate.then(|| who.to_owned());
+    let resend: ResendRequest = body(request, "body is not a request to send again")?;
+    let acknowledged_by = resend.acknowledge_duplicate.then(|| who.to_owned());
     Ok(Done::Ask(Op::Resend(Resend {
         message: seq(message)?,
-        serial: serial(cx, tenant)?,
-        now: cx.now,
-        acknowledged_by: by,
+        serial: serial(context, tenant)?,
+        now: context.now,
+        acknowledged_by,
     })))
 }
 
@@ -107,7 +108,7 @@
     })
 }
 
-/// A message as `molelug store export` writes it.
+/// A message in the form of `molelug store export`.
 pub fn exported(m: &MessageRecord) -> Value {
     let mut line = view(m);
     line["tenant"] = m.tenant.as_str().into();
@@ -119,11 +120,11 @@
             "may_have_arrived": a.may_have_arrived })
 }
 
-/// The answer that a reply of the store makes.
+/// Converts the store's reply into a response. `op_limit` is the page size of a list request.
 pub fn answer(op_limit: Option<usize>, reply: Result<Reply, StoreError>) -> Result<Handled, Bad> {
     match reply {
         Ok(Reply::Messages(all)) => {
-            // A full page may have one behind it.
+            // A full page may have a successor.
             let full = op_limit.is_some_and(|limit| all.len() >= limit);
             let cursor = all
                 .last()
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,8 @@
-//! The administration API: one file a resource, problem details (RFC 9457), entity tags, idempotency keys.
+//! The administration API, one file per resource, with problem details (RFC 9457), entity tags and
+//! idempotency keys.
 //!
-//! `docs/openapi.json` lists the routes; a test holds it against [`ROUTES`]. What the store has to be asked leaves as
-//! [`Done::Ask`] and comes back to [`messages::answer`].
+//! `docs/openapi.json` lists the routes; a test compares it with [`ROUTES`]. A request that needs
+//! the store returns [`Done::Ask`], and the store's reply goes to [`messages::answer`].
 
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -20,8 +21,8 @@
 pub mod messages;
 pub mod tenants;
 
-/// The longest time that a rotated secret may still count, in seconds.
-const LONGEST_OVERLAP_S: u64 = 30 * 86_400;
+/// The longest time that a replaced secret stays valid, in seconds.
+const MAX_SECRET_OVERLAP_S: u64 = 30 * 86_400;
 
 /// Method, path and role of every route; `*` stands for a name.
 pub const ROUTES: [(&str, &str, Role); 23] = [
@@ -54,64 +55,64 @@
 #[serde(deny_unknown_fields)]
 struct Rotation {
     secret: String,
-    /// How long the secrets before it still count.
+    /// Time for which the older secrets stay valid, in seconds.
     #[serde(default)]
     keep_old_s: u64,
 }
 
-/// What follows from a change.
+/// A change that the gateway applies after a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A tenant's share; 0 for none.
+    /// A tenant's quota has changed, in requests per second; 0 for none.
     Share(TenantId, f64),
-    /// The endpoints of a tenant are to be told to delivery anew.
+    /// The endpoints of this tenant have changed; delivery must be updated.
     Endpoints(String),
-    /// These endpoints are no more.
+    /// These endpoints were removed.
     Removed(Vec<EndpointId>),
-    /// A secret was rotated: of a tenant, or of an endpoint by name.
+    /// A secret was rotated: of the tenant, or of its endpoint with this name.
     Rotated(String, Option<String>),
-    /// A test event is to go to an endpoint.
+    /// A test event must be sent to an endpoint; holds the tenant's and the endpoint's name.
     Test(String, String),
-    /// Who votes in the council is to change.
+    /// The voters of the consensus group must be exchanged.
     Voters {
-        /// Who is to vote.
+        /// The gateway to add.
         joins: Option<String>,
-        /// Who is to vote no more.
+        /// The gateway to remove.
         leaves: Option<String>,
     },
 }
 
 impl Change {
-    /// Whether it changes a tenant for good, so that it has to be kept.
+    /// Returns true if the change alters stored tenants.
     pub fn is_kept(&self) -> bool {
         !matches!(self, Change::Test(..) | Change::Voters { .. })
     }
 }
 
-/// A request's answer and what follows from it.
+/// A request's response and the changes that follow from it.
 #[derive(Clone, Debug)]
 pub struct Handled {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The body, JSON; none for an empty one.
+    /// The JSON body; `None` for an empty one.
     pub body: Option<Value>,
-    /// The entity tag.
+    /// The version for the entity tag.
     pub version: Option<u64>,
-    /// What follows.
+    /// The changes to apply.
     pub changes: Vec<Change>,
 }
 
-/// What becomes of a request.
+/// The result of handling a request.
 #[derive(Debug)]
 pub enum Done {
-    /// It is answered.
+    /// The response is complete.
     Now(Handled),
-    /// The store is to be asked; its reply makes the answer.
+    /// The store must run this operation; its reply makes the response.
     Ask(Op),
 }
 
 impl Handled {
-    /// An answer from which nothing follows.
+    /// Creates a response without changes.
     pub fn new(status: u16, body: Value) -> Handled {
         Handled {
             status,
@@ -133,30 +134,30 @@
     plain(status, e.why())
 }
 
-/// What a request may look at.
+/// The state that a request may access.
 pub struct Context<'a> {
     /// The tenants.
     pub tenants: &'a mut Registry,
     /// The counters.
     pub counters: &'a Counters,
-    /// The health of an endpoint, if webhooks are on.
+    /// Looks up the health of an endpoint, if webhooks are on.
     pub health: &'a dyn Fn(EndpointId) -> Option<crate::delivery::Health>,
-    /// What the path asks for of the group of instances or of the council; null if that is off.
+    /// The view of gossip, consensus or leases for the path; null if that subsystem is off.
     pub fleet: Value,
-    /// The time.
+    /// The current time.
     pub now: Micros,
 }
 
-/// Who asks, if the caller has the role for it. Nothing is done for one without.
-pub fn admit(r: &Request<'_>, gate: &Gate, now: Micros) -> Result<String, Bad> {
-    let token = r
+/// Authenticates the caller and checks its role for the request's method; returns its SPIFFE ID.
+pub fn admit(request: &Request<'_>, gate: &Gate, now: Micros) -> Result<String, Bad> {
+    let token = request
         .header("Authorization")
         .and_then(|a| a.strip_prefix("Bearer "));
     let token = token.ok_or(plain(401, "a JWT-SVID is needed"))?;
     let (who, role) = gate
         .check(token.trim(), now)
         .map_err(|_| plain(401, "the JWT-SVID is not accepted"))?;
-    let needed = if r.method == "GET" {
+    let needed = if request.method == "GET" {
         Role::Viewer
     } else {
         Role::Operator
@@ -167,7 +168,7 @@
     Ok(who)
 }
 
-/// The value of a query's parameter, if it comes once and has no escapes.
+/// The value of a query parameter; `None` if it is absent, repeated or has percent escapes.
 pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut all = query
         .split('&')
@@ -177,15 +178,22 @@
     (all.next().is_none() && !value.contains('%')).then_some(value)
 }
 
-/// A body of JSON; an empty one counts as `{}`.
-pub fn body<T: serde::de::DeserializeOwned>(r: &Request<'_>, what: &'static str) -> Result<T, Bad> {
-    let bytes: &[u8] = if r.body.is_empty() { b"{}" } else { r.body };
+/// Parses a JSON body; an empty body counts as `{}`.
+pub fn body<T: serde::de::DeserializeOwned>(
+    request: &Request<'_>,
+    what: &'static str,
+) -> Result<T, Bad> {
+    let bytes: &[u8] = if request.body.is_empty() {
+        b"{}"
+    } else {
+        request.body
+    };
     serde_json::from_slice(bytes).map_err(|_| plain(400, what))
 }
 
-/// Checks `If-Match` against a version; a change without it is made whatever the version.
-pub fn matches(r: &Request<'_>, version: Option<u64>) -> Result<(), Bad> {
-    let Some(given) = r.header("If-Match") else {
+/// Checks `If-Match` against a version; a request without the header always passes.
+pub fn matches(request: &Request<'_>, version: Option<u64>) -> Result<(), Bad> {
+    let Some(given) = request.header("If-Match") else {
         return Ok(());
     };
     let fits = given.split(',').map(str::trim).any(|tag| match version {
@@ -195,54 +203,58 @@
     fits.then_some(()).ok_or(plain(412, "it has changed since"))
 }
 
-/// Answers one request of a caller who was admitted.
-pub fn handle(r: &Request<'_>, who: &str, cx: &mut Context<'_>) -> Result<Done, Bad> {
-    let (path, query) = r.path.split_once('?').unwrap_or((r.path, ""));
+/// Handles a request of an admitted caller.
+pub fn handle(request: &Request<'_>, who: &str, context: &mut Context<'_>) -> Result<Done, Bad> {
+    let (path, query) = request.path.split_once('?').unwrap_or((request.path, ""));
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     let now = |handled: Result<Handled, Bad>| handled.map(Done::Now);
-    match (r.method, parts.as_slice()) {
-        ("GET", ["v1", "counters"]) => Ok(Done::Now(Handled::new(200, json!(cx.counters)))),
-        ("GET", ["v1", "peers"]) if cx.fleet.is_null() => Err(plain(404, "gossip is off")),
-        ("GET", ["v1", "peers"]) => Ok(Done::Now(Handled::new(200, cx.fleet.take()))),
-        ("GET", ["v1", "council" | "duties"]) => consensus::show(cx),
-        ("POST", ["v1", "council", "voters"]) => now(consensus::exchange(r, cx)),
+    match (request.method, parts.as_slice()) {
+        ("GET", ["v1", "counters"]) => Ok(Done::Now(Handled::new(200, json!(context.counters)))),
+        ("GET", ["v1", "peers"]) if context.fleet.is_null() => Err(plain(404, "gossip is off")),
+        ("GET", ["v1", "peers"]) => Ok(Done::Now(Handled::new(200, context.fleet.take()))),
+        ("GET", ["v1", "council" | "duties"]) => consensus::show(context),
+        ("POST", ["v1", "council", "voters"]) => now(consensus::exchange(request, context)),
         ("GET", ["v1", "store"]) => Ok(Done::Ask(Op::Stats)),
-        (_, ["v1", "tenants"]) => now(tenants::list(r, cx)),
-        (_, ["v1", "tenants", name]) => now(tenants::one(r, cx, name)),
-        ("POST", ["v1", "tenants", name, "secrets"]) => now(tenants::rotate(r, cx, name)),
-        ("GET", ["v1", "tenants", name, "endpoints"]) => now(endpoints::list(cx, name)),
-        (_, ["v1", "tenants", name, "endpoints", e]) => now(endpoints::one(r, cx, name, e)),
+        (_, ["v1", "tenants"]) => now(tenants::list(request, context)),
+        (_, ["v1", "tenants", name]) => now(tenants::one(request, context, name)),
+        ("POST", ["v1", "tenants", name, "secrets"]) => {
+            now(tenants::rotate(request, context, name))
+        }
+        ("GET", ["v1", "tenants", name, "endpoints"]) => now(endpoints::list(context, name)),
+        (_, ["v1", "tenants", name, "endpoints", e]) => {
+            now(endpoints::one(request, context, name, e))
+        }
         ("POST", ["v1", "tenants", name, "endpoints", e, "recover"]) => {
-            endpoints::recover(r, cx, name, e)
+            endpoints::recover(request, context, name, e)
         }
         ("POST", ["v1", "tenants", name, "endpoints", e, what]) => {
-            now(endpoints::act(r, cx, name, e, what))
+            now(endpoints::act(request, context, name, e, what))
         }
-        ("GET", ["v1", "tenants", name, "messages"]) => messages::list(cx, name, query),
-        ("GET", ["v1", "tenants", name, "messages", m]) => messages::one(cx, name, m),
+        ("GET", ["v1", "tenants", name, "messages"]) => messages::list(context, name, query),
+        ("GET", ["v1", "tenants", name, "messages", m]) => messages::one(context, name, m),
         ("POST", ["v1", "tenants", name, "messages", m, "again"]) => {
-            messages::again(r, cx, who, name, m)
+            messages::again(request, context, who, name, m)
         }
-        _ if known(&parts) => Err(plain(405, "no such method here")),
+        _ if path_exists(&parts) => Err(plain(405, "no such method here")),
         _ => Err(plain(404, "no such path")),
     }
 }
 
-/// The tenant that a path is of.
+/// The tenant named in a path.
 pub fn tenant_of(path: &str) -> Option<&str> {
     let path = path.split('?').next()?;
     path.strip_prefix("/v1/tenants/")?.split('/').next()
 }
 
-/// Whether some method has this path.
-fn known(parts: &[&str]) -> bool {
+/// Returns true if a route has this path, whatever its method.
+fn path_exists(parts: &[&str]) -> bool {
     ROUTES.iter().any(|(_, route, _)| {
         let route: Vec<&str> = route.trim_start_matches('/').split('/').collect();
         route.len() == parts.len() && route.iter().zip(parts).all(|(a, b)| *a == "*" || a == b)
     })
 }
 
-/// The bytes of an answer. An error is a problem detail.
+/// Encodes a response. An error becomes a problem detail.
 pub fn answer(handled: &Result<Handled, Bad>, keep: bool) -> Vec<u8> {
     let store = "Cache-Control: no-store\r\n";
     match handled {
@@ -258,7 +270,7 @@
     }
 }
 
-/// The bytes of a problem detail, with what an operator can do about it.
+/// Encodes a problem detail, with an optional remedy for the operator.
 pub fn problem(status: u16, detail: &str, remedy: Option<&str>, keep: bool) -> Vec<u8> {
     let mut head =
         "Content-Type: application/problem+json\r\nCache-Control: no-store\r\n".to_owned();
--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -1,4 +1,4 @@
-//! Questions to a gateway's administration API, for the commands that show what it knows.
+//! A client of a gateway's administration API, for the commands that query a running gateway.
 
 use std::error::Error;
 use std::io::{Read, Write};
@@ -9,10 +9,10 @@
 use bpaf::Bpaf;
 use serde_json::Value;
 
-/// How long an answer may take.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Bytes of an answer at most.
-const LONGEST: u64 = 8 << 20;
+/// Timeout for connecting and for each read.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 8 << 20;
 
 /// Where a gateway is administered, and by whom.
 #[derive(Clone, Debug, Bpaf)]
@@ -29,17 +29,17 @@
 }
 
 impl At {
-    /// Asks, and returns the answer's JSON.
+    /// Sends a request and returns the response's JSON.
     pub fn ask(&self, method: &str, path: &str, body: &str) -> Result<Value, Box<dyn Error>> {
         let token = std::fs::read_to_string(&self.token)
             .map_err(|e| format!("{}: {e}", self.token.display()))?;
-        let mut stream = TcpStream::connect_timeout(&self.admin, PATIENCE)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        let mut stream = TcpStream::connect_timeout(&self.admin, TIMEOUT)?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
         stream.write_all(
             request(method, path, &self.admin.to_string(), token.trim(), body).as_bytes(),
         )?;
         let mut bytes = Vec::new();
-        stream.take(LONGEST).read_to_end(&mut bytes)?;
+        stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut bytes)?;
         answer(&bytes)
     }
 }
@@ -68,7 +68,7 @@
     Ok(body)
 }
 
-/// A text for people: what is not there is a dash.
+/// Formats a value for display; null becomes a dash.
 pub fn plain(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
--- a/src/cli/ask/tests.rs
+++ b/src/cli/ask/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn answers_are_read_and_refusals_told() {
+fn responses_are_parsed_and_errors_reported() {
     let ok = answer(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"a\": 1}").unwrap();
     assert_eq!(ok["a"], 1);
     let bad =
--- a/src/cli/consensus.rs
+++ b/src/cli/consensus.rs
@@ -1,4 +1,5 @@
-//! `molelug council` and `molelug duties`: bootstrap voters, make a replica, exchange voters, and show consensus and leases.
+//! `molelug council` and `molelug duties`: bootstrap voters, make a replica, exchange voters, and
+//! show consensus and leases.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -127,7 +128,7 @@
     }
 }
 
-/// Why nobody holds a lease, as a sentence.
+/// Explains why nobody holds a lease.
 fn explain_vacancy(reason: &str) -> &str {
     match reason {
         "WaitsOut" => "its last owner's lease may still run, and is waited out",
@@ -168,7 +169,7 @@
         .map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// Writes a new disk; an existing one has a replica that others know.
+/// Creates a disk. An existing disk is refused, as it has a replica that others know.
 fn make_disk(path: &Path, record: Record) -> Result<(), Box<dyn Error>> {
     if path.exists() {
         let path = path.display();
--- a/src/cli/inherited.rs
+++ b/src/cli/inherited.rs
@@ -1,17 +1,17 @@
-//! The clients' listening socket, where the platform holds it and hands it down as a descriptor.
+//! The clients' listening socket, inherited from the platform as a file descriptor.
 
 use std::fmt;
 use std::io;
 use std::net::TcpListener;
 
-/// Why the descriptor that RELAY_FD names cannot be used.
+/// Why the descriptor in RELAY_FD cannot be used.
 #[derive(Debug)]
 pub enum InheritError {
-    /// It is not the number of a descriptor that can have been handed down.
+    /// The value is not the number of a descriptor that can be inherited.
     Number(String),
-    /// It is not a stream socket of TCP.
+    /// The descriptor is not a TCP stream socket.
     Socket(i32, io::Error),
-    /// It is a socket on which nobody listens.
+    /// The socket is not listening.
     NotListening(i32),
 }
 
@@ -39,9 +39,9 @@
 
 impl std::error::Error for InheritError {}
 
-/// Takes the socket over, if there is one. To be called before any descriptor is opened: a number that was not handed
-/// down could by then be one of this process's own. The crate's way of naming the first descriptor is the
-/// environment, which is safe to change while there is one thread.
+/// Takes the inherited socket, if RELAY_FD names one. Must be called before any descriptor is
+/// opened: otherwise a wrong number could be a descriptor of this process. The crate listenfd reads
+/// the first descriptor from the environment, which is safe to change while there is one thread.
 pub fn take() -> Result<Option<TcpListener>, InheritError> {
     let Some(text) = std::env::var("RELAY_FD").ok().filter(|v| !v.is_empty()) else {
         return Ok(None);
--- a/src/cli/log.rs
+++ b/src/cli/log.rs
@@ -1,17 +1,17 @@
-//! Structured logs: levels, as text or as JSON lines, to standard error.
+//! Structured logs on standard error, as text or JSON lines.
 
 use std::str::FromStr;
 
 use bpaf::Bpaf;
 use tracing::level_filters::LevelFilter;
 
-/// How a line of the log is written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -44,14 +44,14 @@
 }
 
 impl Logging {
-    /// Has everything that is logged from here on written to standard error. A second call changes nothing.
+    /// Starts logging to standard error. A second call has no effect.
     pub fn begin(&self) {
         let log = tracing_subscriber::fmt()
             .with_max_level(self.level)
             .with_writer(std::io::stderr)
             .with_target(false)
             .with_ansi(false);
-        // The one error there is says that logging has begun already.
+        // The only possible error is that logging has started already.
         let _ = match self.format {
             Format::Text => log.try_init(),
             Format::Json => log.json().flatten_event(true).try_init(),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -91,12 +91,12 @@
     Version,
 }
 
-/// Runs the command that the program's arguments name.
+/// Runs the command given by the program's arguments.
 pub fn main() -> ExitCode {
     run(command().run())
 }
 
-/// Runs the command that these arguments name; for programs that hold this one.
+/// Runs the command given by `args`; for programs that embed this one.
 pub fn main_with(args: &[String]) -> ExitCode {
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
     match command().run_inner(args.as_slice()) {
@@ -109,14 +109,14 @@
 }
 
 fn run(command: Command) -> ExitCode {
-    let accepted = |good: Result<bool, _>| match good {
+    let require_true = |result: Result<bool, _>| match result {
         Ok(true) => Ok(()),
         Ok(false) => Err("not accepted".into()),
         Err(e) => Err(e),
     };
     let result = match command {
-        Command::Webhook(what) => accepted(webhook::run(what)),
-        Command::Store(what) => accepted(store::run(what)),
+        Command::Webhook(command) => require_true(webhook::run(command)),
+        Command::Store(command) => require_true(store::run(command)),
         Command::Council(command) => consensus::run(command),
         Command::Duties(command) => consensus::print_leases(&command),
         Command::Serve {
@@ -169,7 +169,7 @@
     };
     let mut events = EventLoop::try_new()?;
     Gateway::watch_signals(&events.handle())?;
-    let mut node = Gateway::new(
+    let mut gateway = Gateway::new(
         config,
         operator,
         extras,
@@ -178,10 +178,10 @@
         Clock::system(),
     )?;
     let listeners = [
-        ("listens", node.address()),
-        ("takes webhooks", node.webhook_address()),
-        ("is administered", node.admin_address()),
-        ("is asked line by line", node.console_address()),
+        ("listens", gateway.address()),
+        ("takes webhooks", gateway.webhook_address()),
+        ("is administered", gateway.admin_address()),
+        ("is asked line by line", gateway.console_address()),
     ];
     for (what, at) in listeners
         .iter()
@@ -189,8 +189,8 @@
     {
         tracing::info!("{name} {what} on {at}");
     }
-    node.run(&mut events)?;
-    eprintln!("counters {}", node.counters());
+    gateway.run(&mut events)?;
+    eprintln!("counters {}", gateway.counters());
     Ok(())
 }
 
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -1,4 +1,4 @@
-//! `molelug store`: look at a store that no gateway holds.
+//! `molelug store`: inspects, exports and compacts a store that no gateway has open.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -44,19 +44,19 @@
 }
 
 fn open(path: &Path) -> Result<Disk, Box<dyn Error>> {
-    // A mistyped name must not make a store.
+    // A mistyped name must not create a store.
     if !path.exists() {
         return Err(format!("there is no {}", path.display()).into());
     }
     Ok(Disk::reopen(path, u64::MAX).map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
-/// Does it; `false` if a check found damage.
-pub fn run(what: Store) -> Result<bool, Box<dyn Error>> {
+/// Runs a sub-command of `molelug store`; returns false if a check found damage.
+pub fn run(command: Store) -> Result<bool, Box<dyn Error>> {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_micros() as u64);
-    match what {
+    match command {
         Store::Check { file } => {
             let sound = open(&file)?.check_integrity()?;
             println!(
--- a/src/cli/webhook.rs
+++ b/src/cli/webhook.rs
@@ -1,4 +1,4 @@
-//! `molelug webhook`: sign, check, send and receive signed webhooks by hand.
+//! `molelug webhook`: signs, verifies, sends and receives webhooks by hand.
 
 use std::error::Error;
 use std::io::{Read, Write};
@@ -12,8 +12,8 @@
 use crate::front::webhook::signature;
 use crate::tenancy::Secret;
 
-/// How long `send` waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for connecting and for each read.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Signed webhooks by hand
 #[derive(Clone, Debug, Bpaf)]
@@ -72,7 +72,7 @@
     },
 }
 
-/// A secret comes by a file: a command line is read by everybody on the machine.
+/// Reads a secret from a file, as every user of the machine can read command lines.
 fn secret(path: &Path) -> Result<Secret, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     Ok(Secret::parse(text.trim())?)
@@ -103,9 +103,10 @@
     ))
 }
 
-/// Does it; `false` if what was checked or sent was not accepted.
-pub fn run(what: Webhook) -> Result<bool, Box<dyn Error>> {
-    match what {
+/// Runs a sub-command of `molelug webhook`; returns false if a signature does not verify or the
+/// response is not a 2xx.
+pub fn run(command: Webhook) -> Result<bool, Box<dyn Error>> {
+    match command {
         Webhook::Sign {
             secret_file,
             id,
@@ -150,8 +151,8 @@
             let portal = crate::tenancy::Portal::parse(&url)?;
             let body = input()?;
             let signed = headers(&secret(&secret_file)?, &id, now_s(), &body)?;
-            let mut stream = TcpStream::connect_timeout(&portal.address, PATIENCE)?;
-            stream.set_read_timeout(Some(PATIENCE))?;
+            let mut stream = TcpStream::connect_timeout(&portal.address, TIMEOUT)?;
+            stream.set_read_timeout(Some(TIMEOUT))?;
             write!(
                 stream,
                 "POST {} HTTP/1.1\r\nHost: {}\r\nContent-Type: application/json\r\n{signed}Content-Length: {}\r\n\
@@ -161,9 +162,9 @@
                 body.len()
             )?;
             stream.write_all(&body)?;
-            let mut answer = Vec::new();
-            stream.take(1 << 20).read_to_end(&mut answer)?;
-            let text = String::from_utf8_lossy(&answer);
+            let mut response = Vec::new();
+            stream.take(1 << 20).read_to_end(&mut response)?;
+            let text = String::from_utf8_lossy(&response);
             println!("{text}");
             Ok(text.split(' ').nth(1).is_some_and(|s| s.starts_with('2')))
         }
@@ -175,7 +176,7 @@
             let listener = TcpListener::bind(address)?;
             println!("listens on {}", listener.local_addr()?);
             for stream in listener.incoming() {
-                // One that breaks off is the peer's matter.
+                // A connection that fails does not end the command.
                 if let Err(e) = serve(stream?, &secret) {
                     println!("a connection ended: {e}");
                 }
@@ -186,10 +187,10 @@
 }
 
 fn serve(mut stream: TcpStream, secret: &Secret) -> Result<(), Box<dyn Error>> {
-    stream.set_read_timeout(Some(PATIENCE))?;
-    let (mut held, mut chunk) = (Vec::new(), [0; 4096]);
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        let answer = match http::request(&held) {
+        let answer = match http::request(&received) {
             Ok(Some(r)) => {
                 let stamp = r
                     .header("webhook-timestamp")
@@ -208,7 +209,7 @@
             Ok(None) => match stream.read(&mut chunk)? {
                 0 => return Ok(()),
                 n => {
-                    held.extend(&chunk[..n]);
+                    received.extend(&chunk[..n]);
                     continue;
                 }
             },
--- a/src/front/operator_console.rs
+++ b/src/front/operator_console.rs
@@ -31,7 +31,7 @@
 /// Why a line is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The line exceeds [`MAX_LINE_BYTES`].
+    /// The line exceeds the maximum length.
     TooLong,
     /// The connection ended before the line did.
     Half,
