--- a/src/membership/budget/tests.rs
+++ b/src/membership/budget/tests.rs
@@ -4,13 +4,13 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// In no span does more leave than the ceiling of that span and a second saved up.
+    /// In any time span, the budget admits at most the allowance of that span plus one second's burst.
     #[test]
-    fn the_ceiling_holds_in_every_span(steps in prop::collection::vec((0u64..400_000, 1usize..1200), 1..200)) {
+    fn traffic_stays_within_the_limit_in_every_span(steps in prop::collection::vec((0u64..400_000, 1usize..1200), 1..200)) {
         let (mut budget, mut now, mut sent) = (Budget::new(5000, 10, 0), 0, Vec::new());
         for (span, size) in steps {
             now += span;
-            if budget.take(now, size) {
+            if budget.try_take(now, size) {
                 sent.push((now, size));
             }
         }
--- a/src/membership/config.rs
+++ b/src/membership/config.rs
@@ -1,4 +1,4 @@
-//! The file that switches gossip on, and the keys that it names.
+//! The gossip configuration file and the key files that it refers to.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,48 +9,48 @@
 use super::keys::Keys;
 use crate::config::ConfigError;
 
-/// What an operator writes.
+/// Contents of the gossip configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gossip {
-    /// Where datagrams come in.
+    /// Address that receives datagrams.
     pub listen: SocketAddr,
-    /// Where others reach it, if that is another address.
+    /// Address announced to other members, if different from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The instance's name in the group; the gateway's own if absent.
+    /// The instance's name in the group; defaults to the gateway's name.
     pub name: Option<String>,
-    /// Members to begin with.
+    /// Addresses to contact at startup.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Where members are kept for the next start.
+    /// File that stores the known members for the next start.
     pub state: Option<PathBuf>,
-    /// Bytes a second that leave at most.
-    #[serde(default = "default_bytes")]
+    /// Maximum outgoing bytes per second.
+    #[serde(default = "default_bytes_per_s")]
     pub bytes_per_s: u32,
-    /// Datagrams a second that leave at most.
-    #[serde(default = "default_datagrams")]
+    /// Maximum outgoing datagrams per second.
+    #[serde(default = "default_datagrams_per_s")]
     pub datagrams_per_s: u32,
-    /// Keys that all share, a line each, the one in use first.
+    /// File with the keys that all members share, one per line; the first one creates seals.
     pub shared_keys: Option<PathBuf>,
-    /// This instance's own private key.
+    /// File with this instance's private key.
     pub own_key: Option<PathBuf>,
-    /// The public keys accepted for each name: TOML, `name = ["KEY", ...]`.
+    /// File with the public keys accepted for each name, in TOML: `name = ["KEY", ...]`.
     pub accepted: Option<PathBuf>,
-    /// Where it came from.
+    /// Path of this configuration file.
     #[serde(skip)]
     pub file: PathBuf,
 }
 
-fn default_bytes() -> u32 {
+fn default_bytes_per_s() -> u32 {
     16_384
 }
 
-fn default_datagrams() -> u32 {
+fn default_datagrams_per_s() -> u32 {
     40
 }
 
 impl Gossip {
-    /// Reads a file; a relative path in it is taken from the file's folder.
+    /// Reads the configuration file. Relative paths in it are resolved against its directory.
     pub fn read(path: &Path) -> Result<Gossip, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e))?;
         let parsed = toml::from_str(&text);
@@ -78,7 +78,7 @@
         Ok(g)
     }
 
-    /// Reads the keys that it names, for this instance's name.
+    /// Reads the configured key files for the instance called `name`.
     pub fn keys(&self, name: &str) -> Result<Keys, ConfigError> {
         read_keys(
             "gossip",
@@ -90,7 +90,8 @@
     }
 }
 
-/// Reads keys: those that all share, or one's own and the public ones accepted for each name.
+/// Reads either the shared keys or this instance's private key and the public keys accepted for
+/// each name.
 pub fn read_keys(
     what: &'static str,
     name: &str,
--- a/src/membership/group.rs
+++ b/src/membership/group.rs
@@ -1,144 +1,148 @@
-//! The whole of it as one value: datagrams and own outcomes in; datagrams, advice and changes out.
+//! Combines membership, observations, reputation and the wire format in one state machine.
+//!
+//! Inputs are datagrams and the outcomes of local attempts; outputs are datagrams, advice for the
+//! decision module and membership changes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
 use super::budget::Budget;
 use super::keys::Keys;
-use super::observations::{Observation, Observations, Says, OBSERVATION_LIFETIME};
+use super::observations::{HealthVerdict, Observation, Observations, OBSERVATION_LIFETIME};
 use super::reputation::{Bounds, HealthAdvice, Reputation};
 use super::swim::{self, MemberState, Message, Record, Swim};
 use super::wire::{self, Opener, SealedObservation, MAX_OBSERVATIONS, MTU, SKEW};
 use crate::api::{Micros, WorkerId};
 
 const SECOND: Micros = 1_000_000;
-/// How long own outcomes are gathered before they are told.
-const WINDOW: Micros = SECOND;
-/// How often a sighting is sent on by one who has it.
-const SPREAD: u32 = 6;
-/// Sightings held to be sent on.
-const MOST_HELD: usize = 512;
+/// Time over which local outcomes are aggregated before they are sent.
+const OBSERVATION_WINDOW: Micros = SECOND;
+/// Number of datagrams in which an instance includes the same sealed observation.
+const MAX_RELAYS: u32 = 6;
+/// Maximum number of sealed observations waiting to be sent.
+const MAX_RELAY_QUEUE: usize = 512;
 
-/// How an own attempt at a worker ended.
+/// Outcome of a local attempt at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observed {
-    /// It answered, whatever.
+    /// The worker answered, with any result.
     Answered,
-    /// It failed fast.
+    /// The attempt failed before its timeout.
     Failed,
-    /// It did not answer by its time.
+    /// The worker did not answer before the timeout.
     Silent,
-    /// Its connection was refused or never came up.
+    /// The connection was refused or could not be established.
     Refused,
 }
 
-/// What a group is begun with.
+/// Settings of a [`Group`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// One's own name.
+    /// This instance's name.
     pub name: String,
-    /// Where others reach it.
+    /// Address at which other members reach this instance.
     pub address: SocketAddr,
-    /// Bytes and datagrams a second at most.
+    /// Maximum outgoing bytes per second.
     pub bytes_per_s: u32,
-    /// Datagrams a second at most.
+    /// Maximum outgoing datagrams per second.
     pub datagrams_per_s: u32,
-    /// How the group is watched.
+    /// Failure detection settings.
     pub swim: swim::Settings,
-    /// What rumours may do.
+    /// Limits on the effect of other instances' observations.
     pub bounds: Bounds,
 }
 
-/// What happens to the group.
+/// Events that the group handles.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A datagram came.
+    /// A datagram arrived from this address.
     Datagram(SocketAddr, &'a [u8]),
-    /// An own attempt ended.
+    /// A local attempt at a worker ended.
     Outcome(WorkerId, Observed),
-    /// The workers that are ready.
+    /// The current set of ready workers.
     Ready(BTreeSet<WorkerId>),
-    /// Members known from the last run, and addresses to begin with.
+    /// Members stored by the previous run, and seed addresses.
     Known(Vec<Record>, Vec<SocketAddr>),
-    /// Other keys count from now on.
+    /// Replaces the keys.
     Keys(Keys),
-    /// A deadline fell due.
+    /// The deadline from [`Group::next_deadline`] has passed.
     Tick,
-    /// Leave in order.
+    /// Announces a graceful departure.
     Leave,
 }
 
-/// What is to be done.
+/// Actions for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a datagram.
+    /// Send a datagram to this address.
     Datagram(SocketAddr, Vec<u8>),
-    /// Tell the decision module.
+    /// Pass advice about a worker to the decision module.
     Advice(WorkerId, HealthAdvice),
-    /// A member stands otherwise.
+    /// A member's state changed.
     Changed(String, MemberState),
-    /// The list of members to begin with next time has changed.
+    /// The list of members to store for the next start changed.
     Keep,
 }
 
-/// What can be seen of the group.
+/// A member as shown on the operator console.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct PeerView {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Its address.
+    /// The member's address.
     pub address: SocketAddr,
-    /// How it stands.
+    /// Name of the member's state.
     pub standing: &'static str,
-    /// Its incarnation.
+    /// The member's incarnation.
     pub incarnation: u64,
-    /// What its word weighs here.
+    /// Weight of the member's observations at this instance.
     pub weight: f64,
-    /// When it was last heard from, Unix microseconds.
+    /// Time of the last message from the member, in Unix microseconds.
     pub heard: Micros,
 }
 
-/// One instance's part in the group.
+/// One instance's view of the group.
 #[derive(Clone, Debug)]
 pub struct Group {
     settings: Settings,
     keys: Keys,
     swim: Swim,
-    rumours: Observations,
-    trust: Reputation,
+    observations: Observations,
+    reputation: Reputation,
     opener: Opener,
     budget: Budget,
     number: u64,
     ready: BTreeSet<WorkerId>,
     window: BTreeMap<WorkerId, Observation>,
     window_ends: Micros,
-    /// Workers of which the last own word was ill: that they are well again is worth telling.
-    told_ill: BTreeSet<WorkerId>,
-    /// Sightings to be sent on, by origin, and how often each was.
-    held: BTreeMap<(String, Micros), (u32, SealedObservation)>,
+    /// Workers that this instance last reported as unhealthy; their recovery is worth reporting.
+    reported_unhealthy: BTreeSet<WorkerId>,
+    /// Sealed observations to send, by origin and window end, each with its number of sends.
+    relay_queue: BTreeMap<(String, Micros), (u32, SealedObservation)>,
     outputs: VecDeque<Output>,
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent_datagrams: u64,
 }
 
 impl Group {
-    /// A group of one. The incarnation begins with the clock, and so above those of starts before.
+    /// Creates a group that contains only this instance. The first incarnation is the current time,
+    /// which exceeds the incarnations of earlier runs.
     pub fn new(settings: Settings, keys: Keys, seed: u64, now: Micros) -> Group {
         let own = wire::seal_record(&keys, &settings.name, settings.address, now, false);
         Group {
             swim: Swim::new(settings.swim, own, seed, now),
-            rumours: Observations::default(),
-            trust: Reputation::new(settings.bounds),
+            observations: Observations::default(),
+            reputation: Reputation::new(settings.bounds),
             opener: Opener::default(),
             budget: Budget::new(settings.bytes_per_s, settings.datagrams_per_s, now),
             number: now,
             ready: BTreeSet::new(),
             window: BTreeMap::new(),
-            window_ends: now + WINDOW,
-            told_ill: BTreeSet::new(),
-            held: BTreeMap::new(),
+            window_ends: now + OBSERVATION_WINDOW,
+            reported_unhealthy: BTreeSet::new(),
+            relay_queue: BTreeMap::new(),
             outputs: VecDeque::new(),
             sent_bytes: 0,
             sent_datagrams: 0,
@@ -147,18 +151,18 @@
         }
     }
 
-    /// The next thing to be done, if any.
+    /// Returns the next pending action, if any.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Input::Tick`] is next to be given.
+    /// Returns the time of the next [`Input::Tick`].
     pub fn next_deadline(&self) -> Option<Micros> {
         let swim = self.swim.next_deadline();
         Some(swim.map_or(self.window_ends, |t| t.min(self.window_ends)))
     }
 
-    /// Members to begin with next time.
+    /// Returns the member records to store for the next start.
     pub fn keep(&self) -> Vec<Record> {
         self.swim
             .members()
@@ -167,10 +171,10 @@
             .collect()
     }
 
-    /// All members, without oneself.
+    /// Returns all members except this instance.
     pub fn peers(&self, now: Micros) -> Vec<PeerView> {
         let view = |m: swim::View| PeerView {
-            weight: self.trust.weight(now, &m.record.name),
+            weight: self.reputation.weight(now, &m.record.name),
             name: m.record.name,
             address: m.record.address,
             standing: m.standing.name(),
@@ -180,7 +184,7 @@
         self.swim.members().map(view).collect()
     }
 
-    /// Members held for alive.
+    /// Returns the number of members considered alive.
     pub fn alive(&self) -> usize {
         self.swim
             .members()
@@ -188,22 +192,22 @@
             .count()
     }
 
-    /// How a member stands.
+    /// Returns a member's state.
     pub fn standing(&self, name: &str) -> Option<MemberState> {
         self.swim.standing(name)
     }
 
-    /// Datagrams that were refused, by why, and those withheld by the ceiling.
+    /// Returns the numbers of rejected datagrams by reason, and the number withheld by the budget.
     pub fn refused(&self) -> (&BTreeMap<&'static str, u64>, u64) {
         (&self.opener.refused, self.budget.withheld)
     }
 
-    /// What is held in all: rumours, sightings to send on.
+    /// Returns the number of stored observations and the length of the relay queue.
     pub fn sizes(&self) -> (usize, usize) {
-        (self.rumours.len(), self.held.len())
+        (self.observations.len(), self.relay_queue.len())
     }
 
-    /// Takes what has happened.
+    /// Handles an event.
     pub fn handle(&mut self, now: Micros, input: Input<'_>) {
         match input {
             Input::Datagram(source, bytes) => self.datagram(now, source, bytes),
@@ -219,7 +223,7 @@
             }
             Input::Ready(ready) => {
                 self.window.retain(|w, _| ready.contains(w));
-                self.told_ill.retain(|w| ready.contains(w));
+                self.reported_unhealthy.retain(|w| ready.contains(w));
                 self.ready = ready;
             }
             Input::Known(records, seeds) => {
@@ -231,7 +235,7 @@
             }
             Input::Keys(keys) => {
                 self.keys = keys;
-                // Sealed anew, so that members who let go of the old key still know it.
+                // Reseals the own record, so that members that no longer accept the old key accept it.
                 let own = self.swim.own();
                 let (incarnation, leaving) = (own.incarnation + 1, own.leaving);
                 self.renew(incarnation, leaving);
@@ -268,10 +272,10 @@
             return;
         }
         for s in opened.sightings {
-            self.sighting(now, s);
+            self.receive_observation(now, s);
         }
-        // Answers go where the sender's own sealed word says: a datagram sent on by another from elsewhere draws
-        // none to it.
+        // Answers go to the address in the sender's sealed record: a host that replays a datagram
+        // from another address receives no answer.
         let sealed = opened
             .message
             .records
@@ -290,7 +294,7 @@
         );
     }
 
-    fn sighting(&mut self, now: Micros, s: SealedObservation) {
+    fn receive_observation(&mut self, now: Micros, s: SealedObservation) {
         let member = self
             .swim
             .standing(&s.origin)
@@ -300,61 +304,62 @@
         }
         let mut news = false;
         for (worker, o) in &s.seen {
-            // What is said of workers that are not ready here has nothing to act on.
+            // Observations of workers that are not ready here cannot affect any decision.
             if self.ready.contains(worker) {
-                news |= self.rumours.merge(now, SKEW, &s.origin, *worker, *o);
+                news |= self.observations.merge(now, SKEW, &s.origin, *worker, *o);
             }
         }
         if news {
-            self.hold(s);
+            self.queue_for_relay(s);
         }
     }
 
-    fn hold(&mut self, s: SealedObservation) {
-        if self.held.len() >= MOST_HELD {
-            // The one that has gone out most often gives way.
-            let most = self
-                .held
+    fn queue_for_relay(&mut self, s: SealedObservation) {
+        if self.relay_queue.len() >= MAX_RELAY_QUEUE {
+            // Evicts the entry with the most sends.
+            let relayed_most = self
+                .relay_queue
                 .iter()
                 .max_by_key(|(_, (sent, _))| *sent)
                 .map(|(k, _)| k.clone());
-            most.and_then(|k| self.held.remove(&k));
+            relayed_most.and_then(|k| self.relay_queue.remove(&k));
         }
-        self.held.insert((s.origin.clone(), s.at), (0, s));
+        self.relay_queue.insert((s.origin.clone(), s.at), (0, s));
     }
 
-    /// Own outcomes are told, and what others say is weighed.
+    /// Closes the observation window: queues local observations and issues new advice.
     fn end_window(&mut self, now: Micros) {
-        self.window_ends = now + WINDOW;
+        self.window_ends = now + OBSERVATION_WINDOW;
         let mut seen = Vec::new();
         for (worker, o) in std::mem::take(&mut self.window) {
             let o = Observation { at: now, ..o };
-            self.trust.observe(worker, o);
-            let useful = match o.says() {
-                Says::Ill => {
-                    self.told_ill.insert(worker);
+            self.reputation.observe(worker, o);
+            let worth_sending = match o.verdict() {
+                HealthVerdict::Unhealthy => {
+                    self.reported_unhealthy.insert(worker);
                     true
                 }
-                // Well is worth telling where it was told otherwise, by oneself or by others.
-                Says::Well => {
-                    let ill = self
-                        .rumours
-                        .about(now, worker)
-                        .any(|(_, x)| x.says() == Says::Ill);
-                    self.told_ill.remove(&worker) || ill
+                // A healthy worker is worth reporting only after this instance or another one reported
+                // the worker as unhealthy.
+                HealthVerdict::Healthy => {
+                    let unhealthy = self
+                        .observations
+                        .for_worker(now, worker)
+                        .any(|(_, x)| x.verdict() == HealthVerdict::Unhealthy);
+                    self.reported_unhealthy.remove(&worker) || unhealthy
                 }
-                Says::Nothing => false,
+                HealthVerdict::Inconclusive => false,
             };
-            if useful {
+            if worth_sending {
                 seen.push((worker, o));
             }
         }
-        // Those ill first: they are fewer, and matter more.
-        seen.sort_by_key(|(w, o)| (o.says() != Says::Ill, *w));
+        // Unhealthy workers come first: they are fewer and matter more.
+        seen.sort_by_key(|(w, o)| (o.verdict() != HealthVerdict::Unhealthy, *w));
         for part in seen.chunks(MAX_OBSERVATIONS).take(4) {
             let at = now
                 + self
-                    .held
+                    .relay_queue
                     .keys()
                     .filter(|(o, t)| *o == self.settings.name && *t >= now)
                     .count() as Micros;
@@ -362,13 +367,13 @@
                 .iter()
                 .map(|(w, o)| (*w, Observation { at, ..*o }))
                 .collect();
-            let sighting = wire::seal_sighting(&self.keys, &self.settings.name, at, part);
-            self.hold(sighting);
+            let sealed = wire::seal_sighting(&self.keys, &self.settings.name, at, part);
+            self.queue_for_relay(sealed);
         }
-        self.rumours.expire(now);
-        self.held
-            .retain(|(_, at), (sent, _)| *sent < SPREAD && now < at + OBSERVATION_LIFETIME);
-        for (worker, advice) in self.trust.advise(now, &self.rumours, &self.ready) {
+        self.observations.expire(now);
+        self.relay_queue
+            .retain(|(_, at), (sent, _)| *sent < MAX_RELAYS && now < at + OBSERVATION_LIFETIME);
+        for (worker, advice) in self.reputation.advise(now, &self.observations, &self.ready) {
             self.outputs.push_back(Output::Advice(worker, advice));
         }
     }
@@ -381,9 +386,9 @@
                     self.outputs.push_back(Output::Changed(name, standing))
                 }
                 swim::Output::Forgotten(name) => {
-                    self.rumours.forget(&name);
-                    self.trust.forget_origin(&name);
-                    self.held.retain(|(origin, _), _| *origin != name);
+                    self.observations.forget(&name);
+                    self.reputation.forget_origin(&name);
+                    self.relay_queue.retain(|(origin, _), _| *origin != name);
                 }
                 swim::Output::Keep => {
                     if self.outputs.back() != Some(&Output::Keep) {
@@ -405,23 +410,23 @@
     }
 
     fn send(&mut self, now: Micros, to: SocketAddr, message: &Message) {
-        let most = self.budget.room(now, MTU);
+        let most = self.budget.max_datagram_bytes(now, MTU);
         self.number += 1;
-        // The most useful first: what has gone out least, and of that what is newest.
+        // Orders by fewest sends, then newest first.
         let mut order: Vec<((String, Micros), u32, usize)> = self
-            .held
+            .relay_queue
             .iter()
             .map(|(k, (sent, s))| {
                 (
                     k.clone(),
                     *sent,
-                    wire::sighting_size(&s.origin, s.seen.len()),
+                    wire::sealed_observation_size(&s.origin, s.seen.len()),
                 )
             })
             .collect();
         order.sort_by(|a, b| a.1.cmp(&b.1).then(b.0 .1.cmp(&a.0 .1)).then(a.0.cmp(&b.0)));
         let mut order = order.into_iter();
-        let held = &mut self.held;
+        let relay_queue = &mut self.relay_queue;
         let bytes = wire::pack(
             &self.keys,
             &self.settings.name,
@@ -431,13 +436,13 @@
             most,
             |left| {
                 let (key, ..) = order.by_ref().find(|(_, _, size)| *size <= left)?;
-                let (sent, s) = held.get_mut(&key)?;
+                let (sent, s) = relay_queue.get_mut(&key)?;
                 *sent += 1;
                 Some(s.clone())
             },
         );
         let size = bytes.as_ref().map_or(usize::MAX, Vec::len);
-        if !self.budget.take(now, size) {
+        if !self.budget.try_take(now, size) {
             return;
         }
         if let Some(bytes) = bytes {
--- a/src/membership/group_tests.rs
+++ b/src/membership/group_tests.rs
@@ -1,4 +1,4 @@
-//! Ten instances and what one that lies can do to nine.
+//! Ten instances on a simulated network, one of which may lie.
 
 use super::super::keys::tests::each;
 use super::*;
@@ -24,13 +24,13 @@
     }
 }
 
-/// Instances on a network without delay; the advice that each was given.
+/// Instances on a network without delay, with the advice that each one received.
 struct World {
     now: Micros,
     groups: Vec<Group>,
     advice: Vec<BTreeMap<WorkerId, HealthAdvice>>,
     first_down: Vec<Option<Micros>>,
-    /// All datagrams that went, for who replays.
+    /// The first 500 datagrams sent, for replays.
     caught: Vec<Vec<u8>>,
 }
 
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Seconds go by; each instance tries each worker a few times a second, and sees what `seen` says.
+    /// Runs for `seconds`. Each instance tries each worker ten times per second with the outcome
+    /// that `seen` returns.
     fn run(
         &mut self,
         seconds: u64,
@@ -120,12 +121,12 @@
 }
 
 #[test]
-fn one_silent_worker_is_moved_down_by_those_who_have_not_tried_it() {
+fn silent_worker_is_demoted_by_instances_without_attempts() {
     let mut w = World::new();
     w.run(20, |_, _| Observed::Answered, |_| {});
     assert!(w.all_alive() && w.advice.iter().all(BTreeMap::is_empty));
     let begun = w.now;
-    // Three find worker 5 silent; the others see nothing of it themselves.
+    // Three instances find worker 5 silent; the others record no attempts at it.
     let silent = |n: usize, worker: u32| {
         if worker == 5 {
             if n < 3 {
@@ -162,21 +163,23 @@
         .iter()
         .flat_map(BTreeMap::keys)
         .all(|worker| *worker == WorkerId(5)));
-    // It answers again: nothing is left of the rumour when its life is over.
+    // The worker answers again: its observations expire and no advice remains.
     w.run(30, |_, _| Observed::Answered, |_| {});
     w.advice.iter_mut().for_each(BTreeMap::clear);
     w.run(10, |_, _| Observed::Answered, |_| {});
     assert!(w.advice.iter().all(BTreeMap::is_empty));
     assert!(
-        w.groups.iter().all(|g| g.held.len() < 40),
+        w.groups.iter().all(|g| g.relay_queue.len() < 40),
         "{:?}",
         w.groups.iter().map(Group::sizes).collect::<Vec<_>>()
     );
 }
 
-/// The tenth lies in every way at once; the nine keep each other, move no worker, and stay under their ceiling.
+/// Guards against one malicious member: the tenth instance sends false observations and
+/// accusations, forgeries, replays and malformed datagrams. The other nine keep each other alive,
+/// demote no worker, and stay within their budgets.
 #[test]
-fn a_liar_moves_no_worker_and_kills_no_member() {
+fn lying_member_demotes_no_worker_and_kills_no_member() {
     let mut w = World::new();
     let all_dead = |n: usize, _| {
         if n == 9 {
@@ -194,8 +197,8 @@
         forged += 1;
         for to in 0..9usize {
             let victim = name((to as u8 + 1) % 9);
-            // Accusations in its own name, in a huge incarnation and the right one; others' names forged; replays;
-            // garbage; datagrams that are too long.
+            // Accusations in its own name with the current and a huge incarnation, datagrams forged
+            // in other names, replays, malformed datagrams and oversized ones.
             let known = w.groups[to]
                 .swim
                 .members()
@@ -242,13 +245,13 @@
     assert!(w.all_alive());
     assert!(
         w.advice.iter().take(9).all(BTreeMap::is_empty),
-        "no worker was moved"
+        "no worker was demoted"
     );
     for (n, g) in w.groups.iter().enumerate().take(9) {
         assert!(
-            g.trust.weight(w.now, "j") < 0.1,
+            g.reputation.weight(w.now, "j") < 0.1,
             "{}",
-            g.trust.weight(w.now, "j")
+            g.reputation.weight(w.now, "j")
         );
         let (refused, _) = g.refused();
         assert!(
@@ -257,19 +260,19 @@
                 .all(|why| refused.contains_key(why)),
             "{refused:?}"
         );
-        assert!((g.sent_bytes - before[n]) / 30 <= 8000, "the ceiling");
-        assert!(g.sizes().0 <= 12 * 10 && g.sizes().1 <= MOST_HELD);
+        assert!((g.sent_bytes - before[n]) / 30 <= 8000, "the byte budget");
+        assert!(g.sizes().0 <= 12 * 10 && g.sizes().1 <= MAX_RELAY_QUEUE);
     }
 }
 
 #[test]
-fn keys_rotate_while_the_group_goes_on() {
+fn key_rotation_rejects_no_datagram() {
     use super::super::keys::{tests::private, Keys};
     let mut w = World::new();
     w.run(20, |_, _| Observed::Answered, |_| {});
     let public = |n: u8| Keys::public(&private(n)).unwrap();
-    // Instance a changes from key 1 to key 101: first all accept both, then it signs with the new one, then the old
-    // one goes.
+    // Instance `a` changes from key 1 to key 101: all accept both keys, then `a` signs with the new
+    // key, then all stop accepting the old key.
     let accepted = |a: &[u8]| -> BTreeMap<String, Vec<String>> {
         (0..N)
             .map(|n| {
@@ -299,5 +302,5 @@
         assert!(w.all_alive());
     }
     let refused = w.groups[3].refused().0.get("seal").copied().unwrap_or(0);
-    assert_eq!(refused, 0, "no datagram was refused on the way");
+    assert_eq!(refused, 0, "no datagram was rejected during the rotation");
 }
--- a/src/membership/keys.rs
+++ b/src/membership/keys.rs
@@ -1,8 +1,8 @@
-//! Seals: Ed25519 with a set of accepted keys for each instance, or keyed BLAKE3 with keys that all share.
+//! Seals: Ed25519 with a set of accepted keys per instance, or keyed BLAKE3 with shared keys.
 //!
-//! With shared keys whoever holds one can speak for everybody: that mode keeps strangers out and trusts all inside.
-//! Several keys count at once, so that they can be rotated without a moment that all agree on: the new one is
-//! accepted everywhere first, then used, then the old one taken away.
+//! Any holder of a shared key can impersonate every member: that mode keeps outsiders out and trusts
+//! all insiders. Several keys are valid at once, so a rotation needs no synchronized switch: first
+//! all members accept the new key, then they use it, then the old key is removed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,19 +13,20 @@
 
 use super::is_name;
 
-/// Keys accepted for one name, or shared, at most.
-const MOST: usize = 8;
+/// Maximum number of shared keys, or of keys accepted for one name.
+const MAX_KEYS: usize = 8;
 
-/// Why keys cannot be used.
+/// Reasons why keys are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyError {
-    /// A key is not 32 bytes in base64, or a weak public one.
+    /// A key is not 32 bytes in base64, or is a weak public key.
     Key,
-    /// A name is none.
+    /// An instance name is invalid.
     Name,
-    /// There is no key, or more than are accepted.
+    /// There is no key, or there are more than the maximum.
     Count,
-    /// The key in use is not among those accepted, so that others would not know it.
+    /// The private key's public half is not among the keys accepted for this instance, so other
+    /// members would reject its seals.
     Own,
 }
 
@@ -47,13 +48,13 @@
     Shared {
         keys: Vec<Zeroizing<[u8; 32]>>,
     },
-    Each {
+    PerInstance {
         own: Box<SigningKey>,
         accepted: BTreeMap<String, Vec<VerifyingKey>>,
     },
 }
 
-/// An instance's keys. They are never printed.
+/// An instance's keys. Their values never appear in debug output.
 #[derive(Clone)]
 pub struct Keys(Mode);
 
@@ -61,12 +62,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match &self.0 {
             Mode::Shared { .. } => "Keys(shared)",
-            Mode::Each { .. } => "Keys(each)",
+            Mode::PerInstance { .. } => "Keys(each)",
         })
     }
 }
 
-fn bytes(text: &str) -> Result<Zeroizing<[u8; 32]>, KeyError> {
+fn decode_key(text: &str) -> Result<Zeroizing<[u8; 32]>, KeyError> {
     let raw = Zeroizing::new(BASE64_STANDARD.decode(text).map_err(|_| KeyError::Key)?);
     Ok(Zeroizing::new(
         raw.as_slice().try_into().map_err(|_| KeyError::Key)?,
@@ -74,33 +75,37 @@
 }
 
 impl Keys {
-    /// Keys that all share, the one in use first.
+    /// Creates the mode with shared keys. The first key creates seals.
     pub fn shared(texts: &[String]) -> Result<Keys, KeyError> {
-        if texts.is_empty() || texts.len() > MOST {
+        if texts.is_empty() || texts.len() > MAX_KEYS {
             return Err(KeyError::Count);
         }
         Ok(Keys(Mode::Shared {
-            keys: texts.iter().map(|t| bytes(t)).collect::<Result<_, _>>()?,
+            keys: texts
+                .iter()
+                .map(|t| decode_key(t))
+                .collect::<Result<_, _>>()?,
         }))
     }
 
-    /// A key of one's own, under one's name, and the public keys accepted for each name, one's own among them.
+    /// Creates the mode with one private key per instance. `accepted` lists the public keys accepted
+    /// for each name and must contain this instance's own public key.
     pub fn each(
         name: &str,
         own: &str,
         accepted: &BTreeMap<String, Vec<String>>,
     ) -> Result<Keys, KeyError> {
-        let own = SigningKey::from_bytes(&*bytes(own)?);
+        let own = SigningKey::from_bytes(&*decode_key(own)?);
         let mut all = BTreeMap::new();
         for (name, texts) in accepted {
             if !is_name(name) {
                 return Err(KeyError::Name);
             }
-            if texts.is_empty() || texts.len() > MOST {
+            if texts.is_empty() || texts.len() > MAX_KEYS {
                 return Err(KeyError::Count);
             }
             let read = |t: &String| {
-                let key = VerifyingKey::from_bytes(&*bytes(t)?).map_err(|_| KeyError::Key)?;
+                let key = VerifyingKey::from_bytes(&*decode_key(t)?).map_err(|_| KeyError::Key)?;
                 if key.is_weak() {
                     return Err(KeyError::Key);
                 }
@@ -117,42 +122,42 @@
         {
             return Err(KeyError::Own);
         }
-        Ok(Keys(Mode::Each {
+        Ok(Keys(Mode::PerInstance {
             own: Box::new(own),
             accepted: all,
         }))
     }
 
-    /// The public key of a private one, in base64.
+    /// Returns the public key of a private key, in base64.
     pub fn public(own: &str) -> Result<String, KeyError> {
         Ok(BASE64_STANDARD.encode(
-            SigningKey::from_bytes(&*bytes(own)?)
+            SigningKey::from_bytes(&*decode_key(own)?)
                 .verifying_key()
                 .to_bytes(),
         ))
     }
 
-    /// Whether a name may speak at all.
+    /// Returns whether seals by `name` can be accepted at all.
     pub fn knows(&self, name: &str) -> bool {
         match &self.0 {
             Mode::Shared { .. } => is_name(name),
-            Mode::Each { accepted, .. } => accepted.contains_key(name),
+            Mode::PerInstance { accepted, .. } => accepted.contains_key(name),
         }
     }
 
-    /// Seals a content for a purpose; a seal for one purpose is none for another.
+    /// Seals `content` for a purpose. A seal for one purpose is invalid for any other.
     pub fn seal(&self, purpose: u8, content: &[u8]) -> Vec<u8> {
         let content = [&[purpose], content].concat();
         match &self.0 {
-            // There is at least one, the one in use.
+            // `Keys::shared` requires at least one key.
             Mode::Shared { keys } => keys
                 .first()
                 .map_or(Vec::new(), |k| mac(k, &content).to_vec()),
-            Mode::Each { own, .. } => own.sign(&content).to_bytes().to_vec(),
+            Mode::PerInstance { own, .. } => own.sign(&content).to_bytes().to_vec(),
         }
     }
 
-    /// Whether a seal is one of a name's for a content.
+    /// Returns whether `seal` is a valid seal by `name` over `content` for this purpose.
     pub fn check(&self, name: &str, purpose: u8, content: &[u8], seal: &[u8]) -> bool {
         let content = [&[purpose], content].concat();
         match &self.0 {
@@ -160,13 +165,13 @@
                 let Ok(seal) = <[u8; 32]>::try_from(seal) else {
                     return false;
                 };
-                // The comparison of two hashes takes the same time wherever they differ.
+                // `blake3::Hash` compares in constant time.
                 is_name(name)
                     && keys
                         .iter()
                         .any(|k| blake3::Hash::from_bytes(mac(k, &content)) == seal)
             }
-            Mode::Each { accepted, .. } => {
+            Mode::PerInstance { accepted, .. } => {
                 let Ok(seal) = Signature::from_slice(seal) else {
                     return false;
                 };
@@ -190,7 +195,8 @@
         BASE64_STANDARD.encode([n; 32])
     }
 
-    /// Keys of `a`, `b`, ... made of 1, 2, ..., as instance `n` of so many has them.
+    /// Returns the keys of instance `n` of `of` instances named `a`, `b`, and so on, whose private
+    /// keys repeat the byte 1, 2, and so on.
     pub fn each(n: u8, of: u8) -> Keys {
         let name = |n: u8| char::from(b'a' + n).to_string();
         let all = (0..of)
@@ -200,7 +206,7 @@
     }
 
     #[test]
-    fn a_seal_is_of_one_name_one_purpose_and_one_content() {
+    fn seal_is_bound_to_name_purpose_and_content() {
         let (a, b) = (each(0, 2), each(1, 2));
         let seal = a.seal(1, b"word");
         assert!(b.check("a", 1, b"word", &seal));
@@ -223,7 +229,7 @@
         let both = Keys::shared(&[text(1), text(2)]).unwrap();
         let turned = Keys::shared(&[text(2), text(1)]).unwrap();
         let new = Keys::shared(&[text(2)]).unwrap();
-        // At each step those a step apart understand each other.
+        // Instances that are one rotation step apart accept each other's seals.
         for (x, y) in [(&old, &both), (&both, &turned), (&turned, &new)] {
             assert!(
                 y.check("x", 1, b"w", &x.seal(1, b"w")) && x.check("x", 1, b"w", &y.seal(1, b"w"))
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,10 +1,11 @@
-//! Membership and shared suspicion between instances; no I/O.
+//! Group membership and shared observations of workers between instances; no I/O.
 //!
-//! [`swim`] knows who is there, [`observations`] what others saw of workers, [`reputation`] what that may do here, [`wire`]
-//! what a datagram is and who sealed it, [`keys`] with what, [`budget`] how much may leave.
+//! [`swim`] tracks the members, [`observations`] merges the outcomes that instances report about
+//! workers, [`reputation`] turns them into bounded advice, [`wire`] encodes and authenticates
+//! datagrams, [`keys`] holds the keys for the seals, and [`budget`] limits the outgoing traffic.
 //!
-//! Nobody speaks for another: a member's own state is a record that it sealed itself, an observation is sealed by
-//! its origin, and an accusation counts as its accuser's. What is relayed keeps its seal.
+//! No instance can speak for another: each member seals its own record, each origin seals its
+//! observations, and each accuser seals its accusations. Relayed items keep their original seal.
 
 pub mod budget;
 pub mod config;
@@ -15,10 +16,10 @@
 pub mod swim;
 pub mod wire;
 
-/// The longest name of an instance, in bytes.
+/// Maximum length of an instance name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Whether a text can be an instance's name.
+/// Returns whether `name` is a valid instance name.
 pub fn is_name(name: &str) -> bool {
     !name.is_empty()
         && name.len() <= MAX_NAME_BYTES
--- a/src/membership/observations.rs
+++ b/src/membership/observations.rs
@@ -1,82 +1,84 @@
-//! What instances saw of workers, each origin's own word, merged as a state-based CRDT.
+//! Observations of workers by instances, merged as a state-based CRDT.
 //!
-//! An observation is replaced only by a newer one of the same origin about the same worker: the merge is commutative,
-//! idempotent and monotone while an observation lives, and each ends by itself.
+//! Only a newer observation by the same origin of the same worker replaces an observation, so the
+//! merge is commutative, idempotent and monotone until the observation expires.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{Micros, WorkerId};
 
-/// How long an observation lives after the end of its window.
+/// Lifetime of an observation after the end of its window.
 pub const OBSERVATION_LIFETIME: Micros = 10_000_000;
-/// Observations of one origin kept at most, and origins.
+/// Maximum number of stored observations per origin.
 pub const MAX_OBSERVATIONS_PER_ORIGIN: usize = 1024;
-const MOST_ORIGINS: usize = 2048;
+/// Maximum number of origins with stored observations.
+const MAX_ORIGINS: usize = 2048;
 
-/// Outcomes of one origin's attempts at one worker over a window.
+/// Outcomes of one origin's attempts at one worker over a time window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Observation {
-    /// The end of the window, Unix microseconds of the origin; also which of its observations is newer.
+    /// End of the window in Unix microseconds by the origin's clock; orders the origin's observations.
     pub at: Micros,
-    /// Answered.
+    /// Number of answered attempts.
     pub answered: u32,
-    /// Failed fast.
+    /// Number of attempts that failed before their timeout.
     pub failed: u32,
-    /// Not answered by their time.
+    /// Number of attempts without an answer before their timeout.
     pub silent: u32,
-    /// Connections refused or never up.
+    /// Number of connections refused or not established.
     pub refused: u32,
 }
 
-/// What an observation says.
+/// Conclusion from an observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Says {
-    /// Most attempts went wrong.
-    Ill,
-    /// Almost all went well.
-    Well,
-    /// Too little was seen, or some of both.
-    Nothing,
+pub enum HealthVerdict {
+    /// At least half of the attempts failed, or all connections were refused.
+    Unhealthy,
+    /// At most a tenth of the attempts failed.
+    Healthy,
+    /// There were too few attempts, or the results were mixed.
+    Inconclusive,
 }
 
 impl Observation {
-    /// Attempts that it rests on.
+    /// Returns the number of attempts in the observation.
     pub fn evidence(&self) -> u32 {
-        self.answered.saturating_add(self.wrong())
+        self.answered.saturating_add(self.failures())
     }
 
-    fn wrong(&self) -> u32 {
+    fn failures(&self) -> u32 {
         self.failed
             .saturating_add(self.silent)
             .saturating_add(self.refused)
     }
 
-    /// What it says. A refused connection needs no more to be told; all else needs three attempts.
-    pub fn says(&self) -> Says {
-        let (all, wrong) = (u64::from(self.evidence()), u64::from(self.wrong()));
+    /// Returns the conclusion. A refused connection without any answer suffices for
+    /// [`HealthVerdict::Unhealthy`]; any other conclusion needs three attempts.
+    pub fn verdict(&self) -> HealthVerdict {
+        let (all, failures) = (u64::from(self.evidence()), u64::from(self.failures()));
         match () {
-            () if self.refused > 0 && self.answered == 0 => Says::Ill,
-            () if all >= 3 && 2 * wrong >= all => Says::Ill,
-            () if all >= 3 && 10 * wrong <= all => Says::Well,
-            () => Says::Nothing,
+            () if self.refused > 0 && self.answered == 0 => HealthVerdict::Unhealthy,
+            () if all >= 3 && 2 * failures >= all => HealthVerdict::Unhealthy,
+            () if all >= 3 && 10 * failures <= all => HealthVerdict::Healthy,
+            () => HealthVerdict::Inconclusive,
         }
     }
 
-    /// Whether it still lives.
-    pub fn lives(&self, now: Micros) -> bool {
+    /// Returns whether the observation has not expired.
+    pub fn is_live(&self, now: Micros) -> bool {
         now < self.at.saturating_add(OBSERVATION_LIFETIME)
     }
 }
 
-/// What all origins have seen.
+/// Observations by all origins.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observations {
     by_origin: BTreeMap<String, BTreeMap<WorkerId, Observation>>,
 }
 
 impl Observations {
-    /// Takes an observation in; `true` if it was news. One from further ahead than `skew` is not: it would live too
-    /// long.
+    /// Merges an observation and returns whether it is new. An observation dated more than `skew`
+    /// ahead is rejected, because it would outlive its intended lifetime.
     pub fn merge(
         &mut self,
         now: Micros,
@@ -85,71 +87,73 @@
         worker: WorkerId,
         o: Observation,
     ) -> bool {
-        if !o.lives(now) || o.at > now.saturating_add(skew) {
+        if !o.is_live(now) || o.at > now.saturating_add(skew) {
             return false;
         }
-        if !self.by_origin.contains_key(origin) && self.by_origin.len() >= MOST_ORIGINS {
+        if !self.by_origin.contains_key(origin) && self.by_origin.len() >= MAX_ORIGINS {
             return false;
         }
-        let of = self.by_origin.entry(origin.to_owned()).or_default();
-        if !of.contains_key(&worker) && of.len() >= MAX_OBSERVATIONS_PER_ORIGIN {
+        let by_worker = self.by_origin.entry(origin.to_owned()).or_default();
+        if !by_worker.contains_key(&worker) && by_worker.len() >= MAX_OBSERVATIONS_PER_ORIGIN {
             return false;
         }
-        let held = of.entry(worker).or_default();
-        // Of two with the same time the greater one counts, so that the order in which they come does not.
-        let news = o > *held;
+        let held = by_worker.entry(worker).or_default();
+        // The greater of two observations with the same time wins, so the arrival order is irrelevant.
+        let is_new = o > *held;
         *held = (*held).max(o);
-        news
+        is_new
     }
 
-    /// Takes all that another knows in.
+    /// Merges all observations of `other`.
     pub fn merge_all(&mut self, now: Micros, skew: Micros, other: &Observations) {
-        for (origin, of) in &other.by_origin {
-            for (worker, o) in of {
+        for (origin, by_worker) in &other.by_origin {
+            for (worker, o) in by_worker {
                 self.merge(now, skew, origin, *worker, *o);
             }
         }
     }
 
-    /// Lets go of what has ended.
+    /// Removes expired observations.
     pub fn expire(&mut self, now: Micros) {
-        self.by_origin.retain(|_, of| {
-            of.retain(|_, o| o.lives(now));
-            !of.is_empty()
+        self.by_origin.retain(|_, by_worker| {
+            by_worker.retain(|_, o| o.is_live(now));
+            !by_worker.is_empty()
         });
     }
 
-    /// Lets go of an origin that is a member no more.
+    /// Removes the observations by an origin that is no longer a member.
     pub fn forget(&mut self, origin: &str) {
         self.by_origin.remove(origin);
     }
 
-    /// What is said of a worker, by origin, while it lives.
-    pub fn about(
+    /// Returns the unexpired observations of a worker, by origin.
+    pub fn for_worker(
         &self,
         now: Micros,
         worker: WorkerId,
     ) -> impl Iterator<Item = (&str, Observation)> {
-        self.by_origin.iter().filter_map(move |(origin, of)| {
-            let o = of.get(&worker).filter(|o| o.lives(now))?;
-            Some((origin.as_str(), *o))
-        })
+        self.by_origin
+            .iter()
+            .filter_map(move |(origin, by_worker)| {
+                let o = by_worker.get(&worker).filter(|o| o.is_live(now))?;
+                Some((origin.as_str(), *o))
+            })
     }
 
-    /// All workers of which anything is said.
+    /// Returns all observed workers.
     pub fn workers(&self) -> BTreeSet<WorkerId> {
         self.by_origin
             .values()
-            .flat_map(|of| of.keys().copied())
+            .flat_map(|by_worker| by_worker.keys().copied())
             .collect()
     }
 
-    /// Observations held.
+    /// Returns the number of stored observations.
     pub fn len(&self) -> usize {
         self.by_origin.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether nothing is said.
+    /// Returns whether there are no observations.
     pub fn is_empty(&self) -> bool {
         self.by_origin.is_empty()
     }
--- a/src/membership/observations/tests.rs
+++ b/src/membership/observations/tests.rs
@@ -46,21 +46,21 @@
         prop_assert_eq!(join(&a, &b), join(&b, &a));
         prop_assert_eq!(join(&join(&a, &b), &c), join(&a, &join(&b, &c)));
         prop_assert_eq!(join(&a, &a), a.clone());
-        // What is known is never replaced by something older.
+        // An older observation never replaces a newer one.
         let both = join(&a, &b);
         for w in a.workers() {
-            for (origin, o) in a.about(now, w) {
-                prop_assert!(both.about(now, w).any(|(p, q)| p == origin && q >= o));
+            for (origin, o) in a.for_worker(now, w) {
+                prop_assert!(both.for_worker(now, w).any(|(p, q)| p == origin && q >= o));
             }
         }
         let mut later = both.clone();
         later.expire(now + OBSERVATION_LIFETIME + SKEW);
-        prop_assert!(later.is_empty(), "each ends by itself");
+        prop_assert!(later.is_empty(), "all observations expire");
     }
 }
 
 #[test]
-fn an_observation_says_what_its_evidence_bears() {
+fn verdict_follows_from_the_outcomes() {
     let o = |answered, silent, refused| {
         Observation {
             at: 0,
@@ -69,18 +69,21 @@
             silent,
             refused,
         }
-        .says()
+        .verdict()
     };
-    assert_eq!([o(0, 0, 1), o(0, 3, 0), o(2, 2, 0)], [Says::Ill; 3]);
+    assert_eq!(
+        [o(0, 0, 1), o(0, 3, 0), o(2, 2, 0)],
+        [HealthVerdict::Unhealthy; 3]
+    );
     assert_eq!(
         [o(0, 2, 0), o(2, 0, 0), o(9, 3, 0), o(5, 0, 1)],
-        [Says::Nothing; 4]
+        [HealthVerdict::Inconclusive; 4]
     );
-    assert_eq!([o(3, 0, 0), o(10, 1, 0)], [Says::Well; 2]);
+    assert_eq!([o(3, 0, 0), o(10, 1, 0)], [HealthVerdict::Healthy; 2]);
 }
 
 #[test]
-fn an_origin_that_floods_keeps_within_its_bound() {
+fn flooding_origin_stays_within_its_bound() {
     let mut r = Observations::default();
     for w in 0..5000 {
         r.merge(
@@ -103,7 +106,7 @@
     };
     assert!(
         !r.merge(0, SKEW, "x", WorkerId(1), ahead),
-        "from further ahead than clocks are apart"
+        "dated further ahead than the permitted skew"
     );
     r.forget("liar");
     assert!(r.is_empty());
--- a/src/membership/reputation.rs
+++ b/src/membership/reputation.rs
@@ -1,60 +1,65 @@
-//! What rumours may do here.
+//! Limits on the local effect of other instances' observations.
 //!
-//! A rumour never excludes a worker. Together they may move one down the walk for a bounded time, or shorten the
-//! benching after an own failure; never more than a stated share of the ready workers at once, and none at all when
-//! they speak ill of more: then the fault, or the lie, is with those who speak. Each origin counts by its record: what
-//! own attempts contradict costs it weight, which it regains slowly.
+//! An observation by another instance never excludes a worker. Several together can demote a worker
+//! in the order of candidates for a bounded time, or allow an early trial after a local failure. Only
+//! a limited share of the ready workers is demoted at once. If the observations call too large a
+//! share unhealthy, no worker is demoted: the fault, or a lie, is then likely on the reporting side.
+//! Each origin has a weight: contradiction by local attempts lowers it, and it recovers slowly.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::observations::{Observation, Observations, Says};
+use super::observations::{HealthVerdict, Observation, Observations};
 use crate::api::{Micros, WorkerId};
 
 const SECOND: Micros = 1_000_000;
 
-/// Bounds of what rumours may do.
+/// Limits on the effect of other instances' observations.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The share of ready workers that may be moved down at once.
-    pub share: f64,
-    /// Ill spoken of more than this share of them: nothing is done.
-    pub panic: f64,
-    /// How long one advice holds.
-    pub hold: Micros,
-    /// The weight of origins that it takes.
-    pub needed: f64,
+    /// Maximum share of ready workers that are demoted at once.
+    pub max_demoted_share: f64,
+    /// Share of ready workers reported unhealthy above which no worker is demoted.
+    pub panic_share: f64,
+    /// Duration of a demotion.
+    pub demotion_duration: Micros,
+    /// Minimum net weight of origins for any advice.
+    pub needed_weight: f64,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
-            share: 0.25,
-            panic: 0.5,
-            hold: 3 * SECOND,
-            needed: 0.9,
+            max_demoted_share: 0.25,
+            panic_share: 0.5,
+            demotion_duration: 3 * SECOND,
+            needed_weight: 0.9,
         }
     }
 }
 
-/// An origin's weight at first, at most, and at least.
-const FIRST: f64 = 0.5;
-const MOST: f64 = 1.0;
-const LEAST: f64 = 0.02;
-/// What a contradicted claim leaves of it, and what a confirmed one adds of what is missing.
-const CONTRADICTED: f64 = 0.6;
-const CONFIRMED: f64 = 0.1;
-/// What it regains a second without contradiction, up to the first weight.
-const REGAINED: f64 = 0.002;
-/// Own attempts that bear a judgement, and for how long they do.
-const OWN_EVIDENCE: u32 = 3;
-const OWN_LIFE: Micros = 5 * SECOND;
-
-/// What the decision module is told of a worker.
+/// Initial weight of an origin.
+const INITIAL_WEIGHT: f64 = 0.5;
+/// Maximum weight of an origin.
+const MAX_WEIGHT: f64 = 1.0;
+/// Minimum weight of an origin.
+const MIN_WEIGHT: f64 = 0.02;
+/// Factor applied to the weight for a contradicted claim.
+const CONTRADICTION_FACTOR: f64 = 0.6;
+/// Share of the distance to [`MAX_WEIGHT`] that a confirmed claim adds.
+const CONFIRMATION_GAIN: f64 = 0.1;
+/// Weight regained per second without contradiction, up to [`INITIAL_WEIGHT`].
+const RECOVERY_PER_S: f64 = 0.002;
+/// Minimum number of local attempts for checking claims against them.
+const MIN_OWN_ATTEMPTS: u32 = 3;
+/// Time for which a local observation is used.
+const OWN_OBSERVATION_LIFETIME: Micros = 5 * SECOND;
+
+/// Advice about a worker for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthAdvice {
-    /// Walk to others first, until then.
+    /// Prefer other workers until this time.
     Down(Micros),
-    /// A trial after an own failure may come now.
+    /// A trial after a local failure may start now.
     Well,
 }
 
@@ -64,147 +69,154 @@
     at: Micros,
 }
 
-/// Origins' weights and what is advised now.
+/// Weights of the origins and the demotions in force.
 #[derive(Clone, Debug)]
 pub struct Reputation {
     bounds: Bounds,
     weights: BTreeMap<String, Weight>,
-    own: HashMap<WorkerId, Observation>,
-    /// Claims already held against own evidence, by origin and worker: each counts once.
-    judged: BTreeMap<(String, WorkerId), Micros>,
-    down: BTreeMap<WorkerId, Micros>,
-    /// Times at which rumours spoke ill of too many to be heeded.
+    own_observations: HashMap<WorkerId, Observation>,
+    /// Time of the last claim checked against local attempts, by origin and worker; each claim counts
+    /// once.
+    evaluated_claims: BTreeMap<(String, WorkerId), Micros>,
+    demoted: BTreeMap<WorkerId, Micros>,
+    /// Number of times that demotions were suppressed because too many workers were reported
+    /// unhealthy.
     pub panics: u64,
 }
 
 impl Reputation {
-    /// Nothing known of anybody.
+    /// Creates an empty state.
     pub fn new(bounds: Bounds) -> Reputation {
         Reputation {
             bounds,
             weights: BTreeMap::new(),
-            own: HashMap::new(),
-            judged: BTreeMap::new(),
-            down: BTreeMap::new(),
+            own_observations: HashMap::new(),
+            evaluated_claims: BTreeMap::new(),
+            demoted: BTreeMap::new(),
             panics: 0,
         }
     }
 
-    /// An origin's weight.
+    /// Returns an origin's current weight.
     pub fn weight(&self, now: Micros, origin: &str) -> f64 {
         let Some(w) = self.weights.get(origin) else {
-            return FIRST;
+            return INITIAL_WEIGHT;
         };
-        let passed = now.saturating_sub(w.at) as f64 / 1e6;
-        if w.value < FIRST {
-            (w.value + REGAINED * passed).min(FIRST)
+        let elapsed_s = now.saturating_sub(w.at) as f64 / 1e6;
+        if w.value < INITIAL_WEIGHT {
+            (w.value + RECOVERY_PER_S * elapsed_s).min(INITIAL_WEIGHT)
         } else {
             w.value
         }
     }
 
-    /// What own attempts at a worker came to over the last window; it replaces the one before.
+    /// Replaces the local observation of a worker with that of the last window.
     pub fn observe(&mut self, worker: WorkerId, o: Observation) {
-        self.own.insert(worker, o);
+        self.own_observations.insert(worker, o);
     }
 
-    /// Lets go of an origin or workers that are there no more.
+    /// Removes an origin that is no longer a member.
     pub fn forget_origin(&mut self, origin: &str) {
         self.weights.remove(origin);
-        self.judged.retain(|(o, _), _| o != origin);
+        self.evaluated_claims.retain(|(o, _), _| o != origin);
     }
 
-    /// Lets go of workers that are not ready any more.
+    /// Removes the workers that are no longer ready.
     pub fn keep_workers(&mut self, ready: &BTreeSet<WorkerId>) {
-        self.own.retain(|w, _| ready.contains(w));
-        self.down.retain(|w, _| ready.contains(w));
-        self.judged.retain(|(_, w), _| ready.contains(w));
+        self.own_observations.retain(|w, _| ready.contains(w));
+        self.demoted.retain(|w, _| ready.contains(w));
+        self.evaluated_claims.retain(|(_, w), _| ready.contains(w));
     }
 
-    /// Holds claims against own evidence. Own attempts prove only what they saw: a claim from before them, or about
-    /// what they did not try enough, is neither right nor wrong.
-    fn judge(&mut self, now: Micros, rumours: &Observations) {
+    /// Adjusts the weights by comparing claims with local observations. A claim from another time,
+    /// or about a worker with too few local attempts, counts neither for nor against its origin.
+    fn update_weights(&mut self, now: Micros, observations: &Observations) {
         let own: Vec<(WorkerId, Observation)> = self
-            .own
+            .own_observations
             .iter()
-            .filter(|(_, o)| o.at + OWN_LIFE > now && o.evidence() >= OWN_EVIDENCE)
+            .filter(|(_, o)| {
+                o.at + OWN_OBSERVATION_LIFETIME > now && o.evidence() >= MIN_OWN_ATTEMPTS
+            })
             .map(|(w, o)| (*w, *o))
             .collect();
         for (worker, mine) in own {
-            let said = mine.says();
-            if said == Says::Nothing {
+            let said = mine.verdict();
+            if said == HealthVerdict::Inconclusive {
                 continue;
             }
-            let claims: Vec<(String, Observation)> = rumours
-                .about(now, worker)
+            let claims: Vec<(String, Observation)> = observations
+                .for_worker(now, worker)
                 .map(|(o, x)| (o.to_owned(), x))
                 .collect();
             for (origin, claim) in claims {
-                let close = claim.at.abs_diff(mine.at) <= OWN_LIFE / 2;
-                let known = self.judged.get(&(origin.clone(), worker)) == Some(&claim.at);
-                if claim.says() == Says::Nothing || !close || known {
+                let close = claim.at.abs_diff(mine.at) <= OWN_OBSERVATION_LIFETIME / 2;
+                let known = self.evaluated_claims.get(&(origin.clone(), worker)) == Some(&claim.at);
+                if claim.verdict() == HealthVerdict::Inconclusive || !close || known {
                     continue;
                 }
                 let value = self.weight(now, &origin);
-                let value = if claim.says() == said {
-                    value + CONFIRMED * (MOST - value)
+                let value = if claim.verdict() == said {
+                    value + CONFIRMATION_GAIN * (MAX_WEIGHT - value)
                 } else {
-                    (value * CONTRADICTED).max(LEAST)
+                    (value * CONTRADICTION_FACTOR).max(MIN_WEIGHT)
                 };
                 self.weights
                     .insert(origin.clone(), Weight { value, at: now });
-                self.judged.insert((origin, worker), claim.at);
+                self.evaluated_claims.insert((origin, worker), claim.at);
             }
         }
     }
 
-    /// What is advised now, given the workers that are ready; only what is new.
+    /// Returns the new advice for the ready workers.
     pub fn advise(
         &mut self,
         now: Micros,
-        rumours: &Observations,
+        observations: &Observations,
         ready: &BTreeSet<WorkerId>,
     ) -> Vec<(WorkerId, HealthAdvice)> {
         self.keep_workers(ready);
-        self.judge(now, rumours);
-        self.down.retain(|_, until| *until > now);
-        let (mut ill, mut advice) = (Vec::new(), Vec::new());
-        for worker in rumours.workers().intersection(ready) {
-            let (mut against, mut for_it, mut origins) = (0.0, 0.0, 0);
-            for (origin, o) in rumours.about(now, *worker) {
+        self.update_weights(now, observations);
+        self.demoted.retain(|_, until| *until > now);
+        let (mut unhealthy, mut advice) = (Vec::new(), Vec::new());
+        for worker in observations.workers().intersection(ready) {
+            let (mut against, mut in_favor, mut origins) = (0.0, 0.0, 0);
+            for (origin, o) in observations.for_worker(now, *worker) {
                 let weight = self.weight(now, origin);
-                match o.says() {
-                    Says::Ill => {
+                match o.verdict() {
+                    HealthVerdict::Unhealthy => {
                         against += weight;
                         origins += 1;
                     }
-                    Says::Well => for_it += weight,
-                    Says::Nothing => {}
+                    HealthVerdict::Healthy => in_favor += weight,
+                    HealthVerdict::Inconclusive => {}
                 }
             }
-            let own = self.own.get(worker).filter(|o| o.at + OWN_LIFE > now);
-            // Own eyes first: a worker that answers here is not moved for what others say.
-            let seen_well = own.is_some_and(|o| o.says() == Says::Well);
-            if against - for_it >= self.bounds.needed && origins >= 2 && !seen_well {
-                ill.push((against - for_it, *worker));
-            } else if for_it - against >= self.bounds.needed
-                && own.is_some_and(|o| o.says() == Says::Ill)
+            let own = self
+                .own_observations
+                .get(worker)
+                .filter(|o| o.at + OWN_OBSERVATION_LIFETIME > now);
+            // Local observations take precedence: a worker that answers here is not demoted.
+            let own_healthy = own.is_some_and(|o| o.verdict() == HealthVerdict::Healthy);
+            if against - in_favor >= self.bounds.needed_weight && origins >= 2 && !own_healthy {
+                unhealthy.push((against - in_favor, *worker));
+            } else if in_favor - against >= self.bounds.needed_weight
+                && own.is_some_and(|o| o.verdict() == HealthVerdict::Unhealthy)
             {
                 advice.push((*worker, HealthAdvice::Well));
             }
         }
-        if ill.len() as f64 > self.bounds.panic * ready.len() as f64 {
+        if unhealthy.len() as f64 > self.bounds.panic_share * ready.len() as f64 {
             self.panics += 1;
             return advice;
         }
-        ill.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let most = (self.bounds.share * ready.len() as f64).floor() as usize;
-        for (_, worker) in ill {
-            if self.down.contains_key(&worker) || self.down.len() >= most {
+        unhealthy.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        let most = (self.bounds.max_demoted_share * ready.len() as f64).floor() as usize;
+        for (_, worker) in unhealthy {
+            if self.demoted.contains_key(&worker) || self.demoted.len() >= most {
                 continue;
             }
-            let until = now + self.bounds.hold;
-            self.down.insert(worker, until);
+            let until = now + self.bounds.demotion_duration;
+            self.demoted.insert(worker, until);
             advice.push((worker, HealthAdvice::Down(until)));
         }
         advice
--- a/src/membership/reputation/tests.rs
+++ b/src/membership/reputation/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn two_origins_move_a_worker_down_one_does_not_and_own_eyes_come_first() {
+fn demotion_needs_two_origins_and_no_local_success() {
     let (mut t, mut r) = (Reputation::new(Bounds::default()), Observations::default());
     r.merge(10, SKEW, "a", WorkerId(1), ill(10));
     assert!(t.advise(10, &r, &ready(8)).is_empty(), "one origin alone");
@@ -37,20 +37,23 @@
     );
     assert!(
         t.advise(11, &r, &ready(8)).is_empty(),
-        "said once while it holds"
+        "advice is issued once while it is in force"
     );
     let mut t = Reputation::new(Bounds::default());
     t.observe(WorkerId(1), well(10));
-    assert!(t.advise(10, &r, &ready(8)).is_empty(), "it answers here");
-    assert!(t.weight(10, "a") < FIRST && t.weight(10, "b") < FIRST);
     assert!(
-        (t.weight(10 + 600 * SECOND, "a") - FIRST).abs() < 1e-9,
-        "regained, slowly"
+        t.advise(10, &r, &ready(8)).is_empty(),
+        "the worker answers here"
+    );
+    assert!(t.weight(10, "a") < INITIAL_WEIGHT && t.weight(10, "b") < INITIAL_WEIGHT);
+    assert!(
+        (t.weight(10 + 600 * SECOND, "a") - INITIAL_WEIGHT).abs() < 1e-9,
+        "the weight recovers slowly"
     );
 }
 
 #[test]
-fn a_liar_that_calls_all_dead_moves_nobody_and_loses_its_weight() {
+fn lying_origin_demotes_no_worker_and_loses_weight() {
     let (mut t, mut r, mut now) = (
         Reputation::new(Bounds::default()),
         Observations::default(),
@@ -65,7 +68,7 @@
         now += SECOND;
     }
     assert!(t.weight(now, "liar") < 0.05, "{}", t.weight(now, "liar"));
-    // Two liars together, before anything is known of them, meet the panic threshold.
+    // Two lying origins with initial weights exceed the panic share.
     let mut t = Reputation::new(Bounds::default());
     for w in 0..10 {
         r.merge(now, SKEW, "second", WorkerId(w), ill(now));
@@ -75,14 +78,15 @@
 }
 
 #[test]
-fn a_worker_falsely_called_well_gets_a_trial_and_no_more() {
+fn false_healthy_claims_allow_at_most_one_trial() {
     let (mut t, mut r) = (Reputation::new(Bounds::default()), Observations::default());
     let now = 10 * SECOND;
     t.observe(WorkerId(3), ill(now));
     for origin in ["a", "b", "c"] {
         r.merge(now, SKEW, origin, WorkerId(3), well(now));
     }
-    // Own evidence contradicts them at once; three contradicted liars weigh 0.9 together, and then less.
+    // Local attempts contradict the claims at once: three contradicted origins weigh 0.9 together,
+    // then less.
     let first = t.advise(now, &r, &ready(8));
     assert!(first.is_empty() || first == [(WorkerId(3), HealthAdvice::Well)]);
     for round in 1..4 {
@@ -96,10 +100,10 @@
 }
 
 proptest! {
-    /// Whatever is said by whomever, never more than the share of ready workers is down, each for a bounded time,
-    /// and only workers that are ready.
+    /// For any claims, at most the permitted share of ready workers is demoted, each for a bounded
+    /// time, and only ready workers are demoted.
     #[test]
-    fn rumours_never_reach_more_than_the_share(
+    fn demotions_never_exceed_the_permitted_share(
         claims in prop::collection::vec((0u8..6, 0u32..20, any::<bool>(), 0u64..8), 0..200), n in 1u32..20,
     ) {
         let (mut t, mut r) = (Reputation::new(Bounds::default()), Observations::default());
@@ -113,14 +117,14 @@
             for (worker, advice) in t.advise(now, &r, &ready(n)) {
                 prop_assert!(worker.0 < n);
                 if let HealthAdvice::Down(until) = advice {
-                    prop_assert!(until <= now + Bounds::default().hold);
+                    prop_assert!(until <= now + Bounds::default().demotion_duration);
                     down.insert(worker, until);
                 }
             }
             prop_assert!(down.len() as f64 <= 0.25 * f64::from(n));
             for origin in 0..6u8 {
                 let weight = t.weight(now, &origin.to_string());
-                prop_assert!((LEAST..=MOST).contains(&weight));
+                prop_assert!((MIN_WEIGHT..=MAX_WEIGHT).contains(&weight));
             }
         }
     }
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -28,15 +28,15 @@
     /// Members asked to probe in one's place.
     pub indirect: usize,
     /// The least time of a suspicion, in probe intervals for each power of ten of members.
-    pub suspicion: f64,
+    pub min_suspicion: f64,
     /// The longest time, as a multiple of the least.
-    pub suspicion_most: f64,
+    pub max_suspicion_factor: f64,
     /// Between exchanges of all that is known with one member.
     pub sync: Micros,
     /// How long a member that is dead or has left is remembered.
     pub forget: Micros,
     /// Members at most.
-    pub most: usize,
+    pub max_members: usize,
 }
 
 impl Default for Settings {
@@ -45,26 +45,26 @@
             interval: SECOND,
             timeout: SECOND / 2,
             indirect: 3,
-            suspicion: 4.0,
-            suspicion_most: 6.0,
+            min_suspicion: 4.0,
+            max_suspicion_factor: 6.0,
             sync: 30 * SECOND,
             forget: 300 * SECOND,
-            most: 2048,
+            max_members: 2048,
         }
     }
 }
 
 /// The worst local health; the interval and the time-out are multiplied by one more.
-const MOST_UNWELL: u32 = 8;
+const MAX_HEALTH_SCORE: u32 = 8;
 /// Accusers whose voices shorten a suspicion.
 const CONFIRMATIONS: u32 = 3;
 /// How often a piece of news is sent on, for each power of two of members.
-const RETRANSMIT: u32 = 3;
+const RETRANSMIT_FACTOR: u32 = 3;
 /// Accusations that were refuted within [`SILENCED`] after which an accuser has no voice for as long.
-const FAULTS: u32 = 3;
-const SILENCED: Micros = 60 * SECOND;
+const MAX_REFUTED_ACCUSATIONS: u32 = 3;
+const MUTE_DURATION: Micros = 60 * SECOND;
 /// Pages that one who is new is sent at once.
-const MOST_PAGES: usize = 64;
+const MAX_SYNC_PAGES: usize = 64;
 /// Records in one exchange's page: they fit one datagram.
 pub const MEMBERS_PER_MESSAGE: usize = 6;
 /// Pieces of news that ride on one message at most.
@@ -190,22 +190,22 @@
     /// When the suspicion began, and when it ends.
     suspicion: Option<(Micros, Micros)>,
     /// The last voice against it, which it is told of when it is heard from.
-    voice: Option<Suspicion>,
+    last_suspicion: Option<Suspicion>,
     /// When its wish for an exchange was last met.
     synced: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Timer {
     Probe,
     Sync,
     /// A probe's direct time, and its end.
-    Direct(u64),
-    End(u64),
+    DirectTimeout(u64),
+    ProbeEnd(u64),
     /// Suspicions and memories.
     Sweep,
     /// A probe made for another ends.
-    For(u64),
+    IndirectTimeout(u64),
 }
 
 #[derive(Clone, Debug)]
@@ -244,19 +244,19 @@
     members: BTreeMap<String, Member>,
     seeds: Vec<SocketAddr>,
     /// Names in the order in which they are probed next.
-    round: VecDeque<String>,
+    probe_order: VecDeque<String>,
     probes: BTreeMap<u64, Probe>,
     /// Probes made for others: our number, who asked, its number.
-    favours: BTreeMap<u64, (SocketAddr, u64)>,
-    due: BTreeSet<(Micros, Due)>,
+    indirect_requests: BTreeMap<u64, (SocketAddr, u64)>,
+    timers: BTreeSet<(Micros, Timer)>,
     news: Vec<(u32, News)>,
-    next: u64,
-    unwell: u32,
+    next_number: u64,
+    health_score: u32,
     /// The incarnation that a renewal was asked for.
-    renewing: Option<u64>,
-    page: usize,
+    pending_incarnation: Option<u64>,
+    sync_page: usize,
     /// Accusers whose accusations were refuted: how many, and when last.
-    faults: BTreeMap<String, (u32, Micros)>,
+    refuted_accusations: BTreeMap<String, (u32, Micros)>,
     random: ChaCha8Rng,
     outputs: VecDeque<Output>,
     leaving: bool,
@@ -268,10 +268,10 @@
     pub fn new(settings: Settings, own: Record, seed: u64, now: Micros) -> Swim {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let first = now + random.next_u64() % settings.interval.max(1);
-        let due = BTreeSet::from([
-            (first, Due::Probe),
-            (now, Due::Sync),
-            (now + SECOND, Due::Sweep),
+        let timers = BTreeSet::from([
+            (first, Timer::Probe),
+            (now, Timer::Sync),
+            (now + SECOND, Timer::Sweep),
         ]);
         let own_name = own.name.clone();
         let mut swim = Swim {
@@ -279,21 +279,21 @@
             own,
             members: BTreeMap::new(),
             seeds: Vec::new(),
-            round: VecDeque::new(),
+            probe_order: VecDeque::new(),
             probes: BTreeMap::new(),
-            favours: BTreeMap::new(),
-            due,
+            indirect_requests: BTreeMap::new(),
+            timers,
             news: Vec::new(),
-            next: 0,
-            unwell: 0,
-            renewing: None,
-            page: 0,
-            faults: BTreeMap::new(),
+            next_number: 0,
+            health_score: 0,
+            pending_incarnation: None,
+            sync_page: 0,
+            refuted_accusations: BTreeMap::new(),
             random,
             outputs: VecDeque::new(),
             leaving: false,
         };
-        swim.tell(News::Record(own_name));
+        swim.queue_news(News::Record(own_name));
         swim
     }
 
@@ -304,7 +304,7 @@
 
     /// When [`Input::Tick`] is next to be given.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.due.first().map(|(t, _)| *t)
+        self.timers.first().map(|(t, _)| *t)
     }
 
     /// The members, without oneself.
@@ -328,11 +328,11 @@
     }
 
     /// How unwell this instance itself seems to be: 0 for well, 8 at most.
-    pub fn unwell(&self) -> u32 {
-        self.unwell
+    pub fn health_score(&self) -> u32 {
+        self.health_score
     }
 
-    fn present(&self) -> usize {
+    fn live_members(&self) -> usize {
         self.members
             .values()
             .filter(|m| m.standing <= MemberState::Suspect)
@@ -342,18 +342,20 @@
     /// Takes what has happened.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Message(from, address, message) => self.message(now, &from, address, message),
+            Input::Message(from, address, message) => {
+                self.handle_message(now, &from, address, message)
+            }
             Input::Known(records, seeds) => {
                 self.seeds = seeds;
                 for record in records {
-                    self.record(now, record);
+                    self.apply_record(now, record);
                 }
-                self.due.insert((now, Due::Sync));
+                self.timers.insert((now, Timer::Sync));
             }
             Input::Tick => {
-                while let Some(&(at, due)) = self.due.first().filter(|(t, _)| *t <= now) {
-                    self.due.remove(&(at, due));
-                    self.fell_due(now, due);
+                while let Some(&(at, timer)) = self.timers.first().filter(|(t, _)| *t <= now) {
+                    self.timers.remove(&(at, timer));
+                    self.run_timer(now, timer);
                 }
             }
             Input::Leave => {
@@ -366,17 +368,17 @@
 
     /// One's own record, sealed anew.
     pub fn renew(&mut self, record: Record) {
-        self.renewing = None;
+        self.pending_incarnation = None;
         let leaving = record.leaving;
         self.own = record;
         let name = self.own.name.clone();
         self.news
             .retain(|(_, n)| !matches!(n, News::Record(r) if *r == name));
-        self.tell(News::Record(name));
+        self.queue_news(News::Record(name));
         if leaving {
             // Said at once to a few: there is no later.
-            for address in self.pick(self.settings.indirect + 1, "") {
-                self.next += 1;
+            for address in self.pick_members(self.settings.indirect + 1, "") {
+                self.next_number += 1;
                 self.send(address, Say::Sync(false));
             }
         }
@@ -384,17 +386,17 @@
 
     /// An accusation of one's own, sealed.
     pub fn accuse(&mut self, now: Micros, accusation: Suspicion) {
-        self.accusation(now, accusation);
+        self.apply_accusation(now, accusation);
     }
 
-    fn tell(&mut self, news: News) {
+    fn queue_news(&mut self, news: News) {
         self.news.push((0, news));
     }
 
     /// News for one message: what has gone out least comes first.
-    fn riders(&mut self, most: usize) -> (Vec<Record>, Vec<Suspicion>) {
-        let n = self.present() as u32 + 2;
-        let times = RETRANSMIT * (32 - n.leading_zeros());
+    fn take_news(&mut self, most: usize) -> (Vec<Record>, Vec<Suspicion>) {
+        let n = self.live_members() as u32 + 2;
+        let times = RETRANSMIT_FACTOR * (32 - n.leading_zeros());
         // A refutation goes before what it refutes.
         self.news
             .sort_by_key(|(sent, n)| (*sent, matches!(n, News::Accusation(_))));
@@ -414,14 +416,14 @@
     }
 
     fn send(&mut self, to: SocketAddr, say: Say) {
-        let (records, mut accusations) = self.riders(PIGGYBACKED_PER_MESSAGE);
+        let (records, mut accusations) = self.take_news(PIGGYBACKED_PER_MESSAGE);
         // The buddy system: who is suspected or thought dead hears of it from whoever speaks with it.
-        let voice = self
+        let last_suspicion = self
             .members
             .values()
             .find(|m| m.record.address == to)
-            .and_then(|m| m.voice.clone());
-        accusations.extend(voice);
+            .and_then(|m| m.last_suspicion.clone());
+        accusations.extend(last_suspicion);
         self.outputs.push_back(Output::Send(
             to,
             Message {
@@ -433,11 +435,11 @@
     }
 
     /// A few members that are there, at random, but for one.
-    fn pick(&mut self, n: usize, but: &str) -> Vec<SocketAddr> {
+    fn pick_members(&mut self, n: usize, except: &str) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self
             .members
             .iter()
-            .filter(|(name, m)| m.standing == MemberState::Alive && *name != but)
+            .filter(|(name, m)| m.standing == MemberState::Alive && *name != except)
             .map(|(_, m)| m.record.address)
             .collect();
         let mut chosen = Vec::new();
@@ -448,7 +450,7 @@
         chosen
     }
 
-    fn set(&mut self, now: Micros, name: &str, standing: MemberState) {
+    fn set_state(&mut self, now: Micros, name: &str, standing: MemberState) {
         let Some(m) = self
             .members
             .get_mut(name)
@@ -467,7 +469,7 @@
 
     // ---- What others say ----
 
-    fn message(&mut self, now: Micros, from: &str, address: SocketAddr, message: Message) {
+    fn handle_message(&mut self, now: Micros, from: &str, address: SocketAddr, message: Message) {
         let Message {
             say,
             records,
@@ -478,10 +480,10 @@
             .get(from)
             .is_none_or(|m| m.standing != MemberState::Alive);
         for record in records {
-            self.record(now, record);
+            self.apply_record(now, record);
         }
         for a in accusations {
-            self.accusation(now, a);
+            self.apply_accusation(now, a);
         }
         if let Some(m) = self.members.get_mut(from) {
             m.heard = now;
@@ -492,7 +494,7 @@
             }
             // Another had this address before.
             Say::Ping(..) => {}
-            Say::Ack(number) => self.acked(now, from, number),
+            Say::Ack(number) => self.handle_ack(now, from, number),
             Say::Nack(number) => {
                 if let Some(p) = self.probes.get_mut(&number) {
                     p.nacks += 1;
@@ -502,14 +504,14 @@
                 let Some(to) = self.members.get(&name).map(|m| m.record.address) else {
                     return;
                 };
-                if self.favours.len() >= 64 {
+                if self.indirect_requests.len() >= 64 {
                     return;
                 }
-                self.next += 1;
-                let ours = self.next;
-                self.favours.insert(ours, (address, number));
-                self.due
-                    .insert((now + self.settings.timeout, Due::For(ours)));
+                self.next_number += 1;
+                let ours = self.next_number;
+                self.indirect_requests.insert(ours, (address, number));
+                self.timers
+                    .insert((now + self.settings.timeout, Timer::IndirectTimeout(ours)));
                 self.send(to, Say::Ping(ours, name));
             }
             Say::Sync(wanted) => {
@@ -523,7 +525,11 @@
                         m.synced = now;
                     }
                     // One that is new is told all at once.
-                    let pages = if new { self.pages().min(MOST_PAGES) } else { 1 };
+                    let pages = if new {
+                        self.pages().min(MAX_SYNC_PAGES)
+                    } else {
+                        1
+                    };
                     (0..pages).for_each(|_| self.sync(address, false));
                 }
             }
@@ -531,27 +537,30 @@
     }
 
     /// Whether an accuser has lost its voice.
-    fn silenced(&self, now: Micros, by: &str) -> bool {
-        self.faults
+    fn is_muted(&self, now: Micros, by: &str) -> bool {
+        self.refuted_accusations
             .get(by)
-            .is_some_and(|(n, at)| *n >= FAULTS && now < at + SILENCED)
+            .is_some_and(|(n, at)| *n >= MAX_REFUTED_ACCUSATIONS && now < at + MUTE_DURATION)
     }
 
     /// An accusation was refuted.
-    fn fault(&mut self, now: Micros, by: &str) {
+    fn count_refuted_accusation(&mut self, now: Micros, by: &str) {
         if !self.members.contains_key(by) {
             return;
         }
-        let fault = self.faults.entry(by.to_owned()).or_insert((0, now));
-        *fault = if now < fault.1 + SILENCED {
+        let fault = self
+            .refuted_accusations
+            .entry(by.to_owned())
+            .or_insert((0, now));
+        *fault = if now < fault.1 + MUTE_DURATION {
             (fault.0.saturating_add(1), now)
         } else {
             (1, now)
         };
     }
 
-    fn acked(&mut self, now: Micros, from: &str, number: u64) {
-        if let Some((asker, theirs)) = self.favours.remove(&number) {
+    fn handle_ack(&mut self, now: Micros, from: &str, number: u64) {
+        if let Some((asker, theirs)) = self.indirect_requests.remove(&number) {
             return self.send(asker, Say::Ack(theirs));
         }
         let Some(p) = self.probes.get(&number) else {
@@ -562,7 +571,7 @@
         if direct || p.indirect {
             let target = p.target.clone();
             self.probes.remove(&number);
-            self.unwell = self.unwell.saturating_sub(1);
+            self.health_score = self.health_score.saturating_sub(1);
             if let Some(m) = self.members.get_mut(&target) {
                 m.heard = now;
             }
@@ -570,7 +579,7 @@
     }
 
     /// A record that its member sealed.
-    fn record(&mut self, now: Micros, record: Record) {
+    fn apply_record(&mut self, now: Micros, record: Record) {
         let name = record.name.clone();
         if name == self.own.name {
             // One's own, from another life or from a clock that was ahead: outdone, so that it is not believed.
@@ -585,14 +594,14 @@
             Some(m) if record.incarnation <= m.record.incarnation => return,
             Some(m) => {
                 m.record = record;
-                m.voice = None;
+                m.last_suspicion = None;
                 for by in std::mem::take(&mut m.accusers) {
-                    self.fault(now, &by);
+                    self.count_refuted_accusation(now, &by);
                 }
             }
             None => {
                 // One that has left is not news to who never knew it.
-                if self.members.len() >= self.settings.most || record.leaving {
+                if self.members.len() >= self.settings.max_members || record.leaving {
                     return;
                 }
                 let member = Member {
@@ -602,21 +611,21 @@
                     heard: now,
                     accusers: BTreeSet::new(),
                     suspicion: None,
-                    voice: None,
+                    last_suspicion: None,
                     synced: 0,
                 };
                 self.members.insert(name.clone(), member);
-                let at = self.random.next_u64() as usize % (self.round.len() + 1);
-                self.round.insert(at, name.clone());
+                let at = self.random.next_u64() as usize % (self.probe_order.len() + 1);
+                self.probe_order.insert(at, name.clone());
             }
         }
         self.news.retain(|(_, n)| match n {
             News::Record(r) => *r != name,
             News::Accusation(a) => a.accused != name,
         });
-        self.tell(News::Record(name.clone()));
+        self.queue_news(News::Record(name.clone()));
         let leaving = self.members.get(&name).is_some_and(|m| m.record.leaving);
-        self.set(
+        self.set_state(
             now,
             &name,
             if leaving {
@@ -629,22 +638,22 @@
 
     fn refute(&mut self, incarnation: u64) {
         let next = incarnation.max(self.own.incarnation).saturating_add(1);
-        if self.renewing < Some(next) {
-            self.renewing = Some(next);
+        if self.pending_incarnation < Some(next) {
+            self.pending_incarnation = Some(next);
             self.outputs.push_back(Output::Renew(next, self.leaving));
         }
     }
 
     /// A voice against a member.
-    fn accusation(&mut self, now: Micros, a: Suspicion) {
+    fn apply_accusation(&mut self, now: Micros, a: Suspicion) {
         if a.accused == self.own.name {
             if a.incarnation == self.own.incarnation && !self.leaving {
                 // To be suspected is a sign of being slow oneself, unless by one who suspects everybody.
-                if !self.silenced(now, &a.by) {
-                    self.unwell = (self.unwell + 1).min(MOST_UNWELL);
+                if !self.is_muted(now, &a.by) {
+                    self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
                 }
-                if self.renewing.is_none() {
-                    self.fault(now, &a.by);
+                if self.pending_incarnation.is_none() {
+                    self.count_refuted_accusation(now, &a.by);
                 }
                 self.refute(a.incarnation);
             }
@@ -656,12 +665,12 @@
                 .members
                 .get(&a.by)
                 .is_some_and(|m| m.standing != MemberState::Left);
-        if !known || self.silenced(now, &a.by) {
+        if !known || self.is_muted(now, &a.by) {
             return;
         }
-        let n = self.present();
+        let n = self.live_members();
         let least = self.least_suspicion(n);
-        let most = (least as f64 * self.settings.suspicion_most) as Micros;
+        let most = (least as f64 * self.settings.max_suspicion_factor) as Micros;
         let Some(m) = self.members.get_mut(&a.accused) else {
             return;
         };
@@ -671,39 +680,39 @@
             return;
         }
         m.accusers.insert(a.by.clone());
-        m.voice = Some(a.clone());
-        let voices = (m.accusers.len() - 1) as f64;
-        let shorter = (voices + 1.0).ln() / (f64::from(CONFIRMATIONS) + 1.0).ln();
+        m.last_suspicion = Some(a.clone());
+        let confirmations = (m.accusers.len() - 1) as f64;
+        let shorter = (confirmations + 1.0).ln() / (f64::from(CONFIRMATIONS) + 1.0).ln();
         let span = most - ((most - least) as f64 * shorter.min(1.0)) as Micros;
         let began = m.suspicion.map_or(now, |(began, _)| began);
         m.suspicion = Some((began, began + span));
-        self.tell(News::Accusation(a.clone()));
-        self.set(now, &a.accused, MemberState::Suspect);
-        self.due.insert((began + span, Due::Sweep));
+        self.queue_news(News::Accusation(a.clone()));
+        self.set_state(now, &a.accused, MemberState::Suspect);
+        self.timers.insert((began + span, Timer::Sweep));
     }
 
     fn least_suspicion(&self, n: usize) -> Micros {
         let digits = ((n.max(1) as f64).log10()).max(1.0);
-        (self.settings.suspicion * digits * self.settings.interval as f64) as Micros
+        (self.settings.min_suspicion * digits * self.settings.interval as f64) as Micros
     }
 
     // ---- Time ----
 
-    fn fell_due(&mut self, now: Micros, due: Due) {
-        let pace = Micros::from(self.unwell + 1);
-        match due {
-            Due::Probe => {
+    fn run_timer(&mut self, now: Micros, timer: Timer) {
+        let pace = Micros::from(self.health_score + 1);
+        match timer {
+            Timer::Probe => {
                 self.probe(now);
-                self.due
-                    .insert((now + self.settings.interval * pace, Due::Probe));
+                self.timers
+                    .insert((now + self.settings.interval * pace, Timer::Probe));
             }
-            Due::Direct(number) => {
+            Timer::DirectTimeout(number) => {
                 let Some(p) = self.probes.get_mut(&number) else {
                     return;
                 };
                 p.indirect = true;
                 let target = p.target.clone();
-                let others = self.pick(self.settings.indirect, &target);
+                let others = self.pick_members(self.settings.indirect, &target);
                 if let Some(p) = self.probes.get_mut(&number) {
                     p.asked = others.len();
                 }
@@ -711,14 +720,15 @@
                     self.send(to, Say::PingFor(number, target.clone()));
                 }
             }
-            Due::End(number) => {
+            Timer::ProbeEnd(number) => {
                 let Some(p) = self.probes.remove(&number) else {
                     return;
                 };
                 // Those asked would have said so if only the target were silent: what is missing of that is a sign
                 // against oneself.
                 let missing = p.asked.saturating_sub(p.nacks) as u32;
-                self.unwell = (self.unwell + missing.max(u32::from(p.asked == 0))).min(MOST_UNWELL);
+                self.health_score = (self.health_score + missing.max(u32::from(p.asked == 0)))
+                    .min(MAX_HEALTH_SCORE);
                 let incarnation = self
                     .members
                     .get(&p.target)
@@ -728,13 +738,13 @@
                         .push_back(Output::Accuse(p.target, incarnation));
                 }
             }
-            Due::For(number) => {
-                if let Some((asker, theirs)) = self.favours.remove(&number) {
+            Timer::IndirectTimeout(number) => {
+                if let Some((asker, theirs)) = self.indirect_requests.remove(&number) {
                     self.send(asker, Say::Nack(theirs));
                 }
             }
-            Due::Sync => {
-                let others = self.pick(1, "");
+            Timer::Sync => {
+                let others = self.pick_members(1, "");
                 let to = match others.first() {
                     Some(to) => Some(*to),
                     // Alone: the seeds, and those who were there before.
@@ -748,10 +758,10 @@
                 if let Some(to) = to {
                     self.sync(to, true);
                 }
-                self.due.retain(|(_, d)| *d != Due::Sync);
-                self.due.insert((now + soon, Due::Sync));
+                self.timers.retain(|(_, d)| *d != Timer::Sync);
+                self.timers.insert((now + soon, Timer::Sync));
             }
-            Due::Sweep => self.sweep(now),
+            Timer::Sweep => self.sweep(now),
         }
     }
 
@@ -773,8 +783,8 @@
     }
 
     fn probe(&mut self, now: Micros) {
-        for _ in 0..=self.round.len() {
-            let Some(name) = self.round.pop_front() else {
+        for _ in 0..=self.probe_order.len() {
+            let Some(name) = self.probe_order.pop_front() else {
                 return;
             };
             let Some(m) = self.members.get(&name) else {
@@ -782,21 +792,21 @@
             };
             let address = m.record.address;
             // Those thought dead are asked now and then, or two halves of a group would never find together again.
-            let due = match m.standing {
+            let selected = match m.standing {
                 MemberState::Alive | MemberState::Suspect => true,
                 MemberState::Dead => self.random.next_u64().is_multiple_of(4),
                 MemberState::Left => false,
             };
-            self.round.push_back(name.clone());
-            if !due {
+            self.probe_order.push_back(name.clone());
+            if !selected {
                 continue;
             }
             if m.standing == MemberState::Dead {
                 return self.sync(address, true);
             }
-            self.next += 1;
-            let number = self.next;
-            let pace = Micros::from(self.unwell + 1);
+            self.next_number += 1;
+            let number = self.next_number;
+            let pace = Micros::from(self.health_score + 1);
             self.probes.insert(
                 number,
                 Probe {
@@ -806,39 +816,41 @@
                     indirect: false,
                 },
             );
-            self.due
-                .insert((now + self.settings.timeout * pace, Due::Direct(number)));
-            self.due
-                .insert((now + self.settings.interval * pace, Due::End(number)));
+            self.timers.insert((
+                now + self.settings.timeout * pace,
+                Timer::DirectTimeout(number),
+            ));
+            self.timers
+                .insert((now + self.settings.interval * pace, Timer::ProbeEnd(number)));
             return self.send(address, Say::Ping(number, name));
         }
     }
 
     /// Pages that all that is known takes.
     fn pages(&self) -> usize {
-        self.present().div_ceil(MEMBERS_PER_MESSAGE - 1).max(1)
+        self.live_members().div_ceil(MEMBERS_PER_MESSAGE - 1).max(1)
     }
 
     /// A page of all that is known; with each exchange the next one.
     fn sync(&mut self, to: SocketAddr, wanted: bool) {
         let mut all: Vec<Record> = vec![self.own.clone()];
-        self.page = (self.page + 1) % self.pages();
+        self.sync_page = (self.sync_page + 1) % self.pages();
         let known = self
             .members
             .values()
             .filter(|m| m.standing <= MemberState::Suspect);
         all.extend(
             known
-                .skip(self.page * (MEMBERS_PER_MESSAGE - 1))
+                .skip(self.sync_page * (MEMBERS_PER_MESSAGE - 1))
                 .take(MEMBERS_PER_MESSAGE - 1)
                 .map(|m| m.record.clone()),
         );
-        let voice = self
+        let last_suspicion = self
             .members
             .values()
             .find(|m| m.record.address == to)
-            .and_then(|m| m.voice.clone());
-        let accusations = voice.into_iter().collect();
+            .and_then(|m| m.last_suspicion.clone());
+        let accusations = last_suspicion.into_iter().collect();
         let message = Message {
             say: Say::Sync(wanted),
             records: all,
@@ -858,7 +870,7 @@
         for name in dead {
             self.news
                 .retain(|(_, n)| !matches!(n, News::Accusation(a) if a.accused == name));
-            self.set(now, &name, MemberState::Dead);
+            self.set_state(now, &name, MemberState::Dead);
         }
         let forget = self.settings.forget;
         let gone = |m: &&Member| m.standing >= MemberState::Dead && now >= m.since + forget;
@@ -870,19 +882,19 @@
             .collect();
         for name in gone {
             self.members.remove(&name);
-            self.round.retain(|n| *n != name);
-            self.faults.remove(&name);
+            self.probe_order.retain(|n| *n != name);
+            self.refuted_accusations.remove(&name);
             self.outputs.push_back(Output::Forgotten(name));
         }
-        self.due.retain(|(_, d)| *d != Due::Sweep);
+        self.timers.retain(|(_, d)| *d != Timer::Sweep);
         let next = self
             .members
             .values()
             .filter_map(|m| m.suspicion.map(|(_, end)| end))
             .min();
-        self.due.insert((
+        self.timers.insert((
             next.unwrap_or(now + SECOND).min(now + SECOND).max(now + 1),
-            Due::Sweep,
+            Timer::Sweep,
         ));
     }
 }
--- a/src/membership/swim_tests.rs
+++ b/src/membership/swim_tests.rs
@@ -8,8 +8,8 @@
     now: Micros,
     nodes: BTreeMap<String, Swim>,
     /// When, in which order, to whom, from whom.
-    flying: BTreeSet<(Micros, u64)>,
-    letters: BTreeMap<u64, (SocketAddr, String, Message)>,
+    in_flight: BTreeSet<(Micros, u64)>,
+    messages: BTreeMap<u64, (SocketAddr, String, Message)>,
     random: ChaCha8Rng,
     loss: u64,
     /// From whom nothing reaches whom.
@@ -43,8 +43,8 @@
         let mut net = Net {
             now: SECOND,
             nodes: BTreeMap::new(),
-            flying: BTreeSet::new(),
-            letters: BTreeMap::new(),
+            in_flight: BTreeSet::new(),
+            messages: BTreeMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             loss,
             cut: BTreeSet::new(),
@@ -76,8 +76,8 @@
                     }
                     self.count += 1;
                     let at = self.now + 1000 + self.random.next_u64() % 20_000;
-                    self.flying.insert((at, self.count));
-                    self.letters
+                    self.in_flight.insert((at, self.count));
+                    self.messages
                         .insert(self.count, (to, who.to_owned(), message));
                 }
                 Output::Accuse(accused, incarnation) => {
@@ -120,19 +120,19 @@
                 .iter()
                 .filter_map(|(n, s)| Some((s.next_deadline()?, n.clone())))
                 .min();
-            let letter = self.flying.first().copied();
+            let delivery = self.in_flight.first().copied();
             let at = tick
                 .as_ref()
                 .map_or(Micros::MAX, |t| t.0)
-                .min(letter.map_or(Micros::MAX, |l| l.0));
+                .min(delivery.map_or(Micros::MAX, |l| l.0));
             if at > end {
                 self.now = end;
                 return;
             }
             self.now = self.now.max(at);
-            if let Some((_, number)) = letter.filter(|l| l.0 == at) {
-                self.flying.pop_first();
-                let Some((to, from, message)) = self.letters.remove(&number) else {
+            if let Some((_, number)) = delivery.filter(|l| l.0 == at) {
+                self.in_flight.pop_first();
+                let Some((to, from, message)) = self.messages.remove(&number) else {
                     continue;
                 };
                 let Some(who) = self
@@ -204,10 +204,9 @@
         .nodes
         .values()
         .all(|s| s.standing(&name(3)).is_none() && s.members.len() == 18));
-    assert!(net
-        .nodes
-        .values()
-        .all(|s| !s.round.contains(&name(3)) && s.probes.len() < 4 && s.favours.len() < 8));
+    assert!(net.nodes.values().all(|s| !s.probe_order.contains(&name(3))
+        && s.probes.len() < 4
+        && s.indirect_requests.len() < 8));
 }
 
 /// Loss of a third of all datagrams: nobody who is there stays dead to anybody.
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -28,7 +28,7 @@
 const ENVELOPE: u8 = 1;
 const RECORD: u8 = 2;
 const ACCUSATION: u8 = 3;
-const SIGHTING: u8 = 4;
+const OBSERVATION: u8 = 4;
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Envelope {
@@ -60,7 +60,7 @@
     #[prost(message, repeated, tag = "5")]
     accusations: Vec<AccusationPart>,
     #[prost(message, repeated, tag = "6")]
-    sightings: Vec<SightingPart>,
+    observations: Vec<ObservationPart>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -90,19 +90,19 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct SightingPart {
+struct ObservationPart {
     #[prost(string, tag = "1")]
     origin: String,
     #[prost(uint64, tag = "2")]
     at_us: u64,
     #[prost(message, repeated, tag = "3")]
-    seen: Vec<SeenPart>,
+    seen: Vec<WorkerOutcomesPart>,
     #[prost(bytes = "vec", tag = "4")]
     seal: Vec<u8>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct SeenPart {
+struct WorkerOutcomesPart {
     #[prost(fixed32, tag = "1")]
     worker: u32,
     #[prost(uint32, tag = "2")]
@@ -171,15 +171,15 @@
     }
 }
 
-fn put(out: &mut Vec<u8>, part: &[u8]) {
+fn put_with_length(out: &mut Vec<u8>, part: &[u8]) {
     out.extend((part.len() as u64).to_le_bytes());
     out.extend(part);
 }
 
 fn record_content(name: &str, address: &str, incarnation: u64, leaving: bool) -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, name.as_bytes());
-    put(&mut out, address.as_bytes());
+    put_with_length(&mut out, name.as_bytes());
+    put_with_length(&mut out, address.as_bytes());
     out.extend(incarnation.to_le_bytes());
     out.push(u8::from(leaving));
     out
@@ -187,15 +187,15 @@
 
 fn accusation_content(accused: &str, incarnation: u64, by: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, accused.as_bytes());
-    put(&mut out, by.as_bytes());
+    put_with_length(&mut out, accused.as_bytes());
+    put_with_length(&mut out, by.as_bytes());
     out.extend(incarnation.to_le_bytes());
     out
 }
 
-fn sighting_content(origin: &str, at: Micros, seen: &[(WorkerId, Observation)]) -> Vec<u8> {
+fn observation_content(origin: &str, at: Micros, seen: &[(WorkerId, Observation)]) -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, origin.as_bytes());
+    put_with_length(&mut out, origin.as_bytes());
     out.extend(at.to_le_bytes());
     for (w, o) in seen {
         for n in [w.0, o.answered, o.failed, o.silent, o.refused] {
@@ -250,7 +250,7 @@
     at: Micros,
     seen: Vec<(WorkerId, Observation)>,
 ) -> SealedObservation {
-    let seal = keys.seal(SIGHTING, &sighting_content(origin, at, &seen));
+    let seal = keys.seal(OBSERVATION, &observation_content(origin, at, &seen));
     SealedObservation {
         origin: origin.into(),
         at,
@@ -262,10 +262,10 @@
 fn envelope_content(e: &Envelope) -> Vec<u8> {
     let mut out = Vec::with_capacity(e.body.len() + 96);
     out.extend(e.version.to_le_bytes());
-    put(&mut out, e.from.as_bytes());
+    put_with_length(&mut out, e.from.as_bytes());
     out.extend(e.number.to_le_bytes());
     out.extend(e.sent_us.to_le_bytes());
-    put(&mut out, &e.body);
+    put_with_length(&mut out, &e.body);
     out
 }
 
@@ -287,8 +287,8 @@
     number: u64,
     now: Micros,
     message: &Message,
-    most: usize,
-    mut sightings: impl FnMut(usize) -> Option<SealedObservation>,
+    max_bytes: usize,
+    mut observations: impl FnMut(usize) -> Option<SealedObservation>,
 ) -> Option<Vec<u8>> {
     let (say, asked, name) = match &message.say {
         Say::Ping(n, name) => (1, *n, name.clone()),
@@ -305,7 +305,7 @@
         ..Body::default()
     };
     // The envelope around a body: its fields, their tags and lengths, and the longest seal.
-    let room = most.checked_sub(from.len() + 64 + 40)?;
+    let room = max_bytes.checked_sub(from.len() + 64 + 40)?;
     let mut left = room.checked_sub(body.encoded_len())?;
     let mut fits = |size: usize| {
         let whole = size + 4;
@@ -330,15 +330,15 @@
             body.accusations.push(part);
         }
     }
-    while let Some(s) = sightings(left.saturating_sub(4)) {
-        let seen = s.seen.iter().map(|(w, o)| SeenPart {
+    while let Some(s) = observations(left.saturating_sub(4)) {
+        let seen = s.seen.iter().map(|(w, o)| WorkerOutcomesPart {
             worker: w.0,
             answered: o.answered,
             failed: o.failed,
             silent: o.silent,
             refused: o.refused,
         });
-        let part = SightingPart {
+        let part = ObservationPart {
             origin: s.origin,
             at_us: s.at,
             seen: seen.collect(),
@@ -349,7 +349,7 @@
             break;
         }
         left -= whole;
-        body.sightings.push(part);
+        body.observations.push(part);
     }
     let mut e = Envelope {
         version: VERSION,
@@ -361,25 +361,25 @@
     };
     e.seal = keys.seal(ENVELOPE, &envelope_content(&e));
     let bytes = e.encode_to_vec();
-    (bytes.len() <= most).then_some(bytes)
+    (bytes.len() <= max_bytes).then_some(bytes)
 }
 
 /// Bytes that a sighting takes in a datagram.
-pub fn sighting_size(origin: &str, seen: usize) -> usize {
+pub fn sealed_observation_size(origin: &str, seen: usize) -> usize {
     origin.len() + 64 + 20 + seen * 27
 }
 
 /// Numbers seen of one sender: those below the window count as seen.
 #[derive(Clone, Copy, Debug, Default)]
-struct Window {
+struct ReplayWindow {
     highest: u64,
     bits: u128,
     heard: Micros,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Takes a number; `false` if it was taken before or is too old to tell.
-    fn take(&mut self, number: u64) -> bool {
+    fn accept(&mut self, number: u64) -> bool {
         if number > self.highest {
             let ahead = number - self.highest;
             self.bits = if ahead >= 128 { 0 } else { self.bits << ahead };
@@ -411,13 +411,13 @@
 /// Opens datagrams.
 #[derive(Clone, Debug, Default)]
 pub struct Opener {
-    windows: BTreeMap<String, Window>,
+    windows: BTreeMap<String, ReplayWindow>,
     /// How many were refused, by why.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
 /// Senders whose numbers are remembered.
-const MOST_WINDOWS: usize = 4096;
+const MAX_SENDERS: usize = 4096;
 
 impl Opener {
     /// Opens a datagram. What costs little is looked at first; seals last.
@@ -463,13 +463,13 @@
         if !keys.check(&e.from, ENVELOPE, &envelope_content(&e), &e.seal) {
             return Err(DatagramError::Seal);
         }
-        let full = self.windows.len() >= MOST_WINDOWS && !self.windows.contains_key(&e.from);
+        let full = self.windows.len() >= MAX_SENDERS && !self.windows.contains_key(&e.from);
         if full {
             // What is older than the skew is refused by its time alone.
             self.windows.retain(|_, w| w.heard + 2 * SKEW > now);
         }
         let window = self.windows.entry(e.from.clone()).or_default();
-        if !window.take(e.number) {
+        if !window.accept(e.number) {
             return Err(DatagramError::Replayed);
         }
         window.heard = now;
@@ -527,7 +527,7 @@
             }
         }
         let mut sightings = Vec::new();
-        for part in body.sightings {
+        for part in body.observations {
             let seen: Vec<(WorkerId, Observation)> = part
                 .seen
                 .iter()
@@ -542,9 +542,9 @@
                     (WorkerId(s.worker), o)
                 })
                 .collect();
-            let content = sighting_content(&part.origin, part.at_us, &seen);
+            let content = observation_content(&part.origin, part.at_us, &seen);
             if seen.len() <= MAX_OBSERVATIONS
-                && keys.check(&part.origin, SIGHTING, &content, &part.seal)
+                && keys.check(&part.origin, OBSERVATION, &content, &part.seal)
             {
                 sightings.push(SealedObservation {
                     origin: part.origin,
--- a/src/membership/wire/tests.rs
+++ b/src/membership/wire/tests.rs
@@ -154,11 +154,11 @@
 
     /// A datagram is never longer than is asked, whatever rides on it.
     #[test]
-    fn what_does_not_fit_is_left_out(most in 0usize..MTU, n in 0usize..40) {
+    fn what_does_not_fit_is_left_out(max_bytes in 0usize..MTU, n in 0usize..40) {
         let a = each(0, 2);
         let records = (0..n).map(|i| seal_record(&a, &format!("member-{i}"), address(1), 5, false)).collect();
         let message = Message { say: Say::Sync(true), records, accusations: Vec::new() };
-        let bytes = pack(&a, "a", 1, NOW, &message, most, |left| (left > 200).then(|| sighting(&a)));
-        prop_assert!(bytes.is_none_or(|b| b.len() <= most));
+        let bytes = pack(&a, "a", 1, NOW, &message, max_bytes, |left| (left > 200).then(|| sighting(&a)));
+        prop_assert!(bytes.is_none_or(|b| b.len() <= max_bytes));
     }
 }
--- a/src/tenancy/endpoint.rs
+++ b/src/tenancy/endpoint.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Secret, TenantError, MOST_SECRETS};
+use super::{Secret, TenantError, MAX_SECRETS};
 use crate::api::Micros;
 use crate::delivery::schedule::Schedule;
 use crate::delivery::{Enabled, EndpointId, EndpointPlan};
@@ -13,10 +13,10 @@
 /// The type of event that answers a call; the only one that goes to an endpoint that names none.
 pub const COMPLETED: &str = "call.completed";
 /// Event types that an endpoint may name.
-const MOST_TYPES: usize = 32;
+const MAX_EVENT_TYPES: usize = 32;
 /// Attempts out at once where nothing is said.
-const IN_FLIGHT: u32 = 8;
-const MOST_IN_FLIGHT: u32 = 64;
+const DEFAULT_IN_FLIGHT: u32 = 8;
+const MAX_IN_FLIGHT: u32 = 64;
 
 /// Where messages go. There is no DNS: the address is numeric.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -110,7 +110,7 @@
             types: Vec::new(),
             enabled: Enabled::Yes,
             rate_per_s: 0.0,
-            in_flight: IN_FLIGHT,
+            in_flight: DEFAULT_IN_FLIGHT,
             schedule: None,
             ordered: false,
             version: 0,
@@ -135,7 +135,7 @@
                         .bytes()
                         .all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b))
             };
-            if types.len() > MOST_TYPES || !types.iter().all(clean) {
+            if types.len() > MAX_EVENT_TYPES || !types.iter().all(clean) {
                 return Err(TenantError::Types);
             }
             new.types.clone_from(types);
@@ -151,7 +151,7 @@
         if !rate.is_finite() || rate < 0.0 || (rate > 0.0 && rate < 0.001) {
             return Err(TenantError::Limits);
         }
-        if !(1..=MOST_IN_FLIGHT).contains(&new.in_flight) {
+        if !(1..=MAX_IN_FLIGHT).contains(&new.in_flight) {
             return Err(TenantError::Limits);
         }
         if let Some(pauses) = &spec.schedule_s {
@@ -162,7 +162,7 @@
         }
         new.ordered = spec.ordered.unwrap_or(new.ordered);
         if let Some(secrets) = &spec.secrets {
-            if secrets.len() > MOST_SECRETS {
+            if secrets.len() > MAX_SECRETS {
                 return Err(TenantError::TooMany);
             }
             new.secrets = secrets
@@ -238,7 +238,7 @@
 
 /// An endpoint as the state file keeps it, secrets and all.
 #[derive(Deserialize, Serialize)]
-pub(super) struct KeptEndpoint {
+pub(super) struct StoredEndpoint {
     name: String,
     id: EndpointId,
     url: String,
@@ -252,9 +252,9 @@
     pub(super) secrets: Vec<(String, Option<Micros>)>,
 }
 
-impl KeptEndpoint {
-    pub(super) fn of(name: &str, e: &Endpoint) -> KeptEndpoint {
-        KeptEndpoint {
+impl StoredEndpoint {
+    pub(super) fn of(name: &str, e: &Endpoint) -> StoredEndpoint {
+        StoredEndpoint {
             name: name.to_owned(),
             id: e.id,
             url: e.portal.to_string(),
@@ -265,7 +265,7 @@
             schedule_s: e.schedule.as_ref().map_or(Vec::new(), Schedule::seconds),
             ordered: e.ordered,
             version: e.version,
-            secrets: kept_secrets(&e.secrets),
+            secrets: stored_secrets(&e.secrets),
         }
     }
 
@@ -281,16 +281,16 @@
         };
         let mut endpoint = Endpoint::new(self.id, &spec)?;
         (endpoint.enabled, endpoint.version) = (self.enabled, self.version);
-        endpoint.secrets = read_secrets(&self.secrets)?;
+        endpoint.secrets = parse_secrets(&self.secrets)?;
         Ok((self.name, endpoint))
     }
 }
 
-pub(super) fn kept_secrets(secrets: &[Secret]) -> Vec<(String, Option<Micros>)> {
+pub(super) fn stored_secrets(secrets: &[Secret]) -> Vec<(String, Option<Micros>)> {
     secrets.iter().map(|s| (s.text(), s.until)).collect()
 }
 
-pub(super) fn read_secrets(kept: &[(String, Option<Micros>)]) -> Result<Vec<Secret>, TenantError> {
+pub(super) fn parse_secrets(kept: &[(String, Option<Micros>)]) -> Result<Vec<Secret>, TenantError> {
     kept.iter()
         .map(|(text, until)| Ok(Secret::parse(text)?.until(*until)))
         .collect()
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -24,11 +24,11 @@
 pub use secret::Secret;
 
 /// Tenants at most; what one holds stays small.
-const MOST: usize = 4096;
+const MAX_TENANTS: usize = 4096;
 /// Secrets of one tenant at most, rotated ones included.
-const MOST_SECRETS: usize = 8;
+const MAX_SECRETS: usize = 8;
 /// Endpoints of one tenant at most.
-const MOST_ENDPOINTS: usize = 32;
+const MAX_ENDPOINTS: usize = 32;
 /// The endpoint that a tenant's `portal` stands for.
 pub const PORTAL: &str = "portal";
 
@@ -117,7 +117,7 @@
             e.change(spec)?;
             return Ok(false);
         }
-        if self.endpoints.len() >= MOST_ENDPOINTS {
+        if self.endpoints.len() >= MAX_ENDPOINTS {
             return Err(TenantError::TooMany);
         }
         let (serial, removed) = (self.serial.to_le_bytes(), self.removed.to_le_bytes());
@@ -153,8 +153,8 @@
     tenants: BTreeMap<String, Tenant>,
     /// Numbers and shares of the platform's own tenants, which stay theirs.
     reserved: BTreeMap<String, (TenantId, f64)>,
-    free: Vec<TenantId>,
-    next: u32,
+    free_ids: Vec<TenantId>,
+    next_id: u32,
     serials: u64,
 }
 
@@ -167,7 +167,7 @@
         let reserved = platform.iter().enumerate().map(number).collect();
         Registry {
             reserved,
-            next: platform.len() as u32,
+            next_id: platform.len() as u32,
             ..Registry::default()
         }
     }
@@ -189,7 +189,7 @@
         if spec.share_per_s.is_some_and(|s| !s.is_finite() || s < 0.0) {
             return Err(TenantError::Share);
         }
-        if spec.secrets.len() > MOST_SECRETS {
+        if spec.secrets.len() > MAX_SECRETS {
             return Err(TenantError::TooMany);
         }
         let secrets = spec
@@ -199,7 +199,7 @@
             .collect::<Result<Vec<_>, _>>()?;
         let known = self.tenants.get(name);
         let new = known.is_none();
-        if new && self.tenants.len() >= MOST {
+        if new && self.tenants.len() >= MAX_TENANTS {
             return Err(TenantError::TooMany);
         }
         let generation = self.serials.to_le_bytes();
@@ -230,9 +230,9 @@
         }
         if new {
             let known = self.reserved.get(name).map(|(id, _)| *id);
-            t.id = known.or_else(|| self.free.pop()).unwrap_or_else(|| {
-                self.next += 1;
-                TenantId(self.next - 1)
+            t.id = known.or_else(|| self.free_ids.pop()).unwrap_or_else(|| {
+                self.next_id += 1;
+                TenantId(self.next_id - 1)
             });
         }
         t.version += 1;
@@ -290,7 +290,7 @@
             .endpoints
             .get_mut(name)
             .ok_or(TenantError::UnknownEndpoint)?;
-        e.secrets = secret::rotated(e.secrets.clone(), fresh, now, until, MOST_SECRETS)?;
+        e.secrets = secret::rotated(e.secrets.clone(), fresh, now, until, MAX_SECRETS)?;
         e.version += 1;
         Ok(())
     }
@@ -305,7 +305,7 @@
     ) -> Result<(), TenantError> {
         let fresh = Secret::parse(secret)?;
         let t = self.tenants.get_mut(name).ok_or(TenantError::Unknown)?;
-        t.secrets = secret::rotated(t.secrets.clone(), fresh, now, until, MOST_SECRETS)?;
+        t.secrets = secret::rotated(t.secrets.clone(), fresh, now, until, MAX_SECRETS)?;
         t.version += 1;
         Ok(())
     }
@@ -318,7 +318,7 @@
         if let Some(reserved) = self.reserved.get(name) {
             return Ok(*reserved);
         }
-        self.free.push(t.id);
+        self.free_ids.push(t.id);
         Ok((t.id, 0.0))
     }
 
--- a/src/tenancy/persistence.rs
+++ b/src/tenancy/persistence.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::endpoint::{kept_secrets, read_secrets, KeptEndpoint};
+use super::endpoint::{parse_secrets, stored_secrets, StoredEndpoint};
 use super::{Registry, Spec, Tenant, TenantError};
 use crate::api::{Micros, TenantId};
 use crate::delivery::EndpointId;
 
 /// A tenant as the state file keeps it, secrets and all. Files of before there were endpoints lack the last four.
 #[derive(Deserialize, Serialize)]
-struct Kept {
+struct StoredTenant {
     name: String,
     share_per_s: f64,
     portal: Option<String>,
@@ -22,15 +22,18 @@
     version: u64,
     #[serde(default)]
     removed: u64,
-    endpoints: Option<Vec<KeptEndpoint>>,
+    endpoints: Option<Vec<StoredEndpoint>>,
 }
 
 /// The state file. Before there were endpoints it was the list alone.
 #[derive(Deserialize, Serialize)]
 #[serde(untagged)]
-enum KeptAll {
-    All { serials: u64, tenants: Vec<Kept> },
-    List(Vec<Kept>),
+enum StoredRegistry {
+    All {
+        serials: u64,
+        tenants: Vec<StoredTenant>,
+    },
+    List(Vec<StoredTenant>),
 }
 
 /// What follows from a tenant that was taken over from another gateway.
@@ -53,26 +56,26 @@
     });
 }
 
-impl Kept {
-    fn of(name: &str, t: &Tenant) -> Kept {
-        Kept {
+impl StoredTenant {
+    fn of(name: &str, t: &Tenant) -> StoredTenant {
+        StoredTenant {
             name: name.to_owned(),
             share_per_s: t.share_per_s,
             portal: None,
-            secrets: kept_secrets(&t.secrets),
+            secrets: stored_secrets(&t.secrets),
             serial: Some(t.serial),
             version: t.version,
             removed: t.removed,
             endpoints: Some(
                 t.endpoints
                     .iter()
-                    .map(|(name, e)| KeptEndpoint::of(name, e))
+                    .map(|(name, e)| StoredEndpoint::of(name, e))
                     .collect(),
             ),
         }
     }
 
-    fn shifted(mut self, by: impl Fn(Micros) -> Option<Micros>) -> Kept {
+    fn shifted(mut self, by: impl Fn(Micros) -> Option<Micros>) -> StoredTenant {
         shift(&mut self.secrets, &by);
         self.endpoints
             .iter_mut()
@@ -85,7 +88,7 @@
 impl Registry {
     /// A tenant as other gateways are told of it, secrets and all; none if there is no such tenant.
     pub fn told(&self, name: &str, now: Micros) -> Option<Vec<u8>> {
-        let kept = Kept::of(name, self.get(name)?)
+        let kept = StoredTenant::of(name, self.get(name)?)
             .shifted(|until| until.checked_sub(now).filter(|s| *s > 0));
         // Strings and numbers only: there is nothing that could not be written.
         Some(serde_json::to_vec(&kept).unwrap_or_default())
@@ -108,7 +111,7 @@
             let share = self.remove(name)?;
             return Ok(Some(Adopted { share, gone }));
         };
-        let kept: Kept = serde_json::from_slice(told).map_err(|_| TenantError::State)?;
+        let kept: StoredTenant = serde_json::from_slice(told).map_err(|_| TenantError::State)?;
         if kept.name != name {
             return Err(TenantError::Name);
         }
@@ -132,7 +135,7 @@
         self.serials = removals;
     }
 
-    fn read(&mut self, kept: Kept) -> Result<(), TenantError> {
+    fn read(&mut self, kept: StoredTenant) -> Result<(), TenantError> {
         let spec = Spec {
             share_per_s: Some(kept.share_per_s),
             portal: kept.portal,
@@ -143,7 +146,7 @@
             .tenants
             .get_mut(&kept.name)
             .ok_or(TenantError::Unknown)?;
-        t.secrets = read_secrets(&kept.secrets)?;
+        t.secrets = parse_secrets(&kept.secrets)?;
         (t.serial, t.removed) = (kept.serial.unwrap_or(t.serial), kept.removed);
         t.version = kept.version.max(1);
         for endpoint in kept.endpoints.into_iter().flatten() {
@@ -158,10 +161,10 @@
         let tenants = self
             .tenants
             .iter()
-            .map(|(name, t)| Kept::of(name, t))
+            .map(|(name, t)| StoredTenant::of(name, t))
             .collect();
         // Strings and numbers only: there is nothing that could not be written.
-        serde_json::to_string(&KeptAll::All {
+        serde_json::to_string(&StoredRegistry::All {
             serials: self.serials,
             tenants,
         })
@@ -170,16 +173,16 @@
 
     /// Takes the tenants of a state file in place of its own. On an error nothing changes.
     pub fn restore(&mut self, text: &str) -> Result<(), TenantError> {
-        let kept: KeptAll = serde_json::from_str(text).map_err(|_| TenantError::State)?;
+        let kept: StoredRegistry = serde_json::from_str(text).map_err(|_| TenantError::State)?;
         let (serials, list) = match kept {
-            KeptAll::All { serials, tenants } => (serials, tenants),
-            KeptAll::List(tenants) => (0, tenants),
+            StoredRegistry::All { serials, tenants } => (serials, tenants),
+            StoredRegistry::List(tenants) => (0, tenants),
         };
         let mut fresh = Registry {
             tenants: BTreeMap::new(),
             ..self.clone()
         };
-        fresh.free.extend(
+        fresh.free_ids.extend(
             self.tenants
                 .iter()
                 .filter(|(n, _)| !self.reserved.contains_key(*n))
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -10,7 +10,7 @@
 use crate::api::Micros;
 
 /// Changes under way here at most.
-pub const MOST_OPEN: usize = 64;
+pub const MAX_OPEN_CHANGES: usize = 64;
 
 /// Whose answer a change is.
 pub type Ticket = u64;
@@ -72,13 +72,13 @@
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenChange {
     ticket: Ticket,
     entry: Entry,
     /// How many changes had been agreed on when it was made.
     changes: u64,
     until: Micros,
-    again: Micros,
+    next_proposal: Micros,
 }
 
 /// The machine.
@@ -87,7 +87,7 @@
     settings: Settings,
     agreed: Arc<Tenants>,
     voters: usize,
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenChange>,
     number: u64,
     outputs: VecDeque<Output>,
 }
@@ -122,7 +122,10 @@
 
     /// When `Tick` is due.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.open.values().map(|o| o.again.min(o.until)).min()
+        self.open
+            .values()
+            .map(|o| o.next_proposal.min(o.until))
+            .min()
     }
 
     /// Takes what happened.
@@ -135,7 +138,7 @@
             }
             Input::Agreed(agreed, voters) => {
                 self.voters = voters;
-                self.heard(now, agreed);
+                self.apply_agreed(now, agreed);
             }
             Input::Tick => {}
         }
@@ -158,7 +161,7 @@
         if have < want {
             return Err(Refusal::Fewer { have, want });
         }
-        if self.open.len() >= MOST_OPEN {
+        if self.open.len() >= MAX_OPEN_CHANGES {
             return Err(Refusal::Busy {
                 open: self.open.len(),
             });
@@ -196,19 +199,19 @@
         let (changes, until) = (self.agreed.changes, now + self.settings.ask);
         self.open.insert(
             self.number,
-            Open {
+            OpenChange {
                 ticket,
                 entry,
                 changes,
                 until,
-                again: now,
+                next_proposal: now,
             },
         );
         Ok(())
     }
 
     /// What is agreed has changed: what others changed is taken over, and whoever waits is told.
-    fn heard(&mut self, now: Micros, agreed: Arc<Tenants>) {
+    fn apply_agreed(&mut self, now: Micros, agreed: Arc<Tenants>) {
         let before = std::mem::replace(&mut self.agreed, agreed);
         let agreed = self.agreed.clone();
         if before.removals != agreed.removals {
@@ -242,7 +245,7 @@
                 self.outputs
                     .push_back(Output::Noted(HistoryEvent::Told { tenant, version }));
                 Output::Done(o.ticket)
-            } else if since > super::MOST_RECENT as u64 {
+            } else if since > super::MAX_RECENT_CHANGES as u64 {
                 Output::Refused(o.ticket, Refusal::Unknown { tenant, since })
             } else if let Err(why) = agreed.room(&tenant, o.entry.kept.as_deref()) {
                 Output::Refused(o.ticket, why)
@@ -252,7 +255,7 @@
                 (o.entry.follows, agreed.follows(&tenant))
             {
                 // Others were removed meanwhile, and this one still is not there: what was said before cannot take hold any more.
-                (o.entry.follows, o.again) = (Follows::Nothing(removals), now);
+                (o.entry.follows, o.next_proposal) = (Follows::Nothing(removals), now);
                 continue;
             } else {
                 Output::Refused(o.ticket, Refusal::Changed { tenant })
@@ -267,8 +270,8 @@
         for (number, o) in &mut self.open {
             if now >= o.until {
                 over.push(*number);
-            } else if now >= o.again {
-                o.again = now + ask / 8;
+            } else if now >= o.next_proposal {
+                o.next_proposal = now + ask / 8;
                 self.outputs.push_back(Output::Propose(o.entry.clone()));
             }
         }
--- a/src/tenancy/replicated/error.rs
+++ b/src/tenancy/replicated/error.rs
@@ -1,6 +1,6 @@
 //! Why a change of a tenant is not told done, and what an operator can do about it.
 
-use super::{LONGEST, MOST_BYTES};
+use super::{MAX_TENANT_BYTES, MAX_TOTAL_BYTES};
 
 /// Why.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -34,7 +34,7 @@
         want: usize,
     },
     /// All tenants together would take too much.
-    #[error("changed tenants take {bytes} bytes, {MOST_BYTES} may be agreed on")]
+    #[error("changed tenants take {bytes} bytes, {MAX_TOTAL_BYTES} may be agreed on")]
     TooMuch {
         /// How much they would take.
         bytes: usize,
@@ -46,7 +46,7 @@
         lines: usize,
     },
     /// This tenant takes too much.
-    #[error("{tenant} takes {bytes} bytes, one may take {LONGEST}")]
+    #[error("{tenant} takes {bytes} bytes, one may take {MAX_TENANT_BYTES}")]
     TooLong {
         /// Which tenant.
         tenant: String,
--- a/src/tenancy/replicated/mod.rs
+++ b/src/tenancy/replicated/mod.rs
@@ -5,9 +5,9 @@
 //! every gateway; a change names what it follows, so of two at once one takes hold, and of one that comes twice the first.
 //! [`changes`] is one gateway's part: it proposes until it is told, takes over what others changed, and answers whoever waits.
 //!
-//! Kept by id: tenants and the removed ones that an operator's file names (at most [`MOST_LINES`], [`MOST_BYTES`] in all),
-//! changes of late (the last [`MOST_RECENT`]), answers to keyed requests (the last [`MOST_ANSWERS`]), changes under way here
-//! (at most [`changes::MOST_OPEN`], each with its end).
+//! Kept by id: tenants and the removed ones that an operator's file names (at most [`MAX_TENANT_RECORDS`], [`MAX_TOTAL_BYTES`] in all),
+//! changes of late (the last [`MAX_RECENT_CHANGES`]), answers to keyed requests (the last [`MAX_ANSWERS`]), changes under way here
+//! (at most [`changes::MAX_OPEN_CHANGES`], each with its end).
 
 pub mod changes;
 pub mod error;
@@ -17,15 +17,15 @@
 mod tests;
 
 /// Tenants at most, those removed among them that an operator's file names.
-pub const MOST_LINES: usize = 4096;
+pub const MAX_TENANT_RECORDS: usize = 4096;
 /// Bytes of all tenants together at most: the agreed state has to fit into one frame.
-pub const MOST_BYTES: usize = 320 << 10;
+pub const MAX_TOTAL_BYTES: usize = 320 << 10;
 /// Bytes of one tenant at most.
-pub const LONGEST: usize = 24 << 10;
+pub const MAX_TENANT_BYTES: usize = 24 << 10;
 /// Changes that are remembered by their origin.
-pub const MOST_RECENT: usize = 256;
+pub const MAX_RECENT_CHANGES: usize = 256;
 /// Answers that are kept for those who ask again with the same key.
-pub const MOST_ANSWERS: usize = 128;
+pub const MAX_ANSWERS: usize = 128;
 /// Bytes of an answer that is kept; a longer one is not, and a repeated request is made anew.
 pub const LONGEST_ANSWER: usize = 2 << 10;
 
--- a/src/tenancy/replicated/state.rs
+++ b/src/tenancy/replicated/state.rs
@@ -6,7 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::error::Refusal;
-use super::{Origin, LONGEST, LONGEST_ANSWER, MOST_ANSWERS, MOST_BYTES, MOST_LINES, MOST_RECENT};
+use super::{
+    Origin, LONGEST_ANSWER, MAX_ANSWERS, MAX_RECENT_CHANGES, MAX_TENANT_BYTES, MAX_TENANT_RECORDS,
+    MAX_TOTAL_BYTES,
+};
 
 /// What a change was made on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -93,7 +96,7 @@
     /// Whether there is room for a tenant as it would be.
     pub fn room(&self, tenant: &str, kept: Option<&[u8]>) -> Result<(), Refusal> {
         let own = kept.map_or(0, <[u8]>::len);
-        if own > LONGEST {
+        if own > MAX_TENANT_BYTES {
             return Err(Refusal::TooLong {
                 tenant: tenant.to_owned(),
                 bytes: own,
@@ -103,10 +106,10 @@
         let old = known.map_or(0, |l| tenant.len() + l.kept.as_ref().map_or(0, Vec::len));
         let bytes = self.bytes() - old + tenant.len() + own;
         // A removal always has room: it makes some.
-        if kept.is_some() && bytes > MOST_BYTES {
+        if kept.is_some() && bytes > MAX_TOTAL_BYTES {
             return Err(Refusal::TooMuch { bytes });
         }
-        if known.is_none() && self.lines.len() >= MOST_LINES {
+        if known.is_none() && self.lines.len() >= MAX_TENANT_RECORDS {
             return Err(Refusal::TooMany {
                 lines: self.lines.len(),
             });
@@ -130,10 +133,10 @@
     /// Applies an entry; tells whether it took hold.
     pub fn apply(&mut self, e: &Entry) -> bool {
         let known = self.lines.get(&e.tenant);
-        let makes_none = known.is_none() && e.kept.is_none() && !e.listed;
+        let removes_nothing = known.is_none() && e.kept.is_none() && !e.listed;
         let named = !e.tenant.is_empty() && e.tenant.len() <= 64;
         if e.follows != self.follows(&e.tenant)
-            || makes_none
+            || removes_nothing
             || !named
             || self.room(&e.tenant, e.kept.as_deref()).is_err()
         {
@@ -154,19 +157,23 @@
             };
             self.lines.insert(e.tenant.clone(), line);
         }
-        remember(&mut self.recent, (e.origin, self.changes), MOST_RECENT);
+        push_bounded(
+            &mut self.recent,
+            (e.origin, self.changes),
+            MAX_RECENT_CHANGES,
+        );
         if let Some(answer) = e
             .answer
             .as_ref()
             .filter(|a| a.bytes.len() <= LONGEST_ANSWER)
         {
-            remember(&mut self.answers, answer.clone(), MOST_ANSWERS);
+            push_bounded(&mut self.answers, answer.clone(), MAX_ANSWERS);
         }
         true
     }
 }
 
-fn remember<T>(all: &mut VecDeque<T>, one: T, most: usize) {
+fn push_bounded<T>(all: &mut VecDeque<T>, one: T, most: usize) {
     all.push_back(one);
     if all.len() > most {
         all.pop_front();
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -254,20 +254,23 @@
         [Output::Refused(1, Refusal::Fewer { have: 2, want: 3 })]
     );
     t.hear(0, 0, 5);
-    t.want(0, 0, 2, "t", Some(&"x".repeat(LONGEST + 1)));
+    t.want(0, 0, 2, "t", Some(&"x".repeat(MAX_TENANT_BYTES + 1)));
     let long = Refusal::TooLong {
         tenant: "t".into(),
-        bytes: LONGEST + 1,
+        bytes: MAX_TENANT_BYTES + 1,
     };
     assert_eq!(t.told(0), [Output::Refused(2, long)]);
-    let full = "x".repeat(LONGEST);
+    let full = "x".repeat(MAX_TENANT_BYTES);
     for n in 0.. {
         let e = entry(&format!("t{n}"), Follows::Nothing(0), n, Some(&full));
         if !t.agreed.apply(&e) {
             break;
         }
     }
-    assert!(t.agreed.bytes() <= MOST_BYTES && t.agreed.bytes() > MOST_BYTES - 2 * LONGEST);
+    assert!(
+        t.agreed.bytes() <= MAX_TOTAL_BYTES
+            && t.agreed.bytes() > MAX_TOTAL_BYTES - 2 * MAX_TENANT_BYTES
+    );
     t.hear(1, 0, 5);
     t.told.clear();
     t.want(1, 0, 3, "one-more", Some(&full));
@@ -277,15 +280,18 @@
     ));
     t.want(1, 0, 4, "t0", None);
     assert_eq!(t.agree(), [true], "a removal has room");
-    for n in 0..=changes::MOST_OPEN as u64 {
+    for n in 0..=changes::MAX_OPEN_CHANGES as u64 {
         t.want(2, 0, 10 + n, &format!("s{n}"), Some("x"));
     }
     let busy = Refusal::Busy {
-        open: changes::MOST_OPEN,
+        open: changes::MAX_OPEN_CHANGES,
     };
     assert_eq!(
         t.told(0).last(),
-        Some(&Output::Refused(10 + changes::MOST_OPEN as u64, busy))
+        Some(&Output::Refused(
+            10 + changes::MAX_OPEN_CHANGES as u64,
+            busy
+        ))
     );
 }
 
@@ -295,7 +301,7 @@
     let mut t = Table::new(1, 1, 1);
     t.want(0, 0, 1, "t", Some("one"));
     assert_eq!(t.agree(), [true]);
-    for n in 0..=MOST_RECENT as u64 {
+    for n in 0..=MAX_RECENT_CHANGES as u64 {
         assert!(t
             .agreed
             .apply(&entry("busy", t.agreed.follows("busy"), 50 + n, Some("x"))));
@@ -303,16 +309,16 @@
     t.hear(1, 0, 1);
     let unknown = Refusal::Unknown {
         tenant: "t".into(),
-        since: MOST_RECENT as u64 + 2,
+        since: MAX_RECENT_CHANGES as u64 + 2,
     };
     assert_eq!(t.told(0).last(), Some(&Output::Refused(1, unknown)));
-    assert!(t.agreed.recent.len() == MOST_RECENT);
+    assert!(t.agreed.recent.len() == MAX_RECENT_CHANGES);
 }
 
 #[test]
 fn answers_to_keyed_requests_are_agreed_on_and_bounded() {
     let mut s = Tenants::default();
-    for n in 0..MOST_ANSWERS as u64 + 5 {
+    for n in 0..MAX_ANSWERS as u64 + 5 {
         let mut e = entry("t", s.follows("t"), n, Some("x"));
         let bytes = vec![n as u8; if n == 0 { LONGEST_ANSWER + 1 } else { 4 }];
         e.answer = Some(Answer {
@@ -327,9 +333,9 @@
         s.answer(&[132; 32]).map(|a| a.bytes.clone()),
         Some(vec![132; 4])
     );
-    assert_eq!(s.answers.len(), MOST_ANSWERS);
+    assert_eq!(s.answers.len(), MAX_ANSWERS);
     // All of it, at its fullest, fits into the frame that carries it.
-    let most = MOST_BYTES + MOST_ANSWERS * (LONGEST_ANSWER + 64) + MOST_RECENT * 20;
+    let most = MAX_TOTAL_BYTES + MAX_ANSWERS * (LONGEST_ANSWER + 64) + MAX_RECENT_CHANGES * 20;
     assert!(most < crate::consensus::wire::MAX_FRAME_BYTES * 2 / 3);
 }
 
