--- a/src/membership/budget/tests.rs
+++ b/src/membership/budget/tests.rs
@@ -4,7 +4,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// In any time span, the budget admits at most the allowance of that span plus one second's burst.
+    /// In any time span, the budget admits at most the allowance of that span plus one second's
+    /// burst.
     #[test]
     fn traffic_stays_within_the_limit_in_every_span(steps in prop::collection::vec((0u64..400_000, 1usize..1200), 1..200)) {
         let (mut budget, mut now, mut sent) = (Budget::new(5000, 10, 0), 0, Vec::new());
--- a/src/membership/group.rs
+++ b/src/membership/group.rs
@@ -235,7 +235,8 @@
             }
             Input::Keys(keys) => {
                 self.keys = keys;
-                // Reseals the own record, so that members that no longer accept the old key accept it.
+                // Reseals the own record, so that members that no longer accept the old key accept
+                // it.
                 let own = self.swim.own();
                 let (incarnation, leaving) = (own.incarnation + 1, own.leaving);
                 self.renew(incarnation, leaving);
@@ -339,8 +340,8 @@
                     self.reported_unhealthy.insert(worker);
                     true
                 }
-                // A healthy worker is worth reporting only after this instance or another one reported
-                // the worker as unhealthy.
+                // A healthy worker is worth reporting only after this instance or another one
+                // reported the worker as unhealthy.
                 HealthVerdict::Healthy => {
                     let unhealthy = self
                         .observations
--- a/src/membership/keys.rs
+++ b/src/membership/keys.rs
@@ -1,8 +1,8 @@
 //! Seals: Ed25519 with a set of accepted keys per instance, or keyed BLAKE3 with shared keys.
 //!
-//! Any holder of a shared key can impersonate every member: that mode keeps outsiders out and trusts
-//! all insiders. Several keys are valid at once, so a rotation needs no synchronized switch: first
-//! all members accept the new key, then they use it, then the old key is removed.
+//! Any holder of a shared key can impersonate every member: that mode keeps outsiders out and
+//! trusts all insiders. Several keys are valid at once, so a rotation needs no synchronized switch:
+//! first all members accept the new key, then they use it, then the old key is removed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -88,8 +88,8 @@
         }))
     }
 
-    /// Creates the mode with one private key per instance. `accepted` lists the public keys accepted
-    /// for each name and must contain this instance's own public key.
+    /// Creates the mode with one private key per instance. `accepted` lists the public keys
+    /// accepted for each name and must contain this instance's own public key.
     pub fn each(
         name: &str,
         own: &str,
--- a/src/membership/observations.rs
+++ b/src/membership/observations.rs
@@ -17,7 +17,8 @@
 /// Outcomes of one origin's attempts at one worker over a time window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Observation {
-    /// End of the window in Unix microseconds by the origin's clock; orders the origin's observations.
+    /// End of the window in Unix microseconds by the origin's clock; orders the origin's
+    /// observations.
     pub at: Micros,
     /// Number of answered attempts.
     pub answered: u32,
@@ -32,7 +33,8 @@
 /// Conclusion from an observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthVerdict {
-    /// At least half of the attempts failed, or all connections were refused.
+    /// At least half of the attempts failed, or a connection was refused and no attempt was
+    /// answered.
     Unhealthy,
     /// At most a tenth of the attempts failed.
     Healthy,
@@ -98,7 +100,8 @@
             return false;
         }
         let held = by_worker.entry(worker).or_default();
-        // The greater of two observations with the same time wins, so the arrival order is irrelevant.
+        // The greater of two observations with the same time wins, so the arrival order is
+        // irrelevant.
         let is_new = o > *held;
         *held = (*held).max(o);
         is_new
--- a/src/membership/reputation.rs
+++ b/src/membership/reputation.rs
@@ -1,10 +1,11 @@
 //! Limits on the local effect of other instances' observations.
 //!
 //! An observation by another instance never excludes a worker. Several together can demote a worker
-//! in the order of candidates for a bounded time, or allow an early trial after a local failure. Only
-//! a limited share of the ready workers is demoted at once. If the observations call too large a
-//! share unhealthy, no worker is demoted: the fault, or a lie, is then likely on the reporting side.
-//! Each origin has a weight: contradiction by local attempts lowers it, and it recovers slowly.
+//! in the order of candidates for a bounded time, or allow an early trial after a local failure.
+//! Only a limited share of the ready workers is demoted at once. If the observations call too large
+//! a share unhealthy, no worker is demoted: the fault, or a lie, is then likely on the reporting
+//! side. Each origin has a weight: contradiction by local attempts lowers it, and it recovers
+//! slowly.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -75,8 +76,8 @@
     bounds: Bounds,
     weights: BTreeMap<String, Weight>,
     own_observations: HashMap<WorkerId, Observation>,
-    /// Time of the last claim checked against local attempts, by origin and worker; each claim counts
-    /// once.
+    /// Time of the last claim checked against local attempts, by origin and worker; each claim
+    /// counts once.
     evaluated_claims: BTreeMap<(String, WorkerId), Micros>,
     demoted: BTreeMap<WorkerId, Micros>,
     /// Number of times that demotions were suppressed because too many workers were reported
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -1,12 +1,14 @@
-//! Who is there: SWIM (Das, Gupta and Motivala, 2002) with suspicion and refutation, and local health awareness as in
-//! Lifeguard (Dadgar, Phillips and Currey, 2018): a slow instance asks more slowly and suspects more patiently, and
-//! suspicion shortens as independent accusers confirm it.
+//! Group membership by SWIM (Das, Gupta and Motivala, 2002) with suspicion and refutation, and
+//! local health awareness as in Lifeguard (Dadgar, Phillips and Currey, 2018): a slow instance
+//! probes less often and with longer timeouts, and a suspicion shortens as independent accusers
+//! confirm it.
 //!
-//! Beyond both: a member's state is a record that it sealed itself, so that nobody can bring a dead one back, move
-//! another's address or raise its incarnation; an accusation holds for the incarnation that the accused itself sealed
-//! last, and one accuser is one voice.
+//! In addition, each member seals its own record, so no other member can revive a dead one, change
+//! its address or raise its incarnation. An accusation is valid only for the incarnation that the
+//! accused member sealed last, and each accuser counts once.
 //!
-//! Kept by name: members up to [`Settings::most`]; those dead or left until [`Settings::forget`] is over.
+//! Members are stored by name, at most [`Settings::max_members`]. Members that are dead or have
+//! left are removed after [`Settings::forget`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,24 +20,24 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// How the group is watched.
+/// Failure detection settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Between probes, while healthy.
+    /// Interval between probes at a local health score of 0.
     pub interval: Micros,
-    /// How long a direct probe may take before others are asked.
+    /// Timeout of a direct probe, after which other members are asked to probe.
     pub timeout: Micros,
-    /// Members asked to probe in one's place.
+    /// Number of members asked for an indirect probe.
     pub indirect: usize,
-    /// The least time of a suspicion, in probe intervals for each power of ten of members.
+    /// Minimum duration of a suspicion, in probe intervals per power of ten of members.
     pub min_suspicion: f64,
-    /// The longest time, as a multiple of the least.
+    /// Maximum duration of a suspicion, as a multiple of the minimum.
     pub max_suspicion_factor: f64,
-    /// Between exchanges of all that is known with one member.
+    /// Interval between state exchanges with a random member.
     pub sync: Micros,
-    /// How long a member that is dead or has left is remembered.
+    /// Time after which a member that is dead or has left is removed.
     pub forget: Micros,
-    /// Members at most.
+    /// Maximum number of members.
     pub max_members: usize,
 }
 
@@ -54,91 +56,94 @@
     }
 }
 
-/// The worst local health; the interval and the time-out are multiplied by one more.
+/// Maximum local health score. The probe interval and timeout are multiplied by the score plus one.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// Accusers whose voices shorten a suspicion.
+/// Number of confirming accusers that shorten a suspicion to its minimum.
 const CONFIRMATIONS: u32 = 3;
-/// How often a piece of news is sent on, for each power of two of members.
+/// Number of times that an item is piggybacked, per power of two of members.
 const RETRANSMIT_FACTOR: u32 = 3;
-/// Accusations that were refuted within [`SILENCED`] after which an accuser has no voice for as long.
+/// Number of refuted accusations, each within [`MUTE_DURATION`] of the one before, after which an
+/// accuser is ignored.
 const MAX_REFUTED_ACCUSATIONS: u32 = 3;
+/// Time for which an accuser is ignored after its last refuted accusation.
 const MUTE_DURATION: Micros = 60 * SECOND;
-/// Pages that one who is new is sent at once.
+/// Maximum number of pages sent at once to a new member.
 const MAX_SYNC_PAGES: usize = 64;
-/// Records in one exchange's page: they fit one datagram.
+/// Number of records in one page of a state exchange; a page fits one datagram.
 pub const MEMBERS_PER_MESSAGE: usize = 6;
-/// Pieces of news that ride on one message at most.
+/// Maximum number of items piggybacked on one message.
 pub const PIGGYBACKED_PER_MESSAGE: usize = 6;
 
-/// A member's own word on itself.
+/// A member's sealed description of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it listens.
+    /// Address at which the member listens.
     pub address: SocketAddr,
-    /// Which of its words; only it raises this.
+    /// Version of the record; only the member itself raises it.
     pub incarnation: u64,
-    /// Whether it leaves in order.
+    /// Whether the member is leaving gracefully.
     pub leaving: bool,
-    /// Its seal over all that; opaque here, checked before it comes in.
+    /// Seal over the fields above, opaque to this module; callers verify it first.
     pub seal: Vec<u8>,
 }
 
-/// A voice that says that a member does not answer.
+/// An accuser's claim that a member does not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Who is accused.
+    /// Name of the accused member.
     pub accused: String,
-    /// In which incarnation.
+    /// Incarnation of the accused member.
     pub incarnation: u64,
-    /// By whom.
+    /// Name of the accuser.
     pub by: String,
     /// The accuser's seal.
     pub seal: Vec<u8>,
 }
 
-/// What a datagram asks or answers.
+/// Kind of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Say {
-    /// Are you there? The name guards against an address that is another's by now.
+    /// Probe with a number and the name of its target. Another member that now has the address
+    /// ignores the probe.
     Ping(u64, String),
-    /// I am.
+    /// Answer to the probe with this number.
     Ack(u64),
-    /// Ask that one for me.
+    /// Request to probe the named member on behalf of the sender.
     PingFor(u64, String),
-    /// It did not answer me either; shows that I do.
+    /// Report that an indirect probe got no answer; shows that the sender itself is responsive.
     Nack(u64),
-    /// All that I know, a page; whether yours is wanted.
+    /// A page of the sender's members; `true` requests a page in return.
     Sync(bool),
 }
 
-/// A message with the news that rides on it.
+/// A message with piggybacked records and accusations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What it says.
+    /// Kind of the message.
     pub say: Say,
-    /// Records.
+    /// Member records.
     pub records: Vec<Record>,
-    /// Accusations.
+    /// Accusations of members.
     pub accusations: Vec<Suspicion>,
 }
 
-/// How a member stands.
+/// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not, and has time to refute.
+    /// The member did not answer and can still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// It left in order.
+    /// The member left gracefully.
     Left,
 }
 
 impl MemberState {
-    /// Its name.
+    /// Returns the name of the state.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -149,33 +154,33 @@
     }
 }
 
-/// What happens to the membership.
+/// Events that the membership handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message came from a member; its seals hold.
+    /// A message from a member, with its address; its seals are verified.
     Message(String, SocketAddr, Message),
-    /// Members known from the last run, or addresses to begin with.
+    /// Members stored by the previous run, and seed addresses.
     Known(Vec<Record>, Vec<SocketAddr>),
-    /// A deadline fell due.
+    /// The deadline from [`Swim::next_deadline`] has passed.
     Tick,
-    /// Leave in order.
+    /// Announces a graceful departure.
     Leave,
 }
 
-/// What is to be done.
+/// Actions for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this there.
+    /// Send a message to this address.
     Send(SocketAddr, Message),
-    /// A member stands otherwise than before.
+    /// A member's state changed.
     Changed(String, MemberState),
-    /// A member is forgotten.
+    /// A member was removed.
     Forgotten(String),
-    /// The list of members to begin with next time has changed.
+    /// The list of members to store for the next start changed.
     Keep,
-    /// An accusation of one's own is to be sealed and handed back as news by [`Swim::accuse`].
+    /// Seal an accusation of this member in this incarnation and pass it to [`Swim::accuse`].
     Accuse(String, u64),
-    /// One's own record is to be sealed anew, with this incarnation, and handed to [`Swim::renew`].
+    /// Seal the own record with this incarnation and leaving flag, and pass it to [`Swim::renew`].
     Renew(u64, bool),
 }
 
@@ -185,13 +190,13 @@
     standing: MemberState,
     since: Micros,
     heard: Micros,
-    /// Who accuses it, in its present incarnation.
+    /// Accusers of the member's current incarnation.
     accusers: BTreeSet<String>,
-    /// When the suspicion began, and when it ends.
+    /// Start and end of the suspicion.
     suspicion: Option<(Micros, Micros)>,
-    /// The last voice against it, which it is told of when it is heard from.
+    /// Latest accusation, sent along with every message to the member.
     last_suspicion: Option<Suspicion>,
-    /// When its wish for an exchange was last met.
+    /// Time of the last state exchange requested by the member.
     synced: Micros,
 }
 
@@ -199,12 +204,13 @@
 enum Timer {
     Probe,
     Sync,
-    /// A probe's direct time, and its end.
+    /// The direct probe with this number times out.
     DirectTimeout(u64),
+    /// The probe with this number ends.
     ProbeEnd(u64),
-    /// Suspicions and memories.
+    /// Ends expired suspicions and removes members.
     Sweep,
-    /// A probe made for another ends.
+    /// The probe with this number, made for another member, times out.
     IndirectTimeout(u64),
 }
 
@@ -216,46 +222,46 @@
     indirect: bool,
 }
 
-/// One news item and how often it has gone out.
+/// An item to piggyback on messages.
 #[derive(Clone, Debug)]
 enum News {
     Record(String),
     Accusation(Suspicion),
 }
 
-/// What can be seen of a member.
+/// Snapshot of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// Its record.
+    /// The member's record.
     pub record: Record,
-    /// How it stands.
+    /// The member's state.
     pub standing: MemberState,
-    /// Since when.
+    /// Time of the last state change.
     pub since: Micros,
-    /// When it was last heard from.
+    /// Time of the last message from the member.
     pub heard: Micros,
 }
 
-/// The members as one of them knows them.
+/// One instance's view of the members.
 #[derive(Clone, Debug)]
 pub struct Swim {
     settings: Settings,
     own: Record,
     members: BTreeMap<String, Member>,
     seeds: Vec<SocketAddr>,
-    /// Names in the order in which they are probed next.
+    /// Member names in the order of their next probes.
     probe_order: VecDeque<String>,
     probes: BTreeMap<u64, Probe>,
-    /// Probes made for others: our number, who asked, its number.
+    /// Probes made for other members: own number to the requester's address and number.
     indirect_requests: BTreeMap<u64, (SocketAddr, u64)>,
     timers: BTreeSet<(Micros, Timer)>,
     news: Vec<(u32, News)>,
     next_number: u64,
     health_score: u32,
-    /// The incarnation that a renewal was asked for.
+    /// Incarnation of the requested renewal.
     pending_incarnation: Option<u64>,
     sync_page: usize,
-    /// Accusers whose accusations were refuted: how many, and when last.
+    /// Number of refuted accusations and time of the last one, by accuser.
     refuted_accusations: BTreeMap<String, (u32, Micros)>,
     random: ChaCha8Rng,
     outputs: VecDeque<Output>,
@@ -263,8 +269,8 @@
 }
 
 impl Swim {
-    /// A membership of one. `own` carries the incarnation that this start begins with; one from the clock is above
-    /// those of starts before.
+    /// Creates a membership of one. `own` carries the first incarnation; an incarnation from the
+    /// clock exceeds those of earlier runs.
     pub fn new(settings: Settings, own: Record, seed: u64, now: Micros) -> Swim {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let first = now + random.next_u64() % settings.interval.max(1);
@@ -297,17 +303,17 @@
         swim
     }
 
-    /// The next thing to be done, if any.
+    /// Returns the next pending action, if any.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Input::Tick`] is next to be given.
+    /// Returns the time of the next [`Input::Tick`].
     pub fn next_deadline(&self) -> Option<Micros> {
         self.timers.first().map(|(t, _)| *t)
     }
 
-    /// The members, without oneself.
+    /// Returns all members except this instance.
     pub fn members(&self) -> impl Iterator<Item = View> + '_ {
         self.members.values().map(|m| View {
             record: m.record.clone(),
@@ -317,17 +323,17 @@
         })
     }
 
-    /// How a member stands.
+    /// Returns a member's state.
     pub fn standing(&self, name: &str) -> Option<MemberState> {
         self.members.get(name).map(|m| m.standing)
     }
 
-    /// One's own record.
+    /// Returns the own record.
     pub fn own(&self) -> &Record {
         &self.own
     }
 
-    /// How unwell this instance itself seems to be: 0 for well, 8 at most.
+    /// Returns the local health score: 0 for healthy, 8 at most.
     pub fn health_score(&self) -> u32 {
         self.health_score
     }
@@ -339,7 +345,7 @@
             .count()
     }
 
-    /// Takes what has happened.
+    /// Handles an event.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             Input::Message(from, address, message) => {
@@ -366,7 +372,7 @@
         }
     }
 
-    /// One's own record, sealed anew.
+    /// Replaces the own record with a newly sealed one.
     pub fn renew(&mut self, record: Record) {
         self.pending_incarnation = None;
         let leaving = record.leaving;
@@ -376,7 +382,7 @@
             .retain(|(_, n)| !matches!(n, News::Record(r) if *r == name));
         self.queue_news(News::Record(name));
         if leaving {
-            // Said at once to a few: there is no later.
+            // Notifies a few members at once, because this instance sends nothing later.
             for address in self.pick_members(self.settings.indirect + 1, "") {
                 self.next_number += 1;
                 self.send(address, Say::Sync(false));
@@ -384,7 +390,7 @@
         }
     }
 
-    /// An accusation of one's own, sealed.
+    /// Applies a sealed accusation by this instance.
     pub fn accuse(&mut self, now: Micros, accusation: Suspicion) {
         self.apply_accusation(now, accusation);
     }
@@ -393,11 +399,11 @@
         self.news.push((0, news));
     }
 
-    /// News for one message: what has gone out least comes first.
+    /// Returns up to `most` items to piggyback, those with the fewest sends first.
     fn take_news(&mut self, most: usize) -> (Vec<Record>, Vec<Suspicion>) {
         let n = self.live_members() as u32 + 2;
         let times = RETRANSMIT_FACTOR * (32 - n.leading_zeros());
-        // A refutation goes before what it refutes.
+        // A refutation precedes the accusation that it refutes.
         self.news
             .sort_by_key(|(sent, n)| (*sent, matches!(n, News::Accusation(_))));
         let (mut records, mut accusations) = (Vec::new(), Vec::new());
@@ -417,7 +423,8 @@
 
     fn send(&mut self, to: SocketAddr, say: Say) {
         let (records, mut accusations) = self.take_news(PIGGYBACKED_PER_MESSAGE);
-        // The buddy system: who is suspected or thought dead hears of it from whoever speaks with it.
+        // Lifeguard's buddy system: every message to a suspected or dead member carries the
+        // accusation.
         let last_suspicion = self
             .members
             .values()
@@ -434,7 +441,7 @@
         ));
     }
 
-    /// A few members that are there, at random, but for one.
+    /// Returns the addresses of up to `n` random live members other than `except`.
     fn pick_members(&mut self, n: usize, except: &str) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self
             .members
@@ -467,7 +474,7 @@
         self.outputs.push_back(Output::Keep);
     }
 
-    // ---- What others say ----
+    // ---- Received messages ----
 
     fn handle_message(&mut self, now: Micros, from: &str, address: SocketAddr, message: Message) {
         let Message {
@@ -492,7 +499,7 @@
             Say::Ping(number, name) if name == self.own.name => {
                 self.send(address, Say::Ack(number));
             }
-            // Another had this address before.
+            // The probe is for a member that had this address before.
             Say::Ping(..) => {}
             Say::Ack(number) => self.handle_ack(now, from, number),
             Say::Nack(number) => {
@@ -515,7 +522,8 @@
                 self.send(to, Say::Ping(ours, name));
             }
             Say::Sync(wanted) => {
-                // Once a second each: who asks more often costs no more than that.
+                // Answers each member at most once per second, so that more requests cost no more
+                // traffic.
                 let often = self
                     .members
                     .get(from)
@@ -524,7 +532,7 @@
                     if let Some(m) = self.members.get_mut(from) {
                         m.synced = now;
                     }
-                    // One that is new is told all at once.
+                    // A new member receives all pages at once.
                     let pages = if new {
                         self.pages().min(MAX_SYNC_PAGES)
                     } else {
@@ -536,14 +544,14 @@
         }
     }
 
-    /// Whether an accuser has lost its voice.
+    /// Returns whether accusations by this member are ignored.
     fn is_muted(&self, now: Micros, by: &str) -> bool {
         self.refuted_accusations
             .get(by)
             .is_some_and(|(n, at)| *n >= MAX_REFUTED_ACCUSATIONS && now < at + MUTE_DURATION)
     }
 
-    /// An accusation was refuted.
+    /// Counts a refuted accusation against its accuser.
     fn count_refuted_accusation(&mut self, now: Micros, by: &str) {
         if !self.members.contains_key(by) {
             return;
@@ -566,7 +574,7 @@
         let Some(p) = self.probes.get(&number) else {
             return;
         };
-        // An ack of another, relayed, counts for the target: it carries the relay's name.
+        // A relayed ack carries the relay's name, so it counts once indirect probes were requested.
         let direct = p.target == from;
         if direct || p.indirect {
             let target = p.target.clone();
@@ -578,11 +586,12 @@
         }
     }
 
-    /// A record that its member sealed.
+    /// Applies a record sealed by its member.
     fn apply_record(&mut self, now: Micros, record: Record) {
         let name = record.name.clone();
         if name == self.own.name {
-            // One's own, from another life or from a clock that was ahead: outdone, so that it is not believed.
+            // An own record from an earlier run or from a clock that was ahead: a higher
+            // incarnation supersedes it.
             if record.incarnation > self.own.incarnation
                 || (record.incarnation == self.own.incarnation && record != self.own)
             {
@@ -600,7 +609,7 @@
                 }
             }
             None => {
-                // One that has left is not news to who never knew it.
+                // A departed member is irrelevant to an instance that did not know it.
                 if self.members.len() >= self.settings.max_members || record.leaving {
                     return;
                 }
@@ -644,11 +653,11 @@
         }
     }
 
-    /// A voice against a member.
+    /// Applies an accusation of a member.
     fn apply_accusation(&mut self, now: Micros, a: Suspicion) {
         if a.accused == self.own.name {
             if a.incarnation == self.own.incarnation && !self.leaving {
-                // To be suspected is a sign of being slow oneself, unless by one who suspects everybody.
+                // An accusation indicates that this instance is slow, unless the accuser is muted.
                 if !self.is_muted(now, &a.by) {
                     self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
                 }
@@ -659,7 +668,7 @@
             }
             return;
         }
-        // Only members have a voice, and only while most of what they say holds.
+        // Only members may accuse, and only while they are not muted.
         let known = a.by == self.own.name
             || self
                 .members
@@ -674,7 +683,7 @@
         let Some(m) = self.members.get_mut(&a.accused) else {
             return;
         };
-        // Of an incarnation that the accused never sealed, or has outdone: it says nothing.
+        // Ignores accusations of an incarnation that the accused never sealed or has superseded.
         let counts = a.incarnation == m.record.incarnation && m.standing <= MemberState::Suspect;
         if !counts || m.accusers.contains(&a.by) || m.accusers.len() > CONFIRMATIONS as usize {
             return;
@@ -696,7 +705,7 @@
         (self.settings.min_suspicion * digits * self.settings.interval as f64) as Micros
     }
 
-    // ---- Time ----
+    // ---- Timers ----
 
     fn run_timer(&mut self, now: Micros, timer: Timer) {
         let pace = Micros::from(self.health_score + 1);
@@ -724,8 +733,8 @@
                 let Some(p) = self.probes.remove(&number) else {
                     return;
                 };
-                // Those asked would have said so if only the target were silent: what is missing of that is a sign
-                // against oneself.
+                // The members asked send a nack if only the target is silent, so missing nacks
+                // indicate a problem of this instance.
                 let missing = p.asked.saturating_sub(p.nacks) as u32;
                 self.health_score = (self.health_score + missing.max(u32::from(p.asked == 0)))
                     .min(MAX_HEALTH_SCORE);
@@ -747,7 +756,7 @@
                 let others = self.pick_members(1, "");
                 let to = match others.first() {
                     Some(to) => Some(*to),
-                    // Alone: the seeds, and those who were there before.
+                    // No live members: tries the seeds and the earlier members.
                     None => self.any_address(),
                 };
                 let soon = if others.is_empty() {
@@ -791,7 +800,8 @@
                 continue;
             };
             let address = m.record.address;
-            // Those thought dead are asked now and then, or two halves of a group would never find together again.
+            // Dead members are contacted occasionally; otherwise the halves of a partitioned group
+            // would never merge again.
             let selected = match m.standing {
                 MemberState::Alive | MemberState::Suspect => true,
                 MemberState::Dead => self.random.next_u64().is_multiple_of(4),
@@ -826,12 +836,12 @@
         }
     }
 
-    /// Pages that all that is known takes.
+    /// Returns the number of pages of a full state exchange.
     fn pages(&self) -> usize {
         self.live_members().div_ceil(MEMBERS_PER_MESSAGE - 1).max(1)
     }
 
-    /// A page of all that is known; with each exchange the next one.
+    /// Sends the next page of the known members.
     fn sync(&mut self, to: SocketAddr, wanted: bool) {
         let mut all: Vec<Record> = vec![self.own.clone()];
         self.sync_page = (self.sync_page + 1) % self.pages();
--- a/src/membership/swim_tests.rs
+++ b/src/membership/swim_tests.rs
@@ -1,4 +1,4 @@
-//! Groups on a network that loses, cuts and delays, all from one seed.
+//! Groups on a seeded simulated network with loss, partitions and delay.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,16 +7,16 @@
 struct Net {
     now: Micros,
     nodes: BTreeMap<String, Swim>,
-    /// When, in which order, to whom, from whom.
+    /// Delivery time and sequence number of each message in flight.
     in_flight: BTreeSet<(Micros, u64)>,
     messages: BTreeMap<u64, (SocketAddr, String, Message)>,
     random: ChaCha8Rng,
     loss: u64,
-    /// From whom nothing reaches whom.
+    /// Sender and receiver of each blocked direction.
     cut: BTreeSet<(String, String)>,
     sent: BTreeMap<String, u64>,
     count: u64,
-    /// Who was ever thought dead by whom.
+    /// Time, observer and subject of each change to `Dead`.
     deaths: Vec<(Micros, String, String)>,
 }
 
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Whether all who are there hold each other, and nobody else, for alive.
+    /// Returns whether all running instances consider exactly each other alive.
     fn agree(&self) -> bool {
         self.nodes.iter().all(|(me, s)| {
             let alive: BTreeSet<String> = s
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_group_finds_itself_and_a_death_is_known_to_all() {
+fn group_forms_and_all_members_detect_a_death() {
     let mut net = Net::new(20, 1, 0);
     net.run(30 * SECOND);
     assert!(net.agree());
@@ -190,14 +190,14 @@
     let known: Vec<Micros> = net.deaths.iter().map(|(t, ..)| t - at).collect();
     assert!(
         net.deaths.iter().all(|(_, _, of)| *of == name(7)),
-        "nobody else was thought dead"
+        "no other member was considered dead"
     );
     assert!(known.iter().all(|t| *t < 40 * SECOND), "{known:?}");
-    // The same name comes back as a new process: its incarnation is from the clock.
+    // The same name returns as a new process with an incarnation from the clock.
     net.start(7, 1_000_000);
     net.run(30 * SECOND);
     assert!(net.agree());
-    // Forgotten after its time, nothing is left of one that stays away.
+    // A member that stays away is removed without remains.
     net.nodes.remove(&name(3));
     net.run(400 * SECOND);
     assert!(net
@@ -209,9 +209,9 @@
         && s.indirect_requests.len() < 8));
 }
 
-/// Loss of a third of all datagrams: nobody who is there stays dead to anybody.
+/// With 30 % datagram loss, no running member stays dead at any other.
 #[test]
-fn loss_of_thirty_percent_is_borne() {
+fn group_tolerates_thirty_percent_loss() {
     let mut net = Net::new(12, 3, 30);
     net.run(120 * SECOND);
     net.loss = 0;
@@ -221,13 +221,13 @@
     net.run(200 * SECOND);
     assert!(
         net.deaths.len() < 12,
-        "false deaths at a tenth lost: {}",
+        "false deaths at 10 % loss: {}",
         net.deaths.len()
     );
 }
 
 #[test]
-fn halves_that_were_apart_find_together_again() {
+fn partitioned_halves_merge_again() {
     let mut net = Net::new(10, 5, 0);
     net.run(30 * SECOND);
     for a in 0..5 {
@@ -245,9 +245,9 @@
     assert!(net.agree());
 }
 
-/// A cut in one direction: others probe in one's place, and nobody is thought dead for it.
+/// With one direction between two members blocked, indirect probes prevent false deaths.
 #[test]
-fn a_cut_in_one_direction_between_two_kills_nobody() {
+fn one_way_partition_between_two_kills_no_member() {
     let mut net = Net::new(10, 6, 0);
     net.run(30 * SECOND);
     net.cut.insert((name(1), name(2)));
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn who_leaves_in_order_is_not_suspected() {
+fn gracefully_leaving_member_is_not_suspected() {
     let mut net = Net::new(8, 7, 0);
     net.run(30 * SECOND);
     let now = net.now;
@@ -275,11 +275,11 @@
         .all(|s| s.standing(&name(4)) == Some(MemberState::Left)));
 }
 
-/// One that accuses everybody all the time, in their own and in huge incarnations, and brings records of others that
-/// nobody sealed (the wire drops those; here they are as old as can be): all stay alive, and nobody's incarnation is
-/// raised beyond what its own refutations need.
+/// Guards against a member that continually accuses all others, with current and huge incarnations,
+/// and sends unsealed records (the wire format drops those; here they have incarnation 0): all
+/// members stay alive, and incarnations rise only by their own refutations.
 #[test]
-fn a_liar_costs_refutations_and_nothing_else() {
+fn false_accusations_cause_only_refutations() {
     let mut net = Net::new(10, 8, 0);
     net.run(30 * SECOND);
     for _ in 0..60 {
@@ -314,9 +314,9 @@
     assert!(net.nodes.values().all(|s| s.own().incarnation < 200));
 }
 
-/// What an instance sends does not grow with the group.
+/// An instance's traffic does not grow with the size of the group.
 #[test]
-fn traffic_for_each_is_flat() {
+fn traffic_per_instance_is_independent_of_group_size() {
     let mut rates = Vec::new();
     for n in [5, 20, 60] {
         let mut net = Net::new(n, 9, 0);
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,7 +1,8 @@
-//! Datagrams: protobuf within one MTU, versioned, each sealed and fresh, with a replay window for each sender.
+//! Datagrams: versioned protobuf within one MTU, sealed and timestamped, with a replay window per
+//! sender.
 //!
-//! What does not fit is left out and goes with a later one: nothing is put together from parts, so that nobody's
-//! sizes are trusted. Unknown fields pass; an unknown version is refused and counted.
+//! Items that do not fit are sent in a later datagram. There is no fragmentation, so no declared
+//! size has to be trusted. Unknown fields are ignored; an unknown version is rejected and counted.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,16 +16,16 @@
 use super::swim::{Message, Record, Say, Suspicion};
 use crate::api::{Micros, WorkerId};
 
-/// The version of this wire.
+/// Version of the wire format.
 pub const VERSION: u32 = 1;
-/// Bytes of a datagram at most: within an Ethernet's MTU, with room for tunnels.
+/// Maximum size of a datagram in bytes: within the Ethernet MTU, with room for tunnels.
 pub const MTU: usize = 1200;
-/// How far the clocks of members may be apart, and how late a datagram may come.
+/// Maximum difference between the clocks of members, and maximum delay of a datagram.
 pub const SKEW: Micros = 10_000_000;
-/// Observations in one sighting.
+/// Maximum number of workers in one sealed observation.
 pub const MAX_OBSERVATIONS: usize = 24;
 
-/// What is sealed: a seal for one is none for another.
+/// Purposes of seals: a seal for one purpose is invalid for any other.
 const ENVELOPE: u8 = 1;
 const RECORD: u8 = 2;
 const ACCUSATION: u8 = 3;
@@ -48,7 +49,8 @@
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Body {
-    /// 1 ping, 2 ack, 3 ping for another, 4 nack, 5 exchange, 6 exchange that wants an answer.
+    /// 1 ping, 2 ack, 3 indirect ping request, 4 nack, 5 exchange, 6 exchange with an answer
+    /// requested.
     #[prost(uint32, tag = "1")]
     say: u32,
     #[prost(uint64, tag = "2")]
@@ -115,42 +117,42 @@
     refused: u32,
 }
 
-/// What an origin saw over one window, sealed by it.
+/// Observations by one origin over one window, sealed by the origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SealedObservation {
-    /// Whose word it is.
+    /// Name of the origin.
     pub origin: String,
-    /// The end of its window.
+    /// End of the window, in Unix microseconds by the origin's clock.
     pub at: Micros,
-    /// What it saw.
+    /// Observed workers with their outcomes.
     pub seen: Vec<(WorkerId, Observation)>,
-    /// Its seal.
+    /// The origin's seal.
     pub seal: Vec<u8>,
 }
 
-/// Why a datagram, or a part of one, is not taken.
+/// Reasons why a datagram, or a part of one, is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DatagramError {
-    /// It is longer than a datagram may be.
+    /// The datagram is longer than [`MTU`].
     TooLong,
-    /// It cannot be read.
+    /// The datagram cannot be decoded.
     Garbled,
-    /// It has another version.
+    /// The datagram has another version.
     Version,
-    /// No key is accepted for its sender.
+    /// No key is accepted for the sender.
     Stranger,
-    /// Its seal does not hold.
+    /// The seal is invalid.
     Seal,
-    /// It is too old, or from too far ahead.
+    /// The timestamp is too old or too far ahead.
     Stale,
-    /// It came before.
+    /// The sequence number was received before.
     Replayed,
-    /// A record, accusation or sighting in it is not sealed by whose word it is.
+    /// A record, accusation or observation in the datagram lacks a valid seal by its author.
     Part,
 }
 
 impl DatagramError {
-    /// Its name in counters.
+    /// Returns the name of the reason in counters.
     pub fn name(self) -> &'static str {
         match self {
             DatagramError::TooLong => "too_long",
@@ -205,7 +207,7 @@
     out
 }
 
-/// Seals one's own record.
+/// Creates and seals the own record.
 pub fn seal_record(
     keys: &Keys,
     name: &str,
@@ -226,13 +228,13 @@
     }
 }
 
-/// Whether a record, such as one kept on disk, is sealed by its member.
+/// Returns whether a record, such as one stored on disk, has a valid seal by its member.
 pub fn check_record(keys: &Keys, r: &Record) -> bool {
     let content = record_content(&r.name, &r.address.to_string(), r.incarnation, r.leaving);
     keys.check(&r.name, RECORD, &content, &r.seal)
 }
 
-/// Seals an accusation of one's own.
+/// Creates and seals an accusation by this instance.
 pub fn seal_accusation(keys: &Keys, accused: &str, incarnation: u64, by: &str) -> Suspicion {
     let seal = keys.seal(ACCUSATION, &accusation_content(accused, incarnation, by));
     Suspicion {
@@ -243,7 +245,7 @@
     }
 }
 
-/// Seals what one saw.
+/// Creates and seals the observations by this instance.
 pub fn seal_sighting(
     keys: &Keys,
     origin: &str,
@@ -279,8 +281,8 @@
     }
 }
 
-/// A datagram of at most `most` bytes; parts that do not fit are left out, the last ones first. `sightings` is asked
-/// for one after the other, with the bytes that are left, until it has none that fits.
+/// Encodes a datagram of at most `max_bytes`, without the items that do not fit. `observations` is
+/// called with the number of bytes left until it returns `None` or an item that does not fit.
 pub fn pack(
     keys: &Keys,
     from: &str,
@@ -304,7 +306,7 @@
         name,
         ..Body::default()
     };
-    // The envelope around a body: its fields, their tags and lengths, and the longest seal.
+    // Size of the envelope: its fields, their tags and lengths, and the longest seal.
     let room = max_bytes.checked_sub(from.len() + 64 + 40)?;
     let mut left = room.checked_sub(body.encoded_len())?;
     let mut fits = |size: usize| {
@@ -364,12 +366,12 @@
     (bytes.len() <= max_bytes).then_some(bytes)
 }
 
-/// Bytes that a sighting takes in a datagram.
+/// Returns the upper bound of the bytes that a sealed observation takes in a datagram.
 pub fn sealed_observation_size(origin: &str, seen: usize) -> usize {
     origin.len() + 64 + 20 + seen * 27
 }
 
-/// Numbers seen of one sender: those below the window count as seen.
+/// Sequence numbers received from one sender. Numbers below the window count as received.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReplayWindow {
     highest: u64,
@@ -378,7 +380,7 @@
 }
 
 impl ReplayWindow {
-    /// Takes a number; `false` if it was taken before or is too old to tell.
+    /// Records a number. Returns `false` if it was received before or is below the window.
     fn accept(&mut self, number: u64) -> bool {
         if number > self.highest {
             let ahead = number - self.highest;
@@ -395,32 +397,33 @@
     }
 }
 
-/// What a datagram brought.
+/// Verified contents of a datagram.
 #[derive(Debug)]
 pub struct Opened {
-    /// Who sent it.
+    /// Name of the sender.
     pub from: String,
-    /// Its message, with the parts whose seals hold.
+    /// The message, with only the items that have valid seals.
     pub message: Message,
-    /// Sightings whose seals hold.
+    /// Sealed observations with valid seals.
     pub sightings: Vec<SealedObservation>,
-    /// Parts that were left out, as their seals do not hold.
+    /// Number of items dropped, mostly for invalid seals.
     pub refused: u32,
 }
 
-/// Opens datagrams.
+/// Decodes and verifies datagrams.
 #[derive(Clone, Debug, Default)]
 pub struct Opener {
     windows: BTreeMap<String, ReplayWindow>,
-    /// How many were refused, by why.
+    /// Number of rejected datagrams by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
-/// Senders whose numbers are remembered.
+/// Number of senders with replay windows above which stale windows are removed.
 const MAX_SENDERS: usize = 4096;
 
 impl Opener {
-    /// Opens a datagram. What costs little is looked at first; seals last.
+    /// Decodes and verifies a datagram. Cheap checks come before the seals. `known` returns whether
+    /// a record is already known, so that its seal needs no check.
     pub fn open(
         &mut self,
         keys: &Keys,
@@ -465,7 +468,7 @@
         }
         let full = self.windows.len() >= MAX_SENDERS && !self.windows.contains_key(&e.from);
         if full {
-            // What is older than the skew is refused by its time alone.
+            // The timestamp check alone rejects replays older than the skew.
             self.windows.retain(|_, w| w.heard + 2 * SKEW > now);
         }
         let window = self.windows.entry(e.from.clone()).or_default();
@@ -497,7 +500,7 @@
                 leaving: part.leaving,
                 seal: part.seal,
             };
-            // One that is known already brings no news, and its seal was checked when it was.
+            // A known record is not new, and its seal was verified before.
             if known(&r) {
                 continue;
             }
--- a/src/membership/wire/tests.rs
+++ b/src/membership/wire/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_datagram_comes_as_it_went_once_and_in_its_time() {
+fn datagram_is_accepted_once_and_while_fresh() {
     let (a, b) = (each(0, 2), each(1, 2));
     let mut opener = Opener::default();
     let bytes = packed(&a, 10);
@@ -50,7 +50,7 @@
     );
     assert!(
         opener.open(&b, NOW, &packed(&a, 9), |_| false).is_ok(),
-        "overtaken by the one before"
+        "delivered out of order"
     );
     assert!(opener.open(&b, NOW, &packed(&a, 500), |_| false).is_ok());
     assert_eq!(
@@ -82,9 +82,9 @@
 }
 
 #[test]
-fn nobody_speaks_for_another() {
+fn forged_items_and_datagrams_are_rejected() {
     let (a, b) = (each(0, 3), each(1, 3));
-    // b forges: a's record, an accusation in a's name, a sighting of a's; and a whole datagram as a.
+    // `b` forges a record, an accusation and an observation by `a`, and a whole datagram from `a`.
     let records = vec![Record {
         name: "a".into(),
         ..seal_record(&b, "b", address(2), 99, false)
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn another_version_is_refused_and_unknown_fields_pass() {
+fn other_version_is_rejected_and_unknown_fields_pass() {
     let (a, b) = (each(0, 2), each(1, 2));
     let mut e = Envelope::decode(&packed(&a, 1)[..]).unwrap();
     e.version = 2;
@@ -140,9 +140,9 @@
 }
 
 proptest! {
-    /// Whatever comes, or however a good one is changed, nothing falls over and nothing changed is taken.
+    /// Random bytes cause no panic, and a datagram with a flipped bit is rejected.
     #[test]
-    fn damage_is_refused(noise in prop::collection::vec(any::<u8>(), 0..1300), at in any::<usize>(), bit in 0u8..8) {
+    fn damaged_datagrams_are_rejected(noise in prop::collection::vec(any::<u8>(), 0..1300), at in any::<usize>(), bit in 0u8..8) {
         let (a, b) = (each(0, 2), each(1, 2));
         let mut opener = Opener::default();
         let _ = opener.open(&b, NOW, &noise, |_| false);
@@ -152,9 +152,9 @@
         prop_assert!(opener.open(&b, NOW, &bytes, |_| false).is_err());
     }
 
-    /// A datagram is never longer than is asked, whatever rides on it.
+    /// A datagram never exceeds the requested size, whatever its contents.
     #[test]
-    fn what_does_not_fit_is_left_out(max_bytes in 0usize..MTU, n in 0usize..40) {
+    fn items_that_do_not_fit_are_omitted(max_bytes in 0usize..MTU, n in 0usize..40) {
         let a = each(0, 2);
         let records = (0..n).map(|i| seal_record(&a, &format!("member-{i}"), address(1), 5, false)).collect();
         let message = Message { say: Say::Sync(true), records, accusations: Vec::new() };
--- a/src/tenancy/endpoint.rs
+++ b/src/tenancy/endpoint.rs
@@ -60,7 +60,8 @@
     pub name: String,
     /// Where it is.
     pub url: Option<String>,
-    /// The types of event it wants; `a.*` stands for all that begin with `a.`. None named: `call.completed`.
+    /// The types of event it wants; `a.*` stands for all that begin with `a.`. None named:
+    /// `call.completed`.
     pub types: Option<Vec<String>>,
     /// Whether it is sent anything.
     pub enabled: Option<bool>,
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -177,8 +177,8 @@
         self.tenants.get(name)
     }
 
-    /// A tenant, if it is still the very one. Guards an answer against going to another's portal when a tenant
-    /// is removed and its name given anew.
+    /// A tenant, if it is still the very one. Guards an answer against going to another's portal
+    /// when a tenant is removed and its name given anew.
     pub fn same(&self, name: &str, serial: u64) -> Option<&Tenant> {
         self.get(name).filter(|t| t.serial == serial)
     }
@@ -310,8 +310,8 @@
         Ok(())
     }
 
-    /// Removes a tenant; returns its number and the share that the number has from now on. A number may be
-    /// given to another, but the platform's stay, with the platform's shares.
+    /// Removes a tenant; returns its number and the share that the number has from now on. A number
+    /// may be given to another, but the platform's stay, with the platform's shares.
     pub fn remove(&mut self, name: &str) -> Result<(TenantId, f64), TenantError> {
         let t = self.tenants.remove(name).ok_or(TenantError::Unknown)?;
         self.serials += 1;
--- a/src/tenancy/persistence.rs
+++ b/src/tenancy/persistence.rs
@@ -9,7 +9,8 @@
 use crate::api::{Micros, TenantId};
 use crate::delivery::EndpointId;
 
-/// A tenant as the state file keeps it, secrets and all. Files of before there were endpoints lack the last four.
+/// A tenant as the state file keeps it, secrets and all. Files of before there were endpoints lack
+/// the last four.
 #[derive(Deserialize, Serialize)]
 struct StoredTenant {
     name: String,
@@ -45,7 +46,8 @@
     pub gone: Vec<EndpointId>,
 }
 
-/// Times of a clock of one's own become spans, and spans times of another: no two clocks are compared. What is over is left out.
+/// Times of a clock of one's own become spans, and spans times of another: no two clocks are
+/// compared. What is over is left out.
 fn shift(secrets: &mut Vec<(String, Option<Micros>)>, by: impl Fn(Micros) -> Option<Micros>) {
     secrets.retain_mut(|(_, until)| match *until {
         None => true,
@@ -94,7 +96,8 @@
         Some(serde_json::to_vec(&kept).unwrap_or_default())
     }
 
-    /// A tenant is so from here on, or is no more, as other gateways say. On an error nothing changes.
+    /// A tenant is so from here on, or is no more, as other gateways say. On an error nothing
+    /// changes.
     pub fn adopt(
         &mut self,
         now: Micros,
@@ -156,7 +159,8 @@
         Ok(())
     }
 
-    /// All tenants as text for the state file. It holds the secrets: it is written for its owner alone.
+    /// All tenants as text for the state file. It holds the secrets: it is written for its owner
+    /// alone.
     pub fn state(&self) -> String {
         let tenants = self
             .tenants
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -254,7 +254,8 @@
             } else if let (Follows::Nothing(_), Follows::Nothing(removals)) =
                 (o.entry.follows, agreed.follows(&tenant))
             {
-                // Others were removed meanwhile, and this one still is not there: what was said before cannot take hold any more.
+                // Others were removed meanwhile, and this one still is not there: what was said
+                // before cannot take hold any more.
                 (o.entry.follows, o.next_proposal) = (Follows::Nothing(removals), now);
                 continue;
             } else {
--- a/src/tenancy/replicated/mod.rs
+++ b/src/tenancy/replicated/mod.rs
@@ -1,13 +1,16 @@
 //! Changes of tenants that all gateways agree on. No I/O.
 //!
-//! With copies on, a change that the administration API says 2xx to stands in the agreed log before it does: on the disks of a
-//! majority of the voters, and so of `copies` machines at least. [`state`] is what the log's entries come to, the same at
-//! every gateway; a change names what it follows, so of two at once one takes hold, and of one that comes twice the first.
-//! [`changes`] is one gateway's part: it proposes until it is told, takes over what others changed, and answers whoever waits.
+//! With copies on, a change that the administration API says 2xx to stands in the agreed log before
+//! it does: on the disks of a majority of the voters, and so of `copies` machines at least.
+//! [`state`] is what the log's entries come to, the same at every gateway; a change names what it
+//! follows, so of two at once one takes hold, and of one that comes twice the first. [`changes`] is
+//! one gateway's part: it proposes until it is told, takes over what others changed, and answers
+//! whoever waits.
 //!
-//! Kept by id: tenants and the removed ones that an operator's file names (at most [`MAX_TENANT_RECORDS`], [`MAX_TOTAL_BYTES`] in all),
-//! changes of late (the last [`MAX_RECENT_CHANGES`]), answers to keyed requests (the last [`MAX_ANSWERS`]), changes under way here
-//! (at most [`changes::MAX_OPEN_CHANGES`], each with its end).
+//! Kept by id: tenants and the removed ones that an operator's file names (at most
+//! [`MAX_TENANT_RECORDS`], [`MAX_TOTAL_BYTES`] in all), changes of late (the last
+//! [`MAX_RECENT_CHANGES`]), answers to keyed requests (the last [`MAX_ANSWERS`]), changes under way
+//! here (at most [`changes::MAX_OPEN_CHANGES`], each with its end).
 
 pub mod changes;
 pub mod error;
--- a/src/tenancy/replicated/state.rs
+++ b/src/tenancy/replicated/state.rs
@@ -14,8 +14,8 @@
 /// What a change was made on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Follows {
-    /// There was nothing agreed of the tenant, and so many had been removed by then: a change that comes again once its tenant
-    /// was made and removed does not make it anew.
+    /// There was nothing agreed of the tenant, and so many had been removed by then: a change that
+    /// comes again once its tenant was made and removed does not make it anew.
     Nothing(u64),
     /// What was agreed of it had this version.
     At(u64),
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -23,7 +23,8 @@
     }
 }
 
-/// Several gateways round one log, which is handed to all after each entry unless a gateway is cut off.
+/// Several gateways round one log, which is handed to all after each entry unless a gateway is cut
+/// off.
 struct Table {
     agreed: Tenants,
     all: Vec<Changes>,
@@ -153,7 +154,8 @@
     );
 }
 
-/// A proposal that is said again, or comes late, after its tenant was changed or removed since, has no effect.
+/// A proposal that is said again, or comes late, after its tenant was changed or removed since, has
+/// no effect.
 #[test]
 fn what_comes_again_or_late_has_no_effect() {
     let mut s = Tenants::default();
@@ -174,7 +176,8 @@
     assert_eq!((s.changes, s.removals), (3, 1));
 }
 
-/// One that the operator's file names is remembered as removed, so that a gateway that starts on the file lets go of it.
+/// One that the operator's file names is remembered as removed, so that a gateway that starts on
+/// the file lets go of it.
 #[test]
 fn a_removed_tenant_of_the_file_stays_removed() {
     let mut t = Table::new(2, 1, 1);
@@ -195,7 +198,8 @@
     );
 }
 
-/// While one waits others are removed: the change is proposed on what stands now, without a word to whoever waits.
+/// While one waits others are removed: the change is proposed on what stands now, without a word to
+/// whoever waits.
 #[test]
 fn a_new_tenant_waits_out_the_removal_of_another() {
     let mut t = Table::new(2, 1, 1);
--- a/src/tenancy/secret.rs
+++ b/src/tenancy/secret.rs
@@ -1,5 +1,5 @@
-//! Keys for signatures: HMAC (`whsec_`) and Ed25519 (`whsk_` to sign and check, `whpk_` to check alone), as the
-//! Standard Webhooks specification writes them. None of them is ever printed.
+//! Keys for signatures: HMAC (`whsec_`) and Ed25519 (`whsk_` to sign and check, `whpk_` to check
+//! alone), as the Standard Webhooks specification writes them. None of them is ever printed.
 
 use std::fmt;
 
@@ -45,8 +45,8 @@
 }
 
 impl Secret {
-    /// Reads `whsec_` and the base64 of 24 to 64 bytes, `whsk_` and that of 32 or 64 (the seed, or the seed and the
-    /// public key), or `whpk_` and that of 32.
+    /// Reads `whsec_` and the base64 of 24 to 64 bytes, `whsk_` and that of 32 or 64 (the seed, or
+    /// the seed and the public key), or `whpk_` and that of 32.
     pub fn parse(text: &str) -> Result<Secret, TenantError> {
         let (prefix, rest) = text.split_once('_').ok_or(TenantError::Secret)?;
         let bytes = Zeroizing::new(
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Whether a signature, as it stands in the header, is this key's for a content. Those of other versions are
-    /// not. The comparison takes the same time wherever they differ.
+    /// Whether a signature, as it stands in the header, is this key's for a content. Those of other
+    /// versions are not. The comparison takes the same time wherever they differ.
     pub fn verify(&self, content: &[u8], signature: &str) -> bool {
         let bytes = |prefix: &str| {
             signature
@@ -165,7 +165,8 @@
     }
 }
 
-/// The secrets that a rotation leaves: the new one first; those before it count until `until` and no longer.
+/// The secrets that a rotation leaves: the new one first; those before it count until `until` and
+/// no longer.
 pub fn rotated(
     mut secrets: Vec<Secret>,
     fresh: Secret,
--- a/src/tenancy/tests.rs
+++ b/src/tenancy/tests.rs
@@ -221,7 +221,8 @@
     assert_eq!(r.rotate("a", A, 0, 0), Err(TenantError::Unknown));
 }
 
-/// A tenant as another gateway is told of it: its own number here, the same endpoints, and spans in place of times.
+/// A tenant as another gateway is told of it: its own number here, the same endpoints, and spans in
+/// place of times.
 #[test]
 fn a_tenant_is_taken_over_from_another_gateway_with_spans_in_place_of_times() {
     let mut there = Registry::new(&[]);
