--- a/src/membership/group.rs
+++ b/src/membership/group.rs
@@ -84,7 +84,7 @@
     Keep,
 }
 
-/// A member as shown on the operator console.
+/// A member as shown by the administration API.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct PeerView {
     /// The member's name.
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -441,7 +441,7 @@
         ));
     }
 
-    /// Returns the addresses of up to `n` random live members other than `except`.
+    /// Returns the addresses of up to `n` random alive members other than `except`.
     fn pick_members(&mut self, n: usize, except: &str) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self
             .members
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -406,7 +406,7 @@
     pub message: Message,
     /// Sealed observations with valid seals.
     pub sightings: Vec<SealedObservation>,
-    /// Number of items dropped, mostly for invalid seals.
+    /// Number of items dropped because of an invalid seal, name, address or length.
     pub refused: u32,
 }
 
--- a/src/tenancy/endpoint.rs
+++ b/src/tenancy/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: where a tenant's messages go, which ones, and how fast.
+//! Endpoints: destinations of a tenant's messages, with subscriptions and rate limits.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,25 +10,26 @@
 use crate::delivery::schedule::Schedule;
 use crate::delivery::{Enabled, EndpointId, EndpointPlan};
 
-/// The type of event that answers a call; the only one that goes to an endpoint that names none.
+/// Type of the event that answers a call; the only type sent to an endpoint without listed types.
 pub const COMPLETED: &str = "call.completed";
-/// Event types that an endpoint may name.
+/// Maximum number of event types per endpoint.
 const MAX_EVENT_TYPES: usize = 32;
-/// Attempts out at once where nothing is said.
+/// Default limit on concurrent attempts.
 const DEFAULT_IN_FLIGHT: u32 = 8;
+/// Maximum limit on concurrent attempts.
 const MAX_IN_FLIGHT: u32 = 64;
 
-/// Where messages go. There is no DNS: the address is numeric.
+/// Destination of messages. The address is numeric, because there is no DNS resolution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Portal {
-    /// The address.
+    /// Address and port.
     pub address: SocketAddr,
-    /// The path.
+    /// Path of the URL.
     pub path: String,
 }
 
 impl Portal {
-    /// Reads `http://ADDRESS:PORT/PATH`.
+    /// Parses `http://ADDRESS:PORT/PATH`.
     pub fn parse(url: &str) -> Result<Portal, TenantError> {
         let rest = url.strip_prefix("http://").ok_or(TenantError::Portal)?;
         let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -51,58 +52,59 @@
     }
 }
 
-/// An endpoint as an operator writes it; what is not given stays.
+/// An endpoint's configuration by the operator. Omitted fields keep their values.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// Its name within the tenant.
+    /// Name of the endpoint within the tenant.
     #[serde(default)]
     pub name: String,
-    /// Where it is.
+    /// URL of the endpoint.
     pub url: Option<String>,
-    /// The types of event it wants; `a.*` stands for all that begin with `a.`. None named:
+    /// Subscribed event types; `a.*` matches all types that begin with `a.`. An empty list means
     /// `call.completed`.
     pub types: Option<Vec<String>>,
-    /// Whether it is sent anything.
+    /// Whether the endpoint receives messages.
     pub enabled: Option<bool>,
-    /// Attempts a second at most; 0 for no limit.
+    /// Maximum attempts per second; 0 for no limit.
     pub rate_per_s: Option<f64>,
-    /// Attempts out at once at most.
+    /// Maximum number of concurrent attempts.
     pub in_flight: Option<u32>,
-    /// Pauses between attempts, in seconds; an empty list for the gateway's own schedule.
+    /// Pauses between attempts, in seconds; an empty list selects the gateway's schedule.
     pub schedule_s: Option<Vec<f64>>,
-    /// Whether messages under one order key wait for each other.
+    /// Whether messages with the same order key are delivered one after the other.
     pub ordered: Option<bool>,
-    /// Its own secrets, the current one first; without any the tenant's sign.
+    /// The endpoint's own secrets, the current one first; an empty list selects the tenant's
+    /// secrets.
     pub secrets: Option<Vec<String>>,
 }
 
-/// An endpoint.
+/// A configured endpoint.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Tells it from any other, also of the same name.
+    /// Identifier, unique also among endpoints that reuse a name.
     pub id: EndpointId,
-    /// Where it is.
+    /// Destination of the messages.
     pub portal: Portal,
-    /// The types of event it wants.
+    /// Subscribed event types.
     pub types: Vec<String>,
-    /// Whether it is sent anything.
+    /// Whether the endpoint receives messages, and the reason if not.
     pub enabled: Enabled,
-    /// Attempts a second at most; 0 for no limit.
+    /// Maximum attempts per second; 0 for no limit.
     pub rate_per_s: f64,
-    /// Attempts out at once at most.
+    /// Maximum number of concurrent attempts.
     pub in_flight: u32,
-    /// Its own schedule.
+    /// Retry schedule; the gateway's if absent.
     pub schedule: Option<Schedule>,
-    /// Whether messages under one order key wait for each other.
+    /// Whether messages with the same order key are delivered one after the other.
     pub ordered: bool,
-    /// Counts its changes.
+    /// Number of changes to the endpoint.
     pub version: u64,
     pub(super) secrets: Vec<Secret>,
 }
 
 impl Endpoint {
-    /// A new endpoint; it needs a portal.
+    /// Creates an endpoint; `spec` must contain a URL.
     pub fn new(id: EndpointId, spec: &EndpointSpec) -> Result<Endpoint, TenantError> {
         let portal = Portal::parse(spec.url.as_deref().ok_or(TenantError::Portal)?)?;
         let mut endpoint = Endpoint {
@@ -121,7 +123,7 @@
         Ok(endpoint)
     }
 
-    /// Changes what is given; on an error nothing.
+    /// Applies the given fields. On an error nothing changes.
     pub fn change(&mut self, spec: &EndpointSpec) -> Result<(), TenantError> {
         let mut new = self.clone();
         if let Some(url) = &spec.url {
@@ -176,7 +178,7 @@
         Ok(())
     }
 
-    /// Whether it wants events of a type.
+    /// Returns whether the endpoint is subscribed to events of a type.
     pub fn wants(&self, kind: &str) -> bool {
         if self.types.is_empty() {
             return kind == COMPLETED;
@@ -187,12 +189,12 @@
         })
     }
 
-    /// Its own secrets that count now.
+    /// Returns the endpoint's own secrets valid at `now`.
     pub fn own_secrets(&self, now: Micros) -> impl Iterator<Item = &Secret> {
         self.secrets.iter().filter(move |s| s.valid(now))
     }
 
-    /// What delivery is told of it.
+    /// Returns the delivery settings of the endpoint.
     pub fn plan(&self, tenant: u64, schedule: &Schedule) -> EndpointPlan {
         EndpointPlan {
             tenant,
@@ -203,7 +205,7 @@
         }
     }
 
-    /// What may be shown of it.
+    /// Returns the endpoint without confidential values.
     pub fn view<'a>(&'a self, name: &'a str, now: Micros) -> EndpointView<'a> {
         EndpointView {
             name,
@@ -221,7 +223,7 @@
     }
 }
 
-/// What may be shown of an endpoint.
+/// An endpoint without confidential values.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointView<'a> {
     name: &'a str,
@@ -237,7 +239,7 @@
     version: u64,
 }
 
-/// An endpoint as the state file keeps it, secrets and all.
+/// An endpoint as stored in the state file, including secrets.
 #[derive(Deserialize, Serialize)]
 pub(super) struct StoredEndpoint {
     name: String,
--- a/src/tenancy/error.rs
+++ b/src/tenancy/error.rs
@@ -1,36 +1,36 @@
-//! Why a tenant cannot be as asked.
+//! Errors in changes to tenants.
 
 use std::fmt;
 
-/// Why a tenant cannot be as asked.
+/// Reasons why a change to a tenant is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantError {
-    /// Its name is empty, too long, or holds other than letters, digits, `-` and `_`.
+    /// The name is empty, too long, or contains characters other than letters, digits, `-` and `_`.
     Name,
-    /// Its share is not a number of calls a second.
+    /// The share is not a valid number of calls per second.
     Share,
-    /// Its portal is not `http://ADDRESS:PORT/PATH`.
+    /// The portal is not of the form `http://ADDRESS:PORT/PATH`.
     Portal,
-    /// A secret is none of the three kinds.
+    /// A secret is not of one of the three kinds.
     Secret,
-    /// A type of event is no name.
+    /// There are too many event types, or an event type is not a valid name.
     Types,
-    /// A rate or a number in flight is out of bounds.
+    /// A rate or a limit on attempts in flight is out of bounds.
     Limits,
-    /// A schedule is out of bounds.
+    /// A retry schedule is out of bounds.
     Schedule,
-    /// There is no such endpoint.
+    /// The endpoint does not exist.
     UnknownEndpoint,
-    /// There is no such tenant.
+    /// The tenant does not exist.
     Unknown,
-    /// There are as many as there may be.
+    /// The maximum number of tenants, endpoints or secrets is exceeded.
     TooMany,
-    /// The state file's text cannot be read.
+    /// The stored or replicated state cannot be parsed.
     State,
 }
 
 impl TenantError {
-    /// Why, in a few words.
+    /// Returns a short description of the reason.
     pub fn why(&self) -> &'static str {
         match self {
             TenantError::Name => "a tenant's name is 1 to 64 letters, digits, - and _",
--- a/src/tenancy/fixture_tests.rs
+++ b/src/tenancy/fixture_tests.rs
@@ -1,6 +1,6 @@
-//! Identities that follow from names, compared with their recorded values.
+//! Compares derived identifiers with their recorded values.
 //!
-//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` rewrites the file.
 
 use super::identity;
 use crate::fixtures::check_lines;
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -1,4 +1,4 @@
-//! The registry of tenants: each one's secrets, share and endpoints.
+//! Registry of tenants with their secrets, shares and endpoints.
 
 use std::collections::BTreeMap;
 
@@ -23,53 +23,53 @@
 pub use persistence::Adopted;
 pub use secret::Secret;
 
-/// Tenants at most; what one holds stays small.
+/// Maximum number of tenants; bounds the size of the registry.
 const MAX_TENANTS: usize = 4096;
-/// Secrets of one tenant at most, rotated ones included.
+/// Maximum number of secrets per tenant, including rotated ones.
 const MAX_SECRETS: usize = 8;
-/// Endpoints of one tenant at most.
+/// Maximum number of endpoints per tenant.
 const MAX_ENDPOINTS: usize = 32;
-/// The endpoint that a tenant's `portal` stands for.
+/// Name of the endpoint that a tenant's `portal` setting defines.
 pub const PORTAL: &str = "portal";
 
-/// A tenant as an operator writes it.
+/// A tenant's configuration by the operator.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
-    /// Its name.
+    /// The tenant's name.
     #[serde(default)]
     pub name: String,
-    /// Calls a second over all gateways within its share; 0 where none is stated.
+    /// Share in calls per second over all gateways; 0 if none is given.
     pub share_per_s: Option<f64>,
-    /// Where its callbacks go.
+    /// URL that receives the tenant's callbacks.
     pub portal: Option<String>,
-    /// Its secrets, the current one first.
+    /// The tenant's secrets, the current one first.
     #[serde(default)]
     pub secrets: Vec<String>,
-    /// Further endpoints.
+    /// Additional endpoints.
     #[serde(default)]
     pub endpoints: Vec<EndpointSpec>,
 }
 
-/// One tenant.
+/// A registered tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Tells it from one of the same name before or after it.
+    /// Distinguishes the tenant from earlier or later ones of the same name.
     pub serial: u64,
-    /// Its number in the module.
+    /// Number of the tenant in the decision module.
     pub id: TenantId,
-    /// Its share, calls a second.
+    /// Share in calls per second.
     pub share_per_s: f64,
-    /// Its endpoints by name; that of its `portal` among them.
+    /// Endpoints by name, including the one that `portal` defines.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// Counts its changes.
+    /// Number of changes to the tenant.
     pub version: u64,
     secrets: Vec<Secret>,
-    /// Endpoints removed so far.
+    /// Number of endpoints removed so far.
     removed: u64,
 }
 
-/// An identity that follows from what it is of, and is of no other.
+/// Derives an identifier from a hash of `parts`.
 fn identity(parts: &[&[u8]]) -> u64 {
     let mut hash = Sha256::new();
     for part in parts {
@@ -84,12 +84,12 @@
 }
 
 impl Tenant {
-    /// The secrets that count now, the current one first.
+    /// Returns the secrets valid at `now`, the current one first.
     pub fn secrets(&self, now: Micros) -> impl Iterator<Item = &Secret> {
         self.secrets.iter().filter(move |s| s.valid(now))
     }
 
-    /// An endpoint with its name.
+    /// Returns an endpoint and its name by identifier.
     pub fn endpoint(&self, id: EndpointId) -> Option<(&str, &Endpoint)> {
         self.endpoints
             .iter()
@@ -97,7 +97,7 @@
             .map(|(name, e)| (name.as_str(), e))
     }
 
-    /// The secrets that sign for an endpoint: its own, or else the tenant's.
+    /// Returns the secrets that sign messages to an endpoint: its own, or else the tenant's.
     pub fn signing(&self, e: &Endpoint, now: Micros) -> Vec<Secret> {
         let own: Vec<Secret> = e.own_secrets(now).filter(|s| s.signs()).cloned().collect();
         if own.is_empty() {
@@ -106,7 +106,7 @@
         own
     }
 
-    /// Whether any endpoint wants events of a type.
+    /// Returns whether any endpoint is subscribed to events of a type.
     pub fn wants(&self, kind: &str) -> bool {
         self.endpoints.values().any(|e| e.wants(kind))
     }
@@ -136,7 +136,7 @@
     Ok(())
 }
 
-/// What may be shown of a tenant.
+/// A tenant without confidential values.
 #[derive(Debug, Serialize)]
 pub struct View<'a> {
     name: &'a str,
@@ -147,11 +147,11 @@
     version: u64,
 }
 
-/// All tenants, by name.
+/// Registry of all tenants, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     tenants: BTreeMap<String, Tenant>,
-    /// Numbers and shares of the platform's own tenants, which stay theirs.
+    /// Numbers and shares reserved for the platform's own tenants.
     reserved: BTreeMap<String, (TenantId, f64)>,
     free_ids: Vec<TenantId>,
     next_id: u32,
@@ -159,7 +159,7 @@
 }
 
 impl Registry {
-    /// A registry in which the platform's tenants keep their numbers.
+    /// Creates a registry that reserves the numbers and shares of the platform's tenants.
     pub fn new(platform: &[(String, f64)]) -> Registry {
         let number = |(i, (name, share)): (usize, &(String, f64))| {
             (name.clone(), (TenantId(i as u32), *share))
@@ -172,18 +172,19 @@
         }
     }
 
-    /// A tenant.
+    /// Returns a tenant by name.
     pub fn get(&self, name: &str) -> Option<&Tenant> {
         self.tenants.get(name)
     }
 
-    /// A tenant, if it is still the very one. Guards an answer against going to another's portal
-    /// when a tenant is removed and its name given anew.
+    /// Returns a tenant if its serial matches. This keeps an answer from another tenant's portal
+    /// after the tenant was removed and its name was reused.
     pub fn same(&self, name: &str, serial: u64) -> Option<&Tenant> {
         self.get(name).filter(|t| t.serial == serial)
     }
 
-    /// Creates a tenant or changes what is given of it; tells whether it is new.
+    /// Creates a tenant, or changes the given fields of an existing one. Returns whether the tenant
+    /// is new.
     pub fn put(&mut self, name: &str, spec: &Spec) -> Result<bool, TenantError> {
         check_name(name)?;
         if spec.share_per_s.is_some_and(|s| !s.is_finite() || s < 0.0) {
@@ -240,7 +241,8 @@
         Ok(new)
     }
 
-    /// Creates an endpoint or changes what is given of it; tells whether it is new.
+    /// Creates an endpoint, or changes the given fields of an existing one. Returns whether the
+    /// endpoint is new.
     pub fn put_endpoint(
         &mut self,
         tenant: &str,
@@ -253,7 +255,7 @@
         Ok(new)
     }
 
-    /// Removes an endpoint.
+    /// Removes an endpoint and returns its identifier.
     pub fn remove_endpoint(&mut self, tenant: &str, name: &str) -> Result<EndpointId, TenantError> {
         let t = self.tenants.get_mut(tenant).ok_or(TenantError::Unknown)?;
         let e = t
@@ -264,7 +266,8 @@
         Ok(e.id)
     }
 
-    /// An endpoint failed for so long, or said 410, that it is switched off.
+    /// Disables an endpoint after persistent failures or a 410 response. Returns the names of the
+    /// tenant and the endpoint.
     pub fn disable(&mut self, id: EndpointId) -> Option<(String, String)> {
         let (tenant, t) = self
             .tenants
@@ -275,7 +278,7 @@
         Some((tenant.clone(), name.clone()))
     }
 
-    /// The same as [`Registry::rotate`] for an endpoint's own secrets.
+    /// Rotates an endpoint's own secrets like [`Registry::rotate`].
     pub fn rotate_endpoint(
         &mut self,
         tenant: &str,
@@ -295,7 +298,7 @@
         Ok(())
     }
 
-    /// Makes a secret the current one; those before it count until `until` and no longer.
+    /// Makes a secret the current one. Earlier secrets stay valid until `until` at the latest.
     pub fn rotate(
         &mut self,
         name: &str,
@@ -310,8 +313,8 @@
         Ok(())
     }
 
-    /// Removes a tenant; returns its number and the share that the number has from now on. A number
-    /// may be given to another, but the platform's stay, with the platform's shares.
+    /// Removes a tenant. Returns its number and the number's new share. Numbers are reused, except
+    /// for those of the platform's tenants, which keep the platform's shares.
     pub fn remove(&mut self, name: &str) -> Result<(TenantId, f64), TenantError> {
         let t = self.tenants.remove(name).ok_or(TenantError::Unknown)?;
         self.serials += 1;
@@ -322,7 +325,7 @@
         Ok((t.id, 0.0))
     }
 
-    /// The numbers and shares of all tenants.
+    /// Returns the numbers and shares of all tenants.
     pub fn shares(&self) -> Vec<(TenantId, f64)> {
         self.tenants
             .values()
@@ -330,7 +333,7 @@
             .collect()
     }
 
-    /// What may be shown of one tenant.
+    /// Returns a tenant without confidential values.
     pub fn view<'a>(&'a self, name: &'a str, now: Micros) -> Option<View<'a>> {
         let t = self.tenants.get(name)?;
         Some(View {
@@ -343,12 +346,12 @@
         })
     }
 
-    /// All tenants, by name.
+    /// Iterates over all tenants by name.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Tenant)> {
         self.tenants.iter()
     }
 
-    /// What may be shown of all.
+    /// Returns all tenants without confidential values.
     pub fn views(&self, now: Micros) -> Vec<View<'_>> {
         self.tenants
             .keys()
--- a/src/tenancy/persistence.rs
+++ b/src/tenancy/persistence.rs
@@ -1,4 +1,4 @@
-//! Tenants as text: the state file's, and one tenant's for other gateways.
+//! Serialization of tenants, for the state file and for replication to other gateways.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 use crate::api::{Micros, TenantId};
 use crate::delivery::EndpointId;
 
-/// A tenant as the state file keeps it, secrets and all. Files of before there were endpoints lack
-/// the last four.
+/// A tenant as stored in the state file, including secrets. Files from versions without endpoints
+/// lack the last four fields.
 #[derive(Deserialize, Serialize)]
 struct StoredTenant {
     name: String,
     share_per_s: f64,
     portal: Option<String>,
-    /// Each with the time until which it counts.
+    /// Secrets with the ends of their validity.
     secrets: Vec<(String, Option<Micros>)>,
     serial: Option<u64>,
     #[serde(default)]
@@ -26,7 +26,7 @@
     endpoints: Option<Vec<StoredEndpoint>>,
 }
 
-/// The state file. Before there were endpoints it was the list alone.
+/// Contents of the state file. Versions without endpoints wrote only the list.
 #[derive(Deserialize, Serialize)]
 #[serde(untagged)]
 enum StoredRegistry {
@@ -37,17 +37,17 @@
     List(Vec<StoredTenant>),
 }
 
-/// What follows from a tenant that was taken over from another gateway.
+/// Effects of adopting a tenant from another gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Adopted {
-    /// Its number, and the share that the number has from here on.
+    /// The tenant's number and the number's new share.
     pub share: (TenantId, f64),
-    /// Endpoints that are no more.
+    /// Removed endpoints.
     pub gone: Vec<EndpointId>,
 }
 
-/// Times of a clock of one's own become spans, and spans times of another: no two clocks are
-/// compared. What is over is left out.
+/// Converts expiry times to durations or back with `by`, so that clocks of different gateways are
+/// never compared. Removes the secrets for which `by` returns `None`.
 fn shift(secrets: &mut Vec<(String, Option<Micros>)>, by: impl Fn(Micros) -> Option<Micros>) {
     secrets.retain_mut(|(_, until)| match *until {
         None => true,
@@ -88,16 +88,17 @@
 }
 
 impl Registry {
-    /// A tenant as other gateways are told of it, secrets and all; none if there is no such tenant.
+    /// Returns a tenant serialized for other gateways, including secrets, or `None` if the tenant
+    /// does not exist.
     pub fn told(&self, name: &str, now: Micros) -> Option<Vec<u8>> {
         let kept = StoredTenant::of(name, self.get(name)?)
             .shifted(|until| until.checked_sub(now).filter(|s| *s > 0));
-        // Strings and numbers only: there is nothing that could not be written.
+        // Contains only strings and numbers, so serialization cannot fail.
         Some(serde_json::to_vec(&kept).unwrap_or_default())
     }
 
-    /// A tenant is so from here on, or is no more, as other gateways say. On an error nothing
-    /// changes.
+    /// Replaces a tenant with the version from other gateways, or removes it if `told` is `None`.
+    /// On an error nothing changes.
     pub fn adopt(
         &mut self,
         now: Micros,
@@ -119,7 +120,7 @@
             return Err(TenantError::Name);
         }
         let mut fresh = self.clone();
-        // Its number stays its own; all else is as told.
+        // The tenant keeps its local number; everything else is replaced.
         if let Some(t) = fresh.tenants.get_mut(name) {
             t.endpoints.clear();
         }
@@ -133,7 +134,8 @@
         }))
     }
 
-    /// How many tenants all gateways have removed: one that is made from here on is none of these.
+    /// Sets the number of tenants removed by all gateways. The number enters the serials of new
+    /// tenants, so a new tenant differs from all removed ones.
     pub fn set_removals(&mut self, removals: u64) {
         self.serials = removals;
     }
@@ -159,15 +161,15 @@
         Ok(())
     }
 
-    /// All tenants as text for the state file. It holds the secrets: it is written for its owner
-    /// alone.
+    /// Returns all tenants as text for the state file. The text contains secrets, so the file is
+    /// readable only by its owner.
     pub fn state(&self) -> String {
         let tenants = self
             .tenants
             .iter()
             .map(|(name, t)| StoredTenant::of(name, t))
             .collect();
-        // Strings and numbers only: there is nothing that could not be written.
+        // Contains only strings and numbers, so serialization cannot fail.
         serde_json::to_string(&StoredRegistry::All {
             serials: self.serials,
             tenants,
@@ -175,7 +177,7 @@
         .unwrap_or_default()
     }
 
-    /// Takes the tenants of a state file in place of its own. On an error nothing changes.
+    /// Replaces all tenants with those of a state file. On an error nothing changes.
     pub fn restore(&mut self, text: &str) -> Result<(), TenantError> {
         let kept: StoredRegistry = serde_json::from_str(text).map_err(|_| TenantError::State)?;
         let (serials, list) = match kept {
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -1,4 +1,4 @@
-//! One gateway's part in changes of tenants: what it proposed, and what it has taken over.
+//! One gateway's part in changes of tenants: its proposals, and the changes that it adopts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,65 +9,65 @@
 use super::Origin;
 use crate::api::Micros;
 
-/// Changes under way here at most.
+/// Maximum number of open changes at this gateway.
 pub const MAX_OPEN_CHANGES: usize = 64;
 
-/// Whose answer a change is.
+/// Identifies the requester that waits for a change.
 pub type Ticket = u64;
 
-/// What the machine goes by.
+/// Settings of [`Changes`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This gateway's name.
+    /// Name of this gateway.
     pub name: Arc<str>,
-    /// This process, unlike any other.
+    /// Unique identifier of this process.
     pub process: u64,
-    /// On how many disks a change has to stand.
+    /// Minimum number of disks that store a change.
     pub copies: usize,
-    /// How long a change may take to be agreed on.
+    /// Timeout for agreement on a change.
     pub ask: Micros,
-    /// A change is told done before it is agreed on: a guard taken out, for tests.
+    /// For tests: reports changes as done before agreement, which disables the safeguard.
     pub without_agreed: bool,
 }
 
-/// A change that somebody here wants.
+/// A change requested at this gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeRequest {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The tenant from then on; none if it is to be removed.
+    /// The new contents of the tenant; `None` for a removal.
     pub kept: Option<Vec<u8>>,
-    /// Whether the operator's file names it.
+    /// Whether the operator's file lists the tenant.
     pub listed: bool,
-    /// The answer to be given again, if the request had a key.
+    /// Answer for repeated requests, if the request had an idempotency key.
     pub answer: Option<Answer>,
 }
 
-/// What happens.
+/// Events that [`Changes`] handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Somebody here wants a change, made on what was taken over so far.
+    /// A change requested here, based on the state adopted so far.
     Change(Ticket, ChangeRequest),
-    /// What is agreed, and how many vote.
+    /// The agreed state, and the number of voters.
     Agreed(Arc<Tenants>, usize),
-    /// A deadline fell due.
+    /// The deadline from [`Changes::next_deadline`] has passed.
     Tick,
 }
 
-/// What is to be done.
+/// Actions for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Have the log agree on this; it may get lost.
+    /// Propose an entry to the log; the proposal may get lost.
     Propose(Entry),
-    /// A tenant is so from here on; none if it was removed.
+    /// Adopt new contents of a tenant; `None` for a removal.
     Adopt(String, Option<Vec<u8>>),
-    /// How many have been removed by all.
+    /// The number of tenants removed by all gateways changed.
     Removals(u64),
-    /// A change is agreed, and taken over here.
+    /// A change is agreed and adopted here.
     Done(Ticket),
-    /// It is not told done.
+    /// A change is not confirmed.
     Refused(Ticket, Refusal),
-    /// Something to be recorded.
+    /// Record an event.
     Noted(HistoryEvent),
 }
 
@@ -75,13 +75,15 @@
 struct OpenChange {
     ticket: Ticket,
     entry: Entry,
-    /// How many changes had been agreed on when it was made.
+    /// Number of agreed changes when the change was requested.
     changes: u64,
+    /// Time at which the change is refused.
     until: Micros,
+    /// Time of the next proposal.
     next_proposal: Micros,
 }
 
-/// The machine.
+/// State machine for the changes of tenants at one gateway.
 #[derive(Clone, Debug)]
 pub struct Changes {
     settings: Settings,
@@ -93,7 +95,7 @@
 }
 
 impl Changes {
-    /// One that has heard of nothing.
+    /// Creates a state machine without any agreed state.
     pub fn new(settings: Settings) -> Changes {
         Changes {
             settings,
@@ -105,22 +107,22 @@
         }
     }
 
-    /// What is agreed, as far as was heard.
+    /// Returns the latest known agreed state.
     pub fn agreed(&self) -> &Tenants {
         &self.agreed
     }
 
-    /// How many vote, as far as was heard.
+    /// Returns the latest known number of voters.
     pub fn voters(&self) -> usize {
         self.voters
     }
 
-    /// The next thing to be done, if any.
+    /// Returns the next pending action, if any.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When `Tick` is due.
+    /// Returns the time of the next [`Input::Tick`].
     pub fn next_deadline(&self) -> Option<Micros> {
         self.open
             .values()
@@ -128,7 +130,7 @@
             .min()
     }
 
-    /// Takes what happened.
+    /// Handles an event.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
             Input::Change(ticket, wanted) => {
@@ -151,7 +153,7 @@
         ticket: Ticket,
         wanted: ChangeRequest,
     ) -> Result<(), Refusal> {
-        // An agreed change stands on the disks of a majority.
+        // An agreed change is stored on the disks of a majority.
         let have = if self.voters == 0 {
             0
         } else {
@@ -210,7 +212,7 @@
         Ok(())
     }
 
-    /// What is agreed has changed: what others changed is taken over, and whoever waits is told.
+    /// Adopts a new agreed state and answers the requesters of decided changes.
     fn apply_agreed(&mut self, now: Micros, agreed: Arc<Tenants>) {
         let before = std::mem::replace(&mut self.agreed, agreed);
         let agreed = self.agreed.clone();
@@ -254,8 +256,8 @@
             } else if let (Follows::Nothing(_), Follows::Nothing(removals)) =
                 (o.entry.follows, agreed.follows(&tenant))
             {
-                // Others were removed meanwhile, and this one still is not there: what was said
-                // before cannot take hold any more.
+                // Other tenants were removed meanwhile, and this one still does not exist: the
+                // earlier proposal can no longer take effect, so the change gets a new base.
                 (o.entry.follows, o.next_proposal) = (Follows::Nothing(removals), now);
                 continue;
             } else {
--- a/src/tenancy/replicated/error.rs
+++ b/src/tenancy/replicated/error.rs
@@ -1,79 +1,79 @@
-//! Why a change of a tenant is not told done, and what an operator can do about it.
+//! Reasons why a change of a tenant is not confirmed, with remedies for the operator.
 
 use super::{MAX_TENANT_BYTES, MAX_TOTAL_BYTES};
 
-/// Why.
+/// Reasons why a change of a tenant is not confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// Another change of the same tenant took hold first.
+    /// Another change of the same tenant took effect first.
     #[error("{tenant} was changed elsewhere meanwhile, so that this change has no effect")]
     Changed {
-        /// Which tenant.
+        /// Name of the tenant.
         tenant: String,
     },
-    /// It was not agreed in time.
+    /// The change was not agreed on in time.
     #[error("the change of {tenant} was not agreed on in time; it may still take hold")]
     Unreached {
-        /// Which tenant.
+        /// Name of the tenant.
         tenant: String,
     },
-    /// Too much has been agreed since to tell what became of it.
+    /// Too many changes were agreed on since then to determine the outcome.
     #[error("{since} changes were agreed on while this gateway heard of none; whether that of {tenant} holds is not known")]
     Unknown {
-        /// Which tenant.
+        /// Name of the tenant.
         tenant: String,
-        /// How many.
+        /// Number of changes agreed on since then.
         since: u64,
     },
-    /// A majority of the voters is fewer machines than a promise asks for.
+    /// A majority of the voters has fewer machines than `copies` requires.
     #[error("a majority of the council is {have} machines, a promise asks for {want}")]
     Fewer {
-        /// How many disks an agreed change stands on at least.
+        /// Minimum number of disks that store an agreed change.
         have: usize,
-        /// How many are asked for.
+        /// Required number of disks.
         want: usize,
     },
-    /// All tenants together would take too much.
+    /// All tenants together would exceed the size limit.
     #[error("changed tenants take {bytes} bytes, {MAX_TOTAL_BYTES} may be agreed on")]
     TooMuch {
-        /// How much they would take.
+        /// Resulting size, in bytes.
         bytes: usize,
     },
-    /// There are as many tenants as there may be.
+    /// The maximum number of tenant records is reached.
     #[error("{lines} changed tenants are agreed on, as many as may be")]
     TooMany {
-        /// How many.
+        /// Number of tenant records.
         lines: usize,
     },
-    /// This tenant takes too much.
+    /// The tenant exceeds the size limit.
     #[error("{tenant} takes {bytes} bytes, one may take {MAX_TENANT_BYTES}")]
     TooLong {
-        /// Which tenant.
+        /// Name of the tenant.
         tenant: String,
-        /// How much it takes.
+        /// Size of the tenant, in bytes.
         bytes: usize,
     },
-    /// Too many changes are under way here.
+    /// Too many changes are open at this gateway.
     #[error("{open} changes of tenants are under way here, as many as may be")]
     Busy {
-        /// How many.
+        /// Number of open changes.
         open: usize,
     },
-    /// The process has begun and not yet heard what is agreed.
+    /// The process started and has not yet received the agreed state.
     #[error("this gateway has not heard since its start what is agreed of tenants")]
     Unheard,
-    /// What is agreed of a tenant cannot be read here.
+    /// The agreed record of a tenant cannot be read by this version.
     #[error("what is agreed of {tenant} cannot be read by this version: {why}")]
     Unreadable {
-        /// Which tenant.
+        /// Name of the tenant.
         tenant: String,
-        /// Why not.
+        /// Reason.
         why: String,
     },
 }
 
 impl Refusal {
-    /// What an operator can do.
+    /// Returns a remedy for the operator.
     pub fn remedy(&self) -> &'static str {
         match self {
             Refusal::Changed { .. } => "look at the tenant as it is now, and make the change again if it is still wanted",
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether the same may be wanted once more, on what stands by then.
+    /// Returns whether the same request may be repeated on a later state.
     pub fn may_come_again(&self) -> bool {
         matches!(
             self,
@@ -103,7 +103,7 @@
         )
     }
 
-    /// The status that tells it.
+    /// Returns the HTTP status for the refusal.
     pub fn status(&self) -> u16 {
         match self {
             Refusal::Changed { .. } => 409,
--- a/src/tenancy/replicated/history.rs
+++ b/src/tenancy/replicated/history.rs
@@ -1,32 +1,33 @@
-//! What a process records of tenants, for a checker apart from it.
+//! Events that a process records about tenants, for an external checker.
 
 use serde::{Deserialize, Serialize};
 
-/// A note. What a tenant is, secrets among it, is told by a digest only.
+/// A recorded event. Tenant contents, which include secrets, appear only as digests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "tenants", rename_all = "snake_case")]
 pub enum HistoryEvent {
-    /// A process has begun, and knows what its files say.
+    /// A process started and read its files.
     Begun,
-    /// A tenant was taken over as it is agreed on.
+    /// A gateway adopted the agreed version of a tenant.
     Adopted {
-        /// Which.
+        /// Name of the tenant.
         tenant: String,
-        /// Which change it is as of; of one that is forgotten, any at which it was.
+        /// Version of the adopted change; for a tenant that is no longer stored, the version of any
+        /// state without the tenant.
         version: u64,
-        /// The digest of what it is, cut to eight bytes; none if it was removed.
+        /// Digest of the tenant, truncated to eight bytes; `None` if the tenant was removed.
         digest: Option<u64>,
     },
-    /// Somebody was told that a change is done.
+    /// A requester was told that a change is done.
     Told {
-        /// Which tenant's.
+        /// Name of the changed tenant.
         tenant: String,
-        /// The change.
+        /// Version that the change created.
         version: u64,
     },
 }
 
-/// What stands for a tenant in notes.
+/// Returns the digest that represents a tenant in recorded events.
 pub fn digest(kept: &[u8]) -> u64 {
     blake3::hash(kept)
         .as_bytes()
--- a/src/tenancy/replicated/mod.rs
+++ b/src/tenancy/replicated/mod.rs
@@ -1,16 +1,17 @@
-//! Changes of tenants that all gateways agree on. No I/O.
+//! Replicated changes of tenants, agreed on by all gateways; no I/O.
 //!
-//! With copies on, a change that the administration API says 2xx to stands in the agreed log before
-//! it does: on the disks of a majority of the voters, and so of `copies` machines at least.
-//! [`state`] is what the log's entries come to, the same at every gateway; a change names what it
-//! follows, so of two at once one takes hold, and of one that comes twice the first. [`changes`] is
-//! one gateway's part: it proposes until it is told, takes over what others changed, and answers
-//! whoever waits.
+//! With copies enabled, the administration API answers 2xx to a change only after the change is
+//! committed to the replicated log: on the disks of a majority of the voters, and therefore on at
+//! least `copies` machines. [`state`] applies the log's entries, with the same result at every
+//! gateway. Each change names the version that it is based on, so only one of two concurrent
+//! changes, and only the first of two identical entries, takes effect. [`changes`] is the part of
+//! one gateway: it proposes a change until the outcome is known, adopts changes by other gateways,
+//! and answers the requesters.
 //!
-//! Kept by id: tenants and the removed ones that an operator's file names (at most
-//! [`MAX_TENANT_RECORDS`], [`MAX_TOTAL_BYTES`] in all), changes of late (the last
-//! [`MAX_RECENT_CHANGES`]), answers to keyed requests (the last [`MAX_ANSWERS`]), changes under way
-//! here (at most [`changes::MAX_OPEN_CHANGES`], each with its end).
+//! Stored by identifier: tenants, including removed ones listed in an operator's file (at most
+//! [`MAX_TENANT_RECORDS`] with [`MAX_TOTAL_BYTES`] in total), the last [`MAX_RECENT_CHANGES`]
+//! changes, the last [`MAX_ANSWERS`] answers to requests with an idempotency key, and the open
+//! changes of this gateway (at most [`changes::MAX_OPEN_CHANGES`], each with a deadline).
 
 pub mod changes;
 pub mod error;
@@ -19,20 +20,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Tenants at most, those removed among them that an operator's file names.
+/// Maximum number of tenants, including removed ones that are listed in an operator's file.
 pub const MAX_TENANT_RECORDS: usize = 4096;
-/// Bytes of all tenants together at most: the agreed state has to fit into one frame.
+/// Maximum size of all tenants together, in bytes: the agreed state must fit into one frame.
 pub const MAX_TOTAL_BYTES: usize = 320 << 10;
-/// Bytes of one tenant at most.
+/// Maximum size of one tenant, in bytes.
 pub const MAX_TENANT_BYTES: usize = 24 << 10;
-/// Changes that are remembered by their origin.
+/// Number of recent changes stored by origin.
 pub const MAX_RECENT_CHANGES: usize = 256;
-/// Answers that are kept for those who ask again with the same key.
+/// Number of answers stored for repeated requests with the same key.
 pub const MAX_ANSWERS: usize = 128;
-/// Bytes of an answer that is kept; a longer one is not, and a repeated request is made anew.
+/// Maximum size of a stored answer, in bytes. A longer answer is not stored, and a repeated request
+/// is executed again.
 pub const LONGEST_ANSWER: usize = 2 << 10;
 
-/// Which change: of which process, and its number there.
+/// Identifier of a change: the process that made the change, and the number of the change there.
 #[derive(
     Clone,
     Copy,
@@ -47,8 +49,8 @@
     serde::Deserialize,
 )]
 pub struct Origin {
-    /// Whose.
+    /// Identifier of the process.
     pub process: u64,
-    /// Its number there.
+    /// Number of the change at the process.
     pub number: u64,
 }
--- a/src/tenancy/replicated/state.rs
+++ b/src/tenancy/replicated/state.rs
@@ -1,4 +1,4 @@
-//! What the agreed changes come to.
+//! State that results from the agreed changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,81 +11,81 @@
     MAX_TOTAL_BYTES,
 };
 
-/// What a change was made on.
+/// The state that a change is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Follows {
-    /// There was nothing agreed of the tenant, and so many had been removed by then: a change that
-    /// comes again once its tenant was made and removed does not make it anew.
+    /// The tenant did not exist, and this many tenants had been removed. The count keeps a repeated
+    /// entry from recreating a tenant that was created and removed since.
     Nothing(u64),
-    /// What was agreed of it had this version.
+    /// The agreed record of the tenant had this version.
     At(u64),
 }
 
-/// The answer to a request with a key, for whoever asks again.
+/// The answer to a request with an idempotency key, for repeated requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Answer {
-    /// The digest of the caller and its key.
+    /// Digest of the caller and the key.
     pub key: [u8; 32],
-    /// The digest of the request.
+    /// Digest of the request.
     pub request: [u8; 32],
-    /// The answer.
+    /// Serialized answer.
     pub bytes: Vec<u8>,
 }
 
-/// An entry of the agreed log.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// What it was made on.
+    /// State that the change is based on.
     pub follows: Follows,
-    /// Whose word it is.
+    /// Name of the proposing gateway.
     pub by: Arc<str>,
-    /// Which change.
+    /// Identifier of the change.
     pub origin: Origin,
-    /// The tenant from here on; none if it is removed.
+    /// The new contents of the tenant; `None` for a removal.
     pub kept: Option<Vec<u8>>,
-    /// Whether the operator's file names it: then it is remembered that it was removed.
+    /// Whether the operator's file lists the tenant; if so, its removal stays recorded.
     pub listed: bool,
-    /// The answer to be given again, if the request had a key.
+    /// Answer for repeated requests, if the request had an idempotency key.
     pub answer: Option<Answer>,
 }
 
-/// What is agreed of one tenant.
+/// Agreed record of one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Line {
-    /// Unlike that of any other change.
+    /// Version, unique among all changes.
     pub version: u64,
-    /// The tenant; none if it was removed.
+    /// Contents of the tenant; `None` after a removal.
     pub kept: Option<Vec<u8>>,
-    /// Whether an operator's file names it.
+    /// Whether an operator's file lists the tenant.
     pub listed: bool,
 }
 
-/// The state at one place in the log.
+/// The state at one position in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenants {
-    /// How many changes took hold.
+    /// Number of changes that took effect.
     pub changes: u64,
-    /// How many of them removed a tenant.
+    /// Number of these changes that removed a tenant.
     pub removals: u64,
-    /// By name.
+    /// Records by tenant name.
     pub lines: BTreeMap<String, Line>,
-    /// The last changes, each with its version.
+    /// The most recent changes with their versions.
     pub recent: VecDeque<(Origin, u64)>,
-    /// The last answers.
+    /// The most recent answers.
     pub answers: VecDeque<Answer>,
 }
 
 impl Tenants {
-    /// What a change of a tenant follows now.
+    /// Returns the base for a new change of a tenant.
     pub fn follows(&self, tenant: &str) -> Follows {
         self.lines
             .get(tenant)
             .map_or(Follows::Nothing(self.removals), |l| Follows::At(l.version))
     }
 
-    /// Bytes of all tenants.
+    /// Returns the size of all tenants, in bytes.
     pub fn bytes(&self) -> usize {
         self.lines
             .iter()
@@ -93,7 +93,7 @@
             .sum()
     }
 
-    /// Whether there is room for a tenant as it would be.
+    /// Checks that the new contents of a tenant fit the limits.
     pub fn room(&self, tenant: &str, kept: Option<&[u8]>) -> Result<(), Refusal> {
         let own = kept.map_or(0, <[u8]>::len);
         if own > MAX_TENANT_BYTES {
@@ -105,7 +105,7 @@
         let known = self.lines.get(tenant);
         let old = known.map_or(0, |l| tenant.len() + l.kept.as_ref().map_or(0, Vec::len));
         let bytes = self.bytes() - old + tenant.len() + own;
-        // A removal always has room: it makes some.
+        // A removal frees space, so it is exempt from the total.
         if kept.is_some() && bytes > MAX_TOTAL_BYTES {
             return Err(Refusal::TooMuch { bytes });
         }
@@ -117,12 +117,13 @@
         Ok(())
     }
 
-    /// The answer that was given to a request with this key.
+    /// Returns the stored answer to a request with this key.
     pub fn answer(&self, key: &[u8; 32]) -> Option<&Answer> {
         self.answers.iter().find(|a| a.key == *key)
     }
 
-    /// The version that a change made, if it took hold, as far as is remembered.
+    /// Returns the version that a change created, if it took effect and is among the recent
+    /// changes.
     pub fn held(&self, origin: Origin) -> Option<u64> {
         self.recent
             .iter()
@@ -130,7 +131,7 @@
             .map(|(_, version)| *version)
     }
 
-    /// Applies an entry; tells whether it took hold.
+    /// Applies an entry and returns whether it took effect.
     pub fn apply(&mut self, e: &Entry) -> bool {
         let known = self.lines.get(&e.tenant);
         let removes_nothing = known.is_none() && e.kept.is_none() && !e.listed;
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -1,4 +1,4 @@
-//! Changes of tenants at several gateways, each entry in the log's order.
+//! Changes of tenants at several gateways with one simulated log.
 
 use std::sync::Arc;
 
@@ -23,14 +23,13 @@
     }
 }
 
-/// Several gateways round one log, which is handed to all after each entry unless a gateway is cut
-/// off.
+/// Several gateways that share one log. The test passes the agreed state to the gateways.
 struct Table {
     agreed: Tenants,
     all: Vec<Changes>,
     told: Vec<(usize, Output)>,
     notes: Vec<HistoryEvent>,
-    /// What was proposed; it reaches the log when the test says so.
+    /// Proposals that have not reached the log; the test applies them.
     proposed: Vec<Entry>,
 }
 
@@ -86,7 +85,7 @@
         self.handle(now, n, Input::Change(ticket, wanted));
     }
 
-    /// The log takes what was proposed, in this order.
+    /// Applies the proposals to the log in order and returns which ones took effect.
     fn agree(&mut self) -> Vec<bool> {
         std::mem::take(&mut self.proposed)
             .iter()
@@ -104,10 +103,10 @@
 }
 
 #[test]
-fn a_change_is_told_done_once_it_is_agreed_and_all_take_it_over() {
+fn change_is_confirmed_after_agreement_and_adopted_by_all() {
     let mut t = Table::new(2, 2, 3);
     t.want(0, 0, 7, "clinic", Some("one"));
-    assert_eq!(t.told(0), [], "nothing is told before it is agreed");
+    assert_eq!(t.told(0), [], "nothing is reported before agreement");
     assert_eq!(t.agree(), [true]);
     for n in 0..2 {
         t.hear(1, n, 3);
@@ -132,7 +131,7 @@
 }
 
 #[test]
-fn of_two_changes_at_once_one_takes_hold_and_the_other_is_told() {
+fn only_one_of_two_concurrent_changes_takes_effect() {
     let mut t = Table::new(2, 2, 3);
     t.want(0, 0, 1, "clinic", Some("one"));
     t.want(0, 1, 2, "clinic", Some("two"));
@@ -154,10 +153,10 @@
     );
 }
 
-/// A proposal that is said again, or comes late, after its tenant was changed or removed since, has
-/// no effect.
+/// A proposal that is repeated, or arrives after a later change or removal of its tenant, has no
+/// effect.
 #[test]
-fn what_comes_again_or_late_has_no_effect() {
+fn repeated_or_late_entry_has_no_effect() {
     let mut s = Tenants::default();
     let made = entry("t", s.follows("t"), 1, Some("one"));
     assert!(s.apply(&made) && !s.apply(&made));
@@ -166,20 +165,20 @@
     assert!(!s.lines.contains_key("t"));
     assert!(
         !s.apply(&made),
-        "made anew by a word from before its removal"
+        "recreated by an entry from before the removal"
     );
     assert!(s.apply(&entry("t", s.follows("t"), 3, Some("two"))));
     assert!(
         !s.apply(&removed),
-        "removed by a word from before it was made anew"
+        "removed by an entry from before the recreation"
     );
     assert_eq!((s.changes, s.removals), (3, 1));
 }
 
-/// One that the operator's file names is remembered as removed, so that a gateway that starts on
-/// the file lets go of it.
+/// The removal of a tenant listed in the operator's file stays recorded, so that a gateway that
+/// starts with the file removes the tenant.
 #[test]
-fn a_removed_tenant_of_the_file_stays_removed() {
+fn removed_tenant_of_the_file_stays_removed() {
     let mut t = Table::new(2, 1, 1);
     let e = Entry {
         listed: true,
@@ -198,10 +197,10 @@
     );
 }
 
-/// While one waits others are removed: the change is proposed on what stands now, without a word to
-/// whoever waits.
+/// If another tenant is removed while a creation waits, the creation is proposed again on the new
+/// base, without an answer to the requester.
 #[test]
-fn a_new_tenant_waits_out_the_removal_of_another() {
+fn creation_survives_removal_of_another_tenant() {
     let mut t = Table::new(2, 1, 1);
     assert!(t
         .agreed
@@ -212,15 +211,16 @@
     t.want(1, 1, 6, "other", None);
     assert_eq!(t.agree(), [true]);
     (0..2).for_each(|n| t.hear(2, n, 1));
-    assert_eq!(t.agree(), [true], "proposed anew");
+    assert_eq!(t.agree(), [true], "proposed again");
     assert!(!t.agreed.apply(&late[0]));
     t.hear(3, 0, 1);
     assert!(t.told(0).contains(&Output::Done(5)));
 }
 
-/// The wait has an end, and says that the change may still hold; it is proposed again until then.
+/// A change without agreement is proposed again until its deadline; the refusal then says that the
+/// change may still take effect.
 #[test]
-fn a_change_that_nobody_agrees_on_is_refused_in_time() {
+fn change_without_agreement_is_refused_at_deadline() {
     let mut t = Table::new(1, 1, 1);
     t.want(0, 0, 9, "t", Some("one"));
     let mut now = 0;
@@ -240,7 +240,7 @@
             Refusal::Unreached { tenant: "t".into() }
         )]
     );
-    // It was agreed on after all: it is taken over like anybody's.
+    // A late agreement is adopted like a change by any other gateway.
     assert_eq!(t.agree().iter().filter(|held| **held).count(), 1);
     t.hear(now + 1, 0, 1);
     assert_eq!(
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn what_there_is_no_room_for_is_refused_by_name_before_it_is_proposed() {
+fn changes_over_the_limits_are_refused_before_proposal() {
     let mut t = Table::new(1, 3, 3);
     t.want(0, 0, 1, "t", Some("one"));
     assert_eq!(
@@ -299,9 +299,9 @@
     );
 }
 
-/// One that was away while more was agreed than is remembered says that it does not know.
+/// A gateway that missed more changes than are stored reports that the outcome is unknown.
 #[test]
-fn who_was_away_for_long_says_that_it_does_not_know() {
+fn outcome_is_unknown_after_a_long_absence() {
     let mut t = Table::new(1, 1, 1);
     t.want(0, 0, 1, "t", Some("one"));
     assert_eq!(t.agree(), [true]);
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn answers_to_keyed_requests_are_agreed_on_and_bounded() {
+fn answers_to_keyed_requests_are_replicated_and_bounded() {
     let mut s = Tenants::default();
     for n in 0..MAX_ANSWERS as u64 + 5 {
         let mut e = entry("t", s.follows("t"), n, Some("x"));
@@ -338,12 +338,12 @@
         Some(vec![132; 4])
     );
     assert_eq!(s.answers.len(), MAX_ANSWERS);
-    // All of it, at its fullest, fits into the frame that carries it.
+    // The state at its maximum size fits into the frame that carries it.
     let most = MAX_TOTAL_BYTES + MAX_ANSWERS * (LONGEST_ANSWER + 64) + MAX_RECENT_CHANGES * 20;
     assert!(most < crate::consensus::wire::MAX_FRAME_BYTES * 2 / 3);
 }
 
-/// Every refusal says what an operator can do, and none says it twice.
+/// Compares the texts, statuses and remedies of all refusals with the snapshot.
 #[test]
 fn refusals_and_their_remedies() {
     let t = || "clinic".to_owned();
--- a/src/tenancy/secret.rs
+++ b/src/tenancy/secret.rs
@@ -1,5 +1,6 @@
-//! Keys for signatures: HMAC (`whsec_`) and Ed25519 (`whsk_` to sign and check, `whpk_` to check
-//! alone), as the Standard Webhooks specification writes them. None of them is ever printed.
+//! Signature keys in the notation of the Standard Webhooks specification: HMAC (`whsec_`) and
+//! Ed25519 (`whsk_` to sign and verify, `whpk_` to verify only). Key values never appear in debug
+//! output.
 
 use std::fmt;
 
@@ -19,11 +20,11 @@
     Check(Box<VerifyingKey>),
 }
 
-/// A key for signatures.
+/// A signature key.
 #[derive(Clone)]
 pub struct Secret {
     key: Key,
-    /// When it stops being accepted; none for the current one.
+    /// End of the key's validity; `None` for the current key.
     pub until: Option<Micros>,
 }
 
@@ -45,8 +46,8 @@
 }
 
 impl Secret {
-    /// Reads `whsec_` and the base64 of 24 to 64 bytes, `whsk_` and that of 32 or 64 (the seed, or
-    /// the seed and the public key), or `whpk_` and that of 32.
+    /// Parses `whsec_` and 24 to 64 bytes in base64, `whsk_` and 32 or 64 bytes (the seed, or the
+    /// seed and the public key), or `whpk_` and 32 bytes.
     pub fn parse(text: &str) -> Result<Secret, TenantError> {
         let (prefix, rest) = text.split_once('_').ok_or(TenantError::Secret)?;
         let bytes = Zeroizing::new(
@@ -78,7 +79,7 @@
         })
     }
 
-    /// As it was given; for the state file alone.
+    /// Returns the key as text, for storage and replication only.
     pub(super) fn text(&self) -> String {
         match &self.key {
             Key::Hmac(key) => format!("whsec_{}", BASE64_STANDARD.encode(key.as_slice())),
@@ -87,12 +88,12 @@
         }
     }
 
-    /// The same key, which counts until a time.
+    /// Returns the same key with another end of its validity.
     pub fn until(self, until: Option<Micros>) -> Secret {
         Secret { until, ..self }
     }
 
-    /// What kind of key it is.
+    /// Returns the kind of the key.
     pub fn kind(&self) -> &'static str {
         match self.key {
             Key::Hmac(_) => "hmac",
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The public half of an Ed25519 key, for those who check: `whpk_` and base64.
+    /// Returns the public half of an Ed25519 key for verifiers: `whpk_` and base64.
     pub fn public(&self) -> Option<String> {
         let key = match &self.key {
             Key::Hmac(_) => return None,
@@ -111,12 +112,12 @@
         Some(format!("whpk_{}", BASE64_STANDARD.encode(key)))
     }
 
-    /// Whether it counts at a time.
+    /// Returns whether the key is valid at `now`.
     pub fn valid(&self, now: Micros) -> bool {
         self.until.is_none_or(|t| now < t)
     }
 
-    /// Whether it can sign.
+    /// Returns whether the key can create signatures.
     pub fn signs(&self) -> bool {
         !matches!(self.key, Key::Check(_))
     }
@@ -127,7 +128,7 @@
         Some(mac)
     }
 
-    /// The signature of a content: `v1,` or `v1a,` and base64; none from a key that only checks.
+    /// Signs `content`. Returns `v1,` or `v1a,` and base64, or `None` if the key can only verify.
     pub fn sign(&self, content: &[u8]) -> Option<String> {
         match &self.key {
             Key::Hmac(key) => {
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Whether a signature, as it stands in the header, is this key's for a content. Those of other
-    /// versions are not. The comparison takes the same time wherever they differ.
+    /// Returns whether a signature from the header was made by this key over `content`. Signatures
+    /// of other versions are rejected. The comparison takes constant time.
     pub fn verify(&self, content: &[u8], signature: &str) -> bool {
         let bytes = |prefix: &str| {
             signature
@@ -165,8 +166,8 @@
     }
 }
 
-/// The secrets that a rotation leaves: the new one first; those before it count until `until` and
-/// no longer.
+/// Returns the secrets after a rotation: the new one first, then the earlier ones, which stay valid
+/// until `until` at the latest.
 pub fn rotated(
     mut secrets: Vec<Secret>,
     fresh: Secret,
--- a/src/tenancy/secret/fixture_tests.rs
+++ b/src/tenancy/secret/fixture_tests.rs
@@ -1,6 +1,6 @@
-//! Secrets as they are written, compared with their recorded texts.
+//! Compares the text form of secrets with the recorded texts.
 //!
-//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` rewrites the file.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 
--- a/src/tenancy/tests.rs
+++ b/src/tenancy/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of tenants.
+//! Tests of the tenant registry.
 
 use super::*;
 
@@ -15,9 +15,9 @@
     }
 }
 
-/// A file written before there were endpoints is still read: its portal is one.
+/// State files from versions without endpoints stay readable; the portal becomes an endpoint.
 #[test]
-fn a_state_file_of_before_endpoints_is_read() {
+fn state_file_without_endpoints_is_read() {
     let old = format!(
         "[{{\"name\":\"clinic\",\"share_per_s\":3.0,\"portal\":\"http://127.0.0.1:9/in\",\
          \"secrets\":[[\"{A}\",null],[\"{B}\",20]]}}]"
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn endpoints_want_types_have_their_own_secrets_and_identities_of_their_own() {
+fn endpoints_have_own_types_secrets_and_identifiers() {
     let mut r = Registry::new(&[]);
     r.put("t", &spec()).unwrap();
     let all = EndpointSpec {
@@ -78,7 +78,7 @@
     assert_ne!(
         r.get("t").unwrap().endpoints["all"].id,
         first.id,
-        "another of the same name"
+        "a new endpoint of the same name has another identifier"
     );
     let bad = |s: EndpointSpec| EndpointSpec {
         url: Some("http://127.0.0.1:9/".into()),
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_rotated_secret_counts_until_its_time_and_is_never_shown() {
+fn rotated_secret_expires_and_is_never_shown() {
     let mut r = Registry::new(&[("org".into(), 5.0)]);
     assert_eq!(r.put("other", &spec()), Ok(true));
     assert_eq!(
@@ -141,19 +141,19 @@
     assert_eq!(
         r.remove("org"),
         Ok((TenantId(0), 5.0)),
-        "the platform's share stands again"
+        "the platform's share applies again"
     );
     let serial = r.get("other").unwrap().serial;
     assert_eq!(r.remove("other"), Ok((TenantId(1), 0.0)));
     assert_eq!(r.put("other", &spec()), Ok(true));
     assert!(
         r.get("other").is_some() && r.same("other", serial).is_none(),
-        "the name is another's now"
+        "the name now belongs to another tenant"
     );
 }
 
 #[test]
-fn what_is_kept_comes_back_with_secrets_and_their_times() {
+fn state_is_restored_with_secrets_and_expiry_times() {
     let mut r = Registry::new(&[("org".into(), 5.0)]);
     r.put("gone", &spec()).unwrap();
     r.remove("gone").unwrap();
@@ -162,7 +162,10 @@
     let mut back = Registry::new(&[("org".into(), 5.0)]);
     back.put("first", &spec()).unwrap();
     back.restore(&r.state()).unwrap();
-    assert!(back.get("first").is_none(), "the state is all there is");
+    assert!(
+        back.get("first").is_none(),
+        "the restored state replaces all tenants"
+    );
     let t = back.get("other").unwrap();
     assert_eq!(
         (t.secrets(19).count(), t.secrets(20).count(), t.share_per_s),
@@ -174,7 +177,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_changes_nothing() {
+fn invalid_specs_change_nothing() {
     let mut r = Registry::new(&[]);
     for (name, change) in [
         ("", spec()),
@@ -221,16 +224,16 @@
     assert_eq!(r.rotate("a", A, 0, 0), Err(TenantError::Unknown));
 }
 
-/// A tenant as another gateway is told of it: its own number here, the same endpoints, and spans in
-/// place of times.
+/// An adopted tenant keeps its local number, gets the same endpoints, and has its expiry times sent
+/// as durations.
 #[test]
-fn a_tenant_is_taken_over_from_another_gateway_with_spans_in_place_of_times() {
+fn adopted_tenant_has_expiry_relative_to_local_clock() {
     let mut there = Registry::new(&[]);
     there.put("t", &spec()).unwrap();
     there.rotate("t", B, 1_000, 1_500).unwrap();
     there.rotate("t", A, 1_100, 1_200).unwrap();
     let told = there.told("t", 1_150).unwrap();
-    // The clock here is another one, and the tenant has other endpoints and a number of its own.
+    // The local clock differs, and the tenant has other endpoints and a local number.
     let mut here = Registry::new(&[("org".into(), 5.0)]);
     here.put("t", &spec()).unwrap();
     let old = EndpointSpec {
@@ -271,15 +274,16 @@
     assert_eq!(
         here.get("t").unwrap().secrets(9).count(),
         1,
-        "what is over is not told"
+        "expired secrets are not sent"
     );
-    // What cannot be read, or is of another, changes nothing.
+    // Unreadable data, or data of another tenant, changes nothing.
     assert_eq!(here.adopt(9, "t", Some(b"{")), Err(TenantError::State));
     assert_eq!(here.adopt(9, "u", Some(&told)), Err(TenantError::Name));
     assert!(here.get("t").is_some() && here.get("u").is_none());
     assert_eq!(here.adopt(9, "t", None).unwrap().unwrap().share, (id, 0.0));
     assert_eq!(here.adopt(9, "t", None), Ok(None));
-    // All have removed as many: one of the same name is another wherever it is made.
+    // With equal removal counts, a new tenant of the same name gets the same new serial at any
+    // gateway.
     there.set_removals(1);
     here.set_removals(1);
     there.remove("t").unwrap();
