--- a/src/membership/budget.rs
+++ b/src/membership/budget.rs
@@ -36,14 +36,14 @@
             (self.datagrams + elapsed_s * self.datagrams_per_s).min(self.datagrams_per_s);
     }
 
-    /// Returns the size of the largest datagram that may be sent now, at most `most` bytes, or 0 if
-    /// none may be sent.
-    pub fn max_datagram_bytes(&mut self, now: Micros, most: usize) -> usize {
+    /// Returns the size of the largest datagram that may be sent now, at most `limit` bytes, or 0
+    /// if none may be sent.
+    pub fn max_datagram_bytes(&mut self, now: Micros, limit: usize) -> usize {
         self.refill(now);
         if self.datagrams < 1.0 {
             return 0;
         }
-        (self.bytes as usize).min(most)
+        (self.bytes as usize).min(limit)
     }
 
     /// Charges a datagram to the budget. Returns `false` and increments [`Budget::withheld`] if the
--- a/src/membership/group.rs
+++ b/src/membership/group.rs
@@ -210,7 +210,7 @@
     /// Handles an event.
     pub fn handle(&mut self, now: Micros, input: Input<'_>) {
         match input {
-            Input::Datagram(source, bytes) => self.datagram(now, source, bytes),
+            Input::Datagram(source, bytes) => self.handle_datagram(now, source, bytes),
             Input::Outcome(worker, seen) => {
                 let o = self.window.entry(worker).or_default();
                 let count = match seen {
@@ -249,7 +249,7 @@
             }
             Input::Leave => self.swim.handle(now, swim::Input::Leave),
         }
-        self.settle(now);
+        self.run_swim_outputs(now);
     }
 
     fn renew(&mut self, incarnation: u64, leaving: bool) {
@@ -263,7 +263,7 @@
         self.swim.renew(own);
     }
 
-    fn datagram(&mut self, now: Micros, source: SocketAddr, bytes: &[u8]) {
+    fn handle_datagram(&mut self, now: Micros, source: SocketAddr, bytes: &[u8]) {
         let swim = &self.swim;
         let known = |r: &Record| swim.members().any(|m| m.record == *r);
         let Ok(opened) = self.opener.open(&self.keys, now, bytes, known) else {
@@ -277,18 +277,18 @@
         }
         // Answers go to the address in the sender's sealed record: a host that replays a datagram
         // from another address receives no answer.
-        let sealed = opened
+        let sealed_address = opened
             .message
             .records
             .iter()
             .find(|r| r.name == opened.from)
             .map(|r| r.address);
-        let known = self
+        let known_address = self
             .swim
             .members()
             .find(|m| m.record.name == opened.from)
             .map(|m| m.record.address);
-        let address = sealed.or(known).unwrap_or(source);
+        let address = sealed_address.or(known_address).unwrap_or(source);
         self.swim.handle(
             now,
             swim::Input::Message(opened.from, address, opened.message),
@@ -379,7 +379,7 @@
         }
     }
 
-    fn settle(&mut self, now: Micros) {
+    fn run_swim_outputs(&mut self, now: Micros) {
         while let Some(output) = self.swim.output() {
             match output {
                 swim::Output::Send(to, message) => self.send(now, to, &message),
@@ -411,7 +411,7 @@
     }
 
     fn send(&mut self, now: Micros, to: SocketAddr, message: &Message) {
-        let most = self.budget.max_datagram_bytes(now, MTU);
+        let max_bytes = self.budget.max_datagram_bytes(now, MTU);
         self.number += 1;
         // Orders by fewest sends, then newest first.
         let mut order: Vec<((String, Micros), u32, usize)> = self
@@ -434,7 +434,7 @@
             self.number,
             now,
             message,
-            most,
+            max_bytes,
             |left| {
                 let (key, ..) = order.by_ref().find(|(_, _, size)| *size <= left)?;
                 let (sent, s) = relay_queue.get_mut(&key)?;
--- a/src/membership/group_tests.rs
+++ b/src/membership/group_tests.rs
@@ -31,7 +31,7 @@
     advice: Vec<BTreeMap<WorkerId, HealthAdvice>>,
     first_down: Vec<Option<Micros>>,
     /// The first 500 datagrams sent, for replays.
-    caught: Vec<Vec<u8>>,
+    captured: Vec<Vec<u8>>,
 }
 
 impl World {
@@ -50,7 +50,7 @@
             groups,
             advice: vec![BTreeMap::new(); n],
             first_down: vec![None; n],
-            caught: Vec::new(),
+            captured: Vec::new(),
         }
     }
 
@@ -63,8 +63,8 @@
                     more = true;
                     match output {
                         Output::Datagram(to, bytes) => {
-                            if self.caught.len() < 500 {
-                                self.caught.push(bytes.clone());
+                            if self.captured.len() < 500 {
+                                self.captured.push(bytes.clone());
                             }
                             if let Some(at) = (0..N).position(|i| address(i) == to) {
                                 let now = self.now;
@@ -125,7 +125,7 @@
     let mut w = World::new();
     w.run(20, |_, _| Observed::Answered, |_| {});
     assert!(w.all_alive() && w.advice.iter().all(BTreeMap::is_empty));
-    let begun = w.now;
+    let started = w.now;
     // Three instances find worker 5 silent; the others record no attempts at it.
     let silent = |n: usize, worker: u32| {
         if worker == 5 {
@@ -143,19 +143,19 @@
             w.groups[n].window.remove(&WorkerId(5));
         }
     });
-    let told = w
+    let demotions = w
         .first_down
         .iter()
         .skip(3)
         .filter_map(|t| *t)
-        .filter(|t| *t < begun + 10 * SECOND)
+        .filter(|t| *t < started + 10 * SECOND)
         .count();
     assert!(
-        told >= 6,
+        demotions >= 6,
         "{:?}",
         w.first_down
             .iter()
-            .map(|t| t.map(|t| t - begun))
+            .map(|t| t.map(|t| t - started))
             .collect::<Vec<_>>()
     );
     assert!(w
@@ -236,7 +236,7 @@
             for bytes in [sealed, as_other, vec![7; 900], vec![0; 9000]] {
                 w.groups[to].handle(now, Input::Datagram(address(9), &bytes));
             }
-            for bytes in w.caught.clone().iter().rev().take(20) {
+            for bytes in w.captured.clone().iter().rev().take(20) {
                 w.groups[to].handle(now, Input::Datagram(address(9), bytes));
             }
         }
--- a/src/membership/reputation.rs
+++ b/src/membership/reputation.rs
@@ -140,9 +140,9 @@
             })
             .map(|(w, o)| (*w, *o))
             .collect();
-        for (worker, mine) in own {
-            let said = mine.verdict();
-            if said == HealthVerdict::Inconclusive {
+        for (worker, own_observation) in own {
+            let own_verdict = own_observation.verdict();
+            if own_verdict == HealthVerdict::Inconclusive {
                 continue;
             }
             let claims: Vec<(String, Observation)> = observations
@@ -150,13 +150,16 @@
                 .map(|(o, x)| (o.to_owned(), x))
                 .collect();
             for (origin, claim) in claims {
-                let close = claim.at.abs_diff(mine.at) <= OWN_OBSERVATION_LIFETIME / 2;
-                let known = self.evaluated_claims.get(&(origin.clone(), worker)) == Some(&claim.at);
-                if claim.verdict() == HealthVerdict::Inconclusive || !close || known {
+                let concurrent =
+                    claim.at.abs_diff(own_observation.at) <= OWN_OBSERVATION_LIFETIME / 2;
+                let already_counted =
+                    self.evaluated_claims.get(&(origin.clone(), worker)) == Some(&claim.at);
+                if claim.verdict() == HealthVerdict::Inconclusive || !concurrent || already_counted
+                {
                     continue;
                 }
                 let value = self.weight(now, &origin);
-                let value = if claim.verdict() == said {
+                let value = if claim.verdict() == own_verdict {
                     value + CONFIRMATION_GAIN * (MAX_WEIGHT - value)
                 } else {
                     (value * CONTRADICTION_FACTOR).max(MIN_WEIGHT)
@@ -211,9 +214,9 @@
             return advice;
         }
         unhealthy.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let most = (self.bounds.max_demoted_share * ready.len() as f64).floor() as usize;
+        let max_demoted = (self.bounds.max_demoted_share * ready.len() as f64).floor() as usize;
         for (_, worker) in unhealthy {
-            if self.demoted.contains_key(&worker) || self.demoted.len() >= most {
+            if self.demoted.contains_key(&worker) || self.demoted.len() >= max_demoted {
                 continue;
             }
             let until = now + self.bounds.demotion_duration;
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -399,15 +399,15 @@
         self.news.push((0, news));
     }
 
-    /// Returns up to `most` items to piggyback, those with the fewest sends first.
-    fn take_news(&mut self, most: usize) -> (Vec<Record>, Vec<Suspicion>) {
+    /// Returns up to `max_items` items to piggyback, those with the fewest sends first.
+    fn take_news(&mut self, max_items: usize) -> (Vec<Record>, Vec<Suspicion>) {
         let n = self.live_members() as u32 + 2;
         let times = RETRANSMIT_FACTOR * (32 - n.leading_zeros());
         // A refutation precedes the accusation that it refutes.
         self.news
             .sort_by_key(|(sent, n)| (*sent, matches!(n, News::Accusation(_))));
         let (mut records, mut accusations) = (Vec::new(), Vec::new());
-        for (sent, news) in self.news.iter_mut().take(most) {
+        for (sent, news) in self.news.iter_mut().take(max_items) {
             *sent += 1;
             match news {
                 News::Record(name) if *name == self.own.name => records.push(self.own.clone()),
@@ -515,20 +515,22 @@
                     return;
                 }
                 self.next_number += 1;
-                let ours = self.next_number;
-                self.indirect_requests.insert(ours, (address, number));
-                self.timers
-                    .insert((now + self.settings.timeout, Timer::IndirectTimeout(ours)));
-                self.send(to, Say::Ping(ours, name));
+                let own_number = self.next_number;
+                self.indirect_requests.insert(own_number, (address, number));
+                self.timers.insert((
+                    now + self.settings.timeout,
+                    Timer::IndirectTimeout(own_number),
+                ));
+                self.send(to, Say::Ping(own_number, name));
             }
-            Say::Sync(wanted) => {
+            Say::Sync(wants_reply) => {
                 // Answers each member at most once per second, so that more requests cost no more
                 // traffic.
-                let often = self
+                let answered_recently = self
                     .members
                     .get(from)
                     .is_some_and(|m| now < m.synced + SECOND);
-                if wanted && !often {
+                if wants_reply && !answered_recently {
                     if let Some(m) = self.members.get_mut(from) {
                         m.synced = now;
                     }
@@ -568,8 +570,8 @@
     }
 
     fn handle_ack(&mut self, now: Micros, from: &str, number: u64) {
-        if let Some((asker, theirs)) = self.indirect_requests.remove(&number) {
-            return self.send(asker, Say::Ack(theirs));
+        if let Some((requester, requester_number)) = self.indirect_requests.remove(&number) {
+            return self.send(requester, Say::Ack(requester_number));
         }
         let Some(p) = self.probes.get(&number) else {
             return;
@@ -678,8 +680,8 @@
             return;
         }
         let n = self.live_members();
-        let least = self.least_suspicion(n);
-        let most = (least as f64 * self.settings.max_suspicion_factor) as Micros;
+        let min_duration = self.min_suspicion_duration(n);
+        let max_duration = (min_duration as f64 * self.settings.max_suspicion_factor) as Micros;
         let Some(m) = self.members.get_mut(&a.accused) else {
             return;
         };
@@ -691,16 +693,17 @@
         m.accusers.insert(a.by.clone());
         m.last_suspicion = Some(a.clone());
         let confirmations = (m.accusers.len() - 1) as f64;
-        let shorter = (confirmations + 1.0).ln() / (f64::from(CONFIRMATIONS) + 1.0).ln();
-        let span = most - ((most - least) as f64 * shorter.min(1.0)) as Micros;
-        let began = m.suspicion.map_or(now, |(began, _)| began);
-        m.suspicion = Some((began, began + span));
+        let reduction = (confirmations + 1.0).ln() / (f64::from(CONFIRMATIONS) + 1.0).ln();
+        let duration =
+            max_duration - ((max_duration - min_duration) as f64 * reduction.min(1.0)) as Micros;
+        let started = m.suspicion.map_or(now, |(started, _)| started);
+        m.suspicion = Some((started, started + duration));
         self.queue_news(News::Accusation(a.clone()));
         self.set_state(now, &a.accused, MemberState::Suspect);
-        self.timers.insert((began + span, Timer::Sweep));
+        self.timers.insert((started + duration, Timer::Sweep));
     }
 
-    fn least_suspicion(&self, n: usize) -> Micros {
+    fn min_suspicion_duration(&self, n: usize) -> Micros {
         let digits = ((n.max(1) as f64).log10()).max(1.0);
         (self.settings.min_suspicion * digits * self.settings.interval as f64) as Micros
     }
@@ -708,12 +711,12 @@
     // ---- Timers ----
 
     fn run_timer(&mut self, now: Micros, timer: Timer) {
-        let pace = Micros::from(self.health_score + 1);
+        let slowdown = Micros::from(self.health_score + 1);
         match timer {
             Timer::Probe => {
                 self.probe(now);
                 self.timers
-                    .insert((now + self.settings.interval * pace, Timer::Probe));
+                    .insert((now + self.settings.interval * slowdown, Timer::Probe));
             }
             Timer::DirectTimeout(number) => {
                 let Some(p) = self.probes.get_mut(&number) else {
@@ -748,8 +751,9 @@
                 }
             }
             Timer::IndirectTimeout(number) => {
-                if let Some((asker, theirs)) = self.indirect_requests.remove(&number) {
-                    self.send(asker, Say::Nack(theirs));
+                if let Some((requester, requester_number)) = self.indirect_requests.remove(&number)
+                {
+                    self.send(requester, Say::Nack(requester_number));
                 }
             }
             Timer::Sync => {
@@ -759,7 +763,7 @@
                     // No live members: tries the seeds and the earlier members.
                     None => self.any_address(),
                 };
-                let soon = if others.is_empty() {
+                let sync_delay = if others.is_empty() {
                     self.settings.interval
                 } else {
                     self.settings.sync
@@ -768,7 +772,7 @@
                     self.sync(to, true);
                 }
                 self.timers.retain(|(_, d)| *d != Timer::Sync);
-                self.timers.insert((now + soon, Timer::Sync));
+                self.timers.insert((now + sync_delay, Timer::Sync));
             }
             Timer::Sweep => self.sweep(now),
         }
@@ -816,7 +820,7 @@
             }
             self.next_number += 1;
             let number = self.next_number;
-            let pace = Micros::from(self.health_score + 1);
+            let slowdown = Micros::from(self.health_score + 1);
             self.probes.insert(
                 number,
                 Probe {
@@ -827,11 +831,13 @@
                 },
             );
             self.timers.insert((
-                now + self.settings.timeout * pace,
+                now + self.settings.timeout * slowdown,
                 Timer::DirectTimeout(number),
             ));
-            self.timers
-                .insert((now + self.settings.interval * pace, Timer::ProbeEnd(number)));
+            self.timers.insert((
+                now + self.settings.interval * slowdown,
+                Timer::ProbeEnd(number),
+            ));
             return self.send(address, Say::Ping(number, name));
         }
     }
@@ -842,7 +848,7 @@
     }
 
     /// Sends the next page of the known members.
-    fn sync(&mut self, to: SocketAddr, wanted: bool) {
+    fn sync(&mut self, to: SocketAddr, wants_reply: bool) {
         let mut all: Vec<Record> = vec![self.own.clone()];
         self.sync_page = (self.sync_page + 1) % self.pages();
         let known = self
@@ -862,7 +868,7 @@
             .and_then(|m| m.last_suspicion.clone());
         let accusations = last_suspicion.into_iter().collect();
         let message = Message {
-            say: Say::Sync(wanted),
+            say: Say::Sync(wants_reply),
             records: all,
             accusations,
         };
@@ -870,11 +876,11 @@
     }
 
     fn sweep(&mut self, now: Micros) {
-        let over = |m: &&Member| m.suspicion.is_some_and(|(_, end)| end <= now);
+        let expired = |m: &&Member| m.suspicion.is_some_and(|(_, end)| end <= now);
         let dead: Vec<String> = self
             .members
             .values()
-            .filter(over)
+            .filter(expired)
             .map(|m| m.record.name.clone())
             .collect();
         for name in dead {
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -402,7 +402,7 @@
 pub struct Opened {
     /// Name of the sender.
     pub from: String,
-    /// The message, with only the items that have valid seals.
+    /// The message, without known records and items with invalid seals.
     pub message: Message,
     /// Sealed observations with valid seals.
     pub sightings: Vec<SealedObservation>,
--- a/src/tenancy/endpoint.rs
+++ b/src/tenancy/endpoint.rs
@@ -16,7 +16,7 @@
 const MAX_EVENT_TYPES: usize = 32;
 /// Default limit on concurrent attempts.
 const DEFAULT_IN_FLIGHT: u32 = 8;
-/// Maximum limit on concurrent attempts.
+/// Upper bound of the configurable limit on concurrent attempts.
 const MAX_IN_FLIGHT: u32 = 64;
 
 /// Destination of messages. The address is numeric, because there is no DNS resolution.
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -23,7 +23,7 @@
 pub use persistence::Adopted;
 pub use secret::Secret;
 
-/// Maximum number of tenants; bounds the size of the registry.
+/// Maximum number of tenants. The limits below keep the state of each tenant small.
 const MAX_TENANTS: usize = 4096;
 /// Maximum number of secrets per tenant, including rotated ones.
 const MAX_SECRETS: usize = 8;
@@ -177,8 +177,8 @@
         self.tenants.get(name)
     }
 
-    /// Returns a tenant if its serial matches. This keeps an answer from another tenant's portal
-    /// after the tenant was removed and its name was reused.
+    /// Returns a tenant if its serial matches. This prevents an answer from going to
+    /// another tenant's portal after the tenant was removed and its name was reused.
     pub fn same(&self, name: &str, serial: u64) -> Option<&Tenant> {
         self.get(name).filter(|t| t.serial == serial)
     }
--- a/src/tenancy/persistence.rs
+++ b/src/tenancy/persistence.rs
@@ -46,13 +46,13 @@
     pub gone: Vec<EndpointId>,
 }
 
-/// Converts expiry times to durations or back with `by`, so that clocks of different gateways are
-/// never compared. Removes the secrets for which `by` returns `None`.
-fn shift(secrets: &mut Vec<(String, Option<Micros>)>, by: impl Fn(Micros) -> Option<Micros>) {
+/// Converts expiry times to durations or back with `convert`, so that clocks of different gateways
+/// are never compared. Removes the secrets for which `convert` returns `None`.
+fn shift(secrets: &mut Vec<(String, Option<Micros>)>, convert: impl Fn(Micros) -> Option<Micros>) {
     secrets.retain_mut(|(_, until)| match *until {
         None => true,
         Some(t) => {
-            *until = by(t);
+            *until = convert(t);
             until.is_some()
         }
     });
@@ -77,12 +77,12 @@
         }
     }
 
-    fn shifted(mut self, by: impl Fn(Micros) -> Option<Micros>) -> StoredTenant {
-        shift(&mut self.secrets, &by);
+    fn shifted(mut self, convert: impl Fn(Micros) -> Option<Micros>) -> StoredTenant {
+        shift(&mut self.secrets, &convert);
         self.endpoints
             .iter_mut()
             .flatten()
-            .for_each(|e| shift(&mut e.secrets, &by));
+            .for_each(|e| shift(&mut e.secrets, &convert));
         self
     }
 }
@@ -97,25 +97,26 @@
         Some(serde_json::to_vec(&kept).unwrap_or_default())
     }
 
-    /// Replaces a tenant with the version from other gateways, or removes it if `told` is `None`.
-    /// On an error nothing changes.
+    /// Replaces a tenant with the version from other gateways, or removes it if `serialized` is
+    /// `None`. On an error nothing changes.
     pub fn adopt(
         &mut self,
         now: Micros,
         name: &str,
-        told: Option<&[u8]>,
+        serialized: Option<&[u8]>,
     ) -> Result<Option<Adopted>, TenantError> {
         let known = self.get(name);
         let ids = |t: &Tenant| t.endpoints.values().map(|e| e.id).collect::<Vec<_>>();
         let mut gone = known.map_or(Vec::new(), ids);
-        let Some(told) = told else {
+        let Some(serialized) = serialized else {
             if known.is_none() {
                 return Ok(None);
             }
             let share = self.remove(name)?;
             return Ok(Some(Adopted { share, gone }));
         };
-        let kept: StoredTenant = serde_json::from_slice(told).map_err(|_| TenantError::State)?;
+        let kept: StoredTenant =
+            serde_json::from_slice(serialized).map_err(|_| TenantError::State)?;
         if kept.name != name {
             return Err(TenantError::Name);
         }
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -133,8 +133,8 @@
     /// Handles an event.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Change(ticket, wanted) => {
-                if let Err(why) = self.change(now, ticket, wanted) {
+            Input::Change(ticket, request) => {
+                if let Err(why) = self.change(now, ticket, request) {
                     self.outputs.push_back(Output::Refused(ticket, why));
                 }
             }
@@ -151,7 +151,7 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        wanted: ChangeRequest,
+        request: ChangeRequest,
     ) -> Result<(), Refusal> {
         // An agreed change is stored on the disks of a majority.
         let have = if self.voters == 0 {
@@ -168,14 +168,14 @@
                 open: self.open.len(),
             });
         }
-        self.agreed.room(&wanted.tenant, wanted.kept.as_deref())?;
+        self.agreed.room(&request.tenant, request.kept.as_deref())?;
         self.number += 1;
         let ChangeRequest {
             tenant,
             kept,
             listed,
             answer,
-        } = wanted;
+        } = request;
         let entry = Entry {
             follows: self.agreed.follows(&tenant),
             tenant,
@@ -243,7 +243,7 @@
             };
             let tenant = o.entry.tenant.clone();
             let since = agreed.changes.saturating_sub(o.changes);
-            let told = if let Some(version) = agreed.held(o.entry.origin) {
+            let outcome = if let Some(version) = agreed.held(o.entry.origin) {
                 self.outputs
                     .push_back(Output::Noted(HistoryEvent::Told { tenant, version }));
                 Output::Done(o.ticket)
@@ -264,21 +264,21 @@
                 Output::Refused(o.ticket, Refusal::Changed { tenant })
             };
             self.open.remove(&number);
-            self.outputs.push_back(told);
+            self.outputs.push_back(outcome);
         }
     }
 
     fn tick(&mut self, now: Micros) {
-        let (ask, mut over) = (self.settings.ask, Vec::new());
+        let (ask, mut expired) = (self.settings.ask, Vec::new());
         for (number, o) in &mut self.open {
             if now >= o.until {
-                over.push(*number);
+                expired.push(*number);
             } else if now >= o.next_proposal {
                 o.next_proposal = now + ask / 8;
                 self.outputs.push_back(Output::Propose(o.entry.clone()));
             }
         }
-        for o in over.into_iter().filter_map(|n| self.open.remove(&n)) {
+        for o in expired.into_iter().filter_map(|n| self.open.remove(&n)) {
             let why = Refusal::Unreached {
                 tenant: o.entry.tenant,
             };
--- a/src/tenancy/replicated/state.rs
+++ b/src/tenancy/replicated/state.rs
@@ -174,9 +174,9 @@
     }
 }
 
-fn push_bounded<T>(all: &mut VecDeque<T>, one: T, most: usize) {
-    all.push_back(one);
-    if all.len() > most {
+fn push_bounded<T>(all: &mut VecDeque<T>, item: T, capacity: usize) {
+    all.push_back(item);
+    if all.len() > capacity {
         all.pop_front();
     }
 }
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -24,17 +24,17 @@
 }
 
 /// Several gateways that share one log. The test passes the agreed state to the gateways.
-struct Table {
+struct Cluster {
     agreed: Tenants,
     all: Vec<Changes>,
-    told: Vec<(usize, Output)>,
+    outputs: Vec<(usize, Output)>,
     notes: Vec<HistoryEvent>,
     /// Proposals that have not reached the log; the test applies them.
     proposed: Vec<Entry>,
 }
 
-impl Table {
-    fn new(gateways: usize, copies: usize, voters: usize) -> Table {
+impl Cluster {
+    fn new(gateways: usize, copies: usize, voters: usize) -> Cluster {
         let one = |n: usize| {
             let settings = Settings {
                 name: format!("g{n}").into(),
@@ -45,15 +45,15 @@
             };
             Changes::new(settings)
         };
-        let mut t = Table {
+        let mut t = Cluster {
             agreed: Tenants::default(),
             all: (0..gateways).map(one).collect(),
-            told: Vec::new(),
+            outputs: Vec::new(),
             notes: Vec::new(),
             proposed: Vec::new(),
         };
         for n in 0..gateways {
-            t.hear(0, n, voters);
+            t.deliver(0, n, voters);
         }
         t
     }
@@ -64,59 +64,59 @@
             match output {
                 Output::Propose(e) => self.proposed.push(e),
                 Output::Noted(note) => self.notes.push(note),
-                other => self.told.push((n, other)),
+                other => self.outputs.push((n, other)),
             }
         }
     }
 
-    fn hear(&mut self, now: Micros, n: usize, voters: usize) {
+    fn deliver(&mut self, now: Micros, n: usize, voters: usize) {
         let agreed = Arc::new(self.agreed.clone());
         self.handle(now, n, Input::Agreed(agreed, voters));
     }
 
-    fn want(&mut self, now: Micros, n: usize, ticket: u64, tenant: &str, kept: Option<&str>) {
+    fn request(&mut self, now: Micros, n: usize, ticket: u64, tenant: &str, kept: Option<&str>) {
         let kept = kept.map(|k| k.as_bytes().to_vec());
-        let wanted = ChangeRequest {
+        let change = ChangeRequest {
             tenant: tenant.into(),
             kept,
             listed: false,
             answer: None,
         };
-        self.handle(now, n, Input::Change(ticket, wanted));
+        self.handle(now, n, Input::Change(ticket, change));
     }
 
     /// Applies the proposals to the log in order and returns which ones took effect.
-    fn agree(&mut self) -> Vec<bool> {
+    fn commit(&mut self) -> Vec<bool> {
         std::mem::take(&mut self.proposed)
             .iter()
             .map(|e| self.agreed.apply(e))
             .collect()
     }
 
-    fn told(&mut self, n: usize) -> Vec<Output> {
-        let (own, rest) = std::mem::take(&mut self.told)
+    fn outputs_of(&mut self, n: usize) -> Vec<Output> {
+        let (own, rest) = std::mem::take(&mut self.outputs)
             .into_iter()
             .partition(|(who, _)| *who == n);
-        self.told = rest;
+        self.outputs = rest;
         own.into_iter().map(|(_, o): (usize, Output)| o).collect()
     }
 }
 
 #[test]
 fn change_is_confirmed_after_agreement_and_adopted_by_all() {
-    let mut t = Table::new(2, 2, 3);
-    t.want(0, 0, 7, "clinic", Some("one"));
-    assert_eq!(t.told(0), [], "nothing is reported before agreement");
-    assert_eq!(t.agree(), [true]);
+    let mut t = Cluster::new(2, 2, 3);
+    t.request(0, 0, 7, "clinic", Some("one"));
+    assert_eq!(t.outputs_of(0), [], "nothing is reported before agreement");
+    assert_eq!(t.commit(), [true]);
     for n in 0..2 {
-        t.hear(1, n, 3);
+        t.deliver(1, n, 3);
         let adopt = Output::Adopt("clinic".into(), Some(b"one".to_vec()));
         let expected = if n == 0 {
             vec![adopt, Output::Done(7)]
         } else {
             vec![adopt]
         };
-        assert_eq!(t.told(n), expected);
+        assert_eq!(t.outputs_of(n), expected);
     }
     let adopted = HistoryEvent::Adopted {
         tenant: "clinic".into(),
@@ -132,12 +132,12 @@
 
 #[test]
 fn only_one_of_two_concurrent_changes_takes_effect() {
-    let mut t = Table::new(2, 2, 3);
-    t.want(0, 0, 1, "clinic", Some("one"));
-    t.want(0, 1, 2, "clinic", Some("two"));
-    assert_eq!(t.agree(), [true, false]);
-    (0..2).for_each(|n| t.hear(1, n, 3));
-    assert!(t.told(0).contains(&Output::Done(1)));
+    let mut t = Cluster::new(2, 2, 3);
+    t.request(0, 0, 1, "clinic", Some("one"));
+    t.request(0, 1, 2, "clinic", Some("two"));
+    assert_eq!(t.commit(), [true, false]);
+    (0..2).for_each(|n| t.deliver(1, n, 3));
+    assert!(t.outputs_of(0).contains(&Output::Done(1)));
     let refused = Output::Refused(
         2,
         Refusal::Changed {
@@ -145,7 +145,7 @@
         },
     );
     assert_eq!(
-        t.told(1),
+        t.outputs_of(1),
         [
             Output::Adopt("clinic".into(), Some(b"one".to_vec())),
             refused
@@ -179,15 +179,15 @@
 /// starts with the file removes the tenant.
 #[test]
 fn removed_tenant_of_the_file_stays_removed() {
-    let mut t = Table::new(2, 1, 1);
+    let mut t = Cluster::new(2, 1, 1);
     let e = Entry {
         listed: true,
         ..entry("filed", t.agreed.follows("filed"), 1, None)
     };
     assert!(t.agreed.apply(&e));
-    t.hear(0, 1, 1);
+    t.deliver(0, 1, 1);
     assert_eq!(
-        t.told(1),
+        t.outputs_of(1),
         [Output::Removals(1), Output::Adopt("filed".into(), None)]
     );
     assert!(
@@ -201,28 +201,28 @@
 /// base, without an answer to the requester.
 #[test]
 fn creation_survives_removal_of_another_tenant() {
-    let mut t = Table::new(2, 1, 1);
+    let mut t = Cluster::new(2, 1, 1);
     assert!(t
         .agreed
         .apply(&entry("other", Follows::Nothing(0), 1, Some("x"))));
-    (0..2).for_each(|n| t.hear(0, n, 1));
-    t.want(1, 0, 5, "fresh", Some("one"));
+    (0..2).for_each(|n| t.deliver(0, n, 1));
+    t.request(1, 0, 5, "fresh", Some("one"));
     let late = std::mem::take(&mut t.proposed);
-    t.want(1, 1, 6, "other", None);
-    assert_eq!(t.agree(), [true]);
-    (0..2).for_each(|n| t.hear(2, n, 1));
-    assert_eq!(t.agree(), [true], "proposed again");
+    t.request(1, 1, 6, "other", None);
+    assert_eq!(t.commit(), [true]);
+    (0..2).for_each(|n| t.deliver(2, n, 1));
+    assert_eq!(t.commit(), [true], "proposed again");
     assert!(!t.agreed.apply(&late[0]));
-    t.hear(3, 0, 1);
-    assert!(t.told(0).contains(&Output::Done(5)));
+    t.deliver(3, 0, 1);
+    assert!(t.outputs_of(0).contains(&Output::Done(5)));
 }
 
 /// A change without agreement is proposed again until its deadline; the refusal then says that the
 /// change may still take effect.
 #[test]
 fn change_without_agreement_is_refused_at_deadline() {
-    let mut t = Table::new(1, 1, 1);
-    t.want(0, 0, 9, "t", Some("one"));
+    let mut t = Cluster::new(1, 1, 1);
+    t.request(0, 0, 9, "t", Some("one"));
     let mut now = 0;
     while let Some(at) = t.all[0].next_deadline() {
         now = at;
@@ -234,36 +234,36 @@
         t.proposed.len()
     );
     assert_eq!(
-        t.told(0),
+        t.outputs_of(0),
         [Output::Refused(
             9,
             Refusal::Unreached { tenant: "t".into() }
         )]
     );
     // A late agreement is adopted like a change by any other gateway.
-    assert_eq!(t.agree().iter().filter(|held| **held).count(), 1);
-    t.hear(now + 1, 0, 1);
+    assert_eq!(t.commit().iter().filter(|held| **held).count(), 1);
+    t.deliver(now + 1, 0, 1);
     assert_eq!(
-        t.told(0),
+        t.outputs_of(0),
         [Output::Adopt("t".into(), Some(b"one".to_vec()))]
     );
 }
 
 #[test]
 fn changes_over_the_limits_are_refused_before_proposal() {
-    let mut t = Table::new(1, 3, 3);
-    t.want(0, 0, 1, "t", Some("one"));
+    let mut t = Cluster::new(1, 3, 3);
+    t.request(0, 0, 1, "t", Some("one"));
     assert_eq!(
-        t.told(0),
+        t.outputs_of(0),
         [Output::Refused(1, Refusal::Fewer { have: 2, want: 3 })]
     );
-    t.hear(0, 0, 5);
-    t.want(0, 0, 2, "t", Some(&"x".repeat(MAX_TENANT_BYTES + 1)));
+    t.deliver(0, 0, 5);
+    t.request(0, 0, 2, "t", Some(&"x".repeat(MAX_TENANT_BYTES + 1)));
     let long = Refusal::TooLong {
         tenant: "t".into(),
         bytes: MAX_TENANT_BYTES + 1,
     };
-    assert_eq!(t.told(0), [Output::Refused(2, long)]);
+    assert_eq!(t.outputs_of(0), [Output::Refused(2, long)]);
     let full = "x".repeat(MAX_TENANT_BYTES);
     for n in 0.. {
         let e = entry(&format!("t{n}"), Follows::Nothing(0), n, Some(&full));
@@ -275,23 +275,23 @@
         t.agreed.bytes() <= MAX_TOTAL_BYTES
             && t.agreed.bytes() > MAX_TOTAL_BYTES - 2 * MAX_TENANT_BYTES
     );
-    t.hear(1, 0, 5);
-    t.told.clear();
-    t.want(1, 0, 3, "one-more", Some(&full));
+    t.deliver(1, 0, 5);
+    t.outputs.clear();
+    t.request(1, 0, 3, "one-more", Some(&full));
     assert!(matches!(
-        t.told(0)[..],
+        t.outputs_of(0)[..],
         [Output::Refused(3, Refusal::TooMuch { .. })]
     ));
-    t.want(1, 0, 4, "t0", None);
-    assert_eq!(t.agree(), [true], "a removal has room");
+    t.request(1, 0, 4, "t0", None);
+    assert_eq!(t.commit(), [true], "a removal has room");
     for n in 0..=changes::MAX_OPEN_CHANGES as u64 {
-        t.want(2, 0, 10 + n, &format!("s{n}"), Some("x"));
+        t.request(2, 0, 10 + n, &format!("s{n}"), Some("x"));
     }
     let busy = Refusal::Busy {
         open: changes::MAX_OPEN_CHANGES,
     };
     assert_eq!(
-        t.told(0).last(),
+        t.outputs_of(0).last(),
         Some(&Output::Refused(
             10 + changes::MAX_OPEN_CHANGES as u64,
             busy
@@ -302,20 +302,20 @@
 /// A gateway that missed more changes than are stored reports that the outcome is unknown.
 #[test]
 fn outcome_is_unknown_after_a_long_absence() {
-    let mut t = Table::new(1, 1, 1);
-    t.want(0, 0, 1, "t", Some("one"));
-    assert_eq!(t.agree(), [true]);
+    let mut t = Cluster::new(1, 1, 1);
+    t.request(0, 0, 1, "t", Some("one"));
+    assert_eq!(t.commit(), [true]);
     for n in 0..=MAX_RECENT_CHANGES as u64 {
         assert!(t
             .agreed
             .apply(&entry("busy", t.agreed.follows("busy"), 50 + n, Some("x"))));
     }
-    t.hear(1, 0, 1);
+    t.deliver(1, 0, 1);
     let unknown = Refusal::Unknown {
         tenant: "t".into(),
         since: MAX_RECENT_CHANGES as u64 + 2,
     };
-    assert_eq!(t.told(0).last(), Some(&Output::Refused(1, unknown)));
+    assert_eq!(t.outputs_of(0).last(), Some(&Output::Refused(1, unknown)));
     assert!(t.agreed.recent.len() == MAX_RECENT_CHANGES);
 }
 
--- a/src/tenancy/secret.rs
+++ b/src/tenancy/secret.rs
@@ -173,14 +173,14 @@
     fresh: Secret,
     now: Micros,
     until: Micros,
-    most: usize,
+    max_secrets: usize,
 ) -> Result<Vec<Secret>, TenantError> {
     secrets.retain(|s| s.valid(now) && *s != fresh);
     for old in &mut secrets {
         old.until = Some(old.until.map_or(until, |t| t.min(until)));
     }
     secrets.retain(|s| s.valid(now));
-    if secrets.len() >= most {
+    if secrets.len() >= max_secrets {
         return Err(TenantError::TooMany);
     }
     secrets.insert(0, fresh);
