--- a/src/tenancy/persistence.rs
+++ b/src/tenancy/persistence.rs
@@ -1,119 +1,127 @@
-//! Tenants as text: the state file's, and one tenant's for other gateways.
+//! Serialization of tenants, for the state file and for replication to other gateways.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use super::endpoint::{kept_secrets, read_secrets, KeptEndpoint};
+use super::endpoint::{parse_secrets, stored_secrets, StoredEndpoint};
 use super::{Registry, Spec, Tenant, TenantError};
 use crate::api::{Micros, TenantId};
 use crate::delivery::EndpointId;
 
-/// A tenant as the state file keeps it, secrets and all. Files of before there were endpoints lack the last four.
+/// A tenant as stored in the state file, including secrets. Files from versions without endpoints
+/// lack the last four fields.
 #[derive(Deserialize, Serialize)]
-struct Kept {
+struct StoredTenant {
     name: String,
     share_per_s: f64,
     portal: Option<String>,
-    /// Each with the time until which it counts.
+    /// Secrets with the ends of their validity.
     secrets: Vec<(String, Option<Micros>)>,
     serial: Option<u64>,
     #[serde(default)]
     version: u64,
     #[serde(default)]
     removed: u64,
-    endpoints: Option<Vec<KeptEndpoint>>,
+    endpoints: Option<Vec<StoredEndpoint>>,
 }
 
-/// The state file. Before there were endpoints it was the list alone.
+/// Contents of the state file. Versions without endpoints wrote only the list.
 #[derive(Deserialize, Serialize)]
 #[serde(untagged)]
-enum KeptAll {
-    All { serials: u64, tenants: Vec<Kept> },
-    List(Vec<Kept>),
+enum StoredRegistry {
+    All {
+        serials: u64,
+        tenants: Vec<StoredTenant>,
+    },
+    List(Vec<StoredTenant>),
 }
 
-/// What follows from a tenant that was taken over from another gateway.
+/// Effects of adopting a tenant from another gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Adopted {
-    /// Its number, and the share that the number has from here on.
+    /// The tenant's number and the number's new share.
     pub share: (TenantId, f64),
-    /// Endpoints that are no more.
+    /// Removed endpoints.
     pub gone: Vec<EndpointId>,
 }
 
-/// Times of a clock of one's own become spans, and spans times of another: no two clocks are compared. What is over is left out.
-fn shift(secrets: &mut Vec<(String, Option<Micros>)>, by: impl Fn(Micros) -> Option<Micros>) {
+/// Converts expiry times to durations or back with `convert`, so that clocks of different gateways
+/// are never compared. Removes the secrets for which `convert` returns `None`.
+fn shift(secrets: &mut Vec<(String, Option<Micros>)>, convert: impl Fn(Micros) -> Option<Micros>) {
     secrets.retain_mut(|(_, until)| match *until {
         None => true,
         Some(t) => {
-            *until = by(t);
+            *until = convert(t);
             until.is_some()
         }
     });
 }
 
-impl Kept {
-    fn of(name: &str, t: &Tenant) -> Kept {
-        Kept {
+impl StoredTenant {
+    fn of(name: &str, t: &Tenant) -> StoredTenant {
+        StoredTenant {
             name: name.to_owned(),
             share_per_s: t.share_per_s,
             portal: None,
-            secrets: kept_secrets(&t.secrets),
+            secrets: stored_secrets(&t.secrets),
             serial: Some(t.serial),
             version: t.version,
             removed: t.removed,
             endpoints: Some(
                 t.endpoints
                     .iter()
-                    .map(|(name, e)| KeptEndpoint::of(name, e))
+                    .map(|(name, e)| StoredEndpoint::of(name, e))
                     .collect(),
             ),
         }
     }
 
-    fn shifted(mut self, by: impl Fn(Micros) -> Option<Micros>) -> Kept {
-        shift(&mut self.secrets, &by);
+    fn shifted(mut self, convert: impl Fn(Micros) -> Option<Micros>) -> StoredTenant {
+        shift(&mut self.secrets, &convert);
         self.endpoints
             .iter_mut()
             .flatten()
-            .for_each(|e| shift(&mut e.secrets, &by));
+            .for_each(|e| shift(&mut e.secrets, &convert));
         self
     }
 }
 
 impl Registry {
-    /// A tenant as other gateways are told of it, secrets and all; none if there is no such tenant.
+    /// Returns a tenant serialized for other gateways, including secrets, or `None` if the tenant
+    /// does not exist.
     pub fn told(&self, name: &str, now: Micros) -> Option<Vec<u8>> {
-        let kept = Kept::of(name, self.get(name)?)
+        let kept = StoredTenant::of(name, self.get(name)?)
             .shifted(|until| until.checked_sub(now).filter(|s| *s > 0));
-        // Strings and numbers only: there is nothing that could not be written.
+        // Contains only strings and numbers, so serialization cannot fail.
         Some(serde_json::to_vec(&kept).unwrap_or_default())
     }
 
-    /// A tenant is so from here on, or is no more, as other gateways say. On an error nothing changes.
+    /// Replaces a tenant with the version from other gateways, or removes it if `serialized` is
+    /// `None`. On an error nothing changes.
     pub fn adopt(
         &mut self,
         now: Micros,
         name: &str,
-        told: Option<&[u8]>,
+        serialized: Option<&[u8]>,
     ) -> Result<Option<Adopted>, TenantError> {
         let known = self.get(name);
         let ids = |t: &Tenant| t.endpoints.values().map(|e| e.id).collect::<Vec<_>>();
         let mut gone = known.map_or(Vec::new(), ids);
-        let Some(told) = told else {
+        let Some(serialized) = serialized else {
             if known.is_none() {
                 return Ok(None);
             }
             let share = self.remove(name)?;
             return Ok(Some(Adopted { share, gone }));
         };
-        let kept: Kept = serde_json::from_slice(told).map_err(|_| TenantError::State)?;
+        let kept: StoredTenant =
+            serde_json::from_slice(serialized).map_err(|_| TenantError::State)?;
         if kept.name != name {
             return Err(TenantError::Name);
         }
         let mut fresh = self.clone();
-        // Its number stays its own; all else is as told.
+        // The tenant keeps its local number; everything else is replaced.
         if let Some(t) = fresh.tenants.get_mut(name) {
             t.endpoints.clear();
         }
@@ -127,12 +135,13 @@
         }))
     }
 
-    /// How many tenants all gateways have removed: one that is made from here on is none of these.
+    /// Sets the number of tenants removed by all gateways. The number enters the serials of new
+    /// tenants, so a new tenant differs from all removed ones.
     pub fn set_removals(&mut self, removals: u64) {
         self.serials = removals;
     }
 
-    fn read(&mut self, kept: Kept) -> Result<(), TenantError> {
+    fn read(&mut self, kept: StoredTenant) -> Result<(), TenantError> {
         let spec = Spec {
             share_per_s: Some(kept.share_per_s),
             portal: kept.portal,
@@ -143,7 +152,7 @@
             .tenants
             .get_mut(&kept.name)
             .ok_or(TenantError::Unknown)?;
-        t.secrets = read_secrets(&kept.secrets)?;
+        t.secrets = parse_secrets(&kept.secrets)?;
         (t.serial, t.removed) = (kept.serial.unwrap_or(t.serial), kept.removed);
         t.version = kept.version.max(1);
         for endpoint in kept.endpoints.into_iter().flatten() {
@@ -153,33 +162,34 @@
         Ok(())
     }
 
-    /// All tenants as text for the state file. It holds the secrets: it is written for its owner alone.
+    /// Returns all tenants as text for the state file. The text contains secrets, so the file is
+    /// readable only by its owner.
     pub fn state(&self) -> String {
         let tenants = self
             .tenants
             .iter()
-            .map(|(name, t)| Kept::of(name, t))
+            .map(|(name, t)| StoredTenant::of(name, t))
             .collect();
-        // Strings and numbers only: there is nothing that could not be written.
-        serde_json::to_string(&KeptAll::All {
+        // Contains only strings and numbers, so serialization cannot fail.
+        serde_json::to_string(&StoredRegistry::All {
             serials: self.serials,
             tenants,
         })
         .unwrap_or_default()
     }
 
-    /// Takes the tenants of a state file in place of its own. On an error nothing changes.
+    /// Replaces all tenants with those of a state file. On an error nothing changes.
     pub fn restore(&mut self, text: &str) -> Result<(), TenantError> {
-        let kept: KeptAll = serde_json::from_str(text).map_err(|_| TenantError::State)?;
+        let kept: StoredRegistry = serde_json::from_str(text).map_err(|_| TenantError::State)?;
         let (serials, list) = match kept {
-            KeptAll::All { serials, tenants } => (serials, tenants),
-            KeptAll::List(tenants) => (0, tenants),
+            StoredRegistry::All { serials, tenants } => (serials, tenants),
+            StoredRegistry::List(tenants) => (0, tenants),
         };
         let mut fresh = Registry {
             tenants: BTreeMap::new(),
             ..self.clone()
         };
-        fresh.free.extend(
+        fresh.free_ids.extend(
             self.tenants
                 .iter()
                 .filter(|(n, _)| !self.reserved.contains_key(*n))
