--- a/src/admin/tenants.rs
+++ b/src/admin/tenants.rs
@@ -68,7 +68,8 @@
     }
 }
 
-/// Parses a rotation; returns the secret and the time until which older secrets stay valid.
+/// Parses a rotation of a secret; returns the new secret and the time until which older secrets
+/// stay valid.
 pub(super) fn rotation(request: &Request<'_>, now: u64) -> Result<(String, u64), Bad> {
     let rotation: Rotation = body(request, "body is not a rotation")?;
     if rotation.keep_old_s > MAX_SECRET_OVERLAP_S {
--- a/src/config.rs
+++ b/src/config.rs
@@ -111,9 +111,9 @@
 /// A gateway's configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// Its file, if it came from one.
+    /// The file that the configuration was read from, if any.
     pub file: Option<PathBuf>,
-    /// Its name.
+    /// The gateway's name.
     pub name: String,
     /// The address of the platform's front.
     pub listen: SocketAddr,
@@ -406,7 +406,7 @@
 pub struct Admin {
     /// The address of the API; must be loopback.
     pub listen: SocketAddr,
-    /// The SPIFFE trust domain of its callers.
+    /// The SPIFFE trust domain of the API's callers.
     pub trust_domain: String,
     /// The audience that callers' tokens must name.
     pub audience: String,
@@ -428,9 +428,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
-    /// Its SPIFFE ID.
+    /// The caller's SPIFFE ID.
     pub spiffe_id: String,
-    /// Its role.
+    /// The caller's role.
     pub role: Role,
 }
 
--- a/src/delivery/breaker.rs
+++ b/src/delivery/breaker.rs
@@ -56,7 +56,7 @@
 
 impl CircuitBreaker {
     /// Returns how many attempts may be in flight, `limit` at most. If no attempt is allowed yet,
-    /// the error is the time from which one is.
+    /// the error is the time from which attempts are allowed.
     pub fn attempts_allowed(&self, now: Micros, limit: u32) -> Result<u32, Micros> {
         match self.state {
             BreakerState::Open { until } if now < until => Err(until),
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Records an attempt that ended before it reached the endpoint. If it was the trial, another
-    /// may be sent.
+    /// Records an attempt that ended before it reached the endpoint. If the attempt was the
+    /// trial, another trial may be sent.
     pub fn attempt_void(&mut self, now: Micros) {
         if self.state == BreakerState::Trial {
             self.state = BreakerState::Open { until: now };
@@ -175,7 +175,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Succeeds if a token is available. Otherwise the error is the time at which one will be.
+    /// Succeeds if a token is available. Otherwise the error is the time of the next token.
     pub fn ready(&mut self, now: Micros) -> Result<(), Micros> {
         self.refill(now);
         if self.tokens >= 1.0 {
@@ -214,7 +214,7 @@
         RetryBudget(TokenBucket::new(RETRIES_PER_S, MAX_BUDGETED_RETRIES, now))
     }
 
-    /// Succeeds if a retry may be sent. Otherwise the error is the time from which one may.
+    /// Succeeds if a retry may be sent. Otherwise the error is the time from which a retry may.
     pub fn ready(&mut self, now: Micros) -> Result<(), Micros> {
         self.0.ready(now)
     }
--- a/src/delivery/endpoint_state.rs
+++ b/src/delivery/endpoint_state.rs
@@ -27,7 +27,7 @@
     pub(super) fetching: bool,
     /// Messages that changed during the pending fetch. Their fetched copies are outdated.
     pub(super) changed_while_fetching: HashSet<Seq>,
-    /// When the endpoint is checked again, and the timer for the check.
+    /// Time at which the endpoint is queued for sending again, and the timer for that time.
     pub(super) recheck: Option<(Micros, TimerKey)>,
 }
 
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Returns the message to send now. If none may be sent, the error is the time from which one
-    /// may, or none if that depends on another event. Retries go before first attempts while the
-    /// retry budget permits them.
+    /// Returns the message to send now. If no message may be sent, the error is the time from which
+    /// sending is allowed, or `None` if that depends on another event. Retries go before first
+    /// attempts while the retry budget permits retries.
     pub(super) fn next_message(&mut self, now: Micros) -> Result<Seq, Option<Micros>> {
         if self.plan.enabled != Enabled::Yes || self.ready() == 0 {
             return Err(None);
--- a/src/delivery/messages.rs
+++ b/src/delivery/messages.rs
@@ -122,7 +122,7 @@
     Persist {
         /// The message with its next due time and attempts.
         message: Waiting,
-        /// Its state.
+        /// The new state of the message.
         state: State,
         /// The attempt that led to the state, if any.
         attempt: Option<DeliveryReport>,
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The fronts: decode requests into calls for the core and encode its answers, without any policy.
+//! The fronts decode requests into calls for the core and encode the core's answers. They contain
+//! no policy.
 
 pub mod http;
 pub mod operator_console;
--- a/src/front/webhook/answer.rs
+++ b/src/front/webhook/answer.rs
@@ -67,7 +67,8 @@
         let mut lengths: Vec<String> = values_of("content-length").map(text).collect();
         lengths.dedup();
         let transfer_coding = values_of("transfer-encoding").next().map(text);
-        // The status is reported in any case; the body only decides if the connection is reusable.
+        // The status is reported in any case; the body decides only whether the connection is
+        // reusable.
         let end = match (status, transfer_coding.as_deref(), lengths.as_slice()) {
             (204 | 304, ..) => Some(0),
             (_, Some("chunked"), []) => match chunked(rest) {
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -283,7 +283,7 @@
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return false;
         };
-        // A connection whose time for the rest of a request has run out gets no more time.
+        // A partial request whose time has run out gets no more time.
         if connection.closing || !connection.input.bytes().is_empty() {
             return false;
         }
--- a/src/gateway/consensus/disk.rs
+++ b/src/gateway/consensus/disk.rs
@@ -45,7 +45,7 @@
 pub(super) struct OpenedDisk {
     /// What the disk holds.
     pub(super) persistent: Option<PersistentState>,
-    /// The thread that writes to it.
+    /// The thread that writes to the disk.
     pub(super) writer: Option<Writer>,
     /// Whether another process uses the disk.
     pub(super) in_use: bool,
@@ -75,7 +75,7 @@
     let reopen_path = path.to_owned();
     let reopen = move || Disk::reopen(&reopen_path, 0);
     let reply = move |number, result: Result<_, StoreError>| {
-        // The event loop is gone only at the end of the process.
+        // Sending fails only at the end of the process, when the event loop is gone.
         let _ = sender.send((number, result.map(|_| ())));
     };
     let writer = Writer::start(disk, Box::new(reopen), Box::new(reply))
--- a/src/gateway/consensus/mod.rs
+++ b/src/gateway/consensus/mod.rs
@@ -40,7 +40,7 @@
 /// How often the disk or the address is tried again while another process uses it.
 const RESOURCE_RETRY_INTERVAL: Micros = 500_000;
 
-/// The driver, while consensus is on.
+/// The driver of consensus; exists only while consensus is on.
 #[derive(Debug)]
 pub(super) struct ConsensusDriver {
     participant: Participant,
--- a/src/gateway/consensus/setup.rs
+++ b/src/gateway/consensus/setup.rs
@@ -105,8 +105,8 @@
 }
 
 impl Gateway {
-    /// Listens for other gateways; `None` while another process, the previous one, uses the
-    /// address.
+    /// Listens for other gateways. Returns `None` while another process, usually the previous
+    /// process of this gateway, uses the address.
     pub(super) fn listen_for_peers(
         &self,
         address: SocketAddr,
@@ -141,7 +141,8 @@
         })
     }
 
-    /// Starts consensus and the subsystems under leases, with the workers that are ready.
+    /// Starts consensus and the subsystems under leases. `ready` contains the workers that
+    /// are ready.
     ///
     /// # Errors
     ///
--- a/src/gateway/deadlines.rs
+++ b/src/gateway/deadlines.rs
@@ -20,7 +20,7 @@
     BundleReload,
     /// The next delivery to an endpoint, or the timeout of a delivery.
     Delivery,
-    /// The next pass of retention over the store.
+    /// The next retention pass over the store.
     Retention,
     /// The gossip driver's next step.
     Gossip,
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -45,7 +45,7 @@
     }
 
     /// Handles the end of a discovery connection and schedules the next connect. Logs only the end
-    /// of a stream that had answered and the first failed connect after it.
+    /// of a stream that had answered and the first of consecutive failed connects.
     pub(super) fn discovery_closed(
         &mut self,
         now: Micros,
--- a/src/gateway/error.rs
+++ b/src/gateway/error.rs
@@ -8,11 +8,11 @@
 pub enum GatewayError {
     /// An address cannot be listened on.
     #[error(
-        "cannot listen on {0}: {1}; see that no other process does and that the address is this machine's"
+        "cannot listen on {0}: {1}; check that no other process listens on the address and that the address belongs to this machine"
     )]
     Listen(SocketAddr, #[source] io::Error),
     /// The event loop failed.
-    #[error("the event loop failed: {0}; see the limits of descriptors and memory")]
+    #[error("the event loop failed: {0}; check the limits on file descriptors and memory")]
     Loop(#[from] calloop::Error),
     /// The operator's file cannot be used.
     #[error("{0}")]
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Gossip, while it is on.
+/// The driver of gossip; exists only while gossip is on.
 #[derive(Debug)]
 pub(super) struct GossipDriver {
     group: Group,
@@ -98,7 +98,7 @@
 }
 
 impl Gateway {
-    /// Starts gossip with the workers that are ready.
+    /// Starts gossip. `ready` contains the workers that are ready.
     pub(super) fn set_up_gossip(
         &mut self,
         now: Micros,
@@ -165,7 +165,8 @@
         Ok(())
     }
 
-    /// Updates the workers that are ready, after the list of workers has changed.
+    /// Updates the set of ready workers after the list of workers has changed, and passes the set
+    /// to health checks and gossip.
     pub(super) fn update_ready_workers(
         &mut self,
         now: Micros,
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Passes on what the end of an own attempt shows of its worker.
+    /// Passes a worker's health, as observed at the end of an attempt, to health checks and gossip.
     pub(super) fn observe_outcome(
         &mut self,
         now: Micros,
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod fixture_tests;
 
-/// The driver, while the lease is configured.
+/// The driver of health checks; exists only while their lease is configured.
 #[derive(Debug)]
 pub(super) struct HealthCheckDriver {
     checker: HealthChecker,
@@ -50,7 +50,7 @@
 }
 
 impl Gateway {
-    /// Starts health checks, with the workers that are ready.
+    /// Starts health checks. `ready` contains the workers that are ready.
     pub(super) fn set_up_health_checks(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
         let mut checker = HealthChecker::default();
         checker.handle(now, Input::Ready(ready));
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Passes on the workers that are ready, after they have changed.
+    /// Passes the set of ready workers to the checker after the set has changed.
     pub(super) fn set_health_check_workers(&mut self, now: Micros, ready: BTreeSet<WorkerId>) {
         self.handle_health_checks(now, Input::Ready(ready));
     }
 
-    /// Passes on what a request of this gateway has shown of a worker.
+    /// Passes a worker's health, as observed in a request of this gateway, to the checker.
     pub(super) fn observe_for_health_checks(
         &mut self,
         now: Micros,
@@ -82,14 +82,14 @@
         self.handle_health_checks(now, Input::Outcome(worker, observed));
     }
 
-    /// Passes on that this gateway has acquired or lost a lease.
+    /// Informs the checker that this gateway has acquired or lost a lease.
     pub(super) fn set_health_check_lease(&mut self, now: Micros, lease: &str, held: bool) {
         if lease == LEASE_NAME {
             self.handle_health_checks(now, Input::LeaseChanged(held));
         }
     }
 
-    /// Passes on the verdicts that the holder of a lease has announced.
+    /// Passes the verdicts that the holder of a lease has announced to the checker.
     pub(super) fn on_health_check_effect(&mut self, now: Micros, lease: &str, content: &[u8]) {
         if lease == LEASE_NAME {
             let verdicts = decode_verdicts(content);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Passes on another gateway's report of a worker to the holder of a lease.
+    /// Passes another gateway's report of a worker, meant for the lease holder, to the checker.
     pub(super) fn on_health_check_report(&mut self, now: Micros, lease: &str, content: &[u8]) {
         if lease != LEASE_NAME {
             return;
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -29,7 +29,7 @@
 /// Maximum capacity reported to other processes, in answers per second of a worker.
 const MAX_REPORTED_CAPACITY_PER_S: f64 = 1e5;
 
-/// The driver, while the platform's listening socket is inherited.
+/// The driver of hot restarts; exists only while the platform's listening socket is inherited.
 #[derive(Debug)]
 pub(super) struct HotRestartDriver {
     /// The folder and the lock of this process; `None` if the folder cannot be used.
--- a/src/gateway/load_coordination.rs
+++ b/src/gateway/load_coordination.rs
@@ -25,11 +25,11 @@
     pub(super) copies: u8,
 }
 
-/// The driver, while shards are configured.
+/// The driver of load coordination; exists only while leases of its shards are configured.
 #[derive(Debug)]
 pub(super) struct LoadDriver {
     coordinator: LoadCoordinator,
-    /// Orders that wait or were sent, by number.
+    /// Orders that wait to be sent or have been sent, by number.
     orders: BTreeMap<u64, Order>,
     numbers: BTreeMap<LoadOrderKey, u64>,
     last_number: u64,
@@ -119,7 +119,7 @@
         true
     }
 
-    /// Passes on the end of an order that was sent.
+    /// Informs the coordinator of the end of an order that was sent.
     pub(super) fn on_load_order_ended(&mut self, now: Micros, order: LoadOrderKey, copies: u32) {
         let Some(driver) = &mut self.cluster.loads else {
             return;
@@ -130,28 +130,28 @@
         }
     }
 
-    /// Passes on that this gateway has acquired or lost a lease.
+    /// Informs the coordinator that this gateway has acquired or lost a lease.
     pub(super) fn set_load_lease(&mut self, now: Micros, lease: &LeaseName, held: bool) {
         if lease.starts_with(SHARD_LEASE_PREFIX) {
             self.handle_load_coordination(now, Input::LeaseChanged(lease.clone(), held));
         }
     }
 
-    /// Passes on whether a lease has a holder in the agreed state.
+    /// Informs the coordinator whether a lease has a holder in the agreed state.
     pub(super) fn set_load_holder_known(&mut self, now: Micros, lease: &LeaseName, known: bool) {
         if lease.starts_with(SHARD_LEASE_PREFIX) {
             self.handle_load_coordination(now, Input::HolderKnown(lease.clone(), known));
         }
     }
 
-    /// Passes on a message that the holder of a lease has announced.
+    /// Passes a message that the holder of a lease has announced to the coordinator.
     pub(super) fn on_load_effect(&mut self, now: Micros, lease: &str, content: &[u8]) {
         if let Some(message) = decode(lease, content) {
             self.handle_load_coordination(now, Input::Announced(message));
         }
     }
 
-    /// Passes on another gateway's message to the holder of a lease.
+    /// Passes another gateway's message for the holder of a lease to the coordinator.
     pub(super) fn on_load_report(
         &mut self,
         now: Micros,
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -47,7 +47,7 @@
     Disabled(EndpointId, u64),
 }
 
-/// The driver, while tenants are agreed on between gateways.
+/// The driver of changes of tenants; exists only while gateways agree on tenants.
 #[derive(Debug)]
 pub(super) struct TenantDriver {
     changes: Changes,
@@ -170,7 +170,8 @@
         })
     }
 
-    /// Proposes an administrator's change of a tenant; the response follows once it is agreed on.
+    /// Proposes an administrator's change of a tenant; the response follows once the change is
+    /// agreed on.
     pub(super) fn propose_tenant_change(
         &mut self,
         tenant: &str,
@@ -195,7 +196,7 @@
         );
     }
 
-    /// Proposes to all gateways that an endpoint is disabled, which this gateway has done.
+    /// Proposes to all gateways to disable an endpoint that this gateway has disabled.
     pub(super) fn agree_on_disabled(&mut self, now: Micros, tenant: &str, id: EndpointId) {
         let version = self
             .secondary
@@ -306,7 +307,7 @@
         }
     }
 
-    /// Takes over a tenant as agreed; `None` removes it.
+    /// Applies the agreed version of a tenant; `None` removes the tenant.
     fn adopt_tenant(&mut self, now: Micros, tenant: &str, encoded: Option<&[u8]>) {
         match self.secondary.tenants.adopt(now, tenant, encoded) {
             Ok(Some(adopted)) => {
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -66,11 +66,11 @@
 /// How long an attempt may wait for its record before it is withdrawn, in microseconds: well under
 /// the time within which a draining worker still accepts attempts.
 const MAX_RECORD_WAIT: Micros = 250_000;
-/// Number of records that one pass of retention or of purging an endpoint processes.
+/// Number of records that one retention pass, or one pass of purging an endpoint, processes.
 const RETENTION_BATCH: usize = 256;
-/// Pause before the next pass of retention if records are left to process, in microseconds.
+/// Pause before the next retention pass if records are left to process, in microseconds.
 const RETENTION_CONTINUE_DELAY: Micros = 50_000;
-/// Pause before the next pass of retention otherwise, in microseconds.
+/// Pause before the next retention pass otherwise, in microseconds.
 const RETENTION_INTERVAL: Micros = 5_000_000;
 /// Number of pending store operations from which new calls are rejected.
 const MAX_PENDING_STORE_OPS: usize = 8192;
@@ -170,7 +170,8 @@
     /// Records a change whose result has no recipient.
     RecordOnly,
     RegisterDisk,
-    /// Stores a record or a snapshot of a shard; the number is that of the waiting commit, if any.
+    /// Stores a record or a snapshot of a shard. The number, if any, is that of the operation that
+    /// waits for the commit of the record.
     StoreRecord(ShardId, Option<u64>),
     /// Reads a snapshot of a shard for a replica.
     ReadSnapshot(ShardId, Name),
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -151,7 +151,7 @@
         self.respond_to_request(peer, number, outcome);
     }
 
-    /// Sends a delivery whose beginning was recorded.
+    /// Sends a message once the start of its attempt is recorded; otherwise informs delivery.
     fn delivery_begun(&mut self, now: Micros, seq: Seq, reply: Result<Reply, StoreError>) {
         if let Ok(Reply::Attempt(Some(message))) = reply {
             fault_injection_point("callback's intent promised");
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Handles the result of a pass of retention and schedules the next pass.
+    /// Handles the result of a retention pass and schedules the next pass.
     fn retention_applied(&mut self, now: Micros, reply: Result<Reply, StoreError>) {
         let RetentionResult {
             expired,
@@ -247,7 +247,7 @@
             .for_each(|w| hooks.delivery.handle(now, Input::MessagePending(w)));
     }
 
-    /// Begins a pass of retention.
+    /// Begins a retention pass.
     pub(in crate::gateway) fn retain(&mut self, now: Micros) {
         let Some(hooks) = &mut self.secondary.hooks else {
             return;
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -69,8 +69,8 @@
             (None, true) => Schedule::default(),
             (None, false) => Schedule::short(w.callback_window_ms * 1000),
         };
-        // The limit on accepted calls bounds the messages in memory, so that delivery loads all of
-        // them.
+        // Without a store, delivery loads all messages. The limit on accepted calls bounds their
+        // number.
         let unlimited = Limits {
             max_ready_per_endpoint: usize::MAX / 2,
             max_loaded: usize::MAX / 2,
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -534,7 +534,7 @@
                     if let Some(m) = self.members.get_mut(from) {
                         m.synced = now;
                     }
-                    // A new member receives all pages at once.
+                    // A new member receives all pages of the member list at once, up to a limit.
                     let pages = if new {
                         self.pages().min(MAX_SYNC_PAGES)
                     } else {
--- a/src/operations/hot_restart.rs
+++ b/src/operations/hot_restart.rs
@@ -87,16 +87,16 @@
     #[error("its sum does not fit")]
     Damaged,
     /// The text exceeds [`MAX_STATE_BYTES`]. The operator removes the file.
-    #[error("it is too large")]
+    #[error("the text is too large")]
     TooLarge,
     /// A line has an unknown key or an invalid value. The operator removes the file.
-    #[error("the line '{0}' has no meaning")]
+    #[error("the line '{0}' has an unknown key or an invalid value")]
     UnknownLine(String),
     /// The text belongs to another gateway. The operator gives each gateway a `TMPDIR` of its own.
-    #[error("it is of the gateway '{0}'")]
+    #[error("the text belongs to the gateway '{0}'")]
     Foreign(String),
     /// The process ended too long ago to be part of an upgrade. Nothing needs to be done.
-    #[error("its process died long ago")]
+    #[error("the process that wrote the text ended too long ago")]
     Abandoned,
 }
 
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -13,7 +13,7 @@
     Missing {
         /// The key.
         key: String,
-        /// What it may be.
+        /// The description of the accepted values.
         expected: String,
     },
     /// A value has the wrong type or is out of bounds.
@@ -21,9 +21,9 @@
     Value {
         /// The key.
         key: String,
-        /// The value.
+        /// The rejected value.
         value: String,
-        /// What it may be.
+        /// The description of the accepted values.
         expected: String,
     },
     /// A name is used twice.
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -26,7 +26,7 @@
     Io(String),
     /// The stored bodies have reached their size limit. New calls are accepted again once pending
     /// calls complete.
-    #[error("the store holds as much as it may")]
+    #[error("the stored bodies have reached their size limit")]
     Full,
     /// Rows of a shard do not match the checksums of the listed ranges. The shard is repaired from
     /// another replica.
--- a/src/store/operations.rs
+++ b/src/store/operations.rs
@@ -42,7 +42,7 @@
     pub valid_until: Micros,
 }
 
-/// Replaces a call by its outcome and its messages.
+/// Completes a call with its outcome and the messages that report the outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompleteCall {
     /// The call's sequence number.
@@ -104,7 +104,7 @@
     pub limit: usize,
 }
 
-/// One pass of retention.
+/// One retention pass.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ApplyRetention {
     /// The current time.
@@ -159,7 +159,7 @@
     SetSent(Seq, Micros),
     /// Records that no attempt of a call has run.
     ClearSent(Seq),
-    /// Replaces a call by its outcome and its messages.
+    /// Completes a call with its outcome and the messages that report the outcome.
     CompleteCall(CompleteCall),
     /// Persists messages that do not report a call's outcome, with their bodies.
     Publish(Vec<(MessageRecord, Vec<u8>)>),
@@ -181,7 +181,7 @@
     GetMessage(Seq, u64),
     /// Reads the state of a call, by its tenant's serial number and its identity.
     GetCall(u64, String),
-    /// Runs one pass of retention.
+    /// Runs one retention pass.
     ApplyRetention(ApplyRetention),
     /// Reads the counts of the store's content.
     Stats,
@@ -252,7 +252,7 @@
     Message(Option<Box<MessageDetails>>),
     /// The state of a call.
     Call(Option<CallState>),
-    /// The result of a pass of retention.
+    /// The result of a retention pass.
     Retained(RetentionResult),
     /// Counts of the store's content.
     Stats(StoreStats),
@@ -266,7 +266,7 @@
     PrimaryState(Box<ShardState>),
 }
 
-/// The result of a pass of retention.
+/// The result of a retention pass.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetentionResult {
     /// The messages that expired while they waited.
--- a/src/store/tables/calls.rs
+++ b/src/store/tables/calls.rs
@@ -78,8 +78,8 @@
         Ok(Reply::Done)
     }
 
-    /// Replaces a call by its outcome and its messages. If the call is already complete, publishes
-    /// no messages.
+    /// Removes a call, records its outcome if history is kept, and publishes the messages that
+    /// report the outcome. If the call is already complete, publishes no messages.
     pub(super) fn complete_call(
         &mut self,
         keyspace: &mut dyn Keyspace,
--- a/src/store/tables/retention.rs
+++ b/src/store/tables/retention.rs
@@ -13,7 +13,7 @@
 use crate::store::shards;
 
 impl Tables {
-    /// Runs one pass of retention. Waiting messages are not deleted to reduce the stored bytes;
+    /// Runs one retention pass. Waiting messages are not deleted to reduce the stored bytes;
     /// they end as expired once they exceed the maximum age.
     pub(super) fn apply_retention(
         &mut self,
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Submits an operation. The reply handler receives the reply with `number`.
+    /// Submits an operation. The reply handler receives `number` together with the reply.
     pub fn submit(&self, number: u64, op: Op) {
         // The thread has ended only when the process exits; the reply is not needed then.
         let _ = self.jobs.send(Job::Op(number, op));
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -153,7 +153,7 @@
         ticket: Ticket,
         request: ChangeRequest,
     ) -> Result<(), Refusal> {
-        // An agreed change is stored on the disks of a majority.
+        // An agreed change is stored on the disks of a majority of the voters.
         let have = if self.voters == 0 {
             0
         } else {
