--- a/examples/send_webhook.rs
+++ b/examples/send_webhook.rs
@@ -1,4 +1,4 @@
-//! Sends one signed call to the gateway of `examples/webhooks.toml` and prints the answer.
+//! Sends one signed call to the gateway of `examples/webhooks.toml` and prints the response.
 //!
 //! `cargo run --example send_webhook -- 127.0.0.1:7002`
 
--- a/examples/toy_portal.rs
+++ b/examples/toy_portal.rs
@@ -1,4 +1,4 @@
-//! A toy portal: prints each callback and confirms it.
+//! A minimal portal: it prints each callback and confirms it.
 //!
 //! `cargo run --example toy_portal -- 127.0.0.1:7003`
 
--- a/examples/toy_worker.rs
+++ b/examples/toy_worker.rs
@@ -1,4 +1,5 @@
-//! A toy worker: holds every function, answers each call with its own body after a moment.
+//! A minimal worker: it has every function loaded and answers each call with the call's body after
+//! 20 ms.
 //!
 //! `cargo run --example toy_worker -- 127.0.0.1:7001`
 
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API and the identities of its callers.
+//! The administration API and the authentication of its callers.
 
 mod common;
 
@@ -15,7 +15,7 @@
 const OPERATOR: &str = "spiffe://aurora.example/desk/operator";
 const SECOND: u64 = 1_000_000;
 
-/// A P-256 key in PKCS #8, made of its 32 bytes.
+/// A P-256 key in PKCS #8 whose 32 secret bytes are all `byte`.
 fn key(byte: u8) -> EncodingKey {
     let head = "308141020100301306072a8648ce3d020106082a8648ce3d030107042730250201010420";
     let head = head.replacen("308141", "3041", 1);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_jwt_svid_is_checked_by_key_audience_time_and_subject() {
+fn jwt_svid_checks_key_audience_time_and_subject() {
     let (gate, now) = (gate(), 1000 * SECOND);
     let check = |t: &str| gate.check(t, now);
     let of = |sub: &str| token("k1", 7, &claims(sub, json!(["molelug", "x"]), 1001));
@@ -69,7 +69,7 @@
     assert_eq!(
         check(&of(nobody)),
         Ok((nobody.into(), None)),
-        "known, and without a role"
+        "authenticated, without a role"
     );
     assert!(matches!(
         check(&of("spiffe://other.example/desk/viewer")),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_bundle_that_cannot_be_used_leaves_the_keys_held() {
+fn unusable_bundle_keeps_current_keys() {
     let mut gate = gate();
     assert!(gate.load("{").is_err());
     let good = token("k1", 7, &claims(VIEWER, json!("molelug"), 10));
@@ -119,13 +119,13 @@
     assert_eq!(
         gate.load(&bundle("k1", 7, "x509-svid")),
         Ok(0),
-        "a key for X.509 opens nothing"
+        "an X.509 key verifies no token"
     );
     assert!(gate.check(&good, 0).is_err());
 }
 
 #[test]
-fn a_spiffe_id_is_of_the_trust_domain_and_has_a_clean_path() {
+fn spiffe_id_requires_trust_domain_and_clean_path() {
     for id in [
         "spiffe://aurora.example/a",
         "spiffe://aurora.example/a/b-c_d.e",
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn tenants_are_administered_by_role_and_secrets_never_shown() {
+fn tenants_are_administered_by_role_without_exposing_secrets() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("admin-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -165,9 +165,9 @@
     );
     let workers = [endpoint("s-00000001", worker.address, "SERVING")];
     let mut g = Gateway::start(&settings(900.0), &workers, None, Some(&operator));
-    let far = u64::from(u32::MAX);
+    let far_future = u64::from(u32::MAX);
     let ask = |g: &Gateway, who: &str, line: &str, body: &str| {
-        let t = token("k1", 7, &claims(who, json!("molelug"), far));
+        let t = token("k1", 7, &claims(who, json!("molelug"), far_future));
         let (status, answer) = http(
             g.admin.unwrap(),
             &format!("{line} HTTP/1.1\r\nAuthorization: Bearer {t}"),
@@ -185,7 +185,7 @@
     assert_eq!(
         ask(&g, "spiffe://aurora.example/x", "GET /v1/counters", "").0,
         403,
-        "no role, no entry"
+        "a caller without a role is refused"
     );
     assert_eq!(ask(&g, VIEWER, "PUT /v1/tenants/clinic", &spec).0, 403);
     assert_eq!(ask(&g, OPERATOR, "PUT /v1/tenants/clinic", &spec).0, 201);
@@ -207,7 +207,7 @@
     );
     let (status, shown) = ask(&g, OPERATOR, "POST /v1/tenants/clinic/secrets", &rotation);
     assert!(status == 200 && !shown.contains(&secret[6..]), "{shown}");
-    // The tenant works at once, with the secret just given.
+    // The tenant can send calls immediately, signed with the new secret.
     let data = json!({ "class": "disponibilidad", "function": "0000000000000001" });
     let body = json!({ "type": "call.requested", "data": data })
         .to_string()
@@ -223,7 +223,7 @@
          webhook-signature: {signed}"
     );
     assert_eq!(http(g.webhooks.unwrap(), &head, &body).0, 202);
-    until("its callback comes", || portal.count() == 1);
+    until("its callback is delivered", || portal.count() == 1);
     assert!(portal.by_call()["m1"][0].signed);
     let (status, shown) = ask(&g, VIEWER, "GET /v1/tenants", "");
     let list: Value = serde_json::from_str(&shown).unwrap();
@@ -233,7 +233,7 @@
     );
     let (_, counters) = ask(&g, VIEWER, "GET /v1/counters", "");
     assert!(counters.contains("\"webhooks_taken\":1"), "{counters}");
-    // Over a restart the tenant and its secret stay.
+    // The tenant and its secret survive a restart.
     assert_eq!(g.stop()["callbacks_delivered"], 1);
     g = Gateway::start(&settings(900.0), &workers, None, Some(&operator));
     assert!(ask(&g, VIEWER, "GET /v1/tenants/clinic", "")
@@ -250,9 +250,9 @@
     assert_eq!(
         http(g.webhooks.unwrap(), &head, &body).0,
         401,
-        "gone with its secrets"
+        "removed with its secrets"
     );
-    // What cannot be kept is not done.
+    // A change that cannot be stored is not applied.
     std::fs::remove_file(folder.join("tenants.json")).unwrap();
     std::fs::create_dir(folder.join("tenants.json")).unwrap();
     assert_eq!(ask(&g, OPERATOR, "PUT /v1/tenants/clinic", &spec).0, 500);
@@ -262,19 +262,20 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// The OpenAPI file and the routes are the same, with the same roles; its references lead somewhere.
+/// The OpenAPI file lists exactly the routes of the code with their roles, and its schema
+/// references resolve.
 #[test]
-fn the_openapi_file_has_the_routes() {
+fn openapi_file_matches_the_routes() {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/openapi.json");
     let doc: Value = serde_json::from_str(&std::fs::read_to_string(path).unwrap()).unwrap();
-    let mut told = Vec::new();
+    let mut documented = Vec::new();
     for (path, methods) in doc["paths"].as_object().unwrap() {
         let route: Vec<&str> = path
             .split('/')
             .map(|p| if p.starts_with('{') { "*" } else { p })
             .collect();
         for (method, op) in methods.as_object().unwrap() {
-            told.push((
+            documented.push((
                 method.to_uppercase(),
                 route.join("/"),
                 op["x-role"].as_str().unwrap().to_owned(),
@@ -294,17 +295,17 @@
             "operator"
         }
     };
-    let mut real: Vec<_> = molelug::admin::ROUTES
+    let mut implemented: Vec<_> = molelug::admin::ROUTES
         .iter()
         .map(|(m, p, r)| (m.to_string(), p.to_string(), role(*r).to_owned()))
         .collect();
-    told.sort();
-    real.sort();
-    assert_eq!(told, real);
+    documented.sort();
+    implemented.sort();
+    assert_eq!(documented, implemented);
 }
 
-/// One administrator's session with endpoints and messages: types, versions, keys, switching off and on, rotation,
-/// sending again by class, recovery, removal.
+/// Covers endpoints and messages in one session: event types, versions, idempotency keys, disabling
+/// and enabling, secret rotation, redelivery by class, recovery and removal.
 #[test]
 fn endpoints_and_messages_are_administered() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
@@ -356,7 +357,7 @@
         ask("PUT /v1/tenants/clinic/endpoints/main", "{\"in_flight\":0}").0,
         422
     );
-    // Two administrators: the one with the old version is told so.
+    // Two concurrent changes: the one with the outdated version gets 412.
     let change = "{\"in_flight\":4}";
     assert_eq!(
         ask_with(
@@ -401,11 +402,12 @@
         let head = format!("POST /webhooks/clinic HTTP/1.1\r\nwebhook-id: {id}\r\nwebhook-timestamp: {stamp}\r\nwebhook-signature: {signed}");
         http(g.webhooks.unwrap(), &head, &body).0
     };
-    // A booking whose callback is cut off: nobody can tell, and only an acknowledgement sends it again.
+    // The callback of a booking is cut off: its outcome is unknown, and it is sent again only after
+    // an acknowledgement of the possible duplicate.
     portal.drops.store(1, std::sync::atomic::Ordering::SeqCst);
     assert_eq!(send("booking", "confirmar-traslado"), 202);
     let mut list = Value::Null;
-    until("it is unknown", || {
+    until("the outcome is unknown", || {
         list = ask("GET /v1/tenants/clinic/messages?state=unknown", "").1;
         list["messages"].as_array().is_some_and(|a| a.len() == 1)
     });
@@ -434,27 +436,27 @@
     assert_eq!(
         ask_with(OPERATOR, &again, with_key, yes).0,
         202,
-        "the same key, the same answer"
+        "the same key gets the same answer"
     );
     assert_eq!(
         ask_with(OPERATOR, &again, with_key, "").0,
         409,
-        "the same key for another request"
+        "the same key with another request"
     );
-    until("it has come again", || {
+    until("the callback is delivered again", || {
         portal.by_call()["booking"].len() == 2
     });
-    until("its end is kept", || {
+    until("the delivery is stored", || {
         ask(&format!("GET /v1/tenants/clinic/messages/{message}"), "").1["state"] == "delivered"
     });
     assert_eq!(
         ask(&format!("GET /v1/tenants/clinic/messages/{message}"), "").1["acknowledged_by"],
         OPERATOR
     );
-    // Safe ones that are given up are recovered, once the portal is well.
+    // Exhausted messages of an idempotent class are recovered once the portal answers again.
     portal.drops.store(3, std::sync::atomic::Ordering::SeqCst);
     assert_eq!(send("question", "disponibilidad"), 202);
-    until("it is given up", || {
+    until("the message is exhausted", || {
         ask("GET /v1/tenants/clinic/messages?state=exhausted", "").1["messages"]
             .as_array()
             .is_some_and(|a| a.len() == 1)
@@ -464,19 +466,20 @@
         "{\"since_s\":3600}",
     );
     assert_eq!((status, &sent["sent_again"]), (202, &json!(1)));
-    until("it arrives", || {
+    until("the message is delivered", || {
         portal
             .by_call()
             .get("question")
             .is_some_and(|d| d.len() == 4)
     });
-    // Switched off, what comes waits; switched on, it goes out. A page holds what it says.
+    // Messages wait while the endpoint is disabled and are sent once it is enabled. Pages respect
+    // the limit.
     assert_eq!(
         ask("POST /v1/tenants/clinic/endpoints/main/disable", "").0,
         200
     );
     assert_eq!(send("later", "disponibilidad"), 202);
-    until("it waits", || {
+    until("the message waits", || {
         ask("GET /v1/tenants/clinic/messages?state=waiting", "").1["messages"]
             .as_array()
             .is_some_and(|a| a.len() == 1)
@@ -486,7 +489,9 @@
         ask("POST /v1/tenants/clinic/endpoints/main/enable", "").0,
         200
     );
-    until("it goes out", || portal.by_call().contains_key("later"));
+    until("the message is sent", || {
+        portal.by_call().contains_key("later")
+    });
     let (mut cursor, mut seen) = (String::new(), 0);
     loop {
         let (status, page) = ask(
@@ -502,10 +507,10 @@
     }
     assert!(
         seen >= 5,
-        "the three callbacks, and the events of two that were given up: {seen}"
+        "three callbacks, and the events of two abandoned deliveries: {seen}"
     );
     assert_eq!(ask("GET /v1/tenants/clinic/messages?limit=0", "").0, 422);
-    // Rotation with an overlap signs with both; the endpoint for operations is told.
+    // During the overlap of a rotation both secrets sign; the `ops` endpoint receives the event.
     let fresh = format!(
         "whsec_{}",
         BASE64_STANDARD.encode(b"the key that comes after it.....")
@@ -516,7 +521,7 @@
         ask("POST /v1/tenants/clinic/endpoints/main/test", "").0,
         202
     );
-    until("the test event comes", || {
+    until("the test event is delivered", || {
         portal
             .seen
             .lock()
@@ -528,10 +533,12 @@
     });
     assert!(
         portal.seen.lock().unwrap().iter().all(|d| d.signed),
-        "by the old secret as well"
+        "signed with the old secret too"
     );
-    until("operations have heard of it all", || events.count() >= 3);
-    // Removed: what it had is over, and its name is another's.
+    until("the ops endpoint has received the events", || {
+        events.count() >= 3
+    });
+    // After the removal its messages are inaccessible, also for a new tenant of the same name.
     assert_eq!(ask("DELETE /v1/tenants/clinic/endpoints/main", "").0, 204);
     assert_eq!(ask("GET /v1/tenants/clinic/endpoints/main", "").0, 404);
     assert_eq!(ask("DELETE /v1/tenants/clinic", "").0, 204);
@@ -541,24 +548,25 @@
     assert_eq!(
         list["messages"],
         json!([]),
-        "another tenant of the same name sees nothing of the old one"
+        "a new tenant of the same name sees no messages of the old one"
     );
     assert!(ask("GET /v1/store", "").1["messages"].as_u64() >= Some(5));
     g.stop();
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A tenant is removed, and one of two endpoints of another, with callbacks out, waiting, behind others and switched
-/// off, while a signal to read the configuration anew comes between: every one of them ends, and none sticks.
+/// Removes a tenant, and one of two endpoints of another tenant, while callbacks are in flight,
+/// waiting, queued behind others or disabled, with a configuration reload in between. Every
+/// callback must reach a final state.
 #[test]
-fn what_is_removed_with_callbacks_in_every_state_leaves_none_waiting() {
+fn removal_ends_callbacks_in_every_state() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("removed-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("bundle.json"), bundle("k1", 7, "jwt-svid")).unwrap();
     let file = |name: &str| folder.join(name).display().to_string();
     let key = b"the key of a tenant made later..";
-    // One that takes connections and never answers, and one that is well.
+    // One portal accepts connections and never answers; the other one answers.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let portal = Portal::start(key);
     let operator = format!(
@@ -596,7 +604,7 @@
             .to_string();
     assert_eq!(ask("PUT /v1/tenants/gone", &gone).0, 201);
     assert_eq!(ask("PUT /v1/tenants/stays", &stays).0, 201);
-    let hooks = g.webhooks.unwrap();
+    let webhooks_address = g.webhooks.unwrap();
     let send = |tenant: &str, id: &str, class: &str| {
         let data = json!({ "class": class, "function": "0000000000000001", "order_key": "k" });
         let body = json!({ "type": "call.requested", "data": data })
@@ -612,7 +620,7 @@
             "POST /webhooks/{tenant} HTTP/1.1\r\nwebhook-id: {id}\r\nwebhook-timestamp: {stamp}\r\n\
              webhook-signature: {signed}"
         );
-        http(hooks, &head, &body).0
+        http(webhooks_address, &head, &body).0
     };
     for n in 0..6 {
         let class = if n % 2 == 0 {
@@ -631,17 +639,17 @@
         let page: Value = serde_json::from_slice(&text).unwrap();
         (status, page["messages"].as_array().map_or(0, Vec::len))
     };
-    until("all are there", || {
+    until("all callbacks are waiting or delivered", || {
         list("gone").1 == 18 && portal.count() == 6
     });
     g.signal(rustix::process::Signal::HUP);
     g.line("the configuration was read anew");
     assert_eq!(ask("DELETE /v1/tenants/gone", "").0, 204);
     assert_eq!(ask("DELETE /v1/tenants/stays/endpoints/stuck", "").0, 204);
-    // Only the two that are out still wait for their end; the portal that is well goes on.
-    until("what waited is over", || list("stays").1 <= 2);
+    // Only the two callbacks in flight are unfinished; deliveries to the other portal continue.
+    until("the waiting callbacks have ended", || list("stays").1 <= 2);
     assert_eq!(send("stays", "later", "disponibilidad"), 202);
-    until("it comes", || portal.count() == 7);
+    until("the callback is delivered", || portal.count() == 7);
     let counters = g.stop();
     assert_eq!(counters["callbacks_delivered"], 7, "{counters}");
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_molelug"))
@@ -658,14 +666,16 @@
     assert_eq!(states.values().sum::<usize>(), 18 + 12 + 1, "{states:?}");
     assert!(!states.contains_key("waiting"), "{states:?}");
     assert_eq!(states["delivered"], 7);
-    // What was out to the silent portal and must not come twice: nobody can tell. At most one each place.
+    // Non-idempotent callbacks in flight to the silent portal end as unknown: at most one per
+    // delivery slot.
     assert!(states.get("unknown").is_none_or(|n| *n <= 6), "{states:?}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Without a store as well: callbacks of a tenant that is removed give their places back, and hold up no end in order.
+/// Without a store, callbacks of a removed tenant also free their delivery slots and do not delay
+/// an orderly shutdown.
 #[test]
-fn a_tenant_removed_from_memory_leaves_nothing_to_wait_for() {
+fn tenant_removal_without_store_leaves_no_callbacks() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("memory-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -719,9 +729,9 @@
             .unwrap()
             .contains("\"waiting\":1")
     };
-    until("its callback waits for an hour", waits);
+    until("the callback waits for its next attempt in an hour", waits);
     assert_eq!(ask("DELETE /v1/tenants/clinic").0, 204);
-    // Ends at once, which the helper waits for no longer than its patience.
+    // `stop` fails if the gateway does not exit within `PATIENCE`.
     let counters = g.stop();
     assert_eq!(
         (&counters["taken"], &counters["callbacks_delivered"]),
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, and the files that come with the program.
+//! The command line, and the example and deployment files.
 
 use std::process::{Command, Output};
 
@@ -8,7 +8,7 @@
         .current_dir(env!("CARGO_MANIFEST_DIR"))
         .env_remove("RELAY_CONFIG")
         .args(args);
-    command.output().expect("it runs")
+    command.output().expect("the program runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_files_that_come_with_it_can_be_used() {
+fn example_and_deployment_files_are_valid() {
     for operator in ["examples/webhooks.toml", "deploy/webhooks.toml"] {
         let out = run(&[
             "check-config",
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_told_in_a_line_and_without_secrets() {
+fn errors_are_one_line_and_contain_no_secrets() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("cli-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("operator.toml");
-    let told = |content: &str| {
+    let error_for = |content: &str| {
         std::fs::write(&path, content).unwrap();
         let out = run(&[
             "check-config",
@@ -53,12 +53,15 @@
         error
     };
     let tenant = "[[tenants]]\nname = \"a\"\nsecrets = [\"whsec_tooshort\"]\n";
-    assert!(told(tenant).contains("a secret is"));
-    assert!(told("[webhooks]\nlisten = \"nowhere\"\n").contains("cannot be used"));
-    assert!(told("[webhook]\n").contains("unknown field"));
+    assert!(error_for(tenant).contains("a secret is"));
+    assert!(error_for("[webhooks]\nlisten = \"nowhere\"\n").contains("cannot be used"));
+    assert!(error_for("[webhook]\n").contains("unknown field"));
     let admin =
         "[admin]\nlisten = \"0.0.0.0:1\"\ntrust_domain = \"t\"\naudience = \"a\"\nbundle = \"b\"\n";
-    assert!(told(admin).contains("admin.listen"), "on loopback alone");
+    assert!(
+        error_for(admin).contains("admin.listen"),
+        "only loopback addresses are allowed"
+    );
     std::fs::remove_dir_all(&folder).unwrap();
     for (args, what) in [
         (&["serve"][..], "RELAY_CONFIG is not set"),
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn the_version_is_the_crates() {
+fn version_matches_the_crate() {
     assert_eq!(
         text(&run(&["version"]).stdout),
         format!("molelug {}\n", env!("CARGO_PKG_VERSION"))
@@ -86,13 +89,13 @@
 }
 
 #[test]
-fn webhooks_are_signed_and_checked_by_hand_and_stores_looked_at() {
+fn webhook_and_store_commands_work() {
     use std::io::Write;
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("hand-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = |name: &str| folder.join(name).display().to_string();
-    // The specification's own example.
+    // The example of the webhook specification.
     std::fs::write(file("secret"), "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw\n").unwrap();
     let with_body = |args: &[&str], body: &str| {
         let mut child = Command::new(env!("CARGO_BIN_EXE_molelug"))
@@ -153,7 +156,7 @@
     }
     assert!(
         !std::path::Path::new(&file("none")).exists(),
-        "a mistyped name makes no store"
+        "a wrong path creates no store"
     );
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/tests/common/by_hand.rs
+++ b/tests/common/by_hand.rs
@@ -1,5 +1,5 @@
-//! Peers that do nothing by themselves: a test accepts, reads and writes step by step, and so brings about an order of
-//! events every time.
+//! Peers without behavior of their own. A test accepts, reads and writes step by step and thereby
+//! reproduces one order of events.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -7,25 +7,25 @@
 
 use super::*;
 
-/// One message of the gateway to a worker.
+/// A command of the gateway to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said {
-    /// `go`, `stage`, `halt`, ...
+pub struct WorkerCommand {
+    /// The command's name: `go`, `stage`, `halt`, ...
     pub word: String,
-    /// The request's identity or the order's tag.
+    /// The request's identity, or the tag of a load order.
     pub id: String,
 }
 
 /// One connection of the gateway to a worker.
 pub struct WorkerConn {
     stream: TcpStream,
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl WorkerConn {
-    /// The next message; none once the gateway has closed.
-    pub fn next(&mut self) -> Option<Said> {
-        let message = read_message(&mut self.stream, &mut self.held, resp_length)?;
+    /// Returns the next command, or `None` after the gateway has closed the connection.
+    pub fn next(&mut self) -> Option<WorkerCommand> {
+        let message = read_message(&mut self.stream, &mut self.buffer, resp_length)?;
         let words = molelug::worker::parse_array(&message)
             .expect("RESP")
             .expect("a whole array")
@@ -35,49 +35,50 @@
                 .get(n)
                 .map_or(String::new(), |w| String::from_utf8_lossy(w).into_owned())
         };
-        Some(Said {
+        Some(WorkerCommand {
             word: text(0),
             id: text(1),
         })
     }
 
-    /// The identity of the next attempt; anything else that comes before it fails the test.
+    /// Returns the identity of the next attempt. Panics if another command comes first.
     pub fn next_go(&mut self) -> String {
-        let said = self.next().expect("an attempt comes");
-        assert_eq!(said.word, "go", "{said:?}");
-        said.id
+        let command = self.next().expect("an attempt");
+        assert_eq!(command.word, "go", "{command:?}");
+        command.id
     }
 
-    /// Writes an answer.
-    pub fn answer(&mut self, id: &str, word: &str, fields: &str) {
+    /// Writes a reply to the command with this ID.
+    pub fn answer(&mut self, id: &str, status: &str, fields: &str) {
         let bytes = molelug::worker::encode_array(&[
             id.as_bytes(),
-            word.as_bytes(),
+            status.as_bytes(),
             fields.as_bytes(),
             b"done",
         ]);
         self.stream.write_all(&bytes).expect("the gateway reads");
     }
 
-    /// Ends the connection with a reset.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         reset(self.stream);
     }
 }
 
-/// Ends a connection with a reset in place of an orderly end.
+/// Closes a connection with a TCP reset in place of a FIN.
 pub fn reset(stream: TcpStream) {
     rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).expect("an option");
 }
 
-/// A worker's listener whose connections come up only when the test lets them.
+/// A worker's listener that completes handshakes only when the test releases them.
 pub struct HeldDials {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
 impl HeldDials {
-    /// A listener whose queue is full: whoever connects waits.
+    /// Starts a listener with a full accept queue, so that further connections stay in the
+    /// handshake.
     pub fn start() -> HeldDials {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         rustix::net::listen(&listener, 0).expect("a short queue");
@@ -95,7 +96,7 @@
         self.listener.local_addr().expect("an address")
     }
 
-    /// Connections other than the test's own that wait to come up, as the machine's table tells.
+    /// Counts the connections in the handshake, without the test's own, from `/proc/net/tcp`.
     pub fn waiting(&self) -> usize {
         const SYN_SENT: &str = "02";
         let port = format!(":{:04X}", self.address().port());
@@ -112,7 +113,8 @@
         table.lines().filter(waits).count().saturating_sub(fillers)
     }
 
-    /// Lets all come up that wait; returns the gateway's connection, if it still waits for one.
+    /// Completes all pending handshakes and returns the gateway's connection, unless the gateway
+    /// has given up on it.
     pub fn release(self) -> Option<WorkerConn> {
         let own: Vec<SocketAddr> = self
             .fillers
@@ -122,29 +124,32 @@
         rustix::net::listen(&self.listener, 128).expect("a long queue");
         self.listener.set_nonblocking(true).expect("a listener");
         let mut found = None;
-        until("what waits comes up, or has been given up", || {
-            let nobody_waits =
-                self.waiting() == 0 && self.fillers.iter().all(|f| f.peer_addr().is_ok());
-            while let Ok((stream, from)) = self.listener.accept() {
-                if !own.contains(&from) {
-                    stream.set_nonblocking(false).expect("a connection");
-                    found = Some(WorkerConn {
-                        stream,
-                        held: Vec::new(),
-                    });
+        until(
+            "every pending connection is established or abandoned",
+            || {
+                let none_pending =
+                    self.waiting() == 0 && self.fillers.iter().all(|f| f.peer_addr().is_ok());
+                while let Ok((stream, from)) = self.listener.accept() {
+                    if !own.contains(&from) {
+                        stream.set_nonblocking(false).expect("a connection");
+                        found = Some(WorkerConn {
+                            stream,
+                            buffer: Vec::new(),
+                        });
+                    }
                 }
-            }
-            found.is_some() || nobody_waits
-        });
+                found.is_some() || none_pending
+            },
+        );
         found
     }
 }
 
-/// The next connection; one that never comes fails the test.
+/// Accepts the next connection. Panics if none comes.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).expect("a listener");
     let mut found = None;
-    until("a connection comes", || {
+    until("a connection is accepted", || {
         found = listener.accept().ok();
         found.is_some()
     });
@@ -154,7 +159,7 @@
     stream
 }
 
-/// A worker's listener that accepts at once.
+/// A worker whose replies the test writes; connections are accepted without delay.
 pub struct WorkerByHand(TcpListener);
 
 impl WorkerByHand {
@@ -169,26 +174,26 @@
     pub fn accept(&self) -> WorkerConn {
         WorkerConn {
             stream: accept(&self.0),
-            held: Vec::new(),
+            buffer: Vec::new(),
         }
     }
 
-    /// Whether a connection has come that was not accepted yet.
-    pub fn has_another(&self) -> bool {
+    /// Returns whether a further connection is pending.
+    pub fn has_pending_connection(&self) -> bool {
         self.0.set_nonblocking(true).expect("a listener");
-        let came = self.0.accept().is_ok();
+        let is_pending = self.0.accept().is_ok();
         self.0.set_nonblocking(false).expect("a listener");
-        came
+        is_pending
     }
 }
 
-/// The notice board, one connection at a time.
+/// A notice board (service discovery) that the test drives one connection at a time.
 pub struct BoardByHand(TcpListener);
 
-/// One poll of the gateway.
+/// One watch request of the gateway.
 pub struct Poll {
     stream: TcpStream,
-    /// The number after which it asks.
+    /// The revision after which the gateway asks for changes (`Last-Event-ID`).
     pub after: u64,
 }
 
@@ -201,7 +206,8 @@
         self.0.local_addr().expect("an address")
     }
 
-    /// The next poll, answered with the head of a stream and, as a notice board does at once, its first comment.
+    /// Accepts the next poll and answers it with the response head and the first comment, which a
+    /// notice board sends immediately.
     pub fn poll(&self) -> Poll {
         let mut stream = accept(&self.0);
         let head = read_message(&mut stream, &mut Vec::new(), http_length).expect("a poll");
@@ -213,32 +219,34 @@
         let after = after.trim().parse().expect("a number");
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: \n\n")
-            .expect("it reads");
+            .expect("the peer reads");
         Poll { stream, after }
     }
 }
 
 impl Poll {
-    /// Writes a change of the list.
+    /// Writes a change of the endpoint list.
     pub fn tell(&mut self, rev: u64, endpoints: &[Value]) {
         let event = json!({ "rev": rev, "pool": { "index": rev, "snapshot": false, "endpoints": endpoints } });
         self.write(&format!("id: {rev}\ndata: {event}\n\n"));
     }
 
-    /// Writes this as it stands.
+    /// Writes the text unchanged.
     pub fn write(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("it reads");
+        self.stream
+            .write_all(text.as_bytes())
+            .expect("the peer reads");
     }
 
     /// Waits until the gateway has closed this poll.
     pub fn closed(mut self) {
         self.stream
             .set_read_timeout(Some(PATIENCE))
-            .expect("a time-out");
-        // A reset is an end too.
+            .expect("a timeout");
+        // A reset also counts as closed.
         assert!(
             !matches!(self.stream.read(&mut [0; 8]), Ok(n) if n > 0),
-            "nothing more is asked here"
+            "the gateway sends nothing more on this connection"
         );
     }
 }
@@ -246,7 +254,7 @@
 /// A client's connection.
 pub struct Client {
     pub stream: TcpStream,
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 /// A call as a client sends it.
@@ -259,7 +267,7 @@
 }
 
 impl Ask {
-    /// A call of a class that may be repeated.
+    /// A call of an idempotent class.
     pub fn safe(id: u64) -> Ask {
         Ask {
             id,
@@ -269,7 +277,7 @@
         }
     }
 
-    /// A call of a class that must not run twice.
+    /// A call of a non-idempotent class.
     pub fn once(id: u64) -> Ask {
         Ask {
             class: "confirmar-traslado",
@@ -281,7 +289,7 @@
         format!("{:016x}", self.id)
     }
 
-    /// Its bytes.
+    /// The HTTP request of the call.
     pub fn text(self) -> String {
         format!(
             "POST /call/{:016x}/trigger HTTP/1.1\r\nHost: t\r\nX-Class: {}\r\nX-Org: franq-bajio\r\n\
@@ -294,8 +302,8 @@
 impl Client {
     pub fn connect(g: &Gateway) -> Client {
         Client {
-            stream: TcpStream::connect(g.platform).expect("it listens"),
-            held: Vec::new(),
+            stream: TcpStream::connect(g.platform).expect("the address accepts connections"),
+            buffer: Vec::new(),
         }
     }
 
@@ -307,13 +315,15 @@
     }
 
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("it reads");
+        self.stream
+            .write_all(text.as_bytes())
+            .expect("the peer reads");
     }
 
-    /// The status of the next answer.
+    /// Reads the next response and returns its status.
     pub fn status(&mut self) -> u16 {
         let answer =
-            read_message(&mut self.stream, &mut self.held, http_length).expect("an answer");
+            read_message(&mut self.stream, &mut self.buffer, http_length).expect("an answer");
         String::from_utf8_lossy(&answer[9..12])
             .parse()
             .expect("a status")
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -1,9 +1,10 @@
-//! Files of recorded values under `tests/fixtures`: compared as they stand, or rewritten with `UPDATE_FIXTURES=1`.
+//! Files of recorded values under `tests/fixtures`: compared byte by byte, or rewritten with
+//! `UPDATE_FIXTURES=1`.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Set to `1`, it has the files written anew in place of being compared.
+/// The environment variable that, set to `1`, makes tests rewrite the files.
 const UPDATE_VARIABLE: &str = "UPDATE_FIXTURES";
 
 fn fixture_path(file: &str) -> PathBuf {
@@ -12,7 +13,7 @@
         .join(file)
 }
 
-/// Compares lines with a recorded file and names those that differ.
+/// Compares lines with a recorded file. Panics with all lines that differ.
 pub fn check_lines(file: &str, lines: &[String]) {
     let path = fixture_path(file);
     if std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1") {
@@ -36,6 +37,6 @@
     assert_eq!(
         recorded.len(),
         lines.len(),
-        "{file}: another number of lines than recorded"
+        "{file}: the number of lines differs from the recorded file"
     );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process of its own on loopback, and stand-ins for what it talks to.
+//! Runs the gateway as a child process on loopback, with stub workers and portals.
 #![allow(dead_code, missing_docs)]
 
 use std::collections::BTreeMap;
@@ -14,10 +14,10 @@
 
 pub mod by_hand;
 
-/// Nothing waits longer than this; no verdict depends on it but that of a gateway that hangs.
+/// The limit for every wait. Only a gateway that hangs makes a test fail by this limit.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-static NEXT: AtomicUsize = AtomicUsize::new(0);
+static NEXT_FOLDER: AtomicUsize = AtomicUsize::new(0);
 
 pub fn settings(deadline_ms: f64) -> Value {
     let class = |name: &str, repeat: &str| {
@@ -46,9 +46,9 @@
     child: Child,
     lines: mpsc::Receiver<String>,
     pub folder: PathBuf,
-    shares: bool,
-    /// What it said while an address was waited for.
-    said: String,
+    shares_folder: bool,
+    /// The log lines that were skipped while the test waited for another line.
+    startup_log: String,
     pub platform: SocketAddr,
     pub webhooks: Option<SocketAddr>,
     pub admin: Option<SocketAddr>,
@@ -56,7 +56,7 @@
 }
 
 impl Gateway {
-    /// Starts the built program on ports of the machine's choice.
+    /// Starts the gateway on ports that the system assigns.
     pub fn start(
         settings: &Value,
         workers: &[Value],
@@ -66,7 +66,8 @@
         Gateway::start_with(settings, workers, board, operator, (1024, 1024))
     }
 
-    /// The same with limits of descriptors: the one it is told, and the one that the machine sets.
+    /// Starts the gateway with `limits`: the configured number of sockets and the process limit on
+    /// open files.
     pub fn start_with(
         settings: &Value,
         workers: &[Value],
@@ -77,7 +78,7 @@
         Gateway::launch(settings, workers, board, operator, limits, &[])
     }
 
-    /// The same with a second address.
+    /// Starts the gateway with a second address (`RELAY_ADMIN_ADDR`).
     pub fn start_daily(settings: &Value, workers: &[Value], board: Option<SocketAddr>) -> Gateway {
         let second = [("RELAY_ADMIN_ADDR", "127.0.0.1:0")];
         Gateway::launch(settings, workers, board, None, (1024, 1024), &second)
@@ -95,14 +96,14 @@
         Gateway::spawn(folder, operator, files, variables, None)
     }
 
-    /// A folder with a configuration.
+    /// Creates a folder with a configuration file.
     fn configure(
         settings: &Value,
         workers: &[Value],
         board: Option<SocketAddr>,
         sockets: usize,
     ) -> PathBuf {
-        let n = NEXT.fetch_add(1, Ordering::Relaxed);
+        let n = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let folder =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{n}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -115,9 +116,13 @@
         folder
     }
 
-    /// A process that is handed its clients' socket as descriptor 7; `beside` is a gateway whose file and folder it
-    /// shares.
-    pub fn handed(socket: &TcpListener, workers: &[Value], beside: Option<&Gateway>) -> Gateway {
+    /// Starts a process that inherits the clients' listening socket as descriptor 7. It shares the
+    /// configuration and the folder of the gateway `beside`, if given.
+    pub fn start_with_socket(
+        socket: &TcpListener,
+        workers: &[Value],
+        beside: Option<&Gateway>,
+    ) -> Gateway {
         let folder = match beside {
             Some(g) => g.folder.clone(),
             None => Gateway::configure(&settings(2500.0), workers, None, 1024),
@@ -133,8 +138,9 @@
         Gateway::spawn(folder, None, 1024, &variables, Some(socket))
     }
 
-    /// One in a folder that holds a configuration already, and what it said before it listened.
-    pub fn handed_in(socket: &TcpListener, folder: &std::path::Path) -> (String, Gateway) {
+    /// Starts a process with an inherited socket in a folder that contains a configuration. Returns
+    /// its log up to the listening address, and the gateway.
+    pub fn start_in_folder(socket: &TcpListener, folder: &std::path::Path) -> (String, Gateway) {
         let tmp = folder.join("tmp").display().to_string();
         let variables = [
             ("RELAY_ADMIN_ADDR", "127.0.0.1:0"),
@@ -142,11 +148,11 @@
             ("TMPDIR", tmp.as_str()),
         ];
         let mut g = Gateway::spawn(folder.into(), None, 1024, &variables, Some(socket));
-        (std::mem::take(&mut g.said), g)
+        (std::mem::take(&mut g.startup_log), g)
     }
 
-    /// Other processes of this gateway that live, as their locks tell.
-    pub fn others(&self) -> usize {
+    /// Counts the other live processes of this gateway by their lock files.
+    pub fn live_siblings(&self) -> usize {
         let folder = self.folder.join("tmp/molelug-handover");
         let own = format!("{}.", self.pid());
         let names = std::fs::read_dir(folder)
@@ -165,12 +171,12 @@
         socket: Option<&TcpListener>,
     ) -> Gateway {
         let mut command = Command::new("/bin/sh");
-        let hand = if socket.is_some() {
+        let redirect = if socket.is_some() {
             "exec 7<&0 </dev/null && "
         } else {
             ""
         };
-        let line = format!("{hand}ulimit -n {files} && exec \"$0\" \"$@\"");
+        let line = format!("{redirect}ulimit -n {files} && exec \"$0\" \"$@\"");
         command.args(["-c", line.as_str(), env!("CARGO_BIN_EXE_molelug"), "serve"]);
         command
             .env("RELAY_CONFIG", folder.join("config.json"))
@@ -181,7 +187,7 @@
             .stdin(Stdio::null());
         command.envs(variables.iter().copied());
         if let Some(socket) = socket {
-            // The standard input is how a descriptor gets to a child without unsafe code.
+            // Standard input passes the descriptor to the child without unsafe code.
             command.stdin(std::os::fd::OwnedFd::from(
                 socket.try_clone().expect("a descriptor"),
             ));
@@ -190,23 +196,23 @@
             std::fs::write(folder.join("operator.toml"), text).expect("a file");
             command.arg("--operator").arg(folder.join("operator.toml"));
         }
-        let mut child = command.spawn().expect("it starts");
-        let (tell, lines) = mpsc::channel();
-        let errors = BufReader::new(child.stderr.take().expect("its log"));
+        let mut child = command.spawn().expect("the process starts");
+        let (sender, lines) = mpsc::channel();
+        let errors = BufReader::new(child.stderr.take().expect("the log"));
         std::thread::spawn(move || {
             errors
                 .lines()
                 .map_while(Result::ok)
-                .all(|l| tell.send(l).is_ok())
+                .all(|l| sender.send(l).is_ok())
         });
-        let nowhere = ([0, 0, 0, 0], 0).into();
+        let unspecified = ([0, 0, 0, 0], 0).into();
         let mut g = Gateway {
             child,
             lines,
             folder,
-            shares: socket.is_some(),
-            said: String::new(),
-            platform: nowhere,
+            shares_folder: socket.is_some(),
+            startup_log: String::new(),
+            platform: unspecified,
             webhooks: None,
             admin: None,
             line: None,
@@ -227,7 +233,7 @@
         g
     }
 
-    /// Replaces its configuration file by one with another text; it is not told.
+    /// Replaces the configuration file atomically, without a signal to the gateway.
     pub fn replace_config(&self, change: impl FnOnce(String) -> String) {
         let path = self.folder.join("config.json");
         let text = change(std::fs::read_to_string(&path).expect("a file"));
@@ -235,19 +241,20 @@
         std::fs::rename(self.folder.join("new.json"), path).expect("a file");
     }
 
-    /// One call at the second address; all that came until the connection ended.
+    /// Sends bytes to the second address and returns everything up to the end of the connection.
     pub fn ask(&self, bytes: &[u8]) -> String {
-        let mut s = TcpStream::connect(self.line.expect("a second address")).expect("it listens");
-        s.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        let mut s = TcpStream::connect(self.line.expect("a second address"))
+            .expect("the address accepts connections");
+        s.set_read_timeout(Some(PATIENCE)).expect("a timeout");
         s.write_all(bytes)
             .and_then(|()| s.shutdown(Shutdown::Write))
-            .expect("it reads");
+            .expect("the peer reads");
         let mut all = String::new();
-        s.read_to_string(&mut all).expect("it answers and closes");
+        s.read_to_string(&mut all).expect("a response and a close");
         all
     }
 
-    /// One figure of the second address.
+    /// Reads one metric from the second address.
     pub fn figure(&self, name: &str) -> u64 {
         let all = self.ask(b"telemetry\n");
         let line = all
@@ -265,7 +272,7 @@
             .expect("an address")
     }
 
-    /// The next line of its log that holds this.
+    /// Waits for the next log line that contains the text.
     pub fn line(&mut self, what: &str) -> String {
         loop {
             let line = self
@@ -275,7 +282,7 @@
             if line.contains(what) {
                 return line;
             }
-            self.said += &(line + "\n");
+            self.startup_log += &(line + "\n");
         }
     }
 
@@ -285,50 +292,51 @@
 
     pub fn signal(&self, signal: rustix::process::Signal) {
         let pid = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(pid, signal).expect("it lives");
+        rustix::process::kill_process(pid, signal).expect("the process is running");
     }
 
-    /// Stops it; once this returns it does nothing more until [`Gateway::thaw`].
-    pub fn freeze(&self) {
+    /// Stops the process with SIGSTOP and waits until it has stopped. It does nothing until
+    /// [`Gateway::resume`].
+    pub fn suspend(&self) {
         self.signal(rustix::process::Signal::STOP);
-        until("it stands still", || {
-            let stat =
-                std::fs::read_to_string(format!("/proc/{}/stat", self.pid())).expect("it lives");
+        until("the process is stopped", || {
+            let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid()))
+                .expect("the process is running");
             stat.rsplit(") ")
                 .next()
                 .is_some_and(|rest| rest.starts_with('T'))
         });
     }
 
-    /// Has it go on, with all that came meanwhile in one turn.
-    pub fn thaw(&self) {
+    /// Continues the process with SIGCONT; its next turn handles everything that has arrived.
+    pub fn resume(&self) {
         self.signal(rustix::process::Signal::CONT);
     }
 
-    /// Descriptors that it holds.
+    /// Counts the open descriptors of the process.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.pid()))
-            .expect("it lives")
+            .expect("the process is running")
             .count()
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL.
     pub fn kill(mut self) {
-        self.child.kill().expect("it lives");
-        self.child.wait().expect("it ends");
+        self.child.kill().expect("the process is running");
+        self.child.wait().expect("the process exits");
     }
 
-    /// SIGTERM, and the counters that it prints at its end.
+    /// Sends SIGTERM and returns the counters that the process prints at exit.
     pub fn stop(self) -> Value {
         self.signal(rustix::process::Signal::TERM);
         self.end()
     }
 
-    /// The counters that it prints at its end, after SIGTERM.
+    /// Waits for the exit after SIGTERM and returns the counters that the process prints.
     pub fn end(mut self) -> Value {
         let line = self.line("counters ");
-        let status = self.child.wait().expect("it ends");
-        assert!(status.success(), "it ends with {status}, not 0");
+        let status = self.child.wait().expect("the process exits");
+        assert!(status.success(), "exit status {status}, not 0");
         serde_json::from_str(line.split_once("counters ").expect("counters").1).expect("JSON")
     }
 }
@@ -337,14 +345,14 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        // Kept while another process of the same gateway may need it.
-        if !self.shares {
+        // Another process of the same gateway may still use the folder.
+        if !self.shares_folder {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds. Panics after [`PATIENCE`].
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
@@ -353,26 +361,26 @@
     }
 }
 
-/// Reads until `whole` tells the length of a first message; returns it.
+/// Reads until `length_of` returns the length of the first message, and returns that message.
 pub fn read_message(
     stream: &mut TcpStream,
-    held: &mut Vec<u8>,
-    whole: impl Fn(&[u8]) -> Option<usize>,
+    buffer: &mut Vec<u8>,
+    length_of: impl Fn(&[u8]) -> Option<usize>,
 ) -> Option<Vec<u8>> {
     stream.set_read_timeout(Some(PATIENCE)).ok()?;
     loop {
-        if let Some(n) = whole(held) {
-            return Some(held.drain(..n).collect());
+        if let Some(n) = length_of(buffer) {
+            return Some(buffer.drain(..n).collect());
         }
         let mut chunk = [0; 4096];
         match stream.read(&mut chunk) {
             Ok(0) | Err(_) => return None,
-            Ok(n) => held.extend(&chunk[..n]),
+            Ok(n) => buffer.extend(&chunk[..n]),
         }
     }
 }
 
-/// The length of a whole HTTP message with Content-Length.
+/// Returns the length of the first complete HTTP message with Content-Length.
 pub fn http_length(bytes: &[u8]) -> Option<usize> {
     let head = bytes.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let text = String::from_utf8_lossy(&bytes[..head]).to_ascii_lowercase();
@@ -383,24 +391,24 @@
     (bytes.len() >= head + length).then_some(head + length)
 }
 
-/// The length of a whole RESP array.
+/// Returns the length of the first complete RESP array.
 pub fn resp_length(bytes: &[u8]) -> Option<usize> {
     molelug::worker::parse_array(bytes)
         .expect("RESP")
         .map(|array| array.size_bytes)
 }
 
-/// One HTTP exchange on a connection of its own: status and body.
+/// Sends one HTTP request on a new connection and returns status and body.
 pub fn http(to: SocketAddr, head: &str, body: &[u8]) -> (u16, Vec<u8>) {
-    let mut s = TcpStream::connect(to).expect("it listens");
+    let mut s = TcpStream::connect(to).expect("the address accepts connections");
     let text = format!(
         "{head}\r\nHost: t\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         body.len()
     );
     s.write_all(text.as_bytes())
         .and_then(|()| s.write_all(body))
-        .expect("it reads");
-    let answer = read_message(&mut s, &mut Vec::new(), http_length).expect("it answers");
+        .expect("the peer reads");
+    let answer = read_message(&mut s, &mut Vec::new(), http_length).expect("a response");
     let head = String::from_utf8_lossy(&answer).into_owned();
     let at = head.find("\r\n\r\n").expect("a head") + 4;
     (
@@ -409,17 +417,17 @@
     )
 }
 
-/// What a stand-in worker does with a request that has come whole.
+/// The reaction of a stub worker to a complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Does {
     Answer,
-    /// Keeps the connection open and says nothing.
+    /// Keeps the connection open and sends no reply.
     Silent,
-    /// Resets every connection and takes no new ones.
+    /// Closes the connection of the request, and the listener.
     Die,
 }
 
-/// A stand-in worker that holds every function and records what it was sent.
+/// A stub worker that has every function loaded and records the attempts it receives.
 #[derive(Clone)]
 pub struct Worker {
     pub address: SocketAddr,
@@ -438,14 +446,14 @@
             does: Arc::new(Mutex::new(Does::Answer)),
             dead: Arc::default(),
         };
-        let me = w.clone();
+        let this = w.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if me.dead.load(Ordering::SeqCst) {
+                if this.dead.load(Ordering::SeqCst) {
                     return;
                 }
-                let me = me.clone();
-                std::thread::spawn(move || me.serve(stream));
+                let this = this.clone();
+                std::thread::spawn(move || this.serve(stream));
             }
         });
         w
@@ -456,8 +464,8 @@
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        let mut held = Vec::new();
-        while let Some(message) = read_message(&mut stream, &mut held, resp_length) {
+        let mut buffer = Vec::new();
+        while let Some(message) = read_message(&mut stream, &mut buffer, resp_length) {
             let words = molelug::worker::parse_array(&message)
                 .unwrap()
                 .unwrap()
@@ -478,7 +486,7 @@
                         Does::Die => {
                             self.dead.store(true, Ordering::SeqCst);
                             let _ = stream.shutdown(Shutdown::Both);
-                            // Wakes the listener, which then closes.
+                            // Wakes the accept loop, which then closes the listener.
                             let _ = TcpStream::connect(self.address);
                             return;
                         }
@@ -497,7 +505,7 @@
     }
 }
 
-/// One delivery as a portal saw it.
+/// A callback delivery as the portal received it.
 #[derive(Clone, Debug)]
 pub struct Delivery {
     pub id: String,
@@ -506,12 +514,12 @@
     pub outcome: String,
 }
 
-/// A stand-in portal.
+/// A stub portal that records its callbacks.
 #[derive(Clone)]
 pub struct Portal {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<Delivery>>>,
-    /// Deliveries that are read whole and then not answered: the connection just ends.
+    /// The number of further deliveries to read completely and then close without a response.
     pub drops: Arc<AtomicUsize>,
 }
 
@@ -527,16 +535,16 @@
             seen: Arc::default(),
             drops: Arc::default(),
         };
-        let me = portal.clone();
+        let this = portal.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let me = me.clone();
+                let this = this.clone();
                 std::thread::spawn(move || {
                     let Some(m) = read_message(&mut stream, &mut Vec::new(), http_length) else {
                         return;
                     };
-                    me.seen.lock().unwrap().push(delivery(&m, key));
-                    let drop = me
+                    this.seen.lock().unwrap().push(delivery(&m, key));
+                    let drop = this
                         .drops
                         .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
                     if drop.is_err() {
@@ -552,7 +560,7 @@
         self.seen.lock().unwrap().len()
     }
 
-    /// Deliveries by the call that they answer.
+    /// Returns the deliveries grouped by the call that they answer.
     pub fn by_call(&self) -> BTreeMap<String, Vec<Delivery>> {
         let mut map: BTreeMap<String, Vec<Delivery>> = BTreeMap::new();
         for d in self.seen.lock().unwrap().iter() {
@@ -562,7 +570,7 @@
     }
 }
 
-/// A signature as the specification words it, made apart from the program's own code.
+/// Computes a webhook signature from the specification, independently of the gateway's code.
 pub fn signature(key: &[u8], id: &str, timestamp: &str, body: &[u8]) -> String {
     use base64::prelude::{Engine, BASE64_STANDARD};
     use hmac::{KeyInit, Mac};
--- a/tests/common/values.rs
+++ b/tests/common/values.rs
@@ -1,9 +1,10 @@
-//! Operators' files with every key set, and values written under names that no field's name decides.
+//! Access to the operator file fixtures, and a list of values under names that are independent of
+//! field names in the code.
 
 use std::fmt::Debug;
 use std::path::{Path, PathBuf};
 
-/// Values under names of the test's own, a line each.
+/// Lines of `key = value`; the keys are the test's own names.
 #[derive(Default)]
 pub struct Values(pub String);
 
@@ -14,12 +15,12 @@
     }
 }
 
-/// The path of a fixture, from the package's folder, in which tests run.
+/// Returns the path of a fixture relative to the package root, the working directory of tests.
 pub fn fixture(name: &str) -> PathBuf {
     Path::new("tests/fixtures/operator").join(name)
 }
 
-/// The text of a fixture.
+/// Reads a fixture as text.
 pub fn read_fixture(name: &str) -> String {
     std::fs::read_to_string(fixture(name)).expect("the fixture")
 }
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -1,4 +1,5 @@
-//! Day-to-day running, on sockets: the second address byte by byte, bans, and emptying a gateway.
+//! Operations over sockets: the protocol of the second address, worker exclusion, and draining a
+//! gateway.
 
 mod common;
 
@@ -19,14 +20,14 @@
     Some(String::from_utf8_lossy(&whole).into_owned())
 }
 
-fn ended(stream: &mut TcpStream) -> bool {
+fn is_closed(stream: &mut TcpStream) -> bool {
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     matches!(stream.read(&mut [0; 64]), Ok(0))
 }
 
-/// Every line gets one answer and a close; what is no line gets a close alone.
+/// Every line gets one response and a close; input without a complete line gets only a close.
 #[test]
-fn the_second_address_answers_line_by_line() {
+fn second_address_answers_each_line() {
     let worker = Worker::start();
     let g = Gateway::start_daily(
         &settings(2500.0),
@@ -65,10 +66,10 @@
     insta::assert_snapshot!("second_address", all);
 }
 
-/// Guards the second address against callers that say nothing: they fill its places and the longest silent one
-/// yields.
+/// Guards the second address against silent callers: when its connections are used up, it closes
+/// the one that has been silent longest.
 #[test]
-fn silent_callers_do_not_fill_the_second_address() {
+fn silent_callers_do_not_block_second_address() {
     let g = Gateway::start_daily(&settings(2500.0), &[], None);
     let connect = || TcpStream::connect(g.line.unwrap()).unwrap();
     let mut silent: Vec<TcpStream> = (0..40).map(|_| connect()).collect();
@@ -76,17 +77,22 @@
     for _ in 0..20 {
         assert_eq!(g.ask(b"readyz\n"), "200 ready\n");
     }
-    // All forty had been accepted before the calls were answered; descriptors tell how many are still held.
+    // All forty were accepted before the calls were answered; the descriptors show how many are
+    // open.
     let held = std::fs::read_dir(format!("/proc/{}/fd", g.pid()))
         .unwrap()
         .count();
     assert!(held < 40, "{held} descriptors");
-    assert!(ended(&mut silent[0]), "the first of them was let go");
+    assert!(
+        is_closed(&mut silent[0]),
+        "the first silent connection is closed"
+    );
 }
 
-/// Guards it against clients that hold every place and against the machine's own limit of descriptors.
+/// Guards the second address against clients that use up the configured sockets or the process
+/// limit on open files.
 #[test]
-fn floods_of_clients_do_not_starve_the_second_address() {
+fn client_floods_do_not_starve_second_address() {
     for limits in [(64, 1024), (1024, 48)] {
         let second = [("RELAY_ADMIN_ADDR", "127.0.0.1:0")];
         let g = Gateway::launch(&settings(2500.0), &[], None, None, limits, &second);
@@ -100,9 +106,10 @@
     }
 }
 
-/// A banned worker gets nothing, and with no other one calls are refused at once, with a time to return.
+/// An excluded worker receives nothing. Without another worker, calls are rejected immediately with
+/// Retry-After.
 #[test]
-fn a_banned_worker_gets_nothing_until_it_is_put_back() {
+fn excluded_worker_gets_nothing_until_included() {
     let worker = Worker::start();
     let g = Gateway::start_daily(
         &settings(2500.0),
@@ -125,13 +132,17 @@
         refused.starts_with("HTTP/1.1 503") && refused.contains("Retry-After: "),
         "{refused}"
     );
-    assert_eq!(worker.gos.lock().unwrap().len(), sent, "nothing went there");
-    assert_eq!(g.ask(b"readyz\n"), "200 ready\n", "it can still be called");
+    assert_eq!(
+        worker.gos.lock().unwrap().len(),
+        sent,
+        "the excluded worker receives nothing"
+    );
+    assert_eq!(g.ask(b"readyz\n"), "200 ready\n", "the gateway stays ready");
     assert!(g.ask(b"include s-00000001\n").starts_with("200 "));
     client.write_all(call(7, 3).as_bytes()).unwrap();
     assert!(
         answer(&mut client).unwrap().starts_with("HTTP/1.1 200"),
-        "used again at once"
+        "the included worker is used immediately"
     );
     let ends = ["completed", "rejected", "failed"]
         .map(|w| g.figure(&format!("downstream_requests.disponibilidad.{w}")));
@@ -147,13 +158,14 @@
     assert_eq!(
         counters["ends"][0]["served"].as_u64(),
         Some(2),
-        "the same numbers at the end"
+        "the same counts at exit"
     );
 }
 
-/// Emptied, it answers what comes, keeps no connection, closes idle ones, and does not end.
+/// After `evacuate`, the gateway answers new calls, closes idle connections and every connection
+/// after its response, and does not exit.
 #[test]
-fn an_emptied_gateway_keeps_nobody_and_serves_again() {
+fn evacuated_gateway_closes_connections_and_can_reactivate() {
     let worker = Worker::start();
     let g = Gateway::start_daily(
         &settings(2500.0),
@@ -175,7 +187,7 @@
         last.starts_with("HTTP/1.1 200") && last.contains("Connection: close"),
         "{last}"
     );
-    assert!(ended(&mut kept));
+    assert!(is_closed(&mut kept));
     let mut late = connect();
     late.write_all(call(7, 21).as_bytes()).unwrap();
     let last = answer(&mut late).unwrap();
@@ -183,7 +195,10 @@
         last.starts_with("HTTP/1.1 200") && last.contains("Connection: close"),
         "{last}"
     );
-    assert!(idle.iter_mut().all(ended), "idle ones are closed");
+    assert!(
+        idle.iter_mut().all(is_closed),
+        "idle connections are closed"
+    );
     assert!(g.ask(b"activate\n").starts_with("200 "));
     assert_eq!(g.ask(b"readyz\n"), "200 ready\n");
     let mut fresh = connect();
@@ -191,9 +206,9 @@
     assert!(!answer(&mut fresh).unwrap().contains("Connection: close"));
 }
 
-/// Without an address for it nothing listens.
+/// Without a configured second address, only the platform front listens.
 #[test]
-fn without_an_address_there_is_no_second_one() {
+fn no_second_address_without_configuration() {
     let g = Gateway::start(&settings(2500.0), &[], None, None);
     assert!(g.line.is_none());
     let pid = g.pid();
--- a/tests/operator_answers.rs
+++ b/tests/operator_answers.rs
@@ -1,7 +1,8 @@
-//! What the administration API answers: the keys of every JSON answer. A renaming in the code changes none of them.
+//! Checks the keys of every JSON response of the administration API. Renames in the code must not
+//! change them.
 //!
-//! A snapshot in `snapshots/` that has to change is written anew with
-//! `INSTA_UPDATE=always cargo test --test operator_answers`.
+//! After an intended change, `INSTA_UPDATE=always cargo test --test operator_answers` rewrites the
+//! snapshots in `snapshots/`.
 
 mod common;
 
@@ -24,7 +25,7 @@
 const OPERATOR: &str = "spiffe://aurora.example/desk/operator";
 const TENANT_KEY: &[u8] = b"the key of a tenant for a test..";
 
-/// A P-256 key in PKCS #8 of a fixed secret.
+/// A P-256 key in PKCS #8 with a fixed secret.
 fn signing_key() -> EncodingKey {
     let head = "3041020100301306072a8648ce3d020106082a8648ce3d030107042730250201010420";
     let byte = |n: usize| u8::from_str_radix(&head[2 * n..2 * n + 2], 16).expect("a byte");
@@ -49,13 +50,13 @@
     jsonwebtoken::encode(&header, &claims, &signing_key()).expect("a token")
 }
 
-/// An address that nobody listens on at the moment.
+/// An address that no process listens on at the moment.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address")
 }
 
-/// A gateway with webhooks, a store, the administration API, gossip and a council of one.
+/// A gateway with webhooks, a store, the administration API, gossip and a single consensus voter.
 struct FullGateway {
     child: Child,
     folder: PathBuf,
@@ -89,20 +90,20 @@
         serve
             .args(["--council", "council.toml"])
             .stderr(Stdio::null());
-        let child = serve.spawn().expect("it starts");
+        let child = serve.spawn().expect("the process starts");
         let gateway = FullGateway {
             child,
             folder,
             webhooks,
             admin,
         };
-        until("it listens", || {
+        until("the gateway listens", || {
             TcpStream::connect(admin).is_ok() && TcpStream::connect(webhooks).is_ok()
         });
         gateway
     }
 
-    /// The status and the JSON of an answer.
+    /// Sends a request and returns the status and the JSON of the response.
     fn ask(&self, line: &str, body: &Value) -> (u16, Value) {
         let head = format!("{line} HTTP/1.1\r\nAuthorization: Bearer {}", token());
         let body = if body.is_null() {
@@ -117,7 +118,7 @@
         )
     }
 
-    /// The JSON of a resource that is there.
+    /// Returns the JSON of a resource that must exist.
     fn get(&self, path: &str) -> Value {
         let (status, answer) = self.ask(&format!("GET {path}"), &Value::Null);
         assert_eq!(status, 200, "{path}: {answer}");
@@ -194,7 +195,7 @@
     );
 }
 
-/// The paths of all keys in a value; entries of a list are not told apart.
+/// Collects the paths of all keys in a value; all entries of a list share one path.
 fn key_paths(at: &str, value: &Value, out: &mut BTreeSet<String>) {
     match value {
         Value::Object(map) => {
@@ -218,7 +219,7 @@
     format!("{title}\n{lines}")
 }
 
-/// Makes a tenant with two endpoints, and has one call served and its callback confirmed.
+/// Creates a tenant with two endpoints, sends a call and waits until its callback is confirmed.
 fn deliver_one_callback(gateway: &FullGateway, portal: &Portal) {
     let url = format!("http://{}/in", portal.address);
     let secret = format!("whsec_{}", BASE64_STANDARD.encode(TENANT_KEY));
@@ -250,7 +251,7 @@
         &[endpoint("s-00000001", worker.address, "SERVING")],
     );
     deliver_one_callback(&gateway, &portal);
-    until("it holds its leases", || {
+    until("the gateway holds its leases", || {
         let all = gateway.get("/v1/duties");
         all["duties"]
             .as_array()
@@ -306,7 +307,9 @@
 #[test]
 fn administration_bodies_with_unknown_keys_are_refused() {
     let gateway = FullGateway::start("bodies", &[]);
-    until("it leads", || gateway.get("/v1/council")["leads"] == true);
+    until("the gateway is the consensus leader", || {
+        gateway.get("/v1/council")["leads"] == true
+    });
     let tenant = json!({ "share_per_s": 5.0 });
     assert_eq!(gateway.ask("PUT /v1/tenants/clinic", &tenant).0, 201);
     let endpoint = json!({ "url": "http://127.0.0.1:9/in" });
@@ -357,7 +360,7 @@
 }
 
 #[test]
-fn state_words_in_answers_stay_unchanged() {
+fn state_names_in_answers_are_unchanged() {
     let messages = [
         State::Waiting,
         State::Behind,
--- a/tests/operator_configuration.rs
+++ b/tests/operator_configuration.rs
@@ -1,9 +1,10 @@
-//! The gateway's configuration, which the platform writes: what every key sets, and which keys are read at all. A renaming
-//! in the code changes none of it.
+//! Checks the gateway's configuration, which the platform writes: the value that every key sets,
+//! and the keys that are read. Renames in the code must not change them.
 //!
-//! `fixtures/operator/gateway.json` has every key set to something else than its default. Values are written under names
-//! of this test's own, so that a snapshot does not change with a field's name. A snapshot in `snapshots/` that has to
-//! change is written anew with `INSTA_UPDATE=always cargo test --test operator_configuration`.
+//! `fixtures/operator/gateway.json` has every key set to a value other than its default. The tests
+//! write values under their own names, so that snapshots do not depend on field names. After an
+//! intended change, `INSTA_UPDATE=always cargo test --test operator_configuration` rewrites the
+//! snapshots in `snapshots/`.
 
 #[path = "common/values.rs"]
 mod values;
@@ -120,7 +121,7 @@
     }
 }
 
-/// What the simulator's host takes from the settings otherwise than a gateway does.
+/// The settings that the simulator's host reads differently from the gateway.
 fn simulator_values(out: &mut Values, settings: &Value) {
     let (module, fields) = settings::from_map(&settings::nested(settings));
     let name = |field: &Field| match field {
@@ -138,7 +139,7 @@
     out.add("simulator.max_retry_after_us", module.max_retry_after);
 }
 
-/// All that a configuration sets, or why it cannot be used.
+/// Returns all values that a configuration sets, or its error.
 fn configuration_values(file: &Value) -> Result<String, String> {
     let config = Config::parse(&file.to_string(), None, None).map_err(|e| e.to_string())?;
     let mut out = Values::default();
@@ -183,7 +184,7 @@
     );
 }
 
-/// The keys of all objects in a value, as JSON pointers.
+/// Collects the keys of all objects in a value as JSON pointers.
 fn pointers(at: &str, value: &Value, out: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
@@ -202,7 +203,7 @@
     }
 }
 
-/// What becomes of the configuration when one key is spelt otherwise.
+/// Returns the effect of misspelling one key of the configuration.
 fn effect_of_misspelling(file: &Value, pointer: &str, values: &str) -> &'static str {
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     let mut changed = file.clone();
@@ -219,7 +220,7 @@
     }
 }
 
-/// Whether a word that is no number, no flag and of no closed list is refused as a value of this key.
+/// Returns whether the parser rejects an arbitrary word as the value of this key.
 fn refuses_any_word(file: &Value, pointer: &str) -> bool {
     let mut changed = file.clone();
     let value = changed.pointer_mut(pointer).expect("the key");
@@ -230,7 +231,8 @@
     configuration_values(&changed).is_err()
 }
 
-/// Unknown keys are passed over in a configuration, which the platform writes; each key that counts is seen by its absence.
+/// The parser ignores unknown keys, as the platform writes the configuration; misspelling a key
+/// shows whether the parser reads it.
 #[test]
 fn configuration_keys_are_read_as_spelt() {
     let file = configuration();
@@ -252,7 +254,8 @@
     insta::assert_snapshot!("configuration_keys", lines.join("\n"));
 }
 
-/// A word of a configuration that is of a closed list.
+/// Parses the configuration with this word as the value at `pointer`, which accepts a fixed set of
+/// words.
 fn with_word(pointer: &str, word: &str) -> Result<String, String> {
     let mut file = configuration();
     *file.pointer_mut(pointer).expect("the key") = Value::from(word);
--- a/tests/operator_files.rs
+++ b/tests/operator_files.rs
@@ -1,9 +1,10 @@
-//! The files that operators write: which keys each parser accepts, what every key sets, and that an unknown key is refused
-//! where it is refused today. A renaming in the code changes none of it.
+//! Checks the files that operators write: the keys that each parser accepts, the value that every
+//! key sets, and the rejection of unknown keys. Renames in the code must not change them.
 //!
-//! `fixtures/operator/` holds one file of each kind with every key set to something else than its default. Values are
-//! written under names of this test's own, so that a snapshot does not change with a field's name. A snapshot in
-//! `snapshots/` that has to change is written anew with `INSTA_UPDATE=always cargo test --test operator_files`.
+//! `fixtures/operator/` has one file of each kind with every key set to a value other than its
+//! default. The tests write values under their own names, so that snapshots do not depend on field
+//! names. After an intended change, `INSTA_UPDATE=always cargo test --test operator_files` rewrites
+//! the snapshots in `snapshots/`.
 
 #[path = "common/values.rs"]
 mod values;
@@ -12,21 +13,21 @@
 use std::path::Path;
 
 use molelug::config::Operator;
-use molelug::consensus::config::ConsensusConfig as CouncilFile;
+use molelug::consensus::config::ConsensusConfig;
 use molelug::identity::Role;
-use molelug::membership::config::Gossip as GossipFile;
-use molelug::replication::config::{ReplicationFile as CopiesFile, WhenFewer};
+use molelug::membership::config::Gossip as GossipConfig;
+use molelug::replication::config::{ReplicationFile, WhenFewer};
 use molelug::tenancy::Spec;
 use values::{fixture, read_fixture, Values};
 
-/// A key that no file has.
+/// A key that no parser accepts.
 const UNKNOWN_KEY: &str = "unknown_key";
 
 fn error_of<T>(read: Result<T, impl Display>) -> Option<String> {
     read.err().map(|error| error.to_string())
 }
 
-/// A kind of operator's file: its fixture, the tables in it, and what its parser says of a file.
+/// A kind of operator file: its fixture, the headers of its tables, and the error of its parser.
 struct Kind {
     name: &'static str,
     tables: &'static [&'static str],
@@ -49,21 +50,22 @@
     Kind {
         name: "gossip.toml",
         tables: &[""],
-        error: |path| error_of(GossipFile::read(path)),
+        error: |path| error_of(GossipConfig::read(path)),
     },
     Kind {
         name: "council.toml",
         tables: &[""],
-        error: |path| error_of(CouncilFile::read(path)),
+        error: |path| error_of(ConsensusConfig::read(path)),
     },
     Kind {
         name: "copies.toml",
         tables: &["", "[members.n1]"],
-        error: |path| error_of(CopiesFile::read(path)),
+        error: |path| error_of(ReplicationFile::read(path)),
     },
 ];
 
-/// A file's text with an unknown key in the first table of this header; in the top table if there is none.
+/// Inserts an unknown key into the first table with this header, or into the top-level table if the
+/// header is empty.
 fn with_unknown_key(text: &str, header: &str) -> String {
     let line = format!("{UNKNOWN_KEY} = 1\n");
     if header.is_empty() {
@@ -74,7 +76,7 @@
     text.replacen(&header, &(header.clone() + &line), 1)
 }
 
-/// The keys that a parser names after it has refused one.
+/// Extracts the accepted keys from a parser's error about an unknown key.
 fn accepted_keys(error: &str) -> Vec<String> {
     let (_, list) = error
         .split_once(", expected ")
@@ -86,7 +88,7 @@
         .collect()
 }
 
-/// The first table of a header.
+/// Returns the first table with this header.
 fn table<'a>(file: &'a toml::Table, header: &str) -> &'a toml::Table {
     let mut at = file;
     for key in header
@@ -128,7 +130,7 @@
             all += &format!("{} {header}\n    {}\n", kind.name, keys.join("\n    "));
         }
     }
-    std::fs::remove_dir_all(&folder).expect("it is there");
+    std::fs::remove_dir_all(&folder).expect("the folder exists");
     insta::assert_snapshot!("accepted_keys", all);
 }
 
@@ -210,7 +212,7 @@
 }
 
 fn gossip_values(path: &Path) -> String {
-    let file = GossipFile::read(path).expect("a gossip file");
+    let file = GossipConfig::read(path).expect("a gossip file");
     let mut out = Values::default();
     out.add("listen", file.listen);
     out.add("advertise", file.advertise);
@@ -226,7 +228,7 @@
 }
 
 fn council_values(path: &Path) -> String {
-    let file = CouncilFile::read(path).expect("a council file");
+    let file = ConsensusConfig::read(path).expect("a council file");
     let mut out = Values::default();
     out.add("listen", file.listen);
     out.add("name", &file.name);
@@ -244,7 +246,7 @@
 }
 
 fn copies_values(path: &Path) -> String {
-    let file = CopiesFile::read(path).expect("a copies file");
+    let file = ReplicationFile::read(path).expect("a copies file");
     let mut out = Values::default();
     out.add("copies", file.copies);
     out.add("shards", file.shards);
@@ -287,7 +289,7 @@
     insta::assert_snapshot!("copies_file", copies_values(&fixture("copies.toml")));
 }
 
-/// The files to start from, with the defaults of the keys that they leave out.
+/// The deployed template files, with the defaults of absent keys.
 #[test]
 fn deployed_files_keep_values_and_defaults() {
     let deploy = Path::new("deploy");
@@ -304,7 +306,7 @@
     insta::assert_snapshot!("deployed_files", all.join("\n"));
 }
 
-/// What the platform starts; the paths move with the code, the keys and commands do not.
+/// The platform file: its paths follow the code, its keys and commands are fixed.
 #[test]
 fn platform_file_keeps_keys_and_commands() {
     let text = std::fs::read_to_string("deploy/balancer.toml").expect("the platform's file");
@@ -329,7 +331,7 @@
         .flat_map(|key| file[*key].as_array().expect("a list"))
     {
         let path = path.as_str().expect("a path");
-        assert!(Path::new(path).exists(), "{path} is named and not there");
+        assert!(Path::new(path).exists(), "{path} does not exist");
     }
 }
 
@@ -350,8 +352,8 @@
     });
     assert_eq!(roles, ["viewer", "operator"]);
     let actions = refusal("copies.toml", "\"fewer\"", |path| {
-        error_of(CopiesFile::read(path))
+        error_of(ReplicationFile::read(path))
     });
     assert_eq!(actions, ["refuse", "fewer"]);
-    std::fs::remove_dir_all(&folder).expect("it is there");
+    std::fs::remove_dir_all(&folder).expect("the folder exists");
 }
--- a/tests/operator_surface.rs
+++ b/tests/operator_surface.rs
@@ -1,8 +1,9 @@
-//! What operators see and type: the help of every command, the counters, the second address, the routes of the
-//! administration API, and the environment. A renaming in the code changes none of it.
+//! Checks the interface for operators: the help of every command, the counters, the second address,
+//! the routes of the administration API and the environment variables. Renames in the code must not
+//! change it.
 //!
-//! A snapshot in `snapshots/` that has to change is written anew with
-//! `INSTA_UPDATE=always cargo test --test operator_surface`.
+//! After an intended change, `INSTA_UPDATE=always cargo test --test operator_surface` rewrites the
+//! snapshots in `snapshots/`.
 
 mod common;
 
@@ -17,7 +18,7 @@
 use rustix::process::Signal;
 use serde_json::Value;
 
-/// Runs the program with these variables in place of all that operators can set.
+/// Runs the program with these variables and without other variables for operators.
 fn run(arguments: &[&str], variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_molelug"));
     command
@@ -56,7 +57,8 @@
     text(&output.stdout)
 }
 
-/// The commands that a help text lists; positional items are in capitals and options begin with a dash.
+/// Returns the commands in a help text. Positional items are in capitals, options begin with a
+/// dash.
 fn listed_commands(help: &str) -> Vec<String> {
     if !help
         .lines()
@@ -72,7 +74,7 @@
         .collect()
 }
 
-/// Appends the help of a command and of all commands under it.
+/// Appends the help of a command and of all its subcommands.
 fn append_help(commands: &[String], all: &mut String) {
     let help = help_of(commands);
     *all += &format!(
@@ -91,12 +93,12 @@
     assert_eq!(
         all.matches("\n[end]\n").count(),
         20,
-        "the program, seven commands and twelve under them"
+        "the program, seven commands and twelve subcommands"
     );
     insta::assert_snapshot!("help", all);
 }
 
-/// Every run of digits becomes `N`.
+/// Replaces every run of digits by `N`.
 fn without_numbers(text: &str) -> String {
     let mut out = String::new();
     for c in text.chars() {
@@ -109,7 +111,7 @@
     out
 }
 
-/// The keys of an object and of the objects in it, as paths.
+/// Collects the paths of all keys in an object and its nested objects.
 fn key_paths(prefix: &str, value: &Value, out: &mut Vec<String>) {
     match value {
         Value::Object(map) => map
@@ -122,12 +124,12 @@
     }
 }
 
-/// Sends one call that is served and returns once its answer has come.
+/// Sends one call and waits for its successful response.
 fn serve_one_call(gateway: &Gateway) {
-    let mut client = TcpStream::connect(gateway.platform).expect("it listens");
+    let mut client = TcpStream::connect(gateway.platform).expect("the address accepts connections");
     let call = "POST /call/0000000000000007/trigger HTTP/1.1\r\nHost: t\r\nX-Class: disponibilidad\r\n\
                 X-Org: franq-bajio\r\nX-Correlation-Id: 0000000000000001\r\nX-Deadline-Ms: 2400\r\nContent-Length: 0\r\n\r\n";
-    client.write_all(call.as_bytes()).expect("it reads");
+    client.write_all(call.as_bytes()).expect("the peer reads");
     let answer = read_message(&mut client, &mut Vec::new(), http_length).expect("an answer");
     assert!(
         text(&answer).starts_with("HTTP/1.1 200 "),
@@ -200,9 +202,9 @@
     assert_eq!(names, expected);
 }
 
-/// The figures after a call, and the answers that a program reads.
+/// The metrics after a call, and the responses that programs parse.
 #[test]
-fn second_address_keeps_commands_and_figure_names() {
+fn second_address_keeps_commands_and_metric_names() {
     let worker = Worker::start();
     let workers = [endpoint("s-00000001", worker.address, "SERVING")];
     let gateway = Gateway::start_daily(&settings(2500.0), &workers, None);
@@ -263,8 +265,8 @@
     insta::assert_snapshot!("problem_details", shown.join("\n\n"));
 }
 
-/// The first line that `check-config` prints under these variables.
-fn checked(variables: &[(&str, &str)]) -> String {
+/// Runs `check-config` with these variables and returns its output.
+fn check_config_output(variables: &[(&str, &str)]) -> String {
     let output = run(&["check-config"], variables);
     assert!(
         output.status.success(),
@@ -279,15 +281,15 @@
     const CONFIG: (&str, &str) = ("RELAY_CONFIG", "examples/gateway.json");
     let rest = "2 classes, 1 tenants, 1 notices known\n";
     assert_eq!(
-        checked(&[CONFIG]),
+        check_config_output(&[CONFIG]),
         format!("example listens on 127.0.0.1:7000: {rest}")
     );
     assert_eq!(
-        checked(&[CONFIG, ("RELAY_NAME", "other")]),
+        check_config_output(&[CONFIG, ("RELAY_NAME", "other")]),
         format!("other listens on 127.0.0.1:7000: {rest}")
     );
     assert_eq!(
-        checked(&[CONFIG, ("RELAY_LISTEN", "127.0.0.1:7999")]),
+        check_config_output(&[CONFIG, ("RELAY_LISTEN", "127.0.0.1:7999")]),
         format!("example listens on 127.0.0.1:7999: {rest}")
     );
     let empty = [
@@ -297,9 +299,9 @@
         ("RELAY_ADMIN_ADDR", ""),
     ];
     assert_eq!(
-        checked(&empty),
-        checked(&[CONFIG]),
-        "an empty variable counts as none"
+        check_config_output(&empty),
+        check_config_output(&[CONFIG]),
+        "an empty variable counts as unset"
     );
 }
 
@@ -320,7 +322,8 @@
             Some(("RELAY_ADMIN_ADDR", "nowhere")),
             "RELAY_ADMIN_ADDR = 'nowhere' cannot be used",
         ),
-        // The descriptor is looked at first; if it were not, a configuration that is not there would end the program.
+        // The descriptor is checked before the configuration; otherwise the missing file would be
+        // the error.
         (
             "serve",
             "no-such-file",
@@ -349,11 +352,11 @@
     }
 }
 
-/// RELAY_FD, RELAY_ADMIN_ADDR and TMPDIR as the platform sets them for a new version beside an old one.
+/// Covers RELAY_FD, RELAY_ADMIN_ADDR and TMPDIR as the platform sets them for a hot restart.
 #[test]
 fn inherited_socket_and_handover_folder_are_used() {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let gateway = Gateway::handed(&socket, &[], None);
+    let gateway = Gateway::start_with_socket(&socket, &[], None);
     assert_eq!(gateway.platform, socket.local_addr().expect("an address"));
     assert!(gateway.folder.join("tmp/molelug-handover").is_dir());
     assert!(gateway.ask(b"telemetry\n").starts_with("200 OK\n"));
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -1,7 +1,7 @@
-//! Events that cross: each test makes one bad order happen every time, between a real gateway and peers that move only
-//! when the test lets them. `docs/design/races.md` lists them.
+//! Race conditions: each test reproduces one problematic order of events between a gateway process
+//! and peers that act only on the test's command. `docs/design/races.md` lists them.
 //!
-//! A gateway that is frozen (SIGSTOP) finds all that came meanwhile in one turn.
+//! A gateway that is suspended (SIGSTOP) handles everything that arrived meanwhile in one turn.
 
 mod common;
 
@@ -13,12 +13,12 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-/// A connection that is held is released long before this.
-const PATIENT_DIAL_MS: f64 = 20_000.0;
+/// Connect timeout in milliseconds; the test completes held connections well before it.
+const LONG_CONNECT_TIMEOUT_MS: f64 = 20_000.0;
 
-fn patient_settings() -> Value {
+fn long_connect_settings() -> Value {
     let mut settings = settings(8000.0);
-    settings["caps"]["connectTimeoutMs"] = json!(PATIENT_DIAL_MS);
+    settings["caps"]["connectTimeoutMs"] = json!(LONG_CONNECT_TIMEOUT_MS);
     settings
 }
 
@@ -26,18 +26,19 @@
     endpoint(name, address, "SERVING")
 }
 
-/// How a client goes.
+/// The way a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Goes {
-    Closes,
-    Resets,
-    ShutsItsSide,
+enum Disconnect {
+    Close,
+    Reset,
+    ShutDownWrite,
 }
 
-/// Its attempt waits for a connection that is still coming up; once that has come up, nothing of it may leave.
-fn a_client_that_goes_before_its_attempt_begins(goes: Goes, may_cancel: bool) {
+/// A client disconnects while its attempt waits for a connection to the worker. Once the connection
+/// is established, the attempt must not be sent.
+fn check_disconnect_before_attempt(disconnect: Disconnect, may_cancel: bool) {
     let dials = HeldDials::start();
-    let mut settings = patient_settings();
+    let mut settings = long_connect_settings();
     settings["caps"]["cancel"] = json!(may_cancel);
     let g = Gateway::start_daily(&settings, &[serving("s-00000001", dials.address())], None);
     let client = Client::asks(
@@ -47,15 +48,17 @@
             ..Ask::once(1)
         },
     );
-    until("its attempt waits for the connection", || {
+    until("the attempt waits for the connection", || {
         dials.waiting() == 1
     });
-    match goes {
-        Goes::Closes => drop(client),
-        Goes::Resets => reset(client.stream),
-        Goes::ShutsItsSide => client.stream.shutdown(Shutdown::Write).unwrap(),
+    match disconnect {
+        Disconnect::Close => drop(client),
+        Disconnect::Reset => reset(client.stream),
+        Disconnect::ShutDownWrite => client.stream.shutdown(Shutdown::Write).unwrap(),
     }
-    until("its going is noticed", || g.figure("pending") == 0);
+    until("the gateway notices the disconnect", || {
+        g.figure("pending") == 0
+    });
     let mut second = Client::asks(
         &g,
         Ask {
@@ -68,41 +71,42 @@
     assert_eq!(
         go,
         Ask::once(2).id(),
-        "{goes:?}: the first call of a client that has gone was sent"
+        "{disconnect:?}: the call of a disconnected client was sent"
     );
     worker.answer(&go, "200", "remark=w");
     assert_eq!(second.status(), 200);
 }
 
 #[test]
-fn a_client_closes_before_its_attempt_begins() {
-    a_client_that_goes_before_its_attempt_begins(Goes::Closes, true);
+fn client_close_before_attempt_sends_nothing() {
+    check_disconnect_before_attempt(Disconnect::Close, true);
 }
 
-/// Guards deployments that allow no cancelling: what has not left is no cancelling.
+/// Guards deployments without cancellation: dropping an attempt that was not sent cancels nothing.
 #[test]
-fn a_client_closes_before_its_attempt_begins_where_nothing_may_be_cancelled() {
-    a_client_that_goes_before_its_attempt_begins(Goes::Closes, false);
+fn client_close_without_cancel_sends_nothing() {
+    check_disconnect_before_attempt(Disconnect::Close, false);
 }
 
 #[test]
-fn a_client_resets_before_its_attempt_begins() {
-    a_client_that_goes_before_its_attempt_begins(Goes::Resets, false);
+fn client_reset_before_attempt_sends_nothing() {
+    check_disconnect_before_attempt(Disconnect::Reset, false);
 }
 
-/// The protocol tells an end of the client's side from a close nowhere: both count as gone.
+/// The protocol does not distinguish a write shutdown by the client from a close, so both count as
+/// a disconnect.
 #[test]
-fn a_client_shuts_its_side_before_its_attempt_begins() {
-    a_client_that_goes_before_its_attempt_begins(Goes::ShutsItsSide, false);
+fn client_write_shutdown_before_attempt_sends_nothing() {
+    check_disconnect_before_attempt(Disconnect::ShutDownWrite, false);
 }
 
-/// Guards keyed calls: a repeat whose connection comes up after the window would run a second time.
+/// Guards keyed calls: a retry sent after the deduplication window would run a second time.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() {
+fn retry_after_dedup_window_is_not_sent() {
     let first = WorkerByHand::start();
     let second = HeldDials::start();
     let board = BoardByHand::start();
-    let mut settings = patient_settings();
+    let mut settings = long_connect_settings();
     settings["services"][1]["repeat"] = json!("idempotency_key");
     settings["services"][1]["dedupWindowMs"] = json!(1500.0);
     let workers = [serving("s-00000001", first.address())];
@@ -119,14 +123,14 @@
     assert_eq!(worker.next_go(), Ask::once(1).id());
     poll.tell(2, &[serving("s-00000002", second.address())]);
     until("the second worker is known", || g.figure("members") == 2);
-    // It may have run: from here on a repeat is dropped for so long only.
+    // The attempt may have run: the worker drops retries only until the window ends.
     worker.reset();
-    until("the repeat waits for the connection", || {
+    until("the retry waits for the connection", || {
         second.waiting() == 1
     });
     assert!(
         client.status() >= 500,
-        "it has failed once the window is over"
+        "the call fails at the end of the window"
     );
     let drained = [endpoint("s-00000001", first.address(), "DRAINING")];
     poll.tell(3, &drained);
@@ -140,19 +144,20 @@
     );
     let mut worker = second.release().expect("the gateway still waits");
     let go = worker.next_go();
-    assert_eq!(go, Ask::once(2).id(), "the repeat left after its window");
+    assert_eq!(go, Ask::once(2).id(), "the retry was sent after its window");
     worker.answer(&go, "200", "remark=w");
     assert_eq!(after.status(), 200);
 }
 
-/// Guards the drain rule: a worker may be told to drain while a connection to it is still coming up.
+/// Guards the drain rule: a worker may start to drain while a connection to it is being
+/// established.
 #[test]
-fn a_worker_that_drains_while_a_connection_comes_up_is_sent_nothing() {
+fn worker_drained_while_connecting_is_sent_nothing() {
     let dials = HeldDials::start();
     let other = WorkerByHand::start();
     let board = BoardByHand::start();
     let workers = [serving("s-00000001", dials.address())];
-    let g = Gateway::start_daily(&patient_settings(), &workers, Some(board.address()));
+    let g = Gateway::start_daily(&long_connect_settings(), &workers, Some(board.address()));
     let mut poll = board.poll();
     let mut client = Client::asks(
         &g,
@@ -161,26 +166,31 @@
             ..Ask::once(1)
         },
     );
-    until("its attempt waits for the connection", || {
+    until("the attempt waits for the connection", || {
         dials.waiting() == 1
     });
     let drains = endpoint("s-00000001", dials.address(), "DRAINING");
     poll.tell(2, &[drains, serving("s-00000002", other.address())]);
     let mut worker = other.accept();
     let go = worker.next_go();
-    assert_eq!(go, Ask::once(1).id(), "what had not left goes elsewhere");
+    assert_eq!(
+        go,
+        Ask::once(1).id(),
+        "an attempt that was not sent moves to the other worker"
+    );
     worker.answer(&go, "200", "remark=w");
     assert_eq!(client.status(), 200);
-    let heard = dials.release().and_then(|mut worker| worker.next());
+    let received = dials.release().and_then(|mut worker| worker.next());
     assert_eq!(
-        heard, None,
-        "the drained worker hears nothing before the connection ends"
+        received, None,
+        "the drained worker receives nothing before the connection ends"
     );
 }
 
-/// Guards the wait for connections: one that never comes up costs its own time-out, not the calls' time.
+/// Guards calls that wait for a connection: one that is never established costs its connect
+/// timeout, not the calls' deadlines.
 #[test]
-fn a_connection_that_never_comes_up_holds_no_call_and_gives_its_descriptor_back() {
+fn connect_timeout_holds_no_call_and_frees_descriptor() {
     let dials = HeldDials::start();
     let other = Worker::start();
     let workers = [
@@ -201,20 +211,18 @@
         })
         .collect();
     for client in &mut clients {
-        assert_eq!(
-            client.status(),
-            200,
-            "sent on to the worker that can be reached"
-        );
+        assert_eq!(client.status(), 200, "retried on the reachable worker");
     }
     drop(clients);
-    // What may stay: a connection to the worker that answers, and one more try of the other.
-    until("descriptors come back", || g.descriptors() <= before + 2);
+    // May remain: a connection to the reachable worker and a new connection attempt to the other
+    // one.
+    until("descriptors are released", || g.descriptors() <= before + 2);
 }
 
-/// Guards calls that must not run twice: a second 'missed' that comes late is not the answer to the next attempt.
+/// Guards non-idempotent calls: a late duplicate 404 (function not loaded) is not the reply to the
+/// next attempt.
 #[test]
-fn a_second_answer_to_the_first_attempt_does_not_end_the_next_one() {
+fn duplicate_reply_does_not_end_next_attempt() {
     let by_hand = WorkerByHand::start();
     let g = Gateway::start_daily(
         &settings(8000.0),
@@ -231,10 +239,10 @@
     let mut first = by_hand.accept();
     let id = first.next_go();
     first.answer(&id, "404", "-");
-    let order = first.next().expect("an order to load");
+    let order = first.next().expect("a load order");
     assert_eq!(order.word, "stage");
     first.answer(&order.id, "200", "copies=1");
-    // The next attempt is out; now the first answer comes once more.
+    // The next attempt is in flight; the first reply arrives once more.
     assert_eq!(first.next_go(), id);
     first.answer(&id, "404", "-");
     let mut other = Client::asks(
@@ -256,9 +264,10 @@
     assert_eq!(client.status(), 200);
 }
 
-/// Guards the drain rule in the turn of the decision: an order decided on before the word of the drain was read.
+/// Guards the drain rule within one turn: a load order decided before the drain event is read must
+/// not be sent.
 #[test]
-fn a_miss_and_the_word_of_a_drain_in_one_turn_order_nothing() {
+fn miss_and_drain_in_one_turn_load_nothing() {
     let by_hand = WorkerByHand::start();
     let board = BoardByHand::start();
     let g = Gateway::start_daily(
@@ -276,22 +285,26 @@
     );
     let mut worker = by_hand.accept();
     let id = worker.next_go();
-    g.freeze();
+    g.suspend();
     worker.answer(&id, "404", "-");
     poll.tell(2, &[endpoint("s-00000001", by_hand.address(), "DRAINING")]);
-    g.thaw();
+    g.resume();
     assert_eq!(client.status(), 503);
     assert_eq!(
         worker.next(),
         None,
         "nothing more before the connection ends"
     );
-    assert!(!by_hand.has_another(), "nor on another connection");
+    assert!(
+        !by_hand.has_pending_connection(),
+        "nor on another connection"
+    );
 }
 
-/// Guards idle connections: a worker closes its side in the turn in which a call comes that must not run twice.
+/// Guards idle connections: a worker closes its connection in the turn in which a non-idempotent
+/// call arrives.
 #[test]
-fn a_call_and_a_workers_close_in_one_turn_go_on_another_connection() {
+fn call_with_worker_close_uses_another_connection() {
     for worker_first in [true, false] {
         let by_hand = WorkerByHand::start();
         let g = Gateway::start(
@@ -305,7 +318,7 @@
         let id = worker.next_go();
         worker.answer(&id, "200", "remark=w");
         assert_eq!(client.status(), 200);
-        g.freeze();
+        g.suspend();
         if worker_first {
             drop(worker);
             client.send(&Ask::once(2).text());
@@ -313,7 +326,7 @@
             client.send(&Ask::once(2).text());
             drop(worker);
         }
-        g.thaw();
+        g.resume();
         let mut worker = by_hand.accept();
         let id = worker.next_go();
         worker.answer(&id, "200", "remark=w");
@@ -321,9 +334,9 @@
     }
 }
 
-/// Guards the one answer: a worker's answer and the deadline in one turn.
+/// Guards against a second response: a worker's reply and the deadline fall into one turn.
 #[test]
-fn an_answer_and_the_deadline_in_one_turn_are_one_answer() {
+fn reply_and_deadline_in_one_turn_answer_once() {
     let by_hand = WorkerByHand::start();
     let g = Gateway::start(
         &settings(2500.0),
@@ -340,19 +353,19 @@
     );
     let mut worker = by_hand.accept();
     let id = worker.next_go();
-    g.freeze();
+    g.suspend();
     worker.answer(&id, "200", "remark=w");
     std::thread::sleep(Duration::from_millis(400));
-    g.thaw();
+    g.resume();
     assert_eq!(
         client.status(),
         200,
-        "what came before the deadline was noticed counts"
+        "a reply read before the deadline is noticed counts"
     );
     client.send(&Ask::once(2).text());
     let id = worker.next_go();
     worker.answer(&id, "200", "remark=w");
-    assert_eq!(client.status(), 200, "and nothing else came in between");
+    assert_eq!(client.status(), 200, "no second response to the first call");
     let counters = g.stop();
     assert_eq!(
         (&counters["served"], &counters["failed"]),
@@ -360,36 +373,39 @@
     );
 }
 
-/// A gateway that has been told to end and has heard it.
-fn told_to_end(g: &Gateway) {
+/// Sends SIGTERM and waits until the gateway is no longer ready.
+fn begin_shutdown(g: &Gateway) {
     g.signal(Signal::TERM);
-    until("it ends", || !g.ask(b"readyz\n").starts_with("200"));
+    until("the shutdown begins", || {
+        !g.ask(b"readyz\n").starts_with("200")
+    });
 }
 
-/// Guards those whom the machine has accepted and the gateway has not: the end of a listener resets them.
+/// Guards connections in the accept queue: closing the listener would reset them.
 #[test]
-fn who_waits_to_be_accepted_when_the_listener_ends_is_answered() {
+fn unaccepted_client_is_answered_at_listener_close() {
     let worker = Worker::start();
     let g = Gateway::start_daily(
         &settings(2500.0),
         &[serving("s-00000001", worker.address)],
         None,
     );
-    told_to_end(&g);
-    g.freeze();
+    begin_shutdown(&g);
+    g.suspend();
     let mut client = Client::asks(&g, Ask::once(1));
-    // Stopped past the time at which it closes its listener.
+    // Suspended past the time at which the gateway closes its listener.
     std::thread::sleep(Duration::from_micros(
         molelug::operations::lifecycle::SHUTDOWN_ACCEPT_WINDOW,
     ));
-    g.thaw();
+    g.resume();
     assert_eq!(client.status(), 200);
     assert_eq!(g.end()["taken"], 1);
 }
 
-/// Guards requests under way: half of one has come when the signal comes, and it ends the gateway once it is answered.
+/// Guards partly received requests: the gateway reads and answers one during the shutdown, and
+/// exits afterwards.
 #[test]
-fn half_a_request_at_sigterm_is_read_to_its_end() {
+fn partial_request_at_sigterm_is_read_completely() {
     let worker = Worker::start();
     let g = Gateway::start_daily(
         &settings(2500.0),
@@ -401,9 +417,9 @@
     let before = g.descriptors();
     let mut client = Client::connect(&g);
     client.send(head);
-    until("it is accepted", || g.descriptors() > before);
-    told_to_end(&g);
-    // Past the time at which idle connections are closed, and within that of a request that comes by and by.
+    until("the connection is accepted", || g.descriptors() > before);
+    begin_shutdown(&g);
+    // After idle connections are closed, and within the time allowed for a slow request.
     std::thread::sleep(Duration::from_micros(
         molelug::operations::lifecycle::SHUTDOWN_ACCEPT_WINDOW + 200_000,
     ));
@@ -412,9 +428,10 @@
     assert_eq!(g.end()["taken"], 1);
 }
 
-/// Guards the order of signals: read anew and ended in one turn, in either order, and told to end twice.
+/// Guards the handling of signals in one turn: reload and shutdown in either order, and a double
+/// shutdown.
 #[test]
-fn signals_in_one_turn_end_it_in_order() {
+fn signals_in_one_turn_shut_down_cleanly() {
     for signals in [
         [Signal::HUP, Signal::TERM],
         [Signal::TERM, Signal::HUP],
@@ -433,8 +450,10 @@
                 ..Ask::safe(1)
             },
         );
-        until("it is out", || worker.gos.lock().unwrap().len() == 1);
-        g.freeze();
+        until("the attempt is in flight", || {
+            worker.gos.lock().unwrap().len() == 1
+        });
+        g.suspend();
         signals.into_iter().for_each(|s| g.signal(s));
         let mut late = Client::asks(
             &g,
@@ -443,9 +462,13 @@
                 ..Ask::safe(2)
             },
         );
-        g.thaw();
-        assert_ne!(client.status(), 0, "it is answered");
-        assert_ne!(late.status(), 0, "and so is who came with the signals");
+        g.resume();
+        assert_ne!(client.status(), 0, "the client is answered");
+        assert_ne!(
+            late.status(),
+            0,
+            "the client that came with the signals is answered"
+        );
         let counters = g.end();
         assert_eq!(
             (&counters["taken"], &counters["left"]),
@@ -454,9 +477,10 @@
     }
 }
 
-/// Guards the list: a notice spoilt on the way is asked for again, and its number is not believed.
+/// Guards the endpoint list: the gateway requests an event that arrives malformed again, and
+/// ignores its ID.
 #[test]
-fn a_notice_that_cannot_be_read_is_asked_for_again() {
+fn malformed_discovery_event_is_requested_again() {
     let worker = Worker::start();
     let board = BoardByHand::start();
     let g = Gateway::start(&settings(2500.0), &[], Some(board.address()), None);
@@ -465,17 +489,18 @@
     poll.write("id: 4000000000\ndata: {\"rev\":2,\"pool\":\n\n");
     poll.closed();
     let mut poll = board.poll();
-    assert_eq!(poll.after, 1, "the list held is still the first");
-    // Spoilt for good: passed over, and the next one counts.
+    assert_eq!(poll.after, 1, "the gateway still has the first list");
+    // Malformed the second time as well: the event is skipped and the next one is applied.
     poll.write("id: 2\ndata: nothing\n\n");
     poll.tell(3, &[serving("s-00000001", worker.address)]);
     let mut client = Client::asks(&g, Ask::once(1));
     assert_eq!(client.status(), 200);
 }
 
-/// Guards the list: a watch that is open and silent is dead after a while, and is opened again from the number held.
+/// Guards the endpoint list: the gateway reopens a watch stream that stays silent, from the
+/// revision that it has.
 #[test]
-fn a_watch_that_falls_silent_is_opened_again() {
+fn silent_discovery_stream_is_reopened() {
     let worker = Worker::start();
     let board = BoardByHand::start();
     let g = Gateway::start(&settings(2500.0), &[], Some(board.address()), None);
@@ -483,16 +508,17 @@
     silent.tell(2, &[]);
     silent.write(": still here\n\nid: 3\ndata: {\"rev\":3");
     let mut poll = board.poll();
-    assert_eq!(poll.after, 2, "what was cut in mid-event did not count");
+    assert_eq!(poll.after, 2, "a truncated event is not applied");
     silent.closed();
     poll.tell(3, &[serving("s-00000001", worker.address)]);
     let mut client = Client::asks(&g, Ask::once(1));
     assert_eq!(client.status(), 200);
 }
 
-/// Guards workers, board and second address against clients that take all the room they may while discovery is down.
+/// Guards the connections to workers, to the board and to the second address against clients that
+/// use up their share of descriptors while discovery is down.
 #[test]
-fn idle_clients_leave_room_for_workers_the_board_and_the_second_address() {
+fn idle_clients_leave_descriptors_for_other_connections() {
     const DESCRIPTORS: usize = 160;
     const WORKERS: u32 = 90;
     let worker = Worker::start();
@@ -512,7 +538,7 @@
         limits,
         &variables,
     );
-    // The board says once that the list holds, and then nobody listens there any more.
+    // The board confirms the list once and then stops listening.
     let confirmed = board.poll();
     until("the list is confirmed", || {
         g.figure("members_unavailable") == 0
@@ -532,14 +558,14 @@
             )
         })
         .collect();
-    until("all are with workers", || {
+    until("all calls are in flight", || {
         worker.gos.lock().unwrap().len() == 60
     });
     assert!(
         g.ask(b"readyz\n").starts_with("200"),
         "the second address answers"
     );
-    let board = std::net::TcpListener::bind(port).expect("the port is free still");
+    let board = std::net::TcpListener::bind(port).expect("the port is still free");
     board.accept().expect("the board is reached again");
     drop(calls);
     let endings = &g.stop()["endings"];
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,6 +1,6 @@
-//! Data that processes leave on disk or hand to one another must stay readable, and be written the same, whatever the code's
-//! names are. Each kind is compared with a file that an earlier build wrote (`fixtures/stored`, described in
-//! `fixtures/README.md`).
+//! Compares the formats of stored data, and of data that processes pass to one another, with files
+//! from an earlier build: the code must read the files and write the same bytes. The files are in
+//! `fixtures/stored`; `fixtures/README.md` describes them.
 
 #[path = "stored_data/agreed_log.rs"]
 mod agreed_log;
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -1,4 +1,5 @@
-//! The agreed log: entries, snapshots of all versions, and what a voter's disk holds, as postcard.
+//! The consensus log as postcard: entries, snapshots of all versions, and the records on a voter's
+//! disk.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -22,16 +23,16 @@
 use molelug::tenancy::replicated::state as tenants;
 use molelug::tenancy::replicated::Origin;
 
-use crate::pins::Pins;
+use crate::pins::RecordedValues;
 
-fn owner(name: &str) -> LeaseHolder {
+fn holder(name: &str) -> LeaseHolder {
     LeaseHolder {
         name: name.into(),
         incarnation: 77,
     }
 }
 
-fn duty() -> LeaseName {
+fn lease_name() -> LeaseName {
     "loads-3".into()
 }
 
@@ -53,27 +54,27 @@
 
 fn grant() -> table::Entry {
     table::Entry::Grant {
-        lease: duty(),
-        holder: owner("n2"),
+        lease: lease_name(),
+        holder: holder("n2"),
         term: 1,
     }
 }
 
-fn given_back() -> table::Entry {
+fn released() -> table::Entry {
     table::Entry::Released {
-        lease: duty(),
+        lease: lease_name(),
         term: 1,
     }
 }
 
-fn begun() -> replica_sets::Entry {
+fn register_disk() -> replica_sets::Entry {
     replica_sets::Entry::RegisterDisk {
         name: "n1".into(),
         disk: disk(),
     }
 }
 
-fn change() -> replica_sets::Entry {
+fn legacy_change() -> replica_sets::Entry {
     let members = names(&["n1", "n2"]);
     replica_sets::Entry::LegacyChange {
         shard: 3,
@@ -85,7 +86,7 @@
     }
 }
 
-fn moved(joins: Option<(Name, u64)>) -> replica_sets::Entry {
+fn change_members(joins: Option<(Name, u64)>) -> replica_sets::Entry {
     let (by, primary) = ("n4".into(), "n1".into());
     let members = names(&["n1", "n2", "n5"]);
     replica_sets::Entry::ChangeMembers(MembershipChange {
@@ -107,7 +108,7 @@
     }
 }
 
-fn tenant(kept: Option<&[u8]>, follows: tenants::Follows) -> tenants::Entry {
+fn tenant_entry(kept: Option<&[u8]>, follows: tenants::Follows) -> tenants::Entry {
     tenants::Entry {
         tenant: "clinic".into(),
         follows,
@@ -123,25 +124,25 @@
 }
 
 fn tenant_put() -> tenants::Entry {
-    tenant(Some(b"{}"), tenants::Follows::Nothing(0))
+    tenant_entry(Some(b"{}"), tenants::Follows::Nothing(0))
 }
 
-fn ledger() -> LeaseTable {
-    let mut ledger = LeaseTable::default();
-    assert!(ledger.apply(&grant()));
-    assert!(ledger.apply(&table::Entry::Grant {
+fn lease_table() -> LeaseTable {
+    let mut lease_table = LeaseTable::default();
+    assert!(lease_table.apply(&grant()));
+    assert!(lease_table.apply(&table::Entry::Grant {
         lease: "loads-4".into(),
-        holder: owner("n1"),
+        holder: holder("n1"),
         term: 1
     }));
-    assert!(ledger.apply(&table::Entry::Released {
+    assert!(lease_table.apply(&table::Entry::Released {
         lease: "loads-4".into(),
         term: 1
     }));
-    ledger
+    lease_table
 }
 
-fn set() -> ReplicaSet {
+fn replica_set() -> ReplicaSet {
     ReplicaSet {
         epoch: 6,
         primary: Some("n1".into()),
@@ -162,10 +163,10 @@
         generation: 2,
         applied: 256,
         voters: voters(),
-        leases: ledger(),
+        leases: lease_table(),
         replica_sets: ReplicaSets {
             disks: [("n1".into(), disk())].into(),
-            shards: [(3, set())].into(),
+            shards: [(3, replica_set())].into(),
         },
         tenants: tenants::Tenants {
             changes: 5,
@@ -188,78 +189,81 @@
 }
 
 #[test]
-fn agreed_entries_encode_as_before() {
-    let mut pins = Pins::of("agreed-entries.txt");
-    pins.postcard("nothing", &Entry::Noop);
-    pins.postcard("duty granted", &Entry::Lease(grant()));
-    pins.postcard("duty given back", &Entry::Lease(given_back()));
-    pins.postcard("voters", &Entry::Voters(voters()));
-    pins.postcard("disk begun", &Entry::ReplicaSets(begun()));
-    pins.postcard("shard changed", &Entry::ReplicaSets(change()));
-    pins.postcard("shard moved", &Entry::ReplicaSets(moved(None)));
-    pins.postcard(
+fn log_entries_encode_as_before() {
+    let mut recorded = RecordedValues::load("agreed-entries.txt");
+    recorded.postcard("nothing", &Entry::Noop);
+    recorded.postcard("duty granted", &Entry::Lease(grant()));
+    recorded.postcard("duty given back", &Entry::Lease(released()));
+    recorded.postcard("voters", &Entry::Voters(voters()));
+    recorded.postcard("disk begun", &Entry::ReplicaSets(register_disk()));
+    recorded.postcard("shard changed", &Entry::ReplicaSets(legacy_change()));
+    recorded.postcard("shard moved", &Entry::ReplicaSets(change_members(None)));
+    recorded.postcard(
         "shard moved to a further disk",
-        &Entry::ReplicaSets(moved(Some(("n5".into(), 502)))),
+        &Entry::ReplicaSets(change_members(Some(("n5".into(), 502)))),
     );
-    pins.postcard("tenant put", &Entry::Tenants(Box::new(tenant_put())));
-    let removed = tenant(None, tenants::Follows::At(4));
-    pins.postcard("tenant removed", &Entry::Tenants(Box::new(removed.clone())));
-    pins.postcard("brought by shards", &SubsystemEntry::ReplicaSets(begun()));
-    pins.postcard(
+    recorded.postcard("tenant put", &Entry::Tenants(Box::new(tenant_put())));
+    let removed = tenant_entry(None, tenants::Follows::At(4));
+    recorded.postcard("tenant removed", &Entry::Tenants(Box::new(removed.clone())));
+    recorded.postcard(
+        "brought by shards",
+        &SubsystemEntry::ReplicaSets(register_disk()),
+    );
+    recorded.postcard(
         "brought by tenants",
         &SubsystemEntry::Tenants(Box::new(removed)),
     );
-    pins.finish();
+    recorded.finish();
 }
 
 #[test]
-fn duty_messages_encode_as_before() {
-    let mut pins = Pins::of("duty-messages.txt");
+fn lease_messages_encode_as_before() {
+    let mut recorded = RecordedValues::load("duty-messages.txt");
     let ask = RenewRequest {
-        from: owner("n2"),
+        from: holder("n2"),
         sequence: 31,
         eligible: true,
-        held: vec![(duty(), 5)],
+        held: vec![(lease_name(), 5)],
         released: vec![("loads-4".into(), 6)],
     };
-    pins.postcard("ask", &ask);
-    let (renewed, recalled) = (vec![(duty(), 5)], vec![("loads-4".into(), 6)]);
-    pins.postcard(
+    recorded.postcard("ask", &ask);
+    let (renewed, recalled) = (vec![(lease_name(), 5)], vec![("loads-4".into(), 6)]);
+    recorded.postcard(
         "answer",
         &RenewReply {
-            to: owner("n2"),
+            to: holder("n2"),
             sequence: 31,
             renewed,
             recalled,
         },
     );
     let mut fence = Fence::default();
-    assert_eq!(fence.admit(&duty(), 5), Ok(true));
-    pins.postcard("fence", &fence);
-    pins.postcard("load wanted", &LoadMessage::Request(7, 1001));
-    pins.postcard("load ended", &LoadMessage::Ended(7, 1001, 2));
-    pins.postcard("load ordered", &LoadMessage::Assigned(7, 1001, "n2".into()));
-    pins.postcard("load stands", &LoadMessage::Resident(7, 1001, 3));
+    assert_eq!(fence.admit(&lease_name(), 5), Ok(true));
+    recorded.postcard("fence", &fence);
+    recorded.postcard("load wanted", &LoadMessage::Request(7, 1001));
+    recorded.postcard("load ended", &LoadMessage::Ended(7, 1001, 2));
+    recorded.postcard("load ordered", &LoadMessage::Assigned(7, 1001, "n2".into()));
+    recorded.postcard("load stands", &LoadMessage::Resident(7, 1001, 3));
     let (from, content) = (Arc::from("n2"), b"content".to_vec());
-    pins.postcard(
+    recorded.postcard(
         "report",
         &LeaseReport {
-            lease: duty(),
+            lease: lease_name(),
             from,
             content: content.clone(),
         },
     );
-    pins.postcard(
+    recorded.postcard(
         "effect",
         &LeaseEffect {
-            lease: duty(),
+            lease: lease_name(),
             term: 5,
             holder: "n2".into(),
             number: 9,
             content,
         },
     );
-    pins.postcard(
+    recorded.postcard(
         "poll",
         &Poll {
             generation: 2,
@@ -268,13 +272,15 @@
             replica: Some(13),
         },
     );
-    pins.postcard("poll without seat", &Poll::default());
-    pins.finish();
+    recorded.postcard("poll without seat", &Poll::default());
+    recorded.finish();
 }
 
-/// The state as it was written before there were shards, and before there were tenants.
+/// The layout of the state in versions without shards.
 type StateWithoutShards = (u32, u64, BTreeMap<ReplicaId, Arc<str>>, LeaseTable);
+/// The layout of the shards in versions without former members.
 type ShardsWithoutFormer = BTreeMap<ShardId, (Epoch, Option<Name>, u64, BTreeSet<Name>)>;
+/// The layout of the state in versions without tenants.
 type StateWithoutTenants = (
     u32,
     u64,
@@ -286,8 +292,8 @@
 #[test]
 fn snapshots_of_all_versions_are_read() {
     let now = state();
-    let mut pins = Pins::of("agreed-state.txt");
-    pins.postcard("state", &now);
+    let mut recorded = RecordedValues::load("agreed-state.txt");
+    recorded.postcard("state", &now);
     let head = (
         now.generation,
         now.applied,
@@ -295,7 +301,7 @@
         now.leases.clone(),
     );
     let first: StateWithoutShards = head.clone();
-    pins.postcard("state without shards", &first);
+    recorded.postcard("state without shards", &first);
     let shards = [(3, (6, Some("n1".into()), 9001, names(&["n1", "n2"])))].into();
     let second: StateWithoutTenants = (
         head.0,
@@ -304,10 +310,11 @@
         head.3,
         (now.replica_sets.disks.clone(), shards),
     );
-    pins.postcard("state without tenants", &second);
-    pins.finish();
+    recorded.postcard("state without tenants", &second);
+    recorded.finish();
 
-    let encoded = |bytes: Result<Vec<u8>, _>| State::decode(&bytes.expect("it encodes"));
+    let encoded =
+        |bytes: Result<Vec<u8>, _>| State::decode(&bytes.expect("the value can be encoded"));
     assert_eq!(encoded(postcard::to_stdvec(&now)), Ok(now.clone()));
     let without_tenants = State {
         tenants: tenants::Tenants::default(),
@@ -316,7 +323,7 @@
     let set = ReplicaSet {
         former_members: BTreeMap::new(),
         full_size: 0,
-        ..set()
+        ..replica_set()
     };
     let sets = ReplicaSets {
         shards: [(3, set)].into(),
@@ -336,13 +343,13 @@
     assert_eq!(encoded(postcard::to_stdvec(&first)), Ok(without_shards));
 }
 
-/// A voter alone, so that it leads and applies all by itself.
+/// The metadata of a single voter, which becomes leader and applies entries without peers.
 fn metadata() -> Metadata {
     let alone = State {
         voters: [(11, "n1".into())].into(),
         ..state()
     };
-    let snapshot = postcard::to_stdvec(&alone).expect("it encodes");
+    let snapshot = postcard::to_stdvec(&alone).expect("the value can be encoded");
     Metadata {
         replica: 11,
         boots: 4,
@@ -367,17 +374,17 @@
         index,
         term: 8,
         is_conf_change: false,
-        data: postcard::to_stdvec(entry).expect("it encodes"),
+        data: postcard::to_stdvec(entry).expect("the value can be encoded"),
         context: Vec::new(),
     };
-    let removed = tenant(None, tenants::Follows::At(4));
+    let removed = tenant_entry(None, tenants::Follows::At(4));
     vec![
-        line(257, &Entry::Lease(given_back())),
+        line(257, &Entry::Lease(released())),
         line(258, &Entry::Tenants(Box::new(removed))),
     ]
 }
 
-/// A voter's disk with a snapshot and entries behind it.
+/// The stored record of a voter: a snapshot and the entries after it.
 pub fn voter_record() -> Record {
     Record {
         metadata: Some(metadata()),
@@ -389,18 +396,18 @@
 
 #[test]
 fn voter_records_encode_as_before() {
-    let mut pins = Pins::of("voter-records.txt");
-    pins.postcard("record", &voter_record());
+    let mut recorded = RecordedValues::load("voter-records.txt");
+    recorded.postcard("record", &voter_record());
     let retired = Some("its disk is an older one".to_owned());
-    pins.postcard(
+    recorded.postcard(
         "retired head",
         &Metadata {
             retired,
             ..metadata()
         },
     );
-    let context = postcard::to_stdvec(&Entry::Voters(voters())).expect("it encodes");
-    pins.postcard(
+    let context = postcard::to_stdvec(&Entry::Voters(voters())).expect("the value can be encoded");
+    recorded.postcard(
         "change of voters",
         &LogEntry {
             index: 9,
@@ -410,7 +417,7 @@
             context,
         },
     );
-    pins.postcard(
+    recorded.postcard(
         "record that drops",
         &Record {
             compact_before: Some(200),
@@ -418,7 +425,7 @@
             ..Record::default()
         },
     );
-    pins.postcard(
+    recorded.postcard(
         "known",
         &KnownState {
             boots: 4,
@@ -427,18 +434,19 @@
             acknowledged: (8, 258),
         },
     );
-    pins.finish();
+    recorded.finish();
 }
 
-/// What an earlier process kept as a voter is what a new one begins from.
+/// A new process starts with the voter state that an earlier process stored.
 #[test]
-fn stored_log_brings_voter_to_its_state() {
+fn voter_restores_its_state_from_stored_log() {
     let bytes = crate::fixture::read_text("voter-records.txt");
     let hex = bytes
         .lines()
         .find_map(|line| line.strip_prefix("record: "))
         .expect("the record");
-    let record: Record = postcard::from_bytes(&crate::pins::from_hex(hex)).expect("it decodes");
+    let record: Record =
+        postcard::from_bytes(&crate::pins::from_hex(hex)).expect("the bytes can be decoded");
     let cut = PersistentState::from_disk(record.metadata.clone(), record.entries[..1].to_vec());
     assert_eq!(
         cut,
@@ -461,43 +469,43 @@
         0,
         DisabledVoterGuards::default(),
     )
-    .expect("it begins");
+    .expect("the voter starts");
     assert_eq!((voter.replica(), voter.boots(), voter.term()), (11, 5, 8));
     let state = voter.state();
     assert_eq!((state.applied, state.generation), (258, 2));
     assert_eq!(
-        state.leases.record(&duty()).holder,
+        state.leases.record(&lease_name()).holder,
         None,
-        "entry 257 gave it back"
+        "entry 257 releases the lease"
     );
     assert_eq!(
         state.tenants.lines["clinic"].kept, None,
-        "entry 258 removed it"
+        "entry 258 removes the tenant"
     );
-    assert_eq!(state.replica_sets.replica_set(3), set());
+    assert_eq!(state.replica_sets.replica_set(3), replica_set());
 }
 
 #[test]
-fn derived_identities_and_digests_stay() {
-    let mut pins = Pins::of("derived.txt");
-    pins.line("founder's seat", &bootstrap_replica_id(2, "n1").to_string());
-    pins.bytes("connection's word", &challenge("n1", 9001, 3));
+fn derived_identities_and_digests_are_unchanged() {
+    let mut recorded = RecordedValues::load("derived.txt");
+    recorded.line("founder's seat", &bootstrap_replica_id(2, "n1").to_string());
+    recorded.bytes("connection's word", &challenge("n1", 9001, 3));
     let first = LogPosition::default().advance(b"record");
-    pins.postcard("place of a first record", &first);
-    pins.postcard("place of a second record", &first.advance(b"another"));
+    recorded.postcard("place of a first record", &first);
+    recorded.postcard("place of a second record", &first.advance(b"another"));
     let mark = molelug::front::webhook::replay::mark("clinic", "call-1");
-    pins.bytes("mark of a call", &mark);
-    pins.line("shard of a mark", &shard_of(&mark, 64).to_string());
+    recorded.bytes("mark of a call", &mark);
+    recorded.line("shard of a mark", &shard_of(&mark, 64).to_string());
     let host = |at: u32| Host {
         name: format!("n{at}").into(),
         hall: Some(format!("hall-{}", at % 3)),
     };
     let hosts: Vec<Host> = (1..=7).map(host).collect();
     for shard in [1, 2, 3, 64] {
-        pins.line(
+        recorded.line(
             &format!("hosts of shard {shard}"),
             &replica_order(shard, &hosts).join(" "),
         );
     }
-    pins.finish();
+    recorded.finish();
 }
--- a/tests/stored_data/histories.rs
+++ b/tests/stored_data/histories.rs
@@ -1,4 +1,4 @@
-//! Notes of histories, one of each kind, as checkers read them: the JSON of `note` in each line.
+//! One history event of each kind as JSON: the `note` field of a history line, which checkers read.
 
 use std::sync::Arc;
 
@@ -7,101 +7,101 @@
 use molelug::replication;
 use molelug::tenancy::replicated;
 
-use crate::pins::Pins;
+use crate::pins::RecordedValues;
 
 #[test]
-fn council_notes_are_written_as_before() {
+fn consensus_history_events_are_written_as_before() {
     use participant::HistoryEvent;
-    let duty: Arc<str> = "loads-3".into();
-    let owner = LeaseHolder {
+    let loads_lease: Arc<str> = "loads-3".into();
+    let n2_holder = LeaseHolder {
         name: "n2".into(),
         incarnation: 77,
     };
-    let mut pins = Pins::of("history-council.txt");
-    let agreed = |owner| HistoryEvent::Agreed {
+    let mut recorded = RecordedValues::load("history-council.txt");
+    let agreed = |n2_holder| HistoryEvent::Agreed {
         index: 12,
-        lease: duty.clone(),
+        lease: loads_lease.clone(),
         term: 5,
-        holder: owner,
+        holder: n2_holder,
     };
-    pins.json("agreed", &agreed(Some(owner)));
-    pins.json("agreed without owner", &agreed(None));
-    pins.json("restored", &HistoryEvent::Restored { index: 256 });
-    pins.json(
+    recorded.json("agreed", &agreed(Some(n2_holder)));
+    recorded.json("agreed without owner", &agreed(None));
+    recorded.json("restored", &HistoryEvent::Restored { index: 256 });
+    recorded.json(
         "began",
         &HistoryEvent::LeaseAcquired {
-            lease: duty.clone(),
+            lease: loads_lease.clone(),
             term: 5,
         },
     );
-    pins.json(
+    recorded.json(
         "ended",
         &HistoryEvent::LeaseLost {
-            lease: duty.clone(),
+            lease: loads_lease.clone(),
             term: 6,
         },
     );
-    pins.json(
+    recorded.json(
         "acted",
         &HistoryEvent::EffectCreated {
-            lease: duty.clone(),
+            lease: loads_lease.clone(),
             term: 5,
             number: 9,
         },
     );
-    pins.json(
+    recorded.json(
         "sent",
         &HistoryEvent::Sent {
-            lease: duty.clone(),
+            lease: loads_lease.clone(),
             term: 5,
             number: 10,
         },
     );
-    pins.json(
+    recorded.json(
         "accepted",
         &HistoryEvent::Accepted {
-            lease: duty.clone(),
+            lease: loads_lease.clone(),
             term: 5,
             holder: "n2".into(),
             number: 11,
         },
     );
-    let why = "term 4 is over".to_owned();
-    pins.json(
+    let rejection = "term 4 is over".to_owned();
+    recorded.json(
         "refused",
         &HistoryEvent::Rejected {
-            lease: duty.clone(),
+            lease: loads_lease.clone(),
             term: 4,
             holder: "n1".into(),
             number: 3,
-            reason: why,
+            reason: rejection,
         },
     );
-    pins.json(
+    recorded.json(
         "taken back",
         &HistoryEvent::Withdrawn {
-            lease: duty,
+            lease: loads_lease,
             term: 5,
             number: 12,
         },
     );
-    pins.json("leads", &HistoryEvent::BecameLeader { term: 8 });
-    pins.json("follows", &HistoryEvent::LostLeadership);
-    pins.json(
+    recorded.json("leads", &HistoryEvent::BecameLeader { term: 8 });
+    recorded.json("follows", &HistoryEvent::LostLeadership);
+    recorded.json(
         "retired",
         &HistoryEvent::Retired {
             reason: "its disk is an older one".into(),
         },
     );
-    pins.finish();
+    recorded.finish();
 }
 
 #[test]
-fn replication_notes_are_written_as_before() {
+fn replication_history_events_are_written_as_before() {
     use replication::history::{short_digest, HistoryEvent};
     let members = || vec!["n1".into(), "n2".into(), "n3".into()];
-    let mut pins = Pins::of("history-replication.txt");
-    pins.json(
+    let mut recorded = RecordedValues::load("history-replication.txt");
+    recorded.json(
         "led",
         &HistoryEvent::BecamePrimary {
             shard: 3,
@@ -111,8 +111,8 @@
             members: members(),
         },
     );
-    pins.json("rested", &HistoryEvent::SteppedDown { shard: 3, epoch: 7 });
-    pins.json(
+    recorded.json("rested", &HistoryEvent::SteppedDown { shard: 3, epoch: 7 });
+    recorded.json(
         "promised",
         &HistoryEvent::Committed {
             shard: 3,
@@ -122,7 +122,7 @@
             disks: 2,
         },
     );
-    pins.json(
+    recorded.json(
         "stored",
         &HistoryEvent::Stored {
             shard: 3,
@@ -131,7 +131,7 @@
             chain: 902,
         },
     );
-    pins.json(
+    recorded.json(
         "installed",
         &HistoryEvent::Installed {
             shard: 3,
@@ -139,28 +139,28 @@
             chain: 903,
         },
     );
-    pins.json(
+    recorded.json(
         "damaged",
         &HistoryEvent::Damaged {
             shard: 3,
             ranges: vec![0, 15],
         },
     );
-    pins.json(
+    recorded.json(
         "waits",
         &HistoryEvent::WaitingForReplica {
             shard: 3,
             members: members(),
         },
     );
-    pins.json(
+    recorded.json(
         "mended",
         &HistoryEvent::Repaired {
             shard: 3,
             accepted: true,
         },
     );
-    pins.json(
+    recorded.json(
         "declined",
         &HistoryEvent::Declined {
             shard: 3,
@@ -168,34 +168,34 @@
             ours: 7,
         },
     );
-    pins.json("recalled", &HistoryEvent::RecoveredFromFormer { shard: 3 });
-    pins.json("lost", &HistoryEvent::DataLost { shard: 4 });
+    recorded.json("recalled", &HistoryEvent::RecoveredFromFormer { shard: 3 });
+    recorded.json("lost", &HistoryEvent::DataLost { shard: 4 });
     let chain: replication::ChainDigest = std::array::from_fn(|at| at as u8);
-    pins.line(
+    recorded.line(
         "digest cut to eight bytes",
         &short_digest(&chain).to_string(),
     );
-    pins.finish();
+    recorded.finish();
 }
 
 #[test]
-fn tenancy_notes_are_written_as_before() {
+fn tenancy_history_events_are_written_as_before() {
     use replicated::history::{digest, HistoryEvent};
     let adopted = |digest| HistoryEvent::Adopted {
         tenant: "clinic".into(),
         version: 4,
         digest,
     };
-    let mut pins = Pins::of("history-tenancy.txt");
-    pins.json("begun", &HistoryEvent::Begun);
-    pins.json("adopted", &adopted(Some(digest(b"a tenant"))));
-    pins.json("adopted as removed", &adopted(None));
-    pins.json(
+    let mut recorded = RecordedValues::load("history-tenancy.txt");
+    recorded.json("begun", &HistoryEvent::Begun);
+    recorded.json("adopted", &adopted(Some(digest(b"a tenant"))));
+    recorded.json("adopted as removed", &adopted(None));
+    recorded.json(
         "told",
         &HistoryEvent::Told {
             tenant: "clinic".into(),
             version: 4,
         },
     );
-    pins.finish();
+    recorded.finish();
 }
--- a/tests/stored_data/pins.rs
+++ b/tests/stored_data/pins.rs
@@ -1,4 +1,4 @@
-//! Values with the bytes that they are stored as, one a line: a name, and the bytes as hex or the JSON text.
+//! Fixtures of encoded values: each line has a name and the value's bytes in hex or its JSON text.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -8,10 +8,10 @@
 
 use crate::fixture;
 
-/// The lines of one fixture, compared once all values are named.
-pub struct Pins {
+/// The lines of one fixture. [`RecordedValues::finish`] compares them with the added values.
+pub struct RecordedValues {
     file: &'static str,
-    kept: BTreeMap<String, String>,
+    recorded: BTreeMap<String, String>,
     written: String,
 }
 
@@ -30,9 +30,9 @@
         .collect()
 }
 
-impl Pins {
-    /// The lines of a fixture.
-    pub fn of(file: &'static str) -> Pins {
+impl RecordedValues {
+    /// Loads a fixture; without lines if the fixtures are rewritten.
+    pub fn load(file: &'static str) -> RecordedValues {
         let text = if fixture::is_updating() {
             String::new()
         } else {
@@ -42,66 +42,68 @@
             line.split_once(": ")
                 .map(|(name, rest)| (name.to_owned(), rest.to_owned()))
         };
-        Pins {
+        RecordedValues {
             file,
-            kept: text.lines().filter_map(line).collect(),
+            recorded: text.lines().filter_map(line).collect(),
             written: String::new(),
         }
     }
 
-    /// A line whose content is compared and never decoded.
+    /// Adds a line whose content is compared but not decoded.
     pub fn line(&mut self, name: &str, content: &str) {
         assert!(
             !self
                 .written
                 .lines()
                 .any(|line| line.starts_with(&format!("{name}: "))),
-            "{name} twice"
+            "duplicate name {name}"
         );
         self.written += &format!("{name}: {content}\n");
     }
 
-    /// Bytes that are derived, such as a digest.
+    /// Adds derived bytes, such as a digest.
     pub fn bytes(&mut self, name: &str, bytes: &[u8]) {
         self.line(name, &to_hex(bytes));
     }
 
-    /// A value that is stored as postcard; the stored bytes must decode to it.
+    /// Adds a value stored as postcard. The fixture's bytes must decode to the value.
     pub fn postcard<T>(&mut self, name: &str, value: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        if let Some(kept) = self.kept.get(name) {
-            let decoded: Result<T, _> = postcard::from_bytes(&from_hex(kept));
+        if let Some(recorded) = self.recorded.get(name) {
+            let decoded: Result<T, _> = postcard::from_bytes(&from_hex(recorded));
             assert_eq!(
                 decoded.as_ref(),
                 Ok(value),
-                "{}: {name} decodes as something else",
+                "{}: {name} decodes to another value",
                 self.file
             );
         }
         self.line(
             name,
-            &to_hex(&postcard::to_stdvec(value).expect("it encodes")),
+            &to_hex(&postcard::to_stdvec(value).expect("the value can be encoded")),
         );
     }
 
-    /// A value that is stored as JSON; the stored text must decode to it.
+    /// Adds a value stored as JSON. The fixture's text must decode to the value.
     pub fn json<T>(&mut self, name: &str, value: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        if let Some(kept) = self.kept.get(name) {
+        if let Some(recorded) = self.recorded.get(name) {
             let decoded: T =
-                serde_json::from_str(kept).unwrap_or_else(|error| panic!("{name}: {error}"));
+                serde_json::from_str(recorded).unwrap_or_else(|error| panic!("{name}: {error}"));
             assert_eq!(
                 &decoded, value,
-                "{}: {name} decodes as something else",
+                "{}: {name} decodes to another value",
                 self.file
             );
         }
-        // By way of a JSON value, as histories write it: keys are in the order of the alphabet.
-        let written = serde_json::to_value(value).expect("it encodes").to_string();
+        // Histories encode through `serde_json::Value`, which sorts the keys alphabetically.
+        let written = serde_json::to_value(value)
+            .expect("the value can be encoded")
+            .to_string();
         self.line(name, &written);
     }
 
--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -1,4 +1,5 @@
-//! Store files of formats 1, 2 and 3: written row by row as before, and read with all that waits in them.
+//! Store files of formats 1, 2 and 3: the rows are written as before, and every waiting call and
+//! message is recovered.
 
 use std::path::Path;
 
@@ -17,16 +18,16 @@
 use molelug::store::tables::RecoveredState;
 
 use crate::agreed_log::voter_record;
-use crate::store_records::{attempt, call, mark, message, SECOND};
+use crate::store_records::{attempt, call, identity_digest, message, SECOND};
 use crate::store_rows::{file_of, from_text, rows, to_text, Row, Scratch};
 use crate::{fixture, pins};
 
 const FORMAT_1: &str = "store-format-1.txt";
 const FORMAT_2: &str = "store-format-2.txt";
 const FORMAT_3: &str = "store-format-3.txt";
-/// The same as a file.
+/// The rows of [`FORMAT_3`] as a store file.
 const FORMAT_3_FILE: &str = "store-format-3.redb";
-/// What the store hands to a copy of shard 2.
+/// The content of shard 2 that the store sends to a replica.
 const SHARD_CONTENT: &str = "store-shard-content.txt";
 
 const MAX_BYTES: u64 = 1 << 30;
@@ -37,26 +38,26 @@
 };
 
 fn commit(disk: &mut Disk, ops: Vec<Op>) -> Vec<Reply> {
-    let replies = disk.commit(ops, 30 * SECOND).expect("it is kept");
+    let replies = disk.commit(ops, 30 * SECOND).expect("the commit succeeds");
     replies
         .into_iter()
-        .map(|reply| reply.expect("it is done"))
+        .map(|reply| reply.expect("the operation succeeds"))
         .collect()
 }
 
-fn ask(disk: &mut Disk, op: Op) -> Reply {
+fn execute(disk: &mut Disk, op: Op) -> Reply {
     commit(disk, vec![op]).remove(0)
 }
 
-fn take(seq: Seq, effect: Effect, of: u8, until: u64) -> Op {
+fn accept_call(seq: Seq, effect: Effect, of: u8, until: u64) -> Op {
     Op::AcceptCall(AcceptCall {
         call: Box::new(call(seq, effect)),
-        identity: mark(of),
+        identity: identity_digest(of),
         valid_until: until,
     })
 }
 
-fn finish(waiting: Box<Waiting>, state: State, attempt: Option<AttemptRecord>) -> Op {
+fn finish_attempt(waiting: Box<Waiting>, state: State, attempt: Option<AttemptRecord>) -> Op {
     Op::FinishAttempt(FinishAttempt {
         waiting,
         state,
@@ -64,7 +65,7 @@
     })
 }
 
-fn complete(call: Seq, outcome: &str, messages: Vec<(MessageRecord, Vec<u8>)>) -> Op {
+fn complete_call(call: Seq, outcome: &str, messages: Vec<(MessageRecord, Vec<u8>)>) -> Op {
     Op::CompleteCall(CompleteCall {
         call,
         outcome: outcome.into(),
@@ -72,7 +73,7 @@
     })
 }
 
-fn begin_durably(message: Seq, at: u64) -> Op {
+fn begin_durable_attempt(message: Seq, at: u64) -> Op {
     Op::BeginAttempt(BeginAttempt {
         message,
         durable: true,
@@ -80,12 +81,13 @@
     })
 }
 
-fn register(id: u64) -> Op {
+fn register_disk(id: u64) -> Op {
     Op::RegisterDisk(RegisterDisk { id, reset: false })
 }
 
-/// The gateway's own: open calls, messages at each stage, an attempt that has begun, an identity that was forgotten.
-fn fill_own(disk: &mut Disk) {
+/// Writes records outside of shards: open calls, messages in each state, a begun attempt and an
+/// expired identity.
+fn fill_local_records(disk: &mut Disk) {
     let answers = vec![
         message(Seq(10), Effect::NonIdempotent, Some(7)),
         message(Seq(11), Effect::NonIdempotent, Some(7)),
@@ -100,14 +102,14 @@
     let mut tried = waiting(2);
     (tried.due, tried.tries, tried.ran) = (9 * SECOND, 1, Some(7 * SECOND));
     let ended = [
-        finish(waiting(0), State::Delivered, Some(attempt())),
-        finish(
+        finish_attempt(waiting(0), State::Delivered, Some(attempt())),
+        finish_attempt(
             waiting(1),
             State::Dead(DeadLetterReason::Exhausted),
             Some(attempt()),
         ),
-        finish(tried, State::Waiting, Some(attempt())),
-        begin_durably(Seq(15), 6 * SECOND),
+        finish_attempt(tried, State::Waiting, Some(attempt())),
+        begin_durable_attempt(Seq(15), 6 * SECOND),
         Op::ApplyRetention(ApplyRetention {
             now: 30 * SECOND,
             max_age: 1 << 40,
@@ -116,59 +118,59 @@
         }),
     ];
     let mut ops = vec![
-        take(Seq(1), Effect::NonIdempotent, 1, 100 * SECOND),
+        accept_call(Seq(1), Effect::NonIdempotent, 1, 100 * SECOND),
         Op::SetSent(Seq(1), 3 * SECOND),
-        take(Seq(2), KEYED, 2, 100 * SECOND),
-        take(Seq(3), Effect::Idempotent, 3, 20 * SECOND),
-        complete(Seq(3), "served", answers),
+        accept_call(Seq(2), KEYED, 2, 100 * SECOND),
+        accept_call(Seq(3), Effect::Idempotent, 3, 20 * SECOND),
+        complete_call(Seq(3), "served", answers),
         Op::Publish(published.clone()),
     ];
     ops.extend(ended);
     commit(disk, ops);
 }
 
-fn number(shard: ShardId, number: u32) -> Seq {
+fn shard_seq(shard: ShardId, number: u32) -> Seq {
     Seq::of_shard(shard, 1, number)
 }
 
-/// An order key that no other shard has.
-fn ordered(shard: ShardId, n: u32) -> (MessageRecord, Vec<u8>) {
+/// A message with an order key that no other shard uses.
+fn ordered_message(shard: ShardId, n: u32) -> (MessageRecord, Vec<u8>) {
     message(
-        number(shard, n),
+        shard_seq(shard, n),
         Effect::NonIdempotent,
         Some(u64::from(shard)),
     )
 }
 
-fn shard_mark(shard: ShardId, of: u8) -> u8 {
+fn shard_identity(shard: ShardId, of: u8) -> u8 {
     16 * shard as u8 + of
 }
 
-/// The records of a shard: an open call, two that have answers, an attempt that has begun, one that has ended.
+/// The records of a shard: an open call, two completed calls, a begun attempt and a finished one.
 fn shard_records(shard: ShardId) -> Vec<Op> {
     let taken = |of: u8| {
-        take(
-            number(shard, of.into()),
+        accept_call(
+            shard_seq(shard, of.into()),
             Effect::NonIdempotent,
-            shard_mark(shard, of),
+            shard_identity(shard, of),
             100 * SECOND,
         )
     };
-    let (unordered, body) = message(number(shard, 103), KEYED, None);
+    let (unordered, body) = message(shard_seq(shard, 103), KEYED, None);
     let waiting = Box::new(unordered.waiting);
     vec![
         taken(1),
         taken(2),
-        Op::SetSent(number(shard, 1), 3 * SECOND),
-        complete(
-            number(shard, 2),
+        Op::SetSent(shard_seq(shard, 1), 3 * SECOND),
+        complete_call(
+            shard_seq(shard, 2),
             "served",
-            vec![ordered(shard, 101), ordered(shard, 102)],
+            vec![ordered_message(shard, 101), ordered_message(shard, 102)],
         ),
-        begin_durably(number(shard, 101), 6 * SECOND),
+        begin_durable_attempt(shard_seq(shard, 101), 6 * SECOND),
         taken(3),
-        complete(number(shard, 3), "failed", vec![(unordered, body)]),
-        finish(
+        complete_call(shard_seq(shard, 3), "failed", vec![(unordered, body)]),
+        finish_attempt(
             waiting,
             State::Dead(DeadLetterReason::Unknown),
             Some(attempt()),
@@ -176,36 +178,38 @@
     ]
 }
 
-fn last_place() -> LogPosition {
+fn last_position() -> LogPosition {
     shard_records(2)
         .iter()
-        .fold(LogPosition::default(), |place, _| place.advance(b"record"))
+        .fold(LogPosition::default(), |log_position, _| {
+            log_position.advance(b"record")
+        })
 }
 
 fn fill_shard(disk: &mut Disk, shard: ShardId) {
-    let mut place = LogPosition::default();
+    let mut log_position = LogPosition::default();
     for op in shard_records(shard) {
-        place = place.advance(b"record");
+        log_position = log_position.advance(b"record");
         let apply = ApplyToShard {
             shard,
-            position: place,
+            position: log_position,
             op: Box::new(op),
         };
-        ask(disk, Op::ApplyToShard(apply));
+        execute(disk, Op::ApplyToShard(apply));
     }
 }
 
 fn rows_of_format_3() -> Vec<Row> {
     let file = Scratch::new();
-    let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("it is made");
-    fill_own(&mut disk);
-    ask(&mut disk, register(7001));
+    let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("the store is created");
+    fill_local_records(&mut disk);
+    execute(&mut disk, register_disk(7001));
     SHARDS
         .into_iter()
         .for_each(|shard| fill_shard(&mut disk, shard));
-    ask(&mut disk, Op::BecomePrimary(3));
-    ask(&mut disk, Op::AppendLog(Box::new(voter_record())));
-    disk.compact().expect("it shrinks");
+    execute(&mut disk, Op::BecomePrimary(3));
+    execute(&mut disk, Op::AppendLog(Box::new(voter_record())));
+    disk.compact().expect("the store is compacted");
     drop(disk);
     let written = rows(file.path());
     if fixture::is_updating() {
@@ -218,26 +222,27 @@
     row.table == "meta" && row.key == b"head"
 }
 
-/// As the version before wrote it: without sums, and shards do not tell what was forgotten.
+/// Converts rows to format 2: without checksums, and without the expiry of identities in shards.
 fn to_format_2(mut rows: Vec<Row>) -> Vec<Row> {
     rows.retain(|row| row.table != "sums");
     for row in &mut rows {
         if is_head(row) {
             row.value[0] = 2;
         } else if row.table == "shards" {
-            let (place, led, _): (LogPosition, bool, u64) =
+            let (log_position, led, _): (LogPosition, bool, u64) =
                 postcard::from_bytes(&row.value).expect("a shard");
-            row.value = postcard::to_stdvec(&(place, led)).expect("it encodes");
+            row.value =
+                postcard::to_stdvec(&(log_position, led)).expect("the value can be encoded");
         }
     }
     rows
 }
 
-/// As the first versions wrote it: rows by identity have no shard.
+/// The rows of format 1, where rows by identity contain no shard.
 fn rows_of_format_1() -> Vec<Row> {
     let file = Scratch::new();
-    let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("it is made");
-    fill_own(&mut disk);
+    let (mut disk, _) = Disk::open(file.path(), MAX_BYTES, SECOND).expect("the store is created");
+    fill_local_records(&mut disk);
     drop(disk);
     let mut rows = rows(file.path());
     for row in &mut rows {
@@ -245,17 +250,18 @@
             assert_eq!(row.value[0], 1);
         } else if row.table == "by_call" {
             let state: CallState = postcard::from_bytes(&row.value).expect("a call's state");
-            row.value = postcard::to_stdvec(&(state.taken, state.outcome)).expect("it encodes");
+            row.value = postcard::to_stdvec(&(state.taken, state.outcome))
+                .expect("the value can be encoded");
         } else if row.table == "replays" {
             let (until, _): (u64, ShardId) = postcard::from_bytes(&row.value).expect("an identity");
-            row.value = postcard::to_stdvec(&until).expect("it encodes");
+            row.value = postcard::to_stdvec(&until).expect("the value can be encoded");
         }
     }
     rows
 }
 
 fn open(path: &Path) -> (Disk, RecoveredState) {
-    Disk::open(path, MAX_BYTES, 40 * SECOND).expect("it opens")
+    Disk::open(path, MAX_BYTES, 40 * SECOND).expect("the store opens")
 }
 
 fn open_fixture(name: &str) -> (Scratch, Disk, RecoveredState) {
@@ -264,19 +270,21 @@
     (file, disk, found)
 }
 
-fn sent(seq: Seq) -> CallRecord {
+fn sent_call(seq: Seq) -> CallRecord {
     CallRecord {
         sent: Some(3 * SECOND),
         ..call(seq, Effect::NonIdempotent)
     }
 }
 
-fn marks(of: &[u8]) -> Vec<(IdentityDigest, u64)> {
-    of.iter().map(|of| (mark(*of), 100 * SECOND)).collect()
+fn identity_digests(of: &[u8]) -> Vec<(IdentityDigest, u64)> {
+    of.iter()
+        .map(|of| (identity_digest(*of), 100 * SECOND))
+        .collect()
 }
 
-fn assert_own_is_found(found: &RecoveredState) {
-    assert_eq!(found.calls, [sent(Seq(1)), call(Seq(2), KEYED)]);
+fn assert_local_records_are_recovered(found: &RecoveredState) {
+    assert_eq!(found.calls, [sent_call(Seq(1)), call(Seq(2), KEYED)]);
     assert_eq!(found.endpoints, [(EndpointId(4004), 6 * SECOND)]);
     assert_eq!(
         (found.last_sequence_number, found.identities_expired_until),
@@ -288,19 +296,19 @@
     );
 }
 
-fn shown(disk: &mut Disk, seq: Seq) -> MessageDetails {
-    match ask(disk, Op::GetMessage(seq, 21)) {
+fn message_details(disk: &mut Disk, seq: Seq) -> MessageDetails {
+    match execute(disk, Op::GetMessage(seq, 21)) {
         Reply::Message(Some(shown)) => *shown,
         other => panic!("{seq:?}: {other:?}"),
     }
 }
 
-fn assert_own_is_kept(disk: &mut Disk) {
+fn assert_local_records_are_kept(disk: &mut Disk) {
     let (mut record, body) = message(Seq(14), Effect::Idempotent, None);
     (record.waiting.due, record.waiting.tries) = (9 * SECOND, 1);
     record.waiting.ran = Some(7 * SECOND);
     assert_eq!(
-        shown(disk, Seq(14)),
+        message_details(disk, Seq(14)),
         MessageDetails {
             record,
             attempts: vec![attempt()],
@@ -309,7 +317,7 @@
     );
     let (record, _) = message(Seq(11), Effect::NonIdempotent, Some(7));
     assert_eq!(
-        shown(disk, Seq(11)).record,
+        message_details(disk, Seq(11)).record,
         MessageRecord {
             state: State::Behind,
             ..record
@@ -321,7 +329,7 @@
         (13, State::Dead(DeadLetterReason::Exhausted)),
         (15, State::Dead(DeadLetterReason::Unknown)),
     ] {
-        assert_eq!(shown(disk, Seq(seq)).record.state, state, "{seq}");
+        assert_eq!(message_details(disk, Seq(seq)).record.state, state, "{seq}");
     }
     let answered = Some(CallState {
         taken: 100 * SECOND,
@@ -329,7 +337,7 @@
         shard: 0,
     });
     assert_eq!(
-        ask(disk, Op::GetCall(21, "call-3".into())),
+        execute(disk, Op::GetCall(21, "call-3".into())),
         Reply::Call(answered)
     );
     let open = Some(CallState {
@@ -338,16 +346,16 @@
         shard: 0,
     });
     assert_eq!(
-        ask(disk, Op::GetCall(21, "call-2".into())),
+        execute(disk, Op::GetCall(21, "call-2".into())),
         Reply::Call(open)
     );
 }
 
-/// What waits is found by its endpoint, and the next of an order key comes forward.
-fn assert_waiting_goes_on(disk: &mut Disk) {
+/// Waiting messages are found by endpoint, and a delivery queues the next message of its order key.
+fn assert_delivery_continues(disk: &mut Disk) {
     let (first, _) = message(Seq(10), Effect::NonIdempotent, Some(7));
-    let Reply::Due(waiting, None) = ask(disk, Op::FetchDue(EndpointId(4004), 10)) else {
-        panic!("more waits")
+    let Reply::Due(waiting, None) = execute(disk, Op::FetchDue(EndpointId(4004), 10)) else {
+        panic!("unexpected reply")
     };
     let own: Vec<Seq> = waiting
         .iter()
@@ -355,16 +363,16 @@
         .filter(|seq| seq.shard() == 0)
         .collect();
     assert_eq!(own, [Seq(10), Seq(14)]);
-    let delivered = finish(Box::new(first.waiting), State::Delivered, None);
+    let delivered = finish_attempt(Box::new(first.waiting), State::Delivered, None);
     let (next, _) = message(Seq(11), Effect::NonIdempotent, Some(7));
-    assert_eq!(ask(disk, delivered), Reply::Queued(vec![next.waiting]));
+    assert_eq!(execute(disk, delivered), Reply::Queued(vec![next.waiting]));
     let filter = Filter {
         serial: 21,
         state: Some("unknown".into()),
         limit: 1,
         ..Filter::default()
     };
-    let Reply::Messages(listed) = ask(
+    let Reply::Messages(listed) = execute(
         disk,
         Op::ListMessages(Filter {
             before: Some(Seq(100)),
@@ -387,48 +395,48 @@
     assert_eq!(found.log, (record.metadata, record.entries));
     let of_shards = SHARDS
         .iter()
-        .flat_map(|shard| (1..4).map(|of| shard_mark(*shard, of)));
+        .flat_map(|shard| (1..4).map(|of| shard_identity(*shard, of)));
     let expected: Vec<u8> = [1, 2].into_iter().chain(of_shards).collect();
-    assert_eq!(found.identities, marks(&expected));
+    assert_eq!(found.identities, identity_digests(&expected));
 }
 
-/// Both shards, once a process has begun on the disk.
+/// Checks both shards after a process has registered on the disk.
 fn assert_shards_are_kept(disk: &mut Disk) {
-    let sound = SHARDS.map(|shard| (shard, Vec::new())).to_vec();
-    assert_eq!(disk.reader().verify(), Ok(sound));
-    let figures = StoreStats {
+    let intact = SHARDS.map(|shard| (shard, Vec::new())).to_vec();
+    assert_eq!(disk.reader().verify(), Ok(intact));
+    let stats = StoreStats {
         calls: 4,
         messages: 12,
         waiting: 7,
         bytes: 4 * 13 + 12 * 16,
     };
-    assert_eq!(ask(disk, Op::Stats), Reply::Stats(figures));
+    assert_eq!(execute(disk, Op::Stats), Reply::Stats(stats));
     for shard in SHARDS {
-        let begun = ordered(shard, 101).0.waiting;
-        let stands = ShardState {
-            calls: vec![sent(number(shard, 1))],
-            identities: marks(&[1, 2, 3].map(|of| shard_mark(shard, of))),
+        let begun = ordered_message(shard, 101).0.waiting;
+        let expected = ShardState {
+            calls: vec![sent_call(shard_seq(shard, 1))],
+            identities: identity_digests(&[1, 2, 3].map(|of| shard_identity(shard, of))),
             waiting: Vec::new(),
             in_flight: vec![(begun, 6 * SECOND)],
             identities_expired_until: 20 * SECOND,
         };
         assert_eq!(
-            ask(disk, Op::BecomePrimary(shard)),
-            Reply::PrimaryState(Box::new(stands))
+            execute(disk, Op::BecomePrimary(shard)),
+            Reply::PrimaryState(Box::new(expected))
         );
-        let (record, _) = ordered(shard, 102);
+        let (record, _) = ordered_message(shard, 102);
         let behind = MessageRecord {
             state: State::Behind,
             ..record
         };
-        assert_eq!(shown(disk, number(shard, 102)).record, behind);
+        assert_eq!(message_details(disk, shard_seq(shard, 102)).record, behind);
     }
 }
 
-fn begin(disk: &mut Disk) {
-    let places = SHARDS.map(|shard| (shard, last_place())).to_vec();
+fn assert_disk_is_registered(disk: &mut Disk) {
+    let places = SHARDS.map(|shard| (shard, last_position())).to_vec();
     assert_eq!(
-        ask(disk, register(1)),
+        execute(disk, register_disk(1)),
         Reply::Disk(DiskState {
             id: 7001,
             incarnation: 2,
@@ -451,71 +459,71 @@
     std::fs::write(file.path(), fixture::read(FORMAT_3_FILE)).expect("a copy");
     assert_eq!(to_text(&rows(file.path())), fixture::read_text(FORMAT_3));
     let (mut disk, found) = open(file.path());
-    assert_own_is_found(&found);
+    assert_local_records_are_recovered(&found);
     assert_shards_are_found(&found);
-    assert_own_is_kept(&mut disk);
-    begin(&mut disk);
+    assert_local_records_are_kept(&mut disk);
+    assert_disk_is_registered(&mut disk);
     assert_shards_are_kept(&mut disk);
-    assert_waiting_goes_on(&mut disk);
+    assert_delivery_continues(&mut disk);
 }
 
 #[test]
-fn store_of_format_2_is_read_and_summed() {
+fn store_of_format_2_is_read_and_checksummed() {
     let (_file, mut disk, found) = open_fixture(FORMAT_2);
-    assert_own_is_found(&found);
+    assert_local_records_are_recovered(&found);
     assert_shards_are_found(&found);
-    assert_own_is_kept(&mut disk);
-    let unsound = disk.reader().verify().expect("it is read");
+    assert_local_records_are_kept(&mut disk);
+    let damaged = disk.reader().verify().expect("the store is read");
     assert!(
-        unsound.iter().all(|(_, ranges)| !ranges.is_empty()),
-        "nothing is summed yet: {unsound:?}"
+        damaged.iter().all(|(_, ranges)| !ranges.is_empty()),
+        "no range has a checksum yet: {damaged:?}"
     );
-    begin(&mut disk);
+    assert_disk_is_registered(&mut disk);
     assert_shards_are_kept(&mut disk);
-    assert_waiting_goes_on(&mut disk);
+    assert_delivery_continues(&mut disk);
 }
 
 #[test]
 fn store_of_format_1_is_read() {
     let (_file, mut disk, found) = open_fixture(FORMAT_1);
-    assert_own_is_found(&found);
-    assert_eq!(found.identities, marks(&[1, 2]));
+    assert_local_records_are_recovered(&found);
+    assert_eq!(found.identities, identity_digests(&[1, 2]));
     assert_eq!(found.log, (None, Vec::new()));
-    assert_own_is_kept(&mut disk);
+    assert_local_records_are_kept(&mut disk);
     assert_eq!(
-        ask(&mut disk, register(7001)),
+        execute(&mut disk, register_disk(7001)),
         Reply::Disk(DiskState {
             id: 7001,
             incarnation: 1,
             shards: Vec::new()
         })
     );
-    assert_own_is_kept(&mut disk);
-    assert_waiting_goes_on(&mut disk);
+    assert_local_records_are_kept(&mut disk);
+    assert_delivery_continues(&mut disk);
 }
 
 #[test]
-fn shard_content_is_handed_on_as_before() {
+fn shard_content_is_sent_as_before() {
     let (_file, mut disk, _) = open_fixture(FORMAT_3);
-    let Reply::ShardContent(place, content) = ask(&mut disk, Op::ReadShard(2)) else {
+    let Reply::ShardContent(log_position, content) = execute(&mut disk, Op::ReadShard(2)) else {
         panic!("no content")
     };
-    assert_eq!(place, last_place());
+    assert_eq!(log_position, last_position());
     fixture::assert_matches(SHARD_CONTENT, &format!("{}\n", pins::to_hex(&content)));
 
     let stored = pins::from_hex(fixture::read_text(SHARD_CONTENT).trim_end());
     let copy = Scratch::new();
     let (mut disk, _) = open(copy.path());
-    ask(&mut disk, register(7002));
+    execute(&mut disk, register_disk(7002));
     let install = InstallShard {
         shard: 2,
-        position: place,
+        position: log_position,
         content: stored.clone(),
     };
-    ask(&mut disk, Op::InstallShard(install));
+    execute(&mut disk, Op::InstallShard(install));
     assert_eq!(disk.reader().verify(), Ok(vec![(2, Vec::new())]));
     assert_eq!(
-        ask(&mut disk, Op::ReadShard(2)),
-        Reply::ShardContent(place, stored)
+        execute(&mut disk, Op::ReadShard(2)),
+        Reply::ShardContent(log_position, stored)
     );
 }
--- a/tests/stored_data/store_records.rs
+++ b/tests/stored_data/store_records.rs
@@ -1,4 +1,4 @@
-//! Records of the store, one value of each variant, as postcard; among them the operations that copies are sent.
+//! One store record of each variant as postcard, including the operations that replicas receive.
 
 use molelug::api::{Effect, IdempotencyScope, Micros};
 use molelug::delivery::response::{DeadLetterReason, State};
@@ -9,11 +9,11 @@
 };
 use molelug::store::replicated_op::ReplicatedOp;
 
-use crate::pins::Pins;
+use crate::pins::RecordedValues;
 
 pub const SECOND: Micros = 1_000_000;
 
-/// A call of which each field has a value of its own.
+/// A call record with a distinct value in each field.
 pub fn call(seq: Seq, effect: Effect) -> CallRecord {
     CallRecord {
         seq,
@@ -35,12 +35,12 @@
     }
 }
 
-/// The digest of a call's identity.
-pub fn mark(of: u8) -> IdentityDigest {
+/// The digest of a call's identity, with bytes that count up from `of`.
+pub fn identity_digest(of: u8) -> IdentityDigest {
     std::array::from_fn(|at| of.wrapping_add(at as u8))
 }
 
-/// A message that waits for its first attempt, and its body.
+/// A message waiting for its first attempt, and its body.
 pub fn message(seq: Seq, effect: Effect, order: Option<u64>) -> (MessageRecord, Vec<u8>) {
     let body = b"a message's body".to_vec();
     let waiting = Waiting {
@@ -67,7 +67,7 @@
     (record, body)
 }
 
-/// How an attempt ended.
+/// A finished attempt.
 pub fn attempt() -> AttemptRecord {
     let ending = "status".into();
     AttemptRecord {
@@ -93,28 +93,28 @@
 
 #[test]
 fn store_records_encode_as_before() {
-    let mut pins = Pins::of("store-records.txt");
+    let mut recorded = RecordedValues::load("store-records.txt");
     let keyed = |group| Effect::Keyed {
         scope: group,
         window: 5 * SECOND,
     };
-    pins.postcard("call, safe", &call(Seq(1), Effect::Idempotent));
-    pins.postcard(
+    recorded.postcard("call, safe", &call(Seq(1), Effect::Idempotent));
+    recorded.postcard(
         "call, unsafe",
         &CallRecord {
             sent: Some(3 * SECOND),
             ..call(Seq(1), Effect::NonIdempotent)
         },
     );
-    pins.postcard(
+    recorded.postcard(
         "call, keyed for all",
         &call(Seq(1), keyed(IdempotencyScope::All)),
     );
-    pins.postcard(
+    recorded.postcard(
         "call, keyed in a zone",
         &call(Seq(1), keyed(IdempotencyScope::Zone)),
     );
-    pins.postcard(
+    recorded.postcard(
         "call, keyed in a cell",
         &call(Seq(1), keyed(IdempotencyScope::Cell)),
     );
@@ -124,10 +124,10 @@
         order: None,
         ..call(Seq(1), Effect::Idempotent)
     };
-    pins.postcard("call without hints", &bare);
+    recorded.postcard("call without hints", &bare);
     for (name, state) in states() {
         let (message, _) = message(Seq(10), Effect::Idempotent, Some(7));
-        pins.postcard(
+        recorded.postcard(
             &format!("message, {name}"),
             &MessageRecord { state, ..message },
         );
@@ -135,16 +135,16 @@
     let (mut sent, _) = message(Seq(10), Effect::NonIdempotent, None);
     (sent.waiting.ran, sent.waiting.tries) = (Some(4 * SECOND), 2);
     (sent.call, sent.acknowledged) = (None, Some("ops".into()));
-    pins.postcard("message sent again", &sent);
-    pins.postcard("attempt", &attempt());
+    recorded.postcard("message sent again", &sent);
+    recorded.postcard("attempt", &attempt());
     let failed = AttemptRecord {
         status: None,
         may_have_arrived: false,
         ..attempt()
     };
-    pins.postcard("attempt without status", &failed);
+    recorded.postcard("attempt without status", &failed);
     let outcome = Some("served".to_owned());
-    pins.postcard(
+    recorded.postcard(
         "call's state",
         &CallState {
             taken: 100 * SECOND,
@@ -152,7 +152,7 @@
             shard: 3,
         },
     );
-    pins.postcard(
+    recorded.postcard(
         "open call's state",
         &CallState {
             taken: 100 * SECOND,
@@ -160,7 +160,7 @@
             shard: 0,
         },
     );
-    pins.postcard(
+    recorded.postcard(
         "figures",
         &StoreStats {
             calls: 1,
@@ -169,8 +169,8 @@
             bytes: 4,
         },
     );
-    pins.postcard("number of a shard", &Seq::of_shard(3, 7, 41));
-    pins.finish();
+    recorded.postcard("number of a shard", &Seq::of_shard(3, 7, 41));
+    recorded.finish();
 }
 
 #[test]
@@ -183,11 +183,11 @@
             "take",
             ReplicatedOp::AcceptCall(AcceptCall {
                 call: Box::new(call(seq, Effect::NonIdempotent)),
-                identity: mark(1),
+                identity: identity_digest(1),
                 valid_until: 50 * SECOND,
             }),
         ),
-        ("untake", ReplicatedOp::RevokeCall(seq, mark(1))),
+        ("untake", ReplicatedOp::RevokeCall(seq, identity_digest(1))),
         ("sent", ReplicatedOp::SetSent(seq, 3 * SECOND)),
         ("unsent", ReplicatedOp::ClearSent(seq)),
         (
@@ -208,12 +208,12 @@
             }),
         ),
     ];
-    let mut pins = Pins::of("shard-records.txt");
+    let mut recorded = RecordedValues::load("shard-records.txt");
     for (name, record) in &records {
-        pins.postcard(name, record);
+        recorded.postcard(name, record);
         let op: Op = record.clone().into_op();
         assert_eq!(ReplicatedOp::from_op(&op).as_ref(), Some(record), "{name}");
         assert_eq!(op.shard(), Some(3), "{name}");
     }
-    pins.finish();
+    recorded.finish();
 }
--- a/tests/stored_data/store_rows.rs
+++ b/tests/stored_data/store_rows.rs
@@ -1,4 +1,4 @@
-//! A store file as text, a line for each row: the table, the key and the value, both as hex.
+//! A store file as text: one line per row with the table, the key in hex and the value in hex.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -17,11 +17,11 @@
     pub value: Vec<u8>,
 }
 
-/// A file of a test's own, removed at the end.
+/// A temporary file, removed on drop.
 pub struct Scratch(PathBuf);
 
 impl Scratch {
-    /// A name that no other test has.
+    /// Returns a path that no other test uses.
     pub fn new() -> Scratch {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -30,7 +30,7 @@
         )
     }
 
-    /// Where it is.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -42,13 +42,13 @@
     }
 }
 
-/// All rows of a file that no process holds, by table and key.
+/// Reads all rows of a file that no process has open, sorted by table and key.
 pub fn rows(path: &Path) -> Vec<Row> {
     let database = Database::open(path).expect("the file opens");
     let read = database.begin_read().expect("it can be read");
     let mut names: Vec<String> = read
         .list_tables()
-        .expect("it has tables")
+        .expect("the store has tables")
         .map(|table| table.name().to_owned())
         .collect();
     names.sort();
@@ -69,22 +69,22 @@
     rows
 }
 
-/// A file with these rows.
+/// Creates a store file with these rows.
 pub fn file_of(rows: &[Row]) -> Scratch {
     let file = Scratch::new();
-    let database = Database::create(file.path()).expect("the file is made");
-    let write = database.begin_write().expect("it can be written");
+    let database = Database::create(file.path()).expect("the file is created");
+    let write = database.begin_write().expect("the store can be written");
     for row in rows {
         let mut table = write
             .open_table(Definition::new(&row.table))
             .expect("a table of bytes");
         table.insert(&row.key[..], &row.value[..]).expect("a row");
     }
-    write.commit().expect("it is kept");
+    write.commit().expect("the commit succeeds");
     file
 }
 
-/// Rows as text.
+/// Formats rows as text.
 pub fn to_text(rows: &[Row]) -> String {
     rows.iter()
         .map(|row| {
@@ -98,7 +98,7 @@
         .collect()
 }
 
-/// Rows from text.
+/// Parses rows from text.
 pub fn from_text(text: &str) -> Vec<Row> {
     let row = |line: &str| {
         let mut parts = line.split(' ');
--- a/tests/stored_data/texts.rs
+++ b/tests/stored_data/texts.rs
@@ -1,4 +1,5 @@
-//! Files of text: the tenants' state, what the processes of one gateway tell each other, identities that were seen.
+//! Text files: the tenants' state, the state that processes of one gateway share, and the seen
+//! identities of calls.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 use crate::fixture;
 use crate::store_rows::Scratch;
 
-/// What a file was read as, and written anew from.
+/// The tenants' state as the current version writes it.
 const TENANTS: &str = "tenants-state.json";
 const TENANTS_WITHOUT_ENDPOINTS: &str = "tenants-state-without-endpoints.json";
 const TENANT_TOLD: &str = "tenant-told.json";
@@ -33,7 +34,7 @@
     registry
         .put("gone", &spec("http://127.0.0.1:9/gone"))
         .expect("a tenant");
-    registry.remove("gone").expect("it goes");
+    registry.remove("gone").expect("the tenant is removed");
     registry
         .put("clinic", &spec("http://127.0.0.1:9/in"))
         .expect("a tenant");
@@ -62,17 +63,17 @@
         .put_endpoint("clinic", "failed", &failed)
         .expect("an endpoint");
     let id = registry.get("clinic").expect("a tenant").endpoints["failed"].id;
-    registry.disable(id).expect("it is known");
+    registry.disable(id).expect("the endpoint exists");
     registry
         .put_endpoint("clinic", "removed", &failed)
         .expect("an endpoint");
     registry
         .remove_endpoint("clinic", "removed")
-        .expect("it goes");
+        .expect("the endpoint is removed");
     registry
 }
 
-fn assert_tenant_is_whole(registry: &Registry, until: u64) {
+fn assert_tenant_is_complete(registry: &Registry, until: u64) {
     let (clinic, expected) = (registry.get("clinic").expect("a tenant"), self::registry());
     let expected = expected.get("clinic").expect("a tenant");
     assert_eq!(
@@ -105,8 +106,8 @@
     let mut registry = Registry::new(&[]);
     registry
         .restore(&fixture::read_text(TENANTS))
-        .expect("it is read");
-    assert_tenant_is_whole(&registry, 2_000_000);
+        .expect("the file is read");
+    assert_tenant_is_complete(&registry, 2_000_000);
     assert_eq!(registry.state(), fixture::read_text(TENANTS));
 }
 
@@ -120,7 +121,7 @@
     let mut registry = Registry::new(&[]);
     registry
         .restore(&fixture::read_text(TENANTS_WITHOUT_ENDPOINTS))
-        .expect("it is read");
+        .expect("the file is read");
     let clinic = registry.get("clinic").expect("a tenant");
     assert_eq!(
         clinic.endpoints["portal"].portal.to_string(),
@@ -132,21 +133,21 @@
     );
 }
 
-/// What the agreed log holds of a tenant.
+/// The encoding of a tenant in the consensus log.
 #[test]
-fn told_tenant_is_written_and_adopted_as_before() {
+fn replicated_tenant_is_written_and_adopted_as_before() {
     let told = registry().told("clinic", 1_000_000).expect("a tenant");
     fixture::assert_matches(TENANT_TOLD, std::str::from_utf8(&told).expect("text"));
     let mut other = Registry::new(&[]);
     let stored = fixture::read(TENANT_TOLD);
     assert!(other
         .adopt(500, "clinic", Some(&stored))
-        .expect("it is read")
+        .expect("the file is read")
         .is_some());
-    assert_tenant_is_whole(&other, 1_000_500);
+    assert_tenant_is_complete(&other, 1_000_500);
 }
 
-fn word(state: ProcessState) -> SiblingState {
+fn sibling_state(state: ProcessState) -> SiblingState {
     let bans = [
         ("s-1".to_owned(), (true, 1_764_620_000_000_000)),
         ("s-2".to_owned(), (false, 9)),
@@ -164,20 +165,23 @@
 }
 
 #[test]
-fn handover_texts_are_written_and_read_as_before() {
+fn sibling_states_are_written_and_read_as_before() {
     let states = [
         ProcessState::Starting,
         ProcessState::Ready,
         ProcessState::Stopping,
     ];
-    let texts: Vec<String> = states.iter().map(|state| word(*state).encode()).collect();
+    let texts: Vec<String> = states
+        .iter()
+        .map(|state| sibling_state(*state).encode())
+        .collect();
     fixture::assert_matches(HANDOVER, &texts.join("\n"));
     let stored = fixture::read_text(HANDOVER);
     for (text, state) in stored.split("\n\n").zip(states) {
         let text = format!("{}\n", text.trim_end());
         assert_eq!(
             SiblingState::decode(text.as_bytes(), "n3", true, 0),
-            Ok(word(state))
+            Ok(sibling_state(state))
         );
     }
     assert_eq!(stored.split("\n\n").count(), states.len());
@@ -186,7 +190,7 @@
 #[test]
 fn seen_identities_are_written_and_read_as_before() {
     let file = Scratch::new();
-    let mut replays = Replays::open(file.path(), 10, 0).expect("it is made");
+    let mut replays = Replays::open(file.path(), 10, 0).expect("the file is created");
     for (id, until) in [("call-1", 5_000), ("call-2", 4_000)] {
         assert_eq!(replays.take("clinic", id, 1_000, until), Seen::New);
     }
@@ -197,7 +201,7 @@
 
     let copy = Scratch::new();
     std::fs::write(copy.path(), fixture::read(REPLAYS)).expect("a copy");
-    let mut replays = Replays::open(copy.path(), 10, 4_500).expect("it is read");
+    let mut replays = Replays::open(copy.path(), 10, 4_500).expect("the file is read");
     assert_eq!(replays.take("clinic", "call-1", 4_500, 9_000), Seen::Before);
     assert_eq!(replays.take("clinic", "call-2", 4_500, 9_000), Seen::New);
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version beside the old one: two real processes on one listening socket.
+//! Hot restart: two gateway processes, the old and the new version, share one listening socket.
 
 mod common;
 
@@ -21,21 +21,21 @@
     Some(String::from_utf8_lossy(&whole).into_owned())
 }
 
-/// One call on a connection of its own.
+/// Sends one call on a new connection and returns whether the status is 200.
 fn served(at: std::net::SocketAddr, id: u64) -> bool {
     let mut s = TcpStream::connect(at).unwrap();
     s.write_all(call(id).as_bytes()).unwrap();
     answer(&mut s).is_some_and(|a| a.starts_with("HTTP/1.1 200"))
 }
 
-struct Site {
+struct Setup {
     socket: TcpListener,
     worker: Worker,
     workers: Vec<serde_json::Value>,
     at: std::net::SocketAddr,
 }
 
-fn site() -> Site {
+fn setup() -> Setup {
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let worker = Worker::start();
     let workers = vec![
@@ -43,7 +43,7 @@
         endpoint("s-00000002", worker.address, "SERVING"),
     ];
     let at = socket.local_addr().unwrap();
-    Site {
+    Setup {
         socket,
         worker,
         workers,
@@ -51,13 +51,21 @@
     }
 }
 
-impl Site {
-    fn first(&self) -> Gateway {
-        self.ready(Gateway::handed(&self.socket, &self.workers, None))
+impl Setup {
+    fn start_first(&self) -> Gateway {
+        self.ready(Gateway::start_with_socket(
+            &self.socket,
+            &self.workers,
+            None,
+        ))
     }
 
-    fn beside(&self, old: &Gateway) -> Gateway {
-        self.ready(Gateway::handed(&self.socket, &self.workers, Some(old)))
+    fn start_beside(&self, old: &Gateway) -> Gateway {
+        self.ready(Gateway::start_with_socket(
+            &self.socket,
+            &self.workers,
+            Some(old),
+        ))
     }
 
     fn ready(&self, g: Gateway) -> Gateway {
@@ -66,11 +74,12 @@
     }
 }
 
-/// The new process serves with the bans kept, the old one answers what it holds, lets idle connections go and ends.
+/// The new process serves with the exclusions of the old one. The old process answers its calls in
+/// flight, closes idle connections and exits.
 #[test]
-fn a_new_version_takes_over_and_nothing_is_lost() {
-    let s = site();
-    let old = s.first();
+fn new_process_takes_over_without_loss() {
+    let s = setup();
+    let old = s.start_first();
     assert!(old.ask(b"exclude s-00000002\n").starts_with("200 "));
     let connect = || TcpStream::connect(s.at).unwrap();
     let mut kept: Vec<TcpStream> = (0..6).map(|_| connect()).collect();
@@ -79,37 +88,45 @@
         assert!(answer(c).unwrap().starts_with("HTTP/1.1 200"));
     }
     s.worker.set(Does::Silent);
-    let mut waits = kept.remove(0);
+    let mut in_flight = kept.remove(0);
     let sent = s.worker.gos.lock().unwrap().len();
-    waits.write_all(call(100).as_bytes()).unwrap();
-    until("it is out", || s.worker.gos.lock().unwrap().len() > sent);
+    in_flight.write_all(call(100).as_bytes()).unwrap();
+    until("the call is in flight", || {
+        s.worker.gos.lock().unwrap().len() > sent
+    });
     s.worker.set(Does::Answer);
-    let new = s.beside(&old);
-    assert_eq!(new.figure("members_unavailable"), 1, "the ban came over");
-    until("the old one knows", || {
+    let new = s.start_beside(&old);
+    assert_eq!(
+        new.figure("members_unavailable"),
+        1,
+        "the exclusion is inherited"
+    );
+    until("both processes are ready", || {
         old.ask(b"readyz\n") == "200 ready\n" && new.ask(b"readyz\n") == "200 ready\n"
     });
-    until("both know of two", || {
-        old.others() == 1 && new.others() == 1
+    until("each process counts the other", || {
+        old.live_siblings() == 1 && new.live_siblings() == 1
     });
     old.signal(Signal::TERM);
-    until("it has heard", || old.ask(b"readyz\n").starts_with("400 "));
+    until("the shutdown begins", || {
+        old.ask(b"readyz\n").starts_with("400 ")
+    });
     assert!(
         (200..240).all(|id| served(s.at, id)),
-        "whoever connects now is served, by the new one"
+        "the new process serves new connections"
     );
-    let mut rest = Vec::new();
+    let mut response = Vec::new();
     for c in &mut kept {
         c.set_read_timeout(Some(PATIENCE)).unwrap();
         assert_eq!(
             c.read(&mut [0; 64]).unwrap(),
             0,
-            "an idle connection is let go"
+            "an idle connection is closed"
         );
     }
-    waits.set_read_timeout(Some(PATIENCE)).unwrap();
-    let _ = waits.read_to_end(&mut rest);
-    let last = String::from_utf8_lossy(&rest);
+    in_flight.set_read_timeout(Some(PATIENCE)).unwrap();
+    let _ = in_flight.read_to_end(&mut response);
+    let last = String::from_utf8_lossy(&response);
     assert!(
         last.starts_with("HTTP/1.1 ") && last.contains("Connection: close"),
         "{last}"
@@ -118,40 +135,41 @@
     assert_eq!(
         counters["taken"].as_u64(),
         Some(7),
-        "it took none after SIGTERM"
+        "no call accepted after SIGTERM"
     );
     assert!(served(s.at, 300) && new.figure("members_unavailable") == 1);
     new.stop();
 }
 
-/// A ban called for at either address holds in both, and so does its end.
+/// Excluding or including a worker at either process takes effect in both.
 #[test]
-fn bans_hold_in_both_whichever_is_asked() {
-    let s = site();
-    let old = s.first();
-    let new = s.beside(&old);
+fn exclusions_apply_to_both_processes() {
+    let s = setup();
+    let old = s.start_first();
+    let new = s.start_beside(&old);
     for (asked, other) in [(&old, &new), (&new, &old)] {
         assert!(asked.ask(b"exclude s-00000001\n").starts_with("200 "));
-        until("the other one knows", || {
+        until("the other process applies it", || {
             other.figure("members_unavailable") == 1
         });
         assert!(other.ask(b"include s-00000001\n").starts_with("200 "));
-        until("the first one knows", || {
+        until("the first process applies it", || {
             asked.figure("members_unavailable") == 0
         });
     }
 }
 
-/// Whichever is killed, at any moment, the other one serves, and with the bans.
+/// If either process is killed at any moment, the other one serves with the exclusions.
 #[test]
-fn whoever_is_killed_the_other_serves_with_the_bans() {
-    let s = site();
-    let mut old = s.first();
+fn survivor_serves_with_exclusions_after_kill() {
+    let s = setup();
+    let mut old = s.start_first();
     assert!(old.ask(b"exclude s-00000001\n").starts_with("200 "));
     for seed in 0..12u64 {
-        // Killed at a moment of the seed's choice: from before its first line to long after it is ready.
+        // The seed chooses the time of the kill, from before the first log line to long after
+        // readiness.
         let pause = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 48;
-        let mut new = Gateway::handed(&s.socket, &s.workers, Some(&old));
+        let mut new = Gateway::start_with_socket(&s.socket, &s.workers, Some(&old));
         std::thread::sleep(std::time::Duration::from_micros(pause));
         if seed % 2 == 0 {
             new.kill();
@@ -165,36 +183,43 @@
         assert!(served(s.at, 1000 + seed), "seed {seed}");
         assert_eq!(old.figure("members_unavailable"), 1, "seed {seed}");
     }
-    until("nothing is left of the dead", || old.others() == 0);
+    until("the lock files of killed processes are removed", || {
+        old.live_siblings() == 0
+    });
     old.stop();
 }
 
-/// Told to end while the new one is not ready, the old one goes on accepting for a little, as without it.
+/// At SIGTERM without a ready successor, the process accepts for its shutdown window as usual.
 #[test]
-fn without_a_ready_successor_the_end_is_as_ever() {
-    let s = site();
-    let old = s.first();
+fn shutdown_without_ready_successor_is_unchanged() {
+    let s = setup();
+    let old = s.start_first();
     old.signal(Signal::TERM);
-    until("it has heard", || old.ask(b"readyz\n").starts_with("400 "));
+    until("the shutdown begins", || {
+        old.ask(b"readyz\n").starts_with("400 ")
+    });
     assert!(served(s.at, 1));
     assert_eq!(old.end()["taken"].as_u64(), Some(1));
 }
 
-/// What lies in the folder and cannot be used is told in a line, and the start goes on without it.
+/// A state file that cannot be used is reported in the log, and the process starts without it.
 #[test]
-fn what_was_left_and_cannot_be_used_is_passed_over() {
-    let s = site();
-    let old = s.first();
+fn unusable_sibling_state_is_ignored_at_start() {
+    let s = setup();
+    let old = s.start_first();
     assert!(old.ask(b"exclude s-00000001\n").starts_with("200 "));
     let folder = old.folder.join("tmp/molelug-handover");
-    let word = std::fs::read_to_string(folder.join(format!("{}.word", old.pid()))).unwrap();
-    assert!(word.contains("\nban s-00000001 "), "{word}");
+    let state_file = std::fs::read_to_string(folder.join(format!("{}.word", old.pid()))).unwrap();
+    assert!(state_file.contains("\nban s-00000001 "), "{state_file}");
     old.kill();
-    for (text, why) in [
-        (word[..word.len() / 2].to_owned(), "its sum does not fit"),
-        (word.replace("ban ", "bon "), "its sum does not fit"),
+    for (text, reason) in [
+        (
+            state_file[..state_file.len() / 2].to_owned(),
+            "its sum does not fit",
+        ),
+        (state_file.replace("ban ", "bon "), "its sum does not fit"),
         (
-            word.replace("handover 1", "handover 7"),
+            state_file.replace("handover 1", "handover 7"),
             "is not the form that this version reads",
         ),
         (String::new(), "its sum does not fit"),
@@ -202,23 +227,23 @@
         std::fs::remove_dir_all(&folder).unwrap();
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("4000000.word"), &text).unwrap();
-        let base = Gateway::handed_in(&s.socket, folder.parent().unwrap().parent().unwrap());
-        let (said, g) = base;
-        assert!(said.contains(why), "{said}");
+        let base = Gateway::start_in_folder(&s.socket, folder.parent().unwrap().parent().unwrap());
+        let (startup_log, g) = base;
+        assert!(startup_log.contains(reason), "{startup_log}");
         until("it is ready", || g.ask(b"readyz\n") == "200 ready\n");
         assert_eq!(g.figure("members_unavailable"), 0);
         g.kill();
     }
 }
 
-/// A descriptor that cannot be the clients' socket ends the start with a clear line.
+/// A descriptor that is no listening socket makes the start fail with a message that says why.
 #[test]
-fn a_wrong_descriptor_is_told_clearly() {
+fn unusable_inherited_descriptor_is_reported() {
     let connected = {
         let l = TcpListener::bind("127.0.0.1:0").unwrap();
         TcpStream::connect(l.local_addr().unwrap()).unwrap()
     };
-    for (value, why) in [
+    for (value, reason) in [
         ("seven", "no descriptor from 3 on"),
         ("1", "no descriptor from 3 on"),
         ("-7", "no descriptor from 3 on"),
@@ -245,7 +270,7 @@
         let error = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(1), "{value}: {error}");
         assert!(
-            error.starts_with("molelug: ") && error.contains(why),
+            error.starts_with("molelug: ") && error.contains(reason),
             "{value}: {error}"
         );
     }
--- a/tests/webhooks.rs
+++ b/tests/webhooks.rs
@@ -1,5 +1,5 @@
-//! The second front's whole path on loopback: signed calls in, workers that die and fall silent, a portal that
-//! counts what it gets.
+//! The webhook front end to end on loopback: signed calls, workers that die or stop replying, and a
+//! portal that records its callbacks.
 
 mod common;
 
@@ -39,17 +39,18 @@
         .into_bytes()
 }
 
-/// Sends a call; returns the status.
+/// Sends a call and returns the status.
 fn call(g: &Gateway, key: &[u8], id: &str, stamp: u64, body: &[u8]) -> u16 {
     let signed = signature(key, id, &stamp.to_string(), body);
     let head = format!(
         "POST /webhooks/clinic HTTP/1.1\r\nwebhook-id: {id}\r\nwebhook-timestamp: {stamp}\r\n\
          webhook-signature: v1,bm90IHRoaXM= {signed}"
     );
-    http(g.webhooks.expect("webhooks are on"), &head, body).0
+    http(g.webhooks.expect("webhooks are enabled"), &head, body).0
 }
 
-/// A gateway that is past its first second: without a file it takes nothing signed in or before that.
+/// Starts a gateway and waits past its first second: without a replay file it rejects calls signed
+/// in or before that second.
 fn start(workers: &[Worker], portal: SocketAddr) -> Gateway {
     let g = Gateway::start(
         &settings(900.0),
@@ -58,7 +59,7 @@
         Some(&operator(portal)),
     );
     let first = now_s();
-    until("its first second is over", || now_s() > first);
+    until("the first second has passed", || now_s() > first);
     g
 }
 
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn one_callback_each_while_workers_die_and_fall_silent() {
+fn each_call_gets_one_callback_despite_worker_failures() {
     let workers: Vec<Worker> = (0..5).map(|_| Worker::start()).collect();
     let portal = Portal::start(KEY);
     let g = start(&workers, portal.address);
@@ -100,19 +101,15 @@
     let seen = portal.by_call();
     assert!(
         seen.keys().eq(sent.keys()),
-        "no callback for what was not called"
+        "every callback belongs to a call"
     );
     for (id, deliveries) in &seen {
         assert_eq!(deliveries.len(), 1, "{id}: {deliveries:?}");
         assert!(deliveries[0].signed, "{id}");
     }
     let ids: BTreeSet<_> = seen.values().flatten().map(|d| d.id.clone()).collect();
-    assert_eq!(
-        ids.len(),
-        sent.len(),
-        "each callback has an identity of its own"
-    );
-    // No booking reached a worker twice, whatever became of the first.
+    assert_eq!(ids.len(), sent.len(), "each callback has a distinct ID");
+    // No booking reached a worker twice, whatever the outcome of its first attempt.
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for (id, fields) in workers.iter().flat_map(|w| w.gos.lock().unwrap().clone()) {
         *runs.entry(id).or_default() += usize::from(fields.contains("confirmar-traslado"));
@@ -131,7 +128,7 @@
 }
 
 #[test]
-fn a_callback_cut_off_mid_delivery_follows_its_class() {
+fn interrupted_callback_is_retried_by_class() {
     let workers = [Worker::start()];
     let portal = Portal::start(KEY);
     let g = start(&workers, portal.address);
@@ -140,8 +137,8 @@
         call(&g, KEY, "booking", now_s(), &event("confirmar-traslado", 1)),
         202
     );
-    until("the portal has seen it", || portal.count() == 1);
-    until("and dropped it", || {
+    until("the portal has received it", || portal.count() == 1);
+    until("the portal has dropped the connection", || {
         portal.drops.load(Ordering::SeqCst) == 0
     });
     portal.drops.store(1, Ordering::SeqCst);
@@ -160,7 +157,7 @@
     assert_eq!(seen["question"].len(), 2);
     assert_eq!(
         seen["question"][0].id, seen["question"][1].id,
-        "by which the portal can tell"
+        "the ID lets the portal detect the duplicate"
     );
     assert_eq!(
         (
@@ -172,9 +169,9 @@
 }
 
 #[test]
-fn a_portal_that_was_down_gets_its_one_callback_later() {
+fn recovered_portal_gets_one_delayed_callback() {
     let workers = [Worker::start()];
-    // A port that was just in use and now refuses connections.
+    // A port that has just been closed and refuses connections.
     let closed = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
@@ -183,12 +180,14 @@
         call(&g, KEY, "booking", now_s(), &event("confirmar-traslado", 1)),
         202
     );
-    until("it has run", || workers[0].gos.lock().unwrap().len() == 1);
+    until("the call has run", || {
+        workers[0].gos.lock().unwrap().len() == 1
+    });
     let portal = Portal::on(
         TcpListener::bind(address).expect("the port is still free"),
         KEY,
     );
-    until("the callback comes", || portal.count() == 1);
+    until("the callback is delivered", || portal.count() == 1);
     let counters = g.stop();
     assert_eq!(
         (portal.count(), &counters["callbacks_delivered"]),
@@ -198,7 +197,7 @@
 }
 
 #[test]
-fn what_is_forged_stale_or_replayed_never_reaches_the_module() {
+fn forged_stale_and_replayed_calls_are_rejected() {
     let workers = [Worker::start()];
     let portal = Portal::start(KEY);
     let g = start(&workers, portal.address);
@@ -221,7 +220,7 @@
     assert_eq!(
         call(&g, KEY, "a", at + 1, &body),
         409,
-        "signed anew, the same call"
+        "the same call with a new signature"
     );
     let to = g.webhooks.unwrap();
     let (id, stamp) = ("b", now_s().to_string());
@@ -231,8 +230,12 @@
     assert_eq!(http(to, &unsigned, &body).0, 401);
     let elsewhere =
         unsigned.replace("clinic", "nobody") + &format!("\r\nwebhook-signature: {signed}");
-    assert_eq!(http(to, &elsewhere, &body).0, 401, "another tenant's path");
-    until("the callback comes", || portal.count() == 1);
+    assert_eq!(
+        http(to, &elsewhere, &body).0,
+        401,
+        "the path of another tenant"
+    );
+    until("the callback is delivered", || portal.count() == 1);
     let counters = g.stop();
     assert_eq!(
         (&counters["taken"], &counters["webhooks_taken"]),
@@ -245,9 +248,10 @@
     );
 }
 
-/// Guards a restart: what was taken before it is known after it, and without a file nothing signed before is taken.
+/// Guards a restart: the replay file identifies calls accepted before it; without a file, calls
+/// signed before the start are rejected.
 #[test]
-fn a_call_taken_before_a_restart_is_not_taken_again() {
+fn call_accepted_before_restart_is_rejected_as_replay() {
     let workers = [Worker::start()];
     let portal = Portal::start(KEY);
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
@@ -256,18 +260,22 @@
         "[webhooks]\nreplay_file = {:?}\n",
         file.display().to_string()
     );
-    let kept = operator(portal.address).replace("[webhooks]\n", &line);
-    let begin = |operator: &str| {
+    let with_replay_file = operator(portal.address).replace("[webhooks]\n", &line);
+    let start_with = |operator: &str| {
         Gateway::start(&settings(900.0), &endpoints(&workers), None, Some(operator))
     };
     let (body, at) = (event("confirmar-traslado", 1), now_s());
-    let g = begin(&kept);
+    let g = start_with(&with_replay_file);
     assert_eq!(call(&g, KEY, "a", at, &body), 202);
-    until("the callback comes", || portal.count() == 1);
+    until("the callback is delivered", || portal.count() == 1);
     g.stop();
-    let g = begin(&kept);
+    let g = start_with(&with_replay_file);
     assert_eq!(call(&g, KEY, "a", at, &body), 409, "the same bytes");
-    assert_eq!(call(&g, KEY, "a", now_s(), &body), 409, "signed anew");
+    assert_eq!(
+        call(&g, KEY, "a", now_s(), &body),
+        409,
+        "with a new signature"
+    );
     g.stop();
     let g = start(&workers, portal.address);
     assert_eq!(
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -1,8 +1,9 @@
-//! What goes over the wire and what is hashed or signed, compared to the byte with recorded files.
+//! Compares messages on the wire, hashes and signatures byte by byte with recorded files.
 //!
-//! The files are in `tests/fixtures/wire`: one line a value, its name and its bytes in hex. A renaming must leave them as
-//! they are. Where a format is changed on purpose, `UPDATE_FIXTURES=1 cargo test --test wire_formats` writes them anew;
-//! a change of bytes breaks gateways of different versions in one fleet unless the version of the wire changes with it.
+//! The files are in `tests/fixtures/wire`, one line per value: its name and its bytes in hex.
+//! Renaming code must not change them. After an intended change of a format, `UPDATE_FIXTURES=1
+//! cargo test --test wire_formats` rewrites them. Changed bytes break fleets with gateways of
+//! different versions unless the version of the wire format changes too.
 
 #[path = "wire_formats/council.rs"]
 mod consensus;
@@ -24,7 +25,7 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use molelug::membership::keys::Keys;
 
-/// The two gateways of all fixtures.
+/// The names of the two gateways in all fixtures.
 const ALPHA: &str = "alpha";
 const BETA: &str = "beta";
 
@@ -32,12 +33,12 @@
     BASE64_STANDARD.encode([byte; 32])
 }
 
-/// Keys that all gateways share; their seals are keyed hashes.
+/// Keys shared by all gateways; their seals are keyed hashes.
 fn shared_keys() -> Keys {
     Keys::shared(&[encoded_key(7)]).expect("a key of 32 bytes")
 }
 
-/// Keys of which each gateway has its own; their seals are Ed25519 signatures, which are deterministic.
+/// A key pair per gateway; the seals are Ed25519 signatures, which are deterministic.
 fn own_keys(name: &str) -> Keys {
     let private = BTreeMap::from([(ALPHA, encoded_key(1)), (BETA, encoded_key(2))]);
     let public = |key: &String| vec![Keys::public(key).expect("a key of 32 bytes")];
--- a/tests/wire_formats/board.rs
+++ b/tests/wire_formats/board.rs
@@ -1,4 +1,5 @@
-//! What is asked of the notice board and read from it. The events are written by hand, not by `UPDATE_FIXTURES`.
+//! The request to the notice board (service discovery) and the events read from it. The event files
+//! are written by hand; `UPDATE_FIXTURES` does not rewrite them.
 
 use molelug::api::{CellId, WorkerId, WorkerStatus, ZoneId};
 use molelug::discovery::{
@@ -20,20 +21,22 @@
     }
 }
 
-/// The events of a board that sends one text as one event.
+/// Parses the stream of a board that sends `json` as a single event.
 fn events(id: u64, json: &str) -> Vec<ServerSentEvent> {
     let data: String = json.lines().map(|line| format!("data: {line}\n")).collect();
     let stream = format!(
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\nid: {id}\n{data}\n"
     );
-    let (mut feed, mut input, mut events) = (WatchStream::default(), Buffer::default(), Vec::new());
+    let (mut watch, mut input, mut events) =
+        (WatchStream::default(), Buffer::default(), Vec::new());
     input.append(stream.as_bytes());
-    feed.read_events(&mut input, &mut events)
+    watch
+        .read_events(&mut input, &mut events)
         .expect("the stream can be read");
     events
 }
 
-fn notice(id: u64, json: &str) -> WatchEvent {
+fn watch_event(id: u64, json: &str) -> WatchEvent {
     let events = events(id, json);
     assert_eq!((events.len(), events[0].id), (1, Some(id)));
     WatchEvent::parse(&events[0].data, &names()).expect("the notice can be read")
@@ -71,7 +74,7 @@
             },
         ],
     };
-    assert_eq!(notice(41, SNAPSHOT), expected);
+    assert_eq!(watch_event(41, SNAPSHOT), expected);
 }
 
 #[test]
@@ -89,24 +92,24 @@
             started_at: None,
         }],
     };
-    assert_eq!(notice(42, DELTA), expected);
+    assert_eq!(watch_event(42, DELTA), expected);
 }
 
 #[test]
-fn workers_keep_numbers_made_of_names() {
-    let mut roster = EndpointList::default();
+fn worker_ids_derive_from_names() {
+    let mut endpoint_list = EndpointList::default();
     let AppliedUpdate {
         workers,
         address_changes,
-    } = roster.apply(&notice(41, SNAPSHOT));
-    let numbers: Vec<WorkerId> = workers.iter().map(|entry| entry.worker).collect();
-    assert_eq!(numbers[0], WorkerId(0x00c4_1f7a));
-    assert_eq!((numbers.len(), address_changes.len()), (2, 0));
-    let number = format!("plain {:08x}", numbers[1].0);
+    } = endpoint_list.apply(&watch_event(41, SNAPSHOT));
+    let worker_ids: Vec<WorkerId> = workers.iter().map(|entry| entry.worker).collect();
+    assert_eq!(worker_ids[0], WorkerId(0x00c4_1f7a));
+    assert_eq!((worker_ids.len(), address_changes.len()), (2, 0));
+    let number = format!("plain {:08x}", worker_ids[1].0);
     check_lines("wire/worker_numbers.txt", &[number]);
     assert_eq!(
-        roster.apply(&notice(42, DELTA)).address_changes,
+        endpoint_list.apply(&watch_event(42, DELTA)).address_changes,
         [WorkerId(0x00c4_1f7a)],
-        "it has another address"
+        "the update changes the address"
     );
 }
