--- a/tests/wire_formats/council.rs
+++ b/tests/wire_formats/council.rs
@@ -1,4 +1,5 @@
-//! Frames between gateways, and what the agreed log and the reports of duties carry inside of them.
+//! Consensus frames between gateways, and their contents: log entries, snapshots, lease reports and
+//! replication messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Debug;
@@ -10,7 +11,7 @@
     challenge, Body, ForwardedEffects, LeaseEffect, LeaseReport, Poll, Session,
 };
 use molelug::lease::renewal::{RenewReply, RenewRequest};
-use molelug::lease::table::{Entry as DutyEntry, LeaseTable};
+use molelug::lease::table::{Entry as LeaseEntry, LeaseTable};
 use molelug::lease::LeaseHolder;
 use molelug::load_coordination::LoadMessage;
 use molelug::replication::error::{Declined, ReplicationError};
@@ -34,7 +35,7 @@
 use crate::hex::hex_line;
 use crate::{own_keys, shared_keys, ALPHA, BETA};
 
-fn owner(name: &str) -> LeaseHolder {
+fn holder(name: &str) -> LeaseHolder {
     LeaseHolder {
         name: name.into(),
         incarnation: 0x0102_0304,
@@ -50,7 +51,7 @@
     }
 }
 
-fn place() -> LogPosition {
+fn log_position() -> LogPosition {
     let mut chain = [0; 32];
     chain
         .iter_mut()
@@ -108,7 +109,7 @@
     }
 }
 
-fn set_move(joins: Option<(Arc<str>, u64)>) -> SetEntry {
+fn change_members(joins: Option<(Arc<str>, u64)>) -> SetEntry {
     SetEntry::ChangeMembers(MembershipChange {
         shard: 9,
         previous_epoch: 4,
@@ -120,10 +121,10 @@
     })
 }
 
-fn grant(duty: &str, term: u64) -> DutyEntry {
-    DutyEntry::Grant {
-        lease: duty.into(),
-        holder: owner(ALPHA),
+fn grant(lease: &str, term: u64) -> LeaseEntry {
+    LeaseEntry::Grant {
+        lease: lease.into(),
+        holder: holder(ALPHA),
         term,
     }
 }
@@ -134,7 +135,7 @@
         ("duty-grant", Entry::Lease(grant("trials", 1))),
         (
             "duty-given-back",
-            Entry::Lease(DutyEntry::Released {
+            Entry::Lease(LeaseEntry::Released {
                 lease: "trials".into(),
                 term: 1,
             }),
@@ -158,10 +159,10 @@
                 members: names(&[ALPHA, BETA, "gamma"]),
             }),
         ),
-        ("sets-move", Entry::ReplicaSets(set_move(None))),
+        ("sets-move", Entry::ReplicaSets(change_members(None))),
         (
             "sets-move-joins",
-            Entry::ReplicaSets(set_move(Some((BETA.into(), 0xd15c)))),
+            Entry::ReplicaSets(change_members(Some((BETA.into(), 0xd15c)))),
         ),
         ("tenants-change", Entry::Tenants(Box::new(tenant_change()))),
         (
@@ -172,10 +173,10 @@
 }
 
 fn state() -> State {
-    let mut ledger = LeaseTable::default();
-    assert!(ledger.apply(&grant("loads-0", 1)));
-    assert!(ledger.apply(&grant("trials", 1)));
-    assert!(ledger.apply(&DutyEntry::Released {
+    let mut lease_table = LeaseTable::default();
+    assert!(lease_table.apply(&grant("loads-0", 1)));
+    assert!(lease_table.apply(&grant("trials", 1)));
+    assert!(lease_table.apply(&LeaseEntry::Released {
         lease: "trials".into(),
         term: 1
     }));
@@ -225,7 +226,7 @@
         generation: 2,
         applied: 41,
         voters: voters(),
-        leases: ledger,
+        leases: lease_table,
         replica_sets: sets,
         tenants,
     }
@@ -246,7 +247,7 @@
     entry.set_entry_type(EntryType::EntryNormal);
     entry.set_term(9);
     entry.set_index(1234);
-    entry.set_data(packed(&Entry::Lease(grant("trials", 1))).into());
+    entry.set_data(encoded(&Entry::Lease(grant("trials", 1))).into());
     let mut message = RaftMessage::default();
     message.set_msg_type(MessageType::MsgAppend);
     message.set_from(11);
@@ -258,10 +259,10 @@
     message.set_entries(vec![entry].into());
     message
         .write_to_bytes()
-        .expect("a message of raft's can be written")
+        .expect("the Raft message can be encoded")
 }
 
-fn refusals() -> Vec<(&'static str, ReplicationError)> {
+fn replication_errors() -> Vec<(&'static str, ReplicationError)> {
     vec![
         (
             "not-primary",
@@ -327,7 +328,7 @@
             ReplicationBody::Position {
                 shard: 9,
                 epoch: 5,
-                position: place(),
+                position: log_position(),
                 process: 77,
             },
         ),
@@ -336,7 +337,7 @@
             ReplicationBody::Record(RecordMessage {
                 shard: 9,
                 epoch: 5,
-                before: place(),
+                before: log_position(),
                 bytes: b"a record".to_vec(),
             }),
         ),
@@ -354,7 +355,7 @@
             ReplicationBody::SnapshotPart(SnapshotPartMessage {
                 shard: 9,
                 epoch: 5,
-                position: place(),
+                position: log_position(),
                 part: 2,
                 is_last: true,
                 bytes: b"a part".to_vec(),
@@ -413,7 +414,7 @@
             ReplicationBody::Reply(15, RequestOutcome::Rejected(refusal)),
         )
     };
-    bodies.extend(refusals().into_iter().map(refused));
+    bodies.extend(replication_errors().into_iter().map(refused));
     bodies
 }
 
@@ -453,14 +454,14 @@
 /// The requests for leases and their replies.
 fn renewal_bodies() -> Vec<(String, Body)> {
     let ask = RenewRequest {
-        from: owner(BETA),
+        from: holder(BETA),
         sequence: 99,
         eligible: true,
         held: vec![("loads-0".into(), 3)],
         released: vec![("trials".into(), 1)],
     };
     let answer = RenewReply {
-        to: owner(BETA),
+        to: holder(BETA),
         sequence: 99,
         renewed: vec![("loads-0".into(), 3)],
         recalled: vec![("trials".into(), 1)],
@@ -506,7 +507,7 @@
     ]
 }
 
-/// One body of each kind, and of each kind of what it carries.
+/// A body of each kind, and of each kind of content.
 fn bodies() -> Vec<(String, Body)> {
     let report = LeaseReport {
         lease: "trials".into(),
@@ -522,7 +523,7 @@
         ("report-through-voter".into(), Body::Report(report, true)),
         (
             "brought-sets".into(),
-            Body::Submit(SubsystemEntry::ReplicaSets(set_move(None)), false),
+            Body::Submit(SubsystemEntry::ReplicaSets(change_members(None)), false),
         ),
         (
             "brought-tenants".into(),
@@ -534,22 +535,22 @@
     bodies
 }
 
-fn packed(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_stdvec(value).expect("a value of fixed content can be packed")
+fn encoded(value: &impl Serialize) -> Vec<u8> {
+    postcard::to_stdvec(value).expect("the value can be encoded")
 }
 
-/// Packs each value, compares it with its recorded bytes and reads it back.
-fn check_packed<T>(file: &str, values: &[(String, T)])
+/// Encodes each value, compares it with its recorded bytes and decodes it again.
+fn check_encoded<T>(file: &str, values: &[(String, T)])
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
     let lines: Vec<String> = values
         .iter()
-        .map(|(name, value)| hex_line(name, &packed(value)))
+        .map(|(name, value)| hex_line(name, &encoded(value)))
         .collect();
     check_lines(file, &lines);
     for (name, value) in values {
-        let read: T = postcard::from_bytes(&packed(value)).expect("recorded bytes can be read");
+        let read: T = postcard::from_bytes(&encoded(value)).expect("recorded bytes can be read");
         assert_eq!(read, *value, "{name}");
     }
 }
@@ -561,38 +562,38 @@
         .collect()
 }
 
-/// Two ends of one connection, `alpha` the one that connects.
+/// Both ends of a connection that `alpha` opens to `beta`.
 fn open_sessions() -> (Session, Session) {
     let accepted = challenge(BETA, 0x0b0b, 5);
     let mut connector = Session::connector(ALPHA, BETA, challenge(ALPHA, 0x0a0a, 4));
     let taken = connector
         .read_frame(&shared_keys(), &accepted)
-        .expect("a word is taken");
+        .expect("the challenge is accepted");
     assert_eq!(taken, Some((accepted.len(), None)));
     (connector, Session::acceptor(BETA, accepted))
 }
 
 #[test]
-fn council_bodies_match_their_recorded_bytes() {
-    check_packed("wire/council_bodies.txt", &bodies());
+fn consensus_bodies_match_their_recorded_bytes() {
+    check_encoded("wire/council_bodies.txt", &bodies());
 }
 
 #[test]
 fn log_entries_match_their_recorded_bytes() {
-    check_packed("wire/log_entries.txt", &named(entries()));
+    check_encoded("wire/log_entries.txt", &named(entries()));
 }
 
 #[test]
 fn state_snapshot_matches_its_recorded_bytes() {
-    check_packed("wire/state_snapshot.txt", &[("state".to_owned(), state())]);
+    check_encoded("wire/state_snapshot.txt", &[("state".to_owned(), state())]);
     assert_eq!(
-        State::decode(&packed(&state())).expect("a snapshot can be read"),
+        State::decode(&encoded(&state())).expect("a snapshot can be read"),
         state()
     );
 }
 
 #[test]
-fn load_duty_words_match_their_recorded_bytes() {
+fn load_coordination_messages_match_their_recorded_bytes() {
     let words = vec![
         ("wants", LoadMessage::Request(7, 0x0123_4567_89ab_cdef)),
         ("ended", LoadMessage::Ended(7, 0x0123_4567_89ab_cdef, 2)),
@@ -602,7 +603,7 @@
         ),
         ("stands", LoadMessage::Resident(7, 0x0123_4567_89ab_cdef, 3)),
     ];
-    check_packed("wire/load_duty_words.txt", &named(words));
+    check_encoded("wire/load_duty_words.txt", &named(words));
 }
 
 #[test]
--- a/tests/wire_formats/digests.rs
+++ b/tests/wire_formats/digests.rs
@@ -1,4 +1,5 @@
-//! Digests and signatures of fixed inputs: a changed context string or order of parts shows here.
+//! Digests and signatures of fixed inputs. They change with a context string or the order of the
+//! hashed parts.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use molelug::consensus::bootstrap_replica_id;
@@ -41,7 +42,7 @@
 
 #[test]
 fn digests_match_their_recorded_bytes() {
-    let place = LogPosition::default()
+    let log_position = LogPosition::default()
         .advance(b"first record")
         .advance(b"second record");
     let identity = mark("acme", MESSAGE_ID);
@@ -51,10 +52,10 @@
             "founder-seat",
             &bootstrap_replica_id(3, "alpha").to_le_bytes(),
         ),
-        hex_line("record-chain", &place.chain),
+        hex_line("record-chain", &log_position.chain),
         hex_line("call-identity", &identity),
         hex_line("tenant-digest", &digest(b"kept tenant").to_le_bytes()),
-        format!("record-number {}", place.number),
+        format!("record-number {}", log_position.number),
         format!("identity-shard {}", shard_of(&identity, 64)),
     ];
     check_lines("wire/digests.txt", &lines);
@@ -66,7 +67,7 @@
     let line = |shard: u16| {
         let order = replica_order(shard, &hosts);
         let have = [order[0].clone(), order[1].clone()].into();
-        let next = next_replica(shard, &hosts, &have, |_| true).expect("five are left");
+        let next = next_replica(shard, &hosts, &have, |_| true).expect("five hosts remain");
         format!("{shard} {} next={next}", order.join(" "))
     };
     let lines: Vec<String> = (1..=16).chain([1024]).map(line).collect();
--- a/tests/wire_formats/membership.rs
+++ b/tests/wire_formats/membership.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the membership, sealed in both modes of keys.
+//! Membership datagrams, sealed with shared keys and with a key pair per gateway.
 
 use molelug::api::{Micros, WorkerId};
 use molelug::membership::keys::Keys;
@@ -12,7 +12,7 @@
 use crate::hex::hex_line;
 use crate::{own_keys, shared_keys, ALPHA, BETA};
 
-/// When all datagrams are sent.
+/// The time at which all datagrams are sent.
 const NOW: Micros = 1_700_000_000_000_000;
 
 fn says() -> Vec<(&'static str, Say)> {
--- a/tests/wire_formats/worker.rs
+++ b/tests/wire_formats/worker.rs
@@ -1,4 +1,4 @@
-//! Commands written for workers, and the answers that are read from them.
+//! Commands to workers, and their replies.
 
 use std::rc::Rc;
 
@@ -16,14 +16,15 @@
 
 const IDENTITY: &str = "9b1f03aa5c7e2d41";
 const FUNCTION: FunctionId = FunctionId(0x00ab_cdef_0123_4567);
-/// Keys of a slot map as numbers.
+/// Slot map keys in their integer form.
 const ATTEMPT: u64 = 0x1_0000_0002;
 const ORDER: u64 = 0x3_0000_0007;
-const PROBE: u64 = 0x5_0000_0009;
+const HEALTH_CHECK: u64 = 0x5_0000_0009;
 
-/// A link with a call, an order and a probe out, and the bytes of each.
-fn busy_link() -> (WorkerConnection, Vec<(&'static str, Vec<u8>)>) {
-    let mut link = WorkerConnection::new(WorkerId(1), 0);
+/// Opens a connection with an attempt, a load order and a health check in flight. Returns it with
+/// the bytes of each command.
+fn busy_connection() -> (WorkerConnection, Vec<(&'static str, Vec<u8>)>) {
+    let mut connection = WorkerConnection::new(WorkerId(1), 0);
     let mut outbox = Outbox::default();
     let go = AttemptCommand {
         attempt: AttemptKey::from(KeyData::from_ffi(ATTEMPT)),
@@ -34,21 +35,24 @@
         body: b"{\"amount\":12}\r\n\x00\xff",
         run_at_most_once: true,
     };
-    link.send_attempt(&mut outbox, go);
+    connection.send_attempt(&mut outbox, go);
     let call = outbox.drain();
-    link.send_load(
+    connection.send_load(
         &mut outbox,
         LoadOrderKey::from(KeyData::from_ffi(ORDER)),
         FUNCTION,
         2,
     );
     let load = outbox.drain();
-    link.send_health_check(&mut outbox, HealthCheckKey::from(KeyData::from_ffi(PROBE)));
+    connection.send_health_check(
+        &mut outbox,
+        HealthCheckKey::from(KeyData::from_ffi(HEALTH_CHECK)),
+    );
     let probe = outbox.drain();
-    link.send_unload(&mut outbox, FUNCTION);
+    connection.send_unload(&mut outbox, FUNCTION);
     let unload = outbox.drain();
     (
-        link,
+        connection,
         vec![
             ("call", call),
             ("load", load),
@@ -58,8 +62,8 @@
     )
 }
 
-/// Whole words of an array, read by the gateway's own reader.
-fn words(bytes: &[u8]) -> Vec<Vec<u8>> {
+/// Splits an array into its strings with the gateway's parser.
+fn strings(bytes: &[u8]) -> Vec<Vec<u8>> {
     let array = parse_array(bytes)
         .expect("it can be read")
         .expect("it is whole");
@@ -67,27 +71,27 @@
     array.strings.into_iter().map(<[u8]>::to_vec).collect()
 }
 
-fn answered(link: &mut WorkerConnection, answer: &[&[u8]]) -> Completed {
+fn read_reply(connection: &mut WorkerConnection, answer: &[&[u8]]) -> Completed {
     let (mut input, mut done) = (Buffer::default(), Vec::new());
     input.append(&encode_array(answer));
-    assert_eq!(link.read_replies(1, &mut input, &mut done), Ok(0));
+    assert_eq!(connection.read_replies(1, &mut input, &mut done), Ok(0));
     done.pop().expect("it matches something open")
 }
 
 #[test]
 fn worker_commands_match_their_recorded_bytes() {
-    let (mut link, mut commands) = busy_link();
+    let (mut connection, mut commands) = busy_connection();
     let mut outbox = Outbox::default();
     let attempt = Exchange::Attempt(AttemptKey::from(KeyData::from_ffi(ATTEMPT)));
-    // Its bytes have left already, so that the worker is told.
+    // The bytes of the attempt have been sent, so the worker receives a cancel command.
     assert_eq!(
-        link.cancel(&mut outbox, attempt, 5, 100),
+        connection.cancel(&mut outbox, attempt, 5, 100),
         SendProgress::Started
     );
     commands.push(("cancel", outbox.drain()));
     for (name, bytes) in &commands {
         assert_eq!(
-            encode_array(&words(bytes).iter().map(Vec::as_slice).collect::<Vec<_>>()),
+            encode_array(&strings(bytes).iter().map(Vec::as_slice).collect::<Vec<_>>()),
             *bytes,
             "{name}"
         );
@@ -100,10 +104,10 @@
 }
 
 #[test]
-fn worker_command_words_stay_as_written() {
-    let (_, commands) = busy_link();
+fn worker_commands_keep_their_strings() {
+    let (_, commands) = busy_connection();
     let text = |bytes: &Vec<u8>| {
-        let words = words(bytes);
+        let words = strings(bytes);
         words
             .iter()
             .map(|w| String::from_utf8_lossy(w).into_owned())
@@ -127,10 +131,13 @@
 }
 
 #[test]
-fn served_answer_brings_every_field() {
-    let (mut link, _) = busy_link();
+fn served_reply_contains_every_field() {
+    let (mut connection, _) = busy_connection();
     let fields = b"remark=w,queue_fn=3,report=q:1.5;rif:2;busy:0.25;x0:0.5;x1:4";
-    let done = answered(&mut link, &[IDENTITY.as_bytes(), b"200", fields, b"body"]);
+    let done = read_reply(
+        &mut connection,
+        &[IDENTITY.as_bytes(), b"200", fields, b"body"],
+    );
     assert_eq!(
         done.exchange,
         Exchange::Attempt(AttemptKey::from(KeyData::from_ffi(ATTEMPT)))
@@ -155,7 +162,7 @@
 }
 
 #[test]
-fn answer_words_mean_fixed_endings() {
+fn reply_statuses_map_to_close_reasons() {
     let expected: [(&[u8], CloseReason); 5] = [
         (b"200", CloseReason::Served),
         (b"404", CloseReason::NotLoaded),
@@ -163,23 +170,26 @@
         (b"500", CloseReason::Failed),
         (b"504", CloseReason::Expired),
     ];
-    for (word, ending) in expected {
-        let (mut link, _) = busy_link();
+    for (word, reason) in expected {
+        let (mut connection, _) = busy_connection();
         assert_eq!(
-            answered(&mut link, &[IDENTITY.as_bytes(), word]).reason,
-            ending
+            read_reply(&mut connection, &[IDENTITY.as_bytes(), word]).reason,
+            reason
         );
         assert_eq!(
-            answered(&mut link, &[b"o300000007", word, b"copies=2"]).copies,
+            read_reply(&mut connection, &[b"o300000007", word, b"copies=2"]).copies,
             2
         );
     }
-    for (word, ending) in [
+    for (word, reason) in [
         (&b"alive"[..], CloseReason::Served),
         (b"dead", CloseReason::Failed),
     ] {
-        let (mut link, _) = busy_link();
-        assert_eq!(answered(&mut link, &[b"p500000009", word]).reason, ending);
+        let (mut connection, _) = busy_connection();
+        assert_eq!(
+            read_reply(&mut connection, &[b"p500000009", word]).reason,
+            reason
+        );
     }
     let remarks = [
         ("w", Some(CopyStart::Warm)),
@@ -189,12 +199,15 @@
         ("z", None),
     ];
     for (remark, warmth) in remarks {
-        let (mut link, _) = busy_link();
+        let (mut connection, _) = busy_connection();
         let fields = format!("remark={remark}");
         assert_eq!(
-            answered(&mut link, &[IDENTITY.as_bytes(), b"200", fields.as_bytes()])
-                .reply
-                .copy_start,
+            read_reply(
+                &mut connection,
+                &[IDENTITY.as_bytes(), b"200", fields.as_bytes()]
+            )
+            .reply
+            .copy_start,
             warmth
         );
     }
