--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -1,7 +1,9 @@
-//! The emulator: one seed, a virtual clock, a network with faults and workers, round the very values that the gateway runs:
-//! the core with the decision module, the council's member with its duties, and the duty `trials`.
+//! Deterministic emulator of a fleet. Runs the gateway's own state machines (core with decision
+//! module, consensus participant, health checker and load coordinator) on a virtual clock, with an
+//! emulated network with faults and emulated workers.
 //!
-//! The same scenario and seed give the same run. What each member notes is judged by the checker that judges real processes.
+//! The same scenario and seed give the same run. The histories of the gateways go through the same
+//! checker as those of real processes.
 
 mod plot;
 mod workers;
@@ -35,151 +37,153 @@
 use serde::{Deserialize, Serialize};
 
 use crate::history::{self, Line};
-use workers::{Met, Worker};
+use workers::{CallOutcome, Worker};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
-/// What is played.
+/// A scenario, read from a TOML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Gateways.
+    /// Number of gateways.
     pub instances: usize,
-    /// How many of them vote.
+    /// Number of voters among the gateways.
     pub voters: usize,
-    /// How long, virtual seconds.
+    /// Duration in virtual seconds.
     pub seconds: f64,
-    /// Whether there is a council at all.
-    #[serde(default = "yes")]
+    /// Whether the gateways form a consensus group.
+    #[serde(default = "default_true")]
     pub council: bool,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Functions that are called.
+    /// Number of functions that are called.
     pub functions: u64,
-    /// Calls a second, of all gateways together.
+    /// Calls per second over all gateways.
     pub calls_per_s: f64,
-    /// The lease, milliseconds.
-    #[serde(default = "lease")]
+    /// Duration of a lease in milliseconds.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// The voters' tick, milliseconds.
-    #[serde(default = "tick")]
+    /// Tick of the voters in milliseconds.
+    #[serde(default = "default_tick_ms")]
     pub tick_ms: u64,
-    /// Shards of the duty `loads`; 0 for none.
+    /// Number of load coordination shards; 0 disables load coordination.
     #[serde(default)]
     pub shards: usize,
-    /// What the network does.
+    /// Faults of the network.
     #[serde(default)]
     pub network: Network,
-    /// What happens when.
+    /// Scheduled events.
     #[serde(default)]
     pub at: Vec<At>,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-fn lease() -> u64 {
+fn default_lease_ms() -> u64 {
     3_000
 }
 
-fn tick() -> u64 {
+fn default_tick_ms() -> u64 {
     50
 }
 
-/// What the network between gateways does.
+/// Faults of the network between gateways.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
-    /// A frame takes this long, milliseconds.
+    /// Delay of a frame in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
-    /// And up to this much longer.
+    /// Maximum random delay on top, in milliseconds.
     #[serde(default)]
     pub jitter_ms: u64,
-    /// Of a hundred frames, so many get lost.
+    /// Percentage of frames that are dropped.
     #[serde(default)]
     pub lost: u32,
-    /// Of a hundred, so many come twice.
+    /// Percentage of frames that are delivered twice.
     #[serde(default)]
     pub doubled: u32,
 }
 
-/// Something that happens.
+/// A scheduled event.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct At {
-    /// When, virtual seconds.
+    /// Time in virtual seconds.
     pub s: f64,
-    /// What.
+    /// Action.
     pub what: What,
-    /// To whom: `gw-3`, `worker-0`, `owner` (whoever owns the trials then), `leader`, or `all`.
+    /// Target: `gw-3`, `worker-0`, `owner` (the holder of the health check lease at that time),
+    /// `leader`, or `all`.
     pub who: String,
 }
 
-/// What can happen.
+/// Action of a scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
-    /// A worker answers nothing.
+    /// The worker stops answering.
     Silent,
-    /// It answers again.
+    /// The worker answers again.
     Well,
-    /// A gateway is stopped, and forgets nothing.
+    /// The gateway is suspended and keeps its memory.
     Stop,
-    /// It goes on.
+    /// The gateway resumes.
     Wake,
-    /// Its process ends at once; its disk keeps what was written.
+    /// The gateway's process ends at once; completed writes stay on its disk.
     Kill,
-    /// A new process begins on its disk.
+    /// A new process of the gateway starts on its disk.
     Start,
-    /// Nothing that it says leaves it.
+    /// The network drops all frames from the gateway.
     CutOut,
-    /// Nothing comes to it.
+    /// The network drops all frames to the gateway.
     CutIn,
-    /// Both end.
+    /// Ends `CutOut` and `CutIn`.
     Heal,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Ran {
     /// The seed.
     pub seed: u64,
-    /// Gateways.
+    /// Number of gateways.
     pub instances: usize,
-    /// Calls, and those served.
+    /// Number of calls.
     pub calls: u64,
-    /// Calls that were served.
+    /// Number of calls served.
     pub served: u64,
-    /// Attempts that went to a worker which answered nothing.
+    /// Attempts sent to a worker that did not answer.
     pub lost_attempts: u64,
-    /// Pings to workers.
+    /// Health checks sent to workers.
     pub pings: u64,
-    /// Orders to load, and copies fetched from the shared store.
+    /// Load orders sent to workers.
     pub orders: u64,
     /// Copies fetched from the shared store.
     pub fetches: u64,
-    /// Orders that were not given, as another's copy stood.
+    /// Load orders not sent, as a copy was already resident.
     pub spared: u64,
-    /// Frames between gateways.
+    /// Frames sent between gateways.
     pub frames: u64,
-    /// Bytes a second that a voter sent, on average, and the most of any.
+    /// Bytes per second sent by the voter that sent most.
     pub voter_bytes_per_s: f64,
-    /// Bytes a second that one which does not vote sent, the most of any.
+    /// Bytes per second sent by the non-voter that sent most.
     pub member_bytes_per_s: f64,
     /// Records written to all disks.
     pub writes: u64,
-    /// Terms of duties.
+    /// Number of lease terms.
     pub terms: usize,
-    /// Effects that others took, and refused.
+    /// Effects accepted.
     pub accepted: usize,
     /// Effects refused.
     pub refused: usize,
-    /// From each fault that took the owner away to the next owner's first effect, milliseconds.
+    /// Time from each fault that hit the lease holder to the first effect of the next holder, in
+    /// milliseconds.
     pub gaps_ms: Vec<f64>,
-    /// What is wrong with the history.
+    /// Violations found in the histories.
     pub wrong: Vec<String>,
 }
 
@@ -190,19 +194,19 @@
         body: Body,
     },
     Deadline(usize),
-    Kept {
+    Persisted {
         who: usize,
         process: u64,
         number: u64,
         record: Box<Record>,
     },
     Call(usize),
-    Back {
+    AttemptEnded {
         who: usize,
         process: u64,
         attempt: AttemptKey,
-        ending: CloseReason,
-        left: SendProgress,
+        reason: CloseReason,
+        progress: SendProgress,
     },
     Loaded {
         who: usize,
@@ -210,57 +214,57 @@
         order: LoadOrderKey,
         copies: u32,
     },
-    Pinged {
+    HealthChecked {
         who: usize,
         process: u64,
         probe: HealthCheckKey,
     },
-    At(usize),
-    Turn,
+    Scheduled(usize),
+    WorkerTick,
 }
 
 struct Instance {
     name: Arc<str>,
     core: Core<u64>,
-    member: Option<Participant>,
+    participant: Option<Participant>,
     health_checker: HealthChecker,
-    loads: Option<LoadCoordinator>,
+    coordinator: Option<LoadCoordinator>,
     orders: BTreeMap<u64, (LoadOrderKey, WorkerId, FunctionId, u8)>,
-    numbers: BTreeMap<LoadOrderKey, u64>,
-    given: BTreeSet<LoadOrderKey>,
+    order_numbers: BTreeMap<LoadOrderKey, u64>,
+    sent_orders: BTreeSet<LoadOrderKey>,
     process: u64,
-    up: bool,
-    stopped: bool,
+    running: bool,
+    suspended: bool,
     cut: (bool, bool),
-    /// What came while it was stopped.
-    waits: Vec<Event>,
-    probes: BTreeMap<HealthCheckKey, WorkerId>,
+    /// Events that arrived while the gateway was suspended.
+    deferred_events: Vec<Event>,
+    open_checks: BTreeMap<HealthCheckKey, WorkerId>,
     disk: PersistentState,
     votes: bool,
-    hung: Micros,
-    bytes: u64,
-    out: BTreeMap<AttemptKey, WorkerId>,
+    scheduled_deadline: Micros,
+    bytes_sent: u64,
+    open_attempts: BTreeMap<AttemptKey, WorkerId>,
     history: Vec<Line>,
 }
 
-struct World {
+struct Emulation {
     scenario: Scenario,
     now: Micros,
-    number: u64,
+    sequence: u64,
     random: ChaCha8Rng,
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: BTreeMap<usize, Event>,
     instances: Vec<Instance>,
     workers: Vec<Worker>,
-    ran: Ran,
-    processes: u64,
-    /// When the owner was taken away, and under which term it owned.
-    gone: Option<(Micros, u64)>,
-    /// Effects by the term: the first.
+    results: Ran,
+    last_process: u64,
+    /// Time of the fault that hit the lease holder, and the holder's term.
+    holder_lost: Option<(Micros, u64)>,
+    /// Time of the first effect of each term.
     first_effect: BTreeMap<u64, Micros>,
 }
 
-fn duties(shards: usize) -> BTreeSet<LeaseName> {
+fn lease_names(shards: usize) -> BTreeSet<LeaseName> {
     let shards =
         (0..shards).map(|n| format!("{}{n}", load_coordination::SHARD_LEASE_PREFIX).into());
     shards.chain([health_checks::LEASE_NAME.into()]).collect()
@@ -298,13 +302,14 @@
     }
 }
 
-/// The disk of a bootstrap voter.
+/// Returns the initial disk of a bootstrap voter.
 fn bootstrap_disk(name: &str, names: &[String]) -> Result<PersistentState> {
     let record = bootstrap(1, name, names, None).map_err(Error::other)?;
     Ok(initial_state(&record))
 }
 
-/// Decodes verdicts as the emulated gateways send them: the worker and 1 if it is unhealthy, four bytes each.
+/// Decodes verdicts as the emulated gateways send them: the worker, then 1 if the worker is
+/// unhealthy, four bytes each.
 fn decode_verdicts(content: &[u8]) -> Vec<Verdict> {
     let numbers: Vec<u32> = content
         .as_chunks::<4>()
@@ -322,7 +327,7 @@
 }
 
 impl Scenario {
-    /// Reads one; unknown keys are errors.
+    /// Reads a scenario file; unknown keys are errors.
     pub fn read(path: &Path) -> Result<Scenario> {
         let text = std::fs::read_to_string(path)?;
         let s: Scenario =
@@ -335,7 +340,7 @@
         Ok(s)
     }
 
-    /// The same with another number of gateways and the same calls of all together.
+    /// Returns the scenario with another number of gateways and the same total call rate.
     pub fn sized(&self, instances: usize) -> Scenario {
         Scenario {
             instances,
@@ -345,8 +350,8 @@
     }
 }
 
-impl World {
-    fn new(scenario: &Scenario, seed: u64) -> Result<World> {
+impl Emulation {
+    fn new(scenario: &Scenario, seed: u64) -> Result<Emulation> {
         let names: Vec<String> = (0..scenario.voters).map(|n| name(n).to_string()).collect();
         let mut instances = Vec::new();
         for n in 0..scenario.instances {
@@ -358,79 +363,79 @@
             instances.push(Instance {
                 name: name(n),
                 core: Core::new(settings(scenario.instances), seed ^ n as u64, 0),
-                member: None,
+                participant: None,
                 health_checker: HealthChecker::default(),
-                loads: None,
+                coordinator: None,
                 orders: BTreeMap::new(),
-                numbers: BTreeMap::new(),
-                given: BTreeSet::new(),
+                order_numbers: BTreeMap::new(),
+                sent_orders: BTreeSet::new(),
                 process: 0,
-                up: false,
-                stopped: false,
+                running: false,
+                suspended: false,
                 cut: (false, false),
-                waits: Vec::new(),
-                probes: BTreeMap::new(),
+                deferred_events: Vec::new(),
+                open_checks: BTreeMap::new(),
                 disk,
                 votes,
-                hung: Micros::MAX,
-                bytes: 0,
-                out: BTreeMap::new(),
+                scheduled_deadline: Micros::MAX,
+                bytes_sent: 0,
+                open_attempts: BTreeMap::new(),
                 history: Vec::new(),
             });
         }
-        let mut world = World {
+        let mut emulation = Emulation {
             now: SECOND,
-            number: 0,
+            sequence: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             instances,
             workers: (0..scenario.workers).map(|_| Worker::default()).collect(),
-            ran: Ran {
+            results: Ran {
                 seed,
                 instances: scenario.instances,
                 ..Ran::default()
             },
-            processes: 0,
-            gone: None,
+            last_process: 0,
+            holder_lost: None,
             first_effect: BTreeMap::new(),
             scenario: scenario.clone(),
         };
         for n in 0..scenario.instances {
-            world.start(n);
-            let first = world.below(world.pause());
-            world.post(world.now + first, Event::Call(n));
+            emulation.start(n);
+            let first = emulation.random_below(emulation.call_interval());
+            emulation.schedule(emulation.now + first, Event::Call(n));
         }
         for (i, at) in scenario.at.iter().enumerate() {
-            world.post(SECOND + (at.s * 1e6) as Micros, Event::At(i));
+            emulation.schedule(SECOND + (at.s * 1e6) as Micros, Event::Scheduled(i));
         }
-        world.post(world.now, Event::Turn);
-        Ok(world)
+        emulation.schedule(emulation.now, Event::WorkerTick);
+        Ok(emulation)
     }
 
-    fn pause(&self) -> Micros {
+    fn call_interval(&self) -> Micros {
         ((self.scenario.instances as f64 / self.scenario.calls_per_s) * 1e6).max(1.0) as Micros
     }
 
-    fn below(&mut self, n: Micros) -> Micros {
+    fn random_below(&mut self, n: Micros) -> Micros {
         self.random.next_u64() % n.max(1)
     }
 
-    fn post(&mut self, at: Micros, event: Event) {
-        self.number += 1;
-        let slot = self.number as usize;
-        self.queue.push(Reverse((at, self.number, slot)));
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.sequence += 1;
+        let slot = self.sequence as usize;
+        self.queue.push(Reverse((at, self.sequence, slot)));
         self.events.insert(slot, event);
     }
 
     fn start(&mut self, n: usize) {
-        self.processes += 1;
+        self.last_process += 1;
         let s = &self.scenario;
         let settings = participant::Settings {
             name: name(n),
-            process: self.processes,
+            process: self.last_process,
             contacts: (0..s.voters).map(name).collect(),
-            leases: duties(s.shards),
+            leases: lease_names(s.shards),
             lease: molelug::lease::Settings {
                 duration: s.lease_ms * MS,
                 drift_ppm: 1_000,
@@ -438,47 +443,47 @@
             voter: voter::Settings {
                 tick: s.tick_ms * MS,
             },
-            seed: self.ran.seed ^ ((n as u64) << 20),
+            seed: self.results.seed ^ ((n as u64) << 20),
             disabled_guards: DisabledGuards::default(),
         };
         let (now, council) = (self.now, s.council);
         let (count, all, shards) = (s.instances, s.workers, s.shards);
-        let seed = self.ran.seed ^ n as u64;
+        let seed = self.results.seed ^ n as u64;
         let i = &mut self.instances[n];
-        (i.process, i.up, i.stopped) = (self.processes, true, false);
+        (i.process, i.running, i.suspended) = (self.last_process, true, false);
         i.core = Core::new(self::settings(count), seed, now);
-        let member = |w: u32| ListedWorker(w).into();
+        let entry = |w: u32| ListedWorker(w).into();
         i.core.update_workers(
             now,
             ListUpdate::Snapshot,
-            (0..all as u32).map(member).collect(),
+            (0..all as u32).map(entry).collect(),
         );
         i.health_checker = HealthChecker::default();
         i.health_checker.handle(
             now,
             health_checks::Input::Ready((0..all as u32).map(WorkerId).collect()),
         );
-        i.loads = council
-            .then(|| LoadCoordinator::new(name(n), &duties(shards)))
+        i.coordinator = council
+            .then(|| LoadCoordinator::new(name(n), &lease_names(shards)))
             .flatten();
         i.orders.clear();
-        i.numbers.clear();
-        i.given.clear();
-        i.probes.clear();
-        i.out.clear();
-        let kept = i.votes.then(|| i.disk.clone());
-        i.member = council.then(|| Participant::new(settings, kept, now));
+        i.order_numbers.clear();
+        i.sent_orders.clear();
+        i.open_checks.clear();
+        i.open_attempts.clear();
+        let disk = i.votes.then(|| i.disk.clone());
+        i.participant = council.then(|| Participant::new(settings, disk, now));
         self.drive(n);
     }
 
-    /// Whoever owns the trials now, and under which term.
+    /// Returns the holder of the health check lease and the term.
     fn owner(&self) -> Option<(usize, u64)> {
-        let duty = health_checks::LEASE_NAME.into();
+        let lease = health_checks::LEASE_NAME.into();
         let of = |(n, i): (usize, &Instance)| {
-            i.member
+            i.participant
                 .as_ref()
-                .filter(|_| i.up && !i.stopped)
-                .and_then(|m| m.held_term(self.now, &duty))
+                .filter(|_| i.running && !i.suspended)
+                .and_then(|m| m.held_term(self.now, &lease))
                 .map(|t| (n, t))
         };
         self.instances
@@ -488,14 +493,14 @@
             .max_by_key(|(_, t)| *t)
     }
 
-    fn who(&self, who: &str) -> Vec<usize> {
+    fn targets(&self, who: &str) -> Vec<usize> {
         match who {
             "all" => (0..self.instances.len()).collect(),
             "owner" => self.owner().map(|(n, _)| n).into_iter().collect(),
             "leader" => {
                 let leads = |n: &usize| {
                     self.instances[*n]
-                        .member
+                        .participant
                         .as_ref()
                         .is_some_and(Participant::leads)
                 };
@@ -507,7 +512,7 @@
         }
     }
 
-    fn happen(&mut self, at: &At) {
+    fn apply_scheduled(&mut self, at: &At) {
         if let Some(w) = at
             .who
             .strip_prefix("worker-")
@@ -519,28 +524,30 @@
             return;
         }
         let owner = self.owner();
-        for n in self.who(&at.who) {
-            let takes = matches!(
+        for n in self.targets(&at.who) {
+            let is_fault = matches!(
                 at.what,
                 What::Stop | What::Kill | What::CutOut | What::CutIn
             );
-            if let Some((_, term)) = owner.filter(|(o, _)| *o == n && takes) {
-                self.gone = Some((self.now, term));
+            if let Some((_, term)) = owner.filter(|(o, _)| *o == n && is_fault) {
+                self.holder_lost = Some((self.now, term));
             }
             let i = &mut self.instances[n];
             match at.what {
-                What::Stop => i.stopped = true,
+                What::Stop => i.suspended = true,
                 What::Wake => {
-                    i.stopped = false;
-                    let waits = std::mem::take(&mut i.waits);
-                    waits.into_iter().for_each(|e| self.post(self.now, e));
-                    self.post(self.now, Event::Deadline(n));
+                    i.suspended = false;
+                    let deferred = std::mem::take(&mut i.deferred_events);
+                    deferred
+                        .into_iter()
+                        .for_each(|e| self.schedule(self.now, e));
+                    self.schedule(self.now, Event::Deadline(n));
                 }
                 What::Kill => {
-                    (i.up, i.member) = (false, None);
-                    i.waits.clear();
+                    (i.running, i.participant) = (false, None);
+                    i.deferred_events.clear();
                 }
-                What::Start if !i.up => self.start(n),
+                What::Start if !i.running => self.start(n),
                 What::CutOut => i.cut.0 = true,
                 What::CutIn => i.cut.1 = true,
                 What::Heal => i.cut = (false, false),
@@ -553,16 +560,16 @@
         let Some(to) = to.strip_prefix("gw-").and_then(|n| n.parse::<usize>().ok()) else {
             return;
         };
-        self.instances[from].bytes += wire::encoded_size(&name(from), &name(to), &body) as u64;
-        self.ran.frames += 1;
+        self.instances[from].bytes_sent += wire::encoded_size(&name(from), &name(to), &body) as u64;
+        self.results.frames += 1;
         let net = self.scenario.network;
         if self.instances[from].cut.0 || self.random.next_u32() % 100 < net.lost {
             return;
         }
         let times = 1 + usize::from(self.random.next_u32() % 100 < net.doubled);
         for _ in 0..times {
-            let at = self.now + net.delay_ms * MS + self.below(net.jitter_ms * MS + 1) + 50;
-            self.post(
+            let at = self.now + net.delay_ms * MS + self.random_below(net.jitter_ms * MS + 1) + 50;
+            self.schedule(
                 at,
                 Event::Frame {
                     to,
@@ -583,29 +590,29 @@
             let Some(event) = self.events.remove(&slot) else {
                 continue;
             };
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now;
         let who = match &event {
             Event::Frame { to, .. } => Some(*to),
             Event::Deadline(n) | Event::Call(n) => Some(*n),
-            Event::Back { who, .. } | Event::Loaded { who, .. } | Event::Pinged { who, .. } => {
-                Some(*who)
-            }
-            Event::Kept { .. } | Event::At(_) | Event::Turn => None,
+            Event::AttemptEnded { who, .. }
+            | Event::Loaded { who, .. }
+            | Event::HealthChecked { who, .. } => Some(*who),
+            Event::Persisted { .. } | Event::Scheduled(_) | Event::WorkerTick => None,
         };
-        if let Some(n) = who.filter(|n| self.instances[*n].stopped) {
-            // What comes waits in its sockets; its own deadlines are looked at when it wakes.
+        if let Some(n) = who.filter(|n| self.instances[*n].suspended) {
+            // Received data waits in the sockets; the gateway checks its deadlines when it resumes.
             match event {
                 Event::Deadline(_) => {}
                 Event::Call(_) => {
-                    let pause = self.pause();
-                    self.post(now + pause, event);
+                    let interval = self.call_interval();
+                    self.schedule(now + interval, event);
                 }
-                event => self.instances[n].waits.push(event),
+                event => self.instances[n].deferred_events.push(event),
             }
             return;
         }
@@ -616,72 +623,72 @@
                 if i.cut.1 {
                     return;
                 }
-                if let Some(m) = i.member.as_mut() {
+                if let Some(m) = i.participant.as_mut() {
                     m.handle(now, participant::Input::Frame(sender, body));
                 }
                 self.drive(to);
             }
             Event::Deadline(n) => {
                 let i = &mut self.instances[n];
-                if i.hung <= now {
-                    i.hung = Micros::MAX;
+                if i.scheduled_deadline <= now {
+                    i.scheduled_deadline = Micros::MAX;
                 }
-                if i.up {
+                if i.running {
                     i.core.tick(now, &mut Vec::new());
                     i.health_checker.handle(now, health_checks::Input::Tick);
-                    if let Some(l) = i.loads.as_mut() {
+                    if let Some(l) = i.coordinator.as_mut() {
                         l.handle(now, load_coordination::Input::Tick);
                     }
-                    if let Some(m) = i.member.as_mut() {
+                    if let Some(m) = i.participant.as_mut() {
                         m.handle(now, participant::Input::Tick);
                     }
                     self.drive(n);
                 }
             }
-            Event::Kept {
+            Event::Persisted {
                 who,
                 process,
                 number,
                 record,
             } => {
                 let i = &mut self.instances[who];
-                // A write that had begun when its process ended is there or not; here it is not.
-                if i.process != process || !i.up {
+                // A write in progress when the process ends is lost; a real disk may keep it.
+                if i.process != process || !i.running {
                     return;
                 }
                 i.disk.apply(&record);
-                self.ran.writes += 1;
-                if i.stopped {
-                    return i.waits.push(Event::Kept {
+                self.results.writes += 1;
+                if i.suspended {
+                    return i.deferred_events.push(Event::Persisted {
                         who,
                         process,
                         number,
                         record: Box::default(),
                     });
                 }
-                if let Some(m) = i.member.as_mut() {
+                if let Some(m) = i.participant.as_mut() {
                     m.handle(now, participant::Input::Persisted(number));
                 }
                 self.drive(who);
             }
             Event::Call(n) => {
-                let pause = self.pause();
-                let at = now + pause / 2 + self.below(pause);
-                self.post(at, Event::Call(n));
-                if self.instances[n].up {
+                let interval = self.call_interval();
+                let at = now + interval / 2 + self.random_below(interval);
+                self.schedule(at, Event::Call(n));
+                if self.instances[n].running {
                     self.call(n);
                     self.drive(n);
                 }
             }
-            Event::Back {
+            Event::AttemptEnded {
                 who,
                 process,
                 attempt,
-                ending,
-                left,
+                reason,
+                progress,
             } => {
-                if self.instances[who].process == process && self.instances[who].up {
-                    self.ended(who, attempt, ending, left);
+                if self.instances[who].process == process && self.instances[who].running {
+                    self.ended(who, attempt, reason, progress);
                     self.drive(who);
                 }
             }
@@ -692,12 +699,14 @@
                 copies,
             } => {
                 let i = &mut self.instances[who];
-                if i.process == process && i.up {
-                    if let (Some(l), Some(number)) = (i.loads.as_mut(), i.numbers.remove(&order)) {
+                if i.process == process && i.running {
+                    if let (Some(l), Some(number)) =
+                        (i.coordinator.as_mut(), i.order_numbers.remove(&order))
+                    {
                         i.orders.remove(&number);
                         l.handle(now, load_coordination::Input::Ended(number, copies));
                     }
-                    i.given.remove(&order);
+                    i.sent_orders.remove(&order);
                     i.core.load_ended(
                         now,
                         order,
@@ -708,14 +717,14 @@
                     self.drive(who);
                 }
             }
-            Event::Pinged {
+            Event::HealthChecked {
                 who,
                 process,
                 probe,
             } => {
                 let i = &mut self.instances[who];
-                if i.process == process && i.up {
-                    if let Some(w) = i.probes.remove(&probe) {
+                if i.process == process && i.running {
+                    if let Some(w) = i.open_checks.remove(&probe) {
                         i.health_checker.handle(
                             now,
                             health_checks::Input::ProbeEnded(w, ProbeResult::Answered),
@@ -726,24 +735,24 @@
                     self.drive(who);
                 }
             }
-            Event::At(at) => {
+            Event::Scheduled(at) => {
                 let at = self.scenario.at[at].clone();
-                self.happen(&at);
+                self.apply_scheduled(&at);
             }
-            Event::Turn => {
-                // Loads that are done; a load lasts a while.
-                self.workers.iter_mut().for_each(|w| w.settle(now));
-                self.post(now + 5 * MS, Event::Turn);
+            Event::WorkerTick => {
+                // Completes the loads that are due.
+                self.workers.iter_mut().for_each(|w| w.advance(now));
+                self.schedule(now + 5 * MS, Event::WorkerTick);
             }
         }
     }
 
     fn call(&mut self, n: usize) {
-        self.ran.calls += 1;
-        let id = self.ran.calls;
-        // A few functions are called often, most seldom.
+        self.results.calls += 1;
+        let id = self.results.calls;
+        // The distribution is skewed: functions with low numbers are called more often.
         let f = self
-            .below(self.scenario.functions * self.scenario.functions)
+            .random_below(self.scenario.functions * self.scenario.functions)
             .isqrt();
         let function = FunctionId(self.scenario.functions - 1 - f.min(self.scenario.functions - 1));
         let arrival = Arrival {
@@ -755,7 +764,7 @@
             expected_work: None,
             memory_mb: 1.0,
             concurrency_per_copy: 4,
-            load_duration: Some(workers::LOAD),
+            load_duration: Some(workers::LOAD_TIME),
         };
         let call = Call {
             origin: id,
@@ -766,58 +775,71 @@
         self.instances[n].core.submit(self.now, call);
     }
 
-    fn ended(&mut self, n: usize, attempt: AttemptKey, ending: CloseReason, left: SendProgress) {
+    fn ended(
+        &mut self,
+        n: usize,
+        attempt: AttemptKey,
+        reason: CloseReason,
+        progress: SendProgress,
+    ) {
         let now = self.now;
         let i = &mut self.instances[n];
-        if let Some(w) = i.out.remove(&attempt) {
-            if let Some(seen) = ending.observation(left) {
+        if let Some(w) = i.open_attempts.remove(&attempt) {
+            if let Some(seen) = reason.observation(progress) {
                 i.health_checker
                     .handle(now, health_checks::Input::Outcome(w, seen));
             }
         }
         i.core
-            .attempt_ended(now, attempt, ending, left, AttemptReply::default());
+            .attempt_ended(now, attempt, reason, progress, AttemptReply::default());
     }
 
-    /// Carries out all that an instance's values have to have done.
+    /// Performs all pending outputs of an instance's state machines and schedules its next
+    /// deadline.
     fn drive(&mut self, n: usize) {
         let now = self.now;
         loop {
             if let Some(command) = self.instances[n].core.next_command() {
                 self.perform(n, command);
             } else if let Some(output) = self.instances[n].health_checker.output() {
-                self.of_trials(n, output);
+                self.perform_health(n, output);
             } else if let Some(output) = self.instances[n]
-                .loads
+                .coordinator
                 .as_mut()
                 .and_then(LoadCoordinator::output)
             {
-                self.of_loads(n, output);
+                self.perform_coordination(n, output);
             } else if let Some(output) = self.instances[n]
-                .member
+                .participant
                 .as_mut()
                 .and_then(Participant::output)
             {
-                self.of_member(n, output);
+                self.perform_consensus(n, output);
             } else {
                 break;
             }
         }
         let i = &mut self.instances[n];
-        let member = i.member.as_ref().map(|m| m.next_deadline(now));
-        let loads = i.loads.as_ref().and_then(LoadCoordinator::next_deadline);
+        let participant = i.participant.as_ref().map(|m| m.next_deadline(now));
+        let loads = i
+            .coordinator
+            .as_ref()
+            .and_then(LoadCoordinator::next_deadline);
         let next = [
             i.core.next_deadline(),
             i.health_checker.next_deadline(),
             loads,
-            member,
+            participant,
         ]
         .into_iter()
         .flatten()
         .min();
-        if let Some(at) = next.map(|t| t.max(now + 1)).filter(|t| *t < i.hung) {
-            i.hung = at;
-            self.post(at, Event::Deadline(n));
+        if let Some(at) = next
+            .map(|t| t.max(now + 1))
+            .filter(|t| *t < i.scheduled_deadline)
+        {
+            i.scheduled_deadline = at;
+            self.schedule(at, Event::Deadline(n));
         }
     }
 
@@ -831,26 +853,26 @@
                 function,
                 ..
             }) => {
-                self.instances[n].out.insert(attempt, worker);
+                self.instances[n].open_attempts.insert(attempt, worker);
                 let Some(w) = self.workers.get_mut(worker.0 as usize) else {
                     return;
                 };
-                let (after, ending) = match w.meet(now, function) {
-                    Met::Silent => {
-                        self.ran.lost_attempts += 1;
+                let (delay, reason) = match w.call(now, function) {
+                    CallOutcome::Silent => {
+                        self.results.lost_attempts += 1;
                         return;
                     }
-                    Met::Missed => (MS, CloseReason::NotLoaded),
-                    Met::Runs(span) => (span, CloseReason::Served),
+                    CallOutcome::NotLoaded => (MS, CloseReason::NotLoaded),
+                    CallOutcome::Runs(duration) => (duration, CloseReason::Served),
                 };
-                self.post(
-                    now + after + MS,
-                    Event::Back {
+                self.schedule(
+                    now + delay + MS,
+                    Event::AttemptEnded {
                         who: n,
                         process,
                         attempt,
-                        ending,
-                        left: SendProgress::Started,
+                        reason,
+                        progress: SendProgress::Started,
                     },
                 );
             }
@@ -858,13 +880,13 @@
                 attempt,
                 reason: why,
             } => self.ended(n, attempt, why, SendProgress::Started),
-            // Nothing waits in a buffer here: what was sent has begun.
+            // The emulator has no send buffers: an attempt that was sent has started.
             Command::Withdraw { .. } => {}
             Command::AbandonHealthCheck { check } => {
                 let core = &mut self.instances[n].core;
                 core.health_check_ended(now, check, CloseReason::TimedOut, None, None);
             }
-            // The emulator's list does not age.
+            // The emulator's worker list does not expire.
             Command::ReopenDiscovery => {}
             Command::Load {
                 order,
@@ -873,32 +895,35 @@
                 copies,
             } => {
                 let i = &mut self.instances[n];
-                if let Some(l) = i.loads.as_mut().filter(|_| copies > 0) {
-                    self.number += 1;
+                if let Some(l) = i.coordinator.as_mut().filter(|_| copies > 0) {
+                    self.sequence += 1;
                     i.orders
-                        .insert(self.number, (order, worker, function, copies));
-                    i.numbers.insert(order, self.number);
+                        .insert(self.sequence, (order, worker, function, copies));
+                    i.order_numbers.insert(order, self.sequence);
                     l.handle(
                         now,
-                        load_coordination::Input::Order(self.number, CopyKey { worker, function }),
+                        load_coordination::Input::Order(
+                            self.sequence,
+                            CopyKey { worker, function },
+                        ),
                     );
                 } else {
-                    self.stage(n, order, worker, function, copies);
+                    self.send_load_order(n, order, worker, function, copies);
                 }
             }
             Command::HealthCheck {
                 check: probe,
                 worker,
             } => {
-                self.ran.pings += 1;
+                self.results.pings += 1;
                 if self
                     .workers
                     .get(worker.0 as usize)
                     .is_some_and(|w| !w.silent)
                 {
-                    self.post(
+                    self.schedule(
                         now + 2 * MS,
-                        Event::Pinged {
+                        Event::HealthChecked {
                             who: n,
                             process,
                             probe,
@@ -908,10 +933,12 @@
             }
             Command::AbandonLoad { order } => {
                 let i = &mut self.instances[n];
-                if let (Some(l), Some(number)) = (i.loads.as_mut(), i.numbers.remove(&order)) {
+                if let (Some(l), Some(number)) =
+                    (i.coordinator.as_mut(), i.order_numbers.remove(&order))
+                {
                     i.orders.remove(&number);
-                    let given = i.given.remove(&order);
-                    let input = if given {
+                    let was_sent = i.sent_orders.remove(&order);
+                    let input = if was_sent {
                         load_coordination::Input::Ended(number, 0)
                     } else {
                         load_coordination::Input::Cancel(number)
@@ -923,12 +950,12 @@
             }
             Command::Unload { .. } => {}
             Command::Answer { answer, .. } => {
-                self.ran.served += u64::from(matches!(answer, Answer::Served(_)))
+                self.results.served += u64::from(matches!(answer, Answer::Served(_)))
             }
         }
     }
 
-    fn stage(
+    fn send_load_order(
         &mut self,
         n: usize,
         order: LoadOrderKey,
@@ -937,8 +964,8 @@
         copies: u8,
     ) {
         let (now, process) = (self.now, self.instances[n].process);
-        self.ran.orders += u64::from(copies > 0);
-        self.instances[n].given.insert(order);
+        self.results.orders += u64::from(copies > 0);
+        self.instances[n].sent_orders.insert(order);
         let Some(w) = self
             .workers
             .get_mut(worker.0 as usize)
@@ -946,42 +973,42 @@
         else {
             return;
         };
-        let (after, stands) = w.order(now, function, copies > 0, &mut self.ran.fetches);
-        self.post(
-            now + after + MS,
+        let (delay, loaded) = w.load_order(now, function, copies > 0, &mut self.results.fetches);
+        self.schedule(
+            now + delay + MS,
             Event::Loaded {
                 who: n,
                 process,
                 order,
-                copies: stands,
+                copies: loaded,
             },
         );
     }
 
-    fn of_loads(&mut self, n: usize, output: load_coordination::Output) {
+    fn perform_coordination(&mut self, n: usize, output: load_coordination::Output) {
         let now = self.now;
         let i = &mut self.instances[n];
         let text = |w: &LoadMessage| serde_json::to_vec(w).unwrap_or_default();
         match output {
-            load_coordination::Output::Report(duty, word) => {
-                if let Some(m) = i.member.as_mut() {
-                    m.handle(now, participant::Input::Report(duty, text(&word)));
+            load_coordination::Output::Report(lease, message) => {
+                if let Some(m) = i.participant.as_mut() {
+                    m.handle(now, participant::Input::Report(lease, text(&message)));
                 }
             }
-            load_coordination::Output::Announce(duty, word) => {
-                if let Some(m) = i.member.as_mut() {
-                    m.handle(now, participant::Input::SendEffect(duty, text(&word)));
+            load_coordination::Output::Announce(lease, message) => {
+                if let Some(m) = i.participant.as_mut() {
+                    m.handle(now, participant::Input::SendEffect(lease, text(&message)));
                 }
             }
             load_coordination::Output::Load(number) => {
                 if let Some((order, worker, function, copies)) = i.orders.get(&number).copied() {
-                    self.stage(n, order, worker, function, copies);
+                    self.send_load_order(n, order, worker, function, copies);
                 }
             }
             load_coordination::Output::AlreadyResident(number, copies) => {
                 if let Some((order, ..)) = i.orders.remove(&number) {
-                    i.numbers.remove(&order);
-                    self.ran.spared += 1;
+                    i.order_numbers.remove(&order);
+                    self.results.spared += 1;
                     i.core.load_ended(
                         now,
                         order,
@@ -994,56 +1021,57 @@
         }
     }
 
-    /// What an owner said, or another said to it, goes to the duty that it is of.
-    fn tell_loads(
+    /// Passes a message to the load coordinator if the lease is one of its shards. Returns whether
+    /// the lease is.
+    fn forward_to_coordinator(
         &mut self,
         n: usize,
-        duty: &str,
+        lease: &str,
         input: impl FnOnce(LoadMessage) -> load_coordination::Input,
         content: &[u8],
     ) -> bool {
         let now = self.now;
-        if !duty.starts_with(load_coordination::SHARD_LEASE_PREFIX) {
+        if !lease.starts_with(load_coordination::SHARD_LEASE_PREFIX) {
             return false;
         }
-        if let (Some(l), Ok(word)) = (
-            self.instances[n].loads.as_mut(),
+        if let (Some(l), Ok(message)) = (
+            self.instances[n].coordinator.as_mut(),
             serde_json::from_slice(content),
         ) {
-            l.handle(now, input(word));
+            l.handle(now, input(message));
         }
         true
     }
 
-    /// Whether each shard has an owner, as the log says here.
-    fn know_loads(&mut self, n: usize) {
+    /// Tells the load coordinator which shards have a holder, according to the log at this gateway.
+    fn update_shard_holders(&mut self, n: usize) {
         let now = self.now;
         let i = &mut self.instances[n];
-        let (Some(l), Some(m)) = (i.loads.as_mut(), i.member.as_ref()) else {
+        let (Some(l), Some(m)) = (i.coordinator.as_mut(), i.participant.as_ref()) else {
             return;
         };
-        for duty in duties(self.scenario.shards)
+        for lease in lease_names(self.scenario.shards)
             .into_iter()
             .filter(|d| d.starts_with(load_coordination::SHARD_LEASE_PREFIX))
         {
-            let owned = m.state().leases.record(&duty).holder.is_some();
-            l.handle(now, load_coordination::Input::HolderKnown(duty, owned));
+            let owned = m.state().leases.record(&lease).holder.is_some();
+            l.handle(now, load_coordination::Input::HolderKnown(lease, owned));
         }
     }
 
-    fn of_trials(&mut self, n: usize, output: health_checks::Output) {
+    fn perform_health(&mut self, n: usize, output: health_checks::Output) {
         let now = self.now;
         let i = &mut self.instances[n];
-        let duty = || health_checks::LEASE_NAME.into();
+        let lease = || health_checks::LEASE_NAME.into();
         let input = match output {
             health_checks::Output::Report(w) => {
-                participant::Input::Report(duty(), w.0.to_le_bytes().to_vec())
+                participant::Input::Report(lease(), w.0.to_le_bytes().to_vec())
             }
             health_checks::Output::Announce(verdicts) => {
                 let plain = verdicts
                     .into_iter()
                     .flat_map(|verdict| [verdict.worker.0, u32::from(verdict.unhealthy)]);
-                participant::Input::SendEffect(duty(), plain.flat_map(u32::to_le_bytes).collect())
+                participant::Input::SendEffect(lease(), plain.flat_map(u32::to_le_bytes).collect())
             }
             health_checks::Output::SetCapable(able) => participant::Input::SetEligible(able),
             health_checks::Output::Advise(w, until) => {
@@ -1051,42 +1079,42 @@
             }
             health_checks::Output::Probe(w) => {
                 let probe = i.core.start_health_check(now, w);
-                i.probes.insert(probe, w);
+                i.open_checks.insert(probe, w);
                 return;
             }
         };
-        if let Some(m) = i.member.as_mut() {
+        if let Some(m) = i.participant.as_mut() {
             m.handle(now, input);
         }
     }
 
-    fn owns(&mut self, n: usize, duty: LeaseName, owns: bool) {
+    fn lease_changed(&mut self, n: usize, lease: LeaseName, owns: bool) {
         let now = self.now;
         let i = &mut self.instances[n];
-        if *duty == *health_checks::LEASE_NAME {
+        if *lease == *health_checks::LEASE_NAME {
             i.health_checker
                 .handle(now, health_checks::Input::LeaseChanged(owns));
-        } else if let Some(l) = i.loads.as_mut() {
-            l.handle(now, load_coordination::Input::LeaseChanged(duty, owns));
+        } else if let Some(l) = i.coordinator.as_mut() {
+            l.handle(now, load_coordination::Input::LeaseChanged(lease, owns));
         }
     }
 
-    fn of_member(&mut self, n: usize, output: Output) {
+    fn perform_consensus(&mut self, n: usize, output: Output) {
         let now = self.now;
         match output {
             Output::Send(to, body) => self.send(n, &to, body),
             Output::SendEffect(to, effect) => {
                 let still = |m: &Participant| m.still_holds(now, &effect.lease, effect.term);
-                if self.instances[n].member.as_ref().is_some_and(still) {
+                if self.instances[n].participant.as_ref().is_some_and(still) {
                     self.send(n, &to, Body::Effect(effect));
                 }
             }
             Output::Persist(number, record) => {
                 let process = self.instances[n].process;
-                let at = now + MS + self.below(4 * MS);
-                self.post(
+                let at = now + MS + self.random_below(4 * MS);
+                self.schedule(
                     at,
-                    Event::Kept {
+                    Event::Persisted {
                         who: n,
                         process,
                         number,
@@ -1094,10 +1122,10 @@
                     },
                 );
             }
-            Output::LeaseAcquired(duty, _) => self.owns(n, duty, true),
-            Output::LeaseLost(duty, _) => self.owns(n, duty, false),
+            Output::LeaseAcquired(lease, _) => self.lease_changed(n, lease, true),
+            Output::LeaseLost(lease, _) => self.lease_changed(n, lease, false),
             Output::EffectReceived(effect) => {
-                if self.tell_loads(
+                if self.forward_to_coordinator(
                     n,
                     &effect.lease,
                     load_coordination::Input::Announced,
@@ -1106,20 +1134,20 @@
                     return;
                 }
                 self.first_effect.entry(effect.term).or_insert(now);
-                if let Some((at, _)) = self.gone.filter(|(_, term)| effect.term > *term) {
-                    self.ran.gaps_ms.push((now - at) as f64 / 1e3);
-                    self.gone = None;
+                if let Some((at, _)) = self.holder_lost.filter(|(_, term)| effect.term > *term) {
+                    self.results.gaps_ms.push((now - at) as f64 / 1e3);
+                    self.holder_lost = None;
                 }
                 let verdicts = decode_verdicts(&effect.content);
                 self.instances[n]
                     .health_checker
                     .handle(now, health_checks::Input::Verdicts(verdicts));
             }
-            Output::ReportReceived(duty, from, content) => {
-                if self.tell_loads(
+            Output::ReportReceived(lease, from, content) => {
+                if self.forward_to_coordinator(
                     n,
-                    &duty,
-                    |word| load_coordination::Input::ReportReceived(from, word),
+                    &lease,
+                    |message| load_coordination::Input::ReportReceived(from, message),
                     &content,
                 ) {
                     return;
@@ -1137,10 +1165,10 @@
                     participant::HistoryEvent::Agreed { .. }
                         | participant::HistoryEvent::Restored { .. }
                 ) {
-                    self.know_loads(n);
+                    self.update_shard_holders(n);
                 }
                 let i = &mut self.instances[n];
-                // As a real process writes it, so that one checker reads both.
+                // Encodes the event as a real process does, so that the same checker can read it.
                 let line = serde_json::json!({ "at": now, "name": i.name, "process": i.process, "note": note });
                 if let Ok(line) = serde_json::from_value(line) {
                     i.history.push(line);
@@ -1165,29 +1193,32 @@
     }
 }
 
-/// Plays a scenario from a seed.
+/// Runs a scenario with a seed.
 pub fn play(scenario: &Scenario, seed: u64) -> Result<Ran> {
-    let mut world = World::new(scenario, seed)?;
-    world.play();
-    let mut ran = std::mem::take(&mut world.ran);
-    let per_s = |i: &Instance| i.bytes as f64 / scenario.seconds;
+    let mut emulation = Emulation::new(scenario, seed)?;
+    emulation.play();
+    let mut results = std::mem::take(&mut emulation.results);
+    let per_s = |i: &Instance| i.bytes_sent as f64 / scenario.seconds;
     let most = |votes: bool| {
-        world
+        emulation
             .instances
             .iter()
             .filter(|i| i.votes == votes)
             .map(per_s)
             .fold(0.0, f64::max)
     };
-    (ran.voter_bytes_per_s, ran.member_bytes_per_s) = (most(true), most(false));
-    let files: Vec<Vec<Line>> = world.instances.into_iter().map(|i| i.history).collect();
-    let (held, wrong) = history::check(&files);
-    (ran.terms, ran.accepted, ran.refused) = (held.terms, held.accepted, held.refused);
-    ran.wrong = wrong.iter().map(ToString::to_string).collect();
-    Ok(ran)
+    (results.voter_bytes_per_s, results.member_bytes_per_s) = (most(true), most(false));
+    let files: Vec<Vec<Line>> = emulation.instances.into_iter().map(|i| i.history).collect();
+    let (counts, violations) = history::check(&files);
+    (results.terms, results.accepted, results.refused) =
+        (counts.terms, counts.accepted, counts.refused);
+    results.wrong = violations.iter().map(ToString::to_string).collect();
+    Ok(results)
 }
 
-/// `emulate`: seeds of a scenario, what came of them, and a line a run as JSON if asked for.
+/// Runs the command `emulate`: runs a scenario for each size and seed and prints a line per run.
+/// Writes the results as JSON and as an SVG plot if asked to. Returns whether there are no
+/// violations.
 pub fn run(
     path: &Path,
     seeds: u64,
@@ -1206,31 +1237,32 @@
     for size in sizes {
         for seed in first..first + seeds {
             let begun = std::time::Instant::now();
-            let ran = play(&scenario.sized(size), seed)?;
-            wrong += ran.wrong.len();
+            let results = play(&scenario.sized(size), seed)?;
+            wrong += results.wrong.len();
             println!(
                 "{size} gateways, seed {seed}: {:.2}% of {} served, {} lost attempts, {} pings, {} orders ({} spared), {} fetches; \
                  bytes/s voter {:.0}, member {:.0}; {} writes, {} terms, {} effects taken, {} refused; gaps {:?} ms; {:.1} s",
-                100.0 * ran.served as f64 / ran.calls.max(1) as f64,
-                ran.calls,
-                ran.lost_attempts,
-                ran.pings,
-                ran.orders,
-                ran.spared,
-                ran.fetches,
-                ran.voter_bytes_per_s,
-                ran.member_bytes_per_s,
-                ran.writes,
-                ran.terms,
-                ran.accepted,
-                ran.refused,
-                ran.gaps_ms.iter().map(|g| g.round()).collect::<Vec<_>>(),
+                100.0 * results.served as f64 / results.calls.max(1) as f64,
+                results.calls,
+                results.lost_attempts,
+                results.pings,
+                results.orders,
+                results.spared,
+                results.fetches,
+                results.voter_bytes_per_s,
+                results.member_bytes_per_s,
+                results.writes,
+                results.terms,
+                results.accepted,
+                results.refused,
+                results.gaps_ms.iter().map(|g| g.round()).collect::<Vec<_>>(),
                 begun.elapsed().as_secs_f64()
             );
-            ran.wrong
+            results
+                .wrong
                 .iter()
                 .for_each(|w| println!("WRONG, seed {seed}: {w}"));
-            all.push(ran);
+            all.push(results);
         }
     }
     if let Some(json) = json {
--- a/testbed/src/emulator/plot.rs
+++ b/testbed/src/emulator/plot.rs
@@ -1,21 +1,22 @@
-//! Figures against the size of the fleet, as SVG: one line a figure, both axes logarithmic.
+//! Plots metrics of runs against the number of gateways as SVG, one line per metric, with
+//! logarithmic axes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use super::Ran;
 
-const WIDE: f64 = 640.0;
-const HIGH: f64 = 400.0;
-const EDGE: f64 = 60.0;
+const WIDTH: f64 = 640.0;
+const HEIGHT: f64 = 400.0;
+const MARGIN: f64 = 60.0;
 const COLOURS: [&str; 6] = [
     "#1b6ca8", "#c0392b", "#2e7d32", "#8e44ad", "#b9770e", "#555555",
 ];
 
-/// A figure of a run, by its name.
-type Figure = (&'static str, fn(&Ran) -> f64);
+/// Name of a metric and its value in a run.
+type Metric = (&'static str, fn(&Ran) -> f64);
 
-const FIGURES: [Figure; 6] = [
+const METRICS: [Metric; 6] = [
     ("pings", |r| r.pings as f64),
     ("orders", |r| r.orders as f64),
     ("fetches", |r| r.fetches as f64),
@@ -28,7 +29,7 @@
     x.max(1.0).log10()
 }
 
-/// The means of all runs of a size, a line a figure.
+/// Returns an SVG plot of each metric's mean over the runs with the same number of gateways.
 pub fn by_size(runs: &[Ran]) -> String {
     let mut sizes: BTreeMap<usize, Vec<&Ran>> = BTreeMap::new();
     runs.iter()
@@ -42,31 +43,32 @@
         .next_back()
         .map_or(1.0, |s| log(*s as f64))
         .max(least + 0.1);
-    let top = FIGURES
+    let top = METRICS
         .iter()
         .flat_map(|(_, of)| sizes.values().map(|r| log(mean(*of, r))))
         .fold(1.0, f64::max)
         .ceil();
-    let x = |size: usize| EDGE + (log(size as f64) - least) / (most - least) * (WIDE - 3.2 * EDGE);
-    let y = |value: f64| HIGH - EDGE - log(value) / top * (HIGH - 1.5 * EDGE);
+    let x =
+        |size: usize| MARGIN + (log(size as f64) - least) / (most - least) * (WIDTH - 3.2 * MARGIN);
+    let y = |value: f64| HEIGHT - MARGIN - log(value) / top * (HEIGHT - 1.5 * MARGIN);
     let mut out = format!(
-        "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 {WIDE} {HIGH}\" font-family=\"sans-serif\" \
+        "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 {WIDTH} {HEIGHT}\" font-family=\"sans-serif\" \
          font-size=\"11\"><rect width=\"100%\" height=\"100%\" fill=\"white\"/>"
     );
-    // Writing to a string cannot fail.
+    // Writes to a string cannot fail.
     for power in 0..=top as i32 {
         let at = y(10f64.powi(power));
-        let right = WIDE - 2.2 * EDGE;
+        let right = WIDTH - 2.2 * MARGIN;
         let _ = write!(
             out,
-            "<line x1=\"{EDGE}\" x2=\"{right}\" y1=\"{at:.1}\" y2=\"{at:.1}\" stroke=\"#ddd\"/>\
+            "<line x1=\"{MARGIN}\" x2=\"{right}\" y1=\"{at:.1}\" y2=\"{at:.1}\" stroke=\"#ddd\"/>\
              <text x=\"{}\" y=\"{:.1}\" text-anchor=\"end\">1e{power}</text>",
-            EDGE - 6.0,
+            MARGIN - 6.0,
             at + 4.0
         );
     }
     for size in sizes.keys() {
-        let (at, low) = (x(*size), HIGH - EDGE + 16.0);
+        let (at, low) = (x(*size), HEIGHT - MARGIN + 16.0);
         let _ = write!(
             out,
             "<text x=\"{at:.1}\" y=\"{low}\" text-anchor=\"middle\">{size}</text>"
@@ -75,10 +77,10 @@
     let _ = write!(
         out,
         "<text x=\"{}\" y=\"{}\">gateways</text>",
-        WIDE / 2.0 - EDGE,
-        HIGH - 14.0
+        WIDTH / 2.0 - MARGIN,
+        HEIGHT - 14.0
     );
-    for ((name, of), colour) in FIGURES.iter().zip(COLOURS) {
+    for ((name, of), colour) in METRICS.iter().zip(COLOURS) {
         let points: Vec<(f64, f64)> = sizes
             .iter()
             .map(|(s, r)| (x(*s), y(mean(*of, r))))
--- a/testbed/src/emulator/workers.rs
+++ b/testbed/src/emulator/workers.rs
@@ -1,88 +1,91 @@
-//! Workers as the emulator has them: copies that load from a shared store, lanes, and silence.
+//! Model of a worker: copies that load from a shared store, a service time that grows with the
+//! number of running calls, and unresponsiveness.
 
 use std::collections::BTreeMap;
 
 use molelug::api::{FunctionId, Micros};
 
 const MS: Micros = 1_000;
-/// How long a copy takes to load.
-pub const LOAD: Micros = 300 * MS;
-/// How long a call takes at a worker at rest.
-const SERVES: Micros = 20 * MS;
-/// Copies that a worker holds; the longest unused gives way.
-const MOST_COPIES: usize = 48;
-/// Calls at once beyond which each takes longer.
-const AT_ONCE: usize = 8;
+/// Time that a copy takes to load.
+pub const LOAD_TIME: Micros = 300 * MS;
+/// Duration of a call at an idle worker.
+const SERVICE_TIME: Micros = 20 * MS;
+/// Maximum number of loaded copies; the least recently used copy is evicted.
+const MAX_COPIES: usize = 48;
+/// Number of running calls above which calls take longer.
+const UNSLOWED_CALLS: usize = 8;
 
-/// A worker.
+/// An emulated worker.
 #[derive(Debug, Default)]
 pub struct Worker {
-    /// Whether it takes everything and answers nothing.
+    /// Set while the worker accepts commands and answers none.
     pub silent: bool,
-    /// Copies that stand, and when each was used last.
+    /// Loaded copies, and the time of the last use of each.
     copies: BTreeMap<FunctionId, Micros>,
-    /// Copies that load, and when they stand.
+    /// Copies being loaded, and the time at which each is ready.
     loads: BTreeMap<FunctionId, Micros>,
-    /// When each call under way ends.
-    runs: Vec<Micros>,
+    /// End time of each running call.
+    run_ends: Vec<Micros>,
 }
 
-/// What becomes of a call.
+/// Outcome of a call at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
-    /// Nothing.
+pub enum CallOutcome {
+    /// The worker does not answer.
     Silent,
-    /// The copy does not stand.
-    Missed,
-    /// It ends after this long.
+    /// No copy is loaded.
+    NotLoaded,
+    /// The call ends after this time.
     Runs(Micros),
 }
 
 impl Worker {
-    /// Loads that are done stand.
-    pub fn settle(&mut self, now: Micros) {
-        let done: Vec<FunctionId> = self
+    /// Completes the loads that are due and removes ended calls.
+    pub fn advance(&mut self, now: Micros) {
+        let completed: Vec<FunctionId> = self
             .loads
             .iter()
             .filter(|(_, t)| **t <= now)
             .map(|(f, _)| *f)
             .collect();
-        for f in done {
+        for f in completed {
             self.loads.remove(&f);
             self.copies.insert(f, now);
-            if self.copies.len() > MOST_COPIES {
+            if self.copies.len() > MAX_COPIES {
                 let oldest = self.copies.iter().min_by_key(|(_, t)| **t).map(|(f, _)| *f);
                 oldest.map(|f| self.copies.remove(&f));
             }
         }
-        self.runs.retain(|t| *t > now);
+        self.run_ends.retain(|t| *t > now);
     }
 
-    /// A call comes.
-    pub fn meet(&mut self, now: Micros, function: FunctionId) -> Met {
+    /// Handles a call.
+    pub fn call(&mut self, now: Micros, function: FunctionId) -> CallOutcome {
         if self.silent {
-            return Met::Silent;
+            return CallOutcome::Silent;
         }
-        self.settle(now);
+        self.advance(now);
         if let Some(used) = self.copies.get_mut(&function) {
             *used = now;
-            let span = SERVES
-                + SERVES * self.runs.len().saturating_sub(AT_ONCE) as Micros / AT_ONCE as Micros;
-            self.runs.push(now + span);
-            return Met::Runs(span);
+            let duration = SERVICE_TIME
+                + SERVICE_TIME * self.run_ends.len().saturating_sub(UNSLOWED_CALLS) as Micros
+                    / UNSLOWED_CALLS as Micros;
+            self.run_ends.push(now + duration);
+            return CallOutcome::Runs(duration);
         }
-        Met::Missed
+        CallOutcome::NotLoaded
     }
 
-    /// An order to load, or a question: how long until its answer, and how many copies stand then.
-    pub fn order(
+    /// Handles a load order, or a query if `loads` is false. Returns the time until the answer and
+    /// the number of copies loaded then.
+    pub fn load_order(
         &mut self,
         now: Micros,
         function: FunctionId,
         loads: bool,
         fetches: &mut u64,
     ) -> (Micros, u32) {
-        self.settle(now);
+        self.advance(now);
         if self.copies.contains_key(&function) {
             return (0, 1);
         }
@@ -93,7 +96,7 @@
             return (0, 0);
         }
         *fetches += 1;
-        self.loads.insert(function, now + LOAD);
-        (LOAD, 1)
+        self.loads.insert(function, now + LOAD_TIME);
+        (LOAD_TIME, 1)
     }
 }
--- a/testbed/src/fakes/gateway.rs
+++ b/testbed/src/fakes/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process of its own: this program runs itself with the gateway's command line.
+//! Runs a gateway as a child process: this program starts itself with the gateway's command line.
 
 use std::io::{BufRead, BufReader, Error, Result};
 use std::net::SocketAddr;
@@ -11,15 +11,16 @@
 
 use super::{Worker, PATIENCE};
 
-/// The class that is safe to repeat.
+/// Name of the request class whose calls are safe to repeat.
 pub const SAFE: &str = "disponibilidad";
-/// The class that must never run twice.
+/// Name of the request class whose calls must never run twice.
 pub const UNSAFE: &str = "confirmar-traslado";
 
-/// The lab's own program, for tests, which are programs of their own.
+/// Path of the test bed's program. Tests set it, because their own executable has no `gateway`
+/// command.
 pub static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
 
-/// A class whose repeats workers drop for five seconds.
+/// Name of the request class with an idempotency key; workers drop repeats for five seconds.
 pub const KEYED: &str = "traslado-con-clave";
 
 /// A running gateway.
@@ -27,17 +28,17 @@
 pub struct Gateway {
     child: Child,
     lines: mpsc::Receiver<String>,
-    /// What it has logged that was looked through.
+    /// Log lines read so far.
     pub log: Vec<String>,
-    /// Where the platform's clients connect.
+    /// Address for the platform's clients.
     pub platform: SocketAddr,
-    /// Where signed webhooks come in.
+    /// Address for signed webhooks, if enabled.
     pub webhooks: Option<SocketAddr>,
-    /// Where it is administered.
+    /// Address of the admin interface, if enabled.
     pub admin: Option<SocketAddr>,
 }
 
-/// The module's settings for a small site with one class of each kind.
+/// Returns the decision module's settings for a small site with one class of each repeat rule.
 pub fn settings(deadline_ms: f64) -> Value {
     let class = |name: &str, repeat: &str| {
         json!({ "name": name, "repeat": repeat, "aimMs": deadline_ms / 2.0, "hardLimitMs": deadline_ms,
@@ -56,10 +57,10 @@
     })
 }
 
-/// Descriptors that a gateway may hold.
+/// Default limit on a gateway's open sockets.
 pub const SOCKETS: usize = 1024;
 
-/// A gateway's configuration for these workers.
+/// Returns the configuration of a gateway in front of these workers.
 fn config(workers: &[Worker], deadline_ms: f64, sockets: usize) -> Value {
     let endpoint = |(i, w): (usize, &Worker)| {
         json!({ "name": format!("s-0000000{i}"), "address": w.address.to_string(), "zone": "north",
@@ -72,12 +73,12 @@
         "limits": { "cores": 1.0, "memory_mb": 192, "sockets": sockets }, "settings": settings(deadline_ms) })
 }
 
-/// A folder that is removed with its value.
+/// A temporary folder that is removed when the value is dropped.
 #[derive(Debug)]
 pub struct Folder(pub PathBuf);
 
 impl Folder {
-    /// Makes one of this name and process below the machine's folder for such.
+    /// Creates a folder in the system's temporary directory, named after `name` and the process id.
     pub fn new(name: &str) -> Result<Folder> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -89,12 +90,12 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // What is left behind is the machine's to sweep.
+        // A failure leaves files in the temporary directory, which the system cleans.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// The gateway's command line: of a program of the caller's, or of this one.
+/// Returns the command that runs a gateway: `program`, or else this program's `gateway` command.
 pub fn command(program: Option<&Path>) -> Result<Command> {
     if let Some(program) = program {
         return Ok(Command::new(program));
@@ -108,7 +109,7 @@
 }
 
 impl Gateway {
-    /// Starts one in a folder, which keeps its files over restarts.
+    /// Starts a gateway with its files in `folder`; the files outlive a restart.
     pub fn start(
         folder: &Path,
         workers: &[Worker],
@@ -118,7 +119,7 @@
         Gateway::with(None, folder, workers, operator, deadline_ms)
     }
 
-    /// The same with a program of the caller's; this one if none.
+    /// Starts a gateway like [`Gateway::start`], with `program` if one is given.
     pub fn with(
         program: Option<&Path>,
         folder: &Path,
@@ -134,7 +135,7 @@
         Gateway::run(program, folder, operator)
     }
 
-    /// Starts one without webhooks, with a gossip file if one is given.
+    /// Starts a gateway without webhooks, with a gossip file if one is given.
     pub fn talking(folder: &Path, workers: &[Worker], gossip: Option<&Path>) -> Result<Gateway> {
         std::fs::write(
             folder.join("config.json"),
@@ -144,7 +145,8 @@
         Gateway::run_with(None, folder, "", gossip, None)
     }
 
-    /// Starts one without webhooks that takes part in a council.
+    /// Starts a gateway without webhooks as a participant of the consensus group in the `council`
+    /// file. `without` names a guard to disable.
     pub fn meeting(
         folder: &Path,
         workers: &[Worker],
@@ -161,8 +163,9 @@
         Gateway::run_with(None, folder, operator, None, Some((council, without)))
     }
 
-    /// Starts one with webhooks that takes part in a council and holds copies, if a file for that is given; with files that do
-    /// not grow beyond so many KiB, if that is given.
+    /// Starts a gateway with webhooks as a participant of a consensus group. It replicates shards
+    /// if a `copies` file is given, aborts at the step `ends_at` once the file `armed` exists, and
+    /// cannot write files larger than `most_kib` KiB.
     #[allow(clippy::too_many_arguments)]
     pub fn holding(
         folder: &Path,
@@ -181,7 +184,7 @@
         std::fs::write(folder.join("operator.toml"), operator)?;
         let mut command = Gateway::command(None, folder, None, Some((council, without)))?;
         if let Some(kib) = most_kib {
-            // The system refuses to let any of its files grow beyond that, as on a full disk.
+            // Writes beyond the file size limit fail, as on a full disk.
             let mut limited = Command::new("sh");
             limited
                 .args(["-c", "trap '' XFSZ; ulimit -f $0; exec \"$@\""])
@@ -206,7 +209,7 @@
         Gateway::spawn(command, operator)
     }
 
-    /// Starts one on the files that are in a folder.
+    /// Starts a gateway on the files that exist in a folder.
     pub fn again(folder: &Path, operator: &str) -> Result<Gateway> {
         Gateway::run(None, folder, operator)
     }
@@ -259,13 +262,16 @@
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()?;
-        let errors = child.stderr.take().ok_or_else(|| Error::other("no log"))?;
-        let (tell, lines) = mpsc::channel();
+        let errors = child
+            .stderr
+            .take()
+            .ok_or_else(|| Error::other("the gateway's standard error is not captured"))?;
+        let (sender, lines) = mpsc::channel();
         std::thread::spawn(move || {
             BufReader::new(errors)
                 .lines()
                 .map_while(Result::ok)
-                .all(|l| tell.send(l).is_ok())
+                .all(|l| sender.send(l).is_ok())
         });
         let platform = ([0, 0, 0, 0], 0).into();
         let mut g = Gateway {
@@ -289,15 +295,15 @@
     fn listener(&mut self, what: &str) -> Result<SocketAddr> {
         let line = self.line(what)?;
         let address = line.rsplit(' ').next().and_then(|a| a.parse().ok());
-        address.ok_or_else(|| Error::other(format!("no address in '{line}'")))
+        address.ok_or_else(|| Error::other(format!("no address in the log line '{line}'")))
     }
 
-    /// The next line of its log that holds this.
+    /// Waits for the next log line that contains `what`.
     pub fn line(&mut self, what: &str) -> Result<String> {
         loop {
             let line = self.lines.recv_timeout(PATIENCE).map_err(|_| {
                 Error::other(format!(
-                    "the gateway's log lacks '{what}': {}",
+                    "no line with '{what}' in the gateway's log: {}",
                     self.log.join(" | ")
                 ))
             })?;
@@ -308,17 +314,17 @@
         }
     }
 
-    /// Its process.
+    /// Returns the process id.
     pub fn pid(&self) -> rustix::process::Pid {
         rustix::process::Pid::from_child(&self.child)
     }
 
-    /// Processor time that it has used.
+    /// Returns the processor time used so far.
     pub fn processor(&self) -> Result<std::time::Duration> {
         crate::rate::processor_of(self.pid())
     }
 
-    /// SIGSTOP: it forgets nothing and does nothing.
+    /// Suspends the process with SIGSTOP; it keeps its memory and connections.
     pub fn freeze(&self) -> Result<()> {
         Ok(rustix::process::kill_process(
             self.pid(),
@@ -326,7 +332,7 @@
         )?)
     }
 
-    /// SIGCONT: it goes on as if nothing had been.
+    /// Resumes the process with SIGCONT.
     pub fn thaw(&self) -> Result<()> {
         Ok(rustix::process::kill_process(
             self.pid(),
@@ -334,7 +340,7 @@
         )?)
     }
 
-    /// SIGHUP: it reads its files anew.
+    /// Sends SIGHUP, on which the gateway reloads its files.
     pub fn reload(&self) -> Result<()> {
         Ok(rustix::process::kill_process(
             self.pid(),
@@ -342,7 +348,7 @@
         )?)
     }
 
-    /// SIGTERM, without waiting for its end.
+    /// Sends SIGTERM without waiting for the exit.
     pub fn end(&self) -> Result<()> {
         Ok(rustix::process::kill_process(
             self.pid(),
@@ -350,25 +356,25 @@
         )?)
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has exited.
     pub fn wait(&mut self) -> Result<()> {
         self.child.wait()?;
         Ok(())
     }
 
-    /// Whether it has ended by itself.
+    /// Returns whether the process has exited.
     pub fn has_ended(&mut self) -> Result<bool> {
         Ok(self.child.try_wait()?.is_some())
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// The counters as they are.
+    /// Returns the current counters, which the gateway logs on SIGUSR1.
     pub fn counters(&mut self) -> Result<Value> {
         rustix::process::kill_process(self.pid(), rustix::process::Signal::USR1)?;
         let line = self.line("counters ")?;
@@ -376,19 +382,19 @@
         serde_json::from_str(text).map_err(Error::other)
     }
 
-    /// SIGTERM, and the counters that it prints at its end.
+    /// Sends SIGTERM, waits for the exit and returns the counters that the gateway logs.
     pub fn stop(&mut self) -> Result<Value> {
         rustix::process::kill_process(self.pid(), rustix::process::Signal::TERM)?;
         let line = self.line("counters ")?;
         let status = self.child.wait()?;
         if !status.success() {
-            return Err(Error::other(format!("the gateway ended with {status}")));
+            return Err(Error::other(format!("the gateway exited with {status}")));
         }
         let text = line.split_once("counters ").map_or("", |(_, t)| t);
         serde_json::from_str(text).map_err(Error::other)
     }
 
-    /// Its resident memory, in KiB.
+    /// Returns the resident memory in KiB; 0 if unknown.
     pub fn memory_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .unwrap_or_default();
--- a/testbed/src/fakes/mod.rs
+++ b/testbed/src/fakes/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what a gateway talks to, and the gateway itself as a process of its own. All on loopback.
+//! Fake workers, portals and administrators, and a wrapper that runs a real gateway as a child
+//! process. Everything listens on loopback.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,49 +18,50 @@
 pub use portal::{Manner, Portal};
 pub use worker::Worker;
 
-/// Nothing waits longer than this.
+/// Longest time that the fakes and the tests wait for an answer or a log line.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Seconds since 1970.
+/// Returns the current Unix time in seconds.
 pub fn now_s() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_secs())
 }
 
-/// The secret that stand-ins share: `whsec_` and base64.
+/// Returns a webhook secret in text form, `whsec_` and base64, derived from a seed.
 pub fn secret_text(seed: u8) -> String {
     format!("whsec_{}", BASE64_STANDARD.encode([seed; 32]))
 }
 
-/// The same, read.
+/// Returns the parsed secret of [`secret_text`].
 pub fn secret(seed: u8) -> Secret {
-    // 32 bytes are a secret.
+    // Cannot fail: 32 bytes are a valid secret.
     Secret::parse(&secret_text(seed)).unwrap_or_else(|e| unreachable!("{e}"))
 }
 
-/// Reads one whole HTTP message with Content-Length; what lies behind it stays in `held`.
-pub fn read_http(stream: &mut TcpStream, held: &mut Vec<u8>) -> std::io::Result<Option<Vec<u8>>> {
+/// Reads one complete HTTP message with a Content-Length; bytes after it stay in `buffer`. Returns
+/// `None` at the end of the stream.
+pub fn read_http(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<Option<Vec<u8>>> {
     loop {
-        if let Some(head) = held.windows(4).position(|w| w == b"\r\n\r\n") {
-            let text = String::from_utf8_lossy(&held[..head]).to_ascii_lowercase();
+        if let Some(head_end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
+            let text = String::from_utf8_lossy(&buffer[..head_end]).to_ascii_lowercase();
             let length = text
                 .lines()
                 .find_map(|l| l.strip_prefix("content-length:")?.trim().parse().ok());
-            let whole = head + 4 + length.unwrap_or(0usize);
-            if held.len() >= whole {
-                return Ok(Some(held.drain(..whole).collect()));
+            let size_bytes = head_end + 4 + length.unwrap_or(0usize);
+            if buffer.len() >= size_bytes {
+                return Ok(Some(buffer.drain(..size_bytes).collect()));
             }
         }
         let mut chunk = [0; 16 * 1024];
         match stream.read(&mut chunk)? {
             0 => return Ok(None),
-            n => held.extend(&chunk[..n]),
+            n => buffer.extend(&chunk[..n]),
         }
     }
 }
 
-/// A header's value in a message's head.
+/// Returns the value of a header, given its name in lower case; empty if absent.
 pub fn header(message: &[u8], name: &str) -> String {
     let text = String::from_utf8_lossy(message);
     let head = text.split("\r\n\r\n").next().unwrap_or_default();
@@ -70,7 +72,7 @@
         .map_or(String::new(), |(_, v)| v.trim().to_owned())
 }
 
-/// A message's body.
+/// Returns the body of an HTTP message.
 pub fn body(message: &[u8]) -> &[u8] {
     let at = message
         .windows(4)
@@ -79,7 +81,7 @@
     &message[at..]
 }
 
-/// An answer's status.
+/// Returns the status code of an HTTP response; 0 if it has none.
 pub fn status(message: &[u8]) -> u16 {
     String::from_utf8_lossy(message)
         .split(' ')
@@ -88,7 +90,7 @@
         .unwrap_or(0)
 }
 
-/// A connection on which signed calls are sent, one after the other.
+/// A client that sends signed calls one after the other on one connection.
 #[derive(Debug)]
 pub struct Caller {
     to: SocketAddr,
@@ -96,17 +98,17 @@
     stream: Option<(TcpStream, Vec<u8>)>,
 }
 
-/// A signed call's text.
-pub fn call_body(class: &str, function: u64, order: Option<&str>) -> Vec<u8> {
+/// Returns the body of a webhook call.
+pub fn call_body(class: &str, function: u64, order_key: Option<&str>) -> Vec<u8> {
     let data = serde_json::json!({ "class": class, "function": format!("{function:016x}"), "lanes": 4,
-                                   "payload": BASE64_STANDARD.encode("trip"), "order_key": order });
+                                   "payload": BASE64_STANDARD.encode("trip"), "order_key": order_key });
     serde_json::json!({ "type": "call.requested", "data": data })
         .to_string()
         .into_bytes()
 }
 
 impl Caller {
-    /// A caller of one address.
+    /// Creates a caller of one address that waits up to [`PATIENCE`] for an answer.
     pub fn new(to: SocketAddr) -> Caller {
         Caller {
             to,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// One that waits so many seconds for an answer.
+    /// Creates a caller that waits up to this many seconds for an answer.
     pub fn patient(to: SocketAddr, seconds: u64) -> Caller {
         Caller {
             to,
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Sends a signed call and returns the whole answer. After an error the connection is made anew.
+    /// Sends a signed call and returns the complete response. The first call after an error opens
+    /// a new connection.
     pub fn call(
         &mut self,
         tenant: &str,
@@ -142,10 +145,10 @@
         self.exchange(&[head.as_bytes(), text].concat())
     }
 
-    /// Sends bytes and returns one whole answer.
+    /// Sends bytes and returns one complete response.
     pub fn exchange(&mut self, bytes: &[u8]) -> std::io::Result<Vec<u8>> {
-        let (mut stream, mut held) = match self.stream.take() {
-            Some(both) => both,
+        let (mut stream, mut buffer) = match self.stream.take() {
+            Some(connection) => connection,
             None => {
                 let stream = TcpStream::connect(self.to)?;
                 stream.set_read_timeout(Some(self.patience))?;
@@ -154,11 +157,11 @@
             }
         };
         stream.write_all(bytes)?;
-        let answer = read_http(&mut stream, &mut held)?;
+        let answer = read_http(&mut stream, &mut buffer)?;
         let answer =
             answer.ok_or_else(|| std::io::Error::from(std::io::ErrorKind::UnexpectedEof))?;
         if header(&answer, "connection") != "close" {
-            self.stream = Some((stream, held));
+            self.stream = Some((stream, buffer));
         }
         Ok(answer)
     }
--- a/testbed/src/fakes/portal.rs
+++ b/testbed/src/fakes/portal.rs
@@ -1,4 +1,4 @@
-//! A portal that checks signatures and counts what it gets.
+//! A fake portal that verifies signatures and records the deliveries it receives.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,57 +10,57 @@
 
 use super::{body, header, read_http};
 
-/// How a portal answers.
+/// How the portal answers deliveries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
-    /// 204 at once.
+    /// Answers 204 at once.
     Good,
-    /// 204 after so many milliseconds.
+    /// Answers 204 after this many milliseconds.
     Slow(u64),
-    /// One in so many is read whole and then cut off; the others are good.
+    /// Reads every n-th delivery completely and then closes the connection; answers the others 204.
     Cuts(u32),
-    /// One in so many is answered 500; the others are good.
+    /// Answers every n-th delivery 500 and the others 204.
     Fails(u32),
-    /// A status, with a header line.
+    /// Answers this status with this header line.
     Says(u16, &'static str),
-    /// It takes the connection and says nothing.
+    /// Accepts the connection and sends nothing.
     Silent,
-    /// The answer comes byte by byte, so many milliseconds apart.
+    /// Sends a 204 byte by byte, this many milliseconds apart.
     Drips(u64),
 }
 
-/// A delivery as the portal saw it.
+/// A delivery that the portal received.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// When it had come whole.
+pub struct Delivery {
+    /// Time at which it was complete.
     pub at: Instant,
     /// The `webhook-id`.
     pub id: String,
-    /// The type of event.
+    /// Event type.
     pub kind: String,
-    /// The call that it answers.
+    /// Id of the call that the delivery reports on.
     pub call: String,
-    /// What became of the call.
+    /// Outcome of the call.
     pub outcome: String,
-    /// Whether one of its signatures holds.
+    /// Whether one of the signatures is valid.
     pub signed: bool,
-    /// Whether the portal confirmed it.
+    /// Whether the portal answered with a 2xx status.
     pub confirmed: bool,
 }
 
-/// A stand-in portal.
+/// A fake portal.
 #[derive(Clone, Debug)]
 pub struct Portal {
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
-    /// What it has seen.
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    /// Deliveries received.
+    pub seen: Arc<Mutex<Vec<Delivery>>>,
     manner: Arc<Mutex<Manner>>,
     secret: Secret,
 }
 
 impl Portal {
-    /// Starts one on a free port.
+    /// Starts a portal on a free port.
     pub fn start(secret: Secret, manner: Manner) -> std::io::Result<Portal> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let manner = Arc::new(Mutex::new(manner));
@@ -70,49 +70,49 @@
             manner,
             secret,
         };
-        let me = portal.clone();
+        let server = portal.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let me = me.clone();
-                std::thread::spawn(move || me.serve(stream));
+                let server = server.clone();
+                std::thread::spawn(move || server.serve(stream));
             }
         });
         Ok(portal)
     }
 
-    /// Changes how it answers from now on.
+    /// Changes how the portal answers from now on.
     pub fn set(&self, manner: Manner) {
         if let Ok(mut m) = self.manner.lock() {
             *m = manner;
         }
     }
 
-    /// What it has seen so far.
-    pub fn all(&self) -> Vec<Seen> {
+    /// Returns the deliveries received so far.
+    pub fn all(&self) -> Vec<Delivery> {
         self.seen.lock().map_or(Vec::new(), |s| s.clone())
     }
 
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
-        let mut held = Vec::new();
-        while let Some(message) = read_http(&mut stream, &mut held).ok()? {
+        let mut buffer = Vec::new();
+        while let Some(message) = read_http(&mut stream, &mut buffer).ok()? {
             let manner = *self.manner.lock().ok()?;
             let text: serde_json::Value = serde_json::from_slice(body(&message)).ok()?;
-            let word = |v: &serde_json::Value| v.as_str().unwrap_or_default().to_owned();
+            let as_text = |v: &serde_json::Value| v.as_str().unwrap_or_default().to_owned();
             let (id, stamp) = (
                 header(&message, "webhook-id"),
                 header(&message, "webhook-timestamp"),
             );
-            let given = header(&message, "webhook-signature");
+            let signatures = header(&message, "webhook-signature");
             let stamp = stamp.parse().unwrap_or(0);
             let signed = signature::verify(
                 std::iter::once(&self.secret),
                 &id,
                 stamp,
                 body(&message),
-                &given,
+                &signatures,
             );
-            let nth = {
+            let confirmed = {
                 let mut seen = self.seen.lock().ok()?;
                 let confirmed = match manner {
                     Manner::Good | Manner::Slow(_) | Manner::Drips(_) => true,
@@ -122,22 +122,22 @@
                     Manner::Says(status, _) => status / 100 == 2,
                     Manner::Silent => false,
                 };
-                seen.push(Seen {
+                seen.push(Delivery {
                     at: Instant::now(),
                     id,
-                    kind: word(&text["type"]),
-                    call: word(&text["data"]["call"]),
-                    outcome: word(&text["data"]["outcome"]),
+                    kind: as_text(&text["type"]),
+                    call: as_text(&text["data"]["call"]),
+                    outcome: as_text(&text["data"]["outcome"]),
                     signed,
                     confirmed,
                 });
                 confirmed
             };
-            let good = b"HTTP/1.1 204 No Content\r\n\r\n";
+            let no_content = b"HTTP/1.1 204 No Content\r\n\r\n";
             match manner {
                 Manner::Slow(ms) => std::thread::sleep(Duration::from_millis(ms)),
-                Manner::Cuts(_) if !nth => return None,
-                Manner::Fails(_) if !nth => {
+                Manner::Cuts(_) if !confirmed => return None,
+                Manner::Fails(_) if !confirmed => {
                     stream
                         .write_all(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
                         .ok()?;
@@ -153,7 +153,7 @@
                     return None;
                 }
                 Manner::Drips(ms) => {
-                    for byte in good {
+                    for byte in no_content {
                         std::thread::sleep(Duration::from_millis(ms));
                         stream.write_all(&[*byte]).ok()?;
                     }
@@ -161,7 +161,7 @@
                 }
                 _ => {}
             }
-            stream.write_all(good).ok()?;
+            stream.write_all(no_content).ok()?;
         }
         None
     }
--- a/testbed/src/fakes/worker.rs
+++ b/testbed/src/fakes/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that holds every function and counts what it runs.
+//! A fake worker on which every function is loaded and that counts the calls it runs.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -9,105 +9,111 @@
 
 use molelug::worker::{encode_array, parse_array};
 
-/// How often each call ran, by the identity that the gateway told and its class.
+/// Number of runs of each call, by the call identity that the gateway sent and the class.
 pub type Runs = Arc<Mutex<BTreeMap<(String, String), u32>>>;
 
-/// Takes the next complete command off what has come, as text; `None` while there is none, or it cannot be read.
-pub fn take_words(held: &mut Vec<u8>) -> Option<Vec<String>> {
-    let array = parse_array(held).ok()??;
+/// Removes the next complete command from the received bytes and returns its words. `None` if the
+/// command is incomplete or malformed.
+pub fn take_command(buffer: &mut Vec<u8>) -> Option<Vec<String>> {
+    let array = parse_array(buffer).ok()??;
     let size = array.size_bytes;
     let words = array
         .strings
         .iter()
         .map(|word| String::from_utf8_lossy(word).into_owned())
         .collect();
-    held.drain(..size);
+    buffer.drain(..size);
     Some(words)
 }
 
-/// A stand-in worker.
+/// A fake worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
-    /// What it ran.
+    /// Calls that have run.
     pub runs: Runs,
-    /// How long a run takes.
+    /// Duration of a run.
     delay: Duration,
-    /// One run in so many loses its answer: the connection just ends. 0 for none.
-    cuts: u32,
-    /// Whether it takes everything and answers nothing.
+    /// Every n-th run on a connection closes the connection without an answer. 0 for none.
+    close_every: u32,
+    /// Set while the worker reads commands and answers none.
     silent: Arc<AtomicBool>,
-    /// Pings that came, and orders to load.
+    /// Health checks received.
     pings: Arc<AtomicU64>,
+    /// Load orders received.
     orders: Arc<AtomicU64>,
-    /// Calls that came while it was silent.
-    lost: Arc<AtomicU64>,
+    /// Calls received while silent.
+    calls_while_silent: Arc<AtomicU64>,
 }
 
 impl Worker {
-    /// Starts one on a free port.
-    pub fn start(delay: Duration, cuts: u32) -> std::io::Result<Worker> {
+    /// Starts a worker on a free port.
+    pub fn start(delay: Duration, close_every: u32) -> std::io::Result<Worker> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let worker = Worker {
             address: listener.local_addr()?,
             runs: Runs::default(),
             delay,
-            cuts,
+            close_every,
             silent: Arc::default(),
             pings: Arc::default(),
             orders: Arc::default(),
-            lost: Arc::default(),
+            calls_while_silent: Arc::default(),
         };
-        let me = worker.clone();
+        let server = worker.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let me = me.clone();
-                std::thread::spawn(move || me.serve(stream));
+                let server = server.clone();
+                std::thread::spawn(move || server.serve(stream));
             }
         });
         Ok(worker)
     }
 
-    /// Has it answer nothing from now on, or again.
+    /// Stops or resumes all answers.
     pub fn set_silent(&self, silent: bool) {
         self.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Pings that came to it, orders to load, and calls that came while it was silent.
+    /// Returns the numbers of health checks, of load orders, and of calls received while silent.
     pub fn asked(&self) -> (u64, u64, u64) {
         let of = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        (of(&self.pings), of(&self.orders), of(&self.lost))
+        (
+            of(&self.pings),
+            of(&self.orders),
+            of(&self.calls_while_silent),
+        )
     }
 
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
-        let mut held = Vec::new();
+        let mut buffer = Vec::new();
         let mut chunk = [0; 16 * 1024];
-        let mut seen = 0u32;
+        let mut run_count = 0u32;
         loop {
-            while let Some(words) = take_words(&mut held) {
+            while let Some(words) = take_command(&mut buffer) {
                 let tag = words.get(1)?.as_bytes();
-                let what = words.first()?.as_str();
+                let command = words.first()?.as_str();
                 self.pings.fetch_add(
-                    u64::from(matches!(what, "ping" | "stat")),
+                    u64::from(matches!(command, "ping" | "stat")),
                     Ordering::Relaxed,
                 );
                 self.orders
-                    .fetch_add(u64::from(what == "stage"), Ordering::Relaxed);
+                    .fetch_add(u64::from(command == "stage"), Ordering::Relaxed);
                 if self.silent.load(Ordering::Relaxed) {
-                    self.lost
-                        .fetch_add(u64::from(what == "go"), Ordering::Relaxed);
+                    self.calls_while_silent
+                        .fetch_add(u64::from(command == "go"), Ordering::Relaxed);
                     continue;
                 }
-                match what {
+                match command {
                     "go" => {
                         let fields = words.get(2)?;
                         let class = fields.split(',').find_map(|f| f.strip_prefix("profile="))?;
-                        let name = (words.get(1)?.clone(), class.to_owned());
-                        *self.runs.lock().ok()?.entry(name).or_default() += 1;
-                        seen += 1;
+                        let key = (words.get(1)?.clone(), class.to_owned());
+                        *self.runs.lock().ok()?.entry(key).or_default() += 1;
+                        run_count += 1;
                         std::thread::sleep(self.delay);
-                        if self.cuts > 0 && seen.is_multiple_of(self.cuts) {
+                        if self.close_every > 0 && run_count.is_multiple_of(self.close_every) {
                             return None;
                         }
                         stream
@@ -123,7 +129,7 @@
             }
             match stream.read(&mut chunk).ok()? {
                 0 => return None,
-                n => held.extend(&chunk[..n]),
+                n => buffer.extend(&chunk[..n]),
             }
         }
     }
--- a/testbed/src/fault_proxy/mod.rs
+++ b/testbed/src/fault_proxy/mod.rs
@@ -1,7 +1,9 @@
-//! Links: a relay on loopback for each ordered pair of processes, whose two directions fail apart and while they run.
+//! Fault-injecting relays on loopback, one for each ordered pair of processes. The faults of the
+//! two directions are set separately and can change while the relay runs.
 //!
-//! A stream's relay knows the frames of the council's wire, so that it can lose, double or hold back whole ones; anything else
-//! passes as it comes. A datagram's relay does the same with datagrams, and can put one behind the next.
+//! A stream relay parses the frames of the consensus wire protocol, so that it can drop, duplicate
+//! or delay complete frames; the challenge before them passes unchanged. A datagram relay does the
+//! same with datagrams and can also reorder them.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Result, Write};
@@ -14,42 +16,43 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What one direction of a link does.
+/// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Nothing passes; what comes is held, and passes once this ends.
+    /// Nothing passes; data is queued and passes after the cut ends.
     pub cut: bool,
-    /// Of a hundred frames or datagrams, so many get lost.
+    /// Percentage of frames or datagrams that are dropped.
     pub lost: u32,
-    /// Of a hundred, so many come twice.
+    /// Percentage of frames or datagrams that are delivered twice.
     pub doubled: u32,
-    /// Of a hundred datagrams, so many come behind the next one.
+    /// Percentage of frames or datagrams that swap places with the one queued before.
     pub behind: u32,
-    /// Each comes so much later, milliseconds.
+    /// Fixed delay in milliseconds.
     pub delay_ms: u32,
-    /// And up to so much more.
+    /// Maximum random delay on top, in milliseconds.
     pub jitter_ms: u32,
-    /// Bytes a second at most; 0 for no bound.
+    /// Maximum bytes per second; 0 for no limit.
     pub bytes_per_s: u32,
 }
 
-/// Which way.
+/// Direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// From who connects.
+    /// From the connecting side to the accepting side.
     There,
-    /// From who accepts.
+    /// From the accepting side to the connecting side.
     Back,
 }
 
 #[derive(Debug)]
 struct Shared {
     faults: Mutex<[Faults; 2]>,
-    /// Counts how often all connections were broken.
-    broken: AtomicU64,
-    /// New connections are taken and ended at once.
+    /// Number of times that all connections were closed.
+    sever_count: AtomicU64,
+    /// Set while new connections are accepted and closed at once.
     refuses: AtomicBool,
     stop: AtomicBool,
+    /// Frames, datagrams or chunks forwarded.
     passed: AtomicU64,
 }
 
@@ -59,29 +62,29 @@
     }
 }
 
-/// One relay.
+/// A relay that forwards to one address.
 #[derive(Debug)]
 pub struct Link {
-    /// Where it is reached.
+    /// Address that the relay listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// How often a pump looks at what it may pass.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which the relay threads poll for data and for changed faults.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Link {
     fn shared() -> Arc<Shared> {
         Arc::new(Shared {
             faults: Mutex::default(),
-            broken: AtomicU64::new(0),
+            sever_count: AtomicU64::new(0),
             refuses: AtomicBool::new(false),
             stop: AtomicBool::new(false),
             passed: AtomicU64::new(0),
         })
     }
 
-    /// A relay for streams.
+    /// Starts a relay for streams.
     pub fn stream(to: SocketAddr, seed: u64) -> Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let link = Link {
@@ -91,26 +94,26 @@
         let shared = link.shared.clone();
         listener.set_nonblocking(true)?;
         std::thread::spawn(move || {
-            let mut number = seed;
+            let mut connection_seed = seed;
             while !shared.stop.load(Ordering::Relaxed) {
                 match listener.accept() {
                     Ok((near, _)) if !shared.refuses.load(Ordering::Relaxed) => {
-                        number = number.wrapping_add(1);
-                        // One that cannot be reached is one whose connection ends.
+                        connection_seed = connection_seed.wrapping_add(1);
+                        // If the target is unreachable, the accepted connection is closed.
                         if let Ok(far) = TcpStream::connect_timeout(&to, Duration::from_millis(500))
                         {
-                            let _ = join(near, far, number, &shared);
+                            let _ = relay_connection(near, far, connection_seed, &shared);
                         }
                     }
                     Ok(_) => {}
-                    Err(_) => std::thread::sleep(LOOK),
+                    Err(_) => std::thread::sleep(POLL_INTERVAL),
                 }
             }
         });
         Ok(link)
     }
 
-    /// A relay for datagrams; answers go back to who sent last.
+    /// Starts a relay for datagrams; answers go to the most recent sender.
     pub fn datagram(to: SocketAddr, seed: u64) -> Result<Link> {
         let (near, far) = (
             UdpSocket::bind("127.0.0.1:0")?,
@@ -120,27 +123,28 @@
             address: near.local_addr()?,
             shared: Link::shared(),
         };
-        let last: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
+        let last_sender: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
         for (way, from, out) in [
             (Way::There, near.try_clone()?, far.try_clone()?),
             (Way::Back, far, near),
         ] {
-            from.set_read_timeout(Some(LOOK))?;
-            let (shared, last) = (link.shared.clone(), last.clone());
+            from.set_read_timeout(Some(POLL_INTERVAL))?;
+            let (shared, last_sender) = (link.shared.clone(), last_sender.clone());
             std::thread::spawn(move || {
                 let mut queue = Queue::new(seed ^ way as u64, way, shared.clone());
                 let mut bytes = [0; 2048];
                 while !shared.stop.load(Ordering::Relaxed) {
                     if let Ok((n, source)) = from.recv_from(&mut bytes) {
                         if way == Way::There {
-                            *last.lock().unwrap_or_else(PoisonError::into_inner) = Some(source);
+                            *last_sender.lock().unwrap_or_else(PoisonError::into_inner) =
+                                Some(source);
                         }
                         queue.push(bytes[..n].to_vec(), true);
                     }
-                    while let Some(bytes) = queue.due() {
-                        let back = *last.lock().unwrap_or_else(PoisonError::into_inner);
+                    while let Some(bytes) = queue.pop_due() {
+                        let back = *last_sender.lock().unwrap_or_else(PoisonError::into_inner);
                         let to = if way == Way::There { Some(to) } else { back };
-                        // A datagram that cannot be sent is lost, as any may be.
+                        // A datagram that cannot be sent is lost; UDP allows that.
                         to.map(|to| out.send_to(&bytes, to));
                     }
                 }
@@ -149,27 +153,27 @@
         Ok(link)
     }
 
-    /// What one direction does from now on.
+    /// Sets the faults of one direction.
     pub fn set(&self, way: Way, faults: Faults) {
         self.shared.faults()[way as usize] = faults;
     }
 
-    /// What both directions do from now on.
+    /// Sets the faults of both directions.
     pub fn set_both(&self, faults: Faults) {
         *self.shared.faults() = [faults; 2];
     }
 
-    /// Ends all connections; what was on its way is lost.
+    /// Closes all connections; data in transit is lost.
     pub fn sever(&self) {
-        self.shared.broken.fetch_add(1, Ordering::Relaxed);
+        self.shared.sever_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Whether new connections are ended as soon as they are taken.
+    /// Sets whether new connections are closed as soon as they are accepted.
     pub fn refuse(&self, refuses: bool) {
         self.shared.refuses.store(refuses, Ordering::Relaxed);
     }
 
-    /// Frames, datagrams or chunks that passed.
+    /// Returns the connection_seed of frames, datagrams or chunks forwarded.
     pub fn passed(&self) -> u64 {
         self.shared.passed.load(Ordering::Relaxed)
     }
@@ -181,13 +185,13 @@
     }
 }
 
-/// What waits to be passed on.
+/// Data of one direction that pending to be forwarded.
 struct Queue {
     way: Way,
     shared: Arc<Shared>,
     random: ChaCha8Rng,
-    waits: VecDeque<(Instant, Vec<u8>)>,
-    free: Instant,
+    pending: VecDeque<(Instant, Vec<u8>)>,
+    next_send_at: Instant,
 }
 
 impl Queue {
@@ -197,16 +201,17 @@
             way,
             shared,
             random,
-            waits: VecDeque::new(),
-            free: Instant::now(),
+            pending: VecDeque::new(),
+            next_send_at: Instant::now(),
         }
     }
 
-    fn chance(&mut self, of_hundred: u32) -> bool {
-        of_hundred > 0 && self.random.next_u32() % 100 < of_hundred
+    fn chance(&mut self, percent: u32) -> bool {
+        percent > 0 && self.random.next_u32() % 100 < percent
     }
 
-    /// Takes one; `whole` if it may be lost, doubled or put behind.
+    /// Queues data; `whole` if it is a complete frame or datagram, which may be dropped, duplicated
+    /// or reordered.
     fn push(&mut self, bytes: Vec<u8>, whole: bool) {
         let f = self.shared.faults()[self.way as usize];
         if whole && self.chance(f.lost) {
@@ -214,27 +219,28 @@
         }
         let jitter = self.random.next_u32() % (f.jitter_ms + 1);
         let at = Instant::now() + Duration::from_millis(u64::from(f.delay_ms + jitter));
-        // In its order, unless put behind.
-        let at = self.waits.back().map_or(at, |(last, _)| at.max(*last));
+        // Jitter does not reorder: nothing is due before the data queued earlier.
+        let at = self.pending.back().map_or(at, |(last, _)| at.max(*last));
         if whole && self.chance(f.doubled) {
-            self.waits.push_back((at, bytes.clone()));
+            self.pending.push_back((at, bytes.clone()));
         }
-        self.waits.push_back((at, bytes));
-        let n = self.waits.len();
+        self.pending.push_back((at, bytes));
+        let n = self.pending.len();
         if whole && n >= 2 && self.chance(f.behind) {
-            self.waits.swap(n - 1, n - 2);
+            self.pending.swap(n - 1, n - 2);
         }
     }
 
-    fn due(&mut self) -> Option<Vec<u8>> {
+    fn pop_due(&mut self) -> Option<Vec<u8>> {
         let f = self.shared.faults()[self.way as usize];
         let now = Instant::now();
-        if f.cut || now < self.free || self.waits.front().is_none_or(|(at, _)| now < *at) {
+        if f.cut || now < self.next_send_at || self.pending.front().is_none_or(|(at, _)| now < *at)
+        {
             return None;
         }
-        let (_, bytes) = self.waits.pop_front()?;
+        let (_, bytes) = self.pending.pop_front()?;
         if f.bytes_per_s > 0 {
-            self.free =
+            self.next_send_at =
                 now + Duration::from_secs_f64(bytes.len() as f64 / f64::from(f.bytes_per_s));
         }
         self.shared.passed.fetch_add(1, Ordering::Relaxed);
@@ -242,11 +248,16 @@
     }
 }
 
-fn join(near: TcpStream, far: TcpStream, seed: u64, shared: &Arc<Shared>) -> Result<()> {
-    let born = shared.broken.load(Ordering::Relaxed);
+fn relay_connection(
+    near: TcpStream,
+    far: TcpStream,
+    seed: u64,
+    shared: &Arc<Shared>,
+) -> Result<()> {
+    let initial_sever_count = shared.sever_count.load(Ordering::Relaxed);
     for s in [&near, &far] {
         s.set_nodelay(true)?;
-        s.set_read_timeout(Some(LOOK))?;
+        s.set_read_timeout(Some(POLL_INTERVAL))?;
     }
     let pairs = [
         (Way::There, near.try_clone()?, far.try_clone()?),
@@ -254,7 +265,16 @@
     ];
     for (way, from, to) in pairs {
         let shared = shared.clone();
-        std::thread::spawn(move || pump(way, from, to, seed ^ way as u64, &shared, born));
+        std::thread::spawn(move || {
+            pump(
+                way,
+                from,
+                to,
+                seed ^ way as u64,
+                &shared,
+                initial_sever_count,
+            )
+        });
     }
     Ok(())
 }
@@ -265,52 +285,55 @@
     mut to: TcpStream,
     seed: u64,
     shared: &Arc<Shared>,
-    born: u64,
+    initial_sever_count: u64,
 ) {
     let mut queue = Queue::new(seed, way, shared.clone());
-    let (mut held, mut chunk) = (Vec::new(), [0; 16 * 1024]);
-    // Who accepts says a word before its frames.
-    let mut word = if way == Way::Back { CHALLENGE_BYTES } else { 0 };
+    let (mut buffer, mut chunk) = (Vec::new(), [0; 16 * 1024]);
+    // The accepting side sends a challenge before its frames.
+    let mut challenge_left = if way == Way::Back { CHALLENGE_BYTES } else { 0 };
     let mut ended = false;
-    while !shared.stop.load(Ordering::Relaxed) && shared.broken.load(Ordering::Relaxed) == born {
-        if !ended && queue.waits.len() < 4096 {
+    while !shared.stop.load(Ordering::Relaxed)
+        && shared.sever_count.load(Ordering::Relaxed) == initial_sever_count
+    {
+        if !ended && queue.pending.len() < 4096 {
             match from.read(&mut chunk) {
                 Ok(0) => ended = true,
-                Ok(n) => held.extend(&chunk[..n]),
+                Ok(n) => buffer.extend(&chunk[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => ended = true,
             }
         } else {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        while let Some((size, whole)) = next(&held, &mut word) {
-            let rest = held.split_off(size);
-            queue.push(std::mem::replace(&mut held, rest), whole);
+        while let Some((size, whole)) = next_unit(&buffer, &mut challenge_left) {
+            let rest = buffer.split_off(size);
+            queue.push(std::mem::replace(&mut buffer, rest), whole);
         }
-        while let Some(bytes) = queue.due() {
+        while let Some(bytes) = queue.pop_due() {
             if to.write_all(&bytes).is_err() {
                 ended = true;
-                queue.waits.clear();
+                queue.pending.clear();
             }
         }
-        if ended && queue.waits.is_empty() {
+        if ended && queue.pending.is_empty() {
             break;
         }
     }
-    // Both sides learn of it; one that has gone already cannot.
+    // Closes both sides; one may already be closed.
     let _ = to.shutdown(Shutdown::Both);
     let _ = from.shutdown(Shutdown::Both);
 }
 
-/// The size of what stands whole at the beginning, and whether it is a frame.
-fn next(held: &[u8], word: &mut usize) -> Option<(usize, bool)> {
-    if *word > 0 {
-        let size = held.len().min(*word);
-        *word -= size;
+/// Returns the size of the first complete unit in `buffer`, and whether it is a frame.
+/// `challenge_left` counts the challenge bytes still to come.
+fn next_unit(buffer: &[u8], challenge_left: &mut usize) -> Option<(usize, bool)> {
+    if *challenge_left > 0 {
+        let size = buffer.len().min(*challenge_left);
+        *challenge_left -= size;
         return (size > 0).then_some((size, false));
     }
-    let length = u32::from_le_bytes(*held.first_chunk::<4>()?) as usize;
-    (held.len() >= 4 + length).then_some((4 + length, true))
+    let length = u32::from_le_bytes(*buffer.first_chunk::<4>()?) as usize;
+    (buffer.len() >= 4 + length).then_some((4 + length, true))
 }
 
 #[cfg(test)]
--- a/testbed/src/fault_proxy/tests.rs
+++ b/testbed/src/fault_proxy/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// One that says a word and then sends back each frame.
+/// Starts a server that sends a challenge and then echoes the bytes it receives.
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -27,9 +27,9 @@
 fn connect(link: &Link) -> TcpStream {
     let mut s = TcpStream::connect(link.address).unwrap();
     s.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    let mut word = [0; CHALLENGE_BYTES];
-    s.read_exact(&mut word).unwrap();
-    assert_eq!(word, [7; CHALLENGE_BYTES]);
+    let mut challenge = [0; CHALLENGE_BYTES];
+    s.read_exact(&mut challenge).unwrap();
+    assert_eq!(challenge, [7; CHALLENGE_BYTES]);
     s
 }
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn whole_frames_are_lost_doubled_and_held_each_way_apart() {
+fn stream_relay_applies_faults_per_direction() {
     let link = Link::stream(echo(), 1).unwrap();
     let mut s = connect(&link);
     s.write_all(&frame(1)).unwrap();
@@ -63,7 +63,7 @@
     );
     s.write_all(&frame(3)).unwrap();
     assert_eq!((read(&mut s), read(&mut s)), (3, 3));
-    // Held on the way back: it left, and comes once the cut ends.
+    // A cut on the way back holds the frame; it arrives after the cut ends.
     link.set_both(Faults::default());
     link.set(
         Way::Back,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn datagrams_come_behind_the_next() {
+fn reordered_datagram_arrives_after_the_next() {
     let (a, b) = (
         UdpSocket::bind("127.0.0.1:0").unwrap(),
         UdpSocket::bind("127.0.0.1:0").unwrap(),
--- a/testbed/src/history/mod.rs
+++ b/testbed/src/history/mod.rs
@@ -1,7 +1,9 @@
-//! Histories: what each process recorded, and a checker apart from the program that judges them.
+//! Reads the histories that processes record and checks them against the safety rules of leases.
+//! The checker shares no code with the gateway.
 //!
-//! A history is a folder of files with a line of JSON for each thing noted, in the order in which its process noted it. Only
-//! that order and what the lines say of one another count; no two clocks are compared, and no span of time is judged.
+//! A history is a folder of files with one line of JSON per event, in the order in which the
+//! process recorded them. The checks use only that order and the contents of the lines; they
+//! compare no clocks and judge no durations.
 
 pub mod promises;
 pub mod tenants;
@@ -13,40 +15,40 @@
 
 use serde::Deserialize;
 
-/// A line as a gateway writes it, or a caller.
+/// A line written by a gateway or by a caller.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum Line {
-    /// Of a gateway.
+    /// An event that a gateway recorded.
     Noted {
-        /// The machine's time; for readers, not for the checker.
+        /// Time at the machine; for readers, unused by the checker.
         at: u64,
-        /// Its name.
+        /// Name of the gateway.
         name: String,
-        /// Its process.
+        /// Number of its process.
         process: u64,
-        /// What.
+        /// Event.
         note: Note,
     },
-    /// Of a caller: one answer to one call.
+    /// One answer to one call, recorded by a caller.
     Answered {
-        /// Which call.
+        /// Number of the call.
         call: u64,
-        /// Its status; 0 for none.
+        /// HTTP status; 0 without an answer.
         status: u16,
     },
 }
 
-/// An owner as histories have it.
+/// A lease holder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 pub struct Owner {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Its process.
+    /// Number of its process.
     pub incarnation: u64,
 }
 
-/// What a gateway noted.
+/// An event of a gateway. A `duty` is the name of a lease.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -105,42 +107,42 @@
     },
 }
 
-/// What is wrong with a history.
+/// A violation found in a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Wrong {
-    /// A receiver took an effect under a term below one that it had taken before.
+    /// A receiver accepted an effect under a lower term than an effect it had accepted before.
     Stale {
         receiver: String,
         duty: String,
         term: u64,
         after: u64,
     },
-    /// Two entries at one place of the log, or two owners of one term.
+    /// A lease has two holders in one term.
     TwoOwners { duty: String, term: u64 },
-    /// Two entries of duties at one place of the log.
+    /// Two gateways report different lease entries at one index of the log.
     TwoEntries { index: u64 },
-    /// A term that does not follow the one before.
+    /// A term of a lease does not follow the previous term.
     Gap { duty: String, term: u64 },
-    /// An owner acted without a lease that ran, or let bytes go after it had ended.
+    /// A gateway acted without holding the lease, or sent an effect after it had lost the lease.
     NoLease {
         owner: String,
         duty: String,
         term: u64,
         number: u64,
     },
-    /// A receiver took what no owner had done.
+    /// A receiver accepted an effect that no lease holder produced.
     Forged {
         receiver: String,
         duty: String,
         term: u64,
         number: u64,
     },
-    /// Two led the log in one of its terms.
+    /// Two processes led the log in one term.
     TwoLeaders { term: u64 },
-    /// A call has two final answers.
+    /// A call has two answers.
     TwoAnswers { call: u64 },
-    /// Nothing was recorded that could be judged.
+    /// The history lacks records of this kind.
     Nothing(&'static str),
 }
 
@@ -192,26 +194,26 @@
     }
 }
 
-/// What a history holds, for its report.
+/// Counts of the events in a history, for the report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Held {
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Terms granted, of all duties.
+    /// Terms holder, of all leases.
     pub terms: usize,
-    /// Effects that owners decided on.
+    /// Effects that lease holders produced.
     pub acted: usize,
-    /// Effects that others took.
+    /// Effects that receivers accepted.
     pub accepted: usize,
-    /// Effects that others refused.
+    /// Effects that receivers refused.
     pub refused: usize,
-    /// Effects taken back before they left.
+    /// Effects withdrawn before they were sent.
     pub taken_back: usize,
-    /// Calls that were answered.
+    /// Calls answered.
     pub answers: usize,
 }
 
-/// Reads the files of a folder, each in its order.
+/// Reads the history files of a folder; returns the lines of each file in order.
 pub fn read(folder: &Path) -> Result<Vec<Vec<Line>>> {
     let mut files: Vec<_> = std::fs::read_dir(folder)?.collect::<Result<Vec<_>>>()?;
     files.sort_by_key(std::fs::DirEntry::path);
@@ -225,17 +227,17 @@
     Ok(all)
 }
 
-/// Reads lines. The last one may be cut short, as a process may be killed while it writes.
+/// Parses lines. Skips an incomplete last line, as a process may be killed while it writes.
 pub fn parse(text: &str) -> Result<Vec<Line>> {
-    let whole = text.rfind('\n').map_or("", |end| &text[..end]);
+    let complete = text.rfind('\n').map_or("", |end| &text[..end]);
     let line = |l: &str| serde_json::from_str(l).map_err(|e| Error::other(format!("'{l}': {e}")));
-    whole.lines().map(line).collect()
+    complete.lines().map(line).collect()
 }
 
-/// Judges histories, a list for each file; all that is wrong with them.
+/// Checks histories, one list of lines per file. Returns counts of the events and all violations.
 pub fn check(files: &[Vec<Line>]) -> (Held, Vec<Wrong>) {
-    let mut wrong = Vec::new();
-    let mut held = Held::default();
+    let mut violations = Vec::new();
+    let mut counts = Held::default();
     let mut entries: BTreeMap<u64, (&str, u64, &Option<Owner>)> = BTreeMap::new();
     let mut owners: BTreeMap<(&str, u64), &Owner> = BTreeMap::new();
     let mut actors: BTreeMap<(&str, u64), (&str, u64)> = BTreeMap::new();
@@ -243,7 +245,7 @@
     let mut acted: BTreeSet<(&str, u64, &str, u64)> = BTreeSet::new();
     let mut answers: BTreeSet<u64> = BTreeSet::new();
     let mut processes: BTreeSet<u64> = BTreeSet::new();
-    // First what all said together.
+    // First the rules that involve several processes.
     for line in files.iter().flatten() {
         let (name, process, note) = match line {
             Line::Noted {
@@ -254,7 +256,7 @@
             } => (name.as_str(), *process, note),
             Line::Answered { call, status } => {
                 if *status > 0 && !answers.insert(*call) {
-                    wrong.push(Wrong::TwoAnswers { call: *call });
+                    violations.push(Wrong::TwoAnswers { call: *call });
                 }
                 continue;
             }
@@ -269,11 +271,11 @@
             } => {
                 let entry = (duty.as_str(), *term, owner);
                 if *entries.entry(*index).or_insert(entry) != entry {
-                    wrong.push(Wrong::TwoEntries { index: *index });
+                    violations.push(Wrong::TwoEntries { index: *index });
                 }
                 if let Some(owner) = owner {
                     if *owners.entry((duty, *term)).or_insert(owner) != owner {
-                        wrong.push(Wrong::TwoOwners {
+                        violations.push(Wrong::TwoOwners {
                             duty: duty.clone(),
                             term: *term,
                         });
@@ -282,45 +284,48 @@
             }
             Note::Acted { duty, term, number } => {
                 acted.insert((duty, *term, name, *number));
-                held.acted += 1;
-                let me = (name, process);
-                if *actors.entry((duty, *term)).or_insert(me) != me {
-                    wrong.push(Wrong::TwoOwners {
+                counts.acted += 1;
+                let recorder = (name, process);
+                if *actors.entry((duty, *term)).or_insert(recorder) != recorder {
+                    violations.push(Wrong::TwoOwners {
                         duty: duty.clone(),
                         term: *term,
                     });
                 }
             }
             Note::Leads { term } => {
-                let me = (name, process);
-                if *leaders.entry(*term).or_insert(me) != me {
-                    wrong.push(Wrong::TwoLeaders { term: *term });
+                let recorder = (name, process);
+                if *leaders.entry(*term).or_insert(recorder) != recorder {
+                    violations.push(Wrong::TwoLeaders { term: *term });
                 }
             }
             _ => {}
         }
     }
     for ((duty, term), (name, process)) in &actors {
-        let granted = owners.get(&(*duty, *term));
-        if granted.is_some_and(|o| o.name != *name || o.incarnation != *process) {
-            wrong.push(Wrong::TwoOwners {
+        let holder = owners.get(&(*duty, *term));
+        if holder.is_some_and(|o| o.name != *name || o.incarnation != *process) {
+            violations.push(Wrong::TwoOwners {
                 duty: (*duty).into(),
                 term: *term,
             });
         }
     }
-    check_terms(&entries, &mut wrong);
-    // Then each process by itself.
+    check_terms(&entries, &mut violations);
+    // Then the rules for the order of events within one process.
     for file in files {
-        check_file(file, &acted, &mut held, &mut wrong);
+        check_file(file, &acted, &mut counts, &mut violations);
     }
-    (held.processes, held.terms, held.answers) = (processes.len(), owners.len(), answers.len());
-    wrong.dedup();
-    (held, wrong)
+    (counts.processes, counts.terms, counts.answers) =
+        (processes.len(), owners.len(), answers.len());
+    violations.dedup();
+    (counts, violations)
 }
 
-/// Along the log each grant's term is one above the last, but for a council that was founded anew.
-fn check_terms(entries: &BTreeMap<u64, (&str, u64, &Option<Owner>)>, wrong: &mut Vec<Wrong>) {
+/// Checks along the log that each grant of a lease raises its term by one and that a release keeps
+/// the term. The first entry of a lease may have any term, as the group may have been bootstrapped
+/// anew.
+fn check_terms(entries: &BTreeMap<u64, (&str, u64, &Option<Owner>)>, violations: &mut Vec<Wrong>) {
     let mut last: BTreeMap<&str, u64> = BTreeMap::new();
     for (duty, term, owner) in entries.values() {
         let before = last
@@ -329,7 +334,7 @@
             .unwrap_or(*term - u64::from(owner.is_some()));
         let follows = if owner.is_some() { before + 1 } else { before };
         if *term != follows {
-            wrong.push(Wrong::Gap {
+            violations.push(Wrong::Gap {
                 duty: (*duty).into(),
                 term: *term,
             });
@@ -341,12 +346,12 @@
 fn check_file(
     file: &[Line],
     acted: &BTreeSet<(&str, u64, &str, u64)>,
-    held: &mut Held,
-    wrong: &mut Vec<Wrong>,
+    counts: &mut Held,
+    violations: &mut Vec<Wrong>,
 ) {
-    // Of one process: a file goes on over restarts, and a new process has seen nothing.
-    let mut seen: BTreeMap<(u64, &str), u64> = BTreeMap::new();
-    let mut runs: BTreeSet<(u64, &str, u64)> = BTreeSet::new();
+    // Keyed by process: a file continues over restarts, and a new process has accepted nothing.
+    let mut highest_terms: BTreeMap<(u64, &str), u64> = BTreeMap::new();
+    let mut active: BTreeSet<(u64, &str, u64)> = BTreeSet::new();
     for line in file {
         let Line::Noted {
             name,
@@ -358,32 +363,32 @@
             continue;
         };
         match note {
-            Note::Began { duty, term } => drop(runs.insert((*process, duty, *term))),
-            Note::Ended { duty, term } => drop(runs.remove(&(*process, duty.as_str(), *term))),
+            Note::Began { duty, term } => drop(active.insert((*process, duty, *term))),
+            Note::Ended { duty, term } => drop(active.remove(&(*process, duty.as_str(), *term))),
             Note::Acted { duty, term, number } | Note::Sent { duty, term, number }
-                if !runs.contains(&(*process, duty.as_str(), *term)) =>
+                if !active.contains(&(*process, duty.as_str(), *term)) =>
             {
                 let (owner, duty) = (name.clone(), duty.clone());
-                wrong.push(Wrong::NoLease {
+                violations.push(Wrong::NoLease {
                     owner,
                     duty,
                     term: *term,
                     number: *number,
                 });
             }
-            Note::TakenBack { .. } => held.taken_back += 1,
-            Note::Refused { .. } => held.refused += 1,
+            Note::TakenBack { .. } => counts.taken_back += 1,
+            Note::Refused { .. } => counts.refused += 1,
             Note::Accepted {
                 duty,
                 term,
                 owner,
                 number,
             } => {
-                held.accepted += 1;
-                let highest = seen.entry((*process, duty)).or_default();
+                counts.accepted += 1;
+                let highest = highest_terms.entry((*process, duty)).or_default();
                 if *term < *highest {
                     let (receiver, duty) = (name.clone(), duty.clone());
-                    wrong.push(Wrong::Stale {
+                    violations.push(Wrong::Stale {
                         receiver,
                         duty,
                         term: *term,
@@ -393,7 +398,7 @@
                 *highest = (*highest).max(*term);
                 if !acted.contains(&(duty.as_str(), *term, owner.as_str(), *number)) {
                     let (receiver, duty) = (name.clone(), duty.clone());
-                    wrong.push(Wrong::Forged {
+                    violations.push(Wrong::Forged {
                         receiver,
                         duty,
                         term: *term,
@@ -406,26 +411,27 @@
     }
 }
 
-/// `check`: judges a folder and says what it found.
+/// Runs the command `check`: checks the histories in a folder and prints the result. Returns
+/// whether there are no violations.
 pub fn run(folder: &Path) -> Result<bool> {
-    let (held, mut wrong) = check(&read(folder)?);
-    if held.processes == 0 {
-        wrong.push(Wrong::Nothing("process"));
+    let (counts, mut violations) = check(&read(folder)?);
+    if counts.processes == 0 {
+        violations.push(Wrong::Nothing("process"));
     }
     println!(
         "{} processes, {} terms, {} effects done, {} taken, {} refused, {} taken back, {} calls answered",
-        held.processes, held.terms, held.acted, held.accepted, held.refused, held.taken_back, held.answers
+        counts.processes, counts.terms, counts.acted, counts.accepted, counts.refused, counts.taken_back, counts.answers
     );
-    wrong.iter().for_each(|w| println!("WRONG: {w}"));
+    violations.iter().for_each(|w| println!("WRONG: {w}"));
     println!(
         "{}",
-        if wrong.is_empty() {
+        if violations.is_empty() {
             "sound"
         } else {
             "NOT sound"
         }
     );
-    Ok(wrong.is_empty())
+    Ok(violations.is_empty())
 }
 
 #[cfg(test)]
--- a/testbed/src/history/promises.rs
+++ b/testbed/src/history/promises.rs
@@ -1,5 +1,6 @@
-//! What was promised, judged by what gateways recorded of shards, callers of answers, workers of runs and the portal of
-//! callbacks. Nothing here is the program's own; no clock and no span of time is looked at.
+//! Checks the durability of accepted calls: compares the shard events that gateways record with the
+//! answers to callers, the runs of workers and the callbacks at the portal. Shares no code with the
+//! gateway and uses no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,7 +11,7 @@
 
 use crate::fakes::gateway::{SAFE, UNSAFE};
 
-/// What a gateway noted of shards.
+/// An event of a shard at a gateway.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "copies", rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -79,7 +80,8 @@
     note: CopyNote,
 }
 
-/// Reads a folder's histories of shards. A last line that a kill cut off is passed over.
+/// Reads a folder's histories of shards: name and process number of the gateway, and the event.
+/// Skips an incomplete last line, which a kill can leave.
 pub fn read(folder: &Path) -> Result<Vec<(String, u64, CopyNote)>> {
     let mut all = Vec::new();
     for file in std::fs::read_dir(folder)? {
@@ -88,8 +90,8 @@
             continue;
         }
         let text = std::fs::read_to_string(&path)?;
-        let whole = text.rfind('\n').map_or(0, |end| end + 1);
-        for line in text[..whole].lines() {
+        let complete_bytes = text.rfind('\n').map_or(0, |end| end + 1);
+        for line in text[..complete_bytes].lines() {
             let line: Line =
                 serde_json::from_str(line).map_err(|e| Error::other(format!("{e}: {line}")))?;
             all.push((line.name, line.process, line.note));
@@ -98,25 +100,25 @@
     Ok(all)
 }
 
-/// What did not hold.
+/// A violation of the guarantees.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Wrong {
-    /// Two processes gave a shard's records their numbers under one epoch.
+    /// Two processes were primary of a shard in one epoch.
     TwoLed { shard: u16, epoch: u64 },
-    /// One number was promised with two contents.
+    /// One record number was acknowledged with two contents.
     TwoPromised { shard: u16, number: u64 },
-    /// What was promised was not there when another took the shard over.
+    /// The primary of a later epoch began without an acknowledged record.
     Gone { shard: u16, number: u64, epoch: u64 },
-    /// All disks of a shard were lost.
+    /// All members of a shard lost their disks, or a repair accepted incomplete data.
     Lost { shard: u16 },
-    /// A call that got a 202 has no end.
+    /// A call answered 202 has no outcome.
     NoEnd { call: String },
-    /// A call that is safe to repeat has an end and no callback.
+    /// A call that is safe to repeat has an outcome and no confirmed callback.
     NoCallback { call: String },
-    /// The callback of a call that must not run twice came twice.
+    /// The callback of a call that must not run twice arrived more than once.
     CallbackTwice { call: String, times: usize },
-    /// A call that must not run twice ran twice.
+    /// A call that must not run twice ran more than once.
     RanTwice { call: String, times: u32 },
 }
 
@@ -126,30 +128,32 @@
     }
 }
 
-/// What a history held.
+/// Counts of the events in a history.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Promised {
-    /// Calls that got a 202.
+    /// Calls answered 202.
     pub calls: usize,
-    /// Of those, calls whose end is that nobody can tell.
+    /// Calls answered 202 whose outcome is `unknown`.
     pub unknown: usize,
-    /// Calls that were turned away, or got no answer.
+    /// Calls rejected or not answered.
     pub refused: usize,
-    /// Records promised.
+    /// Acknowledgements of records.
     pub records: usize,
-    /// Epochs of all shards.
+    /// Epochs epoch_starts, of all shards.
     pub epochs: usize,
-    /// Words of older primaries that were refused.
+    /// Messages from primaries of older epochs that were refused.
     pub declined: usize,
-    /// Snapshots that took the place of what a disk held.
+    /// Snapshots that replaced a replica's contents.
     pub installed: usize,
-    /// Shards of damaged disks that were mended from others.
+    /// Damaged replicas that were repaired from others.
     pub mended: usize,
-    /// Reads that found damage which a second read did not find.
+    /// Reads that reported damage which a second read did not confirm.
     pub refuted: usize,
 }
 
-/// Judges.
+/// Checks the shard events against the answers to callers (`told`: class and status by call), the
+/// outcomes by call, the runs by identity and class, and the portal's callbacks (call, confirmed).
+/// Returns counts of the events and all violations.
 pub fn check(
     notes: &[(String, u64, CopyNote)],
     told: &BTreeMap<String, (String, u16)>,
@@ -157,11 +161,12 @@
     runs: &BTreeMap<(String, String), u32>,
     portal: &[(String, bool)],
 ) -> (Promised, Vec<Wrong>) {
-    let (mut held, mut wrong) = (Promised::default(), Vec::new());
-    let mut leaders: BTreeMap<(u16, u64), u64> = BTreeMap::new();
-    // The digest of each number that was promised, with the epoch; and what each leader began with.
-    let mut promised: BTreeMap<(u16, u64), (u64, u64)> = BTreeMap::new();
-    let mut begun: Vec<(u16, u64, u64)> = Vec::new();
+    let (mut counts, mut violations) = (Promised::default(), Vec::new());
+    let mut primaries: BTreeMap<(u16, u64), u64> = BTreeMap::new();
+    // The digest of each acknowledged number with its lowest epoch, and the number that each
+    // primary began at.
+    let mut acknowledged: BTreeMap<(u16, u64), (u64, u64)> = BTreeMap::new();
+    let mut epoch_starts: Vec<(u16, u64, u64)> = Vec::new();
     for (_, process, note) in notes {
         match note {
             CopyNote::Led {
@@ -170,10 +175,10 @@
                 number,
                 ..
             } => {
-                held.epochs += 1;
-                begun.push((*shard, *epoch, *number));
-                if *leaders.entry((*shard, *epoch)).or_insert(*process) != *process {
-                    wrong.push(Wrong::TwoLed {
+                counts.epochs += 1;
+                epoch_starts.push((*shard, *epoch, *number));
+                if *primaries.entry((*shard, *epoch)).or_insert(*process) != *process {
+                    violations.push(Wrong::TwoLed {
                         shard: *shard,
                         epoch: *epoch,
                     });
@@ -186,26 +191,26 @@
                 epoch,
                 ..
             } => {
-                held.records += 1;
-                let known = promised
+                counts.records += 1;
+                let known = acknowledged
                     .entry((*shard, *number))
                     .or_insert((*chain, *epoch));
                 if known.0 != *chain {
-                    wrong.push(Wrong::TwoPromised {
+                    violations.push(Wrong::TwoPromised {
                         shard: *shard,
                         number: *number,
                     });
                 }
                 known.1 = known.1.min(*epoch);
             }
-            CopyNote::Declined { .. } => held.declined += 1,
-            CopyNote::Installed { .. } => held.installed += 1,
-            CopyNote::Refuted { .. } => held.refuted += 1,
-            CopyNote::Lost { shard } => wrong.push(Wrong::Lost { shard: *shard }),
+            CopyNote::Declined { .. } => counts.declined += 1,
+            CopyNote::Installed { .. } => counts.installed += 1,
+            CopyNote::Refuted { .. } => counts.refuted += 1,
+            CopyNote::Lost { shard } => violations.push(Wrong::Lost { shard: *shard }),
             CopyNote::Mended {
                 accepted: false, ..
-            } => held.mended += 1,
-            CopyNote::Mended { shard, .. } => wrong.push(Wrong::Lost { shard: *shard }),
+            } => counts.mended += 1,
+            CopyNote::Mended { shard, .. } => violations.push(Wrong::Lost { shard: *shard }),
             CopyNote::Recalled { .. }
             | CopyNote::Rested { .. }
             | CopyNote::Stored { .. }
@@ -213,57 +218,60 @@
             | CopyNote::Waits { .. } => {}
         }
     }
-    // Whoever leads under a later epoch began with all that was promised under an earlier one.
-    for (shard, epoch, number) in begun {
-        let of = promised.range((shard, number + 1)..=(shard, u64::MAX));
-        if let Some(((_, gone), _)) = of.into_iter().find(|(_, (_, under))| *under < epoch) {
-            wrong.push(Wrong::Gone {
+    // The primary of an epoch must begin with all records acknowledged in earlier epochs.
+    for (shard, epoch, number) in epoch_starts {
+        let later = acknowledged.range((shard, number + 1)..=(shard, u64::MAX));
+        if let Some(((_, missing), _)) = later
+            .into_iter()
+            .find(|(_, (_, acknowledged_in))| *acknowledged_in < epoch)
+        {
+            violations.push(Wrong::Gone {
                 shard,
-                number: *gone,
+                number: *missing,
                 epoch,
             });
         }
     }
-    let mut came: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut callback_counts: BTreeMap<&str, usize> = BTreeMap::new();
     portal
         .iter()
-        .for_each(|(call, _)| *came.entry(call).or_default() += 1);
+        .for_each(|(call, _)| *callback_counts.entry(call).or_default() += 1);
     let confirmed: BTreeSet<&str> = portal
         .iter()
         .filter(|(_, c)| *c)
         .map(|(call, _)| call.as_str())
         .collect();
     for (call, (class, status)) in told {
-        if class == UNSAFE && came.get(call.as_str()).is_some_and(|n| *n > 1) {
-            wrong.push(Wrong::CallbackTwice {
+        if class == UNSAFE && callback_counts.get(call.as_str()).is_some_and(|n| *n > 1) {
+            violations.push(Wrong::CallbackTwice {
                 call: call.clone(),
-                times: came[call.as_str()],
+                times: callback_counts[call.as_str()],
             });
         }
         if *status != 202 {
-            held.refused += 1;
+            counts.refused += 1;
             continue;
         }
-        held.calls += 1;
+        counts.calls += 1;
         match outcomes.get(call) {
-            None => wrong.push(Wrong::NoEnd { call: call.clone() }),
-            Some(o) if o == "unknown" => held.unknown += 1,
+            None => violations.push(Wrong::NoEnd { call: call.clone() }),
+            Some(o) if o == "unknown" => counts.unknown += 1,
             Some(_) => {}
         }
         if class == SAFE && outcomes.contains_key(call) && !confirmed.contains(call.as_str()) {
-            wrong.push(Wrong::NoCallback { call: call.clone() });
+            violations.push(Wrong::NoCallback { call: call.clone() });
         }
     }
     for ((id, class), n) in runs
         .iter()
         .filter(|((_, class), n)| class == UNSAFE && **n > 1)
     {
-        wrong.push(Wrong::RanTwice {
+        violations.push(Wrong::RanTwice {
             call: format!("{class} {id}"),
             times: *n,
         });
     }
-    (held, wrong)
+    (counts, violations)
 }
 
 #[cfg(test)]
--- a/testbed/src/history/promises/tests.rs
+++ b/testbed/src/history/promises/tests.rs
@@ -30,7 +30,7 @@
     )
 }
 
-fn judged(notes: &[(String, u64, CopyNote)]) -> Vec<Wrong> {
+fn violations(notes: &[(String, u64, CopyNote)]) -> Vec<Wrong> {
     check(
         notes,
         &BTreeMap::new(),
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn each_kind_of_wrong_is_found() {
+fn each_violation_is_reported() {
     assert_eq!(
-        judged(&[
+        violations(&[
             led(1, 1, 0),
             promised(1, 1, 7),
             led(2, 2, 1),
@@ -53,11 +53,11 @@
         []
     );
     assert_eq!(
-        judged(&[led(1, 1, 0), led(2, 1, 0)]),
+        violations(&[led(1, 1, 0), led(2, 1, 0)]),
         [Wrong::TwoLed { shard: 1, epoch: 1 }]
     );
     assert_eq!(
-        judged(&[promised(1, 1, 7), promised(2, 1, 8)]),
+        violations(&[promised(1, 1, 7), promised(2, 1, 8)]),
         [Wrong::TwoPromised {
             shard: 1,
             number: 1
@@ -69,7 +69,7 @@
         epoch: 2,
     };
     assert_eq!(
-        judged(&[promised(1, 1, 7), promised(1, 2, 8), led(2, 2, 1)]),
+        violations(&[promised(1, 1, 7), promised(1, 2, 8), led(2, 2, 1)]),
         [gone]
     );
     let told = [("a", SAFE, 202), ("b", UNSAFE, 202), ("c", UNSAFE, 503)];
@@ -79,8 +79,8 @@
     let outcomes = [("a".to_owned(), "served".to_owned())].into();
     let runs = [(("x".to_owned(), UNSAFE.to_owned()), 2)].into();
     let portal = [("c".to_owned(), true), ("c".to_owned(), true)];
-    let (held, wrong) = check(&[], &told, &outcomes, &runs, &portal);
-    assert_eq!((held.calls, held.refused), (2, 1));
+    let (counts, wrong) = check(&[], &told, &outcomes, &runs, &portal);
+    assert_eq!((counts.calls, counts.refused), (2, 1));
     assert_eq!(
         wrong,
         [
--- a/testbed/src/history/tenants.rs
+++ b/testbed/src/history/tenants.rs
@@ -1,4 +1,5 @@
-//! Changes of tenants, judged by what gateways recorded. Nothing here is the program's own; no clock is looked at.
+//! Checks changes of tenants in the histories that gateways record. Shares no code with the gateway
+//! and uses no clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Error, Result};
@@ -6,7 +7,7 @@
 
 use serde::Deserialize;
 
-/// What a gateway noted of tenants.
+/// An event of a tenant's configuration at a gateway.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "tenants", rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -23,7 +24,7 @@
     },
 }
 
-/// A note, with the name and the number of its process; in order for each process.
+/// An event with the gateway's name and its process number. The lines of a process are in order.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[allow(missing_docs)]
 pub struct TenantLine {
@@ -32,7 +33,7 @@
     pub note: TenantNote,
 }
 
-/// Reads a folder's histories of tenants. A last line that a kill cut off is passed over.
+/// Reads a folder's histories of tenants. Skips an incomplete last line, which a kill can leave.
 pub fn read(folder: &Path) -> Result<Vec<TenantLine>> {
     let mut all = Vec::new();
     for file in std::fs::read_dir(folder)? {
@@ -41,30 +42,30 @@
             continue;
         }
         let text = std::fs::read_to_string(&path)?;
-        let whole = text.rfind('\n').map_or(0, |end| end + 1);
-        for line in text[..whole].lines() {
+        let complete_bytes = text.rfind('\n').map_or(0, |end| end + 1);
+        for line in text[..complete_bytes].lines() {
             all.push(serde_json::from_str(line).map_err(|e| Error::other(format!("{e}: {line}")))?);
         }
     }
     Ok(all)
 }
 
-/// What did not hold.
+/// A violation found in a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Wrong {
-    /// One version of a tenant was taken over with two contents.
+    /// One version of a tenant was adopted with two contents.
     TwoContents { tenant: String, version: u64 },
-    /// A process went back to an older version.
+    /// A process returned to an older version.
     Back {
         tenant: String,
         process: u64,
         from: u64,
         to: u64,
     },
-    /// Two were told that the same change is theirs.
+    /// Two callers got a confirmation for the same version.
     TwoTold { tenant: String, version: u64 },
-    /// A change that somebody was told is done is not known to one that runs.
+    /// A running gateway does not know a confirmed change.
     Gone {
         tenant: String,
         version: u64,
@@ -72,46 +73,49 @@
     },
 }
 
-/// Judges: `running` are the gateways that ran at the end, which were awaited to know all.
+/// Checks the lines and returns the number of confirmed changes and all violations. `running` are
+/// the gateways that run at the end, after a wait for them to learn all changes.
 pub fn check(lines: &[TenantLine], running: &BTreeSet<String>) -> (usize, Vec<Wrong>) {
-    let mut wrong = Vec::new();
+    let mut violations = Vec::new();
     let mut contents: BTreeMap<(&str, u64), Option<u64>> = BTreeMap::new();
-    let mut at: BTreeMap<(&str, u64), u64> = BTreeMap::new();
-    let mut last: BTreeMap<(&str, &str), u64> = BTreeMap::new();
-    let mut told: BTreeSet<(&str, u64)> = BTreeSet::new();
+    let mut process_versions: BTreeMap<(&str, u64), u64> = BTreeMap::new();
+    let mut gateway_versions: BTreeMap<(&str, &str), u64> = BTreeMap::new();
+    let mut confirmed: BTreeSet<(&str, u64)> = BTreeSet::new();
     for l in lines {
         match &l.note {
-            // What it knew before it has to learn anew.
-            TenantNote::Begun => last.retain(|(_, name), _| *name != l.name),
+            // A restarted gateway has to learn all tenants again.
+            TenantNote::Begun => gateway_versions.retain(|(_, name), _| *name != l.name),
             TenantNote::Adopted {
                 tenant,
                 version,
                 digest,
             } => {
-                // Of a tenant that is forgotten the version is only a bound.
+                // Without a digest the tenant is deleted and the version is only a lower bound.
                 if digest.is_some()
                     && *contents.entry((tenant, *version)).or_insert(*digest) != *digest
                 {
-                    wrong.push(Wrong::TwoContents {
+                    violations.push(Wrong::TwoContents {
                         tenant: tenant.clone(),
                         version: *version,
                     });
                 }
-                let before = at.insert((tenant, l.process), *version).unwrap_or(0);
+                let before = process_versions
+                    .insert((tenant, l.process), *version)
+                    .unwrap_or(0);
                 if before > *version {
                     let (tenant, process) = (tenant.clone(), l.process);
-                    wrong.push(Wrong::Back {
+                    violations.push(Wrong::Back {
                         tenant,
                         process,
                         from: before,
                         to: *version,
                     });
                 }
-                last.insert((tenant, &l.name), *version);
+                gateway_versions.insert((tenant, &l.name), *version);
             }
             TenantNote::Told { tenant, version } => {
-                if !told.insert((tenant, *version)) {
-                    wrong.push(Wrong::TwoTold {
+                if !confirmed.insert((tenant, *version)) {
+                    violations.push(Wrong::TwoTold {
                         tenant: tenant.clone(),
                         version: *version,
                     });
@@ -119,14 +123,14 @@
             }
         }
     }
-    for (tenant, version) in &told {
+    for (tenant, version) in &confirmed {
         for name in running {
-            if last
+            if gateway_versions
                 .get(&(*tenant, name.as_str()))
                 .is_none_or(|known| known < version)
             {
                 let (tenant, at) = ((*tenant).to_owned(), name.clone());
-                wrong.push(Wrong::Gone {
+                violations.push(Wrong::Gone {
                     tenant,
                     version: *version,
                     at,
@@ -134,7 +138,7 @@
             }
         }
     }
-    (told.len(), wrong)
+    (confirmed.len(), violations)
 }
 
 #[cfg(test)]
--- a/testbed/src/history/tenants/tests.rs
+++ b/testbed/src/history/tenants/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn told(version: u64) -> TenantLine {
+fn confirmed(version: u64) -> TenantLine {
     let note = TenantNote::Told {
         tenant: "t".into(),
         version,
@@ -28,11 +28,11 @@
 }
 
 #[test]
-fn each_kind_of_wrong_is_found() {
+fn each_violation_is_reported() {
     let running: BTreeSet<String> = ["a".to_owned(), "b".to_owned()].into();
     let good = [
         adopted("a", 1, 1, 7),
-        told(1),
+        confirmed(1),
         adopted("b", 2, 1, 7),
         adopted("b", 3, 1, 7),
     ];
@@ -46,18 +46,18 @@
         }]
     );
     let back = [adopted("a", 1, 2, 7), adopted("a", 1, 1, 6)];
-    let wrong = Wrong::Back {
+    let violation = Wrong::Back {
         tenant: "t".into(),
         process: 1,
         from: 2,
         to: 1,
     };
-    assert_eq!(check(&back, &running).1, [wrong]);
+    assert_eq!(check(&back, &running).1, [violation]);
     let twice = [
         adopted("a", 1, 1, 7),
         adopted("b", 2, 1, 7),
-        told(1),
-        told(1),
+        confirmed(1),
+        confirmed(1),
     ];
     assert_eq!(
         check(&twice, &running).1,
@@ -66,11 +66,11 @@
             version: 1
         }]
     );
-    let gone = [adopted("a", 1, 1, 7), told(1)];
-    let wrong = Wrong::Gone {
+    let gone = [adopted("a", 1, 1, 7), confirmed(1)];
+    let violation = Wrong::Gone {
         tenant: "t".into(),
         version: 1,
         at: "b".into(),
     };
-    assert_eq!(check(&gone, &running).1, [wrong]);
+    assert_eq!(check(&gone, &running).1, [violation]);
 }
--- a/testbed/src/history/tests.rs
+++ b/testbed/src/history/tests.rs
@@ -14,26 +14,26 @@
     )
 }
 
-fn of(what: &str, term: u64) -> String {
+fn event(what: &str, term: u64) -> String {
     format!(r#"{{"what":"{what}","duty":"d","term":{term},"number":1}}"#)
 }
 
-fn took(term: u64, owner: &str) -> String {
+fn accepted(term: u64, owner: &str) -> String {
     format!(r#"{{"what":"accepted","duty":"d","term":{term},"owner":"{owner}","number":1}}"#)
 }
 
-fn owner(name: &str, index: u64, term: u64) -> String {
+fn owner_history(name: &str, index: u64, term: u64) -> String {
     let notes = [
         agreed(index, term, name),
-        of("began", term),
-        of("acted", term),
-        of("sent", term),
-        of("ended", term),
+        event("began", term),
+        event("acted", term),
+        event("sent", term),
+        event("ended", term),
     ];
     notes.iter().map(|n| line(name, n)).collect()
 }
 
-fn judge(files: &[String]) -> Vec<Wrong> {
+fn violations(files: &[String]) -> Vec<Wrong> {
     let files: Vec<Vec<Line>> = files.iter().map(|f| parse(f).unwrap()).collect();
     check(&files).1
 }
@@ -43,57 +43,63 @@
 }
 
 #[test]
-fn a_sound_history_is_sound_also_with_its_last_line_cut() {
-    let c = lines("c", &[took(1, "a"), took(2, "b")]) + "{\"at\":1,\"na";
-    assert_eq!(judge(&[owner("a", 5, 1), owner("b", 6, 2), c]), []);
+fn valid_history_with_truncated_last_line_passes() {
+    let c = lines("c", &[accepted(1, "a"), accepted(2, "b")]) + "{\"at\":1,\"na";
+    assert_eq!(
+        violations(&[owner_history("a", 5, 1), owner_history("b", 6, 2), c]),
+        []
+    );
 }
 
 #[test]
-fn each_bad_history_is_refused_by_its_name() {
-    let (a, b) = (owner("a", 5, 1), owner("b", 6, 2));
-    let stale = lines("c", &[took(2, "b"), took(1, "a")]);
+fn each_violation_is_reported() {
+    let (a, b) = (owner_history("a", 5, 1), owner_history("b", 6, 2));
+    let stale = lines("c", &[accepted(2, "b"), accepted(1, "a")]);
     assert!(matches!(
-        judge(&[a.clone(), b.clone(), stale])[..],
+        violations(&[a.clone(), b.clone(), stale])[..],
         [Wrong::Stale {
             term: 1,
             after: 2,
             ..
         }]
     ));
-    let forged = lines("c", &[took(2, "a")]);
+    let forged = lines("c", &[accepted(2, "a")]);
     assert!(matches!(
-        judge(&[a.clone(), b.clone(), forged])[..],
+        violations(&[a.clone(), b.clone(), forged])[..],
         [Wrong::Forged { .. }]
     ));
-    // Two owners under one term, by the log and by what they did.
+    // Two owners of one term, shown by the log and by their effects.
     let other = lines("b", &[agreed(6, 1, "b")]);
-    assert!(judge(&[a.clone(), other]).contains(&Wrong::TwoOwners {
+    assert!(violations(&[a.clone(), other]).contains(&Wrong::TwoOwners {
         duty: "d".into(),
         term: 1
     }));
-    let other = lines("b", &[of("began", 1), of("acted", 1)]);
-    assert!(judge(&[a.clone(), other]).contains(&Wrong::TwoOwners {
+    let other = lines("b", &[event("began", 1), event("acted", 1)]);
+    assert!(violations(&[a.clone(), other]).contains(&Wrong::TwoOwners {
         duty: "d".into(),
         term: 1
     }));
     let other = lines("c", &[agreed(5, 1, "b")]);
-    assert!(judge(&[a.clone(), other]).contains(&Wrong::TwoEntries { index: 5 }));
-    let gap = owner("b", 6, 3);
-    assert!(judge(&[a.clone(), gap]).contains(&Wrong::Gap {
+    assert!(violations(&[a.clone(), other]).contains(&Wrong::TwoEntries { index: 5 }));
+    let gap = owner_history("b", 6, 3);
+    assert!(violations(&[a.clone(), gap]).contains(&Wrong::Gap {
         duty: "d".into(),
         term: 3
     }));
     for late in ["acted", "sent"] {
-        let late = owner("a", 5, 1) + &lines("a", &[of(late, 1)]);
-        assert!(matches!(judge(&[late])[..], [Wrong::NoLease { .. }]));
+        let late = owner_history("a", 5, 1) + &lines("a", &[event(late, 1)]);
+        assert!(matches!(violations(&[late])[..], [Wrong::NoLease { .. }]));
     }
     let leads = |n: &str| lines(n, &[r#"{"what":"leads","term":4}"#.into()]);
     assert_eq!(
-        judge(&[leads("a"), leads("b")]),
+        violations(&[leads("a"), leads("b")]),
         [Wrong::TwoLeaders { term: 4 }]
     );
     let answers =
         "{\"call\":9,\"status\":200}\n{\"call\":9,\"status\":503}\n{\"call\":8,\"status\":0}\n";
-    assert_eq!(judge(&[answers.into()]), [Wrong::TwoAnswers { call: 9 }]);
+    assert_eq!(
+        violations(&[answers.into()]),
+        [Wrong::TwoAnswers { call: 9 }]
+    );
     assert!(parse("not json\n").is_err());
 }
--- a/testbed/src/outage/clients.rs
+++ b/testbed/src/outage/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that go on calling, on connections that stay open, and note what became of each call.
+//! Clients that call at a steady rate on persistent connections and record the result of each call.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,63 +9,65 @@
 use crate::fakes::gateway::{SAFE, UNSAFE};
 use crate::fakes::{status, Caller};
 
-/// Functions that are called in turn, besides new ones.
+/// Number of functions that are called in turn, besides new ones.
 const FUNCTIONS: u64 = 24;
-/// One call in so many is of a function that was never called before.
+/// Every n-th call is to a function that was never called before.
 const NEW_FUNCTION_EVERY: u64 = 8;
-/// How long past its deadline an answer may come.
+/// Tolerated delay of an answer after its deadline.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// A request that an end of its connection crosses within this is sent once more.
-const CROSSING_TIME: Duration = Duration::from_millis(50);
-/// Callers of a gateway.
+/// A call that fails within this time is sent once more, as the gateway may have closed the idle
+/// connection at the same moment.
+const IDLE_CLOSE_RACE: Duration = Duration::from_millis(50);
+/// Number of clients per gateway.
 pub const CALLERS: u64 = 4;
 
-/// What became of a call.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CallResult {
     Served,
     Rejected,
     Failed,
-    /// An answer came later than its time and [`ANSWER_SLACK`], or the connection ended without one.
+    /// The answer came later than the deadline plus [`ANSWER_SLACK`], or the connection ended
+    /// without an answer.
     Lost,
-    /// No connection came up.
+    /// The connection was refused.
     Unreachable,
 }
 
-/// One call.
+/// A call and its result.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
     pub gateway: usize,
     pub sent_at: Instant,
-    pub end: End,
+    pub end: CallResult,
 }
 
-/// Where the gateways listen; a restart changes an address.
+/// Addresses of the gateways; a restart changes an address.
 pub type Addresses = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// One caller of one gateway.
+/// A client of one gateway.
 #[derive(Debug)]
 pub struct Client {
     pub gateway: usize,
     pub number: u64,
     pub scenario: Scenario,
     pub addresses: Addresses,
-    pub begun: Instant,
+    pub started_at: Instant,
     pub over: Arc<AtomicBool>,
 }
 
 impl Client {
     /// Calls until the run is over; returns all calls.
     pub fn run(&self) -> Vec<Call> {
-        let every = Duration::from_secs_f64(CALLERS as f64 / self.scenario.rate.max(1) as f64);
+        let interval = Duration::from_secs_f64(CALLERS as f64 / self.scenario.rate.max(1) as f64);
         let mut calls = Vec::new();
         let mut caller: Option<(SocketAddr, Caller)> = None;
-        let mut due = self.begun + every.mul_f64(self.number as f64 / CALLERS as f64);
+        let mut due = self.started_at + interval.mul_f64(self.number as f64 / CALLERS as f64);
         let mut number = 0;
         while !self.over.load(Ordering::Relaxed) {
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
-            due = (due + every).max(Instant::now());
-            if !self.scenario.is_busy(self.begun.elapsed()) {
+            due = (due + interval).max(Instant::now());
+            if !self.scenario.is_busy(self.started_at.elapsed()) {
                 continue;
             }
             let address = self.address();
@@ -80,21 +82,24 @@
             let sent_at = Instant::now();
             let request = self.request(number);
             let mut answer = connection.exchange(&request);
-            if answer.is_err() && sent_at.elapsed() < CROSSING_TIME {
-                // The request crossed the end of an idle connection; it is sent once more, on a new one.
+            if answer.is_err() && sent_at.elapsed() < IDLE_CLOSE_RACE {
+                // The gateway probably closed the idle connection; sends the request once more on a
+                // new connection.
                 answer = connection.exchange(&request);
             }
             let end = match answer {
-                Ok(_) if sent_at.elapsed() > self.scenario.deadline + ANSWER_SLACK => End::Lost,
+                Ok(_) if sent_at.elapsed() > self.scenario.deadline + ANSWER_SLACK => {
+                    CallResult::Lost
+                }
                 Ok(answer) => match status(&answer) {
-                    200 => End::Served,
-                    429 | 503 => End::Rejected,
-                    _ => End::Failed,
+                    200 => CallResult::Served,
+                    429 | 503 => CallResult::Rejected,
+                    _ => CallResult::Failed,
                 },
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
-                    End::Unreachable
+                    CallResult::Unreachable
                 }
-                Err(_) => End::Lost,
+                Err(_) => CallResult::Lost,
             };
             calls.push(Call {
                 gateway: self.gateway,
--- a/testbed/src/outage/discovery.rs
+++ b/testbed/src/outage/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in of service discovery that fails in many ways.
+//! A fake service discovery with several failure modes.
 
 use std::io::{Read, Result, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,23 +10,23 @@
 use super::scenario::OutageKind;
 use super::toggled_listener::ToggledListener;
 
-/// How often a stream looks for something to say.
-const STEP: Duration = Duration::from_millis(10);
-/// How often a comment is sent.
+/// Interval at which a stream checks for events to send.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between comments.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a dribbling stream sends one byte.
+/// Interval between the bytes of a stream in [`OutageKind::Dribble`].
 const DRIBBLE_INTERVAL: Duration = Duration::from_millis(600);
 
-/// What all streams share.
+/// State shared by all streams.
 #[derive(Debug)]
 struct Shared {
-    /// The events from revision 2 on; revision 1 is in the gateways' files.
+    /// Events from revision 2 on; revision 1 is in the gateways' configuration files.
     events: Vec<String>,
     kind: OutageKind,
     over: bool,
 }
 
-/// The stand-in.
+/// The fake service discovery.
 #[derive(Clone, Debug)]
 pub struct Discovery {
     pub address: SocketAddr,
@@ -34,7 +34,7 @@
 }
 
 impl Discovery {
-    /// Starts it on a free port.
+    /// Starts the service on a free port.
     pub fn start() -> Result<Discovery> {
         let listener = ToggledListener::bind()?;
         let discovery = Discovery {
@@ -50,12 +50,12 @@
         Ok(discovery)
     }
 
-    /// Has it fail in this way from now on.
+    /// Sets the failure mode.
     pub fn set(&self, kind: OutageKind) {
         self.lock().kind = kind;
     }
 
-    /// Adds an event that describes these workers.
+    /// Publishes an event with these endpoints.
     pub fn publish(&self, endpoints: &[Value]) {
         let mut shared = self.lock();
         let revision = shared.events.len() as u64 + 2;
@@ -66,7 +66,7 @@
             .push(format!("id: {revision}\ndata: {event}\n\n"));
     }
 
-    /// Ends it.
+    /// Stops the service.
     pub fn stop(&self) {
         self.lock().over = true;
     }
@@ -88,11 +88,11 @@
             }
             listener.set_open(kind != OutageKind::Refused);
             let Some(stream) = listener.accept() else {
-                std::thread::sleep(STEP / 2);
+                std::thread::sleep(POLL_INTERVAL / 2);
                 continue;
             };
             if kind == OutageKind::Reset {
-                // Ends the connection with a reset in place of an orderly end.
+                // Closes the connection with a reset instead of a FIN.
                 let _ = rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO));
                 continue;
             }
@@ -101,14 +101,14 @@
         }
     }
 
-    /// Serves one stream until it fails or the gateway goes.
+    /// Serves one stream until the stream fails or the service stops.
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
         let mut next = self.read_revision(&mut stream)?.saturating_sub(1) as usize;
         let mut has_answered = false;
         let mut last_comment = Instant::now();
         let mut last_byte = Instant::now();
         loop {
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
             let (kind, pending) = {
                 let shared = self.lock();
                 if shared.over {
@@ -133,9 +133,9 @@
             match kind {
                 OutageKind::CutInEvent => {
                     stream.write_all(b"id: 99\ndata: {\"rev\":99,\"poo").ok()?;
-                    // Nothing more is said until the outage is over; then the stream ends.
+                    // Sends nothing until the outage is over, then closes the stream.
                     while self.lock().kind == kind {
-                        std::thread::sleep(STEP);
+                        std::thread::sleep(POLL_INTERVAL);
                     }
                     return None;
                 }
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Reads the request and the revision after which it asks.
+    /// Reads the request and returns the revision in its `Last-Event-ID` header.
     fn read_revision(&self, stream: &mut TcpStream) -> Option<u64> {
         let mut head = Vec::new();
         let mut chunk = [0; 1024];
--- a/testbed/src/outage/judge.rs
+++ b/testbed/src/outage/judge.rs
@@ -1,71 +1,77 @@
-//! Judges a run: what reached workers after their drain counted as told, and what became of the calls.
+//! Checks the records of a run: commands that reached workers after their drain had to be known,
+//! and the results of the calls.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
-use super::clients::{Call, End};
-use super::scenario::{OutageKind, Restarts, Scenario, TOLD_AFTER};
-use super::worker::{Kind, Received};
+use super::clients::{Call, CallResult};
+use super::scenario::{OutageKind, Restarts, Scenario, DRAIN_KNOWN_AFTER};
+use super::worker::{CommandKind, Received};
 
-/// What the rules allow on top of the grace, and what a busy machine adds between a gateway's write and the record.
+/// Tolerance on top of the grace: 50 ms allowed by the rules, and 50 ms that a busy machine can add
+/// between a gateway's write and the worker's record.
 const SLACK: Duration = Duration::from_millis(50 + 50);
-/// How many late sends are noted one by one.
-const MAX_NOTES: usize = 4;
-/// The share served in the outage, of that beside it, below which a run does not hold, where enough workers stay.
+/// Maximum number of late sends that are listed.
+const MAX_LATE_LISTED: usize = 4;
+/// Minimum ratio of the share served during the outage to the share served outside it, if enough
+/// workers keep serving.
 const MIN_RELATIVE_SHARE: f64 = 0.97;
 
-/// What reached one worker.
+/// Commands that one worker received.
 #[derive(Debug)]
 pub struct WorkerRecord {
-    /// Its place in the scenario.
+    /// Index of the worker in the scenario.
     pub worker: usize,
-    /// All that reached it.
+    /// Commands in order.
     pub received: Vec<Received>,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Verdict {
     scenario: Scenario,
-    /// Calls that reached a draining worker after its drain counted as told and the grace had passed.
+    /// Calls that reached a draining worker after its drain had to be known and the grace had
+    /// passed.
     pub late_calls: usize,
-    /// Load orders that did.
+    /// Load orders that reached a draining worker that late.
     pub late_loads: usize,
-    /// Calls without an answer in time at a gateway that ran all the time.
+    /// Calls not answered in time, at gateways that were not restarted.
     pub lost: usize,
-    /// Calls.
+    /// Number of calls.
     pub calls: usize,
     /// Load orders that workers received.
     pub loads: usize,
-    /// Health checks that workers received before the outage, and from then on.
+    /// Health checks that workers received before the outage, and after its start.
     pub checks: (usize, usize),
-    /// The most health checks that a worker received within a second.
+    /// Maximum number of health checks that one worker received within a second.
     pub most_checks_per_s: usize,
-    /// The share served beside the outage, and in it.
+    /// Share of calls served outside the outage, and during it.
     pub served: (f64, f64),
-    /// Calls rejected and failed in the outage.
+    /// Calls rejected and calls failed during the outage.
     pub unserved: (usize, usize),
-    /// What reached workers too late, and how long after the drain; the first few.
+    /// Descriptions of the first late sends.
     pub late: Vec<String>,
 }
 
 impl Verdict {
-    /// The heading of the lines that verdicts are printed as.
+    /// Column headings for the printed verdicts.
     pub const HEADER: &str =
         "seed gateways workers kind          restarts checks rate  late calls/loads  lost/calls  loads  checks before/in (most/s)  served beside/in";
 
-    /// Whether no rule was broken, no check was made before the outage, and enough was served in it.
+    /// Returns whether the run kept the rules and served enough calls during the outage.
     pub fn holds(&self) -> bool {
         self.keeps_rules() && self.serves_enough()
     }
 
-    /// Whether no rule was broken and no check was made while discovery was in reach.
+    /// Returns whether no send was late, no call was lost, and no health check was sent before the
+    /// outage.
     pub fn keeps_rules(&self) -> bool {
         self.late_calls == 0 && self.late_loads == 0 && self.lost == 0 && self.checks.0 == 0
     }
 
-    /// Whether as much was served in the outage as beside it. Judged only where health checks show which workers
-    /// serve, most workers stay, and clients wait long enough for a copy to be loaded elsewhere.
+    /// Returns whether enough calls were served during the outage. Applies only if health checks
+    /// show which workers serve, most workers keep serving, and the deadline leaves time to load a
+    /// copy elsewhere.
     pub fn serves_enough(&self) -> bool {
         let scenario = &self.scenario;
         let is_judged = scenario.health_checks
@@ -76,10 +82,10 @@
         !is_judged || self.served.1 >= MIN_RELATIVE_SHARE * self.served.0
     }
 
-    /// Judges what was recorded.
+    /// Checks the records of a run.
     pub fn of(
         scenario: &Scenario,
-        begun: Instant,
+        started_at: Instant,
         workers: &[WorkerRecord],
         calls: &[Call],
     ) -> Verdict {
@@ -97,28 +103,28 @@
             late: Vec::new(),
         };
         for record in workers {
-            verdict.judge_worker(begun, record);
+            verdict.judge_worker(started_at, record);
         }
-        verdict.judge_calls(begun, calls);
+        verdict.judge_calls(started_at, calls);
         verdict
     }
 
-    fn judge_worker(&mut self, begun: Instant, record: &WorkerRecord) {
+    fn judge_worker(&mut self, started_at: Instant, record: &WorkerRecord) {
         let mut checked_at = Vec::new();
         for received in &record.received {
-            let at = received.at.duration_since(begun);
+            let at = received.at.duration_since(started_at);
             match received.kind {
-                Kind::Call => {
+                CommandKind::Call => {
                     let late = self.note_if_late(record.worker, at, received);
                     self.late_calls += usize::from(late);
                 }
-                Kind::Load => {
+                CommandKind::Load => {
                     self.loads += 1;
                     let late = self.note_if_late(record.worker, at, received);
                     self.late_loads += usize::from(late);
                 }
-                Kind::HealthCheck if at < self.scenario.outage_at => self.checks.0 += 1,
-                Kind::HealthCheck => {
+                CommandKind::HealthCheck if at < self.scenario.outage_at => self.checks.0 += 1,
+                CommandKind::HealthCheck => {
                     self.checks.1 += 1;
                     checked_at.push(at);
                 }
@@ -134,17 +140,18 @@
         self.most_checks_per_s = self.most_checks_per_s.max(most.unwrap_or(0));
     }
 
-    /// Whether a drain of the worker counted as told at this time, past the grace; if so it is noted.
+    /// Returns whether the command came after a drain of the worker had to be known and the grace
+    /// had passed; if so, adds the command to the list of late sends.
     fn note_if_late(&mut self, worker: usize, at: Duration, received: &Received) -> bool {
         let grace = self.scenario.grace;
         let drain = self.scenario.drains.iter().find(|drain| {
-            let last_send = drain.at + TOLD_AFTER + grace + SLACK;
+            let last_send = drain.at + DRAIN_KNOWN_AFTER + grace + SLACK;
             drain.worker == worker && at > last_send && at < drain.returns_at
         });
         let Some(drain) = drain else {
             return false;
         };
-        if self.late.len() < MAX_NOTES {
+        if self.late.len() < MAX_LATE_LISTED {
             self.late.push(format!(
                 "{:?} of worker {worker} at {at:.3?}, {:.3?} after its drain at {:.3?} (it ended at {:.3?})",
                 received.kind,
@@ -156,18 +163,21 @@
         true
     }
 
-    fn judge_calls(&mut self, begun: Instant, calls: &[Call]) {
+    fn judge_calls(&mut self, started_at: Instant, calls: &[Call]) {
         let scenario = &self.scenario;
         let is_in_outage = |call: &&Call| {
-            let at = call.sent_at.duration_since(begun);
+            let at = call.sent_at.duration_since(started_at);
             scenario.kind != OutageKind::None
                 && at >= scenario.outage_at
                 && at < scenario.outage_ends_at
         };
-        // A gateway is killed with what it had taken; its calls are not judged.
+        // A killed gateway loses the calls it had accepted, so its calls are not checked.
         let is_judged = |call: &&Call| scenario.restarts == Restarts::None || call.gateway != 0;
         let share = |calls: Vec<&Call>| {
-            let served = calls.iter().filter(|call| call.end == End::Served).count();
+            let served = calls
+                .iter()
+                .filter(|call| call.end == CallResult::Served)
+                .count();
             served as f64 / calls.len().max(1) as f64
         };
         let (inside, beside): (Vec<&Call>, Vec<&Call>) =
@@ -175,10 +185,10 @@
         let lost = calls
             .iter()
             .filter(is_judged)
-            .filter(|call| matches!(call.end, End::Lost | End::Unreachable))
+            .filter(|call| matches!(call.end, CallResult::Lost | CallResult::Unreachable))
             .count();
-        let ended = |end: End| inside.iter().filter(|call| call.end == end).count();
-        self.unserved = (ended(End::Rejected), ended(End::Failed));
+        let ended = |end: CallResult| inside.iter().filter(|call| call.end == end).count();
+        self.unserved = (ended(CallResult::Rejected), ended(CallResult::Failed));
         self.served = (share(beside), share(inside));
         self.lost = lost;
     }
--- a/testbed/src/outage/mod.rs
+++ b/testbed/src/outage/mod.rs
@@ -1,6 +1,6 @@
-//! Service discovery out of reach while workers drain, end and come back: real gateways between stand-ins of
-//! discovery, workers and clients. Workers record every call and load order that reaches them, and the records
-//! are judged against the time at which a drain counts as told.
+//! Runs real gateways through outages of service discovery while workers drain, exit and return.
+//! Discovery, workers and clients are fakes. Workers record every call and load order they receive,
+//! and the records are checked against the time from which gateways must treat a drain as known.
 
 mod clients;
 mod discovery;
@@ -16,15 +16,15 @@
 pub use run::play;
 pub use scenario::{OutageKind, Restarts, Scenario};
 
-/// Plays scenarios that `draw` gives for consecutive seeds, a few at a time; prints a line for each. Returns whether
-/// all held.
+/// Runs the scenarios that `draw` returns for consecutive seeds, `parallel` at a time, and prints a
+/// line for each. Returns whether all passed.
 pub fn soak(
     seeds: u64,
     first_seed: u64,
     parallel: usize,
     draw: fn(u64) -> Scenario,
 ) -> Result<bool> {
-    let mut all_hold = true;
+    let mut all_passed = true;
     let mut next = first_seed;
     let end = first_seed + seeds;
     println!("{}", Verdict::HEADER);
@@ -38,10 +38,10 @@
         for thread in threads {
             let verdict = thread
                 .join()
-                .map_err(|_| std::io::Error::other("a scenario's thread failed"))??;
+                .map_err(|_| std::io::Error::other("the thread of a scenario panicked"))??;
             println!("{verdict}");
-            all_hold &= verdict.holds();
+            all_passed &= verdict.holds();
         }
     }
-    Ok(all_hold)
+    Ok(all_passed)
 }
--- a/testbed/src/outage/run.rs
+++ b/testbed/src/outage/run.rs
@@ -1,4 +1,4 @@
-//! Plays one scenario between real processes.
+//! Runs one scenario with real gateway processes.
 
 use std::io::{Error, Result};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,29 +15,29 @@
 use crate::fakes::gateway::{settings, Folder};
 use crate::fakes::Gateway;
 
-/// How long after SIGTERM the platform waits at least, on top of the longest deadline.
+/// Shortest time from SIGTERM to SIGKILL that the platform allows, on top of the longest deadline.
 const KILL_AFTER: Duration = Duration::from_millis(700);
-/// How long after the beginning of the outage a gateway is restarted.
+/// Time from the start of the outage to the restart of the first gateway.
 const RESTART_AFTER: Duration = Duration::from_millis(4_000);
-/// How long a killed gateway is away.
+/// Time between the kill and the restart of a gateway.
 const RESTART_TIME: Duration = Duration::from_millis(1_000);
-/// The gateways are ready before the first call.
+/// Time before the first call, in which the gateways become ready.
 const SETTLE_TIME: Duration = Duration::from_millis(400);
 
-/// Something that happens at a time of the run.
+/// A scheduled action of a run.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Discovery(OutageKind),
     Worker(usize, ProcessState),
-    /// Discovery has this of a worker from now on.
+    /// Discovery publishes this status of a worker.
     Publish(usize, &'static str),
     Terminate,
     Kill,
     Restart,
 }
 
-/// The processes and stand-ins of a run.
-struct Stage {
+/// Processes and fakes of a run.
+struct TestRun {
     scenario: Scenario,
     discovery: Discovery,
     workers: Vec<DrainableWorker>,
@@ -46,41 +46,45 @@
     addresses: Addresses,
 }
 
-/// Plays a scenario and judges it.
+/// Runs a scenario and returns its verdict.
 ///
 /// # Errors
 ///
-/// A process or stand-in cannot be started, or a gateway has ended by itself.
+/// A process or fake cannot be started, or a gateway has exited by itself.
 pub fn play(scenario: &Scenario) -> Result<Verdict> {
-    let mut stage = Stage::set_up(scenario)?;
+    let mut test_run = TestRun::set_up(scenario)?;
     std::thread::sleep(SETTLE_TIME);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let over = Arc::new(AtomicBool::new(false));
-    let clients: Vec<_> = stage.clients(begun, &over);
+    let clients: Vec<_> = test_run.clients(started_at, &over);
     for (at, step) in steps(scenario) {
-        std::thread::sleep((begun + at).saturating_duration_since(Instant::now()));
-        stage.perform(step)?;
+        std::thread::sleep((started_at + at).saturating_duration_since(Instant::now()));
+        test_run.perform(step)?;
     }
-    std::thread::sleep((begun + scenario.ends_at).saturating_duration_since(Instant::now()));
+    std::thread::sleep((started_at + scenario.ends_at).saturating_duration_since(Instant::now()));
     over.store(true, Ordering::Relaxed);
     let mut calls: Vec<Call> = Vec::new();
     for client in clients {
-        calls.extend(client.join().map_err(|_| Error::other("a client failed"))?);
+        calls.extend(
+            client
+                .join()
+                .map_err(|_| Error::other("the thread of a client panicked"))?,
+        );
     }
-    stage.finish()?;
-    let records: Vec<WorkerRecord> = stage
+    test_run.finish()?;
+    let records: Vec<WorkerRecord> = test_run
         .workers
         .iter()
         .enumerate()
-        .map(|(worker, stand_in)| WorkerRecord {
+        .map(|(worker, fake)| WorkerRecord {
             worker,
-            received: stand_in.received(),
+            received: fake.received(),
         })
         .collect();
-    Ok(Verdict::of(scenario, begun, &records, &calls))
+    Ok(Verdict::of(scenario, started_at, &records, &calls))
 }
 
-/// All that happens, in order.
+/// Returns the actions of a scenario in order of time.
 fn steps(scenario: &Scenario) -> Vec<(Duration, Step)> {
     let mut steps = vec![
         (scenario.outage_at, Step::Discovery(scenario.kind)),
@@ -111,7 +115,7 @@
         Restarts::None => None,
         Restarts::Kill => Some(restart_at),
         Restarts::Terminate => {
-            // A series of signals counts from the first.
+            // The time to the kill counts from the first of several signals.
             steps.extend((0..3).map(|n| (restart_at + n * KILL_AFTER / 4, Step::Terminate)));
             Some(restart_at + KILL_AFTER + scenario.deadline)
         }
@@ -135,13 +139,13 @@
         .map_or(0, |since| since.as_millis() as u64)
 }
 
-impl Stage {
-    fn set_up(scenario: &Scenario) -> Result<Stage> {
+impl TestRun {
+    fn set_up(scenario: &Scenario) -> Result<TestRun> {
         let discovery = Discovery::start()?;
         let workers: Vec<DrainableWorker> = (0..scenario.workers)
             .map(|n| DrainableWorker::start(format!("s-{n:08x}")))
             .collect::<Result<_>>()?;
-        let mut stage = Stage {
+        let mut test_run = TestRun {
             scenario: scenario.clone(),
             discovery,
             workers,
@@ -153,15 +157,15 @@
             let folder = Folder::new("outage")?;
             std::fs::write(
                 folder.0.join("config.json"),
-                stage.config(number).to_string(),
+                test_run.config(number).to_string(),
             )?;
             std::fs::write(folder.0.join("operator.toml"), "")?;
             let gateway = Gateway::again(&folder.0, "")?;
-            stage.lock_addresses().push(gateway.platform);
-            stage.folders.push(folder);
-            stage.gateways.push(gateway);
+            test_run.lock_addresses().push(gateway.platform);
+            test_run.folders.push(folder);
+            test_run.gateways.push(gateway);
         }
-        Ok(stage)
+        Ok(test_run)
     }
 
     fn config(&self, number: usize) -> Value {
@@ -191,7 +195,7 @@
 
     fn clients(
         &self,
-        begun: Instant,
+        started_at: Instant,
         over: &Arc<AtomicBool>,
     ) -> Vec<std::thread::JoinHandle<Vec<Call>>> {
         (0..self.scenario.gateways)
@@ -202,7 +206,7 @@
                     number,
                     scenario: self.scenario.clone(),
                     addresses: self.addresses.clone(),
-                    begun,
+                    started_at,
                     over: over.clone(),
                 };
                 std::thread::spawn(move || client.run())
@@ -220,7 +224,7 @@
                 self.discovery.publish(&[entry]);
             }
             Step::Terminate => {
-                // It may have ended in order since the first signal.
+                // The gateway may have exited cleanly since the first signal.
                 if !self.gateways[0].has_ended()? {
                     self.gateways[0].end()?;
                 }
@@ -238,12 +242,12 @@
         Ok(())
     }
 
-    /// Ends all; a gateway that has ended before is an error.
+    /// Stops all processes and fakes; fails if a gateway has already exited.
     fn finish(&mut self) -> Result<()> {
         for gateway in &mut self.gateways {
             if gateway.has_ended()? {
                 let log = gateway.log.join(" | ");
-                return Err(Error::other(format!("a gateway has ended: {log}")));
+                return Err(Error::other(format!("a gateway exited early: {log}")));
             }
             gateway.kill()?;
         }
--- a/testbed/src/outage/scenario.rs
+++ b/testbed/src/outage/scenario.rs
@@ -1,31 +1,32 @@
-//! What happens in one run: how discovery fails, which workers drain and when, and what the settings allow.
+//! Scenario of one run: how discovery fails, which workers drain and when, and the gateways'
+//! settings.
 
 use std::time::Duration;
 
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How service discovery fails.
+/// Failure mode of service discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
-    /// It answers; the control.
+    /// No failure; the control case.
     None,
     /// Connections are refused.
     Refused,
-    /// Connections are accepted and nothing is ever said; open streams fall silent.
+    /// Connections are accepted but nothing is sent; open streams send nothing more.
     Silent,
-    /// Comments go on, events are held back.
+    /// Comments are sent, events are held back.
     CommentsOnly,
     /// Each connection is reset as soon as it is accepted.
     Reset,
-    /// Each stream stops in the middle of an event.
+    /// Each stream stalls in the middle of an event.
     CutInEvent,
-    /// Bytes come so slowly that no line is ever complete.
+    /// Single bytes are sent slowly and never complete a line.
     Dribble,
 }
 
 impl OutageKind {
-    /// All but [`OutageKind::None`].
+    /// All kinds but [`OutageKind::None`].
     pub const ALL: [OutageKind; 6] = [
         OutageKind::Refused,
         OutageKind::Silent,
@@ -36,78 +37,78 @@
     ];
 }
 
-/// What happens to the gateways during the outage.
+/// Restarts of the first gateway during the outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restarts {
-    /// Nothing.
+    /// No restart.
     None,
-    /// The first gateway is killed and started again from its file.
+    /// The gateway is killed and restarted from its file.
     Kill,
-    /// The first gateway gets SIGTERM several times, is killed at the earliest time that the platform allows, and is
-    /// started again from its file.
+    /// The gateway gets SIGTERM several times, is killed at the earliest time that the platform
+    /// allows, and is restarted from its file.
     Terminate,
 }
 
-/// One worker's drain.
+/// Drain of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// Which worker.
+    /// Index of the worker.
     pub worker: usize,
-    /// When it begins to drain.
+    /// Time at which the worker begins to drain.
     pub at: Duration,
-    /// When its process ends.
+    /// Time at which the process exits.
     pub ends_at: Duration,
-    /// When a new process serves at the same address with nothing loaded.
+    /// Time from which a new process serves at the same address with nothing loaded.
     pub returns_at: Duration,
 }
 
-/// One run.
+/// Parameters of a run. Times count from its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// What it was drawn from; also the gateways' seed.
+    /// Seed of the scenario; the gateways' seeds derive from it.
     pub seed: u64,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// How discovery fails.
+    /// Failure mode of discovery.
     pub kind: OutageKind,
-    /// When it fails.
+    /// Start of the outage.
     pub outage_at: Duration,
-    /// When it is back.
+    /// End of the outage.
     pub outage_ends_at: Duration,
-    /// When the run ends.
+    /// End of the run.
     pub ends_at: Duration,
-    /// How late discovery tells of a drain.
+    /// Delay until discovery publishes a worker's change of state.
     pub lag: Duration,
-    /// The drains.
+    /// Drains of workers.
     pub drains: Vec<Drain>,
     /// Whether the settings allow health checks.
     pub health_checks: bool,
     /// Whether the settings limit the rate of load orders.
     pub load_rate_limit: bool,
-    /// How long after a drain is told sends may go on.
+    /// Time for which sends may continue after a drain is known.
     pub grace: Duration,
-    /// How long clients wait.
+    /// Deadline of each call.
     pub deadline: Duration,
-    /// Calls a second at each gateway.
+    /// Calls per second at each gateway.
     pub rate: u64,
-    /// No calls between these times.
+    /// Interval without calls.
     pub quiet: Option<(Duration, Duration)>,
-    /// What happens to the gateways.
+    /// Restarts of the first gateway.
     pub restarts: Restarts,
 }
 
-/// After this a drain counts as told, whether discovery is in reach or not.
-pub const TOLD_AFTER: Duration = Duration::from_secs(7);
+/// Time after which gateways must treat a drain as known, even if discovery is unreachable.
+pub const DRAIN_KNOWN_AFTER: Duration = Duration::from_secs(7);
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
 impl Scenario {
-    /// Two workers of five drain half a second after discovery has gone, end 11 s later and are back 1.5 s after that;
-    /// then two more.
+    /// Two of five workers drain 0.5 s after the start of the outage, exit 11 s later and return
+    /// 1.5 s after that. A third drains 6.5 s after the first two.
     pub fn reported(kind: OutageKind) -> Scenario {
         let drain = |worker, at| Drain {
             worker,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// A scenario drawn from a seed; the same each time.
+    /// Draws a scenario from a seed, deterministically.
     pub fn draw(seed: u64) -> Scenario {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut below = |n: u64| random.next_u64() % n;
@@ -144,7 +145,8 @@
         let workers = 4 + below(6) as usize;
         let outage_at = ms(2_000 + below(1_500));
         let outage_ends_at = outage_at + ms(16_000 + below(6_000));
-        // A drain shortly before the outage, in it, or shortly before its end; at times a whole half of the workers.
+        // Drains begin shortly before the outage, at its start or in its middle; in some scenarios
+        // half of the workers drain.
         let count = (1 + below(3) as usize).max(if below(6) == 0 { workers / 2 } else { 0 });
         let first_at = match below(4) {
             0 => outage_at.saturating_sub(ms(below(600))),
@@ -190,9 +192,9 @@
         }
     }
 
-    /// A scenario drawn from a seed in which events are held back behind comments, health checks are
-    /// forbidden, and two workers drain for most of the outage: with calls all the time, with the
-    /// first calls before their drains count as told, or with the first calls after that.
+    /// Draws a scenario in which discovery sends only comments, health checks are disabled, and two
+    /// workers drain for most of the outage. Depending on the seed, calls go on all the time,
+    /// resume before the drains must be treated as known, or resume after that.
     pub fn held_back(seed: u64) -> Scenario {
         let drawn = Scenario::draw(seed);
         let drain = |worker| Drain {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Whether calls are made at this time.
+    /// Returns whether clients call at this time.
     pub fn is_busy(&self, at: Duration) -> bool {
         self.quiet
             .is_none_or(|(from, until)| at < from || at >= until)
--- a/testbed/src/outage/toggled_listener.rs
+++ b/testbed/src/outage/toggled_listener.rs
@@ -1,4 +1,4 @@
-//! A listener that is closed while its process does not run, and listens at the same address again after it.
+//! A listener that closes while a fake process is down and reopens at the same address.
 
 use std::io::Result;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -21,24 +21,24 @@
         })
     }
 
-    /// Where it listens, also while it is closed.
+    /// Returns the address, which stays the same while closed.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Opens or closes it; while it is closed, connections are refused.
+    /// Opens or closes the listener; while closed, connections are refused.
     pub fn set_open(&mut self, open: bool) {
         if !open {
             self.socket = None;
         } else if self.socket.is_none() {
-            // Tried again at the next call if the address is not free yet.
+            // If the address is not free yet, the next call tries again.
             self.socket = TcpListener::bind(self.address)
                 .and_then(|socket| socket.set_nonblocking(true).map(|()| socket))
                 .ok();
         }
     }
 
-    /// A connection that waits, if there is one.
+    /// Accepts a pending connection, if there is one.
     pub fn accept(&self) -> Option<TcpStream> {
         let (stream, _) = self.socket.as_ref()?.accept().ok()?;
         stream.set_nonblocking(false).ok()?;
