--- a/testbed/src/outage/worker.rs
+++ b/testbed/src/outage/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker that drains, ends and comes back, and records what reached it.
+//! A fake worker that drains, exits and returns, and records the commands it receives.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Result, Write};
@@ -9,38 +9,38 @@
 use molelug::worker::encode_array;
 
 use super::toggled_listener::ToggledListener;
-use crate::fakes::worker::take_words;
+use crate::fakes::worker::take_command;
 
-/// How long a run takes.
+/// Duration of a run.
 const RUN_TIME: Duration = Duration::from_millis(6);
-/// How long a load takes.
+/// Duration of a load.
 const LOAD_TIME: Duration = Duration::from_millis(40);
-/// How often the listener looks whether it is to listen.
-const STEP: Duration = Duration::from_millis(4);
+/// Interval at which the listener polls for connections and state changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// What its process does.
+/// State of the worker's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
     Serving,
-    /// It finishes what it has and rejects what is new.
+    /// Finishes running calls and rejects new calls and loads.
     Draining,
-    /// It does not run.
+    /// Not running.
     Ended,
 }
 
-/// What reached it.
+/// CommandKind of a command that the worker received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum CommandKind {
     Call,
-    /// An order for at least one copy.
+    /// A load order for at least one copy.
     Load,
     HealthCheck,
 }
 
-/// One thing that reached it.
+/// A command that the worker received.
 #[derive(Clone, Copy, Debug)]
 pub struct Received {
-    pub kind: Kind,
+    pub kind: CommandKind,
     pub at: Instant,
     pub served: bool,
 }
@@ -48,16 +48,16 @@
 #[derive(Debug)]
 struct Shared {
     state: ProcessState,
-    /// Counts its processes.
+    /// Number of the current process.
     process: u32,
-    /// The functions that are loaded, and from when on.
+    /// Loaded functions, and the time from which each is ready.
     loaded: BTreeMap<String, Instant>,
     received: Vec<Received>,
     streams: Vec<TcpStream>,
     over: bool,
 }
 
-/// The stand-in.
+/// The fake worker.
 #[derive(Clone, Debug)]
 pub struct DrainableWorker {
     pub name: String,
@@ -66,7 +66,7 @@
 }
 
 impl DrainableWorker {
-    /// Starts one on a free port.
+    /// Starts a worker on a free port.
     pub fn start(name: String) -> Result<DrainableWorker> {
         let listener = ToggledListener::bind()?;
         let worker = DrainableWorker {
@@ -86,7 +86,8 @@
         Ok(worker)
     }
 
-    /// Changes what its process does. A process that ends resets its connections and forgets what it has loaded.
+    /// Sets the state of the process. A process that ends closes its connections and forgets its
+    /// loaded functions.
     pub fn set(&self, state: ProcessState) {
         let mut shared = self.lock();
         shared.state = state;
@@ -99,12 +100,12 @@
         }
     }
 
-    /// All that reached it, in order.
+    /// Returns the commands received, in order.
     pub fn received(&self) -> Vec<Received> {
         self.lock().received.clone()
     }
 
-    /// Ends it.
+    /// Stops the worker.
     pub fn stop(&self) {
         self.set(ProcessState::Ended);
         self.lock().over = true;
@@ -128,7 +129,7 @@
             }
             listener.set_open(!ended);
             let Some(stream) = listener.accept() else {
-                std::thread::sleep(STEP);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             };
             let Ok(copy) = stream.try_clone() else {
@@ -141,20 +142,20 @@
     }
 
     fn serve(&self, mut stream: TcpStream, process: u32) -> Option<()> {
-        let mut held = Vec::new();
+        let mut buffer = Vec::new();
         let mut chunk = [0; 16 * 1024];
         loop {
-            while let Some(words) = take_words(&mut held) {
+            while let Some(words) = take_command(&mut buffer) {
                 self.answer(&mut stream, &words, process)?;
             }
             match stream.read(&mut chunk).ok()? {
                 0 => return None,
-                n => held.extend(&chunk[..n]),
+                n => buffer.extend(&chunk[..n]),
             }
         }
     }
 
-    /// Records and answers one command; `None` once the process that took it has ended.
+    /// Records and answers one command; `None` if the process that received it has ended.
     fn answer(&self, stream: &mut TcpStream, words: &[String], process: u32) -> Option<()> {
         let command = words.first()?.as_str();
         let tag = words.get(1)?.as_bytes();
@@ -170,7 +171,7 @@
         let answer: (&[u8], &[u8]) = match command {
             "go" => {
                 let loaded = self.is_loaded(&field("thing"));
-                self.record(Kind::Call, serves && loaded);
+                self.record(CommandKind::Call, serves && loaded);
                 match (serves, loaded) {
                     (false, _) => (b"503", b"report=inflight:0;x1:0;x0:0.1"),
                     (true, false) => (b"404", b"-"),
@@ -182,7 +183,7 @@
             }
             "stage" if field("copies") == "0" => (b"200", b"copies=0"),
             "stage" => {
-                self.record(Kind::Load, serves);
+                self.record(CommandKind::Load, serves);
                 if serves {
                     let function = field("thing");
                     let ready_at = Instant::now() + LOAD_TIME;
@@ -194,7 +195,7 @@
                 }
             }
             "stat" | "ping" => {
-                self.record(Kind::HealthCheck, serves);
+                self.record(CommandKind::HealthCheck, serves);
                 let state: &[u8] = if serves { b"alive" } else { b"dead" };
                 stream.write_all(&encode_array(&[tag, state])).ok()?;
                 return Some(());
@@ -207,7 +208,7 @@
             .ok()
     }
 
-    /// What the process of this number does; `None` once it has ended.
+    /// Returns the state of the process with this number; `None` if it has ended.
     fn state_of(&self, process: u32) -> Option<ProcessState> {
         let shared = self.lock();
         (shared.process == process).then_some(shared.state)
@@ -220,7 +221,7 @@
             .is_some_and(|from| *from <= Instant::now())
     }
 
-    fn record(&self, kind: Kind, served: bool) {
+    fn record(&self, kind: CommandKind, served: bool) {
         let at = Instant::now();
         self.lock().received.push(Received { kind, at, served });
     }
