--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -229,18 +229,23 @@
     participant: Option<Participant>,
     health_checker: HealthChecker,
     coordinator: Option<LoadCoordinator>,
+    /// Orders that the load coordinator decides on, by the number it knows them by.
     orders: BTreeMap<u64, (LoadOrderKey, WorkerId, FunctionId, u8)>,
+    /// Keys of `orders` by load order.
     order_numbers: BTreeMap<LoadOrderKey, u64>,
+    /// Load orders sent to workers and not answered.
     sent_orders: BTreeSet<LoadOrderKey>,
     process: u64,
     running: bool,
     suspended: bool,
+    /// Whether frames from the gateway and to the gateway are dropped.
     cut: (bool, bool),
     /// Events that arrived while the gateway was suspended.
     deferred_events: Vec<Event>,
     open_checks: BTreeMap<HealthCheckKey, WorkerId>,
     disk: PersistentState,
     votes: bool,
+    /// Time of the earliest scheduled `Event::Deadline`.
     scheduled_deadline: Micros,
     bytes_sent: u64,
     open_attempts: BTreeMap<AttemptKey, WorkerId>,
@@ -1021,8 +1026,8 @@
         }
     }
 
-    /// Passes a message to the load coordinator if the lease is one of its shards. Returns whether
-    /// the lease is.
+    /// Passes a message to the load coordinator if `lease` is the lease of a load coordination
+    /// shard, and returns whether `lease` is.
     fn forward_to_coordinator(
         &mut self,
         n: usize,
--- a/testbed/src/emulator/workers.rs
+++ b/testbed/src/emulator/workers.rs
@@ -13,7 +13,7 @@
 /// Maximum number of loaded copies; the least recently used copy is evicted.
 const MAX_COPIES: usize = 48;
 /// Number of running calls above which calls take longer.
-const UNSLOWED_CALLS: usize = 8;
+const CALLS_AT_FULL_SPEED: usize = 8;
 
 /// An emulated worker.
 #[derive(Debug, Default)]
@@ -68,8 +68,8 @@
         if let Some(used) = self.copies.get_mut(&function) {
             *used = now;
             let duration = SERVICE_TIME
-                + SERVICE_TIME * self.run_ends.len().saturating_sub(UNSLOWED_CALLS) as Micros
-                    / UNSLOWED_CALLS as Micros;
+                + SERVICE_TIME * self.run_ends.len().saturating_sub(CALLS_AT_FULL_SPEED) as Micros
+                    / CALLS_AT_FULL_SPEED as Micros;
             self.run_ends.push(now + duration);
             return CallOutcome::Runs(duration);
         }
--- a/testbed/src/fault_proxy/mod.rs
+++ b/testbed/src/fault_proxy/mod.rs
@@ -1,9 +1,9 @@
 //! Fault-injecting relays on loopback, one for each ordered pair of processes. The faults of the
 //! two directions are set separately and can change while the relay runs.
 //!
-//! A stream relay parses the frames of the consensus wire protocol, so that it can drop, duplicate
-//! or delay complete frames; the challenge before them passes unchanged. A datagram relay does the
-//! same with datagrams and can also reorder them.
+//! A stream relay parses the frames of the consensus wire protocol, so that it can drop, duplicate,
+//! delay or reorder complete frames; the challenge before the first frame is only delayed. A
+//! datagram relay does the same with datagrams.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Result, Write};
@@ -173,7 +173,7 @@
         self.shared.refuses.store(refuses, Ordering::Relaxed);
     }
 
-    /// Returns the connection_seed of frames, datagrams or chunks forwarded.
+    /// Returns the number of frames, datagrams or chunks forwarded.
     pub fn passed(&self) -> u64 {
         self.shared.passed.load(Ordering::Relaxed)
     }
@@ -185,7 +185,7 @@
     }
 }
 
-/// Data of one direction that pending to be forwarded.
+/// Data of one direction that waits to be forwarded.
 struct Queue {
     way: Way,
     shared: Arc<Shared>,
@@ -210,7 +210,7 @@
         percent > 0 && self.random.next_u32() % 100 < percent
     }
 
-    /// Queues data; `whole` if it is a complete frame or datagram, which may be dropped, duplicated
+    /// Queues data; `whole` if the data is a complete frame or datagram, which may be dropped, duplicated
     /// or reordered.
     fn push(&mut self, bytes: Vec<u8>, whole: bool) {
         let f = self.shared.faults()[self.way as usize];
--- a/testbed/src/history/mod.rs
+++ b/testbed/src/history/mod.rs
@@ -199,7 +199,7 @@
 pub struct Held {
     /// Number of processes.
     pub processes: usize,
-    /// Terms holder, of all leases.
+    /// Terms granted, of all leases.
     pub terms: usize,
     /// Effects that lease holders produced.
     pub acted: usize,
--- a/testbed/src/history/promises.rs
+++ b/testbed/src/history/promises.rs
@@ -139,7 +139,7 @@
     pub refused: usize,
     /// Acknowledgements of records.
     pub records: usize,
-    /// Epochs epoch_starts, of all shards.
+    /// Epochs begun, of all shards.
     pub epochs: usize,
     /// Messages from primaries of older epochs that were refused.
     pub declined: usize,
--- a/testbed/src/outage/worker.rs
+++ b/testbed/src/outage/worker.rs
@@ -28,7 +28,7 @@
     Ended,
 }
 
-/// CommandKind of a command that the worker received.
+/// Kind of a command that the worker received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandKind {
     Call,
