--- a/testbed/src/fakes/portal.rs
+++ b/testbed/src/fakes/portal.rs
@@ -54,7 +54,7 @@
     /// Address of the listener.
     pub address: SocketAddr,
     /// Deliveries received.
-    pub seen: Arc<Mutex<Vec<Delivery>>>,
+    pub deliveries: Arc<Mutex<Vec<Delivery>>>,
     manner: Arc<Mutex<Manner>>,
     secret: Secret,
 }
@@ -66,7 +66,7 @@
         let manner = Arc::new(Mutex::new(manner));
         let portal = Portal {
             address: listener.local_addr()?,
-            seen: Arc::default(),
+            deliveries: Arc::default(),
             manner,
             secret,
         };
@@ -89,7 +89,7 @@
 
     /// Returns the deliveries received so far.
     pub fn all(&self) -> Vec<Delivery> {
-        self.seen.lock().map_or(Vec::new(), |s| s.clone())
+        self.deliveries.lock().map_or(Vec::new(), |s| s.clone())
     }
 
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
@@ -113,16 +113,16 @@
                 &signatures,
             );
             let confirmed = {
-                let mut seen = self.seen.lock().ok()?;
+                let mut deliveries = self.deliveries.lock().ok()?;
                 let confirmed = match manner {
                     Manner::Good | Manner::Slow(_) | Manner::Drips(_) => true,
                     Manner::Cuts(n) | Manner::Fails(n) => {
-                        !(seen.len() as u32 + 1).is_multiple_of(n)
+                        !(deliveries.len() as u32 + 1).is_multiple_of(n)
                     }
                     Manner::Says(status, _) => status / 100 == 2,
                     Manner::Silent => false,
                 };
-                seen.push(Delivery {
+                deliveries.push(Delivery {
                     at: Instant::now(),
                     id,
                     kind: as_text(&text["type"]),
--- a/testbed/src/fault_proxy/mod.rs
+++ b/testbed/src/fault_proxy/mod.rs
@@ -210,8 +210,8 @@
         percent > 0 && self.random.next_u32() % 100 < percent
     }
 
-    /// Queues data; `whole` if the data is a complete frame or datagram, which may be dropped, duplicated
-    /// or reordered.
+    /// Queues data. `whole` marks a complete frame or datagram, which may be dropped, duplicated or
+    /// reordered.
     fn push(&mut self, bytes: Vec<u8>, whole: bool) {
         let f = self.shared.faults()[self.way as usize];
         if whole && self.chance(f.lost) {
