--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,10 +1,13 @@
-//! The decision module under long recorded streams of events: its actions must stay the same to the last bit.
+//! The decision module under long streams of events: its actions must stay identical to the
+//! recorded ones.
 //!
-//! Each combination of settings and seed drives one module with pseudo-random events in which what the module sent,
-//! ordered and cancelled really ends. Every action is written with its time as a line of text in words of this test's own,
-//! and the text's BLAKE3 hash is compared with `tests/fixtures/decisions.txt`, so that a renaming or a reshaping that
-//! changes any decision shows. Where decisions are changed on purpose, `UPDATE_FIXTURES=1 cargo test --test decisions`
-//! writes the file anew. `DECISIONS_TEXT=<folder>` also writes the texts, to be compared with those of another build.
+//! Each combination of settings and seed drives one module with pseudo-random events. Every attempt
+//! and load order ends as a simulated fleet determines. Each action and its time make one line of
+//! text. The keywords of a line are defined here and don't follow the module's names, so that a
+//! rename keeps the text and every changed decision alters it. The text's BLAKE3 hash is compared
+//! with `tests/fixtures/decisions.txt`. After an intended change of decisions
+//! `UPDATE_FIXTURES=1 cargo test --test decisions` rewrites the file. `DECISIONS_TEXT=<folder>` also
+//! writes the texts, for a comparison with another build.
 
 #[path = "decisions/combinations.rs"]
 mod combinations;
@@ -26,16 +29,16 @@
 use driver::Driver;
 use record::Record;
 
-/// Each combination runs once with each.
+/// The seeds with which each combination runs.
 const SEEDS: [u64; 2] = [1, 0x5eed_0000_0002];
-/// Events of one run.
+/// The number of events in a run.
 const EVENTS: u64 = 5_200;
-/// Runs made at once.
+/// The number of threads that execute runs in parallel.
 const THREADS: usize = 3;
-/// Names a folder into which the texts are written.
+/// The environment variable that names the folder for the texts.
 const TEXT_VARIABLE: &str = "DECISIONS_TEXT";
 
-/// One combination driven with one seed.
+/// The result of one combination with one seed.
 struct Run {
     name: String,
     record: Record,
@@ -51,7 +54,7 @@
     Run { name, record }
 }
 
-/// All runs; made once for all tests.
+/// Returns all runs, which are executed once for all tests.
 fn runs() -> &'static [Run] {
     static RUNS: OnceLock<Vec<Run>> = OnceLock::new();
     RUNS.get_or_init(|| {
@@ -60,7 +63,7 @@
             .iter()
             .flat_map(|c| SEEDS.map(|seed| (c, seed)))
             .collect();
-        let share_of = &|first: usize| -> Vec<(usize, Run)> {
+        let run_share = &|first: usize| -> Vec<(usize, Run)> {
             let share = pairs.iter().enumerate().skip(first).step_by(THREADS);
             share
                 .map(|(place, (combination, seed))| (place, run(combination, *seed)))
@@ -68,11 +71,11 @@
         };
         let mut runs: Vec<(usize, Run)> = std::thread::scope(|scope| {
             let threads: Vec<_> = (0..THREADS)
-                .map(|first| scope.spawn(move || share_of(first)))
+                .map(|first| scope.spawn(move || run_share(first)))
                 .collect();
             threads
                 .into_iter()
-                .flat_map(|thread| thread.join().expect("a run ends"))
+                .flat_map(|thread| thread.join().expect("a run does not panic"))
                 .collect()
         });
         runs.sort_by_key(|(place, _)| *place);
@@ -80,7 +83,7 @@
     })
 }
 
-/// How often each kind was seen over all runs.
+/// Sums the counts of each kind over all runs.
 fn totals(counts: impl Fn(&Record) -> &BTreeMap<&'static str, u64>) -> BTreeMap<&'static str, u64> {
     let mut totals = BTreeMap::new();
     for run in runs() {
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn recorded_streams_hold_every_action() {
+fn recorded_streams_contain_every_action() {
     let totals = totals(|record| &record.actions);
     assert_seen(
         &totals,
@@ -125,18 +128,18 @@
             "subscribe",
         ],
     );
-    // The interface has them, but today's rules never give them.
+    // The interface defines these actions, but the current rules never produce them.
     for kind in ["unload", "probe"] {
         assert_eq!(
             totals.get(kind),
             None,
-            "{kind} is given now: have the stream answer it and list it above"
+            "{kind} is now produced: have the driver answer it and list it above"
         );
     }
 }
 
 #[test]
-fn recorded_streams_hold_every_event() {
+fn recorded_streams_contain_every_event() {
     let kinds = [
         "members",
         "request",
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn recorded_streams_hold_every_outcome() {
+fn recorded_streams_contain_every_outcome_and_copy_start() {
     let outcomes = [
         "ok",
         "error",
@@ -168,7 +171,7 @@
     ];
     assert_seen(&totals(|record| &record.outcomes), &outcomes);
     assert_seen(
-        &totals(|record| &record.warmths),
+        &totals(|record| &record.copy_starts),
         &["stood", "began", "waited", "load-failed"],
     );
 }
--- a/tests/decisions/combinations.rs
+++ b/tests/decisions/combinations.rs
@@ -7,27 +7,27 @@
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000 * MILLISECOND;
 
-/// Whether events reach the module one by one or all of a tick together.
+/// How events reach the module: one by one, or all events of a tick together.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
     Single,
     Batched,
 }
 
-/// When the workers of the first list were started.
+/// The state of the workers on the first list: long since started, or just started.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FirstWorkers {
     Warm,
     Cold,
 }
 
-/// One set of settings, and the traffic and the fleet that go with it.
+/// A set of settings with its traffic and fleet.
 pub struct Combination {
     pub name: &'static str,
     pub settings: Settings,
     pub workers: u32,
     pub functions: u64,
-    /// Mean time between two calls in ordinary hours.
+    /// Mean time between two calls in ordinary periods.
     pub mean_gap: Micros,
     pub delivery: Delivery,
     pub first_workers: FirstWorkers,
@@ -44,8 +44,8 @@
 }
 
 fn classes() -> Vec<Class> {
-    let keyed = |group, seconds| Effect::Keyed {
-        scope: group,
+    let keyed = |scope, seconds| Effect::Keyed {
+        scope,
         window: seconds * SECOND,
     };
     vec![
@@ -101,7 +101,7 @@
     }
 }
 
-fn few(name: &'static str, settings: Settings) -> Combination {
+fn few_instances(name: &'static str, settings: Settings) -> Combination {
     Combination {
         name,
         settings,
@@ -113,40 +113,40 @@
     }
 }
 
-fn hundred(name: &'static str, settings: Settings) -> Combination {
+fn hundred_instances(name: &'static str, settings: Settings) -> Combination {
     Combination {
         workers: 60,
         functions: 30,
         mean_gap: 40 * MILLISECOND,
-        ..few(name, settings)
+        ..few_instances(name, settings)
     }
 }
 
-/// All of them.
+/// Returns all combinations.
 pub fn combinations() -> Vec<Combination> {
-    let ration = Some(LoadRateLimit {
+    let rate_limit = Some(LoadRateLimit {
         window: 10 * SECOND,
         base_loads: 4.0,
         loads_per_request: 0.05,
     });
-    let tight_ration = Some(LoadRateLimit {
+    let strict_rate_limit = Some(LoadRateLimit {
         window: 5 * SECOND,
         base_loads: 1.0,
         loads_per_request: 0.01,
     });
     vec![
-        few("few-loads", base(2, OnMiss::Load)),
-        few(
+        few_instances("few-loads", base(2, OnMiss::Load)),
+        few_instances(
             "few-answers-ration-quota",
             Settings {
-                load_rate_limit: ration,
+                load_rate_limit: rate_limit,
                 tenants: tenants(&[60.0, 12.0, 0.0]),
                 ..base(3, OnMiss::Reject)
             },
         ),
         Combination {
             delivery: Delivery::Batched,
-            ..few(
+            ..few_instances(
                 "one-answers-without-cancel",
                 Settings {
                     may_cancel: false,
@@ -161,7 +161,7 @@
         Combination {
             workers: 5,
             mean_gap: 6 * MILLISECOND,
-            ..few(
+            ..few_instances(
                 "eight-loads-overload",
                 Settings {
                     max_attempts: 2,
@@ -171,7 +171,7 @@
         },
         Combination {
             first_workers: FirstWorkers::Cold,
-            ..few(
+            ..few_instances(
                 "four-answers-cold",
                 Settings {
                     overload_multiple: 1.2,
@@ -180,11 +180,11 @@
                 },
             )
         },
-        hundred("hundred-loads", base(100, OnMiss::Load)),
-        hundred(
+        hundred_instances("hundred-loads", base(100, OnMiss::Load)),
+        hundred_instances(
             "hundred-answers-ration-quota",
             Settings {
-                load_rate_limit: tight_ration,
+                load_rate_limit: strict_rate_limit,
                 tenants: tenants(&[600.0, 100.0, 0.0]),
                 ..base(100, OnMiss::Reject)
             },
@@ -192,7 +192,7 @@
         Combination {
             delivery: Delivery::Batched,
             first_workers: FirstWorkers::Cold,
-            ..hundred(
+            ..hundred_instances(
                 "hundred-answers-cold",
                 Settings {
                     may_load: false,
@@ -203,7 +203,7 @@
         Combination {
             workers: 12,
             mean_gap: 12 * MILLISECOND,
-            ..hundred(
+            ..hundred_instances(
                 "hundred-answers-overload",
                 Settings {
                     reports_copy_start: false,
--- a/tests/decisions/driver.rs
+++ b/tests/decisions/driver.rs
@@ -1,4 +1,5 @@
-//! Drives one module: carries its actions out at the fleet, and feeds it what comes of them.
+//! Drives a decision module: executes its actions at a simulated fleet and feeds the results back
+//! as events.
 
 use std::collections::BTreeMap;
 
@@ -13,54 +14,54 @@
 use crate::random::Random;
 use crate::record::Record;
 
-/// When a run begins.
+/// The time at which a run begins.
 const START: Micros = 50 * SECOND;
-/// Mean time between two changes of the fleet or of what is known of it.
+/// Mean time between two changes of the fleet or of the information about it.
 const CHANGE_INTERVAL: Micros = 250 * MILLISECOND;
 
-/// Instances from which on a worker's load is mostly that of others.
+/// The number of instances from which most of a worker's load comes from other instances.
 const MANY_INSTANCES: u32 = 100;
 
-/// Something that is to come.
+/// A scheduled occurrence.
 #[derive(Clone, Copy)]
 enum Due {
     Arrival,
     AttemptEnd(RequestId),
-    OrderEnd(WorkerId, FunctionId, Outcome),
-    ProbeEnd(WorkerId),
+    LoadEnd(WorkerId, FunctionId, Outcome),
+    HealthCheckEnd(WorkerId),
     Streaming(RequestId),
     ClientGone(RequestId),
     Wake(u64),
-    WholeList,
+    FullList,
     Change,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct Attempt {
     worker: WorkerId,
-    sent: Micros,
+    sent_at: Micros,
     ends_at: Micros,
     outcome: Outcome,
-    warmth: Option<CopyStart>,
-    crowd: u32,
+    copy_start: Option<CopyStart>,
+    function_in_flight: u32,
 }
 
 struct Request {
     function: FunctionId,
-    expires: Micros,
+    expires_at: Micros,
     attempts: u8,
-    /// Whether it has its final answer, or nobody waits for one.
+    /// Whether the request has its final answer or its client has gone.
     finished: bool,
-    out: Option<Attempt>,
+    attempt: Option<Attempt>,
 }
 
-/// One module with its fleet.
+/// A decision module with its simulated fleet.
 pub struct Driver<'a> {
     combination: &'a Combination,
     policy: Policy,
     random: Random,
     now: Micros,
-    fed: u64,
+    event_count: u64,
     due: BTreeMap<(Micros, u64), Due>,
     sequence: u64,
     workers: BTreeMap<WorkerId, Worker>,
@@ -70,7 +71,7 @@
 }
 
 impl Driver<'_> {
-    /// One at the beginning of its run.
+    /// Creates a driver at the beginning of its run.
     pub fn new(combination: &Combination, seed: u64) -> Driver<'_> {
         let cold = combination.first_workers == FirstWorkers::Cold;
         let worker = |number: u32| {
@@ -83,7 +84,7 @@
             policy: Policy::new(combination.settings.clone(), seed, START),
             random: Random::new(seed),
             now: START,
-            fed: 0,
+            event_count: 0,
             due: BTreeMap::new(),
             sequence: 0,
             workers: (1..=combination.workers).map(worker).collect(),
@@ -93,36 +94,36 @@
         }
     }
 
-    /// Runs until so many events were fed.
+    /// Runs until the module has handled `events` events or more.
     pub fn run(mut self, events: u64) -> Record {
-        let kind = if self.combination.settings.must_subscribe {
+        let update = if self.combination.settings.must_subscribe {
             ListUpdate::Cached
         } else {
             ListUpdate::Snapshot
         };
-        let first = self.list(kind);
+        let first = self.list(update);
         self.feed(vec![first]);
-        self.after(MILLISECOND, Due::Arrival);
-        self.after(CHANGE_INTERVAL, Due::Change);
-        while self.fed < events {
+        self.schedule(MILLISECOND, Due::Arrival);
+        self.schedule(CHANGE_INTERVAL, Due::Change);
+        while self.event_count < events {
             let batch = self.next_batch();
             self.feed(batch);
         }
         self.record
     }
 
-    fn after(&mut self, time: Micros, due: Due) {
+    fn schedule(&mut self, after: Micros, due: Due) {
         self.sequence += 1;
-        self.due.insert((self.now + time, self.sequence), due);
+        self.due.insert((self.now + after, self.sequence), due);
     }
 
-    /// The events of the next moment: those of one instant, or of one tick.
+    /// Returns the events of the next instant or, if batched, of the next tick.
     fn next_batch(&mut self) -> Vec<Event> {
         let (first, _) = *self
             .due
             .keys()
             .next()
-            .expect("there is always a next change");
+            .expect("a fleet change is always scheduled");
         let tick = self.combination.settings.tick;
         self.now = match self.combination.delivery {
             Delivery::Single => first,
@@ -147,17 +148,17 @@
         let mut actions = Vec::new();
         for event in events {
             self.record.event(&event);
-            self.fed += 1;
+            self.event_count += 1;
             self.policy.handle_event(self.now, event, &mut actions);
         }
         self.policy.append_actions(self.now, &mut actions);
         for action in actions {
             self.record.action(self.now, &action);
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send {
                 request, worker, ..
@@ -169,50 +170,61 @@
                 function,
                 copies,
             } => {
-                let limit = self.combination.settings.load_order_timeout;
-                let target = self.workers.get_mut(&worker).expect("it was on a list");
-                let end = target.load(self.now, function, copies, limit, &mut self.random);
-                self.after(end.latency, Due::OrderEnd(worker, function, end.outcome));
+                let timeout = self.combination.settings.load_order_timeout;
+                let target = self
+                    .workers
+                    .get_mut(&worker)
+                    .expect("the worker was listed");
+                let end = target.load(self.now, function, copies, timeout, &mut self.random);
+                self.schedule(end.latency, Due::LoadEnd(worker, function, end.outcome));
             }
             Action::Unload { worker, function } => {
                 self.workers
                     .get_mut(&worker)
-                    .expect("it was on a list")
+                    .expect("the worker was listed")
                     .unload(function);
             }
-            Action::HealthCheck { worker } => self.after(2 * MILLISECOND, Due::ProbeEnd(worker)),
-            Action::Wake { after, token } => self.after(after, Due::Wake(token)),
+            Action::HealthCheck { worker } => {
+                self.schedule(2 * MILLISECOND, Due::HealthCheckEnd(worker))
+            }
+            Action::Wake { after, token } => self.schedule(after, Due::Wake(token)),
             Action::Subscribe | Action::ReopenDiscovery => {
-                self.after(5 * MILLISECOND, Due::WholeList)
+                self.schedule(5 * MILLISECOND, Due::FullList)
             }
         }
     }
 
     fn send(&mut self, id: RequestId, worker: WorkerId) {
-        let request = self.requests.get_mut(&id).expect("a request that is open");
+        let request = self.requests.get_mut(&id).expect("the request is open");
         assert!(
-            request.out.is_none() && !request.finished,
-            "request {} is not to be sent",
+            request.attempt.is_none() && !request.finished,
+            "request {} is in flight or finished and must not be sent",
             id.0
         );
         request.attempts += 1;
-        let (function, time_left) = (request.function, request.expires.saturating_sub(self.now));
+        let (function, time_left) = (
+            request.function,
+            request.expires_at.saturating_sub(self.now),
+        );
         let on_miss = self.combination.settings.on_miss;
-        let target = self.workers.get_mut(&worker).expect("it was on a list");
+        let target = self
+            .workers
+            .get_mut(&worker)
+            .expect("the worker was listed");
         let end = target.send(self.now, function, on_miss, time_left, &mut self.random);
-        request.out = Some(Attempt {
+        request.attempt = Some(Attempt {
             worker,
-            sent: self.now,
+            sent_at: self.now,
             ends_at: self.now + end.latency,
             outcome: end.outcome,
-            warmth: end
-                .warmth
+            copy_start: end
+                .copy_start
                 .filter(|_| self.combination.settings.reports_copy_start),
-            crowd: end.crowd,
+            function_in_flight: end.function_in_flight,
         });
-        self.after(end.latency, Due::AttemptEnd(id));
+        self.schedule(end.latency, Due::AttemptEnd(id));
         if end.outcome == Outcome::Ok && self.random.percent(3) {
-            self.after(end.latency / 2, Due::Streaming(id));
+            self.schedule(end.latency / 2, Due::Streaming(id));
         }
     }
 
@@ -222,13 +234,14 @@
             .requests
             .get_mut(&id)
             .filter(|request| request.attempts == attempt + 1);
-        // It may have ended in the same batch, after the module gave the action.
-        let Some(out) = open.and_then(|request| request.out.as_mut()) else {
+        // The attempt may have ended in the same batch, after the module returned the action.
+        let Some(attempt) = open.and_then(|request| request.attempt.as_mut()) else {
             return;
         };
-        if out.ends_at > soon {
-            (out.outcome, out.warmth, out.ends_at) = (Outcome::Cancelled, None, soon);
-            self.after(MILLISECOND, Due::AttemptEnd(id));
+        if attempt.ends_at > soon {
+            (attempt.outcome, attempt.copy_start, attempt.ends_at) =
+                (Outcome::Cancelled, None, soon);
+            self.schedule(MILLISECOND, Due::AttemptEnd(id));
         }
     }
 
@@ -237,7 +250,7 @@
             return;
         };
         request.finished = true;
-        if request.out.is_none() {
+        if request.attempt.is_none() {
             self.requests.remove(&id);
         }
     }
@@ -246,12 +259,12 @@
         match due {
             Due::Arrival => Some(self.arrival()),
             Due::AttemptEnd(id) => self.attempt_end(at, id),
-            Due::OrderEnd(worker, function, outcome) => {
-                let standing = self
+            Due::LoadEnd(worker, function, outcome) => {
+                let ready = self
                     .workers
                     .get(&worker)
-                    .map_or(0, |w| w.standing(self.now, function));
-                let copies = if outcome == Outcome::Ok { standing } else { 0 };
+                    .map_or(0, |w| w.ready_copies(self.now, function));
+                let copies = if outcome == Outcome::Ok { ready } else { 0 };
                 Some(Event::LoadEnded {
                     worker,
                     function,
@@ -259,7 +272,7 @@
                     copies,
                 })
             }
-            Due::ProbeEnd(id) => {
+            Due::HealthCheckEnd(id) => {
                 let worker = &self.workers[&id];
                 let outcome = if worker.mode == Mode::Hung {
                     Outcome::Timeout
@@ -269,14 +282,14 @@
                 Some(Event::HealthChecked {
                     worker: id,
                     outcome,
-                    load_report: worker.report(&mut self.random),
+                    load_report: worker.load_report(&mut self.random),
                     latency: 0,
                     connection_opened_at: None,
                 })
             }
             Due::Streaming(request) => {
                 let streams =
-                    |r: &&mut Request| r.out.as_ref().is_some_and(|o| o.outcome == Outcome::Ok);
+                    |r: &&mut Request| r.attempt.as_ref().is_some_and(|a| a.outcome == Outcome::Ok);
                 let open = self
                     .requests
                     .get_mut(&request)
@@ -291,16 +304,16 @@
                 Some(Event::ClientGone { request })
             }
             Due::Wake(token) => Some(Event::Wake { token }),
-            Due::WholeList => Some(self.list(ListUpdate::Snapshot)),
+            Due::FullList => Some(self.list(ListUpdate::Snapshot)),
             Due::Change => {
                 let wait = self.random.below(2 * CHANGE_INTERVAL);
-                self.after(wait, Due::Change);
+                self.schedule(wait, Due::Change);
                 self.change()
             }
         }
     }
 
-    /// The time to the next call: hours of rush, of little and of none follow one another.
+    /// Returns the time to the next call. Periods of high, low and no traffic alternate.
     fn gap(&mut self) -> Micros {
         let mean = self.combination.mean_gap;
         let mean = match self.now / SECOND % 20 {
@@ -314,7 +327,7 @@
 
     fn arrival(&mut self) -> Event {
         let gap = self.gap();
-        self.after(gap, Due::Arrival);
+        self.schedule(gap, Due::Arrival);
         let random = &mut self.random;
         let functions = self.combination.functions;
         let popular = if random.percent(60) {
@@ -332,51 +345,54 @@
         };
         self.last_request += 1;
         let request = RequestId(self.last_request);
-        let expires = self.now + time;
+        let expires_at = self.now + time;
         let arrival = Arrival {
             request,
             class: ClassId(class),
             tenant: TenantId(random.below(3) as u32),
             function,
-            expires_at: expires,
+            expires_at,
             expected_work: random.percent(50).then_some(20 * MILLISECOND),
             memory_mb: 100.0,
             concurrency_per_copy: 1 + (function.0 % 3) as u32,
             load_duration: random.percent(70).then_some(load_time(function)),
         };
-        let leaves = random.percent(4).then(|| random.below(time));
+        let client_leaves_after = random.percent(4).then(|| random.below(time));
         self.requests.insert(
             request,
             Request {
                 function,
-                expires,
+                expires_at,
                 attempts: 0,
                 finished: false,
-                out: None,
+                attempt: None,
             },
         );
-        if let Some(time) = leaves {
-            self.after(time, Due::ClientGone(request));
+        if let Some(time) = client_leaves_after {
+            self.schedule(time, Due::ClientGone(request));
         }
         Event::Request(arrival)
     }
 
     fn attempt_end(&mut self, at: Micros, id: RequestId) -> Option<Event> {
         let request = self.requests.get_mut(&id)?;
-        // One that was cancelled meanwhile has ended before.
-        let out = request.out.take_if(|out| out.ends_at == at)?;
-        request.finished |= out.outcome == Outcome::Ok;
+        // A cancelled attempt has already ended at an earlier time.
+        let ended = request.attempt.take_if(|attempt| attempt.ends_at == at)?;
+        request.finished |= ended.outcome == Outcome::Ok;
         let (terminal, function, attempt) =
             (request.finished, request.function, request.attempts - 1);
-        let worker = self.workers.get_mut(&out.worker).expect("it was on a list");
-        worker.ended(function);
+        let worker = self
+            .workers
+            .get_mut(&ended.worker)
+            .expect("the worker was listed");
+        worker.end_attempt(function);
         let answered = matches!(
-            out.outcome,
+            ended.outcome,
             Outcome::Ok | Outcome::Rejected | Outcome::Miss | Outcome::Error
         );
         let reports = answered && self.combination.settings.reports_inline;
-        let report = if reports {
-            worker.report(&mut self.random)
+        let load_report = if reports {
+            worker.load_report(&mut self.random)
         } else {
             None
         };
@@ -385,39 +401,39 @@
         }
         Some(Event::AttemptEnded(AttemptEnd {
             request: id,
-            worker: out.worker,
+            worker: ended.worker,
             attempt,
             terminal,
-            outcome: out.outcome,
-            copy_start: out.warmth,
-            function_in_flight: out.crowd,
-            latency: self.now - out.sent,
-            load_report: report,
+            outcome: ended.outcome,
+            copy_start: ended.copy_start,
+            function_in_flight: ended.function_in_flight,
+            latency: self.now - ended.sent_at,
+            load_report,
         }))
     }
 
-    fn list(&self, kind: ListUpdate) -> Event {
+    fn list(&self, update: ListUpdate) -> Event {
         let listed = self
             .workers
             .values()
             .filter(|w| w.status != WorkerStatus::Removed);
         Event::WorkerList {
-            update: kind,
-            workers: listed.map(Worker::member).collect(),
+            update,
+            workers: listed.map(Worker::entry).collect(),
         }
     }
 
     fn delta(&mut self, id: WorkerId, change: impl FnOnce(&mut Worker)) -> Event {
-        let worker = self.workers.get_mut(&id).expect("it was on a list");
+        let worker = self.workers.get_mut(&id).expect("the worker was listed");
         change(worker);
-        let members: Vec<WorkerEntry> = vec![worker.member()];
+        let entries: Vec<WorkerEntry> = vec![worker.entry()];
         Event::WorkerList {
             update: ListUpdate::Delta,
-            workers: members,
+            workers: entries,
         }
     }
 
-    /// The fleet changes, or what is known of it.
+    /// Changes the fleet or the information about it.
     fn change(&mut self) -> Option<Event> {
         self.change_load_of_others();
         let now = self.now;
@@ -464,33 +480,33 @@
             }
             12 => Some(self.limits()),
             13 => {
-                let kinds = [ListUpdate::Snapshot, ListUpdate::Cached, ListUpdate::Failed];
-                let kind = kinds[self.random.below(3) as usize];
+                let updates = [ListUpdate::Snapshot, ListUpdate::Cached, ListUpdate::Failed];
+                let update = updates[self.random.below(3) as usize];
                 let failed = Event::WorkerList {
-                    update: kind,
+                    update,
                     workers: Vec::new(),
                 };
-                Some(if kind == ListUpdate::Failed {
+                Some(if update == ListUpdate::Failed {
                     failed
                 } else {
-                    self.list(kind)
+                    self.list(update)
                 })
             }
-            // The gateway probes on behalf of the fleet, unasked by the module.
+            // The gateway runs health checks for the fleet without a request by the module.
             _ => {
-                self.after(2 * MILLISECOND, Due::ProbeEnd(id));
+                self.schedule(2 * MILLISECOND, Due::HealthCheckEnd(id));
                 None
             }
         }
     }
 
-    /// What other instances have at each worker changes, where there are many of them.
+    /// Changes the load of other instances at each worker if there are many instances.
     fn change_load_of_others(&mut self) {
         if self.combination.settings.instances < MANY_INSTANCES {
             return;
         }
         for worker in self.workers.values_mut() {
-            worker.others = self.random.below(13) as u32;
+            worker.others_in_flight = self.random.below(13) as u32;
         }
     }
 
@@ -503,10 +519,13 @@
             5 => Mode::Limiting,
             _ => Mode::Healthy,
         };
-        self.workers.get_mut(&id).expect("it was on a list").mode = mode;
+        self.workers
+            .get_mut(&id)
+            .expect("the worker was listed")
+            .mode = mode;
     }
 
-    /// A new version begins beside the old one, or has taken over.
+    /// Returns the limits as a new version starts beside the old one, or after it has taken over.
     fn limits(&mut self) -> Event {
         let settings = &self.combination.settings;
         let whole = self.random.percent(50);
--- a/tests/decisions/fleet.rs
+++ b/tests/decisions/fleet.rs
@@ -1,4 +1,4 @@
-//! The workers of a recorded stream: what becomes of an attempt or an order at one of them.
+//! The simulated workers of a recorded stream, which decide how an attempt or a load order ends.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::combinations::MILLISECOND;
 use crate::random::Random;
 
-/// Functions that a worker holds at once; the one used longest ago is evicted.
+/// The number of functions that a worker keeps loaded. The least recently used one is evicted.
 const MAX_FUNCTIONS: usize = 4;
 
 /// How a worker behaves.
@@ -21,7 +21,7 @@
     Hung,
     Refusing,
     Resetting,
-    /// It turns most calls away after a while: a limit of their class.
+    /// Rejects most calls after a delay, as a limit of their class does.
     Limiting,
 }
 
@@ -30,33 +30,33 @@
 struct Copies {
     count: u32,
     used_at: Micros,
-    /// From when on they stand.
+    /// The instant from which calls can use the copies.
     ready_at: Micros,
 }
 
-/// A worker.
+/// A simulated worker.
 pub struct Worker {
     pub id: WorkerId,
     pub status: WorkerStatus,
     pub started: Option<Micros>,
     pub mode: Mode,
-    /// Requests that other instances have there.
-    pub others: u32,
+    /// Requests of other instances in flight.
+    pub others_in_flight: u32,
     zone: ZoneId,
     cell: CellId,
-    inflight: u32,
-    max_inflight: u32,
-    busy: BTreeMap<FunctionId, u32>,
+    in_flight: u32,
+    max_in_flight: u32,
+    in_flight_by_function: BTreeMap<FunctionId, u32>,
     copies: BTreeMap<FunctionId, Copies>,
 }
 
-/// How something at a worker will end.
+/// The end of an attempt or a load order at a worker.
 pub struct End {
     pub outcome: Outcome,
     pub latency: Micros,
-    pub warmth: Option<CopyStart>,
-    /// Requests of the function there before this one.
-    pub crowd: u32,
+    pub copy_start: Option<CopyStart>,
+    /// Requests of the function that were in flight at the worker before this one.
+    pub function_in_flight: u32,
 }
 
 impl End {
@@ -64,42 +64,42 @@
         End {
             outcome,
             latency,
-            warmth: None,
-            crowd: 0,
+            copy_start: None,
+            function_in_flight: 0,
         }
     }
 }
 
-/// A function's usual run time.
+/// Returns a function's usual run time.
 fn run_time(function: FunctionId) -> Micros {
     (15 + function.0 % 7 * 25) * MILLISECOND
 }
 
-/// A function's usual time to load.
+/// Returns a function's usual load time.
 pub fn load_time(function: FunctionId) -> Micros {
     (200 + function.0 % 5 * 150) * MILLISECOND
 }
 
 impl Worker {
-    /// One of the first list.
+    /// Creates a worker of the first list.
     pub fn new(number: u32, started: Option<Micros>) -> Worker {
         Worker {
             id: WorkerId(number.wrapping_mul(0x0101_6b35)),
             status: WorkerStatus::Ready,
             started,
             mode: Mode::Healthy,
-            others: 0,
+            others_in_flight: 0,
             zone: ZoneId((number % 3) as u8),
             cell: CellId((number % 6) as u16),
-            inflight: 0,
-            max_inflight: 6 + number % 11,
-            busy: BTreeMap::new(),
+            in_flight: 0,
+            max_in_flight: 6 + number % 11,
+            in_flight_by_function: BTreeMap::new(),
             copies: BTreeMap::new(),
         }
     }
 
-    /// Its line of the list.
-    pub fn member(&self) -> WorkerEntry {
+    /// Returns the worker's entry in the worker list.
+    pub fn entry(&self) -> WorkerEntry {
         WorkerEntry {
             worker: self.id,
             zone: self.zone,
@@ -110,29 +110,29 @@
         }
     }
 
-    /// Its process begins anew: no copy stands.
+    /// Restarts the process, which drops all copies.
     pub fn restart(&mut self, now: Micros) {
         self.started = Some(now);
         self.mode = Mode::Healthy;
         self.copies.clear();
     }
 
-    /// Copies of a function that stand.
-    pub fn standing(&self, now: Micros, function: FunctionId) -> u32 {
+    /// Returns the number of ready copies of a function.
+    pub fn ready_copies(&self, now: Micros, function: FunctionId) -> u32 {
         self.copies
             .get(&function)
             .filter(|c| c.ready_at <= now)
             .map_or(0, |c| c.count)
     }
 
-    /// A report of its load.
-    pub fn report(&self, random: &mut Random) -> Option<LoadReport> {
-        let held = self.inflight + self.others;
-        let inflight = Some(held as f32);
+    /// Returns a load report with a random set of fields, or none.
+    pub fn load_report(&self, random: &mut Random) -> Option<LoadReport> {
+        let total = self.in_flight + self.others_in_flight;
+        let in_flight = Some(total as f32);
         match random.below(4) {
             0 => None,
             1 => Some(LoadReport {
-                in_flight: inflight,
+                in_flight,
                 ..LoadReport::default()
             }),
             2 => Some(LoadReport {
@@ -140,16 +140,16 @@
                 ..LoadReport::default()
             }),
             _ => Some(LoadReport {
-                queued: Some(held.saturating_sub(4) as f32),
-                in_flight: inflight,
-                cpu_utilization: Some(held as f32 / 8.0),
+                queued: Some(total.saturating_sub(4) as f32),
+                in_flight,
+                cpu_utilization: Some(total as f32 / 8.0),
                 pinned_memory: Some(0.25),
                 active_loads: Some(self.copies.len() as f32),
             }),
         }
     }
 
-    /// Takes an attempt; `time_left` is that of its client.
+    /// Starts an attempt. `time_left` is the time to the client's deadline.
     pub fn send(
         &mut self,
         now: Micros,
@@ -159,8 +159,8 @@
         random: &mut Random,
     ) -> End {
         let end = self.end_of_attempt(now, function, on_miss, time_left, random);
-        self.inflight += 1;
-        *self.busy.entry(function).or_default() += 1;
+        self.in_flight += 1;
+        *self.in_flight_by_function.entry(function).or_default() += 1;
         if end.outcome == Outcome::Ok {
             self.touch(now, function);
         }
@@ -178,9 +178,9 @@
         time_left: Micros,
         random: &mut Random,
     ) -> End {
-        let late = time_left + random.below(2) * 20 * MILLISECOND;
+        let timeout = time_left + random.below(2) * 20 * MILLISECOND;
         match self.mode {
-            Mode::Hung => return End::plain(Outcome::Timeout, late),
+            Mode::Hung => return End::plain(Outcome::Timeout, timeout),
             Mode::Refusing => return End::plain(Outcome::ConnectFailed, MILLISECOND),
             Mode::Resetting if random.percent(60) => {
                 return End::plain(Outcome::Reset, random.below(30) * MILLISECOND)
@@ -190,35 +190,40 @@
             }
             _ => {}
         }
-        let crowd = self.busy.get(&function).copied().unwrap_or(0) + self.others / 2;
-        if self.inflight + self.others >= self.max_inflight {
-            // At once, or after a while: a limit of the class.
+        let function_in_flight = self
+            .in_flight_by_function
+            .get(&function)
+            .copied()
+            .unwrap_or(0)
+            + self.others_in_flight / 2;
+        if self.in_flight + self.others_in_flight >= self.max_in_flight {
+            // A full worker rejects at once, and a limit of the class after a delay.
             let latency = if random.percent(15) {
                 250 * MILLISECOND
             } else {
                 2 * MILLISECOND
             };
             return End {
-                crowd,
+                function_in_flight,
                 ..End::plain(Outcome::Rejected, latency)
             };
         }
         match random.below(200) {
             0 => return End::plain(Outcome::NotSent, MILLISECOND),
             1 | 2 => return End::plain(Outcome::Error, 5 * MILLISECOND),
-            3 => return End::plain(Outcome::Timeout, late),
+            3 => return End::plain(Outcome::Timeout, timeout),
             _ => {}
         }
         let slowness = if self.mode == Mode::Slow { 6 } else { 1 };
-        let run = run_time(function) * slowness * u64::from(4 + self.inflight) / 4;
+        let run = run_time(function) * slowness * u64::from(4 + self.in_flight) / 4;
         let run = run + random.below(10 * MILLISECOND);
-        let (warmth, wait) = match self.copies.get(&function).copied() {
+        let (copy_start, wait) = match self.copies.get(&function).copied() {
             Some(copies) if copies.ready_at <= now => (CopyStart::Warm, 0),
             Some(copies) => (CopyStart::Joined, copies.ready_at - now),
             None if on_miss == OnMiss::Reject => return End::plain(Outcome::Miss, 2 * MILLISECOND),
             None if random.percent(6) => {
                 return End {
-                    warmth: Some(CopyStart::LoadFailed),
+                    copy_start: Some(CopyStart::LoadFailed),
                     ..End::plain(Outcome::Error, 80 * MILLISECOND)
                 }
             }
@@ -229,39 +234,39 @@
         };
         if run + wait > time_left {
             return End {
-                crowd,
-                ..End::plain(Outcome::Timeout, late)
+                function_in_flight,
+                ..End::plain(Outcome::Timeout, timeout)
             };
         }
         End {
             outcome: Outcome::Ok,
             latency: run + wait,
-            warmth: Some(warmth),
-            crowd,
+            copy_start: Some(copy_start),
+            function_in_flight,
         }
     }
 
-    /// An attempt there has ended.
-    pub fn ended(&mut self, function: FunctionId) {
-        self.inflight = self.inflight.saturating_sub(1);
-        self.busy
+    /// Ends an attempt.
+    pub fn end_attempt(&mut self, function: FunctionId) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.in_flight_by_function
             .entry(function)
             .and_modify(|count| *count = count.saturating_sub(1));
     }
 
-    /// Takes an order to load; one for no copies only asks how many stand.
+    /// Handles a load order. An order for 0 copies only queries the number of ready copies.
     pub fn load(
         &mut self,
         now: Micros,
         function: FunctionId,
         copies: u8,
-        order_limit: Micros,
+        timeout: Micros,
         random: &mut Random,
     ) -> End {
         match self.mode {
             Mode::Refusing => return End::plain(Outcome::ConnectFailed, MILLISECOND),
-            Mode::Hung => return End::plain(Outcome::Timeout, order_limit),
-            _ if copies == 0 || self.standing(now, function) > 0 => {
+            Mode::Hung => return End::plain(Outcome::Timeout, timeout),
+            _ if copies == 0 || self.ready_copies(now, function) > 0 => {
                 return End::plain(Outcome::Ok, 2 * MILLISECOND)
             }
             _ => {}
@@ -269,7 +274,7 @@
         match random.below(20) {
             0 => End::plain(Outcome::Error, 40 * MILLISECOND),
             1 => End::plain(Outcome::Rejected, 2 * MILLISECOND),
-            2 => End::plain(Outcome::Timeout, order_limit),
+            2 => End::plain(Outcome::Timeout, timeout),
             _ => {
                 self.begin_load(now, function);
                 End::plain(Outcome::Ok, load_time(function))
@@ -277,7 +282,7 @@
         }
     }
 
-    /// Lets go of a function.
+    /// Drops the copies of a function.
     pub fn unload(&mut self, function: FunctionId) {
         self.copies.remove(&function);
     }
@@ -299,10 +304,14 @@
     }
 
     fn touch(&mut self, now: Micros, function: FunctionId) {
-        let crowd = self.busy.get(&function).copied().unwrap_or(0);
+        let in_flight = self
+            .in_flight_by_function
+            .get(&function)
+            .copied()
+            .unwrap_or(0);
         if let Some(copies) = self.copies.get_mut(&function) {
             copies.used_at = now;
-            copies.count = copies.count.max(crowd / 2).clamp(1, 3);
+            copies.count = copies.count.max(in_flight / 2).clamp(1, 3);
         }
     }
 }
--- a/tests/decisions/random.rs
+++ b/tests/decisions/random.rs
@@ -1,15 +1,15 @@
-//! Pseudo-random numbers that are the same everywhere: SplitMix64.
+//! SplitMix64, a pseudo-random generator with the same output on every platform.
 
-/// A generator.
+/// A SplitMix64 generator.
 pub struct Random(u64);
 
 impl Random {
-    /// One that begins with a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Random {
         Random(seed)
     }
 
-    /// The next number.
+    /// Returns the next number.
     pub fn number(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -18,12 +18,12 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number below a bound; 0 if the bound is 0.
+    /// Returns a number below `bound`, or 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.number() % bound.max(1)
     }
 
-    /// Whether something comes about that does so in so many of a hundred cases.
+    /// Returns true with a probability of `percent` in a hundred.
     pub fn percent(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
--- a/tests/decisions/record.rs
+++ b/tests/decisions/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of a run: its actions as text, and how often each kind was seen.
+//! The record of a run: its actions as text and counts of each kind.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,7 +8,7 @@
 /// Counts by kind.
 pub type Counts = BTreeMap<&'static str, u64>;
 
-/// The actions in the order of a record's line.
+/// The keywords of actions in their order in a record's summary line.
 const ACTIONS: [&str; 10] = [
     "send",
     "cancel",
@@ -22,30 +22,30 @@
     "subscribe",
 ];
 
-/// A run as it is recorded.
+/// The recorded actions of a run and the counts of its actions, events and outcomes.
 #[derive(Default)]
 pub struct Record {
     text: String,
     pub actions: Counts,
     pub events: Counts,
     pub outcomes: Counts,
-    pub warmths: Counts,
+    pub copy_starts: Counts,
 }
 
 impl Record {
-    /// The actions with their times, one a line.
+    /// Returns the actions with their times, one per line.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Notes an action and its time.
+    /// Records an action and its time.
     pub fn action(&mut self, now: Micros, action: &Action) {
         let (kind, values) = describe(action);
-        writeln!(self.text, "{now} {kind}{values}").expect("a string takes all");
+        writeln!(self.text, "{now} {kind}{values}").expect("writing to a string cannot fail");
         *self.actions.entry(kind).or_default() += 1;
     }
 
-    /// Notes an event.
+    /// Records an event.
     pub fn event(&mut self, event: &Event) {
         *self.events.entry(event_kind(event)).or_default() += 1;
         let outcome = match event {
@@ -59,14 +59,15 @@
             *self.outcomes.entry(outcome_kind(outcome)).or_default() += 1;
         }
         if let Event::AttemptEnded(ended) = event {
-            let warmth = ended.copy_start.map(warmth_kind);
-            warmth
+            let copy_start = ended.copy_start.map(copy_start_kind);
+            copy_start
                 .into_iter()
-                .for_each(|kind| *self.warmths.entry(kind).or_default() += 1);
+                .for_each(|kind| *self.copy_starts.entry(kind).or_default() += 1);
         }
     }
 
-    /// The run in one line: how many events it took, the hash of its text and the counts of its actions.
+    /// Summarizes the run in one line: its number of events, the hash of its text and the counts of
+    /// its actions.
     pub fn line(&self, name: &str) -> String {
         let events: u64 = self.events.values().sum();
         let hash = blake3::hash(self.text.as_bytes());
@@ -76,18 +77,19 @@
     }
 }
 
-/// An action's kind and its values, in words that do not follow the module's names.
+/// Returns an action's keyword and values. The keywords are part of the recorded hashes and don't
+/// follow the module's names.
 fn describe(action: &Action) -> (&'static str, String) {
     match action {
         Action::Send {
             request,
             worker,
-            timeout: within,
+            timeout,
         } => {
-            let within = within.map_or("none".to_owned(), |time| time.to_string());
+            let timeout = timeout.map_or("none".to_owned(), |time| time.to_string());
             (
                 "send",
-                format!(" {} w{} within={within}", request.0, worker.0),
+                format!(" {} w{} within={timeout}", request.0, worker.0),
             )
         }
         Action::Cancel { request, attempt } => {
@@ -153,8 +155,8 @@
     }
 }
 
-fn warmth_kind(warmth: CopyStart) -> &'static str {
-    match warmth {
+fn copy_start_kind(copy_start: CopyStart) -> &'static str {
+    match copy_start {
         CopyStart::Warm => "stood",
         CopyStart::Triggered => "began",
         CopyStart::Joined => "waited",
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! Settings of several deployments' kinds: the program takes names, classes, tenants and limits from them alone, and
-//! says clearly what it cannot use.
+//! Settings of different kinds of deployments: the program takes names, classes, tenants and limits
+//! only from the settings, and names each value that it cannot use.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use common::*;
 use serde_json::{json, Value};
 
-/// One zone, no tenants, four classes of which two must not run twice.
+/// One zone, no tenants and four classes, two of them non-idempotent.
 fn without_tenants() -> Value {
     let class = |name: &str, repeat: &str, aim: f64, limit: f64| json!({ "name": name, "repeat": repeat, "aimMs": aim, "hardLimitMs": limit });
     json!({
@@ -23,7 +23,7 @@
     })
 }
 
-/// Two zones, five tenants, two classes, loads on a miss, two attempts, no probes.
+/// Two zones, five tenants, two classes, loads on a miss, two attempts and no health checks.
 fn with_tenants() -> Value {
     let tenant =
         |name: &str, fraction: f64| json!({ "name": name, "fraction": fraction, "quotaPerS": 9.0 });
@@ -47,7 +47,8 @@
     )
 }
 
-/// Guards other customers: each class and tenant of the settings is served under its own name, and no other is known.
+/// Guards deployments with other names: each class and tenant of the settings is served under its
+/// own name, and any other name is rejected.
 #[test]
 fn names_come_from_the_settings_alone() {
     for (settings, tenants) in [
@@ -83,7 +84,7 @@
             assert_eq!(
                 client.status(),
                 400,
-                "{class} of {tenant:?} is another customer's"
+                "{class} of {tenant:?} belongs to another deployment"
             );
         }
         let counters = g.stop();
@@ -94,11 +95,12 @@
     }
 }
 
-/// Guards starts: what is stated and cannot be used is refused with key, value and remedy, by `check-config` as well.
+/// Guards startup: an unusable setting is rejected with its key, value and remedy, also by
+/// `check-config`.
 #[test]
-fn settings_that_cannot_be_used_are_refused_by_key_and_value() {
-    type Damage = (fn(&mut Value), &'static str);
-    let damages: [Damage; 4] = [
+fn unusable_settings_are_rejected_by_key_and_value() {
+    type Case = (fn(&mut Value), &'static str);
+    let cases: [Case; 4] = [
         (
             |s| s["services"][0]["repeat"] = json!("often"),
             "settings.services.0.repeat = 'often' cannot be used",
@@ -125,7 +127,7 @@
     ];
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("deployment-{}.json", std::process::id()));
-    for (change, what) in damages {
+    for (change, expected) in cases {
         let mut settings = with_tenants();
         change(&mut settings);
         let config = json!({ "name": "g0", "listen": "127.0.0.1:0", "settings": settings });
@@ -139,7 +141,7 @@
                 .unwrap();
             let error = String::from_utf8_lossy(&out.stderr).into_owned();
             assert!(
-                !out.status.success() && error.contains(what),
+                !out.status.success() && error.contains(expected),
                 "{args:?}: {error}"
             );
         }
--- a/tests/discovery_outage.rs
+++ b/tests/discovery_outage.rs
@@ -1,5 +1,6 @@
-//! Orders of events around an outage of service discovery, each brought about every time between a real gateway and peers
-//! that move only when the test lets them. Long runs with many workers are the testbed's (`soak outage`).
+//! Orders of events around an outage of service discovery. A real gateway runs against peers that
+//! act only when the test tells them to, so that each order is deterministic. The testbed has long
+//! runs with many workers (`soak outage`).
 
 mod common;
 
@@ -11,13 +12,13 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-/// A connection that is held is released long before this.
-const PATIENT_DIAL_MS: f64 = 20_000.0;
+/// A connect timeout that is much longer than any connection is held back.
+const CONNECT_TIMEOUT_MS: f64 = 20_000.0;
 
 fn with_checks(allowed: bool) -> Value {
     let mut settings = settings(12_000.0);
     settings["caps"]["probes"] = json!(allowed);
-    settings["caps"]["connectTimeoutMs"] = json!(PATIENT_DIAL_MS);
+    settings["caps"]["connectTimeoutMs"] = json!(CONNECT_TIMEOUT_MS);
     settings
 }
 
@@ -32,58 +33,67 @@
     }
 }
 
-/// What the second address says of the evidence, by its first words.
+/// Returns the rest of the line that begins with `key` in the operator console's evidence report.
 fn evidence(g: &Gateway, key: &str) -> String {
-    let all = g.ask(b"evidence\n");
-    let line = all.lines().find_map(|line| line.strip_prefix(key));
-    line.unwrap_or_else(|| panic!("no {key} in {all}"))
+    let report = g.ask(b"evidence\n");
+    let line = report.lines().find_map(|line| line.strip_prefix(key));
+    line.unwrap_or_else(|| panic!("no {key} in {report}"))
         .trim()
         .to_owned()
 }
 
-/// Guards the look at the evidence where bytes leave: it was there when the attempt was decided on.
+/// Guards the check of the evidence when bytes are sent. It was valid when the attempt was decided
+/// on, and expires while the attempt waits for a connection.
 #[test]
-fn attempt_behind_a_connect_is_withdrawn_when_evidence_expires() {
+fn attempt_awaiting_connect_is_withdrawn_when_evidence_expires() {
     let dials = HeldDials::start();
     let board = BoardByHand::start();
     let workers = [serving("s-00000001", dials.address())];
     let g = Gateway::start_daily(&with_checks(false), &workers, Some(board.address()));
     let poll = board.poll();
     let mut client = Client::asks(&g, ask(1, 11_000));
-    until("its attempt waits for the connection", || {
+    until("the attempt waits for its connection", || {
         dials.waiting() == 1
     });
-    // Discovery says nothing from here on.
+    // Discovery sends nothing from here on.
     until("the evidence has expired", || {
         evidence(&g, "workers_suspended") == "1"
     });
     let released = dials.release();
-    assert_eq!(client.status(), 503, "it is rejected when its time is over");
+    assert_eq!(client.status(), 503, "the call is rejected at its deadline");
     assert_eq!(g.figure("upstream_requests"), 0);
     g.stop();
     let heard = released.and_then(|mut worker| worker.next());
-    assert_eq!(heard, None, "nothing of the attempt has left");
+    assert_eq!(heard, None, "nothing of the attempt was sent");
     drop(poll);
 }
 
-/// Guards the start: a list from a file has no known age.
+/// Guards startup: a worker list from a file has no known age and is no evidence.
 #[test]
-fn gateway_started_in_an_outage_sends_nothing_before_discovery_confirms() {
+fn start_in_an_outage_sends_nothing_before_confirmation() {
     let worker = Worker::start();
     let board = BoardByHand::start();
     let workers = [serving("s-00000001", worker.address)];
     let g = Gateway::start_daily(&with_checks(false), &workers, Some(board.address()));
     let mut early = Client::asks(&g, ask(1, 700));
-    assert_eq!(early.status(), 503, "it waits, and is rejected in time");
+    assert_eq!(
+        early.status(),
+        503,
+        "the call waits, and is rejected before its deadline"
+    );
     assert!(worker.gos.lock().unwrap().is_empty());
     let mut late = Client::asks(&g, ask(2, 11_000));
     let _poll = board.poll();
-    assert_eq!(late.status(), 200, "it is served with the first evidence");
+    assert_eq!(
+        late.status(),
+        200,
+        "the call is served with the first evidence"
+    );
 }
 
-/// Guards the same where checks are allowed: one comes before the call.
+/// Guards startup where health checks are allowed: a check is sent before the call.
 #[test]
-fn gateway_started_in_an_outage_checks_a_worker_before_it_sends() {
+fn start_in_an_outage_checks_workers_before_sending() {
     let worker = WorkerByHand::start();
     let board = BoardByHand::start();
     let workers = [serving("s-00000001", worker.address())];
@@ -93,15 +103,19 @@
     let check = connection.next().expect("a check comes");
     assert_eq!(check.word, "stat");
     connection.answer(&check.id, "dead", "-");
-    let check = connection.next().expect("it is checked again");
-    assert_eq!(check.word, "stat", "a worker that said dead gets no call");
+    let check = connection.next().expect("the worker is checked again");
+    assert_eq!(
+        check.word, "stat",
+        "a worker that answered dead gets no call"
+    );
     connection.answer(&check.id, "alive", "-");
-    // Its process may be new, and discovery may not have told of its start yet: more checks come before the call.
+    // The worker's process may be new, and discovery may not have reported its start yet. More
+    // checks come before the call.
     let go = loop {
-        let said = connection.next().expect("more comes");
-        match said.word.as_str() {
-            "stat" => connection.answer(&said.id, "alive", "-"),
-            _ => break said,
+        let command = connection.next().expect("another command comes");
+        match command.word.as_str() {
+            "stat" => connection.answer(&command.id, "alive", "-"),
+            _ => break command,
         }
     };
     assert!(["go", "stage"].contains(&go.word.as_str()), "{go:?}");
@@ -118,9 +132,9 @@
     assert_eq!(client.status(), 200);
 }
 
-/// Guards the first moments of a new stream: its first comment comes before what was missed.
+/// Guards a new stream: its first comment comes before the updates that were missed.
 #[test]
-fn backlog_of_a_new_stream_is_applied_before_anything_is_sent() {
+fn missed_updates_are_applied_before_anything_is_sent() {
     let drained = Worker::start();
     let board = BoardByHand::start();
     let workers = [serving("s-00000001", drained.address)];
@@ -132,7 +146,7 @@
     assert!(drained.gos.lock().unwrap().is_empty());
 }
 
-/// Guards against an event that never ends: what it would say is not known.
+/// Guards against evidence from an incomplete event, whose content is unknown.
 #[test]
 fn stream_that_stops_inside_an_event_confirms_nothing() {
     let worker = Worker::start();
@@ -146,7 +160,8 @@
     assert!(worker.gos.lock().unwrap().is_empty());
 }
 
-/// Guards the list against a move of discovery that comes too late for its age.
+/// Guards a change of the discovery address during an outage: the new server confirms the expired
+/// list.
 #[test]
 fn moved_discovery_confirms_the_list_in_an_outage() {
     let worker = Worker::start();
@@ -166,9 +181,9 @@
     assert!(evidence(&g, "worker s-00000001").ends_with("used"));
 }
 
-/// Guards a worker against orders that it rejects: each further one comes later.
+/// Guards a worker against a flood of load orders that it rejects: further orders back off.
 #[test]
-fn rejected_load_order_is_not_given_again_at_once() {
+fn rejected_load_order_is_not_repeated_at_once() {
     let worker = WorkerByHand::start();
     let workers = [serving("s-00000001", worker.address())];
     let g = Gateway::start_daily(&with_checks(false), &workers, None);
@@ -177,12 +192,12 @@
     let orders = Arc::new(AtomicUsize::new(0));
     let counted = orders.clone();
     std::thread::spawn(move || {
-        while let Some(said) = connection.next() {
-            if said.word == "stage" {
+        while let Some(command) = connection.next() {
+            if command.word == "stage" {
                 counted.fetch_add(1, Ordering::SeqCst);
             }
-            let answer = if said.word == "go" { "404" } else { "503" };
-            connection.answer(&said.id, answer, "copies=0");
+            let answer = if command.word == "go" { "404" } else { "503" };
+            connection.answer(&command.id, answer, "copies=0");
         }
     });
     assert_eq!(client.status(), 503);
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -1,5 +1,5 @@
-//! When a worker may be sent new work, as evidence of it comes and goes: each rule by itself, and all of them together
-//! over random orders of events on a virtual clock.
+//! Whether a worker may be sent new requests as evidence of its state arrives and expires: each
+//! rule alone, and all rules together over random orders of events on a virtual clock.
 
 #[path = "evidence/world.rs"]
 mod world;
@@ -11,16 +11,16 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-const TOLD_AFTER: Micros = 7 * SECOND;
-const GRACE: Micros = SECOND;
+const LIST_MAX_AGE: Micros = 7 * SECOND;
+const DRAIN_GRACE: Micros = SECOND;
 const START: Micros = 1_000 * SECOND;
 
 fn settings(may_health_check: bool) -> Settings {
     Settings {
         instances: 1,
         may_health_check,
-        drain_grace: GRACE,
-        list_max_age: Some(TOLD_AFTER),
+        drain_grace: DRAIN_GRACE,
+        list_max_age: Some(LIST_MAX_AGE),
         discovery_heartbeats: true,
         ..Settings::default()
     }
@@ -29,7 +29,7 @@
 const WORKER: WorkerId = WorkerId(1);
 const OTHER: WorkerId = WorkerId(2);
 
-/// A tracker with two listed workers, and the time.
+/// A tracker with two listed workers and a virtual clock.
 struct Rig {
     tracker: EvidenceTracker,
     now: Micros,
@@ -46,11 +46,11 @@
         }
     }
 
-    /// One whose list discovery has confirmed just now.
-    fn heard(settings: &Settings) -> Rig {
+    /// Creates a rig whose list discovery has just confirmed.
+    fn confirmed(settings: &Settings) -> Rig {
         let mut rig = Rig::new(settings);
         rig.connect();
-        rig.pass(SECOND);
+        rig.advance(SECOND);
         rig.signal(DiscoverySignal::Heartbeat);
         assert!(rig.may_send(WORKER));
         rig
@@ -65,8 +65,9 @@
         self.tracker.on_discovery(self.now, signal);
     }
 
-    /// Lets time pass with ticks as the module makes them.
-    fn pass(&mut self, span: Micros) -> Vec<(WorkerId, Availability)> {
+    /// Advances the clock in steps of 50 ms with a tick after each, and returns the availability
+    /// changes.
+    fn advance(&mut self, span: Micros) -> Vec<(WorkerId, Availability)> {
         let end = self.now + span;
         let mut changed = Vec::new();
         while self.now < end {
@@ -76,10 +77,10 @@
         changed
     }
 
-    /// The same with a heartbeat each second.
-    fn pass_with_heartbeats(&mut self, seconds: u64) {
+    /// Advances the clock with a heartbeat each second.
+    fn advance_with_heartbeats(&mut self, seconds: u64) {
         for _ in 0..seconds {
-            self.pass(SECOND);
+            self.advance(SECOND);
             self.signal(DiscoverySignal::Heartbeat);
         }
     }
@@ -102,209 +103,228 @@
 }
 
 #[test]
-fn list_without_confirmation_expires_before_drain_counts_as_told() {
-    let mut rig = Rig::heard(&settings(false));
-    rig.pass(TOLD_AFTER + GRACE - 3 * SECOND);
-    assert!(rig.may_send(WORKER), "it holds for most of the span");
-    let changed = rig.pass(SECOND);
+fn unconfirmed_list_expires_before_drains_must_be_known() {
+    let mut rig = Rig::confirmed(&settings(false));
+    rig.advance(LIST_MAX_AGE + DRAIN_GRACE - 3 * SECOND);
+    assert!(
+        rig.may_send(WORKER),
+        "the list is valid for most of the span"
+    );
+    let changed = rig.advance(SECOND);
     assert!(!rig.may_send(WORKER), "a drain may be older than the list");
     assert!(changed.contains(&(WORKER, Availability::Suspended)));
 }
 
 #[test]
 fn heartbeats_confirm_the_list() {
-    let mut rig = Rig::heard(&settings(false));
-    rig.pass_with_heartbeats(60);
+    let mut rig = Rig::confirmed(&settings(false));
+    rig.advance_with_heartbeats(60);
     assert!(rig.may_send(WORKER));
     assert!(rig.tracker.due_checks(rig.now).is_empty());
 }
 
 #[test]
-fn served_call_is_evidence_from_when_it_was_sent() {
-    let mut rig = Rig::heard(&settings(false));
-    rig.pass(4 * SECOND);
+fn served_call_is_evidence_from_its_send_time() {
+    let mut rig = Rig::confirmed(&settings(false));
+    rig.advance(4 * SECOND);
     let sent_at = rig.now;
-    rig.pass(SECOND);
+    rig.advance(SECOND);
     rig.tracker.on_served(rig.now, WORKER, sent_at);
-    rig.now = sent_at + TOLD_AFTER + GRACE - 301 * MS;
+    rig.now = sent_at + LIST_MAX_AGE + DRAIN_GRACE - 301 * MS;
     assert!(rig.may_send(WORKER));
     assert!(!rig.may_send(OTHER));
-    rig.now = sent_at + TOLD_AFTER + GRACE - 300 * MS;
-    assert!(!rig.may_send(WORKER), "the margin is kept");
+    rig.now = sent_at + LIST_MAX_AGE + DRAIN_GRACE - 300 * MS;
+    assert!(!rig.may_send(WORKER), "the safety margin is kept");
 }
 
 #[test]
-fn new_stream_confirms_nothing_before_its_backlog() {
-    let mut rig = Rig::heard(&settings(false));
+fn new_stream_confirms_nothing_before_its_missed_updates() {
+    let mut rig = Rig::confirmed(&settings(false));
     rig.signal(DiscoverySignal::Closed);
-    rig.pass(20 * SECOND);
+    rig.advance(20 * SECOND);
     rig.signal(DiscoverySignal::Opened);
-    rig.pass(10 * SECOND);
-    assert!(!rig.may_send(WORKER), "a head alone says nothing");
+    rig.advance(10 * SECOND);
+    assert!(
+        !rig.may_send(WORKER),
+        "response headers alone confirm nothing"
+    );
     rig.signal(DiscoverySignal::Heartbeat);
-    rig.pass(100 * MS);
+    rig.advance(100 * MS);
     assert!(!rig.may_send(WORKER), "updates may follow the comment");
     rig.signal(DiscoverySignal::Update);
-    rig.pass(150 * MS);
+    rig.advance(150 * MS);
     assert!(!rig.may_send(WORKER), "more updates may follow the first");
     rig.signal(DiscoverySignal::Incomplete);
-    rig.pass(5 * SECOND);
-    assert!(!rig.may_send(WORKER), "an update is cut in the middle");
+    rig.advance(5 * SECOND);
+    assert!(!rig.may_send(WORKER), "the update is incomplete");
     rig.signal(DiscoverySignal::Update);
-    rig.pass(200 * MS);
+    rig.advance(200 * MS);
     assert!(rig.may_send(WORKER));
 }
 
 #[test]
-fn worker_that_said_dead_is_suspended_until_alive() {
-    let mut rig = Rig::heard(&settings(true));
+fn worker_answering_dead_is_suspended_until_it_restarts() {
+    let mut rig = Rig::confirmed(&settings(true));
     rig.check(WORKER, CheckResult::Dead, None);
     assert!(!rig.may_send(WORKER));
-    rig.pass_with_heartbeats(2);
-    assert!(!rig.may_send(WORKER), "comments do not bring it back");
+    rig.advance_with_heartbeats(2);
+    assert!(!rig.may_send(WORKER), "heartbeats do not resume the worker");
     rig.tracker.on_listed(WORKER, WorkerStatus::Ready, false);
     rig.signal(DiscoverySignal::Update);
-    assert!(!rig.may_send(WORKER), "nor does a list that lags");
+    assert!(!rig.may_send(WORKER), "a list that may lag does not either");
     rig.tracker.on_listed(WORKER, WorkerStatus::Ready, true);
-    rig.pass(50 * MS);
-    assert!(rig.may_send(WORKER), "a new process does");
+    rig.advance(50 * MS);
+    assert!(rig.may_send(WORKER), "a new process resumes the worker");
 }
 
 #[test]
-fn worker_that_said_dead_gets_nothing_though_it_served_just_before() {
-    let mut rig = Rig::heard(&settings(true));
+fn worker_answering_dead_is_suspended_despite_served_call() {
+    let mut rig = Rig::confirmed(&settings(true));
     rig.tracker.on_served(rig.now, WORKER, rig.now);
-    rig.pass(SECOND);
+    rig.advance(SECOND);
     rig.check(WORKER, CheckResult::Dead, None);
     assert!(!rig.may_send(WORKER));
     assert!(rig.may_send(OTHER));
 }
 
 #[test]
-fn answer_to_an_earlier_call_does_not_bring_a_dead_worker_back() {
-    let mut rig = Rig::heard(&settings(true));
+fn answer_to_earlier_call_resumes_no_dead_worker() {
+    let mut rig = Rig::confirmed(&settings(true));
     rig.tracker.on_served(rig.now, WORKER, rig.now);
-    rig.pass(500 * MS);
+    rig.advance(500 * MS);
     let sent_at = rig.now;
-    rig.pass(300 * MS);
+    rig.advance(300 * MS);
     rig.check(WORKER, CheckResult::Dead, None);
     rig.tracker.on_served(rig.now, WORKER, sent_at);
     assert!(!rig.may_send(WORKER));
 }
 
 #[test]
-fn comments_confirm_nothing_while_a_worker_contradicts_the_list() {
-    let mut rig = Rig::heard(&settings(true));
+fn heartbeats_confirm_nothing_while_workers_contradict_the_list() {
+    let mut rig = Rig::confirmed(&settings(true));
     rig.check(WORKER, CheckResult::Dead, None);
-    rig.pass_with_heartbeats(8);
+    rig.advance_with_heartbeats(8);
     assert!(
         !rig.may_send(OTHER),
-        "events may be held back for it as well"
+        "events about the other worker may be delayed as well"
     );
     rig.check(WORKER, CheckResult::Alive, None);
-    rig.pass_with_heartbeats(2);
+    rig.advance_with_heartbeats(2);
     assert!(
         !rig.may_send(OTHER),
-        "the list lagged for longer than it may"
+        "the list lagged for longer than its maximum age"
     );
     rig.signal(DiscoverySignal::Update);
-    assert!(rig.may_send(OTHER), "events come again");
+    assert!(rig.may_send(OTHER), "events arrive again");
 }
 
 #[test]
-fn contradicted_stream_is_opened_anew() {
-    let mut rig = Rig::heard(&settings(true));
+fn contradicted_stream_is_reopened() {
+    let mut rig = Rig::confirmed(&settings(true));
     rig.check(WORKER, CheckResult::Dead, None);
     assert!(!rig.tracker.take_due_reopening(rig.now), "the list may lag");
-    rig.pass_with_heartbeats(4);
+    rig.advance_with_heartbeats(4);
     assert!(rig.tracker.take_due_reopening(rig.now));
     assert!(
         !rig.tracker.take_due_reopening(rig.now),
-        "not at once again"
+        "not again at once"
     );
 }
 
 #[test]
-fn doubted_worker_is_not_confirmed_by_comments() {
-    let mut rig = Rig::heard(&settings(false));
+fn doubted_worker_is_not_confirmed_by_heartbeats() {
+    let mut rig = Rig::confirmed(&settings(false));
     rig.reject(WORKER, ReportedCapacity::Free);
-    rig.pass_with_heartbeats(8);
+    rig.advance_with_heartbeats(8);
     assert!(!rig.may_send(WORKER));
     assert!(rig.may_send(OTHER));
     rig.signal(DiscoverySignal::Update);
-    assert!(rig.may_send(WORKER), "the list is current and names it");
+    assert!(
+        rig.may_send(WORKER),
+        "the list is current and has the worker"
+    );
 }
 
 #[test]
 fn full_worker_is_not_doubted_where_checks_are_forbidden() {
-    let mut rig = Rig::heard(&settings(false));
+    let mut rig = Rig::confirmed(&settings(false));
     for _ in 0..50 {
         rig.reject(WORKER, ReportedCapacity::Used);
         rig.reject(WORKER, ReportedCapacity::Unknown);
         rig.tracker.on_load_rejected(rig.now, WORKER);
     }
-    rig.pass_with_heartbeats(30);
+    rig.advance_with_heartbeats(30);
     assert!(rig.may_send(WORKER));
 }
 
-/// Guards against calls that go on to a worker which drains unheard, because comments were taken for
-/// evidence up to its first rejection.
+/// Guards against calls to a worker whose drain was not announced, as heartbeats counted as
+/// evidence until the worker's first rejection.
 #[test]
-fn worker_that_rejects_after_a_quiet_spell_is_suspended_at_once() {
-    let mut rig = Rig::heard(&settings(false));
-    rig.pass_with_heartbeats(20);
+fn rejection_after_a_quiet_period_suspends_the_worker() {
+    let mut rig = Rig::confirmed(&settings(false));
+    rig.advance_with_heartbeats(20);
     rig.reject(WORKER, ReportedCapacity::Free);
-    assert!(!rig.may_send(WORKER), "it may have drained at any time");
+    assert!(
+        !rig.may_send(WORKER),
+        "the worker may have drained at any time"
+    );
     assert!(rig.may_send(OTHER));
     rig.signal(DiscoverySignal::Incomplete);
-    assert!(!rig.may_send(WORKER), "half an event says nothing");
+    assert!(
+        !rig.may_send(WORKER),
+        "an incomplete event confirms nothing"
+    );
     rig.signal(DiscoverySignal::Update);
-    assert!(rig.may_send(WORKER), "an event comes in the middle");
+    assert!(
+        rig.may_send(WORKER),
+        "the completed update confirms the list"
+    );
 }
 
 #[test]
-fn doubted_worker_is_used_while_what_it_served_holds() {
-    let mut rig = Rig::heard(&settings(false));
-    rig.pass_with_heartbeats(20);
+fn doubted_worker_is_used_while_served_call_counts() {
+    let mut rig = Rig::confirmed(&settings(false));
+    rig.advance_with_heartbeats(20);
     rig.tracker.on_served(rig.now, WORKER, rig.now);
     let served_at = rig.now;
-    rig.pass_with_heartbeats(1);
+    rig.advance_with_heartbeats(1);
     rig.reject(WORKER, ReportedCapacity::Free);
-    rig.now = served_at + TOLD_AFTER + GRACE - 301 * MS;
+    rig.now = served_at + LIST_MAX_AGE + DRAIN_GRACE - 301 * MS;
     assert!(rig.may_send(WORKER));
-    rig.now = served_at + TOLD_AFTER + GRACE - 300 * MS;
+    rig.now = served_at + LIST_MAX_AGE + DRAIN_GRACE - 300 * MS;
     assert!(!rig.may_send(WORKER));
 }
 
 #[test]
-fn worker_that_rejects_serves_and_rejects_is_doubted_anew() {
-    let mut rig = Rig::heard(&settings(false));
-    rig.pass_with_heartbeats(4);
+fn worker_is_doubted_again_after_serving_and_rejecting() {
+    let mut rig = Rig::confirmed(&settings(false));
+    rig.advance_with_heartbeats(4);
     rig.reject(WORKER, ReportedCapacity::Free);
     assert!(rig.tracker.is_doubted(WORKER));
-    rig.pass(100 * MS);
-    assert!(rig.may_send(WORKER), "the list was delivered lately");
+    rig.advance(100 * MS);
+    assert!(rig.may_send(WORKER), "the list was delivered recently");
     rig.tracker.on_served(rig.now, WORKER, rig.now);
     assert!(!rig.tracker.is_doubted(WORKER));
-    rig.pass_with_heartbeats(20);
+    rig.advance_with_heartbeats(20);
     rig.reject(WORKER, ReportedCapacity::Free);
     assert!(!rig.may_send(WORKER));
 }
 
 #[test]
-fn workers_that_all_reject_are_used_again_after_an_update() {
-    let mut rig = Rig::heard(&settings(false));
-    rig.pass_with_heartbeats(20);
+fn rejecting_workers_are_used_again_after_an_update() {
+    let mut rig = Rig::confirmed(&settings(false));
+    rig.advance_with_heartbeats(20);
     for worker in [WORKER, OTHER] {
         rig.reject(worker, ReportedCapacity::Free);
         assert!(!rig.may_send(worker));
     }
-    rig.pass_with_heartbeats(1);
+    rig.advance_with_heartbeats(1);
     rig.signal(DiscoverySignal::Update);
     assert!(rig.may_send(WORKER) && rig.may_send(OTHER));
 }
 
-/// A full worker rejects load orders as one that drains does; only one with free capacity is doubted.
+/// Full workers and draining workers both reject load orders. Only a rejection despite free
+/// capacity raises a doubt.
 #[test]
 fn load_rejections_raise_a_doubt_only_despite_free_capacity() {
     for (capacity, is_doubted) in [
@@ -312,9 +332,9 @@
         (ReportedCapacity::Used, false),
         (ReportedCapacity::Unknown, false),
     ] {
-        let mut rig = Rig::heard(&settings(false));
+        let mut rig = Rig::confirmed(&settings(false));
         rig.tracker.on_reported(WORKER, capacity);
-        rig.pass_with_heartbeats(20);
+        rig.advance_with_heartbeats(20);
         for _ in 0..3 {
             rig.tracker.on_load_rejected(rig.now, WORKER);
         }
@@ -323,15 +343,15 @@
     }
 }
 
-/// A stream that stays quiet behind the list costs less and less, and proves nothing.
+/// A stream without events confirms nothing, and is reopened at growing intervals.
 #[test]
-fn stream_is_opened_anew_with_backoff_while_a_doubt_lasts() {
-    let mut rig = Rig::heard(&settings(false));
-    rig.pass_with_heartbeats(20);
+fn stream_is_reopened_with_backoff_during_a_doubt() {
+    let mut rig = Rig::confirmed(&settings(false));
+    rig.advance_with_heartbeats(20);
     rig.reject(WORKER, ReportedCapacity::Free);
     let mut reopened_at = Vec::new();
     for _ in 0..300 {
-        rig.pass_with_heartbeats(1);
+        rig.advance_with_heartbeats(1);
         if rig.tracker.take_due_reopening(rig.now) {
             reopened_at.push(rig.now);
             rig.signal(DiscoverySignal::Closed);
@@ -339,23 +359,23 @@
         }
         assert!(!rig.may_send(WORKER), "no event has come");
     }
-    let pauses: Vec<Micros> = reopened_at
+    let intervals: Vec<Micros> = reopened_at
         .windows(2)
         .map(|pair| pair[1] - pair[0])
         .collect();
-    assert!(pauses.is_sorted(), "{pauses:?}");
-    assert!((20 * SECOND..=30 * SECOND).contains(pauses.last().unwrap()));
+    assert!(intervals.is_sorted(), "{intervals:?}");
+    assert!((20 * SECOND..=30 * SECOND).contains(intervals.last().unwrap()));
     rig.signal(DiscoverySignal::Update);
-    rig.pass(SECOND);
+    rig.advance(SECOND);
     assert!(rig.may_send(WORKER));
 }
 
-/// On a day on which discovery has nothing to say and nothing is rejected, nothing is opened anew.
+/// While discovery has no events and no worker rejects, no stream is reopened.
 #[test]
-fn quiet_day_opens_no_stream_anew_and_suspends_nobody() {
-    let mut rig = Rig::heard(&settings(false));
+fn quiet_period_reopens_and_suspends_nothing() {
+    let mut rig = Rig::confirmed(&settings(false));
     for _ in 0..600 {
-        rig.pass_with_heartbeats(1);
+        rig.advance_with_heartbeats(1);
         assert!(!rig.tracker.take_due_reopening(rig.now));
         assert!(rig.may_send(WORKER) && rig.may_send(OTHER));
     }
@@ -363,37 +383,40 @@
 
 #[test]
 fn doubt_is_settled_by_one_check() {
-    let mut rig = Rig::heard(&settings(true));
+    let mut rig = Rig::confirmed(&settings(true));
     assert!(rig.tracker.due_checks(rig.now).is_empty());
     rig.reject(WORKER, ReportedCapacity::Free);
     assert!(
         rig.tracker.due_checks(rig.now).is_empty(),
         "the list may lag"
     );
-    rig.pass_with_heartbeats(2);
+    rig.advance_with_heartbeats(2);
     assert_eq!(rig.tracker.due_checks(rig.now), [WORKER]);
-    assert!(rig.tracker.due_checks(rig.now).is_empty(), "it is out");
+    assert!(
+        rig.tracker.due_checks(rig.now).is_empty(),
+        "the check is in flight"
+    );
     rig.check(WORKER, CheckResult::Alive, None);
-    rig.pass_with_heartbeats(30);
+    rig.advance_with_heartbeats(30);
     assert!(rig.may_send(WORKER));
     assert!(rig.tracker.due_checks(rig.now).is_empty());
 }
 
 #[test]
-fn returned_process_waits_until_its_start_would_be_told() {
-    let mut rig = Rig::heard(&settings(true));
-    rig.pass(4 * SECOND);
+fn returned_process_waits_for_the_list_max_age() {
+    let mut rig = Rig::confirmed(&settings(true));
+    rig.advance(4 * SECOND);
     rig.tracker.on_process_ended(rig.now, WORKER);
-    rig.pass(6 * SECOND);
+    rig.advance(6 * SECOND);
     assert!(!rig.may_send(WORKER));
     let returned_at = rig.now;
     rig.check(WORKER, CheckResult::Alive, Some(returned_at));
     let mut resumed = Vec::new();
     while !rig.may_send(WORKER) {
         rig.check(WORKER, CheckResult::Alive, Some(returned_at));
-        resumed = rig.pass(250 * MS);
+        resumed = rig.advance(250 * MS);
     }
-    assert!(rig.now >= returned_at + TOLD_AFTER);
+    assert!(rig.now >= returned_at + LIST_MAX_AGE);
     assert_eq!(
         resumed,
         [(WORKER, Availability::Resumed { new_process: true })]
@@ -401,26 +424,29 @@
 }
 
 #[test]
-fn process_on_old_connection_is_the_same() {
-    let mut rig = Rig::heard(&settings(true));
+fn old_connection_identifies_the_same_process() {
+    let mut rig = Rig::confirmed(&settings(true));
     let opened_at = rig.now - SECOND;
-    rig.pass(20 * SECOND);
+    rig.advance(20 * SECOND);
     for worker in [WORKER, OTHER] {
         rig.check(worker, CheckResult::Alive, Some(opened_at));
-        rig.pass(2 * SECOND);
+        rig.advance(2 * SECOND);
         rig.check(worker, CheckResult::Dead, Some(opened_at));
     }
-    rig.pass(SECOND);
+    rig.advance(SECOND);
     rig.check(WORKER, CheckResult::Alive, Some(opened_at));
     rig.check(OTHER, CheckResult::Alive, Some(rig.now));
-    assert!(rig.may_send(WORKER), "it has thought better of its drain");
-    assert!(!rig.may_send(OTHER), "it may be another one");
+    assert!(
+        rig.may_send(WORKER),
+        "the same process has cancelled its drain"
+    );
+    assert!(!rig.may_send(OTHER), "the process may be a new one");
 }
 
 #[test]
-fn worker_that_was_only_not_heard_of_is_used_as_before() {
-    let mut rig = Rig::heard(&settings(true));
-    rig.pass(20 * SECOND);
+fn worker_with_expired_evidence_resumes_as_before() {
+    let mut rig = Rig::confirmed(&settings(true));
+    rig.advance(20 * SECOND);
     assert!(!rig.may_send(WORKER));
     while rig.tracker.next_change().is_some() {}
     rig.check(WORKER, CheckResult::Alive, Some(rig.now));
@@ -428,12 +454,15 @@
     let resumed = std::iter::from_fn(|| rig.tracker.next_change()).any(|change| {
         matches!(change, EvidenceChange::Resumed { worker, new_process: false, .. } if worker == WORKER)
     });
-    assert!(resumed, "without slow start, with its copies");
+    assert!(
+        resumed,
+        "the worker resumes without slow start and with its copies"
+    );
 }
 
 #[test]
 fn checks_need_demand_and_are_capped() {
-    let mut rig = Rig::heard(&Settings {
+    let mut rig = Rig::confirmed(&Settings {
         instances: 100,
         ..settings(true)
     });
@@ -441,8 +470,11 @@
         rig.tracker
             .on_listed(WorkerId(id), WorkerStatus::Ready, false);
     }
-    rig.pass(20 * SECOND);
-    assert!(rig.tracker.due_checks(rig.now).is_empty(), "no calls");
+    rig.advance(20 * SECOND);
+    assert!(
+        rig.tracker.due_checks(rig.now).is_empty(),
+        "there are no calls"
+    );
     let mut checks = 0;
     for _ in 0..200 {
         rig.tracker.on_request(rig.now);
@@ -451,9 +483,10 @@
             rig.tracker
                 .on_checked(rig.now, worker, CheckResult::NoAnswer, rig.now, None);
         }
-        rig.pass(50 * MS);
+        rig.advance(50 * MS);
     }
-    // A hundred instances share four checks a second at each of 52 workers: two a second are this one's.
+    // A hundred instances share four checks per second at each of 52 workers. This instance's share
+    // is two per second.
     assert!((15..=25).contains(&checks), "{checks} in 10 s");
 }
 
@@ -474,10 +507,10 @@
 }
 
 #[test]
-fn gateway_without_discovery_from_its_start_checks_first() {
+fn gateway_started_without_discovery_checks_first() {
     let mut rig = Rig::new(&settings(true));
     assert!(!rig.may_send(WORKER), "the file's list has no known age");
-    rig.pass(SECOND);
+    rig.advance(SECOND);
     rig.tracker.on_request(rig.now);
     assert_eq!(rig.tracker.due_checks(rig.now).len(), 2);
     rig.check(WORKER, CheckResult::Alive, Some(rig.now));
@@ -491,7 +524,7 @@
         list_max_age: None,
         ..settings(true)
     });
-    rig.pass(60 * SECOND);
+    rig.advance(60 * SECOND);
     assert!(rig.may_send(WORKER));
     assert!(rig.tracker.due_checks(rig.now).is_empty());
 }
@@ -503,10 +536,13 @@
         ..settings(false)
     });
     rig.signal(DiscoverySignal::Update);
-    rig.pass(60 * SECOND);
-    assert!(rig.may_send(WORKER), "a subscription holds");
+    rig.advance(60 * SECOND);
+    assert!(
+        rig.may_send(WORKER),
+        "the subscription keeps the list current"
+    );
     rig.signal(DiscoverySignal::Closed);
-    rig.pass(TOLD_AFTER + GRACE);
+    rig.advance(LIST_MAX_AGE + DRAIN_GRACE);
     assert!(!rig.may_send(WORKER));
     rig.signal(DiscoverySignal::Update);
     assert!(rig.may_send(WORKER));
@@ -517,7 +553,7 @@
     let mut rig = Rig::new(&settings(false));
     rig.tracker.import(WORKER, rig.now - 2 * SECOND);
     assert!(rig.may_send(WORKER));
-    rig.pass(TOLD_AFTER + GRACE - 2 * SECOND);
+    rig.advance(LIST_MAX_AGE + DRAIN_GRACE - 2 * SECOND);
     assert!(!rig.may_send(WORKER));
 }
 
--- a/tests/evidence/world.rs
+++ b/tests/evidence/world.rs
@@ -1,45 +1,45 @@
-//! Workers that drain, end and come back, a discovery that comes and goes, and a tracker that hears of them; time is a
-//! number.
+//! A simulation on a virtual clock: workers drain, stop and restart, discovery is lost and returns,
+//! and a tracker gets the resulting events.
 
 use std::collections::BTreeMap;
 
 use molelug::api::{DiscoverySignal, Micros, WorkerId, WorkerStatus};
 use molelug::policy::evidence::{CheckResult, EvidenceTracker, ReportedCapacity};
 
-use super::{settings, GRACE, MS, SECOND, START, TOLD_AFTER};
+use super::{settings, DRAIN_GRACE, LIST_MAX_AGE, MS, SECOND, START};
 
 const WORKERS: u32 = 6;
 const STEPS: usize = 1_500;
-/// How late discovery tells of a change at most.
+/// The longest delay with which discovery announces a change.
 const MAX_LAG: Micros = 1_500 * MS;
 
-/// What a worker does.
+/// The real state of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Truth {
+enum WorkerState {
     Serving,
-    /// It takes nothing new since then.
+    /// The worker takes no new requests since this instant.
     Draining(Micros),
-    /// Its process is gone; it began to drain or went then.
-    Gone(Micros),
+    /// The process has ended. It began to drain, or ended without a drain, at this instant.
+    Stopped(Micros),
 }
 
-/// A change that discovery tells of once its time has come.
+/// A change that discovery announces at an instant.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct Announcement {
     at: Micros,
     worker: WorkerId,
     status: WorkerStatus,
     restarted: bool,
 }
 
-/// The answer to a health check or a call that is on its way.
+/// The future answer to a health check or a call.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingAnswer {
     due: Micros,
     worker: WorkerId,
     sent_at: Micros,
     is_check: bool,
-    truth: Truth,
+    state: WorkerState,
 }
 
 pub struct World {
@@ -47,10 +47,10 @@
     random: u64,
     now: Micros,
     tracker: EvidenceTracker,
-    truths: BTreeMap<WorkerId, Truth>,
+    states: BTreeMap<WorkerId, WorkerState>,
     listed: BTreeMap<WorkerId, WorkerStatus>,
-    told: Vec<Told>,
-    pending: Vec<Pending>,
+    announcements: Vec<Announcement>,
+    pending: Vec<PendingAnswer>,
     discovery_up: bool,
     up_since: Micros,
     next_heartbeat: Micros,
@@ -64,9 +64,9 @@
             random: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
             now: START,
             tracker: EvidenceTracker::new(&settings(may_health_check), seed, START),
-            truths: BTreeMap::new(),
+            states: BTreeMap::new(),
             listed: BTreeMap::new(),
-            told: Vec::new(),
+            announcements: Vec::new(),
             pending: Vec::new(),
             discovery_up: false,
             up_since: 0,
@@ -74,7 +74,7 @@
             sends: 0,
         };
         for id in (0..WORKERS).map(WorkerId) {
-            world.truths.insert(id, Truth::Serving);
+            world.states.insert(id, WorkerState::Serving);
             world.listed.insert(id, WorkerStatus::Ready);
             world.tracker.on_listed(id, WorkerStatus::Ready, false);
         }
@@ -94,7 +94,7 @@
             }
             self.tracker.tick(self.now);
             for worker in self.tracker.due_checks(self.now) {
-                self.post(worker, true);
+                self.send(worker, true);
             }
         }
         assert!(self.sends > 0, "seed {}: nothing was sent", self.seed);
@@ -123,7 +123,7 @@
     fn toggle_discovery(&mut self) {
         if self.discovery_up {
             self.discovery_up = false;
-            // Either the stream ends, or it just falls silent.
+            // The stream either ends or stays open without events.
             if self.below(2) == 0 {
                 self.tracker.on_discovery(self.now, DiscoverySignal::Closed);
             }
@@ -132,22 +132,28 @@
         }
     }
 
-    /// A worker begins to drain, ends or comes back; discovery learns of it.
+    /// Has a worker drain, stop or restart, and schedules the announcement.
     fn change_worker(&mut self) {
         let worker = self.any_worker();
-        let before = self.truths[&worker];
-        let (truth, status, restarted) = match before {
-            Truth::Serving if self.below(4) == 0 => {
-                (Truth::Gone(self.now), WorkerStatus::Removed, false)
+        let before = self.states[&worker];
+        let (state, status, restarted) = match before {
+            WorkerState::Serving if self.below(4) == 0 => {
+                (WorkerState::Stopped(self.now), WorkerStatus::Removed, false)
             }
-            Truth::Serving => (Truth::Draining(self.now), WorkerStatus::Draining, false),
-            Truth::Draining(since) => (Truth::Gone(since), WorkerStatus::Removed, false),
-            Truth::Gone(_) => (Truth::Serving, WorkerStatus::Ready, true),
+            WorkerState::Serving => (
+                WorkerState::Draining(self.now),
+                WorkerStatus::Draining,
+                false,
+            ),
+            WorkerState::Draining(since) => {
+                (WorkerState::Stopped(since), WorkerStatus::Removed, false)
+            }
+            WorkerState::Stopped(_) => (WorkerState::Serving, WorkerStatus::Ready, true),
         };
-        self.truths.insert(worker, truth);
-        let latest = self.told.iter().map(|told| told.at).max().unwrap_or(0);
+        self.states.insert(worker, state);
+        let latest = self.announcements.iter().map(|a| a.at).max().unwrap_or(0);
         let at = (self.now + self.below(MAX_LAG)).max(latest);
-        self.told.push(Told {
+        self.announcements.push(Announcement {
             at,
             worker,
             status,
@@ -155,16 +161,16 @@
         });
     }
 
-    /// Has everything arrive whose time has come.
+    /// Delivers all announcements, heartbeats and answers that are due.
     fn deliver(&mut self) {
         if self.discovery_up {
-            let (due, later): (Vec<Told>, Vec<Told>) =
-                self.told.iter().partition(|told| told.at <= self.now);
-            self.told = later;
-            for told in due {
-                self.listed.insert(told.worker, told.status);
+            let (due, later): (Vec<Announcement>, Vec<Announcement>) =
+                self.announcements.iter().partition(|a| a.at <= self.now);
+            self.announcements = later;
+            for change in due {
+                self.listed.insert(change.worker, change.status);
                 self.tracker
-                    .on_listed(told.worker, told.status, told.restarted);
+                    .on_listed(change.worker, change.status, change.restarted);
                 self.tracker.on_discovery(self.now, DiscoverySignal::Update);
             }
             if self.now >= self.next_heartbeat {
@@ -173,7 +179,7 @@
                     .on_discovery(self.now, DiscoverySignal::Heartbeat);
             }
         }
-        let (due, later): (Vec<Pending>, Vec<Pending>) = self
+        let (due, later): (Vec<PendingAnswer>, Vec<PendingAnswer>) = self
             .pending
             .iter()
             .partition(|answer| answer.due <= self.now);
@@ -183,76 +189,81 @@
         }
     }
 
-    fn answer(&mut self, answer: Pending) {
-        let Pending {
+    fn answer(&mut self, answer: PendingAnswer) {
+        let PendingAnswer {
             worker, sent_at, ..
         } = answer;
-        match (answer.truth, answer.is_check) {
-            (Truth::Serving, false) => self.tracker.on_served(self.now, worker, sent_at),
-            (Truth::Draining(_), false) => {
+        match (answer.state, answer.is_check) {
+            (WorkerState::Serving, false) => self.tracker.on_served(self.now, worker, sent_at),
+            (WorkerState::Draining(_), false) => {
                 self.tracker
                     .on_rejected(self.now, worker, sent_at, ReportedCapacity::Free);
             }
-            (Truth::Gone(_), _) => {
+            (WorkerState::Stopped(_), _) => {
                 self.tracker.on_process_ended(self.now, worker);
                 if answer.is_check {
-                    self.check_ended(worker, CheckResult::NoAnswer, sent_at);
+                    self.end_check(worker, CheckResult::NoAnswer, sent_at);
                 }
             }
-            (Truth::Serving, true) => self.check_ended(worker, CheckResult::Alive, sent_at),
-            (Truth::Draining(_), true) => self.check_ended(worker, CheckResult::Dead, sent_at),
+            (WorkerState::Serving, true) => self.end_check(worker, CheckResult::Alive, sent_at),
+            (WorkerState::Draining(_), true) => self.end_check(worker, CheckResult::Dead, sent_at),
         }
     }
 
-    fn check_ended(&mut self, worker: WorkerId, result: CheckResult, sent_at: Micros) {
+    fn end_check(&mut self, worker: WorkerId, result: CheckResult, sent_at: Micros) {
         self.tracker
             .on_checked(self.now, worker, result, sent_at, None);
     }
 
-    fn post(&mut self, worker: WorkerId, is_check: bool) {
+    fn send(&mut self, worker: WorkerId, is_check: bool) {
         let due = self.now + self.below(200 * MS);
-        let truth = self.truths[&worker];
-        self.pending.push(Pending {
+        let state = self.states[&worker];
+        self.pending.push(PendingAnswer {
             due,
             worker,
             sent_at: self.now,
             is_check,
-            truth,
+            state,
         });
     }
 
-    /// A call for any worker: sent if the tracker allows it, which must not be too late.
+    /// Sends a call to a random worker if the tracker allows it, and asserts that the worker has
+    /// not drained for too long.
     fn call(&mut self) {
         self.tracker.on_request(self.now);
         let worker = self.any_worker();
-        let truth = self.truths[&worker];
+        let state = self.states[&worker];
         let is_listed = self.listed[&worker] == WorkerStatus::Ready;
         if !is_listed || !self.tracker.may_send(self.now, worker) {
             self.assert_used_while_confirmed(worker, is_listed);
             return;
         }
-        if let Truth::Draining(since) | Truth::Gone(since) = truth {
+        if let WorkerState::Draining(since) | WorkerState::Stopped(since) = state {
             assert!(
-                self.now <= since + TOLD_AFTER + GRACE,
-                "seed {}: {worker:?} is sent to {} ms after it began to drain",
+                self.now <= since + LIST_MAX_AGE + DRAIN_GRACE,
+                "seed {}: a call is sent to {worker:?} {} ms after its drain began",
                 self.seed,
                 (self.now - since) / MS
             );
         }
         self.sends += 1;
         self.tracker.on_sent(self.now, worker);
-        self.post(worker, false);
+        self.send(worker, false);
     }
 
-    /// A worker that serves and is listed is used once discovery has been in reach for a while with nothing to tell.
+    /// Asserts that a listed worker is used once discovery has been reachable for 20 s without
+    /// changes to announce while all workers serve.
     fn assert_used_while_confirmed(&self, worker: WorkerId, is_listed: bool) {
         let is_quiet = self.discovery_up
             && self.now > self.up_since + 20 * SECOND
-            && self.told.is_empty()
-            && self.truths.values().all(|truth| *truth == Truth::Serving);
+            && self.announcements.is_empty()
+            && self
+                .states
+                .values()
+                .all(|state| *state == WorkerState::Serving);
         assert!(
             !(is_quiet && is_listed),
-            "seed {}: {worker:?} is not used though the list names it",
+            "seed {}: {worker:?} is not used although it is listed",
             self.seed
         );
     }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,9 +1,10 @@
-//! Recorded byte exchanges, played against the program and compared.
+//! Recorded byte exchanges that are replayed against the program.
 //!
-//! Each file in `exchanges/` is a script, one step a line: `WHO> BYTES` sends, `WHO<` receives one whole
-//! message, `WHO!` closes, `WHO$` waits for the end of the connection. `\r`, `\n` and `\\` are escapes, and
-//! `{A*N}` stands for N times A. Those who take part: `client` (and `client2`, ...) of the platform, the one
-//! `worker`, and the `board`. The snapshot holds the script with all that came.
+//! Each file in `exchanges/` is a script with one step per line: `PEER> BYTES` sends, `PEER<`
+//! receives one whole message, `PEER!` closes, and `PEER$` waits for the end of the connection.
+//! `\r`, `\n` and `\\` are escapes, and `{A*N}` stands for N times A. The peers are `client` (and
+//! `client2`, ...), which connect to the platform's front, the single `worker`, and the `board`,
+//! the discovery server. The snapshot holds the script with all received messages.
 
 mod common;
 
@@ -16,17 +17,18 @@
 #[derive(Default)]
 struct Peer {
     stream: Option<TcpStream>,
-    held: Vec<u8>,
+    /// Received bytes beyond the last whole message.
+    buffer: Vec<u8>,
 }
 
 fn unescape(text: &str) -> Vec<u8> {
     let mut text = text.to_owned();
     while let Some((before, rest)) = text.split_once('{').filter(|(_, r)| r.contains('*')) {
-        let (inside, after) = rest.split_once('}').expect("a closing brace");
-        let (what, times) = inside.rsplit_once('*').expect("a count");
+        let (repetition, after) = rest.split_once('}').expect("a closing brace");
+        let (text_to_repeat, times) = repetition.rsplit_once('*').expect("a count");
         text = format!(
             "{before}{}{after}",
-            what.repeat(times.parse().expect("a number"))
+            text_to_repeat.repeat(times.parse().expect("a number"))
         );
     }
     text.replace("\\r", "\r")
@@ -35,8 +37,8 @@
         .into_bytes()
 }
 
-/// Takes the one figure out that depends on the time.
-fn steady(bytes: &[u8]) -> String {
+/// Replaces the only time-dependent number and the length of its field by `#`.
+fn without_time_left(bytes: &[u8]) -> String {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let Some(at) = text.find(",max=").map(|at| at + 5) else {
         return text;
@@ -49,8 +51,9 @@
     format!("{}$#{}#{}", &text[..size], &text[line..at], &text[end..])
 }
 
-/// The next connection; one that never comes is a failure that shows how far the script got, not a test that hangs.
-fn accept(listener: &TcpListener, who: &str, so_far: &str) -> TcpStream {
+/// Accepts the next connection. A missing connection fails the test with the transcript so far
+/// instead of blocking it.
+fn accept(listener: &TcpListener, peer: &str, transcript: &str) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let end = std::time::Instant::now() + PATIENCE;
     loop {
@@ -59,17 +62,17 @@
                 stream.set_nonblocking(false).unwrap();
                 return stream;
             }
-            Err(e) if e.kind() != std::io::ErrorKind::WouldBlock => panic!("{who}: {e}"),
+            Err(e) if e.kind() != std::io::ErrorKind::WouldBlock => panic!("{peer}: {e}"),
             Err(_) => assert!(
                 std::time::Instant::now() < end,
-                "nobody connects to the {who}\n{so_far}"
+                "no connection to the {peer}\n{transcript}"
             ),
         }
         std::thread::sleep(std::time::Duration::from_millis(2));
     }
 }
 
-fn play(script: &str) -> String {
+fn replay(script: &str) -> String {
     let worker = TcpListener::bind("127.0.0.1:0").unwrap();
     let board = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = worker.local_addr().unwrap();
@@ -111,7 +114,7 @@
             "$" => {
                 stream.set_read_timeout(Some(PATIENCE)).unwrap();
                 let mut rest = Vec::new();
-                // A reset is an end too.
+                // A reset also ends the connection.
                 let _ = stream.read_to_end(&mut rest);
                 out += &format!("{line} {:?}\n", String::from_utf8_lossy(&rest));
                 *peer = Peer::default();
@@ -122,9 +125,9 @@
                 } else {
                     http_length
                 };
-                let message = read_message(stream, &mut peer.held, whole)
+                let message = read_message(stream, &mut peer.buffer, whole)
                     .unwrap_or_else(|| panic!("{line}\n{out}"));
-                let text = steady(&message).replace(&at.to_string(), "{worker}");
+                let text = without_time_left(&message).replace(&at.to_string(), "{worker}");
                 let text =
                     board_at.map_or(text.clone(), |b| text.replace(&b.to_string(), "{board}"));
                 for l in text.split_inclusive("\r\n") {
@@ -137,17 +140,17 @@
 }
 
 #[test]
-fn exchanges_go_as_recorded() {
+fn exchanges_match_their_recordings() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/exchanges");
     let mut files: Vec<_> = std::fs::read_dir(folder)
         .unwrap()
         .map(|f| f.unwrap().path())
         .collect();
     files.sort();
-    assert!(files.len() >= 6, "the recordings are there");
+    assert!(files.len() >= 6, "the recorded scripts exist");
     for file in files {
         let name = file.file_stem().unwrap().to_string_lossy().into_owned();
-        let transcript = play(&std::fs::read_to_string(&file).unwrap());
+        let transcript = replay(&std::fs::read_to_string(&file).unwrap());
         insta::assert_snapshot!(name, transcript);
     }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What a gateway does at its limits and at its end.
+//! A gateway at its resource limits, during a reload and during shutdown.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use rustix::process::Signal;
 use serde_json::json;
 
-fn ask(id: u64) -> String {
+fn call(id: u64) -> String {
     format!(
         "POST /call/00000000000000aa/trigger HTTP/1.1\r\nHost: t\r\nX-Class: disponibilidad\r\n\
          X-Org: franq-bajio\r\nX-Correlation-Id: {id:016x}\r\nX-Deadline-Ms: 2400\r\nContent-Length: 0\r\n\r\n"
@@ -21,9 +21,9 @@
     Some(String::from_utf8_lossy(&whole).into_owned())
 }
 
-/// Guards a planned restart: requests and connections keep coming after SIGTERM, and all are answered.
+/// Guards a planned restart: requests and connections that arrive after SIGTERM are still answered.
 #[test]
-fn after_sigterm_all_that_comes_is_answered_and_the_end_is_clean() {
+fn requests_after_sigterm_are_answered_before_exit() {
     let worker = Worker::start();
     worker.set(Does::Silent);
     let g = Gateway::start(
@@ -33,18 +33,18 @@
         None,
     );
     let mut before = TcpStream::connect(g.platform).unwrap();
-    before.write_all(ask(1).as_bytes()).unwrap();
-    until("it is out", || worker.gos.lock().unwrap().len() == 1);
+    before.write_all(call(1).as_bytes()).unwrap();
+    until("the call is sent", || worker.gos.lock().unwrap().len() == 1);
     worker.set(Does::Answer);
     g.signal(Signal::TERM);
-    let mut after = TcpStream::connect(g.platform).expect("it still listens");
+    let mut after = TcpStream::connect(g.platform).expect("the gateway still listens");
     for id in 2..4 {
-        after.write_all(ask(id).as_bytes()).unwrap();
+        after.write_all(call(id).as_bytes()).unwrap();
         assert!(answer(&mut after)
             .expect("an answer")
             .starts_with("HTTP/1.1 200"));
     }
-    // The first one is never answered by its worker: its time ends, and its answer still comes.
+    // The worker never answers the first request. The client gets an answer at its deadline.
     let last = answer(&mut before).expect("an answer");
     assert!(
         !last.starts_with("HTTP/1.1 200") && last.contains("Connection: close"),
@@ -57,8 +57,9 @@
     );
 }
 
-/// More clients than there is room for, each with a question; all are answered, as those before them end.
-fn all_are_served_in_turn(limits: (usize, usize)) {
+/// Connects more clients than the limits allow, each with a request. All are answered as earlier
+/// connections end.
+fn assert_excess_clients_are_served(limits: (usize, usize)) {
     let g = Gateway::start_with(&settings(2500.0), &[], None, None, limits);
     let mut clients: Vec<TcpStream> = (0..60)
         .map(|_| TcpStream::connect(g.platform).unwrap())
@@ -75,31 +76,34 @@
     assert_eq!(g.stop()["accepted"], 60);
 }
 
-/// Guards the descriptors: beyond its room a gateway leaves connections in the machine's queue, and takes them
-/// once others have ended.
+/// Guards the file descriptors: at its connection limit a gateway leaves new connections in the
+/// listen backlog and accepts them once others have ended.
 #[test]
-fn clients_beyond_the_room_wait_and_are_served_later() {
-    all_are_served_in_turn((40, 1024));
+fn clients_beyond_the_limit_wait_and_are_served() {
+    assert_excess_clients_are_served((40, 1024));
 }
 
-/// Guards against EMFILE, which leaves the connection in the queue and raises no further event.
+/// Guards against EMFILE, which leaves the connection in the listen backlog and raises no further
+/// event.
 #[test]
 fn running_out_of_descriptors_is_survived() {
-    all_are_served_in_turn((1024, 40));
+    assert_excess_clients_are_served((1024, 40));
 }
 
-/// Guards the processor's share: a process that has used it up is stopped for a while, and what has come meanwhile is
-/// decided on together. A look over all that is held for each of them is what it had no time for.
+/// Guards processor time: a process that has used up its CPU quota is stopped for a while, and the
+/// calls that arrive meanwhile must be decided on as a batch. There is no time for a scan of the
+/// queue for each call.
 #[test]
-fn calls_that_come_together_are_decided_on_together() {
+fn calls_that_arrive_together_form_one_batch() {
     let g = Gateway::start(&settings(2500.0), &[], None, None);
     g.signal(Signal::STOP);
     let mut clients: Vec<TcpStream> = (0..150)
         .map(|_| TcpStream::connect(g.platform).unwrap())
         .collect();
     for (id, c) in clients.iter_mut().enumerate() {
-        // Hardly any time: none of them is held, so that no round of the held is counted.
-        let text = ask(id as u64 + 1).replace("X-Deadline-Ms: 2400", "X-Deadline-Ms: 1");
+        // With so short a deadline no call is queued, so that the counter excludes scans of the
+        // queue.
+        let text = call(id as u64 + 1).replace("X-Deadline-Ms: 2400", "X-Deadline-Ms: 1");
         c.write_all(text.as_bytes()).unwrap();
     }
     g.signal(Signal::CONT);
@@ -111,12 +115,13 @@
     let counters = g.stop();
     assert_eq!(counters["taken"], 150);
     let settled = counters["settled"].as_u64().unwrap();
-    assert!(settled < 75, "{settled} looks for 150 calls");
+    assert!(settled < 75, "{settled} decision rounds for 150 calls");
 }
 
-/// Guards memory: a client that asks and never reads is not read from any further, and served once it reads.
+/// Guards memory: the gateway stops reading from a client that sends requests and reads no answers,
+/// and answers all of them once the client reads.
 #[test]
-fn a_client_that_never_reads_is_held_back() {
+fn a_client_that_never_reads_gets_back_pressure() {
     let g = Gateway::start(&settings(2500.0), &[], None, None);
     let mut c = TcpStream::connect(g.platform).unwrap();
     let ping = b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n";
@@ -130,22 +135,27 @@
             Err(_) => break,
         }
     }
-    assert!(written < 64 << 20, "it stops reading long before this");
-    let mut held = Vec::new();
+    assert!(
+        written < 64 << 20,
+        "the gateway stops reading long before 64 MiB"
+    );
+    let mut buffer = Vec::new();
     for _ in 0..written / ping.len() {
         let whole =
-            read_message(&mut c, &mut held, http_length).expect("every question is answered");
+            read_message(&mut c, &mut buffer, http_length).expect("every request is answered");
         assert!(whole.starts_with(b"HTTP/1.1 200"));
     }
 }
 
-/// Guards the second answer: a refusal comes at once when the module gives up, and says when to come back.
+/// Guards the answer to a request that the decision module gives up: it comes at once and has a
+/// Retry-After header.
 #[test]
-fn what_the_module_gives_up_is_refused_at_once_with_advice() {
-    // No worker at all: the module holds the call until its time is nearly out, and then refuses it.
+fn a_rejected_request_is_answered_with_retry_after() {
+    // Without a worker the module queues the call until shortly before its deadline and then
+    // rejects it.
     let g = Gateway::start(&settings(2500.0), &[], None, None);
     let mut c = TcpStream::connect(g.platform).unwrap();
-    c.write_all(ask(1).replace("2400", "300").as_bytes())
+    c.write_all(call(1).replace("2400", "300").as_bytes())
         .unwrap();
     let text = answer(&mut c).expect("an answer");
     assert!(
@@ -156,15 +166,15 @@
     assert_eq!(
         (&counters["refused"], &counters["overdue"]),
         (&json!(1), &json!(0)),
-        "by the module, not the core"
+        "the module rejects the call, not the core"
     );
 }
 
-/// Guards the places: clients that asked once and stay, or say nothing, yield theirs to those that come.
+/// Guards the connection limit: connections without an open request are closed for new clients.
 #[test]
-fn clients_that_stay_without_a_request_yield_their_places() {
+fn idle_connections_are_closed_for_new_clients() {
     let g = Gateway::start_with(&settings(2500.0), &[], None, None, (40, 1024));
-    let mut stay = Vec::new();
+    let mut clients = Vec::new();
     for n in 0..60 {
         let mut c = TcpStream::connect(g.platform).unwrap();
         if n % 2 == 0 {
@@ -174,33 +184,37 @@
                 answer(&mut c)
                     .expect("an answer")
                     .starts_with("HTTP/1.1 200"),
-                "number {n}"
+                "client {n}"
             );
         }
-        stay.push(c);
+        clients.push(c);
     }
-    let last = stay.last_mut().unwrap();
+    let last = clients.last_mut().unwrap();
     last.write_all(b"GET /ping HTTP/1.1\r\nHost: t\r\n\r\n")
         .unwrap();
     assert!(answer(last).expect("an answer").starts_with("HTTP/1.1 200"));
-    // The very first was the longest idle, and the last has its place still.
-    assert_eq!(stay[0].read(&mut [0; 8]).unwrap(), 0, "it was closed");
+    // The first connection was idle for longest and is closed. The last one is still open.
+    assert_eq!(
+        clients[0].read(&mut [0; 8]).unwrap(),
+        0,
+        "the first connection is closed"
+    );
     assert!(
         g.stop()["yielded"].as_u64() >= Some(20),
-        "not for its idle time alone"
+        "connections are closed before their idle timeout"
     );
 }
 
-/// Guards a reload under load: the gateway lives on, moves to the new board from the version it holds, and
-/// answers what was under way; a file that cannot be used changes nothing.
+/// Guards a reload under load: the gateway keeps running, subscribes to the new discovery server
+/// from its current revision, and answers requests in flight. An invalid file changes nothing.
 #[test]
-fn on_sighup_it_moves_to_the_new_board_and_drops_nothing() {
+fn sighup_changes_the_discovery_server_and_drops_nothing() {
     let worker = Worker::start();
     worker.set(Does::Silent);
     let boards = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    let at = boards.each_ref().map(|b| b.local_addr().unwrap());
+    let addresses = boards.each_ref().map(|b| b.local_addr().unwrap());
     let workers = [endpoint("s-00000001", worker.address, "SERVING")];
-    let mut g = Gateway::start(&settings(2500.0), &workers, Some(at[0]), None);
+    let mut g = Gateway::start(&settings(2500.0), &workers, Some(addresses[0]), None);
     let poll = |board: &TcpListener| {
         let mut stream = board.accept().unwrap().0;
         let bytes = read_message(&mut stream, &mut Vec::new(), http_length).expect("a poll");
@@ -208,25 +222,34 @@
     };
     let (mut first, text) = poll(&boards[0]);
     assert!(text.contains("Last-Event-ID: 1\r\n"), "{text}");
-    let news = json!({"rev": 2, "pool": {"index": 2, "snapshot": false, "endpoints": [
+    let update = json!({"rev": 2, "pool": {"index": 2, "snapshot": false, "endpoints": [
         endpoint("s-00000002", worker.address, "DRAINING")]}});
-    write!(first, "HTTP/1.1 200 OK\r\n\r\nid: 2\ndata: {news}\n\n").unwrap();
+    write!(first, "HTTP/1.1 200 OK\r\n\r\nid: 2\ndata: {update}\n\n").unwrap();
     let mut before = TcpStream::connect(g.platform).unwrap();
-    before.write_all(ask(1).as_bytes()).unwrap();
-    until("it is out", || worker.gos.lock().unwrap().len() == 1);
+    before.write_all(call(1).as_bytes()).unwrap();
+    until("the call is sent", || worker.gos.lock().unwrap().len() == 1);
     worker.set(Does::Answer);
 
     g.replace_config(|text| text[1..].to_owned());
     g.signal(Signal::HUP);
     g.line("the settings stay as they are");
-    g.replace_config(|text| format!("{{{}", text.replace(&at[0].to_string(), &at[1].to_string())));
+    g.replace_config(|text| {
+        format!(
+            "{{{}",
+            text.replace(&addresses[0].to_string(), &addresses[1].to_string())
+        )
+    });
     g.signal(Signal::HUP);
     let (_second, text) = poll(&boards[1]);
     assert!(text.contains("Last-Event-ID: 2\r\n"), "{text}");
-    assert_eq!(first.read(&mut [0; 8]).unwrap(), 0, "the old one is left");
+    assert_eq!(
+        first.read(&mut [0; 8]).unwrap(),
+        0,
+        "the stream of the old server is closed"
+    );
 
     let mut after = TcpStream::connect(g.platform).unwrap();
-    after.write_all(ask(2).as_bytes()).unwrap();
+    after.write_all(call(2).as_bytes()).unwrap();
     assert!(answer(&mut after)
         .expect("an answer")
         .starts_with("HTTP/1.1 200"));
@@ -234,14 +257,15 @@
         !answer(&mut before)
             .expect("an answer")
             .starts_with("HTTP/1.1 200"),
-        "its worker said nothing"
+        "the worker never answered"
     );
     assert_eq!(g.stop()["left"], 0);
 }
 
-/// Guards the one answer: a second call under the identity of an open one is turned away and reaches no worker.
+/// Guards the single answer: a second call with the correlation id of an open request is rejected
+/// and reaches no worker.
 #[test]
-fn the_identity_of_an_open_request_is_taken_once() {
+fn an_open_requests_correlation_id_cannot_be_reused() {
     let worker = Worker::start();
     worker.set(Does::Silent);
     let g = Gateway::start(
@@ -252,11 +276,11 @@
     );
     let mut first = TcpStream::connect(g.platform).unwrap();
     first
-        .write_all(ask(1).replace("2400", "600").as_bytes())
+        .write_all(call(1).replace("2400", "600").as_bytes())
         .unwrap();
-    until("it is out", || worker.gos.lock().unwrap().len() == 1);
+    until("the call is sent", || worker.gos.lock().unwrap().len() == 1);
     let mut second = TcpStream::connect(g.platform).unwrap();
-    second.write_all(ask(1).as_bytes()).unwrap();
+    second.write_all(call(1).as_bytes()).unwrap();
     assert!(answer(&mut second)
         .expect("an answer")
         .starts_with("HTTP/1.1 409"));
@@ -264,15 +288,15 @@
         answer(&mut first)
             .expect("an answer")
             .starts_with("HTTP/1.1 503"),
-        "its own end"
+        "the first call ends at its own deadline"
     );
     worker.set(Does::Answer);
-    second.write_all(ask(2).as_bytes()).unwrap();
+    second.write_all(call(2).as_bytes()).unwrap();
     assert!(
         answer(&mut second)
             .expect("an answer")
             .starts_with("HTTP/1.1 200"),
-        "the connection goes on"
+        "the connection stays open"
     );
     assert_eq!(g.stop()["taken"], 2);
 }
