--- a/testbed/src/cli.rs
+++ b/testbed/src/cli.rs
@@ -329,14 +329,14 @@
             history,
             without,
         } => {
-            let shape = lease_trials::Shape {
+            let config = lease_trials::FleetConfig {
                 instances,
                 voters: voters.min(instances),
                 lease_ms,
-                without,
-                ..lease_trials::Shape::default()
+                disabled_guard: without,
+                ..lease_trials::FleetConfig::default()
             };
-            lease_trials::run(&shape, rounds, seed, faults, history.as_deref())
+            lease_trials::run(&config, rounds, seed, faults, history.as_deref())
         }
         Command::Rounds {
             instances,
@@ -348,13 +348,13 @@
             subject,
         } => match subject.as_str() {
             "copies" => {
-                let shape = fault_injection::fleet::Shape {
+                let config = fault_injection::fleet::FleetConfig {
                     instances,
                     copies,
-                    without,
-                    ..fault_injection::fleet::Shape::default()
+                    disabled_guard: without,
+                    ..fault_injection::fleet::FleetConfig::default()
                 };
-                fault_injection::copies::run(&shape, rounds, seed, faults)
+                fault_injection::copies::run(&config, rounds, seed, faults)
             }
             "cost" => fault_injection::copies::cost(instances, rounds),
             other => Err(std::io::Error::other(format!(
--- a/testbed/src/fault_injection/copies.rs
+++ b/testbed/src/fault_injection/copies.rs
@@ -1,4 +1,4 @@
-//! Copies: machines lost with their disks while calls are under way, and all else that breaks between gateways.
+//! Fault rounds on replicated stores: lost machines, failing processes, links and disks under load.
 
 use std::io::{Error, Result};
 use std::time::{Duration, Instant};
@@ -6,11 +6,11 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::fleet::{Fleet, Shape};
+use super::fleet::{Fleet, FleetConfig};
 use crate::fault_proxy::Faults;
 use crate::history::promises::Promised;
 
-/// What may break.
+/// Faults that a round can inject.
 pub const FAULTS: [&str; 12] = [
     "a primary's machine lost",
     "two machines lost one after the other",
@@ -26,80 +26,80 @@
     "a full disk",
 ];
 
-/// What one round did.
+/// Result of one round.
 #[derive(Debug, Default)]
 pub struct Round {
-    /// The faults, in order.
+    /// Injected faults, in order.
     pub faults: Vec<&'static str>,
-    /// What the history held.
-    pub held: Promised,
-    /// From each loss of a primary's machine to the next promise in one of its shards, milliseconds.
+    /// Counts from the checked histories.
+    pub counts: Promised,
+    /// Milliseconds from each loss of a primary's machine until all its shards have another primary.
     pub gaps_ms: Vec<f64>,
 }
 
-fn below(random: &mut ChaCha8Rng, n: u64) -> u64 {
+fn random_below(random: &mut ChaCha8Rng, n: u64) -> u64 {
     random.next_u64() % n
 }
 
-/// One fault, and the end of it.
-pub fn fault(
+/// Injects one fault, removes it, and waits until the fleet has recovered.
+pub fn inject_fault(
     fleet: &mut Fleet,
     what: &'static str,
-    shape: &Shape,
+    config: &FleetConfig,
     random: &mut ChaCha8Rng,
     round: &mut Round,
 ) -> Result<()> {
-    let n = below(random, shape.instances as u64) as usize;
-    let led = fleet.led();
-    let shards: Vec<&(u64, usize, Vec<String>)> = led.values().collect();
+    let n = random_below(random, config.instances as u64) as usize;
+    let leaders = fleet.shard_leaders();
+    let shards: Vec<&(u64, usize, Vec<String>)> = leaders.values().collect();
     let primary = shards
-        .get(below(random, shards.len().max(1) as u64) as usize)
+        .get(random_below(random, shards.len().max(1) as u64) as usize)
         .map_or(n, |s| s.1);
     round.faults.push(what);
     match what {
         "a primary's machine lost" => {
-            let mine: Vec<u16> = led
+            let mine: Vec<u16> = leaders
                 .iter()
                 .filter(|(_, s)| s.1 == primary)
                 .map(|(id, _)| *id)
                 .collect();
-            fleet.lose(primary)?;
+            fleet.lose_machine(primary)?;
             let from = Instant::now();
-            fleet.await_that("another primary", || {
-                let led = fleet.led();
+            fleet.wait_until("another primary", || {
+                let leaders = fleet.shard_leaders();
                 mine.iter()
-                    .all(|id| led.get(id).is_some_and(|s| s.1 != primary))
+                    .all(|id| leaders.get(id).is_some_and(|s| s.1 != primary))
             })?;
             round.gaps_ms.push(from.elapsed().as_secs_f64() * 1e3);
-            fleet.promised_more(10)?;
-            fleet.run(primary)?;
+            fleet.wait_for_promises(10)?;
+            fleet.start_instance(primary)?;
         }
         "two machines lost one after the other" => {
-            fleet.lose(primary)?;
-            // The second once what the first held stands on enough machines again.
-            fleet.whole()?;
-            let next = (primary + 1) % shape.instances;
-            fleet.lose(next)?;
-            fleet.promised_more(10)?;
-            fleet.run(primary)?;
-            fleet.run(next)?;
+            fleet.lose_machine(primary)?;
+            // Loses the second machine only once the first one's shards have enough members again.
+            fleet.wait_for_full_sets()?;
+            let next = (primary + 1) % config.instances;
+            fleet.lose_machine(next)?;
+            fleet.wait_for_promises(10)?;
+            fleet.start_instance(primary)?;
+            fleet.start_instance(next)?;
         }
         "a process killed" => {
             fleet.kill(n)?;
-            fleet.promised_more(5)?;
-            fleet.run(n)?;
+            fleet.wait_for_promises(5)?;
+            fleet.start_instance(n)?;
         }
         "a process stopped and woken" => {
             fleet.gateway(primary)?.freeze()?;
-            fleet.await_that("another primary", || {
+            fleet.wait_until("another primary", || {
                 fleet
-                    .led()
+                    .shard_leaders()
                     .values()
-                    .filter(|s| s.2.len() == shape.copies)
+                    .filter(|s| s.2.len() == config.copies)
                     .all(|s| s.1 != primary)
             })?;
             fleet.gateway(primary)?.thaw()?;
-            fleet.promised_more(10)?;
+            fleet.wait_for_promises(10)?;
         }
         "cut off from all" | "cut off one way" | "replies two seconds slow" => {
             let cut = Faults {
@@ -117,85 +117,90 @@
                     Faults::default(),
                 ),
             };
-            fleet.around(primary, leaves, comes);
-            fleet.promised_more(30)?;
+            fleet.set_instance_faults(primary, leaves, comes);
+            fleet.wait_for_promises(30)?;
             std::thread::sleep(Duration::from_millis(1_000));
-            fleet.around(primary, Faults::default(), Faults::default());
+            fleet.set_instance_faults(primary, Faults::default(), Faults::default());
         }
         "a third of all frames lost" => {
-            fleet.everywhere(Faults {
+            fleet.set_all_faults(Faults {
                 lost: 30,
                 doubled: 3,
                 jitter_ms: 20,
                 ..Faults::default()
             });
             std::thread::sleep(Duration::from_millis(2_500));
-            fleet.everywhere(Faults::default());
+            fleet.set_all_faults(Faults::default());
         }
         "all killed at once" => {
-            for n in 0..shape.instances {
+            for n in 0..config.instances {
                 fleet.kill(n)?;
             }
-            for n in 0..shape.instances {
-                fleet.run(n)?;
+            for n in 0..config.instances {
+                fleet.start_instance(n)?;
             }
         }
         "a disk that changed what it holds" => {
-            // It ends in order, as a file that was not closed is looked through when it is opened.
+            // Shuts down in order, because a store that was not closed is checked when it is opened.
             fleet.gateway(primary)?.end()?;
-            fleet.wait(primary)?;
-            if fleet.damage(primary)? > 0 {
-                let before = fleet.damages(primary);
-                fleet.run(primary)?;
-                fleet.await_that("the damage to be found and mended", || {
-                    fleet.damages(primary) > before && fleet.is_mended(primary)
+            fleet.wait_for_exit(primary)?;
+            if fleet.corrupt_store(primary)? > 0 {
+                let before = fleet.detected_damages(primary);
+                fleet.start_instance(primary)?;
+                fleet.wait_until("the damage to be found and mended", || {
+                    fleet.detected_damages(primary) > before && fleet.is_repaired(primary)
                 })?;
             } else {
-                fleet.run(primary)?;
+                fleet.start_instance(primary)?;
             }
         }
         "a full disk" => {
             fleet.kill(n)?;
-            fleet.run_with_room(n, 256)?;
-            let name = crate::lease_trials::name(n);
-            let held = |fleet: &Fleet| fleet.led().values().any(|s| s.2.contains(&name));
-            fleet.await_that("one whose disk is full to be left out", || !held(fleet))?;
-            fleet.promised_more(10)?;
+            fleet.start_with_room(n, 256)?;
+            let name = crate::lease_trials::instance_name(n);
+            let held = |fleet: &Fleet| fleet.shard_leaders().values().any(|s| s.2.contains(&name));
+            fleet.wait_until("one whose disk is full to be left out", || !held(fleet))?;
+            fleet.wait_for_promises(10)?;
             fleet.kill(n)?;
-            fleet.run(n)?;
+            fleet.start_instance(n)?;
         }
         _ => {
-            // A copy of the store from before one more start; the council's seat stays as it is.
+            // Puts back a copy of the store from before one more start; the voter's seat stays.
             let store = fleet.home(n).join("store");
             let old = fleet.home(n).join("yesterday");
             fleet.kill(n)?;
             std::fs::copy(&store, &old)?;
-            fleet.run(n)?;
-            fleet.promised_more(10)?;
+            fleet.start_instance(n)?;
+            fleet.wait_for_promises(10)?;
             fleet.kill(n)?;
             std::fs::copy(&old, &store)?;
-            fleet.run(n)?;
+            fleet.start_instance(n)?;
         }
     }
-    // Not before all is as it has to be again: sets are whole, and promises go on.
-    fleet.whole()?;
-    fleet.promised_more(10)
+    // The next fault starts only once all sets are complete and promises continue.
+    fleet.wait_for_full_sets()?;
+    fleet.wait_for_promises(10)
 }
 
-/// One round: faults drawn by the seed, and the judgement.
-pub fn play(shape: &Shape, seed: u64, faults: usize, only: Option<&'static str>) -> Result<Round> {
+/// Runs one round: injects faults drawn from the seed, or `only` one kind, and checks the histories.
+pub fn run_round(
+    config: &FleetConfig,
+    seed: u64,
+    faults: usize,
+    only: Option<&'static str>,
+) -> Result<Round> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut fleet = Fleet::start(shape.clone(), seed)?;
-    fleet.whole()?;
-    fleet.call(4);
-    fleet.promised_more(20)?;
+    let mut fleet = Fleet::start(config.clone(), seed)?;
+    fleet.wait_for_full_sets()?;
+    fleet.start_callers(4);
+    fleet.wait_for_promises(20)?;
     let mut round = Round::default();
     for _ in 0..faults {
-        let what = only.unwrap_or(FAULTS[below(&mut random, FAULTS.len() as u64) as usize]);
-        fault(&mut fleet, what, shape, &mut random, &mut round)
+        let what = only.unwrap_or(FAULTS[random_below(&mut random, FAULTS.len() as u64) as usize]);
+        inject_fault(&mut fleet, what, config, &mut random, &mut round)
             .map_err(|e| Error::other(format!("{what}: {e}")))?;
     }
-    let (held, wrong) = fleet.judge()?;
+    let (counts, wrong) = fleet.judge()?;
     if !wrong.is_empty() {
         let shown = wrong
             .iter()
@@ -209,31 +214,31 @@
             wrong.len()
         )));
     }
-    round.held = held;
+    round.counts = counts;
     Ok(round)
 }
 
-/// `rounds cost`: what a promise costs, without copies and with one to three: one fleet after the other, callers that wait
-/// for their answers.
+/// `rounds cost`: measures throughput and latency of promises without replication and with one to
+/// three copies, one fleet after the other, with callers that each wait for the response.
 pub fn cost(instances: usize, seconds: u64) -> Result<bool> {
     for callers in [1usize, 16, 128] {
         for copies in [0usize, 1, 2, 3] {
-            let shape = Shape {
+            let config = FleetConfig {
                 instances,
                 copies: copies.max(1),
-                on: copies > 0,
-                ..Shape::default()
+                replicated: copies > 0,
+                ..FleetConfig::default()
             };
-            let fleet = Fleet::start(shape, 900)?;
+            let fleet = Fleet::start(config, 900)?;
             if copies > 0 {
-                fleet.whole()?;
+                fleet.wait_for_full_sets()?;
             }
             let end = Instant::now() + Duration::from_secs(seconds);
             let threads: Vec<_> = (0..callers)
                 .map(|c| {
-                    let desk = fleet.desk();
+                    let sender = fleet.call_sender();
                     std::thread::spawn(move || {
-                        desk.send_until(c % instances, &format!("c{c}"), end)
+                        sender.send_until(c % instances, &format!("c{c}"), end)
                     })
                 })
                 .collect();
@@ -258,16 +263,16 @@
     Ok(true)
 }
 
-/// `rounds copies`: rounds from a seed on, and what came of them.
-pub fn run(shape: &Shape, rounds: u64, seed: u64, faults: usize) -> Result<bool> {
+/// `rounds copies`: runs rounds with consecutive seeds and prints their results.
+pub fn run(config: &FleetConfig, rounds: u64, seed: u64, faults: usize) -> Result<bool> {
     let (mut passed, mut failed) = (0, 0);
     let mut gaps = Vec::new();
     for seed in seed..seed + rounds {
-        match play(shape, seed, faults, None) {
+        match run_round(config, seed, faults, None) {
             Ok(r) => {
                 passed += 1;
                 gaps.extend(&r.gaps_ms);
-                let h = &r.held;
+                let h = &r.counts;
                 println!(
                     "seed {seed}: {:?}; {} calls promised ({} of which nobody can tell), {} turned away, {} records, \
                      {} epochs, {} late words refused, {} snapshots",
--- a/testbed/src/fault_injection/fleet.rs
+++ b/testbed/src/fault_injection/fleet.rs
@@ -1,5 +1,6 @@
-//! Gateways that hold copies for one another: a council, a store each, links between each ordered pair, workers and a portal
-//! that count, and callers who write down what they were promised.
+//! A fleet of gateway processes that replicate their stores, with a consensus group, a store per
+//! gateway and a fault-injecting link for each ordered pair. Workers and a portal count what reaches
+//! them, and callers record the status of each call.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Error, Result};
@@ -19,78 +20,78 @@
 };
 use crate::fault_proxy::{Faults, Link, Way};
 use crate::history::promises::{self, CopyNote, Promised, Wrong};
-use crate::lease_trials::{free, make_seat, name};
+use crate::lease_trials::{create_seat, free_port_address, instance_name};
 
-/// The tenant of all calls.
+/// Tenant of all calls.
 const TENANT: &str = "franq-bajio";
 
-/// What the instances are.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Gateways in all; the first five of them vote.
+pub struct FleetConfig {
+    /// Number of gateways; the first five vote.
     pub instances: usize,
-    /// Disks that a promise stands on.
+    /// Number of disks that store a record before the gateway promises it.
     pub copies: usize,
-    /// Halls.
-    pub halls: usize,
-    /// A guard that is taken out, if the build has it to take out.
-    pub without: Option<String>,
-    /// How long a worker takes over a call.
-    pub work: Duration,
-    /// Whether calls that are safe to repeat are taken also where fewer machines hold their shard.
-    pub fewer: bool,
-    /// A step of a call's life at which an instance ends once it is armed.
-    pub ends_at: Option<&'static str>,
-    /// An instance whose files do not grow beyond so many KiB, as on a full disk.
-    pub full: Option<(usize, u64)>,
-    /// Whether the instances are administered.
-    pub administered: bool,
-    /// Whether copies are on at all; without them each gateway has its store alone.
-    pub on: bool,
+    /// Number of zones, written as `hall` in the settings.
+    pub zones: usize,
+    /// Safety check to disable, in builds that support it.
+    pub disabled_guard: Option<String>,
+    /// Time that a worker takes for a call.
+    pub worker_latency: Duration,
+    /// Whether idempotent calls are accepted while fewer machines than `copies` hold their shard.
+    pub accept_with_fewer: bool,
+    /// Step of a call's processing at which an armed instance exits.
+    pub exit_step: Option<&'static str>,
+    /// Instance whose files have a size limit, and that limit in KiB; simulates a full disk.
+    pub file_size_limit: Option<(usize, u64)>,
+    /// Whether the instances have an administration interface.
+    pub with_admin: bool,
+    /// Whether replication is on; without replication each gateway only writes its own store.
+    pub replicated: bool,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
+impl Default for FleetConfig {
+    fn default() -> FleetConfig {
+        FleetConfig {
             instances: 6,
             copies: 2,
-            halls: 3,
-            without: None,
-            work: Duration::from_millis(3),
-            on: true,
-            fewer: false,
-            full: None,
-            administered: false,
-            ends_at: None,
+            zones: 3,
+            disabled_guard: None,
+            worker_latency: Duration::from_millis(3),
+            replicated: true,
+            accept_with_fewer: false,
+            file_size_limit: None,
+            with_admin: false,
+            exit_step: None,
         }
     }
 }
 
-/// What callers were told, by the identity of the call: its class and the gateway's status.
-pub type Told = Arc<Mutex<BTreeMap<String, (String, u16)>>>;
+/// Class and response status of each call, by call id.
+pub type CallResponses = Arc<Mutex<BTreeMap<String, (String, u16)>>>;
 
-/// Sends single calls.
+/// Sends single calls to instances of a fleet.
 #[derive(Clone, Debug)]
-pub struct Desk {
-    doors: Vec<Arc<AtomicU64>>,
-    told: Told,
+pub struct CallSender {
+    front_ports: Vec<Arc<AtomicU64>>,
+    responses: CallResponses,
 }
 
-impl Desk {
-    /// Sends one signed call to an instance; its status, 0 for none.
+impl CallSender {
+    /// Sends one signed call to an instance. Returns the status, or 0 without a response.
     pub fn send(&self, n: usize, id: &str, class: &str) -> u16 {
-        let port = self.doors[n].load(Ordering::Relaxed) as u16;
+        let port = self.front_ports[n].load(Ordering::Relaxed) as u16;
         let text = call_body(class, 7, None);
         let answer = Caller::new(([127, 0, 0, 1], port).into()).call(TENANT, &secret(1), id, &text);
         let status = answer.map_or(0, |a| status(&a));
-        note(&self.told, id, class, status);
+        record_response(&self.responses, id, class, status);
         status
     }
 
-    /// Sends safe calls on one connection, each once the one before was answered: how long each promise took, microseconds,
-    /// and how many were turned away.
+    /// Sends idempotent calls one after the other on one connection until `end`. Returns the latency
+    /// of each promise in microseconds and the number of refused calls.
     pub fn send_until(&self, n: usize, prefix: &str, end: Instant) -> (Vec<u64>, u64) {
-        let port = self.doors[n].load(Ordering::Relaxed) as u16;
+        let port = self.front_ports[n].load(Ordering::Relaxed) as u16;
         let (mut caller, secret) = (Caller::new(([127, 0, 0, 1], port).into()), secret(1));
         let (mut micros, mut refused) = (Vec::new(), 0);
         while Instant::now() < end {
@@ -107,35 +108,35 @@
     }
 }
 
-/// The fleet.
+/// A running fleet with its workers, portal, links and callers.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The gateways; none while one is down.
+    /// Gateway processes by instance; `None` while an instance is down.
     pub gateways: Vec<Option<Gateway>>,
-    /// The workers.
+    /// Workers that the gateways call.
     pub workers: Vec<Worker>,
-    /// The portal that callbacks go to.
+    /// Portal that receives the callbacks.
     pub portal: Portal,
-    /// The link from one instance to another.
+    /// Links by (connecting instance, accepting instance).
     pub links: BTreeMap<(usize, usize), Link>,
-    /// What callers were told.
-    pub told: Told,
+    /// Responses that callers received.
+    pub responses: CallResponses,
     folder: Folder,
     operator: String,
-    shape: Shape,
-    doors: Vec<Arc<AtomicU64>>,
+    config: FleetConfig,
+    front_ports: Vec<Arc<AtomicU64>>,
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<()>>,
     calls: Arc<AtomicU64>,
-    /// Whether a voter's seat was lost already: only an operator can put another in its place.
+    /// Whether a voter's seat was already lost; only an operator can replace a lost voter.
     seat_lost: bool,
-    /// Shards of which a machine was lost, and the epoch at that.
-    bereft: BTreeMap<u16, u64>,
+    /// Epoch of each shard at the time when it lost a member's machine.
+    lost_member_epochs: BTreeMap<u16, u64>,
 }
 
 impl Fleet {
-    /// Founds a council and starts everybody.
-    pub fn start(shape: Shape, seed: u64) -> Result<Fleet> {
+    /// Creates the consensus group's files and starts all instances.
+    pub fn start(config: FleetConfig, seed: u64) -> Result<Fleet> {
         let folder = Folder::new(&format!("copies-{seed}"))?;
         std::fs::create_dir_all(folder.0.join("history"))?;
         std::fs::write(
@@ -143,10 +144,10 @@
             BASE64_STANDARD.encode([7u8; 32]),
         )?;
         let workers: Vec<Worker> = (0..4)
-            .map(|_| Worker::start(shape.work, 0))
+            .map(|_| Worker::start(config.worker_latency, 0))
             .collect::<Result<_>>()?;
         let portal = Portal::start(secret(1), Manner::Good)?;
-        let admin = if shape.administered {
+        let admin = if config.with_admin {
             crate::fakes::admin::write(&folder.0)?
         } else {
             String::new()
@@ -158,11 +159,11 @@
             portal.address,
             secret_text(1)
         );
-        let ports: Vec<SocketAddr> = (0..shape.instances)
-            .map(|_| free())
+        let ports: Vec<SocketAddr> = (0..config.instances)
+            .map(|_| free_port_address())
             .collect::<Result<_>>()?;
         let mut links = BTreeMap::new();
-        for from in 0..shape.instances {
+        for from in 0..config.instances {
             for (to, port) in ports.iter().enumerate().filter(|(to, _)| *to != from) {
                 links.insert(
                     (from, to),
@@ -170,125 +171,126 @@
                 );
             }
         }
-        let voters = shape.instances.min(5);
-        let names: Vec<String> = (0..voters).map(name).collect();
+        let voters = config.instances.min(5);
+        let names: Vec<String> = (0..voters).map(instance_name).collect();
         for (n, port) in ports.iter().enumerate() {
-            let home = folder.0.join(name(n));
+            let home = folder.0.join(instance_name(n));
             std::fs::create_dir_all(&home)?;
             let at = |to: usize| links.get(&(n, to)).map_or(*port, |l: &Link| l.address);
             let all: String = (0..voters)
-                .map(|to| format!("{} = \"{}\"\n", name(to), at(to)))
+                .map(|to| format!("{} = \"{}\"\n", instance_name(to), at(to)))
                 .collect();
             let seat = if n < voters { "seat = \"seat\"\n" } else { "" };
             let council = format!(
                 "listen = \"{}\"\nname = \"{}\"\n{seat}lease_ms = 600\ntick_ms = 20\nhistory = \"../history/{}.jsonl\"\n\
                  shared_keys = \"../shared.keys\"\n[voters]\n{all}",
                 port,
-                name(n),
-                name(n)
+                instance_name(n),
+                instance_name(n)
             );
             std::fs::write(home.join("council.toml"), council)?;
-            let members: String = (0..shape.instances)
+            let members: String = (0..config.instances)
                 .map(|to| {
-                    let hall = to % shape.halls.max(1);
+                    let hall = to % config.zones.max(1);
                     format!(
                         "{} = {{ address = \"{}\", hall = \"hall-{hall}\" }}\n",
-                        name(to),
+                        instance_name(to),
                         at(to)
                     )
                 })
                 .collect();
-            let fewer = if shape.fewer {
+            let fewer = if config.accept_with_fewer {
                 format!("[when_fewer]\n{SAFE} = \"fewer\"\n")
             } else {
                 String::new()
             };
             let copies = format!(
                 "copies = {}\nshards = 8\nsilent_ms = 700\nstall_ms = 400\nask_ms = 1500\nrepairs = 4\n{fewer}[members]\n{members}",
-                shape.copies
+                config.copies
             );
             std::fs::write(home.join("copies.toml"), copies)?;
             if n < voters {
-                make_seat(&home, &names)?;
+                create_seat(&home, &names)?;
             }
         }
         let mut fleet = Fleet {
-            gateways: (0..shape.instances).map(|_| None).collect(),
+            gateways: (0..config.instances).map(|_| None).collect(),
             workers,
             portal,
             links,
-            told: Told::default(),
+            responses: CallResponses::default(),
             folder,
             operator,
-            doors: (0..shape.instances).map(|_| Arc::default()).collect(),
-            shape,
+            front_ports: (0..config.instances).map(|_| Arc::default()).collect(),
+            config,
             stop: Arc::default(),
             callers: Vec::new(),
             calls: Arc::default(),
             seat_lost: false,
-            bereft: BTreeMap::new(),
+            lost_member_epochs: BTreeMap::new(),
         };
-        for n in 0..fleet.shape.instances {
-            fleet.run(n)?;
+        for n in 0..fleet.config.instances {
+            fleet.start_instance(n)?;
         }
         Ok(fleet)
     }
 
-    /// The folder of the histories.
+    /// Returns the folder of the histories.
     pub fn histories(&self) -> PathBuf {
         self.folder.0.join("history")
     }
 
-    /// The folder of all.
+    /// Returns the folder that contains all files of the fleet.
     pub fn folder(&self) -> &std::path::Path {
         &self.folder.0
     }
 
-    /// The folder of one instance.
+    /// Returns the folder of one instance.
     pub fn home(&self, n: usize) -> PathBuf {
-        self.folder.0.join(name(n))
+        self.folder.0.join(instance_name(n))
     }
 
-    /// Starts an instance on the files in its folder.
-    pub fn run(&mut self, n: usize) -> Result<()> {
+    /// Starts an instance with the files in its folder.
+    pub fn start_instance(&mut self, n: usize) -> Result<()> {
         let home = self.home(n);
         let council = home.join("council.toml");
-        let copies = self.shape.on.then(|| home.join("copies.toml"));
-        let without = self.shape.without.as_deref();
+        let copies = self.config.replicated.then(|| home.join("copies.toml"));
+        let disabled_guard = self.config.disabled_guard.as_deref();
         let gateway = Gateway::holding(
             &home,
             &self.workers,
             &council,
             copies.as_deref(),
-            without,
-            self.shape.ends_at,
-            self.shape
-                .full
+            disabled_guard,
+            self.config.exit_step,
+            self.config
+                .file_size_limit
                 .filter(|(full, _)| *full == n)
                 .map(|(_, kib)| kib),
             &self.operator,
         )?;
-        let door = gateway
+        let address = gateway
             .webhooks
-            .ok_or_else(|| Error::other("no webhooks"))?;
-        self.doors[n].store(u64::from(door.port()), Ordering::Relaxed);
+            .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
+        self.front_ports[n].store(u64::from(address.port()), Ordering::Relaxed);
         self.gateways[n] = Some(gateway);
         Ok(())
     }
 
-    /// SIGKILL.
+    /// Kills an instance with SIGKILL.
     pub fn kill(&mut self, n: usize) -> Result<()> {
-        self.doors[n].store(0, Ordering::Relaxed);
+        self.front_ports[n].store(0, Ordering::Relaxed);
         self.gateways[n].take().map_or(Ok(()), |mut g| g.kill())
     }
 
-    /// The machine is lost: the process with its disk. The first to be lost takes its voter's seat with it; the seats of
-    /// later ones lie elsewhere, as nobody here puts other voters in their place.
-    pub fn lose(&mut self, n: usize) -> Result<()> {
+    /// Simulates the loss of a machine: kills the process and deletes its store. The first lost
+    /// machine also loses its voter's seat; later ones keep theirs, because the test bed replaces no
+    /// voters.
+    pub fn lose_machine(&mut self, n: usize) -> Result<()> {
         self.kill(n)?;
-        for (shard, (epoch, _, members)) in self.led() {
-            if members.contains(&name(n)) {
-                self.bereft.insert(shard, epoch);
+        for (shard, (epoch, _, members)) in self.shard_leaders() {
+            if members.contains(&instance_name(n)) {
+                self.lost_member_epochs.insert(shard, epoch);
             }
         }
         let files: &[&str] = if std::mem::replace(&mut self.seat_lost, true) {
@@ -305,33 +307,34 @@
         Ok(())
     }
 
-    /// Starts an instance whose files have room for so many KiB more and no further, as on a disk that is nearly full.
-    pub fn run_with_room(&mut self, n: usize, kib: u64) -> Result<()> {
+    /// Starts an instance whose store can grow by at most `kib` KiB, as on a nearly full disk.
+    pub fn start_with_room(&mut self, n: usize, kib: u64) -> Result<()> {
         let store = std::fs::metadata(self.home(n).join("store"))?.len();
-        self.shape.full = Some((n, store.div_ceil(1024) + kib));
-        let started = self.run(n);
-        self.shape.full = None;
+        self.config.file_size_limit = Some((n, store.div_ceil(1024) + kib));
+        let started = self.start_instance(n);
+        self.config.file_size_limit = None;
         started
     }
 
-    /// Waits until an instance that was told to end has.
-    pub fn wait(&mut self, n: usize) -> Result<()> {
-        self.doors[n].store(0, Ordering::Relaxed);
+    /// Waits until an instance that was told to shut down has exited.
+    pub fn wait_for_exit(&mut self, n: usize) -> Result<()> {
+        self.front_ports[n].store(0, Ordering::Relaxed);
         self.gateways[n].take().map_or(Ok(()), |mut g| g.wait())
     }
 
-    /// How often an instance found its disk to hold something else than was written.
-    pub fn damages(&self, n: usize) -> usize {
+    /// Returns how often an instance detected that its disk had changed what was written.
+    pub fn detected_damages(&self, n: usize) -> usize {
         let found = |x: &CopyNote| matches!(x, CopyNote::Damaged { .. });
         self.notes()
             .iter()
-            .filter(|(who, _, x)| *who == name(n) && found(x))
+            .filter(|(who, _, x)| *who == instance_name(n) && found(x))
             .count()
     }
 
-    /// Whether what an instance's disk was found to hold wrongly was mended, but for shards that others hold by now.
-    pub fn is_mended(&self, n: usize) -> bool {
-        let (me, led, mut open) = (name(n), self.led(), BTreeSet::new());
+    /// Returns whether an instance has repaired all detected damage, except in shards that only
+    /// other instances hold by now.
+    pub fn is_repaired(&self, n: usize) -> bool {
+        let (me, leaders, mut open) = (instance_name(n), self.shard_leaders(), BTreeSet::new());
         for (who, _, note) in self.notes() {
             match note {
                 CopyNote::Damaged { shard, .. } if who == me => drop(open.insert(shard)),
@@ -342,26 +345,28 @@
             }
         }
         open.iter()
-            .all(|shard| led.get(shard).is_some_and(|s| !s.2.contains(&me)))
+            .all(|shard| leaders.get(shard).is_some_and(|s| !s.2.contains(&me)))
     }
 
-    /// Its disk tells kept what it loses when the process ends: the store as it is now, to be put back then.
-    pub fn begin_to_lie(&self, n: usize) -> Result<()> {
+    /// Saves an instance's store, for a disk that acknowledges writes and loses them when the process
+    /// ends: `kill_and_restore_store` puts this state back.
+    pub fn save_store(&self, n: usize) -> Result<()> {
         let (store, then) = (self.home(n).join("store"), self.home(n).join("then"));
-        // No write is on its way meanwhile; what a kill leaves behind is what a copy has.
+        // The stopped process writes nothing, so the copy has the state that a kill would leave.
         self.gateway(n)?.freeze()?;
         std::fs::copy(store, then)?;
         self.gateway(n)?.thaw()
     }
 
-    /// The process of one whose disk lies ends.
-    pub fn kill_liar(&mut self, n: usize) -> Result<()> {
+    /// Kills an instance and puts back the store that `save_store` saved.
+    pub fn kill_and_restore_store(&mut self, n: usize) -> Result<()> {
         self.kill(n)?;
         std::fs::copy(self.home(n).join("then"), self.home(n).join("store")).map(drop)
     }
 
-    /// What an instance's disk holds changes by itself while its process is not there: one letter of each record. How many.
-    pub fn damage(&self, n: usize) -> Result<usize> {
+    /// Corrupts the store of a stopped instance by changing one letter in each record. Returns the
+    /// number of changes.
+    pub fn corrupt_store(&self, n: usize) -> Result<usize> {
         let path = self.home(n).join("store");
         let mut bytes = std::fs::read(&path)?;
         let (word, mut changed, mut at) = (TENANT.as_bytes(), 0, 0);
@@ -375,8 +380,8 @@
         Ok(changed)
     }
 
-    /// Has an instance end at the step that all were given, and waits until it has.
-    pub fn ends(&mut self, n: usize) -> Result<()> {
+    /// Arms an instance to exit at the configured step, and waits until it has exited.
+    pub fn wait_for_exit_at_step(&mut self, n: usize) -> Result<()> {
         std::fs::write(self.home(n).join("armed"), "")?;
         let end = Instant::now() + PATIENCE;
         while !self.gateways[n]
@@ -385,8 +390,8 @@
         {
             if Instant::now() > end {
                 return Err(Error::other(format!(
-                    "{} did not come to the step",
-                    name(n)
+                    "{} did not reach the step",
+                    instance_name(n)
                 )));
             }
             std::thread::sleep(Duration::from_millis(2));
@@ -394,56 +399,61 @@
         Ok(())
     }
 
-    /// One instance's process.
+    /// Returns the process of one instance.
     pub fn gateway(&self, n: usize) -> Result<&Gateway> {
         self.gateways[n]
             .as_ref()
-            .ok_or_else(|| Error::other(format!("{} is down", name(n))))
+            .ok_or_else(|| Error::other(format!("{} is down", instance_name(n))))
     }
 
-    /// What all links from and to an instance do; `leaves` is what leaves it.
-    pub fn around(&self, n: usize, leaves: Faults, comes: Faults) {
+    /// Sets the faults of all links of an instance: `outbound` for what the instance sends, `inbound`
+    /// for what it receives.
+    pub fn set_instance_faults(&self, n: usize, outbound: Faults, inbound: Faults) {
         for ((from, to), link) in &self.links {
             if *from == n {
-                link.set(Way::There, leaves);
-                link.set(Way::Back, comes);
+                link.set(Way::There, outbound);
+                link.set(Way::Back, inbound);
             } else if *to == n {
-                link.set(Way::There, comes);
-                link.set(Way::Back, leaves);
+                link.set(Way::There, inbound);
+                link.set(Way::Back, outbound);
             }
         }
     }
 
-    /// What all links do.
-    pub fn everywhere(&self, faults: Faults) {
+    /// Sets the same faults in both directions of all links.
+    pub fn set_all_faults(&self, faults: Faults) {
         self.links.values().for_each(|l| l.set_both(faults));
     }
 
-    /// Where single calls are sent from; may be taken to other threads.
-    pub fn desk(&self) -> Desk {
-        Desk {
-            doors: self.doors.clone(),
-            told: self.told.clone(),
+    /// Returns a sender of single calls, which other threads can use.
+    pub fn call_sender(&self) -> CallSender {
+        CallSender {
+            front_ports: self.front_ports.clone(),
+            responses: self.responses.clone(),
         }
     }
 
-    /// Sends one signed call to an instance; its status, 0 for none.
+    /// Sends one signed call to an instance. Returns the status, or 0 without a response.
     pub fn send(&self, n: usize, id: &str, class: &str) -> u16 {
-        self.desk().send(n, id, class)
+        self.call_sender().send(n, id, class)
     }
 
-    /// Begins calls of all classes at every instance.
-    pub fn call(&mut self, callers: usize) {
+    /// Starts callers that send calls of all classes to every instance.
+    pub fn start_callers(&mut self, callers: usize) {
         for c in 0..callers {
-            let (stop, told, calls) = (self.stop.clone(), self.told.clone(), self.calls.clone());
-            let doors = self.doors.clone();
+            let (stop, responses, calls) = (
+                self.stop.clone(),
+                self.responses.clone(),
+                self.calls.clone(),
+            );
+            let front_ports = self.front_ports.clone();
             self.callers.push(std::thread::spawn(move || {
                 let mut open: BTreeMap<u64, Caller> = BTreeMap::new();
                 let secret = secret(1);
                 let mut turn = c;
                 while !stop.load(Ordering::Relaxed) {
                     turn += 1;
-                    let port = doors[turn % doors.len()].load(Ordering::Relaxed);
+                    let port = front_ports[turn % front_ports.len()].load(Ordering::Relaxed);
                     if port == 0 {
                         std::thread::sleep(Duration::from_millis(2));
                         continue;
@@ -462,28 +472,31 @@
                             0
                         }
                     };
-                    note(&told, &id, class, status);
+                    record_response(&responses, &id, class, status);
                     std::thread::sleep(Duration::from_millis(if status == 202 { 3 } else { 15 }));
                 }
             }));
         }
     }
 
-    /// How many calls were promised so far.
-    pub fn promised(&self) -> usize {
-        self.told
+    /// Returns the number of calls promised so far.
+    pub fn promised_calls(&self) -> usize {
+        self.responses
             .lock()
             .map_or(0, |t| t.values().filter(|(_, s)| *s == 202).count())
     }
 
-    /// Waits until so many more calls were promised.
-    pub fn promised_more(&self, more: usize) -> Result<()> {
-        let want = self.promised() + more;
-        self.await_that(&format!("{more} more promises"), || self.promised() >= want)
+    /// Waits until `more` further calls were promised.
+    pub fn wait_for_promises(&self, more: usize) -> Result<()> {
+        let want = self.promised_calls() + more;
+        self.wait_until(&format!("{more} more promises"), || {
+            self.promised_calls() >= want
+        })
     }
 
-    /// Waits until something holds; the longest wait is a bound on the run alone.
-    pub fn await_that(&self, what: &str, holds: impl Fn() -> bool) -> Result<()> {
+    /// Waits until a condition holds. The timeout only bounds the run; it is no requirement on the
+    /// gateways.
+    pub fn wait_until(&self, what: &str, holds: impl Fn() -> bool) -> Result<()> {
         let end = Instant::now() + 2 * PATIENCE;
         while !holds() {
             if Instant::now() > end {
@@ -494,8 +507,8 @@
                     .map(|g| g.as_ref().and_then(log))
                     .collect();
                 return Err(Error::other(format!(
-                    "{what} did not come; logged last: {logs:?}; {:?}",
-                    self.led()
+                    "timed out waiting for {what}; last log lines: {logs:?}; shards: {:?}",
+                    self.shard_leaders()
                 )));
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -503,14 +516,14 @@
         Ok(())
     }
 
-    /// What all have recorded of shards, each with its process's name.
+    /// Returns all recorded notes on shards, each with the name and number of its process.
     pub fn notes(&self) -> Vec<(String, u64, CopyNote)> {
         promises::read(&self.histories()).unwrap_or_default()
     }
 
-    /// Who led each shard last, under which epoch and with which set, as far as was recorded.
-    pub fn led(&self) -> BTreeMap<u16, (u64, usize, Vec<String>)> {
-        let mut led: BTreeMap<u16, (u64, usize, Vec<String>)> = BTreeMap::new();
+    /// Returns the newest recorded epoch, primary and member set of each shard.
+    pub fn shard_leaders(&self) -> BTreeMap<u16, (u64, usize, Vec<String>)> {
+        let mut leaders: BTreeMap<u16, (u64, usize, Vec<String>)> = BTreeMap::new();
         for (who, _, note) in self.notes() {
             if let CopyNote::Led {
                 shard,
@@ -524,37 +537,40 @@
                     .next()
                     .and_then(|n| n.parse().ok())
                     .unwrap_or(0);
-                let known = led.entry(shard).or_default();
+                let known = leaders.entry(shard).or_default();
                 if epoch >= known.0 {
                     *known = (epoch, n, members);
                 }
             }
         }
-        led
+        leaders
     }
 
-    /// Waits until every shard is held by as many as it has to be.
-    pub fn whole(&self) -> Result<()> {
-        let copies = self.shape.copies;
-        self.await_that("whole sets", || {
-            let led = self.led();
+    /// Waits until every shard has its configured number of members, all of them running.
+    pub fn wait_for_full_sets(&self) -> Result<()> {
+        let copies = self.config.copies;
+        self.wait_until("whole sets", || {
+            let leaders = self.shard_leaders();
             let up = |m: &String| {
                 m.rsplit('-')
                     .next()
                     .and_then(|n| n.parse().ok())
                     .is_some_and(|n: usize| self.gateways.get(n).is_some_and(Option::is_some))
             };
-            let newer =
-                |shard: &u16, epoch: u64| self.bereft.get(shard).is_none_or(|old| epoch > *old);
-            led.len() == 8
-                && led.iter().all(|(id, (e, _, members))| {
+            let newer = |shard: &u16, epoch: u64| {
+                self.lost_member_epochs
+                    .get(shard)
+                    .is_none_or(|old| epoch > *old)
+            };
+            leaders.len() == 8
+                && leaders.iter().all(|(id, (e, _, members))| {
                     members.len() == copies && members.iter().all(up) && newer(id, *e)
                 })
         })
     }
 
-    /// The callers end.
-    pub fn hang_up(&mut self) -> Result<()> {
+    /// Stops all callers.
+    pub fn stop_callers(&mut self) -> Result<()> {
         self.stop.store(true, Ordering::Relaxed);
         for caller in std::mem::take(&mut self.callers) {
             caller.join().map_err(|_| Error::other("a caller failed"))?;
@@ -563,10 +579,10 @@
         Ok(())
     }
 
-    /// How a call stands, asked at an instance.
-    pub fn state(&self, n: usize, id: &str) -> Result<String> {
+    /// Queries the outcome of a call at an instance.
+    pub fn call_outcome(&self, n: usize, id: &str) -> Result<String> {
         use molelug::front::webhook::signature;
-        let port = self.doors[n].load(Ordering::Relaxed) as u16;
+        let port = self.front_ports[n].load(Ordering::Relaxed) as u16;
         let stamp = now_s();
         let signed = signature::sign(std::iter::once(&secret(1)), id, stamp, b"");
         let head = format!(
@@ -579,27 +595,27 @@
         Ok(body["outcome"].as_str().unwrap_or("").to_owned())
     }
 
-    /// Ends the callers, waits until every call that was promised has its end, and judges what all recorded.
+    /// Stops the callers, waits until every promised call has an outcome, and checks the histories.
     pub fn judge(mut self) -> Result<(Promised, Vec<Wrong>)> {
-        self.hang_up()?;
-        let told = self
-            .told
+        self.stop_callers()?;
+        let responses = self
+            .responses
             .lock()
             .map_err(|_| Error::other("a caller failed"))?
             .clone();
-        let mut open: BTreeSet<String> = told
+        let mut open: BTreeSet<String> = responses
             .iter()
             .filter(|(_, (_, s))| *s == 202)
             .map(|(id, _)| id.clone())
             .collect();
-        let at = (0..self.shape.instances)
+        let at = (0..self.config.instances)
             .find(|n| self.gateways[*n].is_some())
             .unwrap_or(0);
         let end = Instant::now() + 2 * PATIENCE;
         let mut outcomes: BTreeMap<String, String> = BTreeMap::new();
         while !open.is_empty() && Instant::now() < end {
             for id in open.clone() {
-                match self.state(at, &id)?.as_str() {
+                match self.call_outcome(at, &id)?.as_str() {
                     "" | "open" => {}
                     outcome => {
                         outcomes.insert(id.clone(), outcome.to_owned());
@@ -609,8 +625,11 @@
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        // Safe calls' callbacks come; those of the others may be ones of which nobody can tell.
-        let safe: BTreeSet<&String> = outcomes.keys().filter(|id| told[*id].0 == SAFE).collect();
+        // Idempotent calls get their callbacks; the delivery of other callbacks may stay unknown.
+        let safe: BTreeSet<&String> = outcomes
+            .keys()
+            .filter(|id| responses[*id].0 == SAFE)
+            .collect();
         let came = |p: &Portal| {
             p.all()
                 .into_iter()
@@ -647,7 +666,7 @@
             .collect();
         Ok(promises::check(
             &self.notes(),
-            &told,
+            &responses,
             &outcomes,
             &runs,
             &portal,
@@ -655,10 +674,10 @@
     }
 }
 
-fn note(told: &Told, id: &str, class: &str, status: u16) {
-    if let Ok(mut told) = told.lock() {
-        // A promise counts, whatever another gateway says of the same identity.
-        let known = told
+fn record_response(responses: &CallResponses, id: &str, class: &str, status: u16) {
+    if let Ok(mut responses) = responses.lock() {
+        // A promise stays, whatever another gateway responds for the same call id.
+        let known = responses
             .entry(id.to_owned())
             .or_insert((class.to_owned(), status));
         if known.1 != 202 {
--- a/testbed/src/fault_injection/mod.rs
+++ b/testbed/src/fault_injection/mod.rs
@@ -1,4 +1,5 @@
-//! `rounds`: gateways as real processes over links that fail, one subject a file; judged by what each recorded.
+//! Fault-injection rounds (`rounds`): real gateway processes with failing links, machines and disks.
+//! A checker judges each round by the recorded histories.
 
 pub mod copies;
 pub mod fleet;
--- a/testbed/src/fault_injection/tenants.rs
+++ b/testbed/src/fault_injection/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of a fleet, administered at any of its gateways.
+//! Administration of a fleet's tenants at any of its gateways.
 
 use std::collections::BTreeSet;
 use std::io::{Error, Result};
@@ -9,80 +9,86 @@
 use super::fleet::Fleet;
 use crate::fakes::{body, call_body, header, status, Caller};
 use crate::history::tenants::{check, read, TenantNote, Wrong};
-use crate::lease_trials::name;
+use crate::lease_trials::instance_name;
 
-/// An administrator at one gateway; may be taken to other threads.
+/// Client of one gateway's administration interface, which other threads can use.
 #[derive(Debug)]
-pub struct Administrator {
+pub struct AdminClient {
     to: Caller,
     token: String,
 }
 
-/// What a gateway answered.
+/// Response of the administration interface.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answered {
-    /// The status; 0 if there was no answer.
+pub struct AdminResponse {
+    /// HTTP status; 0 without a response.
     pub status: u16,
-    /// The body.
+    /// JSON body; null if there is none.
     pub body: Value,
-    /// The entity tag.
-    pub tag: String,
+    /// Value of the `ETag` header.
+    pub etag: String,
 }
 
-impl Administrator {
-    /// One at an address, with a token.
-    pub fn new(at: SocketAddr, token: String) -> Administrator {
-        Administrator {
+impl AdminClient {
+    /// Creates a client for an address, with a bearer token.
+    pub fn new(at: SocketAddr, token: String) -> AdminClient {
+        AdminClient {
             to: Caller::new(at),
             token,
         }
     }
 
-    /// Asks for something; with further header lines.
-    pub fn ask(&mut self, method: &str, path: &str, more: &str, body_text: &str) -> Answered {
+    /// Sends a request for a tenant path, with additional header lines.
+    pub fn request(
+        &mut self,
+        method: &str,
+        path: &str,
+        more: &str,
+        body_text: &str,
+    ) -> AdminResponse {
         let request = format!(
             "{method} /v1/tenants/{path} HTTP/1.1\r\nHost: lab\r\nAuthorization: Bearer {}\r\n{more}Content-Length: {}\r\n\r\n{body_text}",
             self.token,
             body_text.len()
         );
         match self.to.exchange(request.as_bytes()) {
-            Ok(answer) => Answered {
+            Ok(answer) => AdminResponse {
                 status: status(&answer),
                 body: serde_json::from_slice(body(&answer)).unwrap_or(Value::Null),
-                tag: header(&answer, "etag"),
+                etag: header(&answer, "etag"),
             },
-            Err(_) => Answered {
+            Err(_) => AdminResponse {
                 status: 0,
                 body: Value::Null,
-                tag: String::new(),
+                etag: String::new(),
             },
         }
     }
 
-    /// Makes or changes a tenant.
-    pub fn put(&mut self, tenant: &str, spec: &Value) -> Answered {
-        self.ask("PUT", tenant, "", &spec.to_string())
+    /// Creates or changes a tenant.
+    pub fn put(&mut self, tenant: &str, spec: &Value) -> AdminResponse {
+        self.request("PUT", tenant, "", &spec.to_string())
     }
 
-    /// Shows a tenant.
-    pub fn get(&mut self, tenant: &str) -> Answered {
-        self.ask("GET", tenant, "", "")
+    /// Reads a tenant.
+    pub fn get(&mut self, tenant: &str) -> AdminResponse {
+        self.request("GET", tenant, "", "")
     }
 }
 
 impl Fleet {
-    /// An administrator at one instance.
-    pub fn administrator(&self, n: usize) -> Result<Administrator> {
+    /// Returns an administration client for one instance.
+    pub fn admin_client(&self, n: usize) -> Result<AdminClient> {
         let at = self
             .gateway(n)?
             .admin
-            .ok_or_else(|| Error::other("it is not administered"))?;
+            .ok_or_else(|| Error::other("the instance has no administration interface"))?;
         let token = std::fs::read_to_string(self.folder().join("svid"))?;
-        Ok(Administrator::new(at, token))
+        Ok(AdminClient::new(at, token))
     }
 
-    /// Sends a signed call of a tenant to an instance; its status, 0 for none.
-    pub fn call_of(
+    /// Sends a signed call of a tenant to an instance. Returns the status, or 0 without a response.
+    pub fn send_as(
         &self,
         n: usize,
         tenant: &str,
@@ -92,25 +98,25 @@
         let at = self
             .gateway(n)?
             .webhooks
-            .ok_or_else(|| Error::other("no webhooks"))?;
+            .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
         let text = call_body(crate::fakes::gateway::SAFE, 7, None);
         Ok(Caller::new(at)
             .call(tenant, secret, id, &text)
             .map_or(0, |a| status(&a)))
     }
 
-    /// The instances that run.
+    /// Returns the names of the running instances.
     pub fn running(&self) -> BTreeSet<String> {
         (0..self.gateways.len())
             .filter(|n| self.gateways[*n].is_some())
-            .map(name)
+            .map(instance_name)
             .collect()
     }
 
-    /// Waits until all that run have taken over the newest version of each tenant that any of them has.
-    pub fn tenants_settle(&self) -> Result<()> {
+    /// Waits until all running instances have adopted the newest recorded version of each tenant.
+    pub fn wait_for_tenants(&self) -> Result<()> {
         let running = self.running();
-        self.await_that("all to know all tenants", || {
+        self.wait_until("all to know all tenants", || {
             let lines = read(&self.histories()).unwrap_or_default();
             let mut newest = std::collections::BTreeMap::new();
             let mut last = std::collections::BTreeMap::new();
@@ -139,8 +145,9 @@
         })
     }
 
-    /// Judges what all recorded of tenants: how many changes were told done, and what is wrong.
-    pub fn judge_tenants(&self) -> Result<(usize, Vec<Wrong>)> {
+    /// Checks the recorded tenant histories. Returns the number of acknowledged changes and all
+    /// violations.
+    pub fn check_tenants(&self) -> Result<(usize, Vec<Wrong>)> {
         Ok(check(&read(&self.histories())?, &self.running()))
     }
 }
--- a/testbed/src/lease_trials.rs
+++ b/testbed/src/lease_trials.rs
@@ -1,4 +1,5 @@
-//! `owners`: gateways as real processes that share duties over links that fail; rounds by seed, judged by their histories.
+//! Lease trials (`owners`): real gateway processes that share duties over failing links, in rounds
+//! drawn from seeds. A checker judges each round by the recorded histories.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -19,94 +20,95 @@
 use crate::fault_proxy::{Faults, Link, Way};
 use crate::history::{self, Line, Note};
 
-/// The lease that rounds play with, milliseconds.
+/// Default lease duration of a round in milliseconds.
 pub const LEASE_MS: u64 = 600;
-/// The voters' tick, milliseconds.
+/// Tick of the voters in milliseconds.
 pub const TICK_MS: u64 = 20;
 
-/// Callers of each instance: as many calls as this may meet a silent worker at once.
+/// Number of callers of each instance, and so of calls that can be at a silent worker at once.
 const CALLERS: u64 = 3;
 
-/// The duty that the rounds watch.
-pub const DUTY: &str = "trials";
+/// Duty whose owner the rounds observe.
+pub const OBSERVED_DUTY: &str = "trials";
 
-/// An instance's name.
-pub fn name(n: usize) -> String {
+/// Returns the name of an instance.
+pub fn instance_name(n: usize) -> String {
     format!("gw-{n}")
 }
 
-/// What the instances are.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Instances in all.
+pub struct FleetConfig {
+    /// Number of instances.
     pub instances: usize,
-    /// How many of them vote, the first ones.
+    /// Number of voters, the first instances.
     pub voters: usize,
-    /// How many after those have a seat that nobody has made a voter yet.
-    pub seats: usize,
-    /// Duties besides the one that is watched, which nobody does anything for.
-    pub duties: Vec<String>,
-    /// Whether there is a council at all.
-    pub council: bool,
-    /// A guard that is taken out, if the build has it to take out.
-    pub without: Option<String>,
-    /// The lease, milliseconds.
+    /// Number of instances after the voters that have a seat and could become voters.
+    pub spare_seats: usize,
+    /// Additional duties, which have owners but no work.
+    pub extra_duties: Vec<String>,
+    /// Whether the instances take part in consensus.
+    pub consensus: bool,
+    /// Safety check to disable, in builds that support it.
+    pub disabled_guard: Option<String>,
+    /// Lease duration in milliseconds.
     pub lease_ms: u64,
-    /// Descriptors that each may hold.
-    pub sockets: usize,
+    /// Limit on open file descriptors of each instance.
+    pub max_descriptors: usize,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
+impl Default for FleetConfig {
+    fn default() -> FleetConfig {
+        FleetConfig {
             instances: 5,
             voters: 5,
-            seats: 0,
-            duties: Vec::new(),
-            council: true,
-            without: None,
+            spare_seats: 0,
+            extra_duties: Vec::new(),
+            consensus: true,
+            disabled_guard: None,
             lease_ms: LEASE_MS,
-            sockets: SOCKETS,
+            max_descriptors: SOCKETS,
         }
     }
 }
 
-/// A note as it was read, and whose it is.
+/// A note read from a history, with its instance and process.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// Which instance.
+pub struct ObservedNote {
+    /// Instance that recorded the note.
     pub instance: usize,
-    /// The machine's time at which it was noted.
+    /// Time of the note in microseconds since the machine's start.
     pub at: u64,
-    /// Its process.
+    /// Number of the process that recorded the note.
     pub process: u64,
-    /// What.
+    /// Recorded event.
     pub note: Note,
 }
 
-/// Gateways, workers and the links between them.
+/// A running fleet with its workers, links and callers.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The gateways; none while one is down.
+    /// Gateway processes by instance; `None` while an instance is down.
     pub gateways: Vec<Option<Gateway>>,
-    /// The workers.
+    /// Workers that the gateways call.
     pub workers: Vec<Worker>,
-    /// The link from one instance to a voter.
+    /// Links by (connecting instance, voter or seat).
     pub links: BTreeMap<(usize, usize), Link>,
     folder: Folder,
     operator: String,
-    shape: Shape,
-    read: Vec<u64>,
-    /// All that was noted so far.
-    pub seen: Vec<Seen>,
+    config: FleetConfig,
+    read_offsets: Vec<u64>,
+    /// All notes read so far.
+    pub notes: Vec<ObservedNote>,
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<Result<()>>>,
-    /// Where callers find each gateway's platform address; 0 while it is down.
-    doors: Vec<Arc<AtomicU64>>,
+    /// Port of each gateway's platform front; 0 while the gateway is down.
+    front_ports: Vec<Arc<AtomicU64>>,
 }
 
-/// A port that nothing else takes between a process's end and the next one's start: below those that the machine hands out.
-pub(crate) fn free() -> Result<SocketAddr> {
+/// Finds a free port below the ephemeral range, so that nothing else takes the port between the end
+/// of a process and its next start.
+pub(crate) fn free_port_address() -> Result<SocketAddr> {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     for _ in 0..2_000 {
         let n = NEXT.fetch_add(1, Ordering::Relaxed) + u64::from(std::process::id()) * 97;
@@ -119,8 +121,8 @@
 }
 
 impl Fleet {
-    /// Founds a council and starts everybody.
-    pub fn start(shape: Shape, seed: u64) -> Result<Fleet> {
+    /// Creates the consensus group's files and starts all instances.
+    pub fn start(config: FleetConfig, seed: u64) -> Result<Fleet> {
         let folder = Folder::new(&format!("owners-{seed}"))?;
         std::fs::create_dir_all(folder.0.join("history"))?;
         std::fs::write(
@@ -128,15 +130,15 @@
             BASE64_STANDARD.encode([7u8; 32]),
         )?;
         let operator = crate::fakes::admin::write(&folder.0)?;
-        let listed = shape.voters + shape.seats;
+        let listed = config.voters + config.spare_seats;
         let workers: Vec<Worker> = (0..6)
             .map(|_| Worker::start(Duration::from_millis(2), 0))
             .collect::<Result<_>>()?;
-        let ports: Vec<SocketAddr> = (0..shape.instances)
-            .map(|_| free())
+        let ports: Vec<SocketAddr> = (0..config.instances)
+            .map(|_| free_port_address())
             .collect::<Result<_>>()?;
         let mut links = BTreeMap::new();
-        for from in 0..shape.instances {
+        for from in 0..config.instances {
             for (to, port) in ports
                 .iter()
                 .enumerate()
@@ -149,98 +151,102 @@
                 );
             }
         }
-        let names: Vec<String> = (0..shape.voters).map(name).collect();
+        let names: Vec<String> = (0..config.voters).map(instance_name).collect();
         for (n, port) in ports.iter().enumerate() {
-            let home = folder.0.join(name(n));
+            let home = folder.0.join(instance_name(n));
             std::fs::create_dir_all(&home)?;
             let voters: String = (0..listed)
                 .map(|to| {
                     let at = links.get(&(n, to)).map_or(*port, |l: &Link| l.address);
-                    format!("{} = \"{at}\"\n", name(to))
+                    format!("{} = \"{at}\"\n", instance_name(to))
                 })
                 .collect();
             let seat = if n < listed { "seat = \"seat\"\n" } else { "" };
-            let mut duties = vec![DUTY.to_owned()];
-            duties.extend(shape.duties.iter().cloned());
+            let mut duties = vec![OBSERVED_DUTY.to_owned()];
+            duties.extend(config.extra_duties.iter().cloned());
             let text = format!(
                 "listen = \"{}\"\nname = \"{}\"\n{seat}duties = {duties:?}\nlease_ms = {}\ntick_ms = {TICK_MS}\n\
                  history = \"../history/{}.jsonl\"\nshared_keys = \"../shared.keys\"\n[voters]\n{voters}",
                 port,
-                name(n),
-                shape.lease_ms,
-                name(n)
+                instance_name(n),
+                config.lease_ms,
+                instance_name(n)
             );
             std::fs::write(home.join("council.toml"), text)?;
             if n < listed {
-                make_seat(&home, if n < shape.voters { &names } else { &[] })?;
+                create_seat(&home, if n < config.voters { &names } else { &[] })?;
             }
         }
-        let none = || (0..shape.instances).map(|_| None).collect();
-        let doors = (0..shape.instances).map(|_| Arc::default()).collect();
+        let none = || (0..config.instances).map(|_| None).collect();
+        let front_ports = (0..config.instances).map(|_| Arc::default()).collect();
         let mut fleet = Fleet {
             gateways: none(),
             workers,
             links,
             folder,
             operator,
-            read: vec![0; shape.instances],
-            shape,
-            seen: Vec::new(),
+            read_offsets: vec![0; config.instances],
+            config,
+            notes: Vec::new(),
             stop: Arc::default(),
             callers: Vec::new(),
-            doors,
+            front_ports,
         };
-        for n in 0..fleet.shape.instances {
-            fleet.run(n)?;
+        for n in 0..fleet.config.instances {
+            fleet.start_instance(n)?;
         }
         Ok(fleet)
     }
 
-    /// The folder of the histories.
+    /// Returns the folder of the histories.
     pub fn histories(&self) -> PathBuf {
         self.folder.0.join("history")
     }
 
-    /// The folder of one instance.
+    /// Returns the folder of one instance.
     pub fn home(&self, n: usize) -> PathBuf {
-        self.folder.0.join(name(n))
+        self.folder.0.join(instance_name(n))
     }
 
-    /// Starts an instance on the files in its folder.
-    pub fn run(&mut self, n: usize) -> Result<()> {
-        let gateway = self.run_beside(n)?;
-        self.doors[n].store(u64::from(gateway.platform.port()), Ordering::Relaxed);
+    /// Starts an instance with the files in its folder.
+    pub fn start_instance(&mut self, n: usize) -> Result<()> {
+        let gateway = self.start_process(n)?;
+        self.front_ports[n].store(u64::from(gateway.platform.port()), Ordering::Relaxed);
         self.gateways[n] = Some(gateway);
         Ok(())
     }
 
-    /// Starts a second process of an instance on the same files; it is handed back, and the first goes on.
-    pub fn run_beside(&mut self, n: usize) -> Result<Gateway> {
+    /// Starts and returns another process of an instance with the same files; a process that already
+    /// runs continues.
+    pub fn start_process(&mut self, n: usize) -> Result<Gateway> {
         let home = self.home(n);
-        if !self.shape.council {
+        if !self.config.consensus {
             return Gateway::talking(&home, &self.workers, None);
         }
-        let (file, without) = (home.join("council.toml"), self.shape.without.as_deref());
+        let (file, without) = (
+            home.join("council.toml"),
+            self.config.disabled_guard.as_deref(),
+        );
         Gateway::meeting(
             &home,
             &self.workers,
             &file,
             without,
             &self.operator,
-            self.shape.sockets,
+            self.config.max_descriptors,
         )
     }
 
-    /// Asks an instance by the operators' commands, such as `council show`.
-    pub fn ask(&self, n: usize, what: &[&str]) -> Result<String> {
+    /// Runs an operator command, such as `council show`, against an instance.
+    pub fn run_command(&self, n: usize, what: &[&str]) -> Result<String> {
         let admin = self
             .gateway(n)?
             .admin
-            .ok_or_else(|| Error::other("no administration"))?
+            .ok_or_else(|| Error::other("the instance has no administration interface"))?
             .to_string();
         let token = self.folder.0.join("svid").display().to_string();
         let at = ["--admin", &admin, "--token", &token];
-        molelug(
+        run_gateway_command(
             &what
                 .iter()
                 .chain(&at)
@@ -249,8 +255,9 @@
         )
     }
 
-    /// Writes other keys, which all share, and has everybody read them; in an order that a step apart are understood.
-    pub fn rotate(&mut self, keys: &[u8]) -> Result<()> {
+    /// Writes new shared keys and has all instances reload them, one after the other. Consecutive key
+    /// lists must overlap, so that instances one step apart understand each other.
+    pub fn rotate_keys(&mut self, keys: &[u8]) -> Result<()> {
         let lines: Vec<String> = keys
             .iter()
             .map(|k| BASE64_STANDARD.encode([*k; 32]))
@@ -263,40 +270,41 @@
         Ok(())
     }
 
-    /// SIGKILL.
+    /// Kills an instance with SIGKILL.
     pub fn kill(&mut self, n: usize) -> Result<()> {
-        self.doors[n].store(0, Ordering::Relaxed);
+        self.front_ports[n].store(0, Ordering::Relaxed);
         self.gateways[n].take().map_or(Ok(()), |mut g| g.kill())
     }
 
-    /// One instance's process.
+    /// Returns the process of one instance.
     pub fn gateway(&self, n: usize) -> Result<&Gateway> {
         self.gateways[n]
             .as_ref()
-            .ok_or_else(|| Error::other(format!("{} is down", name(n))))
+            .ok_or_else(|| Error::other(format!("{} is down", instance_name(n))))
     }
 
-    /// What all links from and to an instance do; `there` is what leaves it.
-    pub fn around(&self, n: usize, leaves: Faults, comes: Faults) {
+    /// Sets the faults of all links of an instance: `outbound` for what the instance sends, `inbound`
+    /// for what it receives.
+    pub fn set_instance_faults(&self, n: usize, outbound: Faults, inbound: Faults) {
         for ((from, to), link) in &self.links {
             if *from == n {
-                link.set(Way::There, leaves);
-                link.set(Way::Back, comes);
+                link.set(Way::There, outbound);
+                link.set(Way::Back, inbound);
             } else if *to == n {
-                link.set(Way::There, comes);
-                link.set(Way::Back, leaves);
+                link.set(Way::There, inbound);
+                link.set(Way::Back, outbound);
             }
         }
     }
 
-    /// What all links do.
-    pub fn everywhere(&self, faults: Faults) {
+    /// Sets the same faults in both directions of all links.
+    pub fn set_all_faults(&self, faults: Faults) {
         self.links.values().for_each(|l| l.set_both(faults));
     }
 
-    /// Begins calls at every instance, one after the other; their answers are a history too. One worker after the other is
-    /// silent for a while, so that there is always something to be tried.
-    pub fn call(&mut self) -> Result<()> {
+    /// Starts callers at every instance and records their responses as histories. Each worker in turn
+    /// stops responding for a while, so that there is always a worker to probe.
+    pub fn start_callers(&mut self) -> Result<()> {
         let (stop, workers) = (self.stop.clone(), self.workers.clone());
         self.callers.push(std::thread::spawn(move || {
             for n in (0..workers.len()).cycle() {
@@ -312,20 +320,20 @@
             Ok(())
         }));
         let each = self
-            .doors
+            .front_ports
             .iter()
             .enumerate()
-            .flat_map(|(n, door)| (0..CALLERS).map(move |c| (n, c, door)));
-        for (n, c, door) in each {
+            .flat_map(|(n, front_port)| (0..CALLERS).map(move |c| (n, c, front_port)));
+        for (n, c, front_port) in each {
             let path = self.histories().join(format!("calls-{n}-{c}.jsonl"));
             let mut file = File::options().create(true).append(true).open(path)?;
-            let (stop, door) = (self.stop.clone(), door.clone());
+            let (stop, front_port) = (self.stop.clone(), front_port.clone());
             self.callers.push(std::thread::spawn(move || {
                 let mut calls = 0u64;
                 let mut caller: Option<(u64, Caller)> = None;
                 while !stop.load(Ordering::Relaxed) {
                     std::thread::sleep(Duration::from_millis(5));
-                    let port = door.load(Ordering::Relaxed);
+                    let port = front_port.load(Ordering::Relaxed);
                     if port == 0 {
                         continue;
                     }
@@ -336,7 +344,7 @@
                         continue;
                     };
                     let id = ((n as u64 + 1) << 56) | (c << 48) | calls;
-                    let request = call(id, calls % 24);
+                    let request = call_request(id, calls % 24);
                     calls += 1;
                     let status = caller
                         .exchange(request.as_bytes())
@@ -349,24 +357,25 @@
         Ok(())
     }
 
-    /// Reads what was noted since.
-    pub fn look(&mut self) -> Result<()> {
-        for n in 0..self.shape.instances {
-            let Ok(mut file) = File::open(self.histories().join(format!("{}.jsonl", name(n))))
+    /// Reads the notes recorded since the last call.
+    pub fn read_notes(&mut self) -> Result<()> {
+        for n in 0..self.config.instances {
+            let Ok(mut file) =
+                File::open(self.histories().join(format!("{}.jsonl", instance_name(n))))
             else {
                 continue;
             };
-            file.seek(SeekFrom::Start(self.read[n]))?;
+            file.seek(SeekFrom::Start(self.read_offsets[n]))?;
             let mut text = String::new();
             file.read_to_string(&mut text)?;
             let whole = text.rfind('\n').map_or(0, |end| end + 1);
-            self.read[n] += whole as u64;
+            self.read_offsets[n] += whole as u64;
             for line in history::parse(&text[..whole])? {
                 if let Line::Noted {
                     at, process, note, ..
                 } = line
                 {
-                    self.seen.push(Seen {
+                    self.notes.push(ObservedNote {
                         instance: n,
                         at,
                         process,
@@ -378,62 +387,67 @@
         Ok(())
     }
 
-    /// Waits until something was noted from a place in what was seen on; its place. The longest wait is a bound on the run
-    /// alone.
-    pub fn until(&mut self, from: usize, what: &str, is: impl Fn(&Seen) -> bool) -> Result<usize> {
+    /// Waits for a matching note at index `from` or later, and returns its index. The timeout only
+    /// bounds the run; it is no requirement on the gateways.
+    pub fn wait_for_note(
+        &mut self,
+        from: usize,
+        what: &str,
+        is: impl Fn(&ObservedNote) -> bool,
+    ) -> Result<usize> {
         let end = Instant::now() + PATIENCE;
         loop {
-            self.look()?;
-            if let Some(at) = (from..self.seen.len()).find(|i| is(&self.seen[*i])) {
+            self.read_notes()?;
+            if let Some(at) = (from..self.notes.len()).find(|i| is(&self.notes[*i])) {
                 return Ok(at);
             }
             if Instant::now() > end {
                 let last = |n: usize| {
-                    self.seen
+                    self.notes
                         .iter()
                         .rfind(|s| s.instance == n)
                         .map(|s| (s.at, &s.note))
                 };
-                let all: Vec<_> = (0..self.shape.instances)
-                    .map(|n| (name(n), last(n)))
+                let all: Vec<_> = (0..self.config.instances)
+                    .map(|n| (instance_name(n), last(n)))
                     .collect();
                 return Err(Error::other(format!(
-                    "{what} did not come; noted last: {all:?}"
+                    "timed out waiting for {what}; last notes: {all:?}"
                 )));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Who began to own the watched duty last, under which term, as far as was seen.
+    /// Returns the newest owner of the observed duty and its term, from the notes read so far.
     pub fn owner(&self) -> Option<(usize, u64)> {
-        let began = |s: &Seen| match &s.note {
-            Note::Began { duty, term } if duty == DUTY => Some((s.instance, *term)),
+        let began = |s: &ObservedNote| match &s.note {
+            Note::Began { duty, term } if duty == OBSERVED_DUTY => Some((s.instance, *term)),
             _ => None,
         };
-        self.seen
+        self.notes
             .iter()
             .filter_map(began)
             .max_by_key(|(_, term)| *term)
     }
 
-    /// Waits for an owner under a term above this one.
-    pub fn owned_after(&mut self, term: u64) -> Result<(usize, u64, usize)> {
-        let is = |s: &Seen| matches!(&s.note, Note::Began { duty, term: t } if duty == DUTY && *t > term);
-        let at = self.until(0, "the next owner", is)?;
-        let Note::Began { term, .. } = self.seen[at].note else {
+    /// Waits for an owner under a higher term. Returns the instance, the term and the note's index.
+    pub fn wait_for_owner_after(&mut self, term: u64) -> Result<(usize, u64, usize)> {
+        let is = |s: &ObservedNote| matches!(&s.note, Note::Began { duty, term: t } if duty == OBSERVED_DUTY && *t > term);
+        let at = self.wait_for_note(0, "the next owner", is)?;
+        let Note::Began { term, .. } = self.notes[at].note else {
             return Err(Error::other("no owner"));
         };
-        Ok((self.seen[at].instance, term, at))
+        Ok((self.notes[at].instance, term, at))
     }
 
-    /// Waits until another than the owner took one of its effects under this term, or a later one's.
-    pub fn effect_of(&mut self, term: u64) -> Result<usize> {
-        let is = |s: &Seen| matches!(&s.note, Note::Accepted { duty, term: t, .. } if duty == DUTY && *t >= term);
-        self.until(0, "an effect", is)
+    /// Waits until an instance has accepted an effect of the observed duty under this or a later term.
+    pub fn wait_for_effect(&mut self, term: u64) -> Result<usize> {
+        let is = |s: &ObservedNote| matches!(&s.note, Note::Accepted { duty, term: t, .. } if duty == OBSERVED_DUTY && *t >= term);
+        self.wait_for_note(0, "an effect", is)
     }
 
-    /// Ends everything and judges what was recorded.
+    /// Stops callers and gateways, and checks the recorded histories.
     pub fn judge(mut self) -> Result<(history::Held, Vec<history::Wrong>)> {
         self.stop.store(true, Ordering::Relaxed);
         for caller in std::mem::take(&mut self.callers) {
@@ -458,8 +472,9 @@
     }
 }
 
-/// Makes the disk of a founder among these, or of one who may vote later, as an operator does.
-pub(crate) fn make_seat(home: &Path, founders: &[String]) -> Result<()> {
+/// Creates the seat of a founder, or without founders that of a possible later voter, by the operator
+/// command.
+pub(crate) fn create_seat(home: &Path, founders: &[String]) -> Result<()> {
     let file = home.join("council.toml").display().to_string();
     let what = if founders.is_empty() { "seat" } else { "found" };
     let args = [
@@ -467,11 +482,11 @@
         founders,
     ]
     .concat();
-    molelug(&args).map(|_| ())
+    run_gateway_command(&args).map(|_| ())
 }
 
-/// Runs a command of the gateway's program, and returns what it prints.
-fn molelug(args: &[String]) -> Result<String> {
+/// Runs a command of the gateway program, and returns its standard output.
+fn run_gateway_command(args: &[String]) -> Result<String> {
     let output = command(None)?.args(args).output()?;
     if output.status.success() {
         return Ok(String::from_utf8_lossy(&output.stdout).into_owned());
@@ -482,15 +497,15 @@
     )))
 }
 
-/// What one round did, for its report.
+/// Result of one round.
 #[derive(Clone, Debug, Default)]
 pub struct Round {
-    /// The faults, in order.
+    /// Injected faults, in order.
     pub faults: Vec<&'static str>,
-    /// From a fault that took the owner away to the next owner's beginning, milliseconds.
+    /// Each fault and the milliseconds from the fault to the next owner's start.
     pub gaps_ms: Vec<(&'static str, f64)>,
-    /// What the history held.
-    pub held: history::Held,
+    /// Counts from the checked histories.
+    pub counts: history::Held,
 }
 
 const CUT: Faults = Faults {
@@ -503,17 +518,22 @@
     bytes_per_s: 0,
 };
 
-/// The machine's time since its start, as histories have it.
+/// Returns the machine's time since boot in microseconds, the clock of the histories.
 fn uptime() -> u64 {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     t.tv_sec as u64 * 1_000_000 + t.tv_nsec as u64 / 1_000
 }
 
-/// Plays one round; the fleet is kept for its history if it fails.
-pub fn play(shape: &Shape, seed: u64, faults: usize, keep: Option<&Path>) -> Result<Round> {
-    let mut fleet = Fleet::start(shape.clone(), seed)?;
+/// Runs one round and checks its histories; with `keep`, copies them to a folder there.
+pub fn run_round(
+    config: &FleetConfig,
+    seed: u64,
+    faults: usize,
+    keep: Option<&Path>,
+) -> Result<Round> {
+    let mut fleet = Fleet::start(config.clone(), seed)?;
     let mut round = Round::default();
-    let played = faults_of(&mut fleet, shape, seed, faults, &mut round);
+    let played = inject_faults(&mut fleet, config, seed, faults, &mut round);
     let kept = keep.map(|k| k.join(format!("seed-{seed}")));
     if let (Err(e), Some(kept)) = (&played, &kept) {
         fleet.copy_to(kept)?;
@@ -521,8 +541,8 @@
     }
     played?;
     let copy = kept.as_ref().map(|k| fleet.copy_to(k)).transpose();
-    let (held, wrong) = fleet.judge()?;
-    round.held = held;
+    let (counts, wrong) = fleet.judge()?;
+    round.counts = counts;
     copy?;
     if let Some(first) = wrong.first() {
         return Err(Error::other(format!(
@@ -531,30 +551,34 @@
             round.faults
         )));
     }
-    // A round in which nothing was done has shown nothing.
-    if round.held.accepted == 0 || round.held.answers == 0 {
-        return Err(Error::other(format!("nothing to judge: {:?}", round.held)));
+    // A round without accepted effects or responses proves nothing.
+    if round.counts.accepted == 0 || round.counts.answers == 0 {
+        return Err(Error::other(format!(
+            "nothing to judge: {:?}",
+            round.counts
+        )));
     }
     Ok(round)
 }
 
-fn faults_of(
+fn inject_faults(
     fleet: &mut Fleet,
-    shape: &Shape,
+    config: &FleetConfig,
     seed: u64,
     faults: usize,
     round: &mut Round,
 ) -> Result<()> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    fleet.call()?;
-    let (mut owner, mut term, _) = fleet.owned_after(0)?;
-    fleet.effect_of(term)?;
+    fleet.start_callers()?;
+    let (mut owner, mut term, _) = fleet.wait_for_owner_after(0)?;
+    fleet.wait_for_effect(term)?;
     for _ in 0..faults {
         let kind = random.next_u32() % 9;
         let begun = uptime();
         let what = match kind {
             0 | 1 => {
-                // Stopped past its lease, with calls and trials under way, and woken once another owns the duty.
+                // Stops the owner past its lease, with calls and probes in progress; it continues
+                // once another instance owns the duty.
                 fleet.gateway(owner)?.freeze()?;
                 "stopped"
             }
@@ -563,15 +587,15 @@
                 "killed"
             }
             3 => {
-                fleet.around(owner, CUT, Faults::default());
+                fleet.set_instance_faults(owner, CUT, Faults::default());
                 "cut, nothing leaves it"
             }
             4 => {
-                fleet.around(owner, Faults::default(), CUT);
+                fleet.set_instance_faults(owner, Faults::default(), CUT);
                 "cut, nothing comes to it"
             }
             5 => {
-                fleet.around(owner, CUT, CUT);
+                fleet.set_instance_faults(owner, CUT, CUT);
                 "cut off"
             }
             6 => {
@@ -585,65 +609,66 @@
                     jitter_ms: 30,
                     ..Faults::default()
                 };
-                fleet.everywhere(faults);
+                fleet.set_all_faults(faults);
                 fleet.gateway(owner)?.freeze()?;
                 "stopped, with 30% of frames lost"
             }
             _ => {
-                for n in 0..shape.instances {
+                for n in 0..config.instances {
                     fleet.kill(n)?;
                 }
-                for n in 0..shape.instances {
-                    fleet.run(n)?;
+                for n in 0..config.instances {
+                    fleet.start_instance(n)?;
                 }
                 "all killed"
             }
         };
         round.faults.push(what);
-        let (next, next_term, at) = fleet.owned_after(term)?;
-        round
-            .gaps_ms
-            .push((what, (fleet.seen[at].at.saturating_sub(begun)) as f64 / 1e3));
-        fleet.effect_of(next_term)?;
-        // The old one wakes up, is heard again, or comes back.
+        let (next, next_term, at) = fleet.wait_for_owner_after(term)?;
+        round.gaps_ms.push((
+            what,
+            (fleet.notes[at].at.saturating_sub(begun)) as f64 / 1e3,
+        ));
+        fleet.wait_for_effect(next_term)?;
+        // Resumes, reconnects or restarts the old owner.
         match kind {
             0 | 1 | 7 => {
-                let from = fleet.seen.len();
+                let from = fleet.notes.len();
                 fleet.gateway(owner)?.thaw()?;
                 let old = owner;
-                let is = |s: &Seen| {
+                let is = |s: &ObservedNote| {
                     s.instance == old
                         && matches!(&s.note, Note::Ended { term: t, .. } if *t == term)
                 };
-                // It may have ended by itself before it was stopped.
-                if !fleet.seen[..from].iter().any(is) {
-                    fleet.until(from, "the end of the old lease", is)?;
+                // The old owner's lease may have ended before the process was stopped.
+                if !fleet.notes[..from].iter().any(is) {
+                    fleet.wait_for_note(from, "the end of the old lease", is)?;
                 }
-                fleet.everywhere(Faults::default());
+                fleet.set_all_faults(Faults::default());
             }
-            2 => fleet.run(owner)?,
+            2 => fleet.start_instance(owner)?,
             6 => {
-                fleet.doors[owner].store(0, Ordering::Relaxed);
+                fleet.front_ports[owner].store(0, Ordering::Relaxed);
                 if let Some(mut g) = fleet.gateways[owner].take() {
                     g.wait()?;
                 }
-                fleet.run(owner)?;
+                fleet.start_instance(owner)?;
             }
-            3..=5 => fleet.everywhere(Faults::default()),
+            3..=5 => fleet.set_all_faults(Faults::default()),
             _ => {}
         }
         (owner, term) = (next, next_term);
-        // The next fault strikes whoever owns it by now.
-        fleet.look()?;
+        // The next fault hits the current owner, which may have changed meanwhile.
+        fleet.read_notes()?;
         if let Some((o, t)) = fleet.owner().filter(|(_, t)| *t > term) {
             (owner, term) = (o, t);
         }
     }
-    fleet.effect_of(term)?;
+    fleet.wait_for_effect(term)?;
     Ok(())
 }
 
-/// What calls met.
+/// Counts and latencies of calls.
 #[derive(Debug)]
 struct Calls {
     served: u64,
@@ -651,16 +676,16 @@
     micros: hdrhistogram::Histogram<u64>,
 }
 
-/// The bytes of a call of a safe class.
-fn call(id: u64, function: u64) -> String {
+/// Builds the request of an idempotent call.
+fn call_request(id: u64, function: u64) -> String {
     format!(
         "POST /call/{function:016x}/trigger HTTP/1.1\r\nHost: lab\r\nX-Class: {SAFE}\r\nX-Org: franq-bajio\r\n\
          X-Correlation-Id: {id:016x}\r\nX-Deadline-Ms: 900\r\nX-Extras: lanes:4\r\nContent-Length: 0\r\n\r\n"
     )
 }
 
-/// Calls at some gateways for a while, four callers each.
-fn calls_at(fleet: &Fleet, gateways: &[usize], seconds: u64) -> Result<Calls> {
+/// Sends calls to some gateways for `seconds`, with four callers each.
+fn measure_calls(fleet: &Fleet, gateways: &[usize], seconds: u64) -> Result<Calls> {
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = Vec::new();
     for (n, c) in gateways
@@ -682,7 +707,7 @@
                 let id =
                     (n as u64 + 1) << 52 | c << 48 | all.all | u64::from(std::process::id()) << 24;
                 let begun = Instant::now();
-                let answer = caller.exchange(call(id, (all.all * 7 + c) % 24).as_bytes());
+                let answer = caller.exchange(call_request(id, (all.all * 7 + c) % 24).as_bytes());
                 all.all += 1;
                 all.served += u64::from(answer.is_ok_and(|a| status(&a) == 200));
                 all.micros
@@ -711,19 +736,20 @@
     Ok(sum)
 }
 
-/// `calls`: what calls meet with the council off, on and without a majority, in turns, at the same two gateways.
+/// `calls`: compares calls with consensus off, on and without a majority, in turns, at the same two
+/// gateways.
 pub fn calls(seconds: u64, turns: u64) -> Result<bool> {
     let off = Fleet::start(
-        Shape {
-            council: false,
-            ..Shape::default()
+        FleetConfig {
+            consensus: false,
+            ..FleetConfig::default()
         },
         1,
     )?;
-    let mut on = Fleet::start(Shape::default(), 2)?;
-    let mut lost = Fleet::start(Shape::default(), 3)?;
-    on.owned_after(0)?;
-    let (owner, ..) = lost.owned_after(0)?;
+    let mut on = Fleet::start(FleetConfig::default(), 2)?;
+    let mut lost = Fleet::start(FleetConfig::default(), 3)?;
+    on.wait_for_owner_after(0)?;
+    let (owner, ..) = lost.wait_for_owner_after(0)?;
     let at = [owner, (owner + 1) % 5];
     for n in (0..5).filter(|n| !at.contains(n)) {
         lost.kill(n)?;
@@ -733,7 +759,7 @@
         for (what, fleet) in [("off", &off), ("on", &on), ("without a majority", &lost)] {
             sums.entry(what)
                 .or_default()
-                .push(calls_at(fleet, &at, seconds)?);
+                .push(measure_calls(fleet, &at, seconds)?);
         }
     }
     for (what, turns) in &sums {
@@ -754,30 +780,31 @@
     Ok(true)
 }
 
-/// `gain`: what a silent worker costs a fleet with the duty `trials` and without a council, one fleet after the other.
+/// `gain`: compares the cost of a silent worker in a fleet without consensus and in one with the duty
+/// `trials`, one fleet after the other.
 pub fn gain(instances: usize, seconds: u64) -> Result<bool> {
     for council in [false, true] {
         let voters = instances.min(5);
         let mut fleet = Fleet::start(
-            Shape {
-                council,
+            FleetConfig {
+                consensus: council,
                 instances,
                 voters,
-                ..Shape::default()
+                ..FleetConfig::default()
             },
             4,
         )?;
         if council {
-            fleet.owned_after(0)?;
+            fleet.wait_for_owner_after(0)?;
         }
         let all: Vec<usize> = (0..instances).collect();
-        // Copies are known first.
-        calls_at(&fleet, &all, 2)?;
+        // Warms up the fleet, so that the copies are known before the measurement.
+        measure_calls(&fleet, &all, 2)?;
         fleet.workers[0].set_silent(true);
-        let met = calls_at(&fleet, &all, seconds)?;
+        let met = measure_calls(&fleet, &all, seconds)?;
         let (pings, _, lost) = fleet.workers[0].asked();
         fleet.workers[0].set_silent(false);
-        let after = calls_at(&fleet, &all, seconds)?;
+        let after = measure_calls(&fleet, &all, seconds)?;
         let before = fleet.workers[0].runs.lock().map_or(0, |r| r.len());
         println!(
             "{}: while a worker is silent {:.3}% of {} calls served, {lost} calls sent to it, {pings} pings, p99 {} us; \
@@ -798,9 +825,9 @@
     sorted.get(at).copied().unwrap_or(0.0)
 }
 
-/// `owners`: rounds from a seed on, and what came of them.
+/// `owners`: runs rounds with consecutive seeds and prints their results.
 pub fn run(
-    shape: &Shape,
+    config: &FleetConfig,
     rounds: u64,
     seed: u64,
     faults: usize,
@@ -809,10 +836,10 @@
     let (mut passed, mut failed) = (0, 0);
     let mut gaps: BTreeMap<&'static str, Vec<f64>> = BTreeMap::new();
     for seed in seed..seed + rounds {
-        match play(shape, seed, faults, keep) {
+        match run_round(config, seed, faults, keep) {
             Ok(round) => {
                 passed += 1;
-                let h = &round.held;
+                let h = &round.counts;
                 println!(
                     "seed {seed}: {:?}; {} terms, {} effects done, {} taken, {} refused, {} taken back, {} calls",
                     round.faults, h.terms, h.acted, h.accepted, h.refused, h.taken_back, h.answers
@@ -836,7 +863,7 @@
             percentile(&ms, 0.99),
             percentile(&ms, 1.0),
             ms.len(),
-            shape.lease_ms
+            config.lease_ms
         );
     }
     println!("{passed} passed, {failed} failed");
--- a/testbed/tests/copies.rs
+++ b/testbed/tests/copies.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 
 use molelug_testbed::fakes::gateway::{PROGRAM, SAFE, UNSAFE};
-use molelug_testbed::fault_injection::copies::play;
-use molelug_testbed::fault_injection::fleet::{Fleet, Shape};
+use molelug_testbed::fault_injection::copies::run_round;
+use molelug_testbed::fault_injection::fleet::{Fleet, FleetConfig};
 use molelug_testbed::fault_proxy::Faults;
 use molelug_testbed::history::promises::{check, CopyNote, Wrong};
 
 /// Two fleets at a time: more would only wait for the machine, and their silences are told by the clock.
-static PLACES: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
+static SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 
-fn program() -> MutexGuard<'static, ()> {
+fn acquire_slot() -> MutexGuard<'static, ()> {
     PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
     loop {
-        for place in &PLACES {
-            match place.try_lock() {
+        for slot in &SLOTS {
+            match slot.try_lock() {
                 Ok(guard) => return guard,
                 Err(TryLockError::Poisoned(guard)) => return guard.into_inner(),
                 Err(TryLockError::WouldBlock) => {}
@@ -28,85 +28,88 @@
 }
 
 /// The shard of a call that was just sent, by the record that its primary promised next, and who leads it.
-fn led_by(fleet: &Fleet, shard: u16) -> usize {
-    fleet.led()[&shard].1
+fn primary_of(fleet: &Fleet, shard: u16) -> usize {
+    fleet.shard_leaders()[&shard].1
 }
 
 /// A machine that leads is lost with its disk while calls are under way, then another: each call that got a 202 has its
 /// end, and none that must not run twice did.
 #[test]
 fn machines_lost_with_their_disks_take_no_promise_along() {
-    let _place = program();
+    let _slot = acquire_slot();
     for (what, seed) in [
         ("a primary's machine lost", 1),
         ("two machines lost one after the other", 2),
     ] {
-        let round =
-            play(&Shape::default(), seed, 1, Some(what)).unwrap_or_else(|e| panic!("{what}: {e}"));
-        assert!(round.held.calls > 20 && round.held.epochs > 16, "{round:?}");
+        let round = run_round(&FleetConfig::default(), seed, 1, Some(what))
+            .unwrap_or_else(|e| panic!("{what}: {e}"));
+        assert!(
+            round.counts.calls > 20 && round.counts.epochs > 16,
+            "{round:?}"
+        );
     }
 }
 
 /// A process that leads is stopped until another leads, and woken: what it still says is refused by its epoch.
 #[test]
 fn a_primary_that_is_stopped_and_woken_promises_nothing_more() {
-    let _place = program();
-    let shape = Shape::default();
-    let round =
-        play(&shape, 3, 1, Some("a process stopped and woken")).unwrap_or_else(|e| panic!("{e}"));
-    assert!(round.held.declined > 0, "{round:?}");
+    let _slot = acquire_slot();
+    let config = FleetConfig::default();
+    let round = run_round(&config, 3, 1, Some("a process stopped and woken"))
+        .unwrap_or_else(|e| panic!("{e}"));
+    assert!(round.counts.declined > 0, "{round:?}");
 }
 
 /// Three copies; the primary and one more machine of one shard are lost at once.
 #[test]
 fn with_three_copies_two_machines_are_lost_at_once() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             copies: 3,
-            ..Shape::default()
+            ..FleetConfig::default()
         },
         4,
     )
     .unwrap();
-    fleet.whole().unwrap();
-    fleet.call(4);
-    fleet.promised_more(20).unwrap();
-    let members: Vec<usize> = fleet.led()[&1]
+    fleet.wait_for_full_sets().unwrap();
+    fleet.start_callers(4);
+    fleet.wait_for_promises(20).unwrap();
+    let members: Vec<usize> = fleet.shard_leaders()[&1]
         .2
         .iter()
         .map(|m| m.rsplit('-').next().unwrap().parse().unwrap())
         .collect();
     for n in &members[..2] {
-        fleet.lose(*n).unwrap();
+        fleet.lose_machine(*n).unwrap();
     }
-    fleet.whole().unwrap();
-    fleet.promised_more(10).unwrap();
-    let (held, wrong) = fleet.judge().unwrap();
+    fleet.wait_for_full_sets().unwrap();
+    fleet.wait_for_promises(10).unwrap();
+    let (counts, wrong) = fleet.judge().unwrap();
     assert_eq!(wrong, []);
-    assert!(held.installed > 0, "{held:?}");
+    assert!(counts.installed > 0, "{counts:?}");
 }
 
 /// One identity is given to three gateways at once, and again after its primary's machine was lost: it is taken once.
 #[test]
 fn one_identity_at_several_gateways_is_taken_once_also_after_a_loss() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
-            work: Duration::from_millis(300),
-            ..Shape::default()
+        FleetConfig {
+            worker_latency: Duration::from_millis(300),
+            ..FleetConfig::default()
         },
         5,
     )
     .unwrap();
-    fleet.whole().unwrap();
+    fleet.wait_for_full_sets().unwrap();
     for n in 0..12 {
         let id = format!("once-{n}");
-        let desk = fleet.desk();
+        let sender = fleet.call_sender();
         let said: Vec<u16> = std::thread::scope(|s| {
-            let (desk, id) = (&desk, &id);
+            let (sender, id) = (&sender, &id);
             let all: Vec<_> = (0..3)
-                .map(|at| s.spawn(move || desk.send(at, id, UNSAFE)))
+                .map(|at| s.spawn(move || sender.send(at, id, UNSAFE)))
                 .collect();
             all.into_iter().map(|t| t.join().unwrap()).collect()
         });
@@ -114,9 +117,9 @@
         assert_eq!(said.iter().filter(|s| **s == 409).count(), 2, "{said:?}");
     }
     // Whoever leads most loses its machine with calls under way; the same identities are given to the others again.
-    let primary = led_by(&fleet, 1);
-    fleet.lose(primary).unwrap();
-    fleet.whole().unwrap();
+    let primary = primary_of(&fleet, 1);
+    fleet.lose_machine(primary).unwrap();
+    fleet.wait_for_full_sets().unwrap();
     for n in 0..12 {
         for at in (0..6).filter(|at| *at != primary) {
             assert_eq!(
@@ -126,60 +129,62 @@
             );
         }
     }
-    let (held, wrong) = fleet.judge().unwrap();
+    let (counts, wrong) = fleet.judge().unwrap();
     assert_eq!(wrong, []);
-    assert_eq!(held.calls, 12);
+    assert_eq!(counts.calls, 12);
 }
 
 /// Links fail: a primary is cut off one way, its replies are two seconds late, and a third of all frames is lost.
 #[test]
 fn links_that_fail_cost_no_promise() {
-    let _place = program();
+    let _slot = acquire_slot();
     for (what, seed) in [
         ("cut off one way", 6),
         ("replies two seconds slow", 7),
         ("a third of all frames lost", 8),
     ] {
-        play(&Shape::default(), seed, 1, Some(what)).unwrap_or_else(|e| panic!("{what}: {e}"));
+        run_round(&FleetConfig::default(), seed, 1, Some(what))
+            .unwrap_or_else(|e| panic!("{what}: {e}"));
     }
 }
 
 /// All processes are killed at once; a gateway is started on yesterday's copy of its disk, which must not count.
 #[test]
 fn restarts_of_all_and_yesterdays_disk_lose_nothing() {
-    let _place = program();
+    let _slot = acquire_slot();
     for (what, seed) in [("all killed at once", 9), ("yesterday's disk", 10)] {
-        play(&Shape::default(), seed, 1, Some(what)).unwrap_or_else(|e| panic!("{what}: {e}"));
+        run_round(&FleetConfig::default(), seed, 1, Some(what))
+            .unwrap_or_else(|e| panic!("{what}: {e}"));
     }
 }
 
 /// Five copies and four machines: a class that asks for all of them is refused, one that may stand on fewer is taken.
 #[test]
 fn with_fewer_machines_each_class_goes_by_what_the_file_says() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             copies: 5,
-            fewer: true,
-            ..Shape::default()
+            accept_with_fewer: true,
+            ..FleetConfig::default()
         },
         13,
     )
     .unwrap();
-    fleet.whole().unwrap();
+    fleet.wait_for_full_sets().unwrap();
     assert_eq!(
         (fleet.send(0, "all-1", SAFE), fleet.send(0, "all-2", UNSAFE)),
         (202, 202)
     );
-    fleet.lose(4).unwrap();
-    fleet.lose(5).unwrap();
+    fleet.lose_machine(4).unwrap();
+    fleet.lose_machine(5).unwrap();
     let left = |fleet: &Fleet| {
         fleet
-            .led()
+            .shard_leaders()
             .values()
             .all(|s| s.1 < 4 && s.2.len() == 4 && s.2.iter().all(|m| m != "gw-4" && m != "gw-5"))
     };
-    fleet.await_that("sets of four", || left(&fleet)).unwrap();
+    fleet.wait_until("sets of four", || left(&fleet)).unwrap();
     for n in 0..8 {
         assert_eq!(fleet.send(n % 4, &format!("safe-{n}"), SAFE), 202);
         assert_eq!(fleet.send(n % 4, &format!("unsafe-{n}"), UNSAFE), 503);
@@ -191,17 +196,17 @@
 /// SIGTERM: what it leads is handed to others before the process ends.
 #[test]
 fn one_that_ends_in_order_hands_its_shards_on_first() {
-    let _place = program();
-    let mut fleet = Fleet::start(Shape::default(), 14).unwrap();
-    fleet.whole().unwrap();
-    fleet.call(3);
-    fleet.promised_more(20).unwrap();
-    let leaves = led_by(&fleet, 1);
+    let _slot = acquire_slot();
+    let mut fleet = Fleet::start(FleetConfig::default(), 14).unwrap();
+    fleet.wait_for_full_sets().unwrap();
+    fleet.start_callers(3);
+    fleet.wait_for_promises(20).unwrap();
+    let leaves = primary_of(&fleet, 1);
     fleet.gateway(leaves).unwrap().end().unwrap();
     fleet.gateways[leaves].as_mut().unwrap().wait().unwrap();
     let rested = |n: &CopyNote| matches!(n, CopyNote::Rested { .. });
     let led = |n: &CopyNote| matches!(n, CopyNote::Led { .. });
-    let name = molelug_testbed::lease_trials::name(leaves);
+    let name = molelug_testbed::lease_trials::instance_name(leaves);
     let notes = fleet.notes();
     let of = |is: &dyn Fn(&CopyNote) -> bool| {
         notes
@@ -211,10 +216,12 @@
     };
     assert!(of(&led) > 0 && of(&rested) > 0, "it handed nothing on");
     fleet
-        .await_that("heirs", || fleet.led().values().all(|s| s.1 != leaves))
+        .wait_until("heirs", || {
+            fleet.shard_leaders().values().all(|s| s.1 != leaves)
+        })
         .unwrap();
     fleet.kill(leaves).unwrap();
-    fleet.promised_more(20).unwrap();
+    fleet.wait_for_promises(20).unwrap();
     let (_, wrong) = fleet.judge().unwrap();
     assert_eq!(wrong, []);
 }
@@ -222,10 +229,10 @@
 /// Without a majority of the council whole sets go on; a shard whose set is broken promises nothing, and says so.
 #[test]
 fn without_a_majority_whole_sets_go_on() {
-    let _place = program();
-    let mut fleet = Fleet::start(Shape::default(), 11).unwrap();
-    fleet.whole().unwrap();
-    let led = fleet.led();
+    let _slot = acquire_slot();
+    let mut fleet = Fleet::start(FleetConfig::default(), 11).unwrap();
+    fleet.wait_for_full_sets().unwrap();
+    let led = fleet.shard_leaders();
     // Nobody hears of anything agreed any more: all links to three of the five voters' councils would take their copies along,
     // so three voters are stopped.
     let gone = [0, 1, 2];
@@ -234,7 +241,7 @@
     }
     let names: Vec<String> = gone
         .iter()
-        .map(|n| molelug_testbed::lease_trials::name(*n))
+        .map(|n| molelug_testbed::lease_trials::instance_name(*n))
         .collect();
     let whole = led
         .values()
@@ -249,8 +256,8 @@
     for n in gone {
         fleet.gateway(n).unwrap().thaw().unwrap();
     }
-    fleet.call(2);
-    fleet.promised_more(20).unwrap();
+    fleet.start_callers(2);
+    fleet.wait_for_promises(20).unwrap();
     let (_, wrong) = fleet.judge().unwrap();
     assert_eq!(wrong, []);
 }
@@ -259,18 +266,18 @@
 /// finds it.
 #[test]
 fn promises_that_do_not_wait_for_all_are_found() {
-    let _place = program();
-    let shape = Shape {
-        without: Some("all".into()),
-        ..Shape::default()
+    let _slot = acquire_slot();
+    let config = FleetConfig {
+        disabled_guard: Some("all".into()),
+        ..FleetConfig::default()
     };
-    let mut fleet = Fleet::start(shape, 12).unwrap();
-    fleet.whole().unwrap();
-    let (primary, shard) = (led_by(&fleet, 1), 1);
-    fleet.call(4);
-    fleet.promised_more(20).unwrap();
+    let mut fleet = Fleet::start(config, 12).unwrap();
+    fleet.wait_for_full_sets().unwrap();
+    let (primary, shard) = (primary_of(&fleet, 1), 1);
+    fleet.start_callers(4);
+    fleet.wait_for_promises(20).unwrap();
     // What the primary says to copies is held on its way; it promises all the same.
-    fleet.around(
+    fleet.set_instance_faults(
         primary,
         Faults {
             cut: true,
@@ -283,7 +290,9 @@
         fleet
             .notes()
             .iter()
-            .filter(|(who, _, n)| *who == molelug_testbed::lease_trials::name(primary) && of(n))
+            .filter(|(who, _, n)| {
+                *who == molelug_testbed::lease_trials::instance_name(primary) && of(n)
+            })
             .count()
     };
     let before = promised(&fleet);
@@ -291,9 +300,9 @@
         fleet.send(primary, &format!("held-{n}"), SAFE);
     }
     assert!(promised(&fleet) > before);
-    fleet.lose(primary).unwrap();
-    fleet.around(primary, Faults::default(), Faults::default());
-    fleet.whole().unwrap();
+    fleet.lose_machine(primary).unwrap();
+    fleet.set_instance_faults(primary, Faults::default(), Faults::default());
+    fleet.wait_for_full_sets().unwrap();
     let (_, wrong) = check(
         &fleet.notes(),
         &Default::default(),
@@ -312,7 +321,7 @@
 /// The primary's process ends at each step of a call's life, and its machine is lost with the disk.
 #[test]
 fn a_machine_is_lost_at_each_step_of_a_call() {
-    let _place = program();
+    let _slot = acquire_slot();
     let steps = [
         "call recorded here",
         "call promised",
@@ -325,25 +334,27 @@
         "callback answered",
     ];
     for (seed, step) in steps.into_iter().enumerate() {
-        let shape = Shape {
-            ends_at: Some(step),
-            ..Shape::default()
+        let config = FleetConfig {
+            exit_step: Some(step),
+            ..FleetConfig::default()
         };
-        let mut fleet = Fleet::start(shape, 20 + seed as u64).unwrap();
-        fleet.whole().unwrap();
-        let primary = led_by(&fleet, 1);
-        fleet.call(4);
-        fleet.promised_more(10).unwrap();
+        let mut fleet = Fleet::start(config, 20 + seed as u64).unwrap();
+        fleet.wait_for_full_sets().unwrap();
+        let primary = primary_of(&fleet, 1);
+        fleet.start_callers(4);
+        fleet.wait_for_promises(10).unwrap();
         fleet
-            .ends(primary)
+            .wait_for_exit_at_step(primary)
             .unwrap_or_else(|e| panic!("{step}: {e}"));
-        fleet.lose(primary).unwrap();
-        fleet.whole().unwrap_or_else(|e| panic!("{step}: {e}"));
+        fleet.lose_machine(primary).unwrap();
         fleet
-            .promised_more(20)
+            .wait_for_full_sets()
             .unwrap_or_else(|e| panic!("{step}: {e}"));
-        let (held, wrong) = fleet.judge().unwrap();
+        fleet
+            .wait_for_promises(20)
+            .unwrap_or_else(|e| panic!("{step}: {e}"));
+        let (counts, wrong) = fleet.judge().unwrap();
         assert_eq!(wrong, [], "{step}");
-        assert!(held.calls > 20, "{step}");
+        assert!(counts.calls > 20, "{step}");
     }
 }
--- a/testbed/tests/owners.rs
+++ b/testbed/tests/owners.rs
@@ -6,16 +6,16 @@
 use molelug_testbed::fakes::gateway::PROGRAM;
 use molelug_testbed::fault_proxy::{Faults, Way};
 use molelug_testbed::history::{Note, Wrong};
-use molelug_testbed::lease_trials::{name, play, Fleet, Shape, DUTY};
+use molelug_testbed::lease_trials::{instance_name, run_round, Fleet, FleetConfig, OBSERVED_DUTY};
 
 /// Three fleets at a time: more would only wait for the machine, and its leases end by the clock.
-static PLACES: [Mutex<()>; 3] = [Mutex::new(()), Mutex::new(()), Mutex::new(())];
+static SLOTS: [Mutex<()>; 3] = [Mutex::new(()), Mutex::new(()), Mutex::new(())];
 
-fn program() -> MutexGuard<'static, ()> {
+fn acquire_slot() -> MutexGuard<'static, ()> {
     PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
     loop {
-        for place in &PLACES {
-            match place.try_lock() {
+        for slot in &SLOTS {
+            match slot.try_lock() {
                 Ok(guard) => return guard,
                 Err(TryLockError::Poisoned(guard)) => return guard.into_inner(),
                 Err(TryLockError::WouldBlock) => {}
@@ -29,12 +29,12 @@
 /// way all the while: what all recorded is sound, and each fault had its next owner.
 #[test]
 fn owners_that_are_stopped_cut_off_or_killed_do_no_harm() {
-    let _place = program();
+    let _slot = acquire_slot();
     for seed in [1, 2, 3] {
-        let round =
-            play(&Shape::default(), seed, 4, None).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        let round = run_round(&FleetConfig::default(), seed, 4, None)
+            .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert!(
-            round.held.terms >= 5 && round.held.accepted > 0,
+            round.counts.terms >= 5 && round.counts.accepted > 0,
             "{round:?}"
         );
     }
@@ -44,19 +44,19 @@
 /// taken out the checker finds that they were taken.
 #[test]
 fn effects_that_come_late_are_refused_by_their_term() {
-    let _place = program();
+    let _slot = acquire_slot();
     for without in [None, Some("terms".to_owned())] {
-        let shape = Shape {
+        let config = FleetConfig {
             lease_ms: 2_500,
-            without: without.clone(),
-            ..Shape::default()
+            disabled_guard: without.clone(),
+            ..FleetConfig::default()
         };
-        let mut fleet = Fleet::start(shape, 5).unwrap();
-        fleet.call().unwrap();
-        let (owner, term, _) = fleet.owned_after(0).unwrap();
-        fleet.effect_of(term).unwrap();
-        let from = fleet.seen.len();
-        fleet.around(
+        let mut fleet = Fleet::start(config, 5).unwrap();
+        fleet.start_callers().unwrap();
+        let (owner, term, _) = fleet.wait_for_owner_after(0).unwrap();
+        fleet.wait_for_effect(term).unwrap();
+        let from = fleet.notes.len();
+        fleet.set_instance_faults(
             owner,
             Faults {
                 cut: true,
@@ -65,28 +65,28 @@
             Faults::default(),
         );
         fleet
-            .until(from, "an effect that is held", |s| {
+            .wait_for_note(from, "an effect that is held", |s| {
                 s.instance == owner && matches!(s.note, Note::Sent { .. })
             })
             .unwrap();
-        let (next, later, _) = fleet.owned_after(term).unwrap();
+        let (next, later, _) = fleet.wait_for_owner_after(term).unwrap();
         assert_ne!(next, owner);
-        fleet.effect_of(later).unwrap();
-        let from = fleet.seen.len();
-        fleet.around(owner, Faults::default(), Faults::default());
+        fleet.wait_for_effect(later).unwrap();
+        let from = fleet.notes.len();
+        fleet.set_instance_faults(owner, Faults::default(), Faults::default());
         let late = |n: &Note| match n {
             Note::Refused { term: t, .. } | Note::Accepted { term: t, .. } => *t == term,
             _ => false,
         };
         fleet
-            .until(from, "what was held", |s| late(&s.note))
+            .wait_for_note(from, "what was held", |s| late(&s.note))
             .unwrap();
-        let (held, wrong) = fleet.judge().unwrap();
+        let (counts, wrong) = fleet.judge().unwrap();
         let stale = wrong.iter().any(|w| matches!(w, Wrong::Stale { .. }));
         assert_eq!(stale, without.is_some(), "{wrong:?}");
         assert!(
-            without.is_some() || wrong.is_empty() && held.refused > 0,
-            "{wrong:?} {held:?}"
+            without.is_some() || wrong.is_empty() && counts.refused > 0,
+            "{wrong:?} {counts:?}"
         );
     }
 }
@@ -94,35 +94,34 @@
 /// The owner is stopped past its lease and woken with trials due. What holds it back is its look at the lease.
 #[test]
 fn an_owner_that_wakes_up_late_looks_at_its_lease() {
-    let _place = program();
+    let _slot = acquire_slot();
     for without in [None, Some("lease".to_owned())] {
         let mut fleet = Fleet::start(
-            Shape {
-                without: without.clone(),
-                ..Shape::default()
+            FleetConfig {
+                disabled_guard: without.clone(),
+                ..FleetConfig::default()
             },
             6,
         )
         .unwrap();
-        fleet.call().unwrap();
-        let (owner, term, _) = fleet.owned_after(0).unwrap();
-        fleet.effect_of(term).unwrap();
+        fleet.start_callers().unwrap();
+        let (owner, term, _) = fleet.wait_for_owner_after(0).unwrap();
+        fleet.wait_for_effect(term).unwrap();
         fleet.gateway(owner).unwrap().freeze().unwrap();
-        let (_, later, _) = fleet.owned_after(term).unwrap();
-        fleet.effect_of(later).unwrap();
-        let from = fleet.seen.len();
+        let (_, later, _) = fleet.wait_for_owner_after(term).unwrap();
+        fleet.wait_for_effect(later).unwrap();
+        let from = fleet.notes.len();
         fleet.gateway(owner).unwrap().thaw().unwrap();
-        let ended =
-            |n: &Note| matches!(n, Note::Ended { duty, term: t } if duty == DUTY && *t == term);
+        let ended = |n: &Note| matches!(n, Note::Ended { duty, term: t } if duty == OBSERVED_DUTY && *t == term);
         fleet
-            .until(from, "the end of its lease", |s| {
+            .wait_for_note(from, "the end of its lease", |s| {
                 s.instance == owner && ended(&s.note)
             })
             .unwrap();
         let (_, wrong) = fleet.judge().unwrap();
         let acted = wrong
             .iter()
-            .any(|w| matches!(w, Wrong::NoLease { owner: o, .. } if *o == name(owner)));
+            .any(|w| matches!(w, Wrong::NoLease { owner: o, .. } if *o == instance_name(owner)));
         assert!(without.is_some() || wrong.is_empty(), "{wrong:?}");
         // Without the look it may do something in the moment before it hears: that is what the seeds look for.
         assert!(!acted || without.is_some());
@@ -132,25 +131,25 @@
 /// Three of five voters are gone: nobody owns anything, and calls go on. Two come back: somebody does.
 #[test]
 fn without_a_majority_calls_go_on_and_duties_rest() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             instances: 6,
-            ..Shape::default()
+            ..FleetConfig::default()
         },
         7,
     )
     .unwrap();
-    fleet.call().unwrap();
-    let (owner, term, _) = fleet.owned_after(0).unwrap();
+    fleet.start_callers().unwrap();
+    let (owner, term, _) = fleet.wait_for_owner_after(0).unwrap();
     let gone: Vec<usize> = (0..5).filter(|n| *n != owner).take(3).collect();
     for n in &gone {
         fleet.kill(*n).unwrap();
     }
-    let from = fleet.seen.len();
+    let from = fleet.notes.len();
     let ended = |n: &Note| matches!(n, Note::Ended { term: t, .. } if *t == term);
     fleet
-        .until(from, "the end of the last lease", |s| ended(&s.note))
+        .wait_for_note(from, "the end of the last lease", |s| ended(&s.note))
         .unwrap();
     // Calls are answered meanwhile: ten more at a gateway that is still there.
     let file = fleet.histories().join("calls-5-0.jsonl");
@@ -169,19 +168,21 @@
         );
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    fleet.look().unwrap();
+    fleet.read_notes().unwrap();
     assert_eq!(
         fleet.owner().map(|(_, t)| t),
         Some(term),
         "somebody owned it without a majority"
     );
-    let from = fleet.seen.len();
+    let from = fleet.notes.len();
     for n in &gone[..2] {
-        fleet.run(*n).unwrap();
+        fleet.start_instance(*n).unwrap();
     }
     // The old owner under its own term, which nobody else was granted since, or another under the next.
-    let began = |n: &Note| matches!(n, Note::Began { duty, .. } if duty == DUTY);
-    fleet.until(from, "an owner", |s| began(&s.note)).unwrap();
+    let began = |n: &Note| matches!(n, Note::Began { duty, .. } if duty == OBSERVED_DUTY);
+    fleet
+        .wait_for_note(from, "an owner", |s| began(&s.note))
+        .unwrap();
     let (_, wrong) = fleet.judge().unwrap();
     assert_eq!(wrong, []);
 }
@@ -190,18 +191,18 @@
 /// was, says why, and the others go on.
 #[test]
 fn a_voter_without_its_own_disk_does_not_vote() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             instances: 3,
             voters: 3,
-            ..Shape::default()
+            ..FleetConfig::default()
         },
         8,
     )
     .unwrap();
-    fleet.call().unwrap();
-    let (owner, mut term, _) = fleet.owned_after(0).unwrap();
+    fleet.start_callers().unwrap();
+    let (owner, mut term, _) = fleet.wait_for_owner_after(0).unwrap();
     let victim = (owner + 1) % 3;
     let (seat, copy) = (
         fleet.home(victim).join("seat"),
@@ -210,38 +211,38 @@
     // Yesterday's: as it was before one more start.
     fleet.kill(victim).unwrap();
     std::fs::copy(&seat, &copy).unwrap();
-    fleet.run(victim).unwrap();
-    let votes = |s: &molelug_testbed::lease_trials::Seen| {
+    fleet.start_instance(victim).unwrap();
+    let votes = |s: &molelug_testbed::lease_trials::ObservedNote| {
         s.instance == victim && matches!(s.note, Note::Agreed { .. })
     };
-    let from = fleet.seen.len();
+    let from = fleet.notes.len();
     fleet.kill(owner).unwrap();
-    let (_, later, _) = fleet.owned_after(term).unwrap();
-    fleet.until(from, "its vote", votes).unwrap();
+    let (_, later, _) = fleet.wait_for_owner_after(term).unwrap();
+    fleet.wait_for_note(from, "its vote", votes).unwrap();
     term = later;
-    fleet.run(owner).unwrap();
+    fleet.start_instance(owner).unwrap();
     fleet.kill(victim).unwrap();
     std::fs::copy(&copy, &seat).unwrap();
-    let from = fleet.seen.len();
-    fleet.run(victim).unwrap();
-    let retired = |s: &molelug_testbed::lease_trials::Seen| {
+    let from = fleet.notes.len();
+    fleet.start_instance(victim).unwrap();
+    let retired = |s: &molelug_testbed::lease_trials::ObservedNote| {
         s.instance == victim && matches!(s.note, Note::Retired { .. })
     };
     fleet
-        .until(from, "the refusal of yesterday's disk", retired)
+        .wait_for_note(from, "the refusal of yesterday's disk", retired)
         .unwrap();
     // The other two go on without it.
     let (owner, _) = fleet.owner().unwrap();
     if owner != victim {
         fleet.gateway(owner).unwrap().end().unwrap();
         fleet.gateways[owner].take().unwrap().wait().unwrap();
-        fleet.run(owner).unwrap();
-        fleet.owned_after(term).unwrap();
+        fleet.start_instance(owner).unwrap();
+        fleet.wait_for_owner_after(term).unwrap();
     }
     // Without a disk it follows, and says that it does not vote.
     fleet.kill(victim).unwrap();
     std::fs::remove_file(&seat).unwrap();
-    fleet.run(victim).unwrap();
+    fleet.start_instance(victim).unwrap();
     let log = &fleet.gateways[victim].as_ref().unwrap().log;
     assert!(
         log.iter()
@@ -256,19 +257,19 @@
 /// first one's, and once the first has ended it has its address and its seat.
 #[test]
 fn of_two_processes_under_one_name_the_newer_one_votes_once_the_older_has_ended() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             instances: 3,
             voters: 3,
-            ..Shape::default()
+            ..FleetConfig::default()
         },
         9,
     )
     .unwrap();
-    fleet.call().unwrap();
-    let (owner, term, _) = fleet.owned_after(0).unwrap();
-    let second = fleet.run_beside(owner).unwrap();
+    fleet.start_callers().unwrap();
+    let (owner, term, _) = fleet.wait_for_owner_after(0).unwrap();
+    let second = fleet.start_process(owner).unwrap();
     assert!(
         second.log.iter().any(|l| l.contains("is in use")),
         "{:?}",
@@ -277,7 +278,7 @@
     fleet.gateway(owner).unwrap().end().unwrap();
     fleet.gateways[owner].take().unwrap().wait().unwrap();
     fleet.gateways[owner] = Some(second);
-    fleet.owned_after(term).unwrap();
+    fleet.wait_for_owner_after(term).unwrap();
     // The newer one's vote is needed for anything to be agreed once a third is gone.
     let other = (owner + 1) % 3;
     let (_, term) = fleet.owner().unwrap();
@@ -287,11 +288,11 @@
         fleet.gateway(last).unwrap().freeze().unwrap();
         fleet.gateway(last).unwrap().thaw().unwrap();
     }
-    let from = fleet.seen.len();
-    fleet.run(other).unwrap();
+    let from = fleet.notes.len();
+    fleet.start_instance(other).unwrap();
     let again = |n: &Note| matches!(n, Note::Agreed { .. } | Note::Restored { .. });
     fleet
-        .until(from, "what was agreed", |s| {
+        .wait_for_note(from, "what was agreed", |s| {
             s.instance == other && again(&s.note)
         })
         .unwrap();
@@ -304,18 +305,18 @@
 /// two do in one term, and somebody owns the duty once the network is whole.
 #[test]
 fn lossy_flapping_and_half_cut_links_leave_one_owner() {
-    let _place = program();
-    let mut fleet = Fleet::start(Shape::default(), 10).unwrap();
-    fleet.call().unwrap();
-    let (_, mut term, _) = fleet.owned_after(0).unwrap();
-    fleet.everywhere(Faults {
+    let _slot = acquire_slot();
+    let mut fleet = Fleet::start(FleetConfig::default(), 10).unwrap();
+    fleet.start_callers().unwrap();
+    let (_, mut term, _) = fleet.wait_for_owner_after(0).unwrap();
+    fleet.set_all_faults(Faults {
         lost: 30,
         doubled: 3,
         jitter_ms: 20,
         ..Faults::default()
     });
     let leader = fleet
-        .seen
+        .notes
         .iter()
         .rfind(|s| matches!(s.note, Note::Leads { .. }))
         .unwrap()
@@ -335,39 +336,39 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(400));
     }
-    fleet.everywhere(Faults::default());
-    fleet.look().unwrap();
+    fleet.set_all_faults(Faults::default());
+    fleet.read_notes().unwrap();
     if let Some((owner, t)) = fleet.owner().filter(|(_, t)| *t >= term) {
         // Whoever it is, its end has another follow.
         fleet.kill(owner).unwrap();
         term = t;
     }
-    fleet.owned_after(term).unwrap();
-    let (held, wrong) = fleet.judge().unwrap();
-    assert_eq!(wrong, [], "{held:?}");
+    fleet.wait_for_owner_after(term).unwrap();
+    let (counts, wrong) = fleet.judge().unwrap();
+    assert_eq!(wrong, [], "{counts:?}");
 }
 
 /// Clients take nearly all descriptors of whoever owns the duty: it gives it up by itself, and has it or another again later.
 #[test]
 fn an_owner_without_descriptors_gives_its_duty_up() {
-    let _place = program();
-    let shape = Shape {
+    let _slot = acquire_slot();
+    let config = FleetConfig {
         instances: 3,
         voters: 3,
-        sockets: 90,
-        ..Shape::default()
+        max_descriptors: 90,
+        ..FleetConfig::default()
     };
-    let mut fleet = Fleet::start(shape, 13).unwrap();
-    fleet.call().unwrap();
-    let (owner, term, _) = fleet.owned_after(0).unwrap();
+    let mut fleet = Fleet::start(config, 13).unwrap();
+    fleet.start_callers().unwrap();
+    let (owner, term, _) = fleet.wait_for_owner_after(0).unwrap();
     let to = fleet.gateway(owner).unwrap().platform;
     let mut clients = std::collections::VecDeque::new();
-    let from = fleet.seen.len();
-    let gone = |s: &molelug_testbed::lease_trials::Seen| {
+    let from = fleet.notes.len();
+    let gone = |s: &molelug_testbed::lease_trials::ObservedNote| {
         s.instance == owner && matches!(&s.note, Note::Ended { term: t, .. } if *t == term)
     };
     let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
-    while !fleet.seen[from..].iter().any(gone) {
+    while !fleet.notes[from..].iter().any(gone) {
         assert!(std::time::Instant::now() < end, "it kept the duty");
         // One that says nothing is let go after two seconds; others wait in its place.
         clients.extend(std::net::TcpStream::connect(to));
@@ -375,9 +376,9 @@
             clients.pop_front();
         }
         std::thread::sleep(std::time::Duration::from_millis(2));
-        fleet.look().unwrap();
+        fleet.read_notes().unwrap();
     }
-    fleet.owned_after(term).unwrap();
+    fleet.wait_for_owner_after(term).unwrap();
     drop(clients);
     let (_, wrong) = fleet.judge().unwrap();
     assert_eq!(wrong, []);
@@ -386,31 +387,31 @@
 /// A seat's file that was cut short, or is something else: the gateway says so, follows and serves.
 #[test]
 fn a_gateway_whose_seat_is_damaged_follows_and_serves() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             instances: 3,
             voters: 3,
-            ..Shape::default()
+            ..FleetConfig::default()
         },
         11,
     )
     .unwrap();
-    fleet.call().unwrap();
-    let (owner, ..) = fleet.owned_after(0).unwrap();
+    fleet.start_callers().unwrap();
+    let (owner, ..) = fleet.wait_for_owner_after(0).unwrap();
     let victim = (owner + 1) % 3;
     fleet.kill(victim).unwrap();
     let seat = fleet.home(victim).join("seat");
     let whole = std::fs::read(&seat).unwrap();
     for damaged in [&whole[..whole.len() / 3], &b"not a seat"[..]] {
         std::fs::write(&seat, damaged).unwrap();
-        let from = fleet.seen.len();
-        fleet.run(victim).unwrap();
+        let from = fleet.notes.len();
+        fleet.start_instance(victim).unwrap();
         let log = &fleet.gateway(victim).unwrap().log;
         assert!(log.iter().any(|l| l.contains("does not vote")), "{log:?}");
         let restored = |n: &Note| matches!(n, Note::Restored { .. });
         fleet
-            .until(from, "what it follows", |s| {
+            .wait_for_note(from, "what it follows", |s| {
                 s.instance == victim && restored(&s.note)
             })
             .unwrap();
@@ -425,19 +426,19 @@
 #[test]
 fn strangers_on_the_councils_port_harm_nobody() {
     use std::io::{Read, Write};
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             instances: 3,
             voters: 3,
             lease_ms: 1_500,
-            ..Shape::default()
+            ..FleetConfig::default()
         },
         12,
     )
     .unwrap();
-    fleet.call().unwrap();
-    let (owner, term, _) = fleet.owned_after(0).unwrap();
+    fleet.start_callers().unwrap();
+    let (owner, term, _) = fleet.wait_for_owner_after(0).unwrap();
     let text = std::fs::read_to_string(fleet.home(owner).join("council.toml")).unwrap();
     let listen = text
         .lines()
@@ -476,7 +477,7 @@
         .unwrap();
     let mut first = [0; molelug::consensus::wire::CHALLENGE_BYTES];
     s.read_exact(&mut first).unwrap();
-    let mut session = Session::connector("gw-1", &name(owner), challenge("gw-1", 1, 1));
+    let mut session = Session::connector("gw-1", &instance_name(owner), challenge("gw-1", 1, 1));
     session.read_frame(&keys, &first).unwrap();
     let poll = Body::Poll(molelug::consensus::wire::Poll::default());
     s.write_all(&session.seal_frame(&keys, &poll).unwrap())
@@ -486,11 +487,13 @@
         0,
         "a forged frame got an answer"
     );
-    let from = fleet.seen.len();
-    let acts = |s: &molelug_testbed::lease_trials::Seen| {
+    let from = fleet.notes.len();
+    let acts = |s: &molelug_testbed::lease_trials::ObservedNote| {
         s.instance == owner && matches!(s.note, Note::Acted { .. })
     };
-    fleet.until(from, "the owner to go on", acts).unwrap();
+    fleet
+        .wait_for_note(from, "the owner to go on", acts)
+        .unwrap();
     assert_eq!(fleet.owner(), Some((owner, term)));
     drop(silent);
     let (_, wrong) = fleet.judge().unwrap();
@@ -501,21 +504,21 @@
 /// the partition lasts. Back again, the old one votes no more, and the new one's vote counts.
 #[test]
 fn voters_are_exchanged_by_command_during_a_partition() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             instances: 4,
             voters: 3,
-            seats: 1,
-            ..Shape::default()
+            spare_seats: 1,
+            ..FleetConfig::default()
         },
         14,
     )
     .unwrap();
-    fleet.call().unwrap();
-    let (_, term, _) = fleet.owned_after(0).unwrap();
+    fleet.start_callers().unwrap();
+    let (_, term, _) = fleet.wait_for_owner_after(0).unwrap();
     let leads = |f: &Fleet| {
-        f.seen
+        f.notes
             .iter()
             .rfind(|s| matches!(s.note, Note::Leads { .. }))
             .unwrap()
@@ -527,11 +530,11 @@
         cut: true,
         ..Faults::default()
     };
-    fleet.around(gone, cut, cut);
-    let until = |f: &Fleet, at: usize, what: &[&str], has: &str| {
+    fleet.set_instance_faults(gone, cut, cut);
+    let wait_for_output = |f: &Fleet, at: usize, what: &[&str], has: &str| {
         let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
         loop {
-            let said = f.ask(at, what).unwrap_or_else(|e| e.to_string());
+            let said = f.run_command(at, what).unwrap_or_else(|e| e.to_string());
             if said.contains(has) {
                 return said;
             }
@@ -551,16 +554,16 @@
     {
         fleet.links[&(from, to)].set_both(cut);
     }
-    until(
+    wait_for_output(
         &fleet,
         leader,
         &["council", "show"],
         "could vote        gw-3",
     );
     fleet
-        .ask(leader, &["council", "exchange", "--joins", "gw-3"])
+        .run_command(leader, &["council", "exchange", "--joins", "gw-3"])
         .unwrap();
-    until(
+    wait_for_output(
         &fleet,
         leader,
         &["council", "show"],
@@ -571,29 +574,32 @@
         .iter()
         .filter(|((from, _), _)| *from == 3)
         .for_each(|(_, l)| l.set_both(Faults::default()));
-    fleet.around(gone, cut, cut);
-    until(&fleet, 3, &["council", "show"], "votes             true");
+    fleet.set_instance_faults(gone, cut, cut);
+    wait_for_output(&fleet, 3, &["council", "show"], "votes             true");
     let refused = fleet
-        .ask(leader, &["council", "exchange", "--leaves", "gw-9"])
+        .run_command(leader, &["council", "exchange", "--leaves", "gw-9"])
         .unwrap_err()
         .to_string();
     assert!(refused.contains("does not vote"), "{refused}");
     let at = leads(&fleet);
     fleet
-        .ask(at, &["council", "exchange", "--leaves", &name(gone)])
+        .run_command(
+            at,
+            &["council", "exchange", "--leaves", &instance_name(gone)],
+        )
         .unwrap();
-    let said = until(&fleet, 3, &["council", "show", "--json"], "\"voters\"");
+    let said = wait_for_output(&fleet, 3, &["council", "show", "--json"], "\"voters\"");
     assert!(said.contains("gw-3"), "{said}");
-    fleet.everywhere(Faults::default());
-    until(&fleet, gone, &["council", "show"], "voter             gw-3");
+    fleet.set_all_faults(Faults::default());
+    wait_for_output(&fleet, gone, &["council", "show"], "voter             gw-3");
     // With the old one out, a majority is two of three: the new one and one more are enough.
     let other = (0..3).find(|n| *n != gone && *n != at).unwrap();
     fleet.kill(other).unwrap();
     let (owner, now) = fleet.owner().unwrap();
     if owner == other {
-        fleet.owned_after(now).unwrap();
+        fleet.wait_for_owner_after(now).unwrap();
     }
-    let duties = until(&fleet, at, &["duties", "--explain"], "trials  term");
+    let duties = wait_for_output(&fleet, at, &["duties", "--explain"], "trials  term");
     assert!(duties.contains("owner gw-"), "{duties}");
     assert!(fleet.owner().unwrap().1 >= term);
     let (_, wrong) = fleet.judge().unwrap();
@@ -604,25 +610,25 @@
 /// and goes on.
 #[test]
 fn keys_rotate_while_an_owner_acts() {
-    let _place = program();
+    let _slot = acquire_slot();
     let mut fleet = Fleet::start(
-        Shape {
+        FleetConfig {
             instances: 4,
             voters: 3,
             lease_ms: 1_500,
-            ..Shape::default()
+            ..FleetConfig::default()
         },
         15,
     )
     .unwrap();
-    fleet.call().unwrap();
-    let (owner, term, _) = fleet.owned_after(0).unwrap();
+    fleet.start_callers().unwrap();
+    let (owner, term, _) = fleet.wait_for_owner_after(0).unwrap();
     for keys in [&[7u8, 8][..], &[8, 7], &[8]] {
-        fleet.rotate(keys).unwrap();
-        let from = fleet.seen.len();
+        fleet.rotate_keys(keys).unwrap();
+        let from = fleet.notes.len();
         let took = |n: &Note| matches!(n, Note::Accepted { term: t, .. } if *t == term);
         fleet
-            .until(from, "an effect under these keys", |s| {
+            .wait_for_note(from, "an effect under these keys", |s| {
                 s.instance == 3 && took(&s.note)
             })
             .unwrap();
