--- a/testbed/src/bench.rs
+++ b/testbed/src/bench.rs
@@ -1,4 +1,4 @@
-//! `bench wheel`: the delivery's timer structure against plain ones.
+//! `bench wheel`: compares the timing wheel of callback delivery with standard collections.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashSet};
@@ -10,11 +10,13 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-fn each(begun: Instant, n: usize) -> f64 {
+/// Returns the mean time in nanoseconds of `n` operations that began at `begun`.
+fn nanos_per_operation(begun: Instant, n: usize) -> f64 {
     begun.elapsed().as_nanos() as f64 / n as f64
 }
 
-/// Nanoseconds an operation: all inserted, every other one cancelled, the rest told in steps of a second.
+/// Measures nanoseconds per operation: inserts all entries, cancels every other one, and expires the
+/// rest in steps of one second.
 pub fn wheel() -> Result<bool> {
     println!(
         "{:>9} {:<14} {:>9} {:>9} {:>9} {:>12}",
@@ -22,7 +24,7 @@
     );
     for n in [10_000usize, 100_000, 1_000_000] {
         let mut random = ChaCha8Rng::seed_from_u64(7);
-        // Due within an hour, as what waits for its next attempt is.
+        // All entries are due within an hour, like callbacks that wait for their next attempt.
         let times: Vec<u64> = (0..n).map(|_| random.next_u64() % 3_600_000_000).collect();
         let row = |name: &str, i: f64, c: f64, e: f64, bytes: String| {
             println!("{n:>9} {name:<14} {i:>6.0} ns {c:>6.0} ns {e:>6.0} ns {bytes:>12}");
@@ -34,54 +36,54 @@
             .enumerate()
             .map(|(i, t)| w.insert(*t, i as u64))
             .collect();
-        let insert = each(begun, n);
+        let insert = nanos_per_operation(begun, n);
         let bytes = w.bytes() as f64 / n as f64;
         let begun = Instant::now();
         timers.iter().step_by(2).for_each(|t| {
             black_box(w.cancel(*t));
         });
-        let cancel = each(begun, n / 2);
+        let cancel = nanos_per_operation(begun, n / 2);
         let begun = Instant::now();
-        let (mut told, mut out) = (0, Vec::new());
+        let (mut expired, mut out) = (0, Vec::new());
         for second in 1..=3600u64 {
             w.expire(second * 1_000_000, &mut out);
-            told += out.drain(..).count();
+            expired += out.drain(..).count();
         }
         row(
             "wheel",
             insert,
             cancel,
-            each(begun, n / 2),
+            nanos_per_operation(begun, n / 2),
             format!("{bytes:.0}"),
         );
-        assert_eq!(told, n / 2);
+        assert_eq!(expired, n / 2);
 
         let mut set = BTreeSet::new();
         let begun = Instant::now();
         times.iter().enumerate().for_each(|(i, t)| {
             set.insert((*t, i as u64));
         });
-        let insert = each(begun, n);
+        let insert = nanos_per_operation(begun, n);
         let begun = Instant::now();
         times.iter().enumerate().step_by(2).for_each(|(i, t)| {
             black_box(set.remove(&(*t, i as u64)));
         });
-        let cancel = each(begun, n / 2);
+        let cancel = nanos_per_operation(begun, n / 2);
         let begun = Instant::now();
-        let mut told = 0;
+        let mut expired = 0;
         for second in 1..=3600u64 {
             while set.first().is_some_and(|(t, _)| *t <= second * 1_000_000) {
-                told += usize::from(black_box(set.pop_first()).is_some());
+                expired += usize::from(black_box(set.pop_first()).is_some());
             }
         }
         row(
             "BTreeSet",
             insert,
             cancel,
-            each(begun, n / 2),
+            nanos_per_operation(begun, n / 2),
             "16 and nodes".into(),
         );
-        assert_eq!(told, n / 2);
+        assert_eq!(expired, n / 2);
 
         let (mut heap, mut gone) = (BinaryHeap::new(), HashSet::new());
         let begun = Instant::now();
@@ -89,15 +91,15 @@
             .iter()
             .enumerate()
             .for_each(|(i, t)| heap.push(Reverse((*t, i as u64))));
-        let insert = each(begun, n);
+        let insert = nanos_per_operation(begun, n);
         let begun = Instant::now();
-        // A heap cannot cancel: what is cancelled is marked and passed over when its time comes.
+        // A heap cannot cancel: cancelled entries are marked and skipped when they are due.
         (0..n as u64).step_by(2).for_each(|i| {
             gone.insert(i);
         });
-        let cancel = each(begun, n / 2);
+        let cancel = nanos_per_operation(begun, n / 2);
         let begun = Instant::now();
-        let mut told = 0;
+        let mut expired = 0;
         for second in 1..=3600u64 {
             while heap
                 .peek()
@@ -106,17 +108,17 @@
                 let Some(Reverse((_, i))) = heap.pop() else {
                     break;
                 };
-                told += usize::from(!gone.remove(&i));
+                expired += usize::from(!gone.remove(&i));
             }
         }
         row(
             "BinaryHeap",
             insert,
             cancel,
-            each(begun, n / 2),
+            nanos_per_operation(begun, n / 2),
             "16 and marks".into(),
         );
-        assert_eq!(told, n / 2);
+        assert_eq!(expired, n / 2);
     }
     Ok(true)
 }
--- a/testbed/src/bin/molelug-lab.rs
+++ b/testbed/src/bin/molelug-lab.rs
@@ -1,4 +1,4 @@
-//! The testbed's program under its former name, which scripts may still use.
+//! Main program of the test bed under its former name, for scripts that still use it.
 
 use std::process::ExitCode;
 
--- a/testbed/src/cli.rs
+++ b/testbed/src/cli.rs
@@ -1,4 +1,4 @@
-//! The testbed's command line.
+//! Command line of the test bed.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -278,10 +278,10 @@
     },
 }
 
-/// Runs the sub-command that the program's arguments name.
+/// Runs the subcommand given on the command line.
 pub fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().collect();
-    // The gateway itself, for the tools that start it.
+    // Runs the gateway itself, for the tools that start it with this program.
     if args.get(1).is_some_and(|a| a == "gateway") {
         return molelug::cli::main_with(&args[2..]);
     }
@@ -358,7 +358,7 @@
             }
             "cost" => fault_injection::copies::cost(instances, rounds),
             other => Err(std::io::Error::other(format!(
-                "no subject '{other}': there are copies and cost"
+                "unknown subject '{other}': expected copies or cost"
             ))),
         },
         Command::Calls { seconds, turns } => lease_trials::calls(seconds, turns),
@@ -388,7 +388,7 @@
             "outage" => outage::soak(seeds, seed, parallel, outage::Scenario::draw),
             "held-back" => outage::soak(seeds, seed, parallel, outage::Scenario::held_back),
             other => Err(std::io::Error::other(format!(
-                "no subject '{other}': there are outage and held-back"
+                "unknown subject '{other}': expected outage or held-back"
             ))),
         },
         Command::Bench(Bench::Wheel) => bench::wheel(),
--- a/testbed/src/conformance.rs
+++ b/testbed/src/conformance.rs
@@ -1,4 +1,4 @@
-//! `conformance`: the published specification's cases, from data files, against any implementation.
+//! `conformance`: runs test cases of the published webhook specification against any implementation.
 
 use std::io::{Error, Read, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -63,7 +63,7 @@
     Ok(cases.case)
 }
 
-/// The bytes of a case's request.
+/// Builds the request of a case.
 fn request(case: &Case, path: &str, key: &Secret, id: &str, text: &str) -> Vec<u8> {
     let stamp = now_s().saturating_add_signed(case.stamp);
     let other = secret(99);
@@ -120,7 +120,8 @@
     head.into_bytes()
 }
 
-fn verdicts(rows: &[(String, String, std::result::Result<(), String>)]) -> bool {
+/// Prints the result of each case. Returns `true` if all passed.
+fn print_results(rows: &[(String, String, std::result::Result<(), String>)]) -> bool {
     let failed = rows.iter().filter(|(.., r)| r.is_err()).count();
     for (name, section, result) in rows {
         match result {
@@ -132,7 +133,7 @@
     failed == 0
 }
 
-/// Plays the receiver's cases.
+/// Runs the receiver's cases.
 pub fn receiver(
     own: bool,
     target: Option<SocketAddr>,
@@ -143,19 +144,21 @@
     if !own {
         let (Some(target), Some(key)) = (target, key) else {
             return Err(Error::other(
-                "--target and --secret tell the receiver, or --self starts one",
+                "--target and --secret are required unless --self starts a receiver",
             ));
         };
         let key = Secret::parse(key).map_err(Error::other)?;
-        return receive(target, path, &key, text);
+        return check_receiver(target, path, &key, text);
     }
     let folder = Folder::new("receiver")?;
     let workers = [Worker::start(Duration::ZERO, 0)?];
     let portal = TcpListener::bind("127.0.0.1:0")?;
     let mut g = Gateway::start(&folder.0, &workers, &operator(portal.local_addr()?), 900.0)?;
-    let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+    let to = g
+        .webhooks
+        .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
     let text = String::from_utf8(call_body(SAFE, 1, None)).map_err(Error::other)?;
-    let good = receive(to, "/webhooks/t", &secret(1), &text)?;
+    let good = check_receiver(to, "/webhooks/t", &secret(1), &text)?;
     g.stop()?;
     Ok(good)
 }
@@ -168,7 +171,7 @@
     )
 }
 
-fn receive(target: SocketAddr, path: &str, key: &Secret, text: &str) -> Result<bool> {
+fn check_receiver(target: SocketAddr, path: &str, key: &Secret, text: &str) -> Result<bool> {
     let mut rows = Vec::new();
     let run = now_s();
     for (n, case) in cases()?.iter().enumerate() {
@@ -184,19 +187,19 @@
         };
         rows.push((case.name.clone(), case.section.clone(), result));
     }
-    Ok(verdicts(&rows))
+    Ok(print_results(&rows))
 }
 
-/// One delivery that a sender made.
-struct Got {
+/// A delivery received from the sender under test.
+struct Delivery {
     bytes: Vec<u8>,
     at: Instant,
-    /// What it was answered.
-    told: u16,
+    /// Status that answered the delivery.
+    status: u16,
 }
 
-/// Plays the sender's cases: takes what it sends, answers the first delivery of each message 500, its repeat 301, and
-/// then 204, and looks at what came.
+/// Runs the sender's cases: answers the first delivery of each message with 500, the second with 301
+/// and later ones with 204, and checks the received deliveries.
 pub fn sender(own: bool, listen: Option<SocketAddr>, key: Option<&str>) -> Result<bool> {
     let listener = TcpListener::bind(listen.unwrap_or_else(|| ([127, 0, 0, 1], 0).into()))?;
     let key = key
@@ -207,7 +210,7 @@
             "point the sender at http://{}/ and have it send one message",
             listener.local_addr()?
         );
-        return send(&listener, &key, None);
+        return check_sender(&listener, &key, None);
     }
     let folder = Folder::new("sender")?;
     let workers = [Worker::start(Duration::ZERO, 0)?];
@@ -217,44 +220,47 @@
         &operator(listener.local_addr()?),
         900.0,
     )?;
-    let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+    let to = g
+        .webhooks
+        .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
     for class in [SAFE, UNSAFE] {
         Caller::new(to).call("t", &secret(1), class, &call_body(class, 1, None))?;
     }
-    let good = send(&listener, &key, Some(UNSAFE))?;
+    let good = check_sender(&listener, &key, Some(UNSAFE))?;
     g.stop()?;
     Ok(good)
 }
 
-fn send(listener: &TcpListener, key: &Secret, once: Option<&str>) -> Result<bool> {
+/// Checks deliveries from a sender; `once` is the call whose callback must arrive only once.
+fn check_sender(listener: &TcpListener, key: &Secret, once: Option<&str>) -> Result<bool> {
     listener.set_nonblocking(true)?;
     let elsewhere = TcpListener::bind("127.0.0.1:0")?;
     elsewhere.set_nonblocking(true)?;
-    let mut got: Vec<Got> = Vec::new();
+    let mut deliveries: Vec<Delivery> = Vec::new();
     let end = Instant::now() + PATIENCE;
-    // Three deliveries of one message end it, and a little longer shows that nothing follows.
+    // Three deliveries of one message end the check, after a wait for deliveries that must not follow.
     let mut quiet = None;
     while Instant::now() < quiet.unwrap_or(end) {
         let Ok((stream, _)) = listener.accept() else {
             std::thread::sleep(Duration::from_millis(2));
             continue;
         };
-        if let Some(fresh) = serve(stream, &got, elsewhere.local_addr()?)? {
-            if fresh.told == 204 {
+        if let Some(fresh) = receive_delivery(stream, &deliveries, elsewhere.local_addr()?)? {
+            if fresh.status == 204 {
                 quiet = Some(Instant::now() + Duration::from_millis(1500));
             }
-            got.push(fresh);
+            deliveries.push(fresh);
         }
     }
-    let id = |g: &Got| header(&g.bytes, "webhook-id");
-    let Some(last) = got.iter().find(|g| g.told == 204).map(id) else {
+    let id = |g: &Delivery| header(&g.bytes, "webhook-id");
+    let Some(last) = deliveries.iter().find(|g| g.status == 204).map(id) else {
         return Err(Error::other(
             "no message was sent a third time after 500 and 301",
         ));
     };
-    let mine: Vec<&Got> = got.iter().filter(|g| id(g) == last).collect();
-    let stamp = |g: &Got| header(&g.bytes, "webhook-timestamp").parse::<u64>().ok();
-    let holds = |g: &Got| {
+    let mine: Vec<&Delivery> = deliveries.iter().filter(|g| id(g) == last).collect();
+    let stamp = |g: &Delivery| header(&g.bytes, "webhook-timestamp").parse::<u64>().ok();
+    let is_signed = |g: &Delivery| {
         let signed = header(&g.bytes, "webhook-signature");
         stamp(g).is_some_and(|at| {
             signature::verify(std::iter::once(key), &id(g), at, body(&g.bytes), &signed)
@@ -283,7 +289,7 @@
         case(
             "every delivery is signed",
             "Signature scheme",
-            got.iter().all(holds),
+            deliveries.iter().all(is_signed),
         ),
         case(
             "the identity stays over repeats",
@@ -319,11 +325,11 @@
         case(
             "nothing follows a 2xx",
             "Deliverability and reliability",
-            mine.last().is_some_and(|g| g.told == 204),
+            mine.last().is_some_and(|g| g.status == 204),
         ),
     ];
     if let Some(once) = once {
-        let count = got
+        let count = deliveries
             .iter()
             .filter(|g| {
                 String::from_utf8_lossy(body(&g.bytes)).contains(&format!("\"call\":\"{once}\""))
@@ -335,17 +341,22 @@
             count == 1,
         ));
     }
-    Ok(verdicts(&rows))
+    Ok(print_results(&rows))
 }
 
-fn serve(mut stream: TcpStream, before: &[Got], elsewhere: SocketAddr) -> Result<Option<Got>> {
+/// Reads one delivery and answers it by the number of earlier deliveries of the same message.
+fn receive_delivery(
+    mut stream: TcpStream,
+    before: &[Delivery],
+    elsewhere: SocketAddr,
+) -> Result<Option<Delivery>> {
     stream.set_nonblocking(false)?;
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
     let Some(bytes) = read_http(&mut stream, &mut Vec::new()).unwrap_or(None) else {
         return Ok(None);
     };
     let id = header(&bytes, "webhook-id");
-    let told = match before
+    let status = match before
         .iter()
         .filter(|g| header(&g.bytes, "webhook-id") == id)
         .count()
@@ -355,12 +366,12 @@
         _ => 204,
     };
     let head = format!(
-        "HTTP/1.1 {told} So\r\nLocation: http://{elsewhere}/\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+        "HTTP/1.1 {status} So\r\nLocation: http://{elsewhere}/\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
     );
     let at = Instant::now();
-    // A sender that has gone by now has told what it would.
+    // A sender that has closed the connection has already sent its delivery, so errors are ignored.
     let _ = stream.write_all(head.as_bytes());
     let _ = stream.shutdown(std::net::Shutdown::Write);
     let _ = stream.read(&mut [0; 64]);
-    Ok(Some(Got { bytes, at, told }))
+    Ok(Some(Delivery { bytes, at, status }))
 }
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -1,4 +1,5 @@
-//! `crash`: SIGKILL at random moments, restart on the same store, and the books balanced afterwards.
+//! `crash`: kills gateways with SIGKILL at random moments, restarts them on the same store, and checks
+//! afterwards that accepted calls, runs and callbacks match.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Error, Result};
@@ -16,7 +17,7 @@
     call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
 };
 
-/// What one round did, for its report.
+/// Result of one round.
 #[derive(Debug, Default)]
 struct Round {
     kills: u32,
@@ -26,16 +27,16 @@
     unknown_callbacks: usize,
 }
 
-fn below(random: &mut ChaCha8Rng, n: u64) -> u64 {
+fn random_below(random: &mut ChaCha8Rng, n: u64) -> u64 {
     random.next_u64() % n
 }
 
-/// Plays rounds from a seed; `Err` names what did not balance.
+/// Runs rounds with consecutive seeds and prints their results. Returns `true` if all passed.
 pub fn run(seed: u64, rounds: u64) -> Result<bool> {
     let (mut passed, mut failed) = (0, 0);
     for round in 0..rounds {
         let seed = seed + round;
-        match play(seed) {
+        match run_round(seed) {
             Ok(r) => {
                 passed += 1;
                 println!(
@@ -54,10 +55,10 @@
     Ok(failed == 0)
 }
 
-fn play(seed: u64) -> Result<Round> {
+fn run_round(seed: u64) -> Result<Round> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let folder = Folder::new(&format!("crash-{seed}"))?;
-    let delay = |r: &mut ChaCha8Rng| Duration::from_millis(below(r, 12));
+    let delay = |r: &mut ChaCha8Rng| Duration::from_millis(random_below(r, 12));
     let workers: Vec<Worker> = (0..3)
         .map(|n| Worker::start(delay(&mut random), [0, 9, 14][n]))
         .collect::<Result<_>>()?;
@@ -83,13 +84,15 @@
         ));
     }
     let mut round = Round::default();
-    // What got a 202; what was sent and got no answer may or may not have been taken.
+    // Calls answered with 202. A call without a response may or may not have been accepted.
     let taken: Arc<Mutex<BTreeSet<String>>> = Arc::default();
     let mut sent = 0u64;
-    let lives = 2 + below(&mut random, 3);
-    for life in 0..lives {
+    let starts = 2 + random_below(&mut random, 3);
+    for start in 0..starts {
         let mut g = Gateway::start(&folder.0, &workers, &operator, 900.0)?;
-        let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+        let to = g
+            .webhooks
+            .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
         let callers: Vec<_> = (0..4u64)
             .map(|c| {
                 let (from, mine) = (sent + c * 1000, taken.clone());
@@ -113,16 +116,18 @@
             })
             .collect();
         sent += 10_000;
-        if life + 1 < lives {
-            std::thread::sleep(Duration::from_micros(2_000 + below(&mut random, 250_000)));
+        if start + 1 < starts {
+            std::thread::sleep(Duration::from_micros(
+                2_000 + random_below(&mut random, 250_000),
+            ));
             g.kill()?;
             round.kills += 1;
         }
         for caller in callers {
             caller.join().map_err(|_| Error::other("a caller failed"))?;
         }
-        if life + 1 == lives {
-            settle(&folder, g)?;
+        if start + 1 == starts {
+            wait_until_delivered(&folder, g)?;
         }
     }
     let taken = taken
@@ -130,13 +135,13 @@
         .map_err(|_| Error::other("a caller failed"))?
         .clone();
     round.taken = taken.len();
-    balance(&folder, &taken, &workers, &portals, &mut round)?;
+    check_accepted_calls(&folder, &taken, &workers, &portals, &mut round)?;
     Ok(round)
 }
 
-/// Waits until nothing waits in the store any more: the gateway is stopped in order and looked at, and started
-/// again if it left something.
-fn settle(folder: &Folder, mut g: Gateway) -> Result<()> {
+/// Waits until the store has no open calls and no waiting messages: stops the gateway in order,
+/// inspects the store, and restarts the gateway while anything remains.
+fn wait_until_delivered(folder: &Folder, mut g: Gateway) -> Result<()> {
     let end = Instant::now() + Duration::from_secs(60);
     loop {
         std::thread::sleep(Duration::from_millis(1500));
@@ -145,14 +150,16 @@
         let Some(Ok(Reply::Stats(stat))) =
             disk.commit([Op::Stats], now()).map_err(Error::other)?.pop()
         else {
-            return Err(Error::other("the store has no figures"));
+            return Err(Error::other("the store returned no statistics"));
         };
         drop(disk);
         if stat.waiting == 0 && stat.calls == 0 && found == 0 {
             return Ok(());
         }
         if Instant::now() > end {
-            return Err(Error::other(format!("stuck: {stat:?}, {found} calls")));
+            return Err(Error::other(format!(
+                "the store still holds {stat:?} and {found} calls"
+            )));
         }
         let read = |name: &str| std::fs::read_to_string(folder.0.join(name));
         g = Gateway::again(&folder.0, &read("operator.toml")?)?;
@@ -169,8 +176,8 @@
     Ok((disk, found.calls.len()))
 }
 
-/// Compares what was taken with what workers ran, portals got and the store tells.
-fn balance(
+/// Checks the accepted calls against the workers' runs, the portals' callbacks and the store.
+fn check_accepted_calls(
     folder: &Folder,
     taken: &BTreeSet<String>,
     workers: &[Worker],
@@ -212,7 +219,7 @@
             .map_err(Error::other)?
             .pop();
         let Some(Ok(Reply::Messages(all))) = reply else {
-            return wrong("the store has no list".into());
+            return wrong("the store returned no list of messages".into());
         };
         for m in all {
             let call = m.call.clone().unwrap_or_default();
@@ -247,7 +254,7 @@
     }
 }
 
-/// The tenants' numbers, as the gateway gives them to those of an operator's file.
+/// Returns the tenants' serial numbers, as the gateway assigns them to an operator's file.
 fn tenants(folder: &Folder) -> Result<Vec<u64>> {
     let operator =
         molelug::config::Operator::read(&folder.0.join("operator.toml")).map_err(Error::other)?;
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: everything in one go, for a newcomer.
+//! `demo`: shows all main functions in one run.
 
 use std::collections::BTreeMap;
 use std::io::{Error, Result};
@@ -9,8 +9,8 @@
     body, call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker, PATIENCE,
 };
 
-/// Starts a gateway, two workers and a portal, sends calls by both fronts, and tells what came of each. `true` if all
-/// were answered.
+/// Starts a gateway, two workers and a portal, sends calls by both fronts, and prints the result of
+/// each call. Returns `true` if all calls were answered.
 pub fn run() -> Result<bool> {
     let folder = Folder::new("demo")?;
     let workers = [
@@ -25,7 +25,9 @@
         secret_text(1)
     );
     let mut g = Gateway::start(&folder.0, &workers, &operator, 900.0)?;
-    let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+    let to = g
+        .webhooks
+        .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
     println!(
         "a gateway on {}, its webhooks on {to}, two workers and a portal on {}",
         g.platform, portal.address
--- a/testbed/src/gossip.rs
+++ b/testbed/src/gossip.rs
@@ -1,4 +1,4 @@
-//! `gossip`: instances as real processes on loopback that talk, and one stand-in peer that lies.
+//! `gossip`: real gateway processes that gossip on loopback, beside malicious fake peers.
 
 use std::collections::BTreeMap;
 use std::io::{Error, Result};
@@ -17,7 +17,7 @@
 use crate::fakes::gateway::{Folder, SAFE};
 use crate::fakes::{status, Caller, Gateway, Worker, PATIENCE};
 
-/// What each instance may send, as the tool sets it.
+/// Configured limit on the gossip that each instance sends, in bytes per second.
 pub const BYTES_PER_S: u32 = 16_384;
 
 fn private(n: usize) -> String {
@@ -34,26 +34,28 @@
         .map_or(0, |d| d.as_micros() as u64)
 }
 
-/// A free port for datagrams.
-fn free() -> Result<SocketAddr> {
+/// Finds a free UDP port.
+fn free_udp_address() -> Result<SocketAddr> {
     UdpSocket::bind("127.0.0.1:0")?.local_addr()
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Ran {
-    /// Calls, and those served.
+pub struct RunResult {
+    /// Calls sent.
     pub calls: u64,
     /// Calls answered 200.
     pub served: u64,
-    /// The most bytes a second that any instance sent, over the whole run.
+    /// Highest mean rate at which any instance sent gossip, in bytes per second.
     pub most_bytes_per_s: f64,
-    /// Instances that held every other one for alive at the end.
+    /// Honest instances that at the end counted at least as many live peers as there are other honest
+    /// instances.
     pub agreeing: usize,
 }
 
-/// The liar: calls every worker dead, accuses everybody, forges, replays, floods and sends garbage.
-fn lie(
+/// Runs a malicious peer, which reports every worker as refusing, accuses other instances, and sends
+/// forged, replayed, excessive and invalid datagrams.
+fn run_malicious_peer(
     socket: &UdpSocket,
     keys: &Keys,
     me: &str,
@@ -62,15 +64,15 @@
     stop: &AtomicBool,
 ) -> Result<()> {
     let mut number = now();
-    let mut caught: Vec<Vec<u8>> = Vec::new();
+    let mut captured: Vec<Vec<u8>> = Vec::new();
     socket.set_nonblocking(true)?;
     let own = wire::seal_record(keys, me, socket.local_addr()?, now(), false);
     while !stop.load(Ordering::Relaxed) {
         let at = now();
         let mut buffer = [0; 2048];
         while let Ok((n, _)) = socket.recv_from(&mut buffer) {
-            if caught.len() < 200 {
-                caught.push(buffer[..n].to_vec());
+            if captured.len() < 200 {
+                captured.push(buffer[..n].to_vec());
             }
         }
         for (n, peer) in peers.iter().enumerate() {
@@ -102,10 +104,10 @@
                 .chain(forged)
                 .chain([vec![7; 600], vec![0; 4000]])
             {
-                // A peer whose queue is full loses it.
+                // Send errors are ignored: a peer whose queue is full loses the datagram.
                 let _ = socket.send_to(&bytes, peer);
             }
-            for bytes in caught.iter().rev().take(5) {
+            for bytes in captured.iter().rev().take(5) {
                 let _ = socket.send_to(bytes, peer);
             }
         }
@@ -114,8 +116,9 @@
     Ok(())
 }
 
-/// Plays instances, `liars` of them lying in place of a gateway, for so long, each with a steady caller.
-pub fn play(instances: usize, liars: usize, seconds: u64, gossip: bool) -> Result<Ran> {
+/// Runs instances for `seconds`, each gateway with a steady caller; with gossip on, fake peers take
+/// the place of `liars` instances.
+pub fn run_fleet(instances: usize, liars: usize, seconds: u64, gossip: bool) -> Result<RunResult> {
     if liars >= instances {
         return Err(Error::other("some instances must be honest"));
     }
@@ -123,7 +126,9 @@
     let workers: Vec<Worker> = (0..6)
         .map(|_| Worker::start(Duration::from_millis(2), 0))
         .collect::<Result<_>>()?;
-    let ports: Vec<SocketAddr> = (0..instances).map(|_| free()).collect::<Result<_>>()?;
+    let ports: Vec<SocketAddr> = (0..instances)
+        .map(|_| free_udp_address())
+        .collect::<Result<_>>()?;
     let accepted: BTreeMap<String, Vec<String>> = (0..instances)
         .map(|n| {
             Ok((
@@ -167,7 +172,7 @@
             let ids: Vec<u32> = (0..workers.len() as u32).collect();
             std::thread::spawn(move || -> Result<()> {
                 let keys = Keys::each(&name(n), &private(n), &accepted).map_err(Error::other)?;
-                lie(&UdpSocket::bind(at)?, &keys, &name(n), &peers, &ids, &stop)
+                run_malicious_peer(&UdpSocket::bind(at)?, &keys, &name(n), &peers, &ids, &stop)
             })
         })
         .collect();
@@ -194,14 +199,14 @@
         })
         .collect();
     std::thread::sleep(Duration::from_secs(seconds));
-    let mut ran = Ran::default();
-    // Still beside the liars; a slow machine gets its time.
+    let mut result = RunResult::default();
+    // The malicious peers still run. The loop gives slow machines more time to agree.
     let patience = Instant::now() + PATIENCE;
-    while gossip && ran.agreeing < honest && Instant::now() < patience {
-        ran.agreeing = 0;
+    while gossip && result.agreeing < honest && Instant::now() < patience {
+        result.agreeing = 0;
         for gateway in &mut gateways {
             let counters = gateway.counters()?;
-            ran.agreeing +=
+            result.agreeing +=
                 usize::from(counters["gossip_alive"].as_u64() >= Some(honest as u64 - 1));
         }
     }
@@ -210,7 +215,7 @@
         let (calls, served) = caller
             .join()
             .map_err(|_| Error::other("a caller failed"))??;
-        (ran.calls, ran.served) = (ran.calls + calls, ran.served + served);
+        (result.calls, result.served) = (result.calls + calls, result.served + served);
     }
     for liar in liars {
         liar.join().map_err(|_| Error::other("a liar failed"))??;
@@ -218,21 +223,22 @@
     for gateway in &mut gateways {
         let counters = gateway.counters()?;
         let sent = counters["gossip_bytes"].as_f64().unwrap_or(0.0);
-        // A second's worth may have been saved up at the start.
+        // The limit allows a burst of one second's bytes at the start.
         let whole = begun.elapsed().as_secs_f64() + 1.0;
-        ran.most_bytes_per_s = ran.most_bytes_per_s.max(sent / whole);
+        result.most_bytes_per_s = result.most_bytes_per_s.max(sent / whole);
     }
     for gateway in &mut gateways {
         gateway.kill()?;
     }
-    Ok(ran)
+    Ok(result)
 }
 
-/// The run with gossip and a liar beside the one without gossip, and both service ratios.
+/// Runs the fleet without gossip, then with gossip and malicious peers, and compares the shares of
+/// served calls.
 pub fn run(instances: usize, liars: usize, seconds: u64) -> Result<bool> {
-    let share = |r: &Ran| 100.0 * r.served as f64 / r.calls.max(1) as f64;
-    let without = play(instances, liars, seconds, false)?;
-    let with = play(instances, liars, seconds, true)?;
+    let share = |r: &RunResult| 100.0 * r.served as f64 / r.calls.max(1) as f64;
+    let without = run_fleet(instances, liars, seconds, false)?;
+    let with = run_fleet(instances, liars, seconds, true)?;
     let honest = instances - liars;
     println!("{instances} instances, {liars} of them lying, for {seconds} s");
     println!(
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,4 +1,5 @@
-//! Tools and stand-ins around the gateway: what its tests, measurements and a newcomer's first steps share.
+//! Test bed of the gateway: fakes of its peers, fault injection, checkers of recorded histories,
+//! measurements and a demo.
 
 pub mod bench;
 pub mod cli;
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! `load`: the second front under load, measured from outside.
+//! `load`: measures the webhook front under load, from the clients' side.
 
 use std::collections::HashMap;
 use std::io::{Error, Result};
@@ -22,11 +22,13 @@
     call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
 };
 
+/// Creates a histogram of microseconds up to ten minutes.
 fn histogram() -> Result<Histogram<u64>> {
     Histogram::new_with_bounds(1, 600_000_000, 3).map_err(Error::other)
 }
 
-fn ms(h: &Histogram<u64>, q: f64) -> f64 {
+/// Returns a quantile of a histogram of microseconds in milliseconds.
+fn quantile_ms(h: &Histogram<u64>, q: f64) -> f64 {
     h.value_at_quantile(q) as f64 / 1000.0
 }
 
@@ -41,7 +43,8 @@
     (0..n).map(|_| Worker::start(Duration::ZERO, 0)).collect()
 }
 
-/// Calls at a steady rate, in turn to each of many portals, and how long it took from the 202 to each callback.
+/// Sends calls at a steady rate for many portals in turn, and measures the time from each 202 to its
+/// callback.
 pub fn webhooks(
     portals: usize,
     dead: usize,
@@ -52,7 +55,7 @@
 ) -> Result<bool> {
     if dead + slow >= portals || rate == 0 {
         return Err(Error::other(
-            "some portals must be well, and some calls sent",
+            "at least one portal must be healthy and the rate above 0",
         ));
     }
     let folder = Folder::new("load")?;
@@ -60,7 +63,7 @@
     let mut operator =
         String::from("[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\npending = 4096\n");
     let mut all = Vec::new();
-    // A port that was free a moment ago refuses.
+    // Once these listeners are closed, their ports refuse connections.
     let closed: Vec<TcpListener> = (0..dead)
         .map(|_| TcpListener::bind("127.0.0.1:0"))
         .collect::<Result<_>>()?;
@@ -80,7 +83,9 @@
     }
     drop(closed);
     let mut g = Gateway::start(&folder.0, &workers, &operator, 900.0)?;
-    let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+    let to = g
+        .webhooks
+        .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
     let (mut caller, key) = (Caller::new(to), secret(1));
     let mut taken: HashMap<String, Instant> = HashMap::new();
     let (begun, mut refused) = (Instant::now(), 0);
@@ -110,7 +115,7 @@
             continue;
         }
         match came.get(id) {
-            // A callback may come before the caller has read its 202.
+            // A callback may arrive before the caller has read the 202.
             Some(seen) => others
                 .saturating_record(seen.saturating_duration_since(*at).as_micros().max(1) as u64),
             None => missing += 1,
@@ -125,27 +130,27 @@
     println!(
         "the others' callbacks: {} came, {missing} missing; p50 {:.2} ms, p99 {:.2} ms, max {:.2} ms; gateway {memory} KiB",
         others.len(),
-        ms(&others, 0.5),
-        ms(&others, 0.99),
+        quantile_ms(&others, 0.5),
+        quantile_ms(&others, 0.99),
         others.max() as f64 / 1000.0
     );
     if let Some(path) = to_file {
         let figures = json!({ "portals": portals, "dead": dead, "slow": slow, "rate": rate, "seconds": seconds,
-            "taken": taken.len(), "refused": refused, "others_missing": missing, "p50_ms": ms(&others, 0.5),
-            "p99_ms": ms(&others, 0.99), "memory_kib": memory, "counters": counters });
+            "taken": taken.len(), "refused": refused, "others_missing": missing, "p50_ms": quantile_ms(&others, 0.5),
+            "p99_ms": quantile_ms(&others, 0.99), "memory_kib": memory, "counters": counters });
         std::fs::write(path, figures.to_string())?;
     }
     Ok(missing == 0 && refused == 0)
 }
 
-/// Calls as fast as they are taken, and how long each 202 took.
+/// Sends calls as fast as they are accepted, and measures the time to each 202.
 pub fn accept(callers: usize, seconds: u64, before: Option<&Path>) -> Result<bool> {
     println!(
         "{:<34} {:>9} {:>9} {:>9} {:>9}",
         "way", "calls/s", "p50 ms", "p99 ms", "refused"
     );
     let store = "store = \"store\"\n";
-    // One caller never has two calls in a commit: one sync for each call.
+    // A single caller never has two calls in one commit, so each call costs one sync.
     for (name, kept, at_once, program) in [
         ("store, many to one commit", store, callers, None),
         ("store, one sync for each call", store, 1, None),
@@ -163,9 +168,11 @@
             tenant("t", portal.address)
         );
         let mut g = Gateway::with(program, &folder.0, &workers, &operator, 900.0)?;
-        // Without a store nothing signed in the first second is taken.
+        // Without a store the gateway refuses calls signed in its first second.
         std::thread::sleep(Duration::from_millis(1100));
-        let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+        let to = g
+            .webhooks
+            .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
         let (stop, refused) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicU64::new(0)),
@@ -201,8 +208,8 @@
         println!(
             "{name:<34} {:>9.0} {:>9.2} {:>9.2} {:>9}",
             all.len() as f64 / seconds as f64,
-            ms(&all, 0.5),
-            ms(&all, 0.99),
+            quantile_ms(&all, 0.5),
+            quantile_ms(&all, 0.99),
             refused.load(Ordering::Relaxed)
         );
         g.kill()?;
@@ -210,7 +217,8 @@
     Ok(true)
 }
 
-/// Fills a store with messages for a portal that refuses, and looks at a gateway that starts on it.
+/// Fills a store with messages for a portal that refuses connections, and measures memory use and
+/// start time of a gateway on this store.
 pub fn waiting(messages: u64) -> Result<bool> {
     let folder = Folder::new("waiting")?;
     let closed = TcpListener::bind("127.0.0.1:0")?;
@@ -228,12 +236,14 @@
     let read =
         molelug::config::Operator::read(&folder.0.join("operator.toml")).map_err(Error::other)?;
     let registry = read.registry(&[]).map_err(Error::other)?;
-    let t = registry.get("t").ok_or_else(|| Error::other("no tenant"))?;
+    let t = registry
+        .get("t")
+        .ok_or_else(|| Error::other("the operator's file has no tenant"))?;
     let e = t
         .endpoints
         .values()
         .next()
-        .ok_or_else(|| Error::other("no endpoint"))?;
+        .ok_or_else(|| Error::other("the tenant has no endpoint"))?;
     let now = now_s() * 1_000_000;
     let (mut disk, _) = Disk::open(&folder.0.join("store"), u64::MAX, now).map_err(Error::other)?;
     let text = vec![b'x'; 300];
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The testbed's program.
+//! Main program of the test bed.
 
 use std::process::ExitCode;
 
--- a/testbed/src/rate.rs
+++ b/testbed/src/rate.rs
@@ -1,5 +1,5 @@
-//! `bench rate`: what a call costs the gateway's processor at a high rate, with more held than leaves, and what comes of
-//! it where the gateway has a part of a core only.
+//! `bench rate`: measures the processor time per call at a high rate, with more calls than the workers
+//! can run, and the effect when the gateway has only a fraction of a core.
 
 use std::io::{Error, Result};
 use std::path::Path;
@@ -12,32 +12,33 @@
 use crate::fakes::gateway::{Folder, SAFE};
 use crate::fakes::{status, Caller, Gateway, Worker};
 
-/// How the load is made.
+/// Parameters of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Callers, each with one call at a time.
+    /// Number of callers, each with one call at a time.
     pub callers: u64,
-    /// Calls a second from all of them at most.
+    /// Maximum total rate of calls per second.
     pub rate: u64,
-    /// How long.
+    /// Duration in seconds.
     pub seconds: u64,
-    /// The gateway's part of a core; 1 for all of it.
+    /// Fraction of a core that the gateway may use; 1 for no limit.
     pub cores: f64,
 }
 
-/// Calls of functions that stand at four workers, which together bear about 900 runs a second.
+/// Number of workers; together they can run about 900 calls per second.
 const WORKERS: usize = 4;
-const RUN: Duration = Duration::from_micros(4_400);
+const RUN_TIME: Duration = Duration::from_micros(4_400);
 const FUNCTIONS: u64 = 200;
-/// A call's time in all, in milliseconds.
+/// Deadline of a call in milliseconds.
 const DEADLINE_MS: u64 = 900;
-/// A gateway that has used its part of so long a window is stopped until the window ends.
+/// Window of the processor limit: a gateway that has used its fraction is stopped until the window
+/// ends.
 const WINDOW: Duration = Duration::from_millis(100);
 
-/// What one program made of the load.
+/// Result of the load on one program.
 #[derive(Debug)]
-struct Borne {
-    answers: Histogram<u64>,
+struct Measurement {
+    latency_us: Histogram<u64>,
     served: u64,
     other: u64,
     processor: Duration,
@@ -45,7 +46,8 @@
     stopped: u32,
 }
 
-/// Has each program bear the load, the caller's after this one, and prints what a call cost.
+/// Runs the load against this program, then against `before` if given, and prints the processor time
+/// per call of each.
 pub fn run(load: Load, before: Option<&Path>) -> Result<bool> {
     println!(
         "{} callers, at most {} calls a second, {} s, {} of a core",
@@ -60,15 +62,15 @@
         if name == "before" && program.is_none() {
             continue;
         }
-        let r = one(load, program)?;
+        let r = measure(load, program)?;
         let calls = r.served + r.other;
         all_answered &= calls > 0;
         println!(
             "{name:<12} {:>8.0} {:>7.1}% {:>9.1} {:>9.1} {:>9.1} {:>10.2} {:>8}",
             calls as f64 / load.seconds as f64,
             100.0 * r.served as f64 / calls.max(1) as f64,
-            r.answers.value_at_quantile(0.5) as f64 / 1000.0,
-            r.answers.value_at_quantile(0.99) as f64 / 1000.0,
+            r.latency_us.value_at_quantile(0.5) as f64 / 1000.0,
+            r.latency_us.value_at_quantile(0.99) as f64 / 1000.0,
             r.processor.as_secs_f64() * 1e6 / calls.max(1) as f64,
             r.most.as_secs_f64(),
             r.stopped,
@@ -77,7 +79,7 @@
     Ok(all_answered)
 }
 
-fn ask(id: u64) -> Vec<u8> {
+fn call_request(id: u64) -> Vec<u8> {
     let function = id % FUNCTIONS;
     format!(
         "POST /call/{function:016x}/trigger HTTP/1.1\r\nHost: lab\r\nX-Class: {SAFE}\r\nX-Org: franq-bajio\r\n\
@@ -86,10 +88,10 @@
     .into_bytes()
 }
 
-fn one(load: Load, program: Option<&Path>) -> Result<Borne> {
+fn measure(load: Load, program: Option<&Path>) -> Result<Measurement> {
     let folder = Folder::new("rate")?;
     let workers: Vec<Worker> = (0..WORKERS)
-        .map(|_| Worker::start(RUN, 0))
+        .map(|_| Worker::start(RUN_TIME, 0))
         .collect::<Result<_>>()?;
     let g = Gateway::with(program, &folder.0, &workers, "", DEADLINE_MS as f64)?;
     let (to, begun) = (g.platform, Instant::now());
@@ -100,10 +102,10 @@
         .map(|c| {
             let (served, other) = (served.clone(), other.clone());
             std::thread::spawn(move || -> Result<Histogram<u64>> {
-                let mut answers =
+                let mut latency_us =
                     Histogram::new_with_bounds(1, 60_000_000, 3).map_err(Error::other)?;
                 let mut caller = Caller::new(to);
-                // Spread over the first turn, so that the callers do not come at once.
+                // Spreads the first calls over one interval, so that the callers do not start at once.
                 let mut due = begun + every.mul_f64(c as f64 / load.callers as f64);
                 for n in 0.. {
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
@@ -111,40 +113,40 @@
                     if sent >= end {
                         break;
                     }
-                    let answer = caller.exchange(&ask(n * load.callers + c))?;
+                    let answer = caller.exchange(&call_request(n * load.callers + c))?;
                     let count = if status(&answer) == 200 {
                         &served
                     } else {
                         &other
                     };
                     count.fetch_add(1, Ordering::Relaxed);
-                    answers.saturating_record(sent.elapsed().as_micros().max(1) as u64);
+                    latency_us.saturating_record(sent.elapsed().as_micros().max(1) as u64);
                     due = (due + every).max(sent);
                 }
-                Ok(answers)
+                Ok(latency_us)
             })
         })
         .collect();
     let (over, used) = (Arc::new(AtomicBool::new(false)), g.processor()?);
-    let governor = {
+    let limiter = {
         let (over, pid, cores) = (over.clone(), g.pid(), load.cores);
-        std::thread::spawn(move || govern(pid, cores, &over))
+        std::thread::spawn(move || limit_processor(pid, cores, &over))
     };
-    let mut answers = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(Error::other)?;
+    let mut latency_us = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(Error::other)?;
     for caller in callers {
         let h = caller
             .join()
             .map_err(|_| Error::other("a caller failed"))??;
-        answers.add(h).map_err(Error::other)?;
+        latency_us.add(h).map_err(Error::other)?;
     }
     over.store(true, Ordering::Relaxed);
-    let (most, stopped) = governor
+    let (most, stopped) = limiter
         .join()
-        .map_err(|_| Error::other("the governor failed"))??;
+        .map_err(|_| Error::other("the processor limiter failed"))??;
     let processor = g.processor()?.saturating_sub(used);
     let count = |c: &AtomicU64| c.load(Ordering::Relaxed);
-    Ok(Borne {
-        answers,
+    Ok(Measurement {
+        latency_us,
         served: count(&served),
         other: count(&other),
         processor,
@@ -153,9 +155,14 @@
     })
 }
 
-/// Stops a process once it has used its part of a window, and lets it go on with the next one. Returns the most that it
-/// used within a second, and how often it was stopped.
-fn govern(pid: rustix::process::Pid, cores: f64, over: &AtomicBool) -> Result<(Duration, u32)> {
+/// Limits a process to a fraction of a core: stops it once it has used its share of a window, and
+/// continues it with the next window. Returns the highest processor time within one second and the
+/// number of stops.
+fn limit_processor(
+    pid: rustix::process::Pid,
+    cores: f64,
+    over: &AtomicBool,
+) -> Result<(Duration, u32)> {
     use rustix::process::{kill_process, Signal};
     let (part, first) = (WINDOW.mul_f64(cores), processor_of(pid)?);
     let (mut most, mut stopped, mut seconds) = (Duration::ZERO, 0, vec![first]);
@@ -179,11 +186,12 @@
     Ok((most, stopped))
 }
 
-/// Processor time that a process has used.
+/// Returns the processor time that a process has used.
 pub fn processor_of(pid: rustix::process::Pid) -> Result<Duration> {
-    // The first figure is the time on a processor in nanoseconds, of the first thread: the gateway has one.
+    // The first field is the processor time of the main thread in nanoseconds; the gateway has no
+    // other thread.
     let text = std::fs::read_to_string(format!("/proc/{}/schedstat", pid.as_raw_nonzero()))?;
     let ns = text.split_whitespace().next().and_then(|n| n.parse().ok());
     ns.map(Duration::from_nanos)
-        .ok_or_else(|| Error::other("no schedstat"))
+        .ok_or_else(|| Error::other("schedstat has no processor time"))
 }
