--- a/testbed/src/bench.rs
+++ b/testbed/src/bench.rs
@@ -15,8 +15,8 @@
     begun.elapsed().as_nanos() as f64 / n as f64
 }
 
-/// Measures nanoseconds per operation: inserts all entries, cancels every other one, and expires the
-/// rest in steps of one second.
+/// Measures nanoseconds per operation: inserts all entries, cancels every other one, and expires
+/// the rest in steps of one second.
 pub fn wheel() -> Result<bool> {
     println!(
         "{:>9} {:<14} {:>9} {:>9} {:>9} {:>12}",
--- a/testbed/src/conformance.rs
+++ b/testbed/src/conformance.rs
@@ -1,4 +1,5 @@
-//! `conformance`: runs test cases of the published webhook specification against any implementation.
+//! `conformance`: runs test cases of the published webhook specification against any
+//! implementation.
 
 use std::io::{Error, Read, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -195,11 +196,11 @@
     bytes: Vec<u8>,
     at: Instant,
     /// Status that answered the delivery.
-    status: u16,
+    response_status: u16,
 }
 
-/// Runs the sender's cases: answers the first delivery of each message with 500, the second with 301
-/// and later ones with 204, and checks the received deliveries.
+/// Runs the sender's cases: answers the first delivery of each message with 500, the second with
+/// 301 and later ones with 204, and checks the received deliveries.
 pub fn sender(own: bool, listen: Option<SocketAddr>, key: Option<&str>) -> Result<bool> {
     let listener = TcpListener::bind(listen.unwrap_or_else(|| ([127, 0, 0, 1], 0).into()))?;
     let key = key
@@ -238,7 +239,8 @@
     elsewhere.set_nonblocking(true)?;
     let mut deliveries: Vec<Delivery> = Vec::new();
     let end = Instant::now() + PATIENCE;
-    // Three deliveries of one message end the check, after a wait for deliveries that must not follow.
+    // Three deliveries of one message end the check, after a wait for deliveries that must not
+    // follow.
     let mut quiet = None;
     while Instant::now() < quiet.unwrap_or(end) {
         let Ok((stream, _)) = listener.accept() else {
@@ -246,14 +248,14 @@
             continue;
         };
         if let Some(fresh) = receive_delivery(stream, &deliveries, elsewhere.local_addr()?)? {
-            if fresh.status == 204 {
+            if fresh.response_status == 204 {
                 quiet = Some(Instant::now() + Duration::from_millis(1500));
             }
             deliveries.push(fresh);
         }
     }
     let id = |g: &Delivery| header(&g.bytes, "webhook-id");
-    let Some(last) = deliveries.iter().find(|g| g.status == 204).map(id) else {
+    let Some(last) = deliveries.iter().find(|g| g.response_status == 204).map(id) else {
         return Err(Error::other(
             "no message was sent a third time after 500 and 301",
         ));
@@ -325,7 +327,7 @@
         case(
             "nothing follows a 2xx",
             "Deliverability and reliability",
-            mine.last().is_some_and(|g| g.status == 204),
+            mine.last().is_some_and(|g| g.response_status == 204),
         ),
     ];
     if let Some(once) = once {
@@ -356,7 +358,7 @@
         return Ok(None);
     };
     let id = header(&bytes, "webhook-id");
-    let status = match before
+    let response_status = match before
         .iter()
         .filter(|g| header(&g.bytes, "webhook-id") == id)
         .count()
@@ -366,12 +368,16 @@
         _ => 204,
     };
     let head = format!(
-        "HTTP/1.1 {status} So\r\nLocation: http://{elsewhere}/\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+        "HTTP/1.1 {response_status} So\r\nLocation: http://{elsewhere}/\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
     );
     let at = Instant::now();
     // A sender that has closed the connection has already sent its delivery, so errors are ignored.
     let _ = stream.write_all(head.as_bytes());
     let _ = stream.shutdown(std::net::Shutdown::Write);
     let _ = stream.read(&mut [0; 64]);
-    Ok(Some(Delivery { bytes, at, status }))
+    Ok(Some(Delivery {
+        bytes,
+        at,
+        response_status,
+    }))
 }
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -1,5 +1,5 @@
-//! `crash`: kills gateways with SIGKILL at random moments, restarts them on the same store, and checks
-//! afterwards that accepted calls, runs and callbacks match.
+//! `crash`: kills gateways with SIGKILL at random moments, restarts them on the same store, and
+//! checks afterwards that accepted calls, runs and callbacks match.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Error, Result};
--- a/testbed/src/fault_injection/copies.rs
+++ b/testbed/src/fault_injection/copies.rs
@@ -33,7 +33,8 @@
     pub faults: Vec<&'static str>,
     /// Counts from the checked histories.
     pub counts: Promised,
-    /// Milliseconds from each loss of a primary's machine until all its shards have another primary.
+    /// Milliseconds from each loss of a primary's machine until all its shards have another
+    /// primary.
     pub gaps_ms: Vec<f64>,
 }
 
@@ -141,7 +142,8 @@
             }
         }
         "a disk that changed what it holds" => {
-            // Shuts down in order, because a store that was not closed is checked when it is opened.
+            // Shuts down in order, because a store that was not closed is checked when it is
+            // opened.
             fleet.gateway(primary)?.end()?;
             fleet.wait_for_exit(primary)?;
             if fleet.corrupt_store(primary)? > 0 {
@@ -182,7 +184,8 @@
     fleet.wait_for_promises(10)
 }
 
-/// Runs one round: injects faults drawn from the seed, or `only` one kind, and checks the histories.
+/// Runs one round: injects faults drawn from the seed, or `only` one kind, and checks the
+/// histories.
 pub fn run_round(
     config: &FleetConfig,
     seed: u64,
--- a/testbed/src/fault_injection/fleet.rs
+++ b/testbed/src/fault_injection/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of gateway processes that replicate their stores, with a consensus group, a store per
-//! gateway and a fault-injecting link for each ordered pair. Workers and a portal count what reaches
-//! them, and callers record the status of each call.
+//! gateway and a fault-injecting link for each ordered pair. Workers and a portal count what
+//! reaches them, and callers record the status of each call.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Error, Result};
@@ -88,8 +88,8 @@
         status
     }
 
-    /// Sends idempotent calls one after the other on one connection until `end`. Returns the latency
-    /// of each promise in microseconds and the number of refused calls.
+    /// Sends idempotent calls one after the other on one connection until `end`. Returns the
+    /// latency of each promise in microseconds and the number of refused calls.
     pub fn send_until(&self, n: usize, prefix: &str, end: Instant) -> (Vec<u64>, u64) {
         let port = self.front_ports[n].load(Ordering::Relaxed) as u16;
         let (mut caller, secret) = (Caller::new(([127, 0, 0, 1], port).into()), secret(1));
@@ -284,8 +284,8 @@
     }
 
     /// Simulates the loss of a machine: kills the process and deletes its store. The first lost
-    /// machine also loses its voter's seat; later ones keep theirs, because the test bed replaces no
-    /// voters.
+    /// machine also loses its voter's seat; later ones keep theirs, because the test bed replaces
+    /// no voters.
     pub fn lose_machine(&mut self, n: usize) -> Result<()> {
         self.kill(n)?;
         for (shard, (epoch, _, members)) in self.shard_leaders() {
@@ -348,8 +348,8 @@
             .all(|shard| leaders.get(shard).is_some_and(|s| !s.2.contains(&me)))
     }
 
-    /// Saves an instance's store, for a disk that acknowledges writes and loses them when the process
-    /// ends: `kill_and_restore_store` puts this state back.
+    /// Saves an instance's store, for a disk that acknowledges writes and loses them when the
+    /// process ends: `kill_and_restore_store` puts this state back.
     pub fn save_store(&self, n: usize) -> Result<()> {
         let (store, then) = (self.home(n).join("store"), self.home(n).join("then"));
         // The stopped process writes nothing, so the copy has the state that a kill would leave.
@@ -406,8 +406,8 @@
             .ok_or_else(|| Error::other(format!("{} is down", instance_name(n))))
     }
 
-    /// Sets the faults of all links of an instance: `outbound` for what the instance sends, `inbound`
-    /// for what it receives.
+    /// Sets the faults of all links of an instance: `outbound` for what the instance sends,
+    /// `inbound` for what it receives.
     pub fn set_instance_faults(&self, n: usize, outbound: Faults, inbound: Faults) {
         for ((from, to), link) in &self.links {
             if *from == n {
--- a/testbed/src/gossip.rs
+++ b/testbed/src/gossip.rs
@@ -48,13 +48,13 @@
     pub served: u64,
     /// Highest mean rate at which any instance sent gossip, in bytes per second.
     pub most_bytes_per_s: f64,
-    /// Honest instances that at the end counted at least as many live peers as there are other honest
-    /// instances.
+    /// Honest instances that at the end counted at least as many live peers as there are other
+    /// honest instances.
     pub agreeing: usize,
 }
 
-/// Runs a malicious peer, which reports every worker as refusing, accuses other instances, and sends
-/// forged, replayed, excessive and invalid datagrams.
+/// Runs a malicious peer, which reports every worker as refusing, accuses other instances, and
+/// sends forged, replayed, excessive and invalid datagrams.
 fn run_malicious_peer(
     socket: &UdpSocket,
     keys: &Keys,
--- a/testbed/src/lease_trials.rs
+++ b/testbed/src/lease_trials.rs
@@ -216,8 +216,8 @@
         Ok(())
     }
 
-    /// Starts and returns another process of an instance with the same files; a process that already
-    /// runs continues.
+    /// Starts and returns another process of an instance with the same files; a process that
+    /// already runs continues.
     pub fn start_process(&mut self, n: usize) -> Result<Gateway> {
         let home = self.home(n);
         if !self.config.consensus {
@@ -255,8 +255,8 @@
         )
     }
 
-    /// Writes new shared keys and has all instances reload them, one after the other. Consecutive key
-    /// lists must overlap, so that instances one step apart understand each other.
+    /// Writes new shared keys and has all instances reload them, one after the other. Consecutive
+    /// key lists must overlap, so that instances one step apart understand each other.
     pub fn rotate_keys(&mut self, keys: &[u8]) -> Result<()> {
         let lines: Vec<String> = keys
             .iter()
@@ -283,8 +283,8 @@
             .ok_or_else(|| Error::other(format!("{} is down", instance_name(n))))
     }
 
-    /// Sets the faults of all links of an instance: `outbound` for what the instance sends, `inbound`
-    /// for what it receives.
+    /// Sets the faults of all links of an instance: `outbound` for what the instance sends,
+    /// `inbound` for what it receives.
     pub fn set_instance_faults(&self, n: usize, outbound: Faults, inbound: Faults) {
         for ((from, to), link) in &self.links {
             if *from == n {
@@ -302,8 +302,8 @@
         self.links.values().for_each(|l| l.set_both(faults));
     }
 
-    /// Starts callers at every instance and records their responses as histories. Each worker in turn
-    /// stops responding for a while, so that there is always a worker to probe.
+    /// Starts callers at every instance and records their responses as histories. Each worker in
+    /// turn stops responding for a while, so that there is always a worker to probe.
     pub fn start_callers(&mut self) -> Result<()> {
         let (stop, workers) = (self.stop.clone(), self.workers.clone());
         self.callers.push(std::thread::spawn(move || {
@@ -441,7 +441,8 @@
         Ok((self.notes[at].instance, term, at))
     }
 
-    /// Waits until an instance has accepted an effect of the observed duty under this or a later term.
+    /// Waits until an instance has accepted an effect of the observed duty under this or a later
+    /// term.
     pub fn wait_for_effect(&mut self, term: u64) -> Result<usize> {
         let is = |s: &ObservedNote| matches!(&s.note, Note::Accepted { duty, term: t, .. } if duty == OBSERVED_DUTY && *t >= term);
         self.wait_for_note(0, "an effect", is)
@@ -472,8 +473,8 @@
     }
 }
 
-/// Creates the seat of a founder, or without founders that of a possible later voter, by the operator
-/// command.
+/// Creates the seat of a founder, or without founders that of a possible later voter, by the
+/// operator command.
 pub(crate) fn create_seat(home: &Path, founders: &[String]) -> Result<()> {
     let file = home.join("council.toml").display().to_string();
     let what = if founders.is_empty() { "seat" } else { "found" };
@@ -780,8 +781,8 @@
     Ok(true)
 }
 
-/// `gain`: compares the cost of a silent worker in a fleet without consensus and in one with the duty
-/// `trials`, one fleet after the other.
+/// `gain`: compares the cost of a silent worker in a fleet without consensus and in one with the
+/// duty `trials`, one fleet after the other.
 pub fn gain(instances: usize, seconds: u64) -> Result<bool> {
     for council in [false, true] {
         let voters = instances.min(5);
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -43,8 +43,8 @@
     (0..n).map(|_| Worker::start(Duration::ZERO, 0)).collect()
 }
 
-/// Sends calls at a steady rate for many portals in turn, and measures the time from each 202 to its
-/// callback.
+/// Sends calls at a steady rate for many portals in turn, and measures the time from each 202 to
+/// its callback.
 pub fn webhooks(
     portals: usize,
     dead: usize,
--- a/testbed/src/rate.rs
+++ b/testbed/src/rate.rs
@@ -1,5 +1,5 @@
-//! `bench rate`: measures the processor time per call at a high rate, with more calls than the workers
-//! can run, and the effect when the gateway has only a fraction of a core.
+//! `bench rate`: measures the processor time per call at a high rate, with more calls than the
+//! workers can run, and the effect when the gateway has only a fraction of a core.
 
 use std::io::{Error, Result};
 use std::path::Path;
@@ -46,8 +46,8 @@
     stopped: u32,
 }
 
-/// Runs the load against this program, then against `before` if given, and prints the processor time
-/// per call of each.
+/// Runs the load against this program, then against `before` if given, and prints the processor
+/// time per call of each.
 pub fn run(load: Load, before: Option<&Path>) -> Result<bool> {
     println!(
         "{} callers, at most {} calls a second, {} s, {} of a core",
@@ -105,7 +105,8 @@
                 let mut latency_us =
                     Histogram::new_with_bounds(1, 60_000_000, 3).map_err(Error::other)?;
                 let mut caller = Caller::new(to);
-                // Spreads the first calls over one interval, so that the callers do not start at once.
+                // Spreads the first calls over one interval, so that the callers do not start at
+                // once.
                 let mut due = begun + every.mul_f64(c as f64 / load.callers as f64);
                 for n in 0.. {
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
--- a/testbed/tests/copies.rs
+++ b/testbed/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Gateways as real processes that hold copies for one another; machines are lost with their disks, and links fail.
+//! Replicated stores of real gateway processes: machines are lost with their disks, and links fail.
 
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, TryLockError};
@@ -10,7 +10,8 @@
 use molelug_testbed::fault_proxy::Faults;
 use molelug_testbed::history::promises::{check, CopyNote, Wrong};
 
-/// Two fleets at a time: more would only wait for the machine, and their silences are told by the clock.
+/// Limits the tests to two fleets at a time: with more, the machine is too slow for the fleets'
+/// timeouts.
 static SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 
 fn acquire_slot() -> MutexGuard<'static, ()> {
@@ -27,15 +28,16 @@
     }
 }
 
-/// The shard of a call that was just sent, by the record that its primary promised next, and who leads it.
+/// Returns the primary of a shard.
 fn primary_of(fleet: &Fleet, shard: u16) -> usize {
     fleet.shard_leaders()[&shard].1
 }
 
-/// A machine that leads is lost with its disk while calls are under way, then another: each call that got a 202 has its
-/// end, and none that must not run twice did.
+/// Guards against promises lost with a primary's machine and disk, or with two machines one after
+/// the other, while calls are in progress: each call that got a 202 has an outcome, and no call
+/// that must not run twice did.
 #[test]
-fn machines_lost_with_their_disks_take_no_promise_along() {
+fn lost_machines_and_disks_lose_no_promise() {
     let _slot = acquire_slot();
     for (what, seed) in [
         ("a primary's machine lost", 1),
@@ -50,9 +52,10 @@
     }
 }
 
-/// A process that leads is stopped until another leads, and woken: what it still says is refused by its epoch.
+/// A primary's process is stopped until another instance leads, and then continued: other instances
+/// refuse its messages by their epoch.
 #[test]
-fn a_primary_that_is_stopped_and_woken_promises_nothing_more() {
+fn stopped_and_continued_primary_is_refused_by_epoch() {
     let _slot = acquire_slot();
     let config = FleetConfig::default();
     let round = run_round(&config, 3, 1, Some("a process stopped and woken"))
@@ -60,9 +63,9 @@
     assert!(round.counts.declined > 0, "{round:?}");
 }
 
-/// Three copies; the primary and one more machine of one shard are lost at once.
+/// With three copies, two members of one shard are lost at once, and no promise is.
 #[test]
-fn with_three_copies_two_machines_are_lost_at_once() {
+fn three_copies_survive_two_machines_lost_at_once() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
@@ -90,9 +93,10 @@
     assert!(counts.installed > 0, "{counts:?}");
 }
 
-/// One identity is given to three gateways at once, and again after its primary's machine was lost: it is taken once.
+/// The same call id is sent to three gateways at once, and again after the loss of a primary's
+/// machine: the id is accepted once.
 #[test]
-fn one_identity_at_several_gateways_is_taken_once_also_after_a_loss() {
+fn duplicate_call_ids_are_accepted_once_across_gateways() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
@@ -116,7 +120,8 @@
         assert_eq!(said.iter().filter(|s| **s == 202).count(), 1, "{said:?}");
         assert_eq!(said.iter().filter(|s| **s == 409).count(), 2, "{said:?}");
     }
-    // Whoever leads most loses its machine with calls under way; the same identities are given to the others again.
+    // The primary of shard 1 loses its machine with calls in progress; the other gateways then
+    // receive the same call ids again.
     let primary = primary_of(&fleet, 1);
     fleet.lose_machine(primary).unwrap();
     fleet.wait_for_full_sets().unwrap();
@@ -134,9 +139,10 @@
     assert_eq!(counts.calls, 12);
 }
 
-/// Links fail: a primary is cut off one way, its replies are two seconds late, and a third of all frames is lost.
+/// A primary is cut off one way, its replies are two seconds late, or a third of all frames is
+/// lost.
 #[test]
-fn links_that_fail_cost_no_promise() {
+fn failing_links_lose_no_promise() {
     let _slot = acquire_slot();
     for (what, seed) in [
         ("cut off one way", 6),
@@ -148,9 +154,10 @@
     }
 }
 
-/// All processes are killed at once; a gateway is started on yesterday's copy of its disk, which must not count.
+/// All processes are killed at once, or a gateway starts with an outdated copy of its disk, which
+/// must not count as a copy.
 #[test]
-fn restarts_of_all_and_yesterdays_disk_lose_nothing() {
+fn restart_of_all_and_outdated_disk_lose_nothing() {
     let _slot = acquire_slot();
     for (what, seed) in [("all killed at once", 9), ("yesterday's disk", 10)] {
         run_round(&FleetConfig::default(), seed, 1, Some(what))
@@ -158,9 +165,10 @@
     }
 }
 
-/// Five copies and four machines: a class that asks for all of them is refused, one that may stand on fewer is taken.
+/// With five copies configured and four machines left, a class that requires all copies is refused,
+/// and a class that allows fewer is accepted.
 #[test]
-fn with_fewer_machines_each_class_goes_by_what_the_file_says() {
+fn classes_follow_their_setting_with_fewer_machines() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
@@ -193,9 +201,9 @@
     assert_eq!(wrong, []);
 }
 
-/// SIGTERM: what it leads is handed to others before the process ends.
+/// After SIGTERM an instance hands the shards that it leads to others before its process ends.
 #[test]
-fn one_that_ends_in_order_hands_its_shards_on_first() {
+fn instance_hands_over_shards_before_shutdown() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(FleetConfig::default(), 14).unwrap();
     fleet.wait_for_full_sets().unwrap();
@@ -214,9 +222,12 @@
             .filter(|(who, _, n)| *who == name && is(n))
             .count()
     };
-    assert!(of(&led) > 0 && of(&rested) > 0, "it handed nothing on");
+    assert!(
+        of(&led) > 0 && of(&rested) > 0,
+        "the instance handed over no shard"
+    );
     fleet
-        .wait_until("heirs", || {
+        .wait_until("new primaries", || {
             fleet.shard_leaders().values().all(|s| s.1 != leaves)
         })
         .unwrap();
@@ -226,15 +237,16 @@
     assert_eq!(wrong, []);
 }
 
-/// Without a majority of the council whole sets go on; a shard whose set is broken promises nothing, and says so.
+/// Without a majority of voters, shards with complete sets continue; a shard that lacks a member
+/// promises nothing and refuses calls with 503.
 #[test]
-fn without_a_majority_whole_sets_go_on() {
+fn complete_sets_continue_without_a_majority() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(FleetConfig::default(), 11).unwrap();
     fleet.wait_for_full_sets().unwrap();
     let led = fleet.shard_leaders();
-    // Nobody hears of anything agreed any more: all links to three of the five voters' councils would take their copies along,
-    // so three voters are stopped.
+    // Stops three of the five voters, so that nothing more is agreed. Cutting their consensus links
+    // instead would also cut the replication that shares these links.
     let gone = [0, 1, 2];
     for n in gone {
         fleet.gateway(n).unwrap().freeze().unwrap();
@@ -262,8 +274,8 @@
     assert_eq!(wrong, []);
 }
 
-/// With the guard taken out that has a promise wait for all of the set, a lost machine takes promises along, and the checker
-/// finds it.
+/// Control: with the guard disabled that makes a promise wait for all members, a lost machine loses
+/// promises, and the checker finds them.
 #[test]
 fn promises_that_do_not_wait_for_all_are_found() {
     let _slot = acquire_slot();
@@ -276,7 +288,7 @@
     let (primary, shard) = (primary_of(&fleet, 1), 1);
     fleet.start_callers(4);
     fleet.wait_for_promises(20).unwrap();
-    // What the primary says to copies is held on its way; it promises all the same.
+    // The links hold back the primary's messages to the other members; the primary promises anyway.
     fleet.set_instance_faults(
         primary,
         Faults {
@@ -318,9 +330,10 @@
     );
 }
 
-/// The primary's process ends at each step of a call's life, and its machine is lost with the disk.
+/// The primary's process exits at each step of a call's processing, and its machine is lost with
+/// the disk.
 #[test]
-fn a_machine_is_lost_at_each_step_of_a_call() {
+fn machine_lost_at_each_call_step_loses_nothing() {
     let _slot = acquire_slot();
     let steps = [
         "call recorded here",
--- a/testbed/tests/disks.rs
+++ b/testbed/tests/disks.rs
@@ -1,4 +1,5 @@
-//! Disks that change what they hold, are full, or tell kept what they lose, between real processes that hold copies.
+//! Replicated stores of real processes on disks that corrupt data, are full, or lose acknowledged
+//! writes.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -9,7 +10,7 @@
 use molelug_testbed::history::promises::Wrong;
 use molelug_testbed::lease_trials::instance_name;
 
-/// One fleet at a time: more would only wait for the machine.
+/// Limits the tests to one fleet at a time: with more, the fleets would only wait for the machine.
 static SLOT: Mutex<()> = Mutex::new(());
 
 fn acquire_slot() -> std::sync::MutexGuard<'static, ()> {
@@ -18,14 +19,16 @@
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-fn number(name: &str) -> usize {
+/// Returns the number at the end of an instance's name.
+fn instance_number(name: &str) -> usize {
     name.rsplit('-').next().unwrap().parse().unwrap()
 }
 
-/// An instance ends in order, one letter of each record on its disk changes, and it begins again: it finds that out, is sent
-/// what others have, and only then counts. Then the others that held its shards are lost one after the other.
+/// An instance shuts down in order, one letter of each record on its disk changes, and the instance
+/// restarts: it detects the damage, repairs it from other instances, and only then counts as a
+/// copy. Then two other machines are lost one after the other.
 #[test]
-fn a_disk_that_changed_what_it_holds_is_mended_before_it_counts() {
+fn corrupted_disk_is_repaired_before_it_counts() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(FleetConfig::default(), 40).unwrap();
     fleet.wait_for_full_sets().unwrap();
@@ -35,7 +38,7 @@
     fleet.gateway(n).unwrap().end().unwrap();
     fleet.wait_for_exit(n).unwrap();
     assert!(fleet.corrupt_store(n).unwrap() > 0);
-    // Nobody else takes its place meanwhile: its name is heard of again before it is given up.
+    // No other instance replaces it: it is reachable again before its timeout as a member ends.
     fleet.start_instance(n).unwrap();
     fleet
         .wait_until("the damage to be found and mended", || {
@@ -54,10 +57,10 @@
     assert!(counts.calls > 60, "{counts:?}");
 }
 
-/// The disk of one that leads shards is full: it goes on being heard, and others lead them; it leaves every set, and comes
-/// back once there is room.
+/// The disk of a primary is full: its process stays reachable, other instances lead its shards, and
+/// it leaves every set.
 #[test]
-fn one_whose_disk_is_full_is_led_away_from() {
+fn instance_with_full_disk_loses_its_shards() {
     let _slot = acquire_slot();
     let probe = Fleet::start(FleetConfig::default(), 41).unwrap();
     probe.wait_for_full_sets().unwrap();
@@ -88,7 +91,7 @@
             .count()
     };
     fleet
-        .wait_until("it to lead nothing", || {
+        .wait_until("the full instance to leave all sets", || {
             led(&fleet) == 0 && held(&fleet) == 0
         })
         .unwrap();
@@ -102,18 +105,19 @@
     assert_eq!(wrong, []);
 }
 
-/// Guards against a full disk that stays in one set while all others have left it out, beside load. The round of `rounds
-/// copies --copies 2 --seed 49004 --faults 2`.
+/// Guards against an instance with a full disk that stays in one set under load, while all other
+/// sets have dropped it. Repeats the round of `rounds copies --copies 2 --seed 49004 --faults 2`.
 #[test]
 fn full_disk_leaves_every_set_also_beside_load() {
     let _slot = acquire_slot();
     run_round(&FleetConfig::default(), 49_004, 2, None).unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// Three copies. The disks of the primary's two copies lose what they told kept, each in turn, as the primary's machine is lost:
-/// the one that has all is to lead, whoever takes over first.
+/// With three copies, the disk of the first successor loses acknowledged writes as the primary's
+/// machine is lost: the member with all records must lead. With the guard `ahead` disabled, the
+/// checker finds lost promises.
 #[test]
-fn a_disk_that_lies_takes_no_promise_along_while_another_has_it() {
+fn disk_losing_acknowledged_writes_loses_no_promise() {
     let _slot = acquire_slot();
     for (without, seed) in [(None, 42), (Some("ahead"), 43)] {
         let config = FleetConfig {
@@ -125,18 +129,23 @@
         fleet.wait_for_full_sets().unwrap();
         fleet.start_callers(4);
         fleet.wait_for_promises(20).unwrap();
-        // Whoever is first to take a shard over is the first of its set that is not the primary.
+        // The first to take over a shard is the first member that is not the primary.
         let led = fleet.shard_leaders();
         let lead: Vec<(usize, usize)> = led
             .values()
-            .map(|s| (s.1, number(s.2.iter().find(|m| number(m) != s.1).unwrap())))
+            .map(|s| {
+                (
+                    s.1,
+                    instance_number(s.2.iter().find(|m| instance_number(m) != s.1).unwrap()),
+                )
+            })
             .collect();
-        let (primary, liar) = lead[0];
-        fleet.save_store(liar).unwrap();
+        let (primary, lossy) = lead[0];
+        fleet.save_store(lossy).unwrap();
         fleet.wait_for_promises(60).unwrap();
-        fleet.kill_and_restore_store(liar).unwrap();
+        fleet.kill_and_restore_store(lossy).unwrap();
         fleet.lose_machine(primary).unwrap();
-        fleet.start_instance(liar).unwrap();
+        fleet.start_instance(lossy).unwrap();
         fleet.wait_for_full_sets().unwrap();
         fleet.wait_for_promises(20).unwrap();
         fleet.stop_callers().unwrap();
@@ -155,7 +164,7 @@
                 let (_, wrong) = fleet.judge().unwrap();
                 assert_eq!(wrong, []);
             }
-            Some(_) => assert!(lost, "with the guard taken out nothing was found"),
+            Some(_) => assert!(lost, "the checker found no loss with the guard disabled"),
         }
     }
 }
--- a/testbed/tests/emulator.rs
+++ b/testbed/tests/emulator.rs
@@ -1,4 +1,4 @@
-//! The emulator's scenarios: the same run each time, judged by the checker of real histories.
+//! Emulator scenarios: runs are deterministic, and the checker of real histories judges them.
 
 use std::path::Path;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run_and_another_seed_another() {
+fn runs_are_deterministic_for_each_seed() {
     let s = Scenario {
         seconds: 12.0,
         ..scenario("owner.toml")
@@ -25,19 +25,24 @@
     assert_ne!(one, other);
 }
 
-/// The owner is stopped, woken, cut off and killed, with frames lost and doubled: no violation, and each time another owns.
+/// The owner is stopped, continued, cut off and killed, with frames lost and duplicated: the
+/// history has no violation, and each time another instance owns the duty.
 #[test]
-fn owners_that_fail_in_every_way_leave_a_sound_history() {
+fn failing_owners_leave_a_sound_history() {
     for seed in 1..=2 {
-        let ran = play(&scenario("owner.toml"), seed).unwrap();
-        assert_eq!(ran.wrong, Vec::<String>::new(), "seed {seed}");
-        assert!(ran.terms >= 4 && ran.accepted > 100, "seed {seed}: {ran:?}");
+        let result = play(&scenario("owner.toml"), seed).unwrap();
+        assert_eq!(result.wrong, Vec::<String>::new(), "seed {seed}");
+        assert!(
+            result.terms >= 4 && result.accepted > 100,
+            "seed {seed}: {result:?}"
+        );
     }
 }
 
-/// What the duties are for: fewer orders for the same calls, and calls served as well.
+/// With duties the fleet sends fewer load orders, and serves nearly the same share of calls or
+/// more.
 #[test]
-fn of_many_orders_for_a_copy_most_are_spared() {
+fn duties_avoid_redundant_load_orders() {
     let s = Scenario {
         seconds: 10.0,
         instances: 12,
@@ -69,7 +74,7 @@
 }
 
 #[test]
-fn a_scenario_with_an_unknown_key_is_refused() {
+fn scenario_with_an_unknown_key_is_refused() {
     let folder = std::env::temp_dir().join(format!("molelug-scenario-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("bad.toml");
--- a/testbed/tests/gossip.rs
+++ b/testbed/tests/gossip.rs
@@ -1,14 +1,14 @@
-//! Instances that talk, as processes on loopback.
+//! Gossip between real gateway processes on loopback.
 
 use std::path::PathBuf;
 
 use molelug_testbed::fakes::gateway::PROGRAM;
 use molelug_testbed::gossip::{run_fleet, BYTES_PER_S};
 
-/// Five instances, one of them a stand-in that lies in every way: the four find and keep each other, serve, and stay
-/// under their ceiling.
+/// Five instances, one of them a malicious fake: the other four discover each other, keep
+/// considering each other alive, serve calls, and stay below their send limit.
 #[test]
-fn four_instances_keep_each_other_beside_one_that_lies() {
+fn honest_instances_stay_connected_despite_malicious_peer() {
     PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
     let result = run_fleet(5, 1, 12, true).unwrap();
     assert_eq!(result.agreeing, 4, "{result:?}");
--- a/testbed/tests/operator_surface.rs
+++ b/testbed/tests/operator_surface.rs
@@ -1,7 +1,7 @@
-//! What a user of these tools sees and types: the help of every command, and the keys of scenarios. A renaming in the code
-//! changes none of it; the program's own name, which is the package's, stands as `PROGRAM`.
+//! Tests of the tools' user interface: the help of every command and the keys of scenarios. Renames
+//! in the code must not change either. The fixtures write the program's name as `PROGRAM`.
 //!
-//! A file in `fixtures/operator/` that has to change is written anew with `UPDATE_FIXTURES=1`.
+//! `UPDATE_FIXTURES=1` rewrites the files in `fixtures/operator/`.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -16,7 +16,7 @@
         .join(name)
 }
 
-/// Compares a text with a fixture to the byte.
+/// Compares a text with a fixture, byte for byte.
 fn assert_fixture(name: &str, text: &str) {
     let path = fixture(name);
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
@@ -49,7 +49,8 @@
         .replace(program, "PROGRAM")
 }
 
-/// The commands that a help text lists; positional items are in capitals and options begin with a dash.
+/// Returns the commands that a help text lists. Positional items are in capitals, and options begin
+/// with a dash.
 fn listed_commands(help: &str) -> Vec<String> {
     if !help
         .lines()
@@ -65,7 +66,7 @@
         .collect()
 }
 
-/// Appends the help of a command and of all commands under it.
+/// Appends the help of a command and of all its subcommands.
 fn append_help(commands: &[String], all: &mut String) {
     let help = help_of(commands);
     let line = [&["PROGRAM".to_owned()], commands, &["--help".to_owned()]]
@@ -89,7 +90,7 @@
     assert_fixture("help.txt", &all);
 }
 
-/// The gateway's own command line, under the name by which the tools start it.
+/// The `gateway` command, by which the tools start the gateway, has the gateway's own command line.
 #[test]
 fn gateway_command_prints_gateway_help() {
     let help = help_of(&["gateway".to_owned()]);
@@ -111,7 +112,7 @@
     );
 }
 
-/// A parser's words for a scenario with one change, behind the name of the file.
+/// Returns the parser's error for a scenario text.
 fn refusal_of(name: &str, text: &str) -> String {
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
@@ -125,7 +126,7 @@
         .to_string()
 }
 
-/// The keys or words that a parser names after it has refused one.
+/// Returns the expected keys or words that a parser's error lists.
 fn accepted(error: &str) -> String {
     let (_, list) = error
         .split_once(", expected ")
--- a/testbed/tests/owners.rs
+++ b/testbed/tests/owners.rs
@@ -1,4 +1,5 @@
-//! Gateways as real processes that share duties over links that fail, judged by what each recorded.
+//! Lease trials with real gateway processes that share duties over failing links, judged by the
+//! recorded histories.
 
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, TryLockError};
@@ -8,7 +9,7 @@
 use molelug_testbed::history::{Note, Wrong};
 use molelug_testbed::lease_trials::{instance_name, run_round, Fleet, FleetConfig, OBSERVED_DUTY};
 
-/// Three fleets at a time: more would only wait for the machine, and its leases end by the clock.
+/// Limits the tests to three fleets at a time: with more, the machine is too slow for the leases.
 static SLOTS: [Mutex<()>; 3] = [Mutex::new(()), Mutex::new(()), Mutex::new(())];
 
 fn acquire_slot() -> MutexGuard<'static, ()> {
@@ -25,10 +26,10 @@
     }
 }
 
-/// Whoever owns the duty is stopped past its lease, killed, cut off or ended in order, as the seed has it, with calls under
-/// way all the while: what all recorded is sound, and each fault had its next owner.
+/// The owner of the duty is stopped past its lease, killed, cut off or shut down, as drawn from the
+/// seed, with calls in progress: the histories are sound, and each fault has a next owner.
 #[test]
-fn owners_that_are_stopped_cut_off_or_killed_do_no_harm() {
+fn failed_owners_leave_sound_histories_and_get_successors() {
     let _slot = acquire_slot();
     for seed in [1, 2, 3] {
         let round = run_round(&FleetConfig::default(), seed, 4, None)
@@ -40,10 +41,10 @@
     }
 }
 
-/// Frames that an owner sent are held on their way until the next owner's came. What refuses them is their term: with it
-/// taken out the checker finds that they were taken.
+/// An old owner's frames are held back until the next owner's frames arrive, and are refused by
+/// their term. With the term check disabled, the checker finds that they were accepted.
 #[test]
-fn effects_that_come_late_are_refused_by_their_term() {
+fn late_effects_are_refused_by_their_term() {
     let _slot = acquire_slot();
     for without in [None, Some("terms".to_owned())] {
         let config = FleetConfig {
@@ -79,7 +80,7 @@
             _ => false,
         };
         fleet
-            .wait_for_note(from, "what was held", |s| late(&s.note))
+            .wait_for_note(from, "the held effect", |s| late(&s.note))
             .unwrap();
         let (counts, wrong) = fleet.judge().unwrap();
         let stale = wrong.iter().any(|w| matches!(w, Wrong::Stale { .. }));
@@ -91,9 +92,10 @@
     }
 }
 
-/// The owner is stopped past its lease and woken with trials due. What holds it back is its look at the lease.
+/// The owner is stopped past its lease and continued with probes due. The lease check keeps it from
+/// acting.
 #[test]
-fn an_owner_that_wakes_up_late_looks_at_its_lease() {
+fn owner_continued_after_its_lease_does_not_act() {
     let _slot = acquire_slot();
     for without in [None, Some("lease".to_owned())] {
         let mut fleet = Fleet::start(
@@ -123,14 +125,16 @@
             .iter()
             .any(|w| matches!(w, Wrong::NoLease { owner: o, .. } if *o == instance_name(owner)));
         assert!(without.is_some() || wrong.is_empty(), "{wrong:?}");
-        // Without the look it may do something in the moment before it hears: that is what the seeds look for.
+        // Without the check the owner may act before it learns that the lease has ended, but need
+        // not; the rounds drawn from seeds search for such cases.
         assert!(!acted || without.is_some());
     }
 }
 
-/// Three of five voters are gone: nobody owns anything, and calls go on. Two come back: somebody does.
+/// While three of five voters are down, no instance owns the duty and calls continue. Once two
+/// voters are back, the duty has an owner.
 #[test]
-fn without_a_majority_calls_go_on_and_duties_rest() {
+fn without_a_majority_calls_continue_and_duties_pause() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
@@ -151,7 +155,7 @@
     fleet
         .wait_for_note(from, "the end of the last lease", |s| ended(&s.note))
         .unwrap();
-    // Calls are answered meanwhile: ten more at a gateway that is still there.
+    // A gateway that still runs answers ten more calls meanwhile.
     let file = fleet.histories().join("calls-5-0.jsonl");
     let served = || {
         std::fs::read_to_string(&file)
@@ -164,7 +168,7 @@
     while served() < before + 10 {
         assert!(
             std::time::Instant::now() < end,
-            "calls stopped with the council"
+            "calls stopped with the loss of the majority"
         );
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
@@ -172,13 +176,14 @@
     assert_eq!(
         fleet.owner().map(|(_, t)| t),
         Some(term),
-        "somebody owned it without a majority"
+        "an instance owned the duty without a majority"
     );
     let from = fleet.notes.len();
     for n in &gone[..2] {
         fleet.start_instance(*n).unwrap();
     }
-    // The old owner under its own term, which nobody else was granted since, or another under the next.
+    // Either the old owner continues under its term, as no other was granted since, or another
+    // instance starts under the next term.
     let began = |n: &Note| matches!(n, Note::Began { duty, .. } if duty == OBSERVED_DUTY);
     fleet
         .wait_for_note(from, "an owner", |s| began(&s.note))
@@ -187,10 +192,10 @@
     assert_eq!(wrong, []);
 }
 
-/// A voter comes back without its disk, with one that was founded again, and with yesterday's: it does not vote as who it
-/// was, says why, and the others go on.
+/// A voter returns with an outdated seat, and then without a seat: it does not vote under its old
+/// identity, reports the reason, and the other voters continue.
 #[test]
-fn a_voter_without_its_own_disk_does_not_vote() {
+fn voter_with_outdated_or_missing_seat_does_not_vote() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
@@ -208,7 +213,7 @@
         fleet.home(victim).join("seat"),
         fleet.home(victim).join("yesterday"),
     );
-    // Yesterday's: as it was before one more start.
+    // Saves the seat from before one more start.
     fleet.kill(victim).unwrap();
     std::fs::copy(&seat, &copy).unwrap();
     fleet.start_instance(victim).unwrap();
@@ -229,9 +234,9 @@
         s.instance == victim && matches!(s.note, Note::Retired { .. })
     };
     fleet
-        .wait_for_note(from, "the refusal of yesterday's disk", retired)
+        .wait_for_note(from, "the refusal of the outdated seat", retired)
         .unwrap();
-    // The other two go on without it.
+    // The other two voters continue without the victim.
     let (owner, _) = fleet.owner().unwrap();
     if owner != victim {
         fleet.gateway(owner).unwrap().end().unwrap();
@@ -239,7 +244,7 @@
         fleet.start_instance(owner).unwrap();
         fleet.wait_for_owner_after(term).unwrap();
     }
-    // Without a disk it follows, and says that it does not vote.
+    // Without a seat the instance follows, and logs that it does not vote.
     fleet.kill(victim).unwrap();
     std::fs::remove_file(&seat).unwrap();
     fleet.start_instance(victim).unwrap();
@@ -253,10 +258,10 @@
     assert_eq!(wrong, []);
 }
 
-/// A second process under the same name, as an upgrade starts one: while the first lives it follows and owns nothing of the
-/// first one's, and once the first has ended it has its address and its seat.
+/// A second process starts under the same name, as during an upgrade: while the first runs, the
+/// second follows, and once the first has exited, the second takes over address and seat.
 #[test]
-fn of_two_processes_under_one_name_the_newer_one_votes_once_the_older_has_ended() {
+fn newer_process_votes_after_older_namesake_exits() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
@@ -279,7 +284,7 @@
     fleet.gateways[owner].take().unwrap().wait().unwrap();
     fleet.gateways[owner] = Some(second);
     fleet.wait_for_owner_after(term).unwrap();
-    // The newer one's vote is needed for anything to be agreed once a third is gone.
+    // With a third voter down, nothing can be agreed without the newer process's vote.
     let other = (owner + 1) % 3;
     let (_, term) = fleet.owner().unwrap();
     fleet.kill(other).unwrap();
@@ -301,10 +306,11 @@
     assert_eq!(wrong, []);
 }
 
-/// A link that flaps, a third of all frames lost, some doubled, and a leader that only one other hears: whoever leads, no
-/// two do in one term, and somebody owns the duty once the network is whole.
+/// Links flap, a third of all frames is lost, some are duplicated, and only one other instance
+/// hears the leader: no term has two leaders, and the duty has an owner once the network is
+/// healthy.
 #[test]
-fn lossy_flapping_and_half_cut_links_leave_one_owner() {
+fn lossy_flapping_and_partial_links_leave_one_owner() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(FleetConfig::default(), 10).unwrap();
     fleet.start_callers().unwrap();
@@ -339,7 +345,7 @@
     fleet.set_all_faults(Faults::default());
     fleet.read_notes().unwrap();
     if let Some((owner, t)) = fleet.owner().filter(|(_, t)| *t >= term) {
-        // Whoever it is, its end has another follow.
+        // Any owner that is killed has a successor.
         fleet.kill(owner).unwrap();
         term = t;
     }
@@ -348,9 +354,10 @@
     assert_eq!(wrong, [], "{counts:?}");
 }
 
-/// Clients take nearly all descriptors of whoever owns the duty: it gives it up by itself, and has it or another again later.
+/// Clients use up nearly all descriptors of the owner: it gives up the duty by itself, and the duty
+/// has an owner again later.
 #[test]
-fn an_owner_without_descriptors_gives_its_duty_up() {
+fn owner_without_descriptors_gives_up_its_duty() {
     let _slot = acquire_slot();
     let config = FleetConfig {
         instances: 3,
@@ -369,8 +376,8 @@
     };
     let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
     while !fleet.notes[from..].iter().any(gone) {
-        assert!(std::time::Instant::now() < end, "it kept the duty");
-        // One that says nothing is let go after two seconds; others wait in its place.
+        assert!(std::time::Instant::now() < end, "the owner kept the duty");
+        // The gateway closes an idle connection after two seconds; further connections replace it.
         clients.extend(std::net::TcpStream::connect(to));
         if clients.len() > 300 {
             clients.pop_front();
@@ -384,9 +391,9 @@
     assert_eq!(wrong, []);
 }
 
-/// A seat's file that was cut short, or is something else: the gateway says so, follows and serves.
+/// With a truncated or invalid seat file, the gateway reports the damage, follows and serves.
 #[test]
-fn a_gateway_whose_seat_is_damaged_follows_and_serves() {
+fn gateway_with_damaged_seat_follows_and_serves() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
@@ -411,7 +418,7 @@
         assert!(log.iter().any(|l| l.contains("does not vote")), "{log:?}");
         let restored = |n: &Note| matches!(n, Note::Restored { .. });
         fleet
-            .wait_for_note(from, "what it follows", |s| {
+            .wait_for_note(from, "the restored state", |s| {
                 s.instance == victim && restored(&s.note)
             })
             .unwrap();
@@ -421,10 +428,11 @@
     assert_eq!(wrong, []);
 }
 
-/// Strangers on the port of the council: garbage, a length beyond any frame, silence, and a frame sealed by a key that
-/// nobody accepts. Each connection ends, and nothing else does.
+/// Unknown clients connect to the consensus port and send garbage, an excessive length, nothing, or
+/// a frame sealed with an unaccepted key. Invalid input closes only its own connection, and the
+/// owner continues.
 #[test]
-fn strangers_on_the_councils_port_harm_nobody() {
+fn unknown_clients_on_the_consensus_port_do_no_harm() {
     use std::io::{Read, Write};
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
@@ -462,7 +470,7 @@
         if bytes.is_empty() {
             silent.push(s);
         } else {
-            // The end: a close, or a reset for what was not read.
+            // The gateway closes the connection, or resets it because of unread bytes.
             assert_eq!(s.read(&mut [0; 8]).unwrap_or(0), 0);
         }
     }
@@ -500,10 +508,11 @@
     assert_eq!(wrong, []);
 }
 
-/// One voter is cut off for good, and a fourth gateway, which has a seat, takes its place by the operators' commands while
-/// the partition lasts. Back again, the old one votes no more, and the new one's vote counts.
+/// During a partition that isolates one voter, operator commands replace this voter with a fourth
+/// gateway, which has a seat. After the partition the old voter no longer votes, and the new one's
+/// vote counts.
 #[test]
-fn voters_are_exchanged_by_command_during_a_partition() {
+fn operator_exchanges_voters_during_a_partition() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
@@ -545,7 +554,7 @@
             std::thread::sleep(std::time::Duration::from_millis(100));
         }
     };
-    // It follows at some voter; at the leader once it asks there.
+    // Cuts the fourth gateway's links to all voters but the leader, so that it follows the leader.
     for (from, to) in fleet
         .links
         .keys()
@@ -592,7 +601,7 @@
     assert!(said.contains("gw-3"), "{said}");
     fleet.set_all_faults(Faults::default());
     wait_for_output(&fleet, gone, &["council", "show"], "voter             gw-3");
-    // With the old one out, a majority is two of three: the new one and one more are enough.
+    // Without the old voter, two of three are a majority: the new voter and one other suffice.
     let other = (0..3).find(|n| *n != gone && *n != at).unwrap();
     fleet.kill(other).unwrap();
     let (owner, now) = fleet.owner().unwrap();
@@ -606,10 +615,10 @@
     assert_eq!(wrong, []);
 }
 
-/// Keys are rotated by SIGHUP under way: the old one, both, the new one first, the new one alone. The owner keeps its duty
-/// and goes on.
+/// SIGHUP rotates the shared keys in operation: the old key and the new one, the new one first, the
+/// new one alone. The owner keeps its duty and continues.
 #[test]
-fn keys_rotate_while_an_owner_acts() {
+fn key_rotation_keeps_the_owner() {
     let _slot = acquire_slot();
     let mut fleet = Fleet::start(
         FleetConfig {
--- a/testbed/tests/second_front.rs
+++ b/testbed/tests/second_front.rs
@@ -1,4 +1,5 @@
-//! The second front end to end, as processes on loopback: kills, portals that misbehave, ends in order.
+//! End-to-end tests of the webhook front with real processes on loopback: kills, misbehaving
+//! portals and shutdowns.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -10,15 +11,16 @@
 use molelug_testbed::fakes::*;
 use molelug_testbed::{conformance, crash, demo};
 
-/// The lab's own program, which runs the gateway.
-fn ready() {
+/// Sets the test bed's program, which also runs the gateway.
+fn set_program() {
     PROGRAM.get_or_init(|| PathBuf::from(env!("CARGO_BIN_EXE_molelug-testbed")));
 }
 
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -35,17 +37,18 @@
     "[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\ncallback_answer_ms = 400\n\
                     schedule_s = [0.1, 0.2, 0.4, 0.8, 1.6, 1.6, 1.6, 1.6]\n";
 
-struct Scene {
+/// Folder, workers and operator's file of a gateway under test.
+struct Setup {
     folder: Folder,
     workers: Vec<Worker>,
     operator: String,
 }
 
-impl Scene {
-    fn new(name: &str, operator: String) -> Scene {
-        ready();
+impl Setup {
+    fn new(name: &str, operator: String) -> Setup {
+        set_program();
         let workers = vec![Worker::start(Duration::ZERO, 0).unwrap()];
-        Scene {
+        Setup {
             folder: Folder::new(name).unwrap(),
             workers,
             operator,
@@ -67,25 +70,25 @@
 }
 
 #[test]
-fn kills_at_random_moments_lose_and_double_nothing() {
-    ready();
+fn kills_at_random_moments_lose_and_repeat_nothing() {
+    set_program();
     assert!(
         crash::run(1, 4).unwrap(),
-        "the seed of what failed is in the output"
+        "the output has the seed of the failed round"
     );
 }
 
 #[test]
-fn the_conformance_suite_and_the_demo_pass() {
-    ready();
+fn conformance_suite_and_demo_pass() {
+    set_program();
     assert!(conformance::receiver(true, None, "", None, "").unwrap());
     assert!(conformance::sender(true, None, None).unwrap());
     assert!(demo::run().unwrap());
 }
 
-/// Every way in which a portal can misbehave, each at a tenant of its own, next to one that is well.
+/// Portals misbehave in every known way, each for its own tenant, next to a healthy portal.
 #[test]
-fn portals_that_misbehave_are_met_by_class_and_harm_nobody_else() {
+fn misbehaving_portals_affect_only_their_own_callbacks() {
     let start = |manner| Portal::start(secret(1), manner).unwrap();
     let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
     let to: &'static str =
@@ -102,8 +105,8 @@
     ];
     let portals: BTreeMap<&str, Portal> = manners.iter().map(|(n, m)| (*n, start(*m))).collect();
     let operator: String = portals.iter().map(|(n, p)| tenant(n, p, "")).collect();
-    let scene = Scene::new("portals", HEAD.to_owned() + &operator);
-    let mut g = scene.start();
+    let setup = Setup::new("portals", HEAD.to_owned() + &operator);
+    let mut g = setup.start();
     let came = |name: &str, call: &str| {
         portals[name]
             .all()
@@ -111,36 +114,38 @@
             .filter(|s| s.call == call)
             .count()
     };
-    // The one that must not come twice goes first everywhere: behind an answer to the other that says to wait, or that the
-    // endpoint is gone, it would rightly not come at all, and which is first would hang on timing.
+    // The callback that must not be repeated is sent first everywhere. After a response to the
+    // other callback that demands a wait or says that the endpoint is gone, it would correctly not
+    // be sent at all, and the order would depend on timing.
     for (id, class) in [("u", UNSAFE), ("s", SAFE)] {
         for name in portals.keys() {
             assert_eq!(call(&g, name, id, class), 202, "{name}");
         }
-        until("the first ones have come", || {
+        wait_until("the first ones have come", || {
             portals.keys().all(|n| came(n, "u") == 1)
         });
     }
-    until("the well one has both", || {
+    wait_until("the well one has both", || {
         came("well", "u") + came("well", "s") == 2
     });
-    until("the safe ones are sent again", || {
+    wait_until("the safe ones are sent again", || {
         ["cuts", "redirects", "junk"]
             .iter()
             .all(|n| came(n, "s") >= 3)
     });
-    until("the slow ones too", || {
+    wait_until("the slow ones too", || {
         came("silent", "s") >= 2 && came("drips", "s") >= 2
     });
     for name in portals.keys() {
         assert_eq!(came(name, "u"), 1, "{name}: what must not come twice");
         assert!(portals[name].all().iter().all(|s| s.signed));
     }
-    // Asked to wait, and switched off: at most what was out already, and nothing again.
+    // A portal that demands a wait, or whose endpoint is disabled, gets at most the attempt already
+    // in flight.
     assert!(came("year", "s") <= 1 && came("gone", "s") <= 1);
     elsewhere.set_nonblocking(true).unwrap();
     assert!(elsewhere.accept().is_err(), "no redirect is followed");
-    // They come back: what waits arrives, but at the one that is switched off.
+    // The portals recover: all waiting callbacks arrive, except at the disabled endpoint.
     ["silent", "drips", "cuts", "redirects", "junk"]
         .iter()
         .for_each(|n| portals[n].set(Manner::Good));
@@ -150,7 +155,7 @@
             .iter()
             .any(|s| s.call == "s" && s.confirmed)
     };
-    until("all that wait arrive", || {
+    wait_until("all that wait arrive", || {
         ["cuts", "redirects", "junk", "drips"]
             .iter()
             .all(|n| back(n))
@@ -166,9 +171,10 @@
         .any(|l| l.contains("switched off") && l.contains("gone")));
 }
 
-/// SIGTERM does not wait for a portal: what waits goes on at the next start, in the order of its key.
+/// SIGTERM does not wait for a portal: waiting callbacks continue after the next start, in the
+/// order of their key.
 #[test]
-fn an_end_in_order_leaves_what_waits_to_the_next_start() {
+fn waiting_callbacks_continue_in_order_after_restart() {
     let portal = Portal::start(secret(1), Manner::Says(503, "")).unwrap();
     let ordered = format!(
         "[[tenants.endpoints]]\nname = \"ordered\"\nurl = \"http://{}/in\"\nordered = true\n",
@@ -178,8 +184,8 @@
         "[[tenants]]\nname = \"t\"\nsecrets = [\"{}\"]\n{ordered}",
         secret_text(1)
     );
-    let scene = Scene::new("sigterm", HEAD.to_owned() + &one);
-    let mut g = scene.start();
+    let setup = Setup::new("sigterm", HEAD.to_owned() + &one);
+    let mut g = setup.start();
     let mut caller = Caller::new(g.webhooks.unwrap());
     for n in 0..6 {
         let text = call_body(SAFE, 1, Some("patient-7"));
@@ -191,15 +197,15 @@
             (202, "store")
         );
     }
-    until("the first was tried", || !portal.all().is_empty());
+    wait_until("the first was tried", || !portal.all().is_empty());
     g.stop().unwrap();
     assert!(
         portal.all().iter().all(|s| s.call == "c0"),
         "the others stand behind the first"
     );
     portal.set(Manner::Good);
-    let mut g = scene.start();
-    until("all arrive", || {
+    let mut g = setup.start();
+    wait_until("all arrive", || {
         portal.all().iter().filter(|s| s.confirmed).count() == 6
     });
     let order: Vec<String> = portal
@@ -209,8 +215,8 @@
         .map(|s| s.call)
         .collect();
     assert_eq!(order, ["c0", "c1", "c2", "c3", "c4", "c5"]);
-    // One store is never held by two processes.
-    let second = Gateway::again(&scene.folder.0, &scene.operator);
+    // Two processes cannot hold the same store.
+    let second = Gateway::again(&setup.folder.0, &setup.operator);
     assert!(second
         .unwrap_err()
         .to_string()
@@ -218,14 +224,14 @@
     g.stop().unwrap();
 }
 
-/// A tenant asks how its own call stands, signed; nobody else learns anything.
+/// A tenant queries the state of its own call with a signed request; other requests are refused.
 #[test]
-fn a_caller_asks_for_its_own_call() {
+fn only_the_tenant_can_query_its_call() {
     let portal = Portal::start(secret(1), Manner::Good).unwrap();
-    let scene = Scene::new("asks", HEAD.to_owned() + &tenant("t", &portal, ""));
-    let mut g = scene.start();
+    let setup = Setup::new("asks", HEAD.to_owned() + &tenant("t", &portal, ""));
+    let mut g = setup.start();
     assert_eq!(call(&g, "t", "mine", SAFE), 202);
-    until("it is answered", || portal.all().len() == 1);
+    wait_until("it is answered", || portal.all().len() == 1);
     let ask = |id: &str, path: &str, key| {
         let stamp = now_s();
         let signed =
@@ -261,18 +267,19 @@
     g.stop().unwrap();
 }
 
-/// Ten thousand signed calls at once from one tenant: each is taken or turned away with a time to come back, each that
-/// was taken has its one callback, and the platform's client next to them is served.
+/// One tenant sends ten thousand signed calls at once: each is accepted, or refused with a
+/// `Retry-After`; each accepted call has exactly one callback, and a client of the platform's front
+/// still gets a response.
 #[test]
-fn ten_thousand_calls_at_once_are_each_taken_or_turned_away() {
+fn ten_thousand_concurrent_calls_are_accepted_or_refused() {
     let portal = Portal::start(secret(1), Manner::Good).unwrap();
-    let scene = Scene::new("flood", HEAD.to_owned() + &tenant("t", &portal, ""));
-    let mut g = scene.start();
+    let setup = Setup::new("flood", HEAD.to_owned() + &tenant("t", &portal, ""));
+    let mut g = setup.start();
     let to = g.webhooks.unwrap();
     let callers: Vec<_> = (0..40)
         .map(|c| {
             std::thread::spawn(move || {
-                // All of a caller's calls are written before one answer is read.
+                // Each caller writes all calls before it reads the first response.
                 let mut text = Vec::new();
                 for n in 0..250 {
                     let (id, stamp, b) = (format!("c{c}-{n}"), now_s(), call_body(SAFE, n % 8, None));
@@ -310,26 +317,26 @@
         .unwrap();
     assert!(
         [200, 429, 503].contains(&status(&answer)),
-        "the platform's client has its answer"
+        "the platform's client got no expected response"
     );
     let taken: BTreeSet<String> = callers
         .into_iter()
         .flat_map(|c| c.join().unwrap())
         .collect();
     assert!(taken.len() >= 100, "{}", taken.len());
-    until("each that was taken has its callback", || {
+    wait_until("each that was taken has its callback", || {
         portal.all().len() >= taken.len()
     });
     let came: Vec<String> = portal.all().into_iter().map(|s| s.call).collect();
     assert_eq!(came.iter().cloned().collect::<BTreeSet<_>>(), taken);
-    assert_eq!(came.len(), taken.len(), "and one only");
+    assert_eq!(came.len(), taken.len(), "some callbacks came twice");
     g.stop().unwrap();
 }
 
-/// An endpoint that says 410 is switched off, and the tenant's endpoint for operations hears of it. A portal that
-/// listens and never accepts is given up by its deadline, by class.
+/// An endpoint that responds with 410 is disabled, and the tenant's operations endpoint is
+/// notified. A callback to a portal that listens and never accepts is given up after its deadline.
 #[test]
-fn operations_hear_of_an_endpoint_switched_off_and_one_that_never_accepts_is_given_up() {
+fn operations_endpoint_is_notified_of_failed_deliveries() {
     let gone = Portal::start(secret(1), Manner::Says(410, "")).unwrap();
     let ops = Portal::start(secret(1), Manner::Good).unwrap();
     let never = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -339,8 +346,8 @@
         ops.address,
         never.local_addr().unwrap()
     );
-    let scene = Scene::new("off", HEAD.to_owned() + &tenant("t", &gone, &events));
-    let mut g = scene.start();
+    let setup = Setup::new("off", HEAD.to_owned() + &tenant("t", &gone, &events));
+    let mut g = setup.start();
     assert_eq!(call(&g, "t", "booking", UNSAFE), 202);
     let heard = |kind: &str| {
         ops.all()
@@ -348,11 +355,12 @@
             .filter(|s| s.kind == kind && s.signed)
             .count()
     };
-    until("operations hear that it is off", || {
+    wait_until("operations hear that it is off", || {
         heard("endpoint.disabled") == 1
     });
-    // Both copies of the booking's callback: seen by the one that said 410, perhaps by the one that never accepted.
-    until("and that nobody can tell", || {
+    // One message for each endpoint: the one that responded with 410 has received the booking's
+    // callback, the one that never accepts possibly.
+    wait_until("and that nobody can tell", || {
         heard("message.exhausted") == 2
     });
     assert_eq!(gone.all().len(), 1);
--- a/testbed/tests/tenants.rs
+++ b/testbed/tests/tenants.rs
@@ -1,4 +1,5 @@
-//! Tenants changed at any gateway of a fleet, as real processes: machines are lost with their disks, and links fail.
+//! Changes of tenants at any gateway of a fleet of real processes: machines are lost with their
+//! disks, and links fail.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -10,7 +11,7 @@
 use molelug_testbed::history::tenants::Wrong;
 use serde_json::json;
 
-/// One fleet at a time: more would only wait for the machine.
+/// Limits the tests to one fleet at a time: with more, the fleets would only wait for the machine.
 static SLOT: Mutex<()> = Mutex::new(());
 
 fn fleet(seed: u64, without: Option<&str>) -> Fleet {
@@ -41,10 +42,11 @@
     assert_eq!(changes, acknowledged);
 }
 
-/// A tenant is made at one gateway and its secret rotated; the machine that said so is lost at once, with its disk and seat.
-/// All others know both, calls of the tenant are taken anywhere, and the request given again gets the same answer.
+/// A tenant is created at one gateway and its secret rotated; then the machine that acknowledged
+/// the changes is lost with its disk and seat. All other gateways have both changes and accept the
+/// tenant's calls, and a repeated request gets the same response.
 #[test]
-fn a_change_outlives_the_machine_that_said_it_is_done() {
+fn acknowledged_tenant_change_survives_loss_of_its_machine() {
     let _slot = acquire_slot();
     let mut fleet = fleet(1, None);
     let mut there = fleet.admin_client(1).unwrap();
@@ -98,7 +100,7 @@
             202
         );
     }
-    // The machine comes back empty, and learns what it had said itself.
+    // The machine returns with an empty disk and receives the changes that it had acknowledged.
     fleet.start_instance(1).unwrap();
     assert_settled(&fleet, 2);
     assert_eq!(
@@ -107,9 +109,10 @@
     );
 }
 
-/// The same tenant is changed at three gateways at once, again and again: of each three one takes hold, and all agree which.
+/// The same tenant is repeatedly changed at three gateways at once: concurrent changes conflict,
+/// and all gateways agree on the result.
 #[test]
-fn of_changes_at_once_one_takes_hold() {
+fn concurrent_tenant_changes_leave_one_agreed_version() {
     let _slot = acquire_slot();
     let fleet = fleet(2, None);
     let mut all: Vec<_> = (0..3).map(|n| fleet.admin_client(2 * n).unwrap()).collect();
@@ -127,7 +130,7 @@
                 .collect();
             threads.into_iter().map(|t| t.join().unwrap()).collect()
         });
-        // One that has not begun when another has ended is made on what that left.
+        // A change that starts after another has completed applies to its result and also succeeds.
         assert!(
             said.iter().all(|s| [200, 409].contains(s)) && said.contains(&200),
             "{said:?}"
@@ -141,10 +144,12 @@
     assert!(shown.iter().all(|tag| *tag == shown[0]), "{shown:?}");
 }
 
-/// A gateway that is cut off says 503 with what to do, and nothing of it holds; meanwhile others change and remove, and it
-/// learns of that once it is back. One that the file names stays removed where a process starts on the file anew.
+/// A gateway that is cut off refuses a change with 503 and a remedy, and the change has no effect.
+/// Meanwhile other gateways change and remove tenants, which the gateway learns once it is
+/// reconnected. A removed tenant stays removed when a process restarts with a file that names the
+/// tenant.
 #[test]
-fn one_that_is_cut_off_promises_nothing_and_learns_what_it_missed() {
+fn isolated_gateway_refuses_changes_and_catches_up() {
     let _slot = acquire_slot();
     let mut fleet = fleet(3, None);
     let cut = Faults {
@@ -167,7 +172,7 @@
     assert_eq!(
         fleet.admin_client(5).unwrap().get("franq-bajio").status,
         200,
-        "not heard of yet"
+        "the removal has not arrived yet"
     );
     fleet.set_instance_faults(5, Faults::default(), Faults::default());
     assert_settled(&fleet, 2);
@@ -183,7 +188,8 @@
             "at {n}"
         );
     }
-    // One that begins and hears nothing goes by its file, which names the removed tenant: it takes none of its calls.
+    // A gateway that starts isolated uses its file, which names the removed tenant, and accepts
+    // none of the tenant's calls.
     fleet.kill(3).unwrap();
     fleet.set_instance_faults(3, cut, cut);
     fleet.start_instance(3).unwrap();
@@ -197,9 +203,9 @@
     );
     fleet.set_instance_faults(3, Faults::default(), Faults::default());
     assert_settled(&fleet, 2);
-    // It takes calls once it has all that its own disk held applied, and not before.
+    // The gateway accepts calls only once it has applied everything from its own disk.
     fleet
-        .wait_until("it to take calls", || {
+        .wait_until("the gateway to accept calls", || {
             fleet
                 .send_as(3, "franq-bajio", &secret(1), "later")
                 .unwrap()
@@ -220,9 +226,10 @@
     assert_eq!(fleet.admin_client(3).unwrap().get("lonely").status, 404);
 }
 
-/// A third of all frames is lost and the rest late; then all processes are killed at once. What was told done holds.
+/// A third of all frames is lost and the rest delayed; then all processes are killed at once. All
+/// acknowledged changes remain.
 #[test]
-fn lossy_links_and_a_start_of_all_lose_no_change() {
+fn lossy_links_and_full_restart_lose_no_change() {
     let _slot = acquire_slot();
     let mut fleet = fleet(4, None);
     fleet.set_all_faults(Faults {
@@ -252,9 +259,9 @@
     assert_settled(&fleet, done);
 }
 
-/// Without a majority of the voters nothing is told done, and what stands goes on being used.
+/// Without a majority of voters no change is acknowledged, and the existing tenants stay in use.
 #[test]
-fn without_a_majority_nothing_is_told_done() {
+fn no_change_is_acknowledged_without_a_majority() {
     let _slot = acquire_slot();
     let fleet = fleet(5, None);
     let mut there = fleet.admin_client(4).unwrap();
@@ -273,10 +280,10 @@
     assert_eq!(fleet.check_tenants().unwrap().1, []);
 }
 
-/// With the guard taken out that has a change wait until it is agreed on, one is told done that nobody has, and the checker
-/// finds it.
+/// Control: with the guard disabled that makes a change wait for agreement, a change is
+/// acknowledged that no other gateway has, and the checker finds it.
 #[test]
-fn a_change_that_is_told_done_too_soon_is_found() {
+fn checker_finds_change_acknowledged_before_agreement() {
     let _slot = acquire_slot();
     let mut fleet = fleet(6, Some("agreed"));
     let cut = Faults {
