--- a/testbed/src/conformance.rs
+++ b/testbed/src/conformance.rs
@@ -136,13 +136,13 @@
 
 /// Runs the receiver's cases.
 pub fn receiver(
-    own: bool,
+    self_test: bool,
     target: Option<SocketAddr>,
     path: &str,
     key: Option<&str>,
     text: &str,
 ) -> Result<bool> {
-    if !own {
+    if !self_test {
         let (Some(target), Some(key)) = (target, key) else {
             return Err(Error::other(
                 "--target and --secret are required unless --self starts a receiver",
@@ -159,9 +159,9 @@
         .webhooks
         .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
     let text = String::from_utf8(call_body(SAFE, 1, None)).map_err(Error::other)?;
-    let good = check_receiver(to, "/webhooks/t", &secret(1), &text)?;
+    let passed = check_receiver(to, "/webhooks/t", &secret(1), &text)?;
     g.stop()?;
-    Ok(good)
+    Ok(passed)
 }
 
 fn operator(portal: SocketAddr) -> String {
@@ -201,12 +201,12 @@
 
 /// Runs the sender's cases: answers the first delivery of each message with 500, the second with
 /// 301 and later ones with 204, and checks the received deliveries.
-pub fn sender(own: bool, listen: Option<SocketAddr>, key: Option<&str>) -> Result<bool> {
+pub fn sender(self_test: bool, listen: Option<SocketAddr>, key: Option<&str>) -> Result<bool> {
     let listener = TcpListener::bind(listen.unwrap_or_else(|| ([127, 0, 0, 1], 0).into()))?;
     let key = key
         .map_or_else(|| Ok(secret(1)), Secret::parse)
         .map_err(Error::other)?;
-    if !own {
+    if !self_test {
         println!(
             "point the sender at http://{}/ and have it send one message",
             listener.local_addr()?
@@ -227,9 +227,9 @@
     for class in [SAFE, UNSAFE] {
         Caller::new(to).call("t", &secret(1), class, &call_body(class, 1, None))?;
     }
-    let good = check_sender(&listener, &key, Some(UNSAFE))?;
+    let passed = check_sender(&listener, &key, Some(UNSAFE))?;
     g.stop()?;
-    Ok(good)
+    Ok(passed)
 }
 
 /// Checks deliveries from a sender; `once` is the call whose callback must arrive only once.
@@ -260,7 +260,7 @@
             "no message was sent a third time after 500 and 301",
         ));
     };
-    let mine: Vec<&Delivery> = deliveries.iter().filter(|g| id(g) == last).collect();
+    let same_message: Vec<&Delivery> = deliveries.iter().filter(|g| id(g) == last).collect();
     let stamp = |g: &Delivery| header(&g.bytes, "webhook-timestamp").parse::<u64>().ok();
     let is_signed = |g: &Delivery| {
         let signed = header(&g.bytes, "webhook-signature");
@@ -268,20 +268,21 @@
             signature::verify(std::iter::once(key), &id(g), at, body(&g.bytes), &signed)
         })
     };
-    let text: serde_json::Value = serde_json::from_slice(body(&mine[0].bytes)).unwrap_or_default();
-    let case = |name: &str, section: &str, good: bool| {
+    let text: serde_json::Value =
+        serde_json::from_slice(body(&same_message[0].bytes)).unwrap_or_default();
+    let case = |name: &str, section: &str, passed: bool| {
         (
             name.to_owned(),
             section.to_owned(),
-            good.then_some(()).ok_or("it does not hold".to_owned()),
+            passed.then_some(()).ok_or("it does not hold".to_owned()),
         )
     };
     let mut rows = vec![
         case(
             "it is a POST of JSON",
             "Webhook structure",
-            mine.iter().all(|g| g.bytes.starts_with(b"POST "))
-                && header(&mine[0].bytes, "content-type").starts_with("application/json"),
+            same_message.iter().all(|g| g.bytes.starts_with(b"POST "))
+                && header(&same_message[0].bytes, "content-type").starts_with("application/json"),
         ),
         case(
             "the body has type, timestamp and data",
@@ -296,7 +297,7 @@
         case(
             "the identity stays over repeats",
             "Webhook headers: webhook-id",
-            mine.len() == 3 && !last.is_empty(),
+            same_message.len() == 3 && !last.is_empty(),
         ),
         case(
             "the identity has no full stop",
@@ -306,18 +307,20 @@
         case(
             "the body stays over repeats",
             "Payload structure",
-            mine.iter().all(|g| body(&g.bytes) == body(&mine[0].bytes)),
+            same_message
+                .iter()
+                .all(|g| body(&g.bytes) == body(&same_message[0].bytes)),
         ),
         case(
             "the stamp is the attempt's own",
             "Webhook headers: webhook-timestamp",
-            mine.windows(2).all(|w| stamp(w[0]) <= stamp(w[1]))
-                && stamp(mine[0]).is_some_and(|s| s.abs_diff(now_s()) < 300),
+            same_message.windows(2).all(|w| stamp(w[0]) <= stamp(w[1]))
+                && stamp(same_message[0]).is_some_and(|s| s.abs_diff(now_s()) < 300),
         ),
         case(
             "500 and 301 are tried again, later",
             "Deliverability and reliability",
-            mine.windows(2).all(|w| w[1].at > w[0].at) && mine.len() == 3,
+            same_message.windows(2).all(|w| w[1].at > w[0].at) && same_message.len() == 3,
         ),
         case(
             "a redirect is not followed",
@@ -327,7 +330,9 @@
         case(
             "nothing follows a 2xx",
             "Deliverability and reliability",
-            mine.last().is_some_and(|g| g.response_status == 204),
+            same_message
+                .last()
+                .is_some_and(|g| g.response_status == 204),
         ),
     ];
     if let Some(once) = once {
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 struct Round {
     kills: u32,
-    taken: usize,
+    accepted: usize,
     delivered: usize,
     unknown_calls: usize,
     unknown_callbacks: usize,
@@ -42,7 +42,7 @@
                 println!(
                     "seed {seed}: {} kills, {} calls taken, {} callbacks delivered, {} calls and {} callbacks of \
                      which nobody can tell",
-                    r.kills, r.taken, r.delivered, r.unknown_calls, r.unknown_callbacks
+                    r.kills, r.accepted, r.delivered, r.unknown_calls, r.unknown_callbacks
                 );
             }
             Err(e) => {
@@ -85,7 +85,7 @@
     }
     let mut round = Round::default();
     // Calls answered with 202. A call without a response may or may not have been accepted.
-    let taken: Arc<Mutex<BTreeSet<String>>> = Arc::default();
+    let accepted: Arc<Mutex<BTreeSet<String>>> = Arc::default();
     let mut sent = 0u64;
     let starts = 2 + random_below(&mut random, 3);
     for start in 0..starts {
@@ -95,7 +95,7 @@
             .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
         let callers: Vec<_> = (0..4u64)
             .map(|c| {
-                let (from, mine) = (sent + c * 1000, taken.clone());
+                let (from, accepted_here) = (sent + c * 1000, accepted.clone());
                 std::thread::spawn(move || {
                     let (mut caller, secret) = (Caller::new(to), secret(1));
                     for n in from..from + 60 {
@@ -104,7 +104,7 @@
                         let id = format!("call-{n}");
                         match caller.call(&format!("t{}", n % 4), &secret, &id, &text) {
                             Ok(answer) if status(&answer) == 202 => {
-                                if let Ok(mut t) = mine.lock() {
+                                if let Ok(mut t) = accepted_here.lock() {
                                     t.insert(id);
                                 }
                             }
@@ -130,12 +130,12 @@
             wait_until_delivered(&folder, g)?;
         }
     }
-    let taken = taken
+    let accepted = accepted
         .lock()
         .map_err(|_| Error::other("a caller failed"))?
         .clone();
-    round.taken = taken.len();
-    check_accepted_calls(&folder, &taken, &workers, &portals, &mut round)?;
+    round.accepted = accepted.len();
+    check_accepted_calls(&folder, &accepted, &workers, &portals, &mut round)?;
     Ok(round)
 }
 
@@ -179,7 +179,7 @@
 /// Checks the accepted calls against the workers' runs, the portals' callbacks and the store.
 fn check_accepted_calls(
     folder: &Folder,
-    taken: &BTreeSet<String>,
+    accepted: &BTreeSet<String>,
     workers: &[Worker],
     portals: &[Portal],
     round: &mut Round,
@@ -223,7 +223,7 @@
         };
         for m in all {
             let call = m.call.clone().unwrap_or_default();
-            let (came, confirmed) = seen.get(&call).copied().unwrap_or_default();
+            let (deliveries, confirmed) = seen.get(&call).copied().unwrap_or_default();
             if !answered.insert(call.clone()) {
                 return wrong(format!("{call} has two callbacks"));
             }
@@ -243,12 +243,12 @@
                 }
                 other => return wrong(format!("{call} is left {other:?}")),
             }
-            if unsafe_one && came > 1 {
-                return wrong(format!("the callback of {call} came {came} times"));
+            if unsafe_one && deliveries > 1 {
+                return wrong(format!("the callback of {call} came {deliveries} times"));
             }
         }
     }
-    match taken.iter().find(|id| !answered.contains(*id)) {
+    match accepted.iter().find(|id| !answered.contains(*id)) {
         Some(id) => wrong(format!("{id} was taken and has no callback")),
         None => Ok(()),
     }
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -32,7 +32,7 @@
         "a gateway on {}, its webhooks on {to}, two workers and a portal on {}",
         g.platform, portal.address
     );
-    let mut good = true;
+    let mut all_answered = true;
     println!("\nthe platform's front: a POST each, answered with the worker's body");
     let mut caller = Caller::new(g.platform);
     for n in 0..3u64 {
@@ -42,7 +42,7 @@
              X-Correlation-Id: {n:016x}\r\nX-Deadline-Ms: 900\r\nContent-Length: 4\r\n\r\ntrip"
         );
         let answer = caller.exchange(request.as_bytes())?;
-        good &= status(&answer) == 200;
+        all_answered &= status(&answer) == 200;
         println!(
             "  {class:<20} {} {}",
             status(&answer),
@@ -55,7 +55,7 @@
     for n in 0..4 {
         let (id, class) = (format!("trip-{n}"), if n % 2 == 0 { SAFE } else { UNSAFE });
         let answer = caller.call("clinic", &secret(1), &id, &call_body(class, n, None))?;
-        good &= status(&answer) == 202;
+        all_answered &= status(&answer) == 202;
         println!("  {id} {class:<20} {}", status(&answer));
         sent.insert(id, class);
     }
@@ -69,9 +69,9 @@
             "  {} came back: {}, {signed}, under {}",
             s.call, s.outcome, s.id
         );
-        good &= s.signed && s.outcome == "served" && sent.remove(&s.call).is_some();
+        all_answered &= s.signed && s.outcome == "served" && sent.remove(&s.call).is_some();
     }
-    good &= sent.is_empty();
+    all_answered &= sent.is_empty();
     let counters = g.stop()?;
     println!(
         "\nthe gateway ended in order: {} taken, {} served",
@@ -79,11 +79,11 @@
     );
     println!(
         "{}",
-        if good {
+        if all_answered {
             "all were answered"
         } else {
             "NOT all were answered"
         }
     );
-    Ok(good)
+    Ok(all_answered)
 }
--- a/testbed/src/fault_injection/copies.rs
+++ b/testbed/src/fault_injection/copies.rs
@@ -59,7 +59,7 @@
     round.faults.push(what);
     match what {
         "a primary's machine lost" => {
-            let mine: Vec<u16> = leaders
+            let led_shards: Vec<u16> = leaders
                 .iter()
                 .filter(|(_, s)| s.1 == primary)
                 .map(|(id, _)| *id)
@@ -68,7 +68,8 @@
             let from = Instant::now();
             fleet.wait_until("another primary", || {
                 let leaders = fleet.shard_leaders();
-                mine.iter()
+                led_shards
+                    .iter()
                     .all(|id| leaders.get(id).is_some_and(|s| s.1 != primary))
             })?;
             round.gaps_ms.push(from.elapsed().as_secs_f64() * 1e3);
@@ -107,7 +108,7 @@
                 cut: true,
                 ..Faults::default()
             };
-            let (leaves, comes) = match what {
+            let (outbound, inbound) = match what {
                 "cut off from all" => (cut, cut),
                 "cut off one way" => (cut, Faults::default()),
                 _ => (
@@ -118,7 +119,7 @@
                     Faults::default(),
                 ),
             };
-            fleet.set_instance_faults(primary, leaves, comes);
+            fleet.set_instance_faults(primary, outbound, inbound);
             fleet.wait_for_promises(30)?;
             std::thread::sleep(Duration::from_millis(1_000));
             fleet.set_instance_faults(primary, Faults::default(), Faults::default());
--- a/testbed/src/fault_injection/fleet.rs
+++ b/testbed/src/fault_injection/fleet.rs
@@ -327,25 +327,28 @@
         let found = |x: &CopyNote| matches!(x, CopyNote::Damaged { .. });
         self.notes()
             .iter()
-            .filter(|(who, _, x)| *who == instance_name(n) && found(x))
+            .filter(|(instance, _, x)| *instance == instance_name(n) && found(x))
             .count()
     }
 
     /// Returns whether an instance has repaired all detected damage, except in shards that only
     /// other instances hold by now.
     pub fn is_repaired(&self, n: usize) -> bool {
-        let (me, leaders, mut open) = (instance_name(n), self.shard_leaders(), BTreeSet::new());
-        for (who, _, note) in self.notes() {
+        let (own_name, leaders, mut open) =
+            (instance_name(n), self.shard_leaders(), BTreeSet::new());
+        for (instance, _, note) in self.notes() {
             match note {
-                CopyNote::Damaged { shard, .. } if who == me => drop(open.insert(shard)),
-                CopyNote::Mended { shard, .. } | CopyNote::Refuted { shard } if who == me => {
+                CopyNote::Damaged { shard, .. } if instance == own_name => drop(open.insert(shard)),
+                CopyNote::Mended { shard, .. } | CopyNote::Refuted { shard }
+                    if instance == own_name =>
+                {
                     open.remove(&shard);
                 }
                 _ => {}
             }
         }
         open.iter()
-            .all(|shard| leaders.get(shard).is_some_and(|s| !s.2.contains(&me)))
+            .all(|shard| leaders.get(shard).is_some_and(|s| !s.2.contains(&own_name)))
     }
 
     /// Saves an instance's store, for a disk that acknowledges writes and loses them when the
@@ -524,7 +527,7 @@
     /// Returns the newest recorded epoch, primary and member set of each shard.
     pub fn shard_leaders(&self) -> BTreeMap<u16, (u64, usize, Vec<String>)> {
         let mut leaders: BTreeMap<u16, (u64, usize, Vec<String>)> = BTreeMap::new();
-        for (who, _, note) in self.notes() {
+        for (instance, _, note) in self.notes() {
             if let CopyNote::Led {
                 shard,
                 epoch,
@@ -532,7 +535,7 @@
                 ..
             } = note
             {
-                let n = who
+                let n = instance
                     .rsplit('-')
                     .next()
                     .and_then(|n| n.parse().ok())
--- a/testbed/src/gossip.rs
+++ b/testbed/src/gossip.rs
@@ -117,9 +117,14 @@
 }
 
 /// Runs instances for `seconds`, each gateway with a steady caller; with gossip on, fake peers take
-/// the place of `liars` instances.
-pub fn run_fleet(instances: usize, liars: usize, seconds: u64, gossip: bool) -> Result<RunResult> {
-    if liars >= instances {
+/// the place of `malicious` instances.
+pub fn run_fleet(
+    instances: usize,
+    malicious: usize,
+    seconds: u64,
+    gossip: bool,
+) -> Result<RunResult> {
+    if malicious >= instances {
         return Err(Error::other("some instances must be honest"));
     }
     let folder = Folder::new("gossip")?;
@@ -141,8 +146,8 @@
         .iter()
         .map(|(n, k)| format!("{n} = {k:?}\n"))
         .collect();
-    let honest = instances - liars;
-    let begun = Instant::now();
+    let honest = instances - malicious;
+    let started = Instant::now();
     let mut gateways = Vec::new();
     for n in 0..honest {
         let home = folder.0.join(name(n));
@@ -164,7 +169,7 @@
         gateways.push(Gateway::talking(&home, &workers, file.as_deref())?);
     }
     let stop = Arc::new(AtomicBool::new(false));
-    let liars: Vec<_> = (honest..instances)
+    let malicious: Vec<_> = (honest..instances)
         .filter(|_| gossip)
         .map(|n| {
             let (stop, peers, at) = (stop.clone(), ports[..honest].to_vec(), ports[n]);
@@ -217,14 +222,15 @@
             .map_err(|_| Error::other("a caller failed"))??;
         (result.calls, result.served) = (result.calls + calls, result.served + served);
     }
-    for liar in liars {
-        liar.join().map_err(|_| Error::other("a liar failed"))??;
+    for peer in malicious {
+        peer.join()
+            .map_err(|_| Error::other("a malicious peer failed"))??;
     }
     for gateway in &mut gateways {
         let counters = gateway.counters()?;
         let sent = counters["gossip_bytes"].as_f64().unwrap_or(0.0);
         // The limit allows a burst of one second's bytes at the start.
-        let whole = begun.elapsed().as_secs_f64() + 1.0;
+        let whole = started.elapsed().as_secs_f64() + 1.0;
         result.most_bytes_per_s = result.most_bytes_per_s.max(sent / whole);
     }
     for gateway in &mut gateways {
@@ -235,12 +241,12 @@
 
 /// Runs the fleet without gossip, then with gossip and malicious peers, and compares the shares of
 /// served calls.
-pub fn run(instances: usize, liars: usize, seconds: u64) -> Result<bool> {
+pub fn run(instances: usize, malicious: usize, seconds: u64) -> Result<bool> {
     let share = |r: &RunResult| 100.0 * r.served as f64 / r.calls.max(1) as f64;
-    let without = run_fleet(instances, liars, seconds, false)?;
-    let with = run_fleet(instances, liars, seconds, true)?;
-    let honest = instances - liars;
-    println!("{instances} instances, {liars} of them lying, for {seconds} s");
+    let without = run_fleet(instances, malicious, seconds, false)?;
+    let with = run_fleet(instances, malicious, seconds, true)?;
+    let honest = instances - malicious;
+    println!("{instances} instances, {malicious} of them lying, for {seconds} s");
     println!(
         "without gossip: {} calls, {:.2}% served",
         without.calls,
@@ -259,9 +265,9 @@
         "{} of {honest} hold all the others for alive",
         with.agreeing
     );
-    let good = share(&with) >= share(&without) - 3.0
+    let passed = share(&with) >= share(&without) - 3.0
         && with.most_bytes_per_s <= f64::from(BYTES_PER_S)
         && with.agreeing == honest;
-    println!("{}", if good { "held" } else { "NOT held" });
-    Ok(good)
+    println!("{}", if passed { "held" } else { "NOT held" });
+    Ok(passed)
 }
--- a/testbed/src/lease_trials.rs
+++ b/testbed/src/lease_trials.rs
@@ -575,7 +575,7 @@
     fleet.wait_for_effect(term)?;
     for _ in 0..faults {
         let kind = random.next_u32() % 9;
-        let begun = uptime();
+        let started = uptime();
         let what = match kind {
             0 | 1 => {
                 // Stops the owner past its lease, with calls and probes in progress; it continues
@@ -628,7 +628,7 @@
         let (next, next_term, at) = fleet.wait_for_owner_after(term)?;
         round.gaps_ms.push((
             what,
-            (fleet.notes[at].at.saturating_sub(begun)) as f64 / 1e3,
+            (fleet.notes[at].at.saturating_sub(started)) as f64 / 1e3,
         ));
         fleet.wait_for_effect(next_term)?;
         // Resumes, reconnects or restarts the old owner.
@@ -707,12 +707,12 @@
             while !stop.load(Ordering::Relaxed) {
                 let id =
                     (n as u64 + 1) << 52 | c << 48 | all.all | u64::from(std::process::id()) << 24;
-                let begun = Instant::now();
+                let started = Instant::now();
                 let answer = caller.exchange(call_request(id, (all.all * 7 + c) % 24).as_bytes());
                 all.all += 1;
                 all.served += u64::from(answer.is_ok_and(|a| status(&a) == 200));
                 all.micros
-                    .record(begun.elapsed().as_micros() as u64)
+                    .record(started.elapsed().as_micros() as u64)
                     .map_err(Error::other)?;
                 std::thread::sleep(Duration::from_millis(4));
             }
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -87,17 +87,17 @@
         .webhooks
         .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
     let (mut caller, key) = (Caller::new(to), secret(1));
-    let mut taken: HashMap<String, Instant> = HashMap::new();
-    let (begun, mut refused) = (Instant::now(), 0);
+    let mut accepted: HashMap<String, Instant> = HashMap::new();
+    let (started, mut refused) = (Instant::now(), 0);
     for n in 0..rate * seconds {
-        let due = begun + Duration::from_micros(n * 1_000_000 / rate);
+        let due = started + Duration::from_micros(n * 1_000_000 / rate);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let id = format!("c{n}");
         let name = format!("t{}", n as usize % portals);
         let answer = caller.call(&name, &key, &id, &call_body(SAFE, n % 16, None))?;
         match status(&answer) {
             202 => {
-                taken.insert(id, Instant::now());
+                accepted.insert(id, Instant::now());
             }
             _ => refused += 1,
         }
@@ -105,16 +105,16 @@
     std::thread::sleep(Duration::from_secs(2));
     let mut others = histogram()?;
     let mut missing = 0;
-    let mut came: HashMap<String, Instant> = HashMap::new();
+    let mut callback_times: HashMap<String, Instant> = HashMap::new();
     for (_, portal) in all.iter().filter(|(n, _)| *n >= dead + slow) {
-        came.extend(portal.all().into_iter().map(|s| (s.call, s.at)));
+        callback_times.extend(portal.all().into_iter().map(|s| (s.call, s.at)));
     }
-    for (id, at) in &taken {
+    for (id, at) in &accepted {
         let n: usize = id[1..].parse().unwrap_or(0);
         if n % portals < dead + slow {
             continue;
         }
-        match came.get(id) {
+        match callback_times.get(id) {
             // A callback may arrive before the caller has read the 202.
             Some(seen) => others
                 .saturating_record(seen.saturating_duration_since(*at).as_micros().max(1) as u64),
@@ -125,7 +125,7 @@
     let counters = g.stop()?;
     println!(
         "{portals} portals, {dead} dead, {slow} slow, {rate} calls/s for {seconds} s: {} taken, {refused} refused",
-        taken.len()
+        accepted.len()
     );
     println!(
         "the others' callbacks: {} came, {missing} missing; p50 {:.2} ms, p99 {:.2} ms, max {:.2} ms; gateway {memory} KiB",
@@ -136,7 +136,7 @@
     );
     if let Some(path) = to_file {
         let figures = json!({ "portals": portals, "dead": dead, "slow": slow, "rate": rate, "seconds": seconds,
-            "taken": taken.len(), "refused": refused, "others_missing": missing, "p50_ms": quantile_ms(&others, 0.5),
+            "taken": accepted.len(), "refused": refused, "others_missing": missing, "p50_ms": quantile_ms(&others, 0.5),
             "p99_ms": quantile_ms(&others, 0.99), "memory_kib": memory, "counters": counters });
         std::fs::write(path, figures.to_string())?;
     }
@@ -185,11 +185,11 @@
                     let mut n = 0u64;
                     while !stop.load(Ordering::Relaxed) {
                         let text = call_body(SAFE, n % 16, None);
-                        let begun = Instant::now();
+                        let started = Instant::now();
                         let answer = caller.call("t", &key, &format!("{c}-{n}"), &text)?;
                         n += 1;
                         if status(&answer) == 202 {
-                            h.saturating_record(begun.elapsed().as_micros().max(1) as u64);
+                            h.saturating_record(started.elapsed().as_micros().max(1) as u64);
                         } else {
                             refused.fetch_add(1, Ordering::Relaxed);
                         }
@@ -276,15 +276,15 @@
             .map_err(Error::other)?;
     }
     drop(disk);
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut g = Gateway::again(&folder.0, &operator)?;
-    let start = begun.elapsed();
+    let start = started.elapsed();
     std::thread::sleep(Duration::from_secs(5));
     let full = g.memory_kib();
     g.kill()?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut g = Gateway::again(&folder.0, &operator)?;
-    let again = begun.elapsed();
+    let again = started.elapsed();
     g.kill()?;
     println!(
         "{messages} messages wait: memory {full} KiB, with none {empty} KiB, {} KiB more",
--- a/testbed/src/rate.rs
+++ b/testbed/src/rate.rs
@@ -94,8 +94,8 @@
         .map(|_| Worker::start(RUN_TIME, 0))
         .collect::<Result<_>>()?;
     let g = Gateway::with(program, &folder.0, &workers, "", DEADLINE_MS as f64)?;
-    let (to, begun) = (g.platform, Instant::now());
-    let end = begun + Duration::from_secs(load.seconds);
+    let (to, started) = (g.platform, Instant::now());
+    let end = started + Duration::from_secs(load.seconds);
     let (served, other) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let every = Duration::from_secs_f64(load.callers as f64 / load.rate.max(1) as f64);
     let callers: Vec<_> = (0..load.callers)
@@ -107,7 +107,7 @@
                 let mut caller = Caller::new(to);
                 // Spreads the first calls over one interval, so that the callers do not start at
                 // once.
-                let mut due = begun + every.mul_f64(c as f64 / load.callers as f64);
+                let mut due = started + every.mul_f64(c as f64 / load.callers as f64);
                 for n in 0.. {
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
                     let sent = Instant::now();
@@ -168,9 +168,9 @@
     let (part, first) = (WINDOW.mul_f64(cores), processor_of(pid)?);
     let (mut most, mut stopped, mut seconds) = (Duration::ZERO, 0, vec![first]);
     while !over.load(Ordering::Relaxed) {
-        let (begun, used) = (Instant::now(), processor_of(pid)?);
+        let (started, used) = (Instant::now(), processor_of(pid)?);
         let mut runs = true;
-        while begun.elapsed() < WINDOW {
+        while started.elapsed() < WINDOW {
             if runs && cores < 1.0 && processor_of(pid)?.saturating_sub(used) >= part {
                 kill_process(pid, Signal::STOP)?;
                 (runs, stopped) = (false, stopped + 1);
--- a/testbed/tests/copies.rs
+++ b/testbed/tests/copies.rs
@@ -110,15 +110,23 @@
     for n in 0..12 {
         let id = format!("once-{n}");
         let sender = fleet.call_sender();
-        let said: Vec<u16> = std::thread::scope(|s| {
+        let statuses: Vec<u16> = std::thread::scope(|s| {
             let (sender, id) = (&sender, &id);
             let all: Vec<_> = (0..3)
                 .map(|at| s.spawn(move || sender.send(at, id, UNSAFE)))
                 .collect();
             all.into_iter().map(|t| t.join().unwrap()).collect()
         });
-        assert_eq!(said.iter().filter(|s| **s == 202).count(), 1, "{said:?}");
-        assert_eq!(said.iter().filter(|s| **s == 409).count(), 2, "{said:?}");
+        assert_eq!(
+            statuses.iter().filter(|s| **s == 202).count(),
+            1,
+            "{statuses:?}"
+        );
+        assert_eq!(
+            statuses.iter().filter(|s| **s == 409).count(),
+            2,
+            "{statuses:?}"
+        );
     }
     // The primary of shard 1 loses its machine with calls in progress; the other gateways then
     // receive the same call ids again.
@@ -259,12 +267,15 @@
         .values()
         .filter(|s| s.2.iter().all(|m| !names.contains(m)))
         .count();
-    let said: Vec<u16> = (0..24)
+    let statuses: Vec<u16> = (0..24)
         .map(|n| fleet.send(5, &format!("alone-{n}"), SAFE))
         .collect();
-    let taken = said.iter().filter(|s| **s == 202).count();
-    assert!(said.iter().all(|s| [202, 503].contains(s)), "{said:?}");
-    assert_eq!(taken > 0, whole > 0, "{said:?} {led:?}");
+    let taken = statuses.iter().filter(|s| **s == 202).count();
+    assert!(
+        statuses.iter().all(|s| [202, 503].contains(s)),
+        "{statuses:?}"
+    );
+    assert_eq!(taken > 0, whole > 0, "{statuses:?} {led:?}");
     for n in gone {
         fleet.gateway(n).unwrap().thaw().unwrap();
     }
--- a/testbed/tests/tenants.rs
+++ b/testbed/tests/tenants.rs
@@ -120,7 +120,7 @@
     let mut done = 1;
     for round in 0..8u8 {
         fleet.wait_for_tenants().unwrap();
-        let said: Vec<u16> = std::thread::scope(|s| {
+        let statuses: Vec<u16> = std::thread::scope(|s| {
             let threads: Vec<_> = all
                 .iter_mut()
                 .enumerate()
@@ -132,10 +132,10 @@
         });
         // A change that starts after another has completed applies to its result and also succeeds.
         assert!(
-            said.iter().all(|s| [200, 409].contains(s)) && said.contains(&200),
-            "{said:?}"
+            statuses.iter().all(|s| [200, 409].contains(s)) && statuses.contains(&200),
+            "{statuses:?}"
         );
-        done += said.iter().filter(|s| **s == 200).count();
+        done += statuses.iter().filter(|s| **s == 200).count();
     }
     assert_settled(&fleet, done);
     let shown: Vec<_> = (0..6)
@@ -240,13 +240,13 @@
     });
     let mut done = 0;
     for n in 0..18 {
-        let said = fleet
+        let status = fleet
             .admin_client(n % 6)
             .unwrap()
             .put(&format!("clinic-{n}"), &spec(n as u8))
             .status;
-        assert!([201, 503].contains(&said), "{said}");
-        done += usize::from(said == 201);
+        assert!([201, 503].contains(&status), "{status}");
+        done += usize::from(status == 201);
     }
     fleet.set_all_faults(Faults::default());
     assert!(done > 0);
