--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -102,7 +102,7 @@
         "attempts": m.waiting.tries,
         "created": timestamp(m.created),
         "due": (!m.state.is_over()).then(|| timestamp(m.waiting.due)),
-        "may_have_arrived": m.waiting.ran.is_some(),
+        "may_have_arrived": m.waiting.maybe_received_at.is_some(),
         "acknowledged_by": m.acknowledged,
         "bytes": m.waiting.size,
     })
--- a/src/delivery/endpoint_state.rs
+++ b/src/delivery/endpoint_state.rs
@@ -4,13 +4,13 @@
 
 use super::breaker::{CircuitBreaker, RetryBudget, TokenBucket};
 use super::ids::Seq;
-use super::messages::{Enabled, EndpointPlan};
+use super::messages::{Enabled, EndpointSettings};
 use super::timing_wheel::TimerKey;
 use crate::api::Micros;
 
 #[derive(Debug)]
 pub(super) struct EndpointState {
-    pub(super) plan: EndpointPlan,
+    pub(super) settings: EndpointSettings,
     pub(super) breaker: CircuitBreaker,
     pub(super) bucket: Option<TokenBucket>,
     pub(super) budget: RetryBudget,
@@ -43,9 +43,9 @@
     }
 
     /// Creates the state of a new endpoint.
-    pub(super) fn new(plan: EndpointPlan, now: Micros) -> Self {
+    pub(super) fn new(plan: EndpointSettings, now: Micros) -> Self {
         EndpointState {
-            plan,
+            settings: plan,
             breaker: CircuitBreaker::default(),
             bucket: None,
             budget: RetryBudget::new(now),
@@ -64,13 +64,13 @@
     /// sending is allowed, or `None` if that depends on another event. Retries go before first
     /// attempts while the retry budget permits retries.
     pub(super) fn next_message(&mut self, now: Micros) -> Result<Seq, Option<Micros>> {
-        if self.plan.enabled != Enabled::Yes || self.ready() == 0 {
+        if self.settings.enabled != Enabled::Yes || self.ready() == 0 {
             return Err(None);
         }
         if self.in_flight
             >= self
                 .breaker
-                .attempts_allowed(now, self.plan.in_flight.max(1))
+                .attempts_allowed(now, self.settings.in_flight.max(1))
                 .map_err(Some)?
         {
             return Err(None);
--- a/src/delivery/loading.rs
+++ b/src/delivery/loading.rs
@@ -1,9 +1,9 @@
 //! Loading of messages from the store, and when more are fetched.
 
 use super::ids::{EndpointId, Seq};
-use super::messages::{Enabled, Output, Waiting};
+use super::messages::{Enabled, Output, PendingMessage};
 use super::outcomes::VOID_ATTEMPT_PAUSE;
-use super::response::{DeadLetterReason, State};
+use super::response::{DeadLetterReason, MessageState};
 use super::{Delivery, LoadedState, TimerPurpose};
 use crate::api::Micros;
 
@@ -29,7 +29,7 @@
     }
 
     /// Unloads a message and returns it with its state.
-    pub(super) fn unload(&mut self, seq: Seq) -> Option<(Waiting, LoadedState)> {
+    pub(super) fn unload(&mut self, seq: Seq) -> Option<(PendingMessage, LoadedState)> {
         let (message, loaded_state) = self.loaded.remove(&seq)?;
         if let Some(endpoint) = self.endpoints.get_mut(&message.endpoint) {
             endpoint.loaded.remove(&seq);
@@ -53,13 +53,13 @@
     }
 
     /// Loads a message if the limits permit. Otherwise it is only in the store.
-    pub(super) fn load(&mut self, now: Micros, message: Waiting) {
+    pub(super) fn load(&mut self, now: Micros, message: PendingMessage) {
         if self.loaded.contains_key(&message.seq) {
             return;
         }
         let full = self.loaded.len() >= self.limits.max_loaded;
         let Some(endpoint) = self.endpoints.get_mut(&message.endpoint) else {
-            let state = State::Dead(DeadLetterReason::Gone);
+            let state = MessageState::Dead(DeadLetterReason::Gone);
             return self.outputs.push_back(Output::Persist {
                 message,
                 state,
@@ -77,7 +77,7 @@
             };
         // Messages of an earlier due time that are only in the store go first.
         let has_predecessors = due && endpoint.next_stored_at.is_some_and(|s| s <= message.due);
-        if endpoint.plan.enabled != Enabled::Yes || !fits || has_predecessors {
+        if endpoint.settings.enabled != Enabled::Yes || !fits || has_predecessors {
             endpoint.note_stored(message.due);
             return self.refill(now, message.endpoint);
         }
@@ -112,7 +112,7 @@
         };
         queue.push_back(seq);
         self.endpoint_queue
-            .enqueue(endpoint.plan.tenant, message.endpoint);
+            .enqueue(endpoint.settings.tenant, message.endpoint);
     }
 
     /// Fetches more of an endpoint's messages if few are loaded.
@@ -124,7 +124,7 @@
             return;
         };
         if endpoint.fetching
-            || endpoint.plan.enabled != Enabled::Yes
+            || endpoint.settings.enabled != Enabled::Yes
             || endpoint.ready() > self.limits.max_ready_per_endpoint / 2
         {
             return;
--- a/src/delivery/messages.rs
+++ b/src/delivery/messages.rs
@@ -3,13 +3,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::ids::{EndpointId, Seq};
-use super::response::{DeliveryReport, State};
+use super::response::{DeliveryReport, MessageState};
 use super::schedule::Schedule;
 use crate::api::{Effect, Micros};
 
 /// A message that waits to be delivered, without its body.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct PendingMessage {
     /// The message.
     pub seq: Seq,
     /// The endpoint that it goes to.
@@ -19,7 +19,7 @@
     /// Which retries are safe.
     pub effect: Effect,
     /// When the first attempt was sent that the endpoint may have received.
-    pub ran: Option<Micros>,
+    pub maybe_received_at: Option<Micros>,
     /// The number of attempts so far.
     pub tries: u32,
     /// The size of its body in bytes.
@@ -34,14 +34,16 @@
     #[default]
     Yes,
     /// An operator disabled the endpoint. Its messages wait.
-    ByHand,
+    #[serde(rename = "by_hand")]
+    DisabledByOperator,
     /// The endpoint was disabled because it answered 410 or failed for too long. Its messages wait.
-    ByFailure,
+    #[serde(rename = "by_failure")]
+    DisabledByFailure,
 }
 
 /// An endpoint's settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndpointPlan {
+pub struct EndpointSettings {
     /// Serial number of the endpoint's tenant.
     pub tenant: u64,
     /// Whether messages are sent to it.
@@ -87,15 +89,15 @@
 #[derive(Debug)]
 pub enum Input {
     /// An endpoint was added or has changed.
-    EndpointChanged(EndpointId, EndpointPlan),
+    EndpointChanged(EndpointId, EndpointSettings),
     /// An endpoint was removed.
     EndpointRemoved(EndpointId),
     /// A message was committed to the store and waits.
-    MessagePending(Waiting),
+    MessagePending(PendingMessage),
     /// The store has messages of an endpoint, the first of them due at this time.
     Stored(EndpointId, Micros),
     /// The answer to [`Output::Fetch`]: the first waiting messages, and when the next one is due.
-    Fetched(EndpointId, Vec<Waiting>, Option<Micros>),
+    Fetched(EndpointId, Vec<PendingMessage>, Option<Micros>),
     /// An attempt ended.
     AttemptEnded(Seq, DeliveryReport),
     /// A message was removed from the store or no longer waits in it.
@@ -121,9 +123,9 @@
     /// Store the state of a message.
     Persist {
         /// The message with its next due time and attempts.
-        message: Waiting,
+        message: PendingMessage,
         /// The new state of the message.
-        state: State,
+        state: MessageState,
         /// The attempt that led to the state, if any.
         attempt: Option<DeliveryReport>,
     },
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -26,7 +26,7 @@
 pub mod timing_wheel;
 
 pub use ids::{EndpointId, Seq};
-pub use messages::{Enabled, EndpointPlan, Health, Input, Limits, Output, Waiting};
+pub use messages::{Enabled, EndpointSettings, Health, Input, Limits, Output, PendingMessage};
 
 use breaker::{CircuitBreaker, TokenBucket};
 use endpoint_state::EndpointState;
@@ -60,7 +60,7 @@
     endpoints: HashMap<EndpointId, EndpointState>,
     endpoint_queue: FairQueue<u64, EndpointId>,
     timers: TimingWheel<TimerPurpose>,
-    loaded: HashMap<Seq, (Waiting, LoadedState)>,
+    loaded: HashMap<Seq, (PendingMessage, LoadedState)>,
     in_flight: u32,
     stopped: bool,
     outputs: VecDeque<Output>,
@@ -150,7 +150,7 @@
         &mut self,
         now: Micros,
         id: EndpointId,
-        messages: Vec<Waiting>,
+        messages: Vec<PendingMessage>,
         next: Option<Micros>,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
@@ -192,12 +192,12 @@
     fn recheck(&mut self, now: Micros, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.recheck = None;
-            self.endpoint_queue.enqueue(endpoint.plan.tenant, id);
+            self.endpoint_queue.enqueue(endpoint.settings.tenant, id);
         }
         self.refill(now, id);
     }
 
-    fn on_endpoint_changed(&mut self, now: Micros, id: EndpointId, plan: EndpointPlan) {
+    fn on_endpoint_changed(&mut self, now: Micros, id: EndpointId, plan: EndpointSettings) {
         let endpoint = self
             .endpoints
             .entry(id)
@@ -209,12 +209,12 @@
             none => *none = Some(TokenBucket::new(plan.per_s, burst, now)),
         }
         // An endpoint that an operator enables again is presumed to be repaired.
-        if plan.enabled == Enabled::Yes && endpoint.plan.enabled != Enabled::Yes {
+        if plan.enabled == Enabled::Yes && endpoint.settings.enabled != Enabled::Yes {
             endpoint.breaker = CircuitBreaker::default();
         }
-        endpoint.plan = plan;
-        if endpoint.plan.enabled == Enabled::Yes {
-            self.endpoint_queue.enqueue(endpoint.plan.tenant, id);
+        endpoint.settings = plan;
+        if endpoint.settings.enabled == Enabled::Yes {
+            self.endpoint_queue.enqueue(endpoint.settings.tenant, id);
             self.refill(now, id);
         } else {
             self.unload_endpoint(id);
--- a/src/delivery/outcomes.rs
+++ b/src/delivery/outcomes.rs
@@ -1,8 +1,8 @@
 //! Effects of the end of an attempt on the message and on its endpoint.
 
 use super::ids::{EndpointId, Seq};
-use super::messages::{Enabled, Output, Waiting};
-use super::response::{DeadLetterReason, DeliveryReport, ResponseClass, State};
+use super::messages::{Enabled, Output, PendingMessage};
+use super::response::{DeadLetterReason, DeliveryReport, MessageState, ResponseClass};
 use super::{Delivery, LoadedState};
 use crate::api::Micros;
 use crate::policy::permitted_after;
@@ -19,8 +19,8 @@
     /// Requests that the state of a message is stored.
     pub(super) fn persist(
         &mut self,
-        message: Waiting,
-        state: State,
+        message: PendingMessage,
+        state: MessageState,
         attempt: Option<DeliveryReport>,
     ) {
         if let Some(endpoint) = self.endpoints.get_mut(&message.endpoint) {
@@ -38,7 +38,7 @@
     /// Queues an endpoint that may have one more attempt in flight.
     pub(super) fn attempt_slot_freed(&mut self, now: Micros, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get(&id) {
-            self.endpoint_queue.enqueue(endpoint.plan.tenant, id);
+            self.endpoint_queue.enqueue(endpoint.settings.tenant, id);
         }
         self.refill(now, id);
     }
@@ -56,7 +56,7 @@
         let class = report.class();
         let disable_reason = self.record_response(now, id, class);
         if report.may_have_arrived() && class != ResponseClass::Delivered {
-            message.ran.get_or_insert(sent_at);
+            message.maybe_received_at.get_or_insert(sent_at);
         }
         let state = self.state_after(now, &mut message, class);
         let attempt = (class != ResponseClass::Void).then_some(report);
@@ -67,7 +67,7 @@
         if let Some(reason) = disable_reason {
             self.disable(id, reason);
         }
-        if state == State::Waiting {
+        if state == MessageState::Waiting {
             self.load(now, message);
         }
         self.attempt_slot_freed(now, id);
@@ -85,7 +85,7 @@
         let endpoint = self.endpoints.get_mut(&id)?;
         match class {
             ResponseClass::Delivered => {
-                endpoint.breaker.succeeded(endpoint.plan.in_flight);
+                endpoint.breaker.succeeded(endpoint.settings.in_flight);
                 endpoint.budget.add_success();
                 None
             }
@@ -105,17 +105,22 @@
     }
 
     /// Returns the state of a message after a response. Sets the next due time if it is sent again.
-    fn state_after(&self, now: Micros, message: &mut Waiting, class: ResponseClass) -> State {
+    fn state_after(
+        &self,
+        now: Micros,
+        message: &mut PendingMessage,
+        class: ResponseClass,
+    ) -> MessageState {
         match class {
-            ResponseClass::Delivered => State::Delivered,
+            ResponseClass::Delivered => MessageState::Delivered,
             ResponseClass::Void => {
                 message.due = now + VOID_ATTEMPT_PAUSE;
-                State::Waiting
+                MessageState::Waiting
             }
-            _ if !permitted_after(message.effect, message.ran, now, 0).retry => {
-                State::Dead(DeadLetterReason::Unknown)
+            _ if !permitted_after(message.effect, message.maybe_received_at, now, 0).retry => {
+                MessageState::Dead(DeadLetterReason::Unknown)
             }
-            ResponseClass::OptedOut => State::Dead(DeadLetterReason::Gone),
+            ResponseClass::OptedOut => MessageState::Dead(DeadLetterReason::Gone),
             ResponseClass::Failed(retry_after) => self.schedule_retry(now, message, retry_after),
         }
     }
@@ -123,20 +128,20 @@
     fn schedule_retry(
         &self,
         now: Micros,
-        message: &mut Waiting,
+        message: &mut PendingMessage,
         retry_after: Option<Micros>,
-    ) -> State {
+    ) -> MessageState {
         let Some(endpoint) = self.endpoints.get(&message.endpoint) else {
-            return State::Dead(DeadLetterReason::Gone);
+            return MessageState::Dead(DeadLetterReason::Gone);
         };
-        let schedule = &endpoint.plan.schedule;
+        let schedule = &endpoint.settings.schedule;
         let jitter_seed = self.seed ^ message.seq.0;
         match schedule.pause(message.tries + 1, jitter_seed, retry_after) {
             Some(pause) => {
                 message.due = now + pause;
-                State::Waiting
+                MessageState::Waiting
             }
-            None => State::Dead(DeadLetterReason::Exhausted),
+            None => MessageState::Dead(DeadLetterReason::Exhausted),
         }
     }
 
@@ -144,10 +149,10 @@
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
-        if endpoint.plan.enabled != Enabled::Yes {
+        if endpoint.settings.enabled != Enabled::Yes {
             return;
         }
-        endpoint.plan.enabled = Enabled::ByFailure;
+        endpoint.settings.enabled = Enabled::DisabledByFailure;
         self.outputs.push_back(Output::EndpointDisabled(id, reason));
         self.unload_endpoint(id);
     }
--- a/src/delivery/response.rs
+++ b/src/delivery/response.rs
@@ -85,33 +85,34 @@
 /// The state of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum MessageState {
     /// The message waits for its first attempt or a retry.
     Waiting,
     /// The message waits for the end of an earlier message with the same order key.
-    Behind,
+    #[serde(rename = "behind")]
+    Blocked,
     /// The endpoint has confirmed the message.
     Delivered,
     /// Delivery was given up.
     Dead(DeadLetterReason),
 }
 
-impl State {
+impl MessageState {
     /// Returns the name in listings.
     pub fn name(self) -> &'static str {
         match self {
-            State::Waiting | State::Behind => "waiting",
-            State::Delivered => "delivered",
-            State::Dead(DeadLetterReason::Exhausted) => "exhausted",
-            State::Dead(DeadLetterReason::Unknown) => "unknown",
-            State::Dead(DeadLetterReason::Gone) => "gone",
-            State::Dead(DeadLetterReason::Expired) => "expired",
+            MessageState::Waiting | MessageState::Blocked => "waiting",
+            MessageState::Delivered => "delivered",
+            MessageState::Dead(DeadLetterReason::Exhausted) => "exhausted",
+            MessageState::Dead(DeadLetterReason::Unknown) => "unknown",
+            MessageState::Dead(DeadLetterReason::Gone) => "gone",
+            MessageState::Dead(DeadLetterReason::Expired) => "expired",
         }
     }
 
     /// Returns whether the state is final unless an operator intervenes.
     pub fn is_over(self) -> bool {
-        matches!(self, State::Delivered | State::Dead(_))
+        matches!(self, MessageState::Delivered | MessageState::Dead(_))
     }
 }
 
--- a/src/delivery/sending.rs
+++ b/src/delivery/sending.rs
@@ -2,7 +2,7 @@
 
 use super::ids::EndpointId;
 use super::messages::Output;
-use super::response::{DeadLetterReason, State};
+use super::response::{DeadLetterReason, MessageState};
 use super::{Delivery, LoadedState};
 use crate::api::{Effect, Micros};
 use crate::policy::permitted_after;
@@ -52,11 +52,11 @@
         } else {
             endpoint.retries.pop_front();
         }
-        if !permitted_after(message.effect, message.ran, now, 0).retry {
+        if !permitted_after(message.effect, message.maybe_received_at, now, 0).retry {
             // The time in which a retry is safe has passed while the message waited.
             let message = *message;
             self.unload(seq);
-            return self.persist(message, State::Dead(DeadLetterReason::Unknown), None);
+            return self.persist(message, MessageState::Dead(DeadLetterReason::Unknown), None);
         }
         endpoint.breaker.sent(now);
         if let Some(bucket) = &mut endpoint.bucket {
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -4,9 +4,11 @@
 
 use proptest::prelude::*;
 
-use super::response::{DeadLetterReason, DeliveryReport, State};
+use super::response::{DeadLetterReason, DeliveryReport, MessageState};
 use super::schedule::Schedule;
-use super::{Delivery, Enabled, EndpointId, EndpointPlan, Input, Limits, Output, Seq, Waiting};
+use super::{
+    Delivery, Enabled, EndpointId, EndpointSettings, Input, Limits, Output, PendingMessage, Seq,
+};
 use crate::api::{Effect, Micros};
 use crate::completion::{CloseReason, SendProgress};
 
@@ -16,8 +18,8 @@
 struct Model {
     delivery: Delivery,
     now: Micros,
-    plans: BTreeMap<EndpointId, EndpointPlan>,
-    store: BTreeMap<Seq, (Waiting, State)>,
+    plans: BTreeMap<EndpointId, EndpointSettings>,
+    store: BTreeMap<Seq, (PendingMessage, MessageState)>,
     /// Waiting messages in the order in which they are fetched.
     index: BTreeSet<(EndpointId, Micros, Seq)>,
     in_flight_since: BTreeMap<Seq, Micros>,
@@ -25,16 +27,16 @@
     arrived: BTreeSet<Seq>,
     begun: BTreeMap<Seq, u32>,
     /// Unanswered fetches.
-    fetches: Vec<(EndpointId, Vec<Waiting>, Option<Micros>)>,
+    fetches: Vec<(EndpointId, Vec<PendingMessage>, Option<Micros>)>,
     disabled: Vec<EndpointId>,
     /// Start times of the attempts at each endpoint.
     sent: BTreeMap<EndpointId, Vec<Micros>>,
     limits: Limits,
 }
 
-fn plan(tenant: u64) -> EndpointPlan {
+fn plan(tenant: u64) -> EndpointSettings {
     let schedule = Schedule::from_seconds(&[1.0, 10.0, 100.0]).unwrap();
-    EndpointPlan {
+    EndpointSettings {
         tenant,
         enabled: Enabled::Yes,
         per_s: 0.0,
@@ -92,7 +94,7 @@
         w
     }
 
-    fn plan(&mut self, id: EndpointId, plan: EndpointPlan) {
+    fn plan(&mut self, id: EndpointId, plan: EndpointSettings) {
         self.plans.insert(id, plan.clone());
         self.input(Input::EndpointChanged(id, plan));
     }
@@ -104,24 +106,24 @@
 
     fn publish(&mut self, seq: u64, endpoint: u64, effect: Effect) {
         let (seq, endpoint) = (Seq(seq), EndpointId(endpoint));
-        let message = Waiting {
+        let message = PendingMessage {
             seq,
             endpoint,
             due: self.now,
             effect,
-            ran: None,
+            maybe_received_at: None,
             tries: 0,
             size: 9000,
         };
-        self.store_message(message, State::Waiting);
+        self.store_message(message, MessageState::Waiting);
         self.input(Input::MessagePending(message));
     }
 
-    fn store_message(&mut self, message: Waiting, state: State) {
+    fn store_message(&mut self, message: PendingMessage, state: MessageState) {
         if let Some((old, _)) = self.store.insert(message.seq, (message, state)) {
             self.index.remove(&(old.endpoint, old.due, old.seq));
         }
-        if state == State::Waiting {
+        if state == MessageState::Waiting {
             self.index
                 .insert((message.endpoint, message.due, message.seq));
         }
@@ -137,7 +139,7 @@
                     recorded,
                 } => {
                     let (m, state) = self.store[&seq];
-                    assert_eq!((m.endpoint, state), (endpoint, State::Waiting));
+                    assert_eq!((m.endpoint, state), (endpoint, MessageState::Waiting));
                     assert!(m.due <= self.now, "{seq:?} begins before its due time");
                     assert!(
                         self.in_flight_since.insert(seq, self.now).is_none(),
@@ -171,7 +173,7 @@
                     let mut mine = self
                         .index
                         .range((id, 0, Seq(0))..(EndpointId(id.0 + 1), 0, Seq(0)));
-                    let all: Vec<Waiting> = mine
+                    let all: Vec<PendingMessage> = mine
                         .by_ref()
                         .take(limit)
                         .map(|k| self.store[&k.2].0)
@@ -184,7 +186,7 @@
                     self.fetches.push((id, all, next));
                 }
                 Output::EndpointDisabled(id, _) => {
-                    self.plans.get_mut(&id).unwrap().enabled = Enabled::ByFailure;
+                    self.plans.get_mut(&id).unwrap().enabled = Enabled::DisabledByFailure;
                     self.disabled.push(id);
                 }
                 Output::Purge(id) => {
@@ -192,13 +194,13 @@
                         .store
                         .values()
                         .filter(|(m, s)| m.endpoint == id && !s.is_over());
-                    let mine: Vec<Waiting> = mine.map(|(m, _)| *m).collect();
+                    let mine: Vec<PendingMessage> = mine.map(|(m, _)| *m).collect();
                     for m in mine
                         .into_iter()
                         .filter(|m| !self.in_flight_since.contains_key(&m.seq))
                         .collect::<Vec<_>>()
                     {
-                        self.store_message(m, State::Dead(DeadLetterReason::Gone));
+                        self.store_message(m, MessageState::Dead(DeadLetterReason::Gone));
                     }
                 }
             }
@@ -330,8 +332,8 @@
                 Step::Fetched => w.answer_fetch(),
                 Step::Advance(span) => w.advance(span),
                 Step::SetEnabled(e, on) if !removed.contains(&e) => {
-                    let enabled = if on { Enabled::Yes } else { Enabled::ByHand };
-                    let p = EndpointPlan { enabled, ..w.plans[&EndpointId(e)].clone() };
+                    let enabled = if on { Enabled::Yes } else { Enabled::DisabledByOperator };
+                    let p = EndpointSettings { enabled, ..w.plans[&EndpointId(e)].clone() };
                     w.plan(EndpointId(e), p);
                 }
                 Step::SetEnabled(..) => {}
@@ -344,7 +346,7 @@
             }
         }
         for e in (0..6).filter(|e| !removed.contains(e)) {
-            let p = EndpointPlan { enabled: Enabled::Yes, ..w.plans[&EndpointId(e)].clone() };
+            let p = EndpointSettings { enabled: Enabled::Yes, ..w.plans[&EndpointId(e)].clone() };
             w.plan(EndpointId(e), p);
         }
         w.run_for(100 * 86_400 * SECOND, |_, _| answer(204));
@@ -352,10 +354,10 @@
         for (m, state) in w.store.values() {
             let begun = w.begun.get(&m.seq).copied().unwrap_or(0);
             match state {
-                State::Delivered => prop_assert!(begun > 0),
-                State::Dead(DeadLetterReason::Unknown) => prop_assert!(m.effect == Effect::NonIdempotent && w.arrived.contains(&m.seq)),
-                State::Dead(DeadLetterReason::Exhausted) => prop_assert_eq!(m.tries, 4),
-                State::Dead(DeadLetterReason::Gone) => prop_assert!(removed.contains(&m.endpoint.0)),
+                MessageState::Delivered => prop_assert!(begun > 0),
+                MessageState::Dead(DeadLetterReason::Unknown) => prop_assert!(m.effect == Effect::NonIdempotent && w.arrived.contains(&m.seq)),
+                MessageState::Dead(DeadLetterReason::Exhausted) => prop_assert_eq!(m.tries, 4),
+                MessageState::Dead(DeadLetterReason::Gone) => prop_assert!(removed.contains(&m.endpoint.0)),
                 other => prop_assert!(false, "{:?} is left {:?}", m, other),
             }
         }
@@ -380,7 +382,7 @@
     let schedule = Schedule::from_seconds(&[10.0, 60.0, 600.0, 3600.0, 7200.0]).unwrap();
     w.plan(
         EndpointId(0),
-        EndpointPlan {
+        EndpointSettings {
             in_flight: 8,
             schedule,
             ..plan(0)
@@ -428,7 +430,7 @@
     for e in 0..50 {
         w.plan(
             EndpointId(e),
-            EndpointPlan {
+            EndpointSettings {
                 in_flight: 4,
                 ..plan(e)
             },
@@ -464,7 +466,7 @@
     let done = |e: u64| {
         w.store
             .values()
-            .filter(|(m, s)| m.endpoint.0 == e && *s == State::Delivered)
+            .filter(|(m, s)| m.endpoint.0 == e && *s == MessageState::Delivered)
             .count()
     };
     assert!(
@@ -517,7 +519,7 @@
     let mut w = Model::new(Limits::default(), 0);
     w.plan(
         EndpointId(0),
-        EndpointPlan {
+        EndpointSettings {
             per_s: 5.0,
             in_flight: 50,
             ..plan(0)
@@ -537,7 +539,7 @@
     w.run_for(1000 * SECOND, |_, _| answer(200));
     assert_eq!(
         w.store[&Seq(1000)].1,
-        State::Dead(DeadLetterReason::Unknown),
+        MessageState::Dead(DeadLetterReason::Unknown),
         "the portal detects duplicates for half a second only"
     );
     assert_eq!(w.begun[&Seq(1000)], 1);
--- a/src/gateway/admin_api.rs
+++ b/src/gateway/admin_api.rs
@@ -181,7 +181,7 @@
         let mut handled = match self.handle_admin_request(admitted) {
             Ok(Done::Ask(operation)) => {
                 let key = admitted.caller_and_key();
-                match self.ask_for_admin(admitted.connection, operation, key) {
+                match self.submit_admin_request(admitted.connection, operation, key) {
                     Ok(()) => return None,
                     Err(bad) => Err(bad),
                 }
@@ -212,7 +212,7 @@
             "/v1/duties" => self.leases_view(),
             _ => serde_json::Value::Null,
         };
-        let webhooks = &self.secondary.hooks;
+        let webhooks = &self.secondary.webhooks;
         let health = |id| webhooks.as_ref().and_then(|webhooks| webhooks.health(id));
         let mut context = Context {
             tenants: &mut self.secondary.tenants,
@@ -307,7 +307,7 @@
         let handled = admin::messages::answer(limit, reply);
         let bytes = admin::answer(&handled, true);
         self.finish_idempotency_key(key, is_final(&handled), &bytes);
-        self.answer_second(conn, now, |keep_open| {
+        self.answer_secondary_client(conn, now, |keep_open| {
             if keep_open {
                 bytes
             } else {
@@ -320,16 +320,22 @@
     pub(super) fn apply_change(&mut self, now: Micros, change: Change) {
         match change {
             Change::Share(tenant, per_s) => self.core.set_tenant_quota(now, tenant, per_s),
-            Change::Endpoints(tenant) => self.tell_endpoints(now, &tenant),
+            Change::Endpoints(tenant) => self.update_delivery_endpoints(now, &tenant),
             Change::Voters { joins, leaves } => self.exchange_voters(now, joins, leaves),
-            Change::Removed(ids) => self.forget_endpoints(now, &ids),
+            Change::Removed(ids) => self.remove_delivery_endpoints(now, &ids),
             Change::Rotated(tenant, endpoint) => {
                 let data = serde_json::json!({ "endpoint": endpoint });
-                self.tell_tenant(now, &tenant, None, "secret.rotated", &data);
+                self.publish_operational_event(now, &tenant, None, "secret.rotated", &data);
             }
             Change::Test(tenant, endpoint) => {
                 let data = serde_json::json!({ "endpoint": endpoint });
-                self.tell_tenant(now, &tenant, Some(&endpoint), "endpoint.test", &data);
+                self.publish_operational_event(
+                    now,
+                    &tenant,
+                    Some(&endpoint),
+                    "endpoint.test",
+                    &data,
+                );
             }
         }
     }
--- a/src/gateway/commands.rs
+++ b/src/gateway/commands.rs
@@ -64,7 +64,7 @@
         match completed.exchange {
             Exchange::Attempt(key) => {
                 self.routes.attempts.remove(key);
-                self.guarded_ended(key, never_ran(reason.outcome(progress)));
+                self.at_most_once_attempt_ended(key, never_ran(reason.outcome(progress)));
                 let worker = self.core.worker_of(key);
                 self.observe_outcome(now, worker, reason, progress);
                 self.core
@@ -94,7 +94,7 @@
         match command {
             Command::Answer { origin, answer } => match origin {
                 Origin::Client(key) => self.answer_client(key, &answer),
-                Origin::Webhook(job) => self.call_back(now, job, &Outcome::Answered(answer)),
+                Origin::Webhook(job) => self.complete_call(now, job, &Outcome::Answered(answer)),
             },
             Command::Dispatch(dispatch) => {
                 if let Some(dispatch) = self.defer_until_recorded(now, dispatch) {
@@ -103,7 +103,7 @@
             }
             Command::Cancel { attempt, reason } => self.cancel_attempt(now, attempt, reason),
             Command::Withdraw { attempt, reason } => {
-                if self.unrecorded(attempt) || self.withdraw_attempt(attempt) {
+                if self.discard_unrecorded_attempt(attempt) || self.withdraw_attempt(attempt) {
                     self.complete_unsent(Exchange::Attempt(attempt), reason);
                 }
             }
@@ -139,7 +139,7 @@
 
     fn cancel_attempt(&mut self, now: Micros, attempt: AttemptKey, reason: CloseReason) {
         let exchange = Exchange::Attempt(attempt);
-        if self.unrecorded(attempt) {
+        if self.discard_unrecorded_attempt(attempt) {
             return self.complete_unsent(exchange, reason);
         }
         let connection_key = self.routes.attempts.get(attempt).copied();
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -97,7 +97,7 @@
                 self.discovery_closed(now, &stream, reason);
             }
             Role::Portal(portal) => {
-                let untouched = portal.untouched(&connection.outbox);
+                let untouched = portal.is_unsent(&connection.outbox);
                 self.portal_closed(now, key, &portal, reason, untouched);
             }
         }
@@ -163,7 +163,7 @@
                 ..
             } => self.read_client_requests(key, now),
             Role::Client { .. } => self.read_secondary_requests(key, now),
-            Role::Portal(_) => self.on_portal(key, now),
+            Role::Portal(_) => self.handle_portal_input(key, now),
             Role::Console => self.read_console_request(key, now),
             Role::Peer(_) => self.on_peer(key, now),
             Role::Worker(_) => self.read_worker_replies(key, now),
--- a/src/gateway/event_loop.rs
+++ b/src/gateway/event_loop.rs
@@ -104,14 +104,14 @@
     /// Stops a draining gateway that has no listener, client or webhook call left and has handed
     /// its shards over.
     fn stop_if_drained(&mut self, now: Micros) {
-        let webhooks = self.secondary.hooks.as_ref();
+        let webhooks = self.secondary.webhooks.as_ref();
         let webhooks_idle = webhooks.is_none_or(|webhooks| webhooks.is_idle(now));
         let drained = self.ops.lifecycle.is_shutting_down()
             && self.listeners.sockets.is_empty()
             && self.client_slots.is_empty()
             && webhooks_idle;
         if drained {
-            let late = webhooks.is_some_and(|webhooks| webhooks.is_late(now));
+            let late = webhooks.is_some_and(|webhooks| webhooks.is_shutdown_overdue(now));
             self.stop = self.hand_over_shards() || late;
         }
     }
@@ -138,7 +138,7 @@
             GatewayDeadline::AcceptRetry => self.listeners.accept_pending = true,
             GatewayDeadline::BundleReload => self.load_bundle(now),
             GatewayDeadline::Delivery => self.tick_webhooks(now),
-            GatewayDeadline::Retention => self.retain(now),
+            GatewayDeadline::Retention => self.begin_retention_pass(now),
             GatewayDeadline::Gossip => self.tick_gossip(now),
             GatewayDeadline::Consensus => self.tick_consensus(),
             GatewayDeadline::Replication => self.tick_replication(),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -59,7 +59,7 @@
 use listeners::{ListenerKind, Listeners};
 use operations::OperationsDriver;
 use secondary_listeners::SecondaryListeners;
-use webhooks::{JobKey, PortalLink};
+use webhooks::{OpenCallKey, PortalConnection};
 use worker_routes::WorkerRoutes;
 
 new_key_type! {
@@ -73,7 +73,7 @@
     /// The client of a connection.
     Client(ConnKey),
     /// A webhook call, whose answer is delivered as a callback.
-    Webhook(JobKey),
+    Webhook(OpenCallKey),
 }
 
 /// The source of the response that a client waits for.
@@ -103,7 +103,7 @@
     /// Another gateway of the consensus group.
     Peer(consensus::Peer),
     /// An endpoint to which callbacks are delivered.
-    Portal(PortalLink),
+    Portal(PortalConnection),
 }
 
 /// The drivers of the subsystems between gateways; `None` if a subsystem is off.
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -112,7 +112,7 @@
             process,
             history: history_path,
         } = identity;
-        let webhooks = self.secondary.hooks.as_ref();
+        let webhooks = self.secondary.webhooks.as_ref();
         if !webhooks.is_some_and(webhooks::WebhookDriver::durable) {
             return Err(missing_setting("webhooks.store"));
         }
@@ -153,7 +153,7 @@
         });
         self.set_up_tenants(now, tenant_settings, tenant_history);
         self.update_replica_sets();
-        if let Some(webhooks) = &mut self.secondary.hooks {
+        if let Some(webhooks) = &mut self.secondary.webhooks {
             webhooks.register_disk(process ^ self.config.seed, false);
         }
         self.step_replication(now);
@@ -226,8 +226,8 @@
         let Some(driver) = &mut self.cluster.replication else {
             return false;
         };
-        let webhooks = self.secondary.hooks.as_mut();
-        if let Some(append) = webhooks.and_then(|webhooks| webhooks.shared.pop_front()) {
+        let webhooks = self.secondary.webhooks.as_mut();
+        if let Some(append) = webhooks.and_then(|webhooks| webhooks.pending_appends.pop_front()) {
             let (waiter, shard, record, min_replicas) = append;
             let input = Input::Append {
                 shard,
--- a/src/gateway/replication/outputs.rs
+++ b/src/gateway/replication/outputs.rs
@@ -13,7 +13,7 @@
 impl Gateway {
     pub(super) fn perform_replication_output(&mut self, now: Micros, output: Output) {
         let (Some(driver), Some(webhooks)) =
-            (&mut self.cluster.replication, &mut self.secondary.hooks)
+            (&mut self.cluster.replication, &mut self.secondary.webhooks)
         else {
             return;
         };
@@ -72,7 +72,7 @@
             driver.open_shards.remove(&shard);
         }
         tracing::warn!(shard, "a shard is led here no more");
-        let Some(webhooks) = &mut self.secondary.hooks else {
+        let Some(webhooks) = &mut self.secondary.webhooks else {
             return;
         };
         for request in webhooks.resign_shard(now, shard) {
@@ -87,7 +87,7 @@
              from other gateways; start each gateway on its own newest disk"
         );
         let id = self.config.seed ^ consensus::uptime();
-        if let Some(webhooks) = &mut self.secondary.hooks {
+        if let Some(webhooks) = &mut self.secondary.webhooks {
             webhooks.register_disk(id, true);
         }
     }
--- a/src/gateway/replication/requests.rs
+++ b/src/gateway/replication/requests.rs
@@ -98,7 +98,7 @@
                 self.respond_to_request(from, number, outcome);
             }
             Some(PrimaryRequest::CallState(serial, id)) => {
-                if let Some(webhooks) = &mut self.secondary.hooks {
+                if let Some(webhooks) = &mut self.secondary.webhooks {
                     webhooks.request_call_state(serial, id, from, number);
                 }
             }
--- a/src/gateway/replication/requests/digest_tests.rs
+++ b/src/gateway/replication/requests/digest_tests.rs
@@ -74,7 +74,7 @@
 fn call_state_response_matches_recorded_bytes() {
     let state = |outcome: Option<&str>| {
         Some(CallState {
-            taken: 1_700_000_000_000_000,
+            retention_start: 1_700_000_000_000_000,
             outcome: outcome.map(str::to_owned),
             shard: 9,
         })
--- a/src/gateway/replication/store_replies.rs
+++ b/src/gateway/replication/store_replies.rs
@@ -31,7 +31,7 @@
         let Ok(reply) = reply else {
             return;
         };
-        let webhooks = self.secondary.hooks.as_ref();
+        let webhooks = self.secondary.webhooks.as_ref();
         let step = waiter.and_then(|waiter| webhooks?.fault_injection_step(waiter));
         if let Some(step) = step {
             fault_injection_point(step);
@@ -93,7 +93,7 @@
 
     /// Resumes the calls and messages of a shard, as after a restart.
     fn resume_shard(&mut self, now: Micros, shard: ShardId, epoch: Epoch, state: ShardState) {
-        let Some(webhooks) = &mut self.secondary.hooks else {
+        let Some(webhooks) = &mut self.secondary.webhooks else {
             return;
         };
         let calls = state.calls.len();
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -25,7 +25,7 @@
     pub(super) listed: BTreeSet<String>,
     /// The file that tenants are written to, if one is configured.
     state_file: Option<PathBuf>,
-    pub(super) hooks: Option<WebhookDriver>,
+    pub(super) webhooks: Option<WebhookDriver>,
     pub(super) admin: Option<AdminApi>,
 }
 
@@ -157,7 +157,7 @@
         let response = match kind {
             ListenerKind::Admin => self.administer(key, request, keep_open, now),
             ListenerKind::Platform | ListenerKind::Webhook => {
-                self.take_webhook(key, request, keep_open, now)
+                self.handle_webhook_request(key, request, keep_open, now)
             }
         };
         HandledRequest {
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -197,7 +197,7 @@
     }
 
     /// Proposes to all gateways to disable an endpoint that this gateway has disabled.
-    pub(super) fn agree_on_disabled(&mut self, now: Micros, tenant: &str, id: EndpointId) {
+    pub(super) fn propose_endpoint_disabled(&mut self, now: Micros, tenant: &str, id: EndpointId) {
         let version = self
             .secondary
             .tenants
@@ -314,8 +314,8 @@
                 tracing::info!(tenant, removed = encoded.is_none(), "agreed tenant adopted");
                 self.core
                     .set_tenant_quota(now, adopted.share.0, adopted.share.1);
-                self.forget_endpoints(now, &adopted.gone);
-                self.tell_endpoints(now, tenant);
+                self.remove_delivery_endpoints(now, &adopted.gone);
+                self.update_delivery_endpoints(now, tenant);
             }
             Ok(None) => {}
             Err(error) => {
@@ -359,7 +359,7 @@
             .for_each(|change| self.apply_change(now, change));
         let bytes = admin::answer(&Ok(handled.clone()), true);
         self.finish_idempotency_key(key.map(|(key, ..)| (caller, key)), true, &bytes);
-        self.answer_second(connection, now, |keep_open| {
+        self.answer_secondary_client(connection, now, |keep_open| {
             if keep_open {
                 bytes
             } else {
@@ -387,7 +387,7 @@
                 // still agreed on later.
                 self.finish_idempotency_key(key.map(|(key, ..)| (caller, key)), false, &[]);
                 let (status, text) = (refusal.status(), refusal.to_string());
-                self.answer_second(connection, now, |keep_open| {
+                self.answer_secondary_client(connection, now, |keep_open| {
                     admin::problem(status, &text, Some(refusal.remedy()), keep_open)
                 });
             }
@@ -402,10 +402,10 @@
                 match found {
                     Some((tenant, current)) if current == version => {
                         self.secondary.tenants.disable(id);
-                        self.agree_on_disabled(now, &tenant, id);
+                        self.propose_endpoint_disabled(now, &tenant, id);
                     }
                     Some((tenant, current)) if current == version + 1 => {
-                        self.agree_on_disabled(now, &tenant, id)
+                        self.propose_endpoint_disabled(now, &tenant, id)
                     }
                     _ => {}
                 }
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -19,9 +19,9 @@
 use crate::config::{ConfigError, Webhooks};
 use crate::core::{AttemptDispatch, Call};
 use crate::delivery::egress::EgressPolicy;
-use crate::delivery::response::{DeadLetterReason, DeliveryReport, State};
+use crate::delivery::response::{DeadLetterReason, DeliveryReport, MessageState};
 use crate::delivery::schedule::Schedule;
-use crate::delivery::{Delivery, EndpointId, Input, Limits, Output, Seq, Waiting};
+use crate::delivery::{Delivery, EndpointId, Input, Limits, Output, PendingMessage, Seq};
 use crate::front::http::{self, plain, Bad};
 use crate::front::webhook::answer::{self, Progress};
 use crate::front::webhook::inbound::{Inbound, Job};
@@ -56,7 +56,7 @@
 
 new_key_type! {
     /// Key of an open call that arrived as a webhook.
-    pub(super) struct JobKey;
+    pub(super) struct OpenCallKey;
 }
 
 /// How long an idle connection to a portal is kept, in microseconds.
@@ -91,7 +91,7 @@
 
 /// A connection to a portal.
 #[derive(Debug)]
-pub(super) struct PortalLink {
+pub(super) struct PortalConnection {
     endpoint: EndpointId,
     address: SocketAddr,
     /// The message that is in flight on the connection, and when it was sent.
@@ -100,14 +100,14 @@
     status: Option<(u16, Option<Micros>)>,
 }
 
-impl PortalLink {
+impl PortalConnection {
     /// Returns whether no message is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.current.is_none()
     }
 
     /// Returns whether a message is in flight of which no byte was sent.
-    pub(super) fn untouched(&self, out: &net::Outbox) -> bool {
+    pub(super) fn is_unsent(&self, out: &net::Outbox) -> bool {
         self.current.is_some_and(|(seq, _)| out.is_unsent(seq.0))
     }
 }
@@ -180,7 +180,7 @@
     VerifyDisk,
     AcceptDamage(ShardId),
     /// Settles a delivery whose attempt another process had begun.
-    SettleAttempt(Waiting, State),
+    SettleAttempt(PendingMessage, MessageState),
     /// Reads the state of a call for another gateway.
     ForwardCallState(Name, u64),
 }
@@ -205,7 +205,7 @@
 pub(super) struct WebhookDriver {
     inbound: Inbound,
     delivery: Delivery,
-    jobs: SlotMap<JobKey, OpenCall>,
+    jobs: SlotMap<OpenCallKey, OpenCall>,
     backend: Backend,
     replies: VecDeque<(u64, Result<Reply, StoreError>)>,
     pending_store_ops: HashMap<u64, PendingStoreOp>,
@@ -232,7 +232,7 @@
     stopping: Option<Micros>,
     /// Records to replicate: the number of the store operation, the shard, the record and the
     /// minimum number of replicas.
-    pub(super) shared: VecDeque<(u64, ShardId, Vec<u8>, usize)>,
+    pub(super) pending_appends: VecDeque<(u64, ShardId, Vec<u8>, usize)>,
     /// Calls of shards of this primary whose earlier attempt here has not ended; at most as many as
     /// were in progress. A call is removed when the attempt ends, or with the shard.
     postponed: Vec<CallRecord>,
@@ -265,7 +265,9 @@
         self.pending_store_ops.insert(number, purpose);
         if let (Some(shard), Some(shared)) = (op.shard(), ReplicatedOp::from_op(&op)) {
             match shared.encode() {
-                Ok(bytes) => self.shared.push_back((number, shard, bytes, min_replicas)),
+                Ok(bytes) => self
+                    .pending_appends
+                    .push_back((number, shard, bytes, min_replicas)),
                 Err(e) => self.replies.push_back((number, Err(e))),
             }
             return;
@@ -286,14 +288,14 @@
     }
 
     /// Returns whether shutdown has waited too long for the store.
-    pub(super) fn is_late(&self, now: Micros) -> bool {
+    pub(super) fn is_shutdown_overdue(&self, now: Micros) -> bool {
         self.stopping
             .is_some_and(|t| now > t + SHUTDOWN_STORE_TIMEOUT)
     }
 
     /// Returns whether the process can end without losing calls or leaving outcomes unknown.
     pub(super) fn is_idle(&self, now: Micros) -> bool {
-        let late = self.is_late(now);
+        let late = self.is_shutdown_overdue(now);
         let kept = if self.durable() {
             self.delivery.attempts_in_flight() == 0 && (self.pending_store_ops.is_empty() || late)
         } else {
@@ -350,16 +352,16 @@
 
 fn new_message(seq: Seq, e: &Endpoint, kind: &str, now: Micros, body: &[u8]) -> MessageRecord {
     MessageRecord {
-        waiting: Waiting {
+        waiting: PendingMessage {
             seq,
             endpoint: e.id,
             due: now,
             effect: Effect::Idempotent,
-            ran: None,
+            maybe_received_at: None,
             tries: 0,
             size: body.len() as u32,
         },
-        state: State::Waiting,
+        state: MessageState::Waiting,
         tenant: String::new(),
         serial: 0,
         id: format!("msg_{:016x}", seq.0),
@@ -384,7 +386,7 @@
 impl Gateway {
     /// Writes the pending answer to a client of the secondary front, and continues to read its
     /// requests.
-    pub(super) fn answer_second(
+    pub(super) fn answer_secondary_client(
         &mut self,
         key: ConnKey,
         now: Micros,
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -3,15 +3,15 @@
 use super::{
     fault_injection_point, http, message, new_message, order_key_hash, plain, refuse, replay,
     AcceptCall, AtMostOnceCall, AttemptDispatch, AttemptKey, Call, CallRecord, Caller, CloseReason,
-    CompleteCall, Completed, ConnKey, Effect, Exchange, Gateway, IdentityDigest, Job, JobKey,
-    Micros, Op, OpenCall, Origin, Outcome, PendingStoreOp, PrimaryRequest, ReplicationError, Reply,
-    RequestOrigin, RequestOutcome, SendProgress, Seq, StoreError, UnrecordedAttempt, COMPLETED,
-    MAX_PENDING_STORE_OPS, MAX_RECORD_WAIT,
+    CompleteCall, Completed, ConnKey, Effect, Exchange, Gateway, IdentityDigest, Job, Micros, Op,
+    OpenCall, OpenCallKey, Origin, Outcome, PendingStoreOp, PrimaryRequest, ReplicationError,
+    Reply, RequestOrigin, RequestOutcome, SendProgress, Seq, StoreError, UnrecordedAttempt,
+    COMPLETED, MAX_PENDING_STORE_OPS, MAX_RECORD_WAIT,
 };
 
 impl Gateway {
     /// Handles a webhook request. Returns the answer, or none if the answer depends on the store.
-    pub(in crate::gateway) fn take_webhook(
+    pub(in crate::gateway) fn handle_webhook_request(
         &mut self,
         key: ConnKey,
         r: &http::Request<'_>,
@@ -26,7 +26,7 @@
             ));
         }
         let tenants = &self.secondary.tenants;
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return Some(refuse(&plain(404, "off"), stays));
         };
         if r.method == "GET" {
@@ -154,7 +154,7 @@
         identity_digest: IdentityDigest,
         reply: Result<Reply, StoreError>,
     ) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         if let Err(e) = reply {
@@ -168,7 +168,7 @@
                     } else {
                         "the call cannot be kept"
                     };
-                    self.answer_second(conn, now, |stays| refuse(&plain(503, why), stays))
+                    self.answer_secondary_client(conn, now, |stays| refuse(&plain(503, why), stays))
                 }
                 (Caller::Gateway(to, number), e) => {
                     let shard = seq.shard();
@@ -197,7 +197,7 @@
         match caller {
             Caller::Here(conn) => {
                 self.core.counters.webhooks_accepted += 1;
-                self.answer_second(conn, now, |stays| {
+                self.answer_secondary_client(conn, now, |stays| {
                     http::response(202, &format!("X-Kept-In: {kept_in}\r\n"), b"", stays)
                 });
             }
@@ -220,7 +220,7 @@
         now: Micros,
         dispatch: AttemptDispatch,
     ) -> Option<AttemptDispatch> {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return Some(dispatch);
         };
         let Some(guard) = hooks.at_most_once_calls.get(&dispatch.identity) else {
@@ -245,15 +245,15 @@
 
     /// Discards an attempt that waits for its record. Returns whether there was one; such an
     /// attempt was never sent.
-    pub(in crate::gateway) fn unrecorded(&mut self, attempt: AttemptKey) -> bool {
+    pub(in crate::gateway) fn discard_unrecorded_attempt(&mut self, attempt: AttemptKey) -> bool {
         self.secondary
-            .hooks
+            .webhooks
             .as_mut()
             .is_some_and(|h| h.unrecorded.remove(attempt).is_some())
     }
 
     pub(super) fn attempt_recorded(&mut self, now: Micros, attempt: AttemptKey, is_recorded: bool) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let Some(waiting) = hooks.unrecorded.remove(attempt) else {
@@ -271,8 +271,12 @@
     }
 
     /// Handles the end of an attempt. `never_ran` is set if the attempt is proved not to have run.
-    pub(in crate::gateway) fn guarded_ended(&mut self, attempt: AttemptKey, never_ran: bool) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+    pub(in crate::gateway) fn at_most_once_attempt_ended(
+        &mut self,
+        attempt: AttemptKey,
+        never_ran: bool,
+    ) {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let Some(id) = hooks.at_most_once_attempts.remove(attempt) else {
@@ -291,8 +295,13 @@
 
     /// Handles the final answer of a webhook's call: the store replaces the call by its outcome and
     /// the callback messages.
-    pub(in crate::gateway) fn call_back(&mut self, now: Micros, job: JobKey, outcome: &Outcome) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+    pub(in crate::gateway) fn complete_call(
+        &mut self,
+        now: Micros,
+        job: OpenCallKey,
+        outcome: &Outcome,
+    ) {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let Some(open_call) = hooks.jobs.remove(job) else {
@@ -340,7 +349,7 @@
 
     /// Sends an operational event to the tenant's endpoints that subscribe to it, or only to the
     /// endpoint `only`.
-    pub(in crate::gateway) fn tell_tenant(
+    pub(in crate::gateway) fn publish_operational_event(
         &mut self,
         now: Micros,
         tenant: &str,
@@ -349,7 +358,7 @@
         data: &serde_json::Value,
     ) {
         let (Some(hooks), Some(t)) = (
-            &mut self.secondary.hooks,
+            &mut self.secondary.webhooks,
             self.secondary.tenants.get(tenant),
         ) else {
             return;
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -3,14 +3,14 @@
 use super::{
     answer, answer_report, fault_injection_point, io, message, net, plain, Bad, CloseReason,
     ConnKey, DeliveryReport, Effect, Endpoint, Gateway, Input, MessageRecord, Micros, Op,
-    PendingStoreOp, PortalLink, Progress, Role, SendProgress, Seq, MAX_IDLE_PER_ENDPOINT,
+    PendingStoreOp, PortalConnection, Progress, Role, SendProgress, Seq, MAX_IDLE_PER_ENDPOINT,
     PORTAL_IDLE_TIMEOUT,
 };
 
 impl Gateway {
     /// Sends a message on an idle connection or a new one.
     pub(super) fn send_message(&mut self, now: Micros, mut record: MessageRecord, body: &[u8]) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let (seq, id) = (record.waiting.seq, record.waiting.endpoint);
@@ -46,7 +46,7 @@
         let key = match idle {
             Some(key) => Ok(key),
             None => {
-                let link = PortalLink {
+                let link = PortalConnection {
                     endpoint: id,
                     address,
                     current: None,
@@ -75,7 +75,7 @@
                     }
                     _ => CloseReason::ConnectTimeout,
                 };
-                if let Some(hooks) = &mut self.secondary.hooks {
+                if let Some(hooks) = &mut self.secondary.webhooks {
                     hooks
                         .delivery
                         .handle(now, Input::AttemptEnded(seq, unsent(ending)));
@@ -85,7 +85,7 @@
     }
 
     /// Handles input from a portal.
-    pub(in crate::gateway) fn on_portal(&mut self, key: ConnKey, now: Micros) {
+    pub(in crate::gateway) fn handle_portal_input(&mut self, key: ConnKey, now: Micros) {
         let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else {
             return;
         };
@@ -111,7 +111,7 @@
                     && conn.input.bytes().is_empty()
                     && !conn.peer_closed;
                 self.delivery_ended(now, seq, answer_report(status, advice));
-                let Some(hooks) = &mut self.secondary.hooks else {
+                let Some(hooks) = &mut self.secondary.webhooks else {
                     return;
                 };
                 let tenants = &self.secondary.tenants;
@@ -139,11 +139,11 @@
         &mut self,
         now: Micros,
         key: ConnKey,
-        link: &PortalLink,
+        link: &PortalConnection,
         ending: CloseReason,
         untouched: bool,
     ) {
-        if let Some(hooks) = &mut self.secondary.hooks {
+        if let Some(hooks) = &mut self.secondary.webhooks {
             if let Some(idle) = hooks.idle.get_mut(&link.endpoint) {
                 idle.retain(|k| *k != key);
                 if idle.is_empty() {
@@ -174,7 +174,7 @@
 
     pub(super) fn delivery_ended(&mut self, now: Micros, seq: Seq, report: DeliveryReport) {
         fault_injection_point("callback answered");
-        if let Some(hooks) = &mut self.secondary.hooks {
+        if let Some(hooks) = &mut self.secondary.webhooks {
             hooks.delivery.handle(now, Input::AttemptEnded(seq, report));
         }
     }
@@ -183,7 +183,7 @@
     /// and are retried if their class permits. Without a store, all deliveries continue to their
     /// end.
     pub(in crate::gateway) fn stop_webhooks(&mut self, now: Micros) {
-        let Some(hooks) = self.secondary.hooks.as_mut().filter(|h| h.durable()) else {
+        let Some(hooks) = self.secondary.webhooks.as_mut().filter(|h| h.durable()) else {
             return;
         };
         hooks.stopping = Some(now);
@@ -200,7 +200,7 @@
     }
 
     /// Submits an administrator's operation to the store.
-    pub(in crate::gateway) fn ask_for_admin(
+    pub(in crate::gateway) fn submit_admin_request(
         &mut self,
         conn: ConnKey,
         op: Op,
@@ -208,7 +208,7 @@
     ) -> Result<(), Bad> {
         let hooks = self
             .secondary
-            .hooks
+            .webhooks
             .as_mut()
             .ok_or(plain(404, "webhooks are off"))?;
         let limit = match &op {
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -3,8 +3,8 @@
 use super::{
     fault_injection_point, http, plain, refuse, ApplyRetention, AttemptRecord, Bad, BeginAttempt,
     CallState, ConnKey, DeadLetterReason, DeliveryReport, FinishAttempt, Gateway, GatewayDeadline,
-    Input, Micros, Op, Output, PendingStoreOp, ReplicationError, Reply, RequestOutcome,
-    RetentionResult, State, StoreError, Waiting, COMPLETED, RETENTION_BATCH,
+    Input, MessageState, Micros, Op, Output, PendingMessage, PendingStoreOp, ReplicationError,
+    Reply, RequestOutcome, RetentionResult, StoreError, COMPLETED, RETENTION_BATCH,
     RETENTION_CONTINUE_DELAY, RETENTION_INTERVAL,
 };
 use crate::delivery::{EndpointId, Seq};
@@ -18,7 +18,7 @@
     /// Handles one reply of the store or one output of delivery, or resumes a postponed call.
     /// Returns whether there was one of these. If not, updates the timer of delivery.
     pub(in crate::gateway) fn step_webhooks(&mut self, now: Micros) -> bool {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return false;
         };
         if let Some((number, reply)) = hooks.replies.pop_front() {
@@ -34,7 +34,7 @@
         if !hooks.postponed.is_empty() && self.resume_postponed(now) {
             return true;
         }
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return false;
         };
         let next = hooks.delivery.next_deadline();
@@ -52,7 +52,7 @@
 
     /// Handles the expiry of delivery's deadline.
     pub(in crate::gateway) fn tick_webhooks(&mut self, now: Micros) {
-        if let Some(hooks) = &mut self.secondary.hooks {
+        if let Some(hooks) = &mut self.secondary.webhooks {
             hooks.armed_deadline = None;
             hooks.delivery.handle(now, Input::Tick);
         }
@@ -127,12 +127,12 @@
     fn attempt_settled(
         &mut self,
         now: Micros,
-        message: Waiting,
-        state: State,
+        message: PendingMessage,
+        state: MessageState,
         reply: Result<Reply, StoreError>,
     ) {
-        let is_pending = reply.is_ok() && state == State::Waiting;
-        if let Some(hooks) = self.secondary.hooks.as_mut().filter(|_| is_pending) {
+        let is_pending = reply.is_ok() && state == MessageState::Waiting;
+        if let Some(hooks) = self.secondary.webhooks.as_mut().filter(|_| is_pending) {
             hooks.delivery.handle(now, Input::MessagePending(message));
         }
         self.enqueue_released(now, reply);
@@ -161,7 +161,7 @@
             Ok(_) => Input::MessageRemoved(seq),
             Err(_) => Input::AttemptEnded(seq, DeliveryReport::VOID),
         };
-        if let Some(hooks) = &mut self.secondary.hooks {
+        if let Some(hooks) = &mut self.secondary.webhooks {
             hooks.delivery.handle(now, input);
         }
     }
@@ -173,7 +173,7 @@
             // The store has failed. Its messages remain, and a later fetch reads them.
             _ => Input::Fetched(endpoint, Vec::new(), Some(now + FETCH_RETRY_INTERVAL)),
         };
-        if let Some(hooks) = &mut self.secondary.hooks {
+        if let Some(hooks) = &mut self.secondary.webhooks {
             hooks.delivery.handle(now, input);
         }
     }
@@ -181,7 +181,7 @@
     /// Continues to purge a removed endpoint if it has more messages.
     fn endpoint_purged(&mut self, endpoint: EndpointId, reply: &Result<Reply, StoreError>) {
         let has_more = matches!(reply, Ok(Reply::More(true)));
-        if let Some(hooks) = self.secondary.hooks.as_mut().filter(|_| has_more) {
+        if let Some(hooks) = self.secondary.webhooks.as_mut().filter(|_| has_more) {
             let purge = Op::PurgeEndpoint(endpoint, RETENTION_BATCH);
             hooks.submit(PendingStoreOp::PurgeEndpoint(endpoint), purge);
         }
@@ -197,7 +197,7 @@
             Ok(Reply::Retained(result)) => result,
             _ => RetentionResult::default(),
         };
-        if let Some(hooks) = &mut self.secondary.hooks {
+        if let Some(hooks) = &mut self.secondary.webhooks {
             for message in released {
                 hooks.delivery.handle(now, Input::MessagePending(message));
             }
@@ -223,7 +223,7 @@
         id: &str,
         body: Result<Option<CallState>, Bad>,
     ) {
-        self.answer_second(conn, now, |stays| match body {
+        self.answer_secondary_client(conn, now, |stays| match body {
             Ok(Some(state)) => {
                 let outcome = state.outcome.as_deref().unwrap_or("open");
                 let body = serde_json::json!({ "call": id, "outcome": outcome }).to_string();
@@ -240,7 +240,7 @@
     }
 
     pub(super) fn enqueue_released(&mut self, now: Micros, reply: Result<Reply, StoreError>) {
-        let (Some(hooks), Ok(Reply::Queued(all))) = (&mut self.secondary.hooks, reply) else {
+        let (Some(hooks), Ok(Reply::Queued(all))) = (&mut self.secondary.webhooks, reply) else {
             return;
         };
         all.into_iter()
@@ -248,8 +248,8 @@
     }
 
     /// Begins a retention pass.
-    pub(in crate::gateway) fn retain(&mut self, now: Micros) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+    pub(in crate::gateway) fn begin_retention_pass(&mut self, now: Micros) {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let (max_age, max_bytes) = hooks.retention;
@@ -266,7 +266,7 @@
     }
 
     pub(super) fn handle_delivery_output(&mut self, now: Micros, output: Output) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         match output {
@@ -322,12 +322,19 @@
                 );
                 if state.is_over() {
                     self.count_outcome(&message, state);
-                    let record =
-                        record.filter(|r| r.kind == COMPLETED && matches!(state, State::Dead(_)));
-                    if let Some(r) = record.filter(|_| state != State::Dead(DeadLetterReason::Gone))
+                    let record = record
+                        .filter(|r| r.kind == COMPLETED && matches!(state, MessageState::Dead(_)));
+                    if let Some(r) =
+                        record.filter(|_| state != MessageState::Dead(DeadLetterReason::Gone))
                     {
                         let data = serde_json::json!({ "message": r.id, "call": r.call, "state": state.name() });
-                        self.tell_tenant(now, &r.tenant, None, "message.exhausted", &data);
+                        self.publish_operational_event(
+                            now,
+                            &r.tenant,
+                            None,
+                            "message.exhausted",
+                            &data,
+                        );
                     }
                 }
             }
@@ -337,18 +344,18 @@
                 };
                 tracing::warn!(tenant, endpoint = name, why, "an endpoint is switched off");
                 self.persist_tenants();
-                self.agree_on_disabled(now, &tenant, id);
+                self.propose_endpoint_disabled(now, &tenant, id);
                 let data = serde_json::json!({ "endpoint": name, "why": why });
-                self.tell_tenant(now, &tenant, None, "endpoint.disabled", &data);
+                self.publish_operational_event(now, &tenant, None, "endpoint.disabled", &data);
             }
         }
     }
 
-    pub(super) fn count_outcome(&mut self, message: &Waiting, state: State) {
+    pub(super) fn count_outcome(&mut self, message: &PendingMessage, state: MessageState) {
         let counters = &mut self.core.counters;
         match state {
-            State::Delivered => counters.callbacks_delivered += 1,
-            _ if message.ran.is_some() => counters.callbacks_unknown += 1,
+            MessageState::Delivered => counters.callbacks_delivered += 1,
+            _ if message.maybe_received_at.is_some() => counters.callbacks_unknown += 1,
             _ => counters.callbacks_undelivered += 1,
         }
     }
--- a/src/gateway/webhooks/shard_calls.rs
+++ b/src/gateway/webhooks/shard_calls.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use super::{
-    job_of, refuse, AtMostOnceCall, Caller, JobKey, OpenCall, PendingStoreOp, WebhookDriver,
+    job_of, refuse, AtMostOnceCall, Caller, OpenCall, OpenCallKey, PendingStoreOp, WebhookDriver,
 };
 use crate::api::{Arrival, ClassId, Effect, FunctionId, Micros, RequestId};
 use crate::core::{Answer, Call, RequestKey};
@@ -42,7 +42,7 @@
         match action {
             ResumeAction::Keep => {}
             ResumeAction::Postpone => {
-                if let Some(webhooks) = &mut self.secondary.hooks {
+                if let Some(webhooks) = &mut self.secondary.webhooks {
                     webhooks.postponed.push(call);
                 }
             }
@@ -53,15 +53,15 @@
 
     /// Returns whether a call is in progress or ending in this process.
     fn local_run(&self, call: &CallRecord) -> LocalRun {
-        let webhooks = self.secondary.hooks.as_ref();
+        let webhooks = self.secondary.webhooks.as_ref();
         let is_held = |webhooks: &WebhookDriver| {
             let mut jobs = webhooks.jobs.values();
             jobs.any(|open_call| open_call.seq == call.seq)
         };
         if webhooks.is_some_and(is_held) {
-            LocalRun::UnderWay
+            LocalRun::InProgress
         } else if self.core.is_open(&call.worker_id) {
-            LocalRun::Ending
+            LocalRun::Cancelled
         } else {
             LocalRun::None
         }
@@ -69,7 +69,7 @@
 
     /// Resumes a postponed call whose last attempt has ended; returns whether there was one.
     pub(super) fn resume_postponed(&mut self, now: Micros) -> bool {
-        let Some(webhooks) = &mut self.secondary.hooks else {
+        let Some(webhooks) = &mut self.secondary.webhooks else {
             return false;
         };
         let mut postponed = webhooks.postponed.iter();
@@ -83,7 +83,7 @@
 
     fn recover_call(&mut self, now: Micros, call: &CallRecord, action: RecoveryAction) {
         let runnable = self.call_of(call);
-        let Some(webhooks) = &mut self.secondary.hooks else {
+        let Some(webhooks) = &mut self.secondary.webhooks else {
             return;
         };
         let id: Rc<str> = call.worker_id.as_str().into();
@@ -106,18 +106,18 @@
                     .submit(now, runnable.with_origin(Origin::Webhook(key)));
                 self.set_call_request(key, request);
             }
-            (RecoveryAction::ReportUnknown, _) => self.call_back(now, key, &Outcome::Unknown),
+            (RecoveryAction::ReportUnknown, _) => self.complete_call(now, key, &Outcome::Unknown),
             // The class or tenant of the call was removed. The call never ran, or may run again.
             (RecoveryAction::Run, None) | (RecoveryAction::Reject, _) => {
                 let rejected = Outcome::Answered(Answer::Rejected { retry_after: 0 });
-                self.call_back(now, key, &rejected);
+                self.complete_call(now, key, &rejected);
             }
         }
     }
 
     /// Notes the request in the core that runs a call.
-    pub(super) fn set_call_request(&mut self, key: JobKey, request: RequestKey) {
-        let webhooks = self.secondary.hooks.as_mut();
+    pub(super) fn set_call_request(&mut self, key: OpenCallKey, request: RequestKey) {
+        let webhooks = self.secondary.webhooks.as_mut();
         if let Some(open_call) = webhooks.and_then(|webhooks| webhooks.jobs.get_mut(key)) {
             open_call.request = Some(request);
         }
@@ -166,7 +166,7 @@
             return Err(ReplicationError::DuplicateIdentity);
         }
         let call = self.call_of(&record).ok_or(unknown("class or tenant"))?;
-        let webhooks = self.secondary.hooks.as_mut().ok_or(unknown("front"))?;
+        let webhooks = self.secondary.webhooks.as_mut().ok_or(unknown("front"))?;
         webhooks.check_capacity()?;
         let seq = webhooks.next_sequence_number(shard);
         record.seq = seq;
@@ -189,7 +189,7 @@
     pub(in crate::gateway) fn confirm_call(&mut self, now: Micros, conn: ConnKey, replicas: u8) {
         self.core.counters.webhooks_accepted += 1;
         let head = format!("X-Kept-In: store\r\nX-Copies: {replicas}\r\n");
-        self.answer_second(conn, now, |stays| http::response(202, &head, b"", stays));
+        self.answer_secondary_client(conn, now, |stays| http::response(202, &head, b"", stays));
     }
 
     /// Rejects a client's call that is not committed.
@@ -201,13 +201,13 @@
         error: &ReplicationError,
     ) {
         let is_duplicate = *error == ReplicationError::DuplicateIdentity;
-        if let Some(webhooks) = self.secondary.hooks.as_mut().filter(|_| !is_duplicate) {
+        if let Some(webhooks) = self.secondary.webhooks.as_mut().filter(|_| !is_duplicate) {
             webhooks.inbound.replays.forget(identity);
         }
         self.core.counters.webhooks_rejected += 1;
         let (status, problem) = problem_of(error);
         tracing::debug!(%error, remedy = error.remedy(), "call rejected: not committed");
-        self.answer_second(conn, now, |stays| refuse(&plain(status, problem), stays));
+        self.answer_secondary_client(conn, now, |stays| refuse(&plain(status, problem), stays));
     }
 }
 
--- a/src/gateway/webhooks/shards.rs
+++ b/src/gateway/webhooks/shards.rs
@@ -3,7 +3,7 @@
 use super::{PendingStoreOp, WebhookDriver, MAX_PENDING_STORE_OPS};
 use crate::api::Micros;
 use crate::core::RequestKey;
-use crate::delivery::{Input, Seq, Waiting};
+use crate::delivery::{Input, PendingMessage, Seq};
 use crate::replication::error::ReplicationError;
 use crate::replication::{Epoch, LogPosition, Name, ShardId};
 use crate::store::operations::{ApplyToShard, FinishAttempt, InstallShard, Op, RegisterDisk};
@@ -137,7 +137,7 @@
     pub(in crate::gateway) fn settle_in_flight(
         &mut self,
         now: Micros,
-        in_flight: Vec<(Waiting, Micros)>,
+        in_flight: Vec<(PendingMessage, Micros)>,
     ) {
         for (mut waiting, started_at) in in_flight {
             let (state, attempt) = settle_remote_attempt(&mut waiting, started_at, now);
@@ -154,7 +154,11 @@
     }
 
     /// Passes messages that wait to the delivery scheduler.
-    pub(in crate::gateway) fn enqueue_messages(&mut self, now: Micros, messages: Vec<Waiting>) {
+    pub(in crate::gateway) fn enqueue_messages(
+        &mut self,
+        now: Micros,
+        messages: Vec<PendingMessage>,
+    ) {
         for waiting in messages {
             self.delivery.handle(now, Input::MessagePending(waiting));
         }
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -26,7 +26,7 @@
                 let (sender, replies) = channel::channel();
                 let on_reply = |event, _: &mut (), node: &mut Gateway| {
                     if let (channel::Event::Msg((number, reply)), Some(h)) =
-                        (event, &mut node.secondary.hooks)
+                        (event, &mut node.secondary.webhooks)
                     {
                         h.reply(number, reply);
                     }
@@ -87,7 +87,7 @@
             disable_after: w.disable_after_s * 1_000_000,
             ..limits
         };
-        self.secondary.hooks = Some(WebhookDriver {
+        self.secondary.webhooks = Some(WebhookDriver {
             inbound: Inbound {
                 tolerance_s: w.tolerance_s,
                 started: (w.replay_file.is_none() && !durable).then_some(now),
@@ -115,7 +115,7 @@
             answer_timeout: w.callback_answer_ms * 1000,
             retention: (w.retention_days * 86_400_000_000, w.retention_mb << 20),
             stopping: None,
-            shared: VecDeque::new(),
+            pending_appends: VecDeque::new(),
             postponed: Vec::new(),
             numbers: HashMap::new(),
         });
@@ -125,7 +125,9 @@
             .iter()
             .map(|(name, _)| name.clone())
             .collect();
-        names.iter().for_each(|name| self.tell_endpoints(now, name));
+        names
+            .iter()
+            .for_each(|name| self.update_delivery_endpoints(now, name));
         self.listen(ListenerKind::Webhook, w.listen)?;
         self.recover(now, found);
         if durable {
@@ -139,7 +141,7 @@
 
     /// Resumes the calls, deliveries and endpoints that the previous process left in the store.
     pub(super) fn recover(&mut self, now: Micros, found: RecoveredState) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         for (id, due) in &found.endpoints {
@@ -178,9 +180,9 @@
     }
 
     /// Passes the current settings of a tenant's endpoints to delivery.
-    pub(in crate::gateway) fn tell_endpoints(&mut self, now: Micros, tenant: &str) {
+    pub(in crate::gateway) fn update_delivery_endpoints(&mut self, now: Micros, tenant: &str) {
         let (Some(hooks), Some(t)) = (
-            &mut self.secondary.hooks,
+            &mut self.secondary.webhooks,
             self.secondary.tenants.get(tenant),
         ) else {
             return;
@@ -188,15 +190,19 @@
         for e in t.endpoints.values() {
             hooks.delivery.handle(
                 now,
-                Input::EndpointChanged(e.id, e.plan(t.serial, &hooks.schedule)),
+                Input::EndpointChanged(e.id, e.settings(t.serial, &hooks.schedule)),
             );
         }
     }
 
     /// Removes endpoints from delivery and closes their idle connections.
-    pub(in crate::gateway) fn forget_endpoints(&mut self, now: Micros, ids: &[EndpointId]) {
+    pub(in crate::gateway) fn remove_delivery_endpoints(
+        &mut self,
+        now: Micros,
+        ids: &[EndpointId],
+    ) {
         for id in ids {
-            let Some(hooks) = &mut self.secondary.hooks else {
+            let Some(hooks) = &mut self.secondary.webhooks else {
                 return;
             };
             hooks.delivery.handle(now, Input::EndpointRemoved(*id));
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -10,7 +10,7 @@
 use super::keyspace::Table;
 use super::records::CallState;
 use crate::api::Micros;
-use crate::delivery::{Seq, Waiting};
+use crate::delivery::{PendingMessage, Seq};
 use crate::replication::ShardId;
 
 /// An exclusive upper bound for scans: sorts after all keys in use.
@@ -67,7 +67,7 @@
 }
 
 /// Returns the key of a waiting message: its endpoint, due time and sequence number.
-pub(super) fn waiting_key(waiting: &Waiting) -> Vec<u8> {
+pub(super) fn waiting_key(waiting: &PendingMessage) -> Vec<u8> {
     key(&[waiting.endpoint.0, waiting.due, waiting.seq.0])
 }
 
@@ -105,7 +105,7 @@
     decode(bytes, "a call's state").or_else(|error| {
         let (taken, outcome) = decode(bytes, "a call's state").map_err(|_: StoreError| error)?;
         Ok(CallState {
-            taken,
+            retention_start: taken,
             outcome,
             shard: 0,
         })
--- a/src/store/keyspace.rs
+++ b/src/store/keyspace.rs
@@ -17,7 +17,7 @@
     /// Bodies of messages, by sequence number.
     Bodies,
     /// Messages that this gateway has to deliver, by endpoint, due time and sequence number.
-    Waiting,
+    PendingMessage,
     /// Start times of unfinished attempts, by the message's sequence number.
     StartedAttempts,
     /// Finished attempts, by the message's sequence number and a counter.
@@ -51,7 +51,7 @@
         Table::Calls,
         Table::Messages,
         Table::Bodies,
-        Table::Waiting,
+        Table::PendingMessage,
         Table::StartedAttempts,
         Table::Attempts,
         Table::MessagesByTenant,
@@ -73,7 +73,7 @@
             Table::Calls => "calls",
             Table::Messages => "messages",
             Table::Bodies => "bodies",
-            Table::Waiting => "waiting",
+            Table::PendingMessage => "waiting",
             Table::StartedAttempts => "begun",
             Table::Attempts => "attempts",
             Table::MessagesByTenant => "by_tenant",
--- a/src/store/operations.rs
+++ b/src/store/operations.rs
@@ -8,8 +8,8 @@
 };
 use crate::api::Micros;
 use crate::consensus::persistent_state::Record;
-use crate::delivery::response::State;
-use crate::delivery::{EndpointId, Seq, Waiting};
+use crate::delivery::response::MessageState;
+use crate::delivery::{EndpointId, PendingMessage, Seq};
 use crate::replication::{LogPosition, ShardId};
 
 /// A query for messages of a tenant. A message must match all criteria that are set.
@@ -68,9 +68,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinishAttempt {
     /// The message with the delivery scheduler's updates.
-    pub waiting: Box<Waiting>,
+    pub waiting: Box<PendingMessage>,
     /// The new state.
-    pub state: State,
+    pub state: MessageState,
     /// The attempt, if there was one.
     pub attempt: Option<AttemptRecord>,
 }
@@ -237,11 +237,11 @@
     /// The operation succeeded and returns no data.
     Done,
     /// The messages that are now waiting for an attempt.
-    Queued(Vec<Waiting>),
+    Queued(Vec<PendingMessage>),
     /// The message to send, with its body; none if the message is no longer waiting.
     Attempt(Option<Box<(MessageRecord, Vec<u8>)>>),
     /// The first waiting messages of an endpoint, and the due time of the message after them.
-    Due(Vec<Waiting>, Option<Micros>),
+    Due(Vec<PendingMessage>, Option<Micros>),
     /// Whether the limit was reached, so that more messages may remain.
     More(bool),
     /// The reason why a message is not sent again.
@@ -272,7 +272,7 @@
     /// The messages that expired while they waited.
     pub expired: Vec<Seq>,
     /// The next messages of the same order keys, which are now waiting.
-    pub released: Vec<Waiting>,
+    pub released: Vec<PendingMessage>,
     /// Whether there may be more records to examine.
     pub more: bool,
 }
@@ -296,9 +296,9 @@
     /// The identities of accepted calls, with the time until which each is valid.
     pub identities: Vec<(IdentityDigest, Micros)>,
     /// Messages that wait for an attempt.
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<PendingMessage>,
     /// Messages with a started attempt, and the start time of the attempt.
-    pub in_flight: Vec<(Waiting, Micros)>,
+    pub in_flight: Vec<(PendingMessage, Micros)>,
     /// Identities that expired at or before this time may have been removed.
     pub identities_expired_until: Micros,
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::{Effect, Micros};
-use crate::delivery::response::State;
-use crate::delivery::{Seq, Waiting};
+use crate::delivery::response::MessageState;
+use crate::delivery::{PendingMessage, Seq};
 use crate::replication::ShardId;
 
 /// The digest of the identity by which repeated calls are detected.
@@ -52,9 +52,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MessageRecord {
     /// The data that the delivery scheduler uses.
-    pub waiting: Waiting,
+    pub waiting: PendingMessage,
     /// The state of the delivery.
-    pub state: State,
+    pub state: MessageState,
     /// The tenant's name.
     pub tenant: String,
     /// The tenant's serial number, which distinguishes tenants that had the same name.
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallState {
     /// The time from which retention measures the age of the state, in Unix microseconds.
-    pub taken: Micros,
+    pub retention_start: Micros,
     /// `served`, `refused`, `failed` or `unknown`; none while the call is open.
     pub outcome: Option<String>,
     /// The shard of the call; 0 if the call is not replicated.
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -2,8 +2,8 @@
 
 use super::records::{AttemptRecord, CallRecord};
 use crate::api::{Effect, Micros};
-use crate::delivery::response::{DeadLetterReason, State};
-use crate::delivery::Waiting;
+use crate::delivery::response::{DeadLetterReason, MessageState};
+use crate::delivery::PendingMessage;
 use crate::policy::permitted_after;
 
 /// The action for a call without an outcome that is recovered.
@@ -47,9 +47,9 @@
     /// The call is not open in this process.
     None,
     /// The call is in progress in this process, and its outcome will be recorded.
-    UnderWay,
+    InProgress,
     /// The call was cancelled in this process, but its last attempt has not ended.
-    Ending,
+    Cancelled,
 }
 
 /// The action for a call without an outcome in the shard of a new primary.
@@ -73,9 +73,9 @@
 ) -> ResumeAction {
     let action = recovery_action(call, now, clock_regressed);
     match (local_run, action) {
-        (LocalRun::UnderWay, _) => ResumeAction::Keep,
-        (LocalRun::Ending, RecoveryAction::Run) => ResumeAction::Postpone,
-        (LocalRun::Ending, RecoveryAction::Reject | RecoveryAction::ReportUnknown)
+        (LocalRun::InProgress, _) => ResumeAction::Keep,
+        (LocalRun::Cancelled, RecoveryAction::Run) => ResumeAction::Postpone,
+        (LocalRun::Cancelled, RecoveryAction::Reject | RecoveryAction::ReportUnknown)
         | (LocalRun::None, _) => ResumeAction::Recover(action),
     }
 }
@@ -84,20 +84,20 @@
 /// message waits for another attempt, or ends because it is unknown whether it arrived. A message
 /// with an idempotency key is not sent again if the clock went backwards.
 pub fn settle_attempt(
-    waiting: &mut Waiting,
+    waiting: &mut PendingMessage,
     started_at: Micros,
     now: Micros,
     clock_regressed: bool,
-) -> (State, AttemptRecord) {
-    waiting.ran.get_or_insert(started_at);
+) -> (MessageState, AttemptRecord) {
+    waiting.maybe_received_at.get_or_insert(started_at);
     waiting.tries += 1;
     let has_key = matches!(waiting.effect, Effect::Keyed { .. });
-    let can_resend =
-        permitted_after(waiting.effect, waiting.ran, now, 0).retry && !(clock_regressed && has_key);
+    let can_resend = permitted_after(waiting.effect, waiting.maybe_received_at, now, 0).retry
+        && !(clock_regressed && has_key);
     let state = if can_resend {
-        State::Waiting
+        MessageState::Waiting
     } else {
-        State::Dead(DeadLetterReason::Unknown)
+        MessageState::Dead(DeadLetterReason::Unknown)
     };
     let attempt = AttemptRecord {
         at: now,
@@ -112,9 +112,9 @@
 /// Settles an attempt whose start was recorded by another machine. A message with an idempotency
 /// key is not sent again, because the clocks of two machines are not compared.
 pub fn settle_remote_attempt(
-    waiting: &mut Waiting,
+    waiting: &mut PendingMessage,
     started_at: Micros,
     now: Micros,
-) -> (State, AttemptRecord) {
+) -> (MessageState, AttemptRecord) {
     settle_attempt(waiting, started_at, now, true)
 }
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -2,7 +2,7 @@
 //!
 //! The sequence number of a call or message contains its shard; identities and states of calls
 //! store the shard in the value. A replica has all rows of a shard except those in
-//! [`Table::Waiting`], which are created when this gateway becomes the primary and removed when the
+//! [`Table::PendingMessage`], which are created when this gateway becomes the primary and removed when the
 //! gateway resigns.
 
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 use super::operations::ShardState;
 use super::records::{AttemptRecord, CallRecord, IdentityDigest, MessageRecord};
 use crate::api::Micros;
-use crate::delivery::response::State;
+use crate::delivery::response::MessageState;
 use crate::delivery::Seq;
 use crate::replication::{LogPosition, ShardId};
 
@@ -124,7 +124,7 @@
     if !header.is_primary {
         return Ok(());
     }
-    remove_rows(keyspace, Table::Waiting, |row_key, _| {
+    remove_rows(keyspace, Table::PendingMessage, |row_key, _| {
         Seq(key_part(row_key, 2)).shard() == shard
     })?;
     let header = ShardHeader {
@@ -145,7 +145,11 @@
     let mut state = ShardState::default();
     for message in waiting_messages(keyspace, shard)? {
         let waiting = message.waiting;
-        keyspace.put(Table::Waiting, &waiting_key(&waiting), &encode(&waiting)?)?;
+        keyspace.put(
+            Table::PendingMessage,
+            &waiting_key(&waiting),
+            &encode(&waiting)?,
+        )?;
         match keyspace.get(Table::StartedAttempts, &sequence_key(waiting.seq))? {
             Some(started) => {
                 let started_at = decode(&started, "an attempt's beginning")?;
@@ -187,7 +191,7 @@
     let mut messages = Vec::new();
     for (_, value) in shard_rows(reader, Table::Messages, shard)? {
         let message: MessageRecord = decode(&value, "a message")?;
-        if message.state == State::Waiting {
+        if message.state == MessageState::Waiting {
             messages.push(message);
         }
     }
--- a/src/store/shards/snapshot.rs
+++ b/src/store/shards/snapshot.rs
@@ -4,7 +4,7 @@
 
 use super::{identities, remove_shard, shard_rows, ShardHeader};
 use crate::api::Micros;
-use crate::delivery::response::State;
+use crate::delivery::response::MessageState;
 use crate::delivery::Seq;
 use crate::replication::{LogPosition, ShardId};
 use crate::store::checksums::verify_shard;
@@ -102,7 +102,11 @@
     }
     for (row_key, state) in &snapshot.call_states {
         keyspace.put(Table::CallStates, row_key, &encode(state)?)?;
-        keyspace.put(Table::CallStateAges, &age_key(state.taken, row_key), &[])?;
+        keyspace.put(
+            Table::CallStateAges,
+            &age_key(state.retention_start, row_key),
+            &[],
+        )?;
     }
     let header = ShardHeader {
         position,
@@ -141,10 +145,10 @@
     let seq = message.waiting.seq.0;
     keyspace.put(Table::MessagesByTenant, &key(&[message.serial, seq]), &[])?;
     match (message.order, message.state) {
-        (Some(order), State::Behind) => {
+        (Some(order), MessageState::Blocked) => {
             keyspace.put(Table::OrderQueue, &key(&[endpoint, order, seq]), &[])?;
         }
-        (Some(order), State::Waiting) => {
+        (Some(order), MessageState::Waiting) => {
             keyspace.put(Table::OrderHeads, &key(&[endpoint, order]), &key(&[seq]))?;
         }
         _ => {}
--- a/src/store/tables/attempts.rs
+++ b/src/store/tables/attempts.rs
@@ -4,8 +4,8 @@
 use super::queries::{read_message, write_message};
 use super::Tables;
 use crate::api::Micros;
-use crate::delivery::response::State;
-use crate::delivery::{Seq, Waiting};
+use crate::delivery::response::MessageState;
+use crate::delivery::{PendingMessage, Seq};
 use crate::store::error::StoreError;
 use crate::store::keys::{decode, encode, key, key_part, sequence_key, waiting_key, KEY_END};
 use crate::store::keyspace::{Keyspace, ScanOrder, Table};
@@ -27,7 +27,7 @@
     ) -> Result<Reply, StoreError> {
         let seq = begin.message;
         let message = read_message(keyspace, seq)?
-            .filter(|message| message.state == State::Waiting)
+            .filter(|message| message.state == MessageState::Waiting)
             .filter(|_| begin.durable || shards::is_local_or_primary(keyspace, seq));
         let Some(message) = message else {
             return Ok(Reply::Attempt(None));
@@ -51,7 +51,7 @@
         &mut self,
         keyspace: &mut dyn Keyspace,
         finish: FinishAttempt,
-    ) -> Result<Vec<Waiting>, StoreError> {
+    ) -> Result<Vec<PendingMessage>, StoreError> {
         let (waiting, state) = (*finish.waiting, finish.state);
         let seq = waiting.seq;
         keyspace.remove(Table::StartedAttempts, &sequence_key(seq))?;
@@ -61,17 +61,17 @@
             return Ok(Vec::new());
         };
         let was_over = message.state.is_over();
-        if was_over && state != State::Delivered {
+        if was_over && state != MessageState::Delivered {
             return Ok(Vec::new());
         }
-        keyspace.remove(Table::Waiting, &waiting_key(&message.waiting))?;
+        keyspace.remove(Table::PendingMessage, &waiting_key(&message.waiting))?;
         if let Some(attempt) = finish.attempt {
             append_attempt(keyspace, seq, &attempt)?;
         }
         message.waiting = waiting;
         message.state = state;
         write_message(keyspace, seq, &message)?;
-        if state == State::Waiting {
+        if state == MessageState::Waiting {
             if shards::is_local_or_primary(keyspace, seq) {
                 enqueue(keyspace, &waiting)?;
             }
@@ -105,8 +105,8 @@
             }
             let started_at: Micros = decode(&value, "an attempt's beginning")?;
             keyspace.remove(Table::StartedAttempts, &sequence_key(seq))?;
-            let message =
-                read_message(keyspace, seq)?.filter(|message| message.state == State::Waiting);
+            let message = read_message(keyspace, seq)?
+                .filter(|message| message.state == MessageState::Waiting);
             let Some(message) = message else {
                 continue;
             };
@@ -118,7 +118,7 @@
                 attempt: Some(attempt),
             };
             self.finish_attempt(keyspace, finish)?;
-            unknown_deliveries += u64::from(state != State::Waiting);
+            unknown_deliveries += u64::from(state != MessageState::Waiting);
         }
         Ok(unknown_deliveries)
     }
@@ -147,7 +147,7 @@
 fn release_next_in_order(
     keyspace: &mut dyn Keyspace,
     finished: &MessageRecord,
-) -> Result<Vec<Waiting>, StoreError> {
+) -> Result<Vec<PendingMessage>, StoreError> {
     let Some(order) = finished.order else {
         return Ok(Vec::new());
     };
@@ -169,11 +169,12 @@
         };
         keyspace.remove(Table::OrderQueue, &row_key)?;
         let seq = Seq(key_part(&row_key, 2));
-        let message = read_message(keyspace, seq)?.filter(|message| message.state == State::Behind);
+        let message =
+            read_message(keyspace, seq)?.filter(|message| message.state == MessageState::Blocked);
         let Some(mut message) = message else {
             continue;
         };
-        message.state = State::Waiting;
+        message.state = MessageState::Waiting;
         keyspace.put(Table::OrderHeads, &head_key, &sequence_key(seq))?;
         if shards::is_local_or_primary(keyspace, seq) {
             enqueue(keyspace, &message.waiting)?;
--- a/src/store/tables/calls.rs
+++ b/src/store/tables/calls.rs
@@ -35,12 +35,16 @@
         keyspace.put(Table::IdentityAges, &age_key(valid_until, identity), &[])?;
 
         let state = CallState {
-            taken: call.expires,
+            retention_start: call.expires,
             outcome: None,
             shard,
         };
         let state_key = call_key(call.serial, &call.webhook_id);
-        keyspace.put(Table::CallStateAges, &age_key(state.taken, &state_key), &[])?;
+        keyspace.put(
+            Table::CallStateAges,
+            &age_key(state.retention_start, &state_key),
+            &[],
+        )?;
         keyspace.put(Table::CallStates, &state_key, &encode(&state)?)?;
         Ok(Reply::Done)
     }
@@ -96,7 +100,10 @@
                 keyspace.put(Table::CallStates, &state_key, &encode(&state)?)?;
             } else {
                 keyspace.remove(Table::CallStates, &state_key)?;
-                keyspace.remove(Table::CallStateAges, &age_key(state.taken, &state_key))?;
+                keyspace.remove(
+                    Table::CallStateAges,
+                    &age_key(state.retention_start, &state_key),
+                )?;
             }
         }
         self.publish(keyspace, complete.messages)
--- a/src/store/tables/messages.rs
+++ b/src/store/tables/messages.rs
@@ -3,8 +3,8 @@
 use super::queries::{list_messages, read_message, write_message};
 use super::Tables;
 use crate::api::Effect;
-use crate::delivery::response::{DeadLetterReason, State};
-use crate::delivery::{EndpointId, Seq, Waiting};
+use crate::delivery::response::{DeadLetterReason, MessageState};
+use crate::delivery::{EndpointId, PendingMessage, Seq};
 use crate::store::error::StoreError;
 use crate::store::keys::{decode, encode, key, sequence_key, waiting_key};
 use crate::store::keyspace::{Keyspace, ScanOrder, Table};
@@ -13,9 +13,16 @@
 use crate::store::shards;
 
 /// Adds a message to the messages that wait for an attempt by this gateway.
-pub(super) fn enqueue(keyspace: &mut dyn Keyspace, waiting: &Waiting) -> Result<(), StoreError> {
+pub(super) fn enqueue(
+    keyspace: &mut dyn Keyspace,
+    waiting: &PendingMessage,
+) -> Result<(), StoreError> {
     keyspace
-        .put(Table::Waiting, &waiting_key(waiting), &encode(waiting)?)
+        .put(
+            Table::PendingMessage,
+            &waiting_key(waiting),
+            &encode(waiting)?,
+        )
         .map(drop)
 }
 
@@ -32,7 +39,8 @@
             let seq = message.waiting.seq;
             self.observe_sequence_number(seq);
             queue_in_order(keyspace, &mut message)?;
-            if message.state == State::Waiting && shards::is_local_or_primary(keyspace, seq) {
+            if message.state == MessageState::Waiting && shards::is_local_or_primary(keyspace, seq)
+            {
                 enqueue(keyspace, &message.waiting)?;
                 queued.push(message.waiting);
             }
@@ -55,13 +63,19 @@
     ) -> Result<Reply, StoreError> {
         let from = key(&[endpoint.0]);
         let to = key(&[endpoint.0, u64::MAX, u64::MAX]);
-        let rows = keyspace.scan(Table::Waiting, &from, &to, limit, ScanOrder::Ascending)?;
+        let rows = keyspace.scan(
+            Table::PendingMessage,
+            &from,
+            &to,
+            limit,
+            ScanOrder::Ascending,
+        )?;
         for (row_key, value) in &rows {
-            let waiting: Waiting = decode(value, "what waits")?;
+            let waiting: PendingMessage = decode(value, "what waits")?;
             let started = keyspace.get(Table::StartedAttempts, &sequence_key(waiting.seq))?;
             if started.is_some() {
                 // The end of the attempt, or recovery after a crash, sets the message's state.
-                keyspace.remove(Table::Waiting, row_key)?;
+                keyspace.remove(Table::PendingMessage, row_key)?;
                 continue;
             }
             // Ending a message releases the next one of its order key, which has the same endpoint.
@@ -69,7 +83,7 @@
             while let Some(waiting) = removed.pop() {
                 let finish = FinishAttempt {
                     waiting: Box::new(waiting),
-                    state: State::Dead(DeadLetterReason::Gone),
+                    state: MessageState::Dead(DeadLetterReason::Gone),
                     attempt: None,
                 };
                 removed.extend(self.finish_attempt(keyspace, finish)?);
@@ -93,7 +107,8 @@
         if !message.state.is_over() {
             return Ok(Reply::ResendRejected("it still waits"));
         }
-        let may_have_arrived = message.state == State::Delivered || message.waiting.ran.is_some();
+        let may_have_arrived =
+            message.state == MessageState::Delivered || message.waiting.maybe_received_at.is_some();
         if message.waiting.effect != Effect::Idempotent && may_have_arrived {
             if resend.acknowledged_by.is_none() {
                 return Ok(Reply::ResendRejected(
@@ -101,11 +116,11 @@
                 ));
             }
             message.acknowledged = resend.acknowledged_by;
-            message.waiting.ran = None;
+            message.waiting.maybe_received_at = None;
         }
         message.waiting.tries = 0;
         message.waiting.due = resend.now;
-        message.state = State::Waiting;
+        message.state = MessageState::Waiting;
         message.order = None;
         self.header.stats.waiting += 1;
         enqueue(keyspace, &message.waiting)?;
@@ -127,7 +142,7 @@
             ..Filter::default()
         };
         let dead_letters = list_messages(keyspace, &filter, |message| {
-            matches!(message.state, State::Dead(_))
+            matches!(message.state, MessageState::Dead(_))
         })?;
         let mut queued = Vec::new();
         for message in dead_letters {
@@ -177,7 +192,7 @@
     let (endpoint, seq) = (message.waiting.endpoint.0, message.waiting.seq);
     let head_key = key(&[endpoint, order]);
     if keyspace.get(Table::OrderHeads, &head_key)?.is_some() {
-        message.state = State::Behind;
+        message.state = MessageState::Blocked;
         keyspace.put(Table::OrderQueue, &key(&[endpoint, order, seq.0]), &[])?;
     } else {
         keyspace.put(Table::OrderHeads, &head_key, &sequence_key(seq))?;
--- a/src/store/tables/retention.rs
+++ b/src/store/tables/retention.rs
@@ -4,7 +4,7 @@
 use super::queries::read_message;
 use super::Tables;
 use crate::api::Micros;
-use crate::delivery::response::{DeadLetterReason, State};
+use crate::delivery::response::{DeadLetterReason, MessageState};
 use crate::delivery::Seq;
 use crate::store::error::StoreError;
 use crate::store::keys::{key, key_part, KEY_END, KEY_PART_BYTES};
@@ -95,7 +95,7 @@
         if is_old && !may_be_in_flight {
             let finish = FinishAttempt {
                 waiting: Box::new(message.waiting),
-                state: State::Dead(DeadLetterReason::Expired),
+                state: MessageState::Dead(DeadLetterReason::Expired),
                 attempt: None,
             };
             result
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -5,8 +5,8 @@
 };
 use super::records::{CallRecord, IdentityDigest, MessageRecord};
 use crate::api::{Effect, Micros};
-use crate::delivery::response::State;
-use crate::delivery::{EndpointId, Seq, Waiting};
+use crate::delivery::response::MessageState;
+use crate::delivery::{EndpointId, PendingMessage, Seq};
 
 mod batches;
 mod checksums;
@@ -51,18 +51,18 @@
     effect: Effect,
     order: Option<u64>,
 ) -> (MessageRecord, Vec<u8>) {
-    let waiting = Waiting {
+    let waiting = PendingMessage {
         seq: Seq(seq),
         endpoint: EndpointId(endpoint),
         due: seq,
         effect,
-        ran: None,
+        maybe_received_at: None,
         tries: 0,
         size: 4,
     };
     let record = MessageRecord {
         waiting,
-        state: State::Waiting,
+        state: MessageState::Waiting,
         tenant: "clinic".into(),
         serial: 1,
         id: format!("msg_{seq}"),
@@ -107,7 +107,7 @@
     })
 }
 
-fn finish(waiting: Waiting, state: State) -> Op {
+fn finish(waiting: PendingMessage, state: MessageState) -> Op {
     Op::FinishAttempt(FinishAttempt {
         waiting: Box::new(waiting),
         state,
--- a/src/store/tests/batches.rs
+++ b/src/store/tests/batches.rs
@@ -9,7 +9,7 @@
 
 use super::{accept, begin_durably, complete, finish, message, retain, MAX_BYTES, SECOND_US};
 use crate::api::{Effect, Micros};
-use crate::delivery::response::State;
+use crate::delivery::response::MessageState;
 use crate::delivery::{EndpointId, Seq};
 use crate::replication::{LogPosition, ShardId};
 use crate::store::checksums::ChecksummedKeyspace;
@@ -269,9 +269,9 @@
             let callback = seq(shard, 100 + number);
             let (message, _) = message(callback.0, ENDPOINT, Effect::NonIdempotent, None);
             let state = if delivered {
-                State::Delivered
+                MessageState::Delivered
             } else {
-                State::Waiting
+                MessageState::Waiting
             };
             record(shard, finish(message.waiting, state))
         }),
--- a/src/store/tests/checksums.rs
+++ b/src/store/tests/checksums.rs
@@ -5,7 +5,7 @@
 
 use super::{accept, begin_durably, complete, finish, message, retain, MAX_BYTES, SECOND_US};
 use crate::api::{Effect, Micros};
-use crate::delivery::response::{DeadLetterReason, State};
+use crate::delivery::response::{DeadLetterReason, MessageState};
 use crate::delivery::Seq;
 use crate::replication::{LogPosition, ShardId};
 use crate::store::checksums::{verify, ChecksummedKeyspace};
@@ -154,9 +154,9 @@
                 let callback = seq(shard, 100 + number);
                 let (message, _) = message(callback.0, 4, Effect::NonIdempotent, None);
                 let state = if delivered {
-                    State::Delivered
+                    MessageState::Delivered
                 } else {
-                    State::Dead(DeadLetterReason::Exhausted)
+                    MessageState::Dead(DeadLetterReason::Exhausted)
                 };
                 self.replicate(finish(message.waiting, state));
             }
--- a/src/store/tests/messages.rs
+++ b/src/store/tests/messages.rs
@@ -2,7 +2,7 @@
 
 use super::{begin_durably, begin_unrecorded, message, retain, MAX_BYTES};
 use crate::api::Effect;
-use crate::delivery::response::{DeadLetterReason, State};
+use crate::delivery::response::{DeadLetterReason, MessageState};
 use crate::delivery::{EndpointId, Seq};
 use crate::store::keyspace::MemoryKeyspace;
 use crate::store::operations::{MessageDetails, Op, Reply, Resend, ResendDeadLetters};
@@ -85,12 +85,12 @@
     let unknown = store.details(1);
     assert_eq!(
         (unknown.record.state, unknown.attempts.len()),
-        (State::Dead(DeadLetterReason::Unknown), 1)
+        (MessageState::Dead(DeadLetterReason::Unknown), 1)
     );
     let idempotent = store.details(2);
     assert_eq!(
         (idempotent.record.state, idempotent.attempts.len()),
-        (State::Waiting, 0)
+        (MessageState::Waiting, 0)
     );
 
     assert!(matches!(store.resend(None), Reply::ResendRejected(_)));
@@ -106,7 +106,7 @@
     let resent = store.details(1).record;
     assert_eq!(
         (resent.state, resent.acknowledged.as_deref()),
-        (State::Waiting, Some("ops"))
+        (MessageState::Waiting, Some("ops"))
     );
     assert_eq!(
         store.apply(Op::GetMessage(Seq(1), 2)),
--- a/src/store/tests/model.rs
+++ b/src/store/tests/model.rs
@@ -9,8 +9,8 @@
     accept, begin_durably, begin_unrecorded, complete, finish, message, retain, MAX_BYTES,
 };
 use crate::api::{Effect, Micros};
-use crate::delivery::response::{DeadLetterReason, State};
-use crate::delivery::{EndpointId, Seq, Waiting};
+use crate::delivery::response::{DeadLetterReason, MessageState};
+use crate::delivery::{EndpointId, PendingMessage, Seq};
 use crate::store::keyspace::MemoryKeyspace;
 use crate::store::operations::{Op, Reply};
 use crate::store::tables::Tables;
@@ -41,7 +41,7 @@
 
 /// A message of the model whose delivery is not over.
 #[derive(Clone, Copy, Debug)]
-struct PendingMessage {
+struct ModelMessage {
     order: Option<u64>,
 }
 
@@ -52,7 +52,7 @@
     now: Micros,
     last_sequence_number: u64,
     calls: BTreeMap<u64, Effect>,
-    pending: BTreeMap<u64, PendingMessage>,
+    pending: BTreeMap<u64, ModelMessage>,
     finished: u64,
     /// The last finished message of each order key.
     last_of_key: BTreeMap<u64, u64>,
@@ -112,14 +112,14 @@
         let seq = self.last_sequence_number;
         let mut message = message(seq, 0, effect, order);
         message.0.created = self.now;
-        self.pending.insert(seq, PendingMessage { order });
+        self.pending.insert(seq, ModelMessage { order });
         self.apply(complete(call, vec![message]));
     }
 
     /// Returns the messages that may be sent: those without an order key, and the oldest of each
     /// order key.
     fn deliverable(&self) -> Vec<u64> {
-        let is_oldest = |seq: u64, message: &PendingMessage| {
+        let is_oldest = |seq: u64, message: &ModelMessage| {
             let oldest = self
                 .pending
                 .iter()
@@ -149,20 +149,20 @@
         let state = match outcome {
             0 => {
                 waiting.due = self.now + 5;
-                State::Waiting
+                MessageState::Waiting
             }
-            1 => State::Dead(DeadLetterReason::Exhausted),
-            _ => State::Delivered,
+            1 => MessageState::Dead(DeadLetterReason::Exhausted),
+            _ => MessageState::Delivered,
         };
         self.apply(finish(waiting, state));
-        if state != State::Waiting {
+        if state != MessageState::Waiting {
             let previous = self.count_finished(waiting.seq);
             prop_assert!(previous < Some(waiting.seq.0), "out of order");
         }
         Ok(())
     }
 
-    fn begin_attempt(&mut self, waiting: &Waiting) {
+    fn begin_attempt(&mut self, waiting: &PendingMessage) {
         let begin = if waiting.effect == Effect::Idempotent {
             begin_unrecorded(waiting.seq, self.now)
         } else {
--- a/src/store/tests/recovery.rs
+++ b/src/store/tests/recovery.rs
@@ -86,12 +86,12 @@
     ] {
         let resumed = |local_run| resume_action(call, 10 * SECOND_US, true, local_run);
         assert_eq!(resumed(LocalRun::None), ResumeAction::Recover(action));
-        assert_eq!(resumed(LocalRun::UnderWay), ResumeAction::Keep);
+        assert_eq!(resumed(LocalRun::InProgress), ResumeAction::Keep);
         let while_ending = match action {
             RecoveryAction::Run => ResumeAction::Postpone,
             other => ResumeAction::Recover(other),
         };
-        assert_eq!(resumed(LocalRun::Ending), while_ending);
+        assert_eq!(resumed(LocalRun::Cancelled), while_ending);
     }
 }
 
--- a/src/tenancy/endpoint.rs
+++ b/src/tenancy/endpoint.rs
@@ -8,7 +8,7 @@
 use super::{Secret, TenantError, MAX_SECRETS};
 use crate::api::Micros;
 use crate::delivery::schedule::Schedule;
-use crate::delivery::{Enabled, EndpointId, EndpointPlan};
+use crate::delivery::{Enabled, EndpointId, EndpointSettings};
 
 /// Type of the event that answers a call; the only type sent to an endpoint without listed types.
 pub const COMPLETED: &str = "call.completed";
@@ -145,7 +145,7 @@
         }
         new.enabled = match spec.enabled {
             Some(true) => Enabled::Yes,
-            Some(false) => Enabled::ByHand,
+            Some(false) => Enabled::DisabledByOperator,
             None => new.enabled,
         };
         new.rate_per_s = spec.rate_per_s.unwrap_or(new.rate_per_s);
@@ -195,8 +195,8 @@
     }
 
     /// Returns the delivery settings of the endpoint.
-    pub fn plan(&self, tenant: u64, schedule: &Schedule) -> EndpointPlan {
-        EndpointPlan {
+    pub fn settings(&self, tenant: u64, schedule: &Schedule) -> EndpointSettings {
+        EndpointSettings {
             tenant,
             enabled: self.enabled,
             per_s: self.rate_per_s,
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -274,7 +274,7 @@
             .iter_mut()
             .find(|(_, t)| t.endpoint(id).is_some())?;
         let (name, e) = t.endpoints.iter_mut().find(|(_, e)| e.id == id)?;
-        (e.enabled, e.version) = (Enabled::ByFailure, e.version + 1);
+        (e.enabled, e.version) = (Enabled::DisabledByFailure, e.version + 1);
         Some((tenant.clone(), name.clone()))
     }
 
--- a/src/tenancy/tests.rs
+++ b/src/tenancy/tests.rs
@@ -71,7 +71,7 @@
     assert_eq!(r.disable(first.id), Some(("t".into(), "all".into())));
     assert_eq!(
         r.get("t").unwrap().endpoints["all"].enabled,
-        Enabled::ByFailure
+        Enabled::DisabledByFailure
     );
     assert_eq!(r.remove_endpoint("t", "all"), Ok(first.id));
     r.put_endpoint("t", "all", &all).unwrap();
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use molelug::delivery::response::{DeadLetterReason, State};
+use molelug::delivery::response::{DeadLetterReason, MessageState};
 use molelug::store::disk::Disk;
 use molelug::store::operations::{Filter, Op, Reply};
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -232,11 +232,11 @@
                 m.waiting.effect == molelug::api::Effect::NonIdempotent,
             );
             match m.state {
-                State::Delivered if confirmed == 0 => {
+                MessageState::Delivered if confirmed == 0 => {
                     return wrong(format!("{call} was never confirmed"))
                 }
-                State::Delivered => round.delivered += 1,
-                State::Dead(DeadLetterReason::Unknown)
+                MessageState::Delivered => round.delivered += 1,
+                MessageState::Dead(DeadLetterReason::Unknown)
                     if effect != molelug::api::Effect::Idempotent =>
                 {
                     round.unknown_callbacks += 1
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -10,8 +10,8 @@
 
 use hdrhistogram::Histogram;
 use molelug::api::Effect;
-use molelug::delivery::response::State;
-use molelug::delivery::{Seq, Waiting};
+use molelug::delivery::response::MessageState;
+use molelug::delivery::{PendingMessage, Seq};
 use molelug::store::disk::Disk;
 use molelug::store::operations::Op;
 use molelug::store::records::MessageRecord;
@@ -249,18 +249,18 @@
     let text = vec![b'x'; 300];
     for from in (1..=messages).step_by(1000) {
         let batch = (from..(from + 1000).min(messages + 1)).map(|n| {
-            let waiting = Waiting {
+            let waiting = PendingMessage {
                 seq: Seq(n),
                 endpoint: e.id,
                 due: now + n,
                 effect: Effect::Idempotent,
-                ran: None,
+                maybe_received_at: None,
                 tries: 0,
                 size: 300,
             };
             let record = MessageRecord {
                 waiting,
-                state: State::Waiting,
+                state: MessageState::Waiting,
                 tenant: "t".into(),
                 serial: t.serial,
                 id: format!("msg_{n}"),
--- a/tests/operator_answers.rs
+++ b/tests/operator_answers.rs
@@ -15,7 +15,7 @@
 use common::*;
 use jsonwebtoken::jwk::{Jwk, PublicKeyUse};
 use jsonwebtoken::{Algorithm, EncodingKey, Header};
-use molelug::delivery::response::{DeadLetterReason, State};
+use molelug::delivery::response::{DeadLetterReason, MessageState};
 use molelug::delivery::Enabled;
 use molelug::lease::grantor::VacancyReason;
 use molelug::membership::group::PeerView;
@@ -362,13 +362,13 @@
 #[test]
 fn state_names_in_answers_are_unchanged() {
     let messages = [
-        State::Waiting,
-        State::Behind,
-        State::Delivered,
-        State::Dead(DeadLetterReason::Exhausted),
-        State::Dead(DeadLetterReason::Unknown),
-        State::Dead(DeadLetterReason::Gone),
-        State::Dead(DeadLetterReason::Expired),
+        MessageState::Waiting,
+        MessageState::Blocked,
+        MessageState::Delivered,
+        MessageState::Dead(DeadLetterReason::Exhausted),
+        MessageState::Dead(DeadLetterReason::Unknown),
+        MessageState::Dead(DeadLetterReason::Gone),
+        MessageState::Dead(DeadLetterReason::Expired),
     ];
     let expected = [
         "waiting",
@@ -379,8 +379,12 @@
         "gone",
         "expired",
     ];
-    assert_eq!(messages.map(State::name), expected);
-    let enabled = json!([Enabled::Yes, Enabled::ByHand, Enabled::ByFailure]);
+    assert_eq!(messages.map(MessageState::name), expected);
+    let enabled = json!([
+        Enabled::Yes,
+        Enabled::DisabledByOperator,
+        Enabled::DisabledByFailure
+    ]);
     assert_eq!(enabled, json!(["yes", "by_hand", "by_failure"]));
     let without_holder = json!([
         VacancyReason::AwaitingExpiry,
--- a/tests/stored_data/store_files.rs
+++ b/tests/stored_data/store_files.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use molelug::api::{Effect, IdempotencyScope};
-use molelug::delivery::response::{DeadLetterReason, State};
-use molelug::delivery::{EndpointId, Seq, Waiting};
+use molelug::delivery::response::{DeadLetterReason, MessageState};
+use molelug::delivery::{EndpointId, PendingMessage, Seq};
 use molelug::replication::{LogPosition, ShardId};
 use molelug::store::disk::Disk;
 use molelug::store::operations::{
@@ -57,7 +57,11 @@
     })
 }
 
-fn finish_attempt(waiting: Box<Waiting>, state: State, attempt: Option<AttemptRecord>) -> Op {
+fn finish_attempt(
+    waiting: Box<PendingMessage>,
+    state: MessageState,
+    attempt: Option<AttemptRecord>,
+) -> Op {
     Op::FinishAttempt(FinishAttempt {
         waiting,
         state,
@@ -100,15 +104,15 @@
     ];
     let waiting = |at: usize| Box::new(published[at].0.waiting);
     let mut tried = waiting(2);
-    (tried.due, tried.tries, tried.ran) = (9 * SECOND, 1, Some(7 * SECOND));
+    (tried.due, tried.tries, tried.maybe_received_at) = (9 * SECOND, 1, Some(7 * SECOND));
     let ended = [
-        finish_attempt(waiting(0), State::Delivered, Some(attempt())),
+        finish_attempt(waiting(0), MessageState::Delivered, Some(attempt())),
         finish_attempt(
             waiting(1),
-            State::Dead(DeadLetterReason::Exhausted),
+            MessageState::Dead(DeadLetterReason::Exhausted),
             Some(attempt()),
         ),
-        finish_attempt(tried, State::Waiting, Some(attempt())),
+        finish_attempt(tried, MessageState::Waiting, Some(attempt())),
         begin_durable_attempt(Seq(15), 6 * SECOND),
         Op::ApplyRetention(ApplyRetention {
             now: 30 * SECOND,
@@ -172,7 +176,7 @@
         complete_call(shard_seq(shard, 3), "failed", vec![(unordered, body)]),
         finish_attempt(
             waiting,
-            State::Dead(DeadLetterReason::Unknown),
+            MessageState::Dead(DeadLetterReason::Unknown),
             Some(attempt()),
         ),
     ]
@@ -250,7 +254,7 @@
             assert_eq!(row.value[0], 1);
         } else if row.table == "by_call" {
             let state: CallState = postcard::from_bytes(&row.value).expect("a call's state");
-            row.value = postcard::to_stdvec(&(state.taken, state.outcome))
+            row.value = postcard::to_stdvec(&(state.retention_start, state.outcome))
                 .expect("the value can be encoded");
         } else if row.table == "replays" {
             let (until, _): (u64, ShardId) = postcard::from_bytes(&row.value).expect("an identity");
@@ -306,7 +310,7 @@
 fn assert_local_records_are_kept(disk: &mut Disk) {
     let (mut record, body) = message(Seq(14), Effect::Idempotent, None);
     (record.waiting.due, record.waiting.tries) = (9 * SECOND, 1);
-    record.waiting.ran = Some(7 * SECOND);
+    record.waiting.maybe_received_at = Some(7 * SECOND);
     assert_eq!(
         message_details(disk, Seq(14)),
         MessageDetails {
@@ -319,20 +323,20 @@
     assert_eq!(
         message_details(disk, Seq(11)).record,
         MessageRecord {
-            state: State::Behind,
+            state: MessageState::Blocked,
             ..record
         }
     );
     for (seq, state) in [
-        (10, State::Waiting),
-        (12, State::Delivered),
-        (13, State::Dead(DeadLetterReason::Exhausted)),
-        (15, State::Dead(DeadLetterReason::Unknown)),
+        (10, MessageState::Waiting),
+        (12, MessageState::Delivered),
+        (13, MessageState::Dead(DeadLetterReason::Exhausted)),
+        (15, MessageState::Dead(DeadLetterReason::Unknown)),
     ] {
         assert_eq!(message_details(disk, Seq(seq)).record.state, state, "{seq}");
     }
     let answered = Some(CallState {
-        taken: 100 * SECOND,
+        retention_start: 100 * SECOND,
         outcome: Some("served".into()),
         shard: 0,
     });
@@ -341,7 +345,7 @@
         Reply::Call(answered)
     );
     let open = Some(CallState {
-        taken: 100 * SECOND,
+        retention_start: 100 * SECOND,
         outcome: None,
         shard: 0,
     });
@@ -363,7 +367,7 @@
         .filter(|seq| seq.shard() == 0)
         .collect();
     assert_eq!(own, [Seq(10), Seq(14)]);
-    let delivered = finish_attempt(Box::new(first.waiting), State::Delivered, None);
+    let delivered = finish_attempt(Box::new(first.waiting), MessageState::Delivered, None);
     let (next, _) = message(Seq(11), Effect::NonIdempotent, Some(7));
     assert_eq!(execute(disk, delivered), Reply::Queued(vec![next.waiting]));
     let filter = Filter {
@@ -426,7 +430,7 @@
         );
         let (record, _) = ordered_message(shard, 102);
         let behind = MessageRecord {
-            state: State::Behind,
+            state: MessageState::Blocked,
             ..record
         };
         assert_eq!(message_details(disk, shard_seq(shard, 102)).record, behind);
--- a/tests/stored_data/store_records.rs
+++ b/tests/stored_data/store_records.rs
@@ -1,8 +1,8 @@
 //! One store record of each variant as postcard, including the operations that replicas receive.
 
 use molelug::api::{Effect, IdempotencyScope, Micros};
-use molelug::delivery::response::{DeadLetterReason, State};
-use molelug::delivery::{EndpointId, Seq, Waiting};
+use molelug::delivery::response::{DeadLetterReason, MessageState};
+use molelug::delivery::{EndpointId, PendingMessage, Seq};
 use molelug::store::operations::{AcceptCall, CompleteCall, FinishAttempt, Op};
 use molelug::store::records::{
     AttemptRecord, CallRecord, CallState, IdentityDigest, MessageRecord, StoreStats,
@@ -43,18 +43,18 @@
 /// A message waiting for its first attempt, and its body.
 pub fn message(seq: Seq, effect: Effect, order: Option<u64>) -> (MessageRecord, Vec<u8>) {
     let body = b"a message's body".to_vec();
-    let waiting = Waiting {
+    let waiting = PendingMessage {
         seq,
         endpoint: EndpointId(4004),
         due: 6 * SECOND,
         effect,
-        ran: None,
+        maybe_received_at: None,
         tries: 0,
         size: body.len() as u32,
     };
     let record = MessageRecord {
         waiting,
-        state: State::Waiting,
+        state: MessageState::Waiting,
         tenant: "clinic".into(),
         serial: 21,
         id: format!("msg_{:x}", seq.0),
@@ -79,15 +79,24 @@
     }
 }
 
-fn states() -> [(&'static str, State); 7] {
+fn states() -> [(&'static str, MessageState); 7] {
     [
-        ("waiting", State::Waiting),
-        ("behind", State::Behind),
-        ("delivered", State::Delivered),
-        ("dead, exhausted", State::Dead(DeadLetterReason::Exhausted)),
-        ("dead, unknown", State::Dead(DeadLetterReason::Unknown)),
-        ("dead, gone", State::Dead(DeadLetterReason::Gone)),
-        ("dead, expired", State::Dead(DeadLetterReason::Expired)),
+        ("waiting", MessageState::Waiting),
+        ("behind", MessageState::Blocked),
+        ("delivered", MessageState::Delivered),
+        (
+            "dead, exhausted",
+            MessageState::Dead(DeadLetterReason::Exhausted),
+        ),
+        (
+            "dead, unknown",
+            MessageState::Dead(DeadLetterReason::Unknown),
+        ),
+        ("dead, gone", MessageState::Dead(DeadLetterReason::Gone)),
+        (
+            "dead, expired",
+            MessageState::Dead(DeadLetterReason::Expired),
+        ),
     ]
 }
 
@@ -133,7 +142,7 @@
         );
     }
     let (mut sent, _) = message(Seq(10), Effect::NonIdempotent, None);
-    (sent.waiting.ran, sent.waiting.tries) = (Some(4 * SECOND), 2);
+    (sent.waiting.maybe_received_at, sent.waiting.tries) = (Some(4 * SECOND), 2);
     (sent.call, sent.acknowledged) = (None, Some("ops".into()));
     recorded.postcard("message sent again", &sent);
     recorded.postcard("attempt", &attempt());
@@ -147,7 +156,7 @@
     recorded.postcard(
         "call's state",
         &CallState {
-            taken: 100 * SECOND,
+            retention_start: 100 * SECOND,
             outcome,
             shard: 3,
         },
@@ -155,7 +164,7 @@
     recorded.postcard(
         "open call's state",
         &CallState {
-            taken: 100 * SECOND,
+            retention_start: 100 * SECOND,
             outcome: None,
             shard: 0,
         },
@@ -203,7 +212,7 @@
             "ended",
             ReplicatedOp::FinishAttempt(FinishAttempt {
                 waiting,
-                state: State::Dead(DeadLetterReason::Unknown),
+                state: MessageState::Dead(DeadLetterReason::Unknown),
                 attempt: Some(attempt()),
             }),
         ),
--- a/tests/stored_data/texts.rs
+++ b/tests/stored_data/texts.rs
@@ -96,8 +96,11 @@
         );
     }
     assert_eq!(clinic.endpoints["portal"].enabled, Enabled::Yes);
-    assert_eq!(clinic.endpoints["all"].enabled, Enabled::ByHand);
-    assert_eq!(clinic.endpoints["failed"].enabled, Enabled::ByFailure);
+    assert_eq!(clinic.endpoints["all"].enabled, Enabled::DisabledByOperator);
+    assert_eq!(
+        clinic.endpoints["failed"].enabled,
+        Enabled::DisabledByFailure
+    );
 }
 
 #[test]
