--- a/src/admin/endpoints.rs
+++ b/src/admin/endpoints.rs
@@ -4,48 +4,57 @@
 use serde_json::json;
 
 use super::tenants::rotation;
-use super::{body, matches, refused, Change, Context, Done, Handled};
-use crate::front::http::{plain, Bad, Request};
+use super::{body, matches, tenant_error, AdminResponse, Change, Context, HandleResult};
+use crate::front::http::{request_error, Request, RequestError};
 use crate::store::operations::{Op, ResendDeadLetters};
 use crate::tenancy::{Endpoint, EndpointSpec, TenantError};
 
 /// Maximum number of messages that one recovery resends.
 const MAX_RECOVERED_MESSAGES: usize = 1000;
 
-fn find<'a>(context: &'a Context<'_>, tenant: &str, name: &str) -> Result<&'a Endpoint, Bad> {
+fn find<'a>(
+    context: &'a Context<'_>,
+    tenant: &str,
+    name: &str,
+) -> Result<&'a Endpoint, RequestError> {
     let t = context
         .tenants
         .get(tenant)
-        .ok_or(refused(TenantError::Unknown))?;
+        .ok_or(tenant_error(TenantError::Unknown))?;
     t.endpoints
         .get(name)
-        .ok_or(refused(TenantError::UnknownEndpoint))
+        .ok_or(tenant_error(TenantError::UnknownEndpoint))
 }
 
-fn shown(context: &Context<'_>, status: u16, tenant: &str, name: &str) -> Result<Handled, Bad> {
+fn shown(
+    context: &Context<'_>,
+    status: u16,
+    tenant: &str,
+    name: &str,
+) -> Result<AdminResponse, RequestError> {
     let e = find(context, tenant, name)?;
     let mut view = json!(e.view(name, context.now));
     if let Some(health) = (context.health)(e.id) {
         view["health"] = json!(health);
     }
-    Ok(Handled {
+    Ok(AdminResponse {
         version: Some(e.version),
-        ..Handled::new(status, view)
+        ..AdminResponse::new(status, view)
     })
 }
 
 /// Lists all endpoints of a tenant.
-pub fn list(context: &Context<'_>, tenant: &str) -> Result<Handled, Bad> {
+pub fn list(context: &Context<'_>, tenant: &str) -> Result<AdminResponse, RequestError> {
     let t = context
         .tenants
         .get(tenant)
-        .ok_or(refused(TenantError::Unknown))?;
-    let all: Result<Vec<_>, Bad> = t
+        .ok_or(tenant_error(TenantError::Unknown))?;
+    let all: Result<Vec<_>, RequestError> = t
         .endpoints
         .keys()
         .map(|name| Ok(shown(context, 200, tenant, name)?.body))
         .collect();
-    Ok(Handled::new(200, json!(all?)))
+    Ok(AdminResponse::new(200, json!(all?)))
 }
 
 /// Shows, creates, changes or removes an endpoint.
@@ -54,7 +63,7 @@
     context: &mut Context<'_>,
     tenant: &str,
     name: &str,
-) -> Result<Handled, Bad> {
+) -> Result<AdminResponse, RequestError> {
     let version = find(context, tenant, name).ok().map(|e| e.version);
     match request.method {
         "GET" => shown(context, 200, tenant, name),
@@ -62,14 +71,14 @@
             matches(request, version)?;
             let spec: EndpointSpec = body(request, "body is not an endpoint")?;
             if !spec.name.is_empty() && spec.name != name {
-                return Err(plain(422, "the name is the path's"));
+                return Err(request_error(422, "the name is the path's"));
             }
             let new = context
                 .tenants
                 .put_endpoint(tenant, name, &spec)
-                .map_err(refused)?;
+                .map_err(tenant_error)?;
             let changes = vec![Change::Endpoints(tenant.to_owned())];
-            Ok(Handled {
+            Ok(AdminResponse {
                 changes,
                 ..shown(context, if new { 201 } else { 200 }, tenant, name)?
             })
@@ -79,16 +88,16 @@
             let id = context
                 .tenants
                 .remove_endpoint(tenant, name)
-                .map_err(refused)?;
+                .map_err(tenant_error)?;
             let changes = vec![Change::Removed(vec![id])];
-            Ok(Handled {
+            Ok(AdminResponse {
                 status: 204,
                 body: None,
                 version: None,
                 changes,
             })
         }
-        _ => Err(plain(405, "no such method here")),
+        _ => Err(request_error(405, "no such method here")),
     }
 }
 
@@ -99,7 +108,7 @@
     tenant: &str,
     name: &str,
     action: &str,
-) -> Result<Handled, Bad> {
+) -> Result<AdminResponse, RequestError> {
     let e = find(context, tenant, name)?;
     matches(request, Some(e.version))?;
     match action {
@@ -111,9 +120,9 @@
             context
                 .tenants
                 .put_endpoint(tenant, name, &spec)
-                .map_err(refused)?;
+                .map_err(tenant_error)?;
             let changes = vec![Change::Endpoints(tenant.to_owned())];
-            Ok(Handled {
+            Ok(AdminResponse {
                 changes,
                 ..shown(context, 200, tenant, name)?
             })
@@ -123,21 +132,21 @@
             context
                 .tenants
                 .rotate_endpoint(tenant, name, &secret, context.now, until)
-                .map_err(refused)?;
+                .map_err(tenant_error)?;
             let changes = vec![Change::Rotated(tenant.to_owned(), Some(name.to_owned()))];
-            Ok(Handled {
+            Ok(AdminResponse {
                 changes,
                 ..shown(context, 200, tenant, name)?
             })
         }
         "test" => {
             let changes = vec![Change::Test(tenant.to_owned(), name.to_owned())];
-            Ok(Handled {
+            Ok(AdminResponse {
                 changes,
-                ..Handled::new(202, json!({ "sent": "endpoint.test" }))
+                ..AdminResponse::new(202, json!({ "sent": "endpoint.test" }))
             })
         }
-        _ => Err(plain(404, "no such path")),
+        _ => Err(request_error(404, "no such path")),
     }
 }
 
@@ -154,7 +163,7 @@
     context: &Context<'_>,
     tenant: &str,
     name: &str,
-) -> Result<Done, Bad> {
+) -> Result<HandleResult, RequestError> {
     let e = find(context, tenant, name)?;
     matches(request, Some(e.version))?;
     let recovery: Recovery = body(request, "body is not a recovery")?;
@@ -162,11 +171,13 @@
         .now
         .saturating_sub(recovery.since_s.saturating_mul(1_000_000));
     let serial = context.tenants.get(tenant).map_or(0, |t| t.serial);
-    Ok(Done::Ask(Op::ResendDeadLetters(ResendDeadLetters {
-        endpoint: e.id,
-        serial,
-        since,
-        now: context.now,
-        limit: MAX_RECOVERED_MESSAGES,
-    })))
+    Ok(HandleResult::StoreRequest(Op::ResendDeadLetters(
+        ResendDeadLetters {
+            endpoint: e.id,
+            serial,
+            since,
+            now: context.now,
+            limit: MAX_RECOVERED_MESSAGES,
+        },
+    )))
 }
--- a/src/admin/idempotency.rs
+++ b/src/admin/idempotency.rs
@@ -13,7 +13,7 @@
 
 /// The state of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum KeyState {
     /// The request is the first with this key.
     New,
     /// The first request's response.
@@ -42,7 +42,7 @@
     }
 
     /// Records a request's key and returns the key's state before.
-    pub fn begin(&mut self, who: &str, key: &str, request: &[u8], now: Micros) -> Known {
+    pub fn begin(&mut self, who: &str, key: &str, request: &[u8], now: Micros) -> KeyState {
         while self
             .order
             .front()
@@ -55,8 +55,11 @@
         }
         let name = (who.to_owned(), key.to_owned());
         match self.entries.get(&name) {
-            Some(e) if e.request != request => Known::Conflict,
-            Some(e) => e.answer.clone().map_or(Known::Conflict, Known::Answered),
+            Some(e) if e.request != request => KeyState::Conflict,
+            Some(e) => e
+                .answer
+                .clone()
+                .map_or(KeyState::Conflict, KeyState::Answered),
             None => {
                 self.entries.insert(
                     name.clone(),
@@ -66,7 +69,7 @@
                     },
                 );
                 self.order.push_back((now, name));
-                Known::New
+                KeyState::New
             }
         }
     }
--- a/src/admin/messages.rs
+++ b/src/admin/messages.rs
@@ -3,9 +3,9 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use super::{body, query, refused, Context, Done, Handled};
+use super::{body, query, tenant_error, AdminResponse, Context, HandleResult};
 use crate::delivery::Seq;
-use crate::front::http::{plain, Bad, Request};
+use crate::front::http::{request_error, Request, RequestError};
 use crate::front::webhook::message::timestamp;
 use crate::store::error::StoreError;
 use crate::store::operations::{Filter, Op, Reply, Resend};
@@ -16,27 +16,27 @@
 const DEFAULT_PAGE_LEN: usize = 50;
 const MAX_PAGE_LEN: usize = 200;
 
-fn seq(text: &str) -> Result<Seq, Bad> {
+fn seq(text: &str) -> Result<Seq, RequestError> {
     text.parse()
         .map(Seq)
-        .map_err(|_| plain(404, "no such message"))
+        .map_err(|_| request_error(404, "no such message"))
 }
 
-fn serial(context: &Context<'_>, tenant: &str) -> Result<u64, Bad> {
+fn serial(context: &Context<'_>, tenant: &str) -> Result<u64, RequestError> {
     context
         .tenants
         .get(tenant)
         .map(|t| t.serial)
-        .ok_or(refused(TenantError::Unknown))
+        .ok_or(tenant_error(TenantError::Unknown))
 }
 
 /// Lists a page of a tenant's messages, filtered by state, type, endpoint and time.
-pub fn list(context: &Context<'_>, tenant: &str, q: &str) -> Result<Done, Bad> {
+pub fn list(context: &Context<'_>, tenant: &str, q: &str) -> Result<HandleResult, RequestError> {
     let t = context
         .tenants
         .get(tenant)
-        .ok_or(refused(TenantError::Unknown))?;
-    let bad = plain(422, "a parameter cannot be used");
+        .ok_or(tenant_error(TenantError::Unknown))?;
+    let bad = request_error(422, "a parameter cannot be used");
     let number = |name: &str| {
         query(q, name)
             .map(|v| v.parse::<u64>().map_err(|_| bad))
@@ -47,7 +47,7 @@
     if limit == 0 || limit > MAX_PAGE_LEN || endpoint == Some(None) {
         return Err(bad);
     }
-    Ok(Done::Ask(Op::ListMessages(Filter {
+    Ok(HandleResult::StoreRequest(Op::ListMessages(Filter {
         serial: t.serial,
         state: query(q, "state").map(str::to_owned),
         kind: query(q, "type").map(str::to_owned),
@@ -59,8 +59,12 @@
 }
 
 /// Shows a message, its attempts and its body.
-pub fn one(context: &Context<'_>, tenant: &str, message: &str) -> Result<Done, Bad> {
-    Ok(Done::Ask(Op::GetMessage(
+pub fn one(
+    context: &Context<'_>,
+    tenant: &str,
+    message: &str,
+) -> Result<HandleResult, RequestError> {
+    Ok(HandleResult::StoreRequest(Op::GetMessage(
         seq(message)?,
         serial(context, tenant)?,
     )))
@@ -81,10 +85,10 @@
     who: &str,
     tenant: &str,
     message: &str,
-) -> Result<Done, Bad> {
+) -> Result<HandleResult, RequestError> {
     let resend: ResendRequest = body(request, "body is not a request to send again")?;
     let acknowledged_by = resend.acknowledge_duplicate.then(|| who.to_owned());
-    Ok(Done::Ask(Op::Resend(Resend {
+    Ok(HandleResult::StoreRequest(Op::Resend(Resend {
         message: seq(message)?,
         serial: serial(context, tenant)?,
         now: context.now,
@@ -121,7 +125,10 @@
 }
 
 /// Converts the store's reply into a response. `op_limit` is the page size of a list request.
-pub fn answer(op_limit: Option<usize>, reply: Result<Reply, StoreError>) -> Result<Handled, Bad> {
+pub fn answer(
+    op_limit: Option<usize>,
+    reply: Result<Reply, StoreError>,
+) -> Result<AdminResponse, RequestError> {
     match reply {
         Ok(Reply::Messages(all)) => {
             // A full page may have a successor.
@@ -131,7 +138,7 @@
                 .filter(|_| full)
                 .map(|m| m.waiting.seq.0.to_string());
             let list: Vec<Value> = all.iter().map(view).collect();
-            Ok(Handled::new(
+            Ok(AdminResponse::new(
                 200,
                 json!({ "messages": list, "cursor": cursor }),
             ))
@@ -140,15 +147,15 @@
             let mut body = view(&shown.record);
             body["log"] = shown.attempts.iter().map(attempt).collect();
             body["body"] = serde_json::from_slice(&shown.body).unwrap_or(Value::Null);
-            Ok(Handled::new(200, body))
+            Ok(AdminResponse::new(200, body))
         }
-        Ok(Reply::Message(None)) => Err(plain(404, "no such message")),
-        Ok(Reply::Queued(all)) => Ok(Handled::new(202, json!({ "sent_again": all.len() }))),
-        Ok(Reply::ResendRejected("no such message")) => Err(plain(404, "no such message")),
-        Ok(Reply::ResendRejected(why)) => Err(plain(409, why)),
-        Ok(Reply::Stats(stat)) => Ok(Handled::new(200, json!(stat))),
-        Ok(_) => Err(plain(500, "the store answered something else")),
-        Err(StoreError::Full) => Err(plain(503, "the store is full")),
-        Err(_) => Err(plain(503, "the store cannot be written or read")),
+        Ok(Reply::Message(None)) => Err(request_error(404, "no such message")),
+        Ok(Reply::Queued(all)) => Ok(AdminResponse::new(202, json!({ "sent_again": all.len() }))),
+        Ok(Reply::ResendRejected("no such message")) => Err(request_error(404, "no such message")),
+        Ok(Reply::ResendRejected(why)) => Err(request_error(409, why)),
+        Ok(Reply::Stats(stat)) => Ok(AdminResponse::new(200, json!(stat))),
+        Ok(_) => Err(request_error(500, "the store answered something else")),
+        Err(StoreError::Full) => Err(request_error(503, "the store is full")),
+        Err(_) => Err(request_error(503, "the store cannot be written or read")),
     }
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -2,7 +2,7 @@
 //! idempotency keys.
 //!
 //! `docs/openapi.json` lists the routes; a test compares it with [`ROUTES`]. A request that needs
-//! the store returns [`Done::Ask`], and the store's reply goes to [`messages::answer`].
+//! the store returns [`HandleResult::StoreRequest`], and the store's reply goes to [`messages::answer`].
 
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -10,8 +10,8 @@
 use crate::api::{Micros, TenantId};
 use crate::counters::Counters;
 use crate::delivery::EndpointId;
-use crate::front::http::{plain, response, Bad, Request};
-use crate::identity::{Gate, Role};
+use crate::front::http::{request_error, response, Request, RequestError};
+use crate::identity::{Role, TokenVerifier};
 use crate::store::operations::Op;
 use crate::tenancy::{Registry, TenantError};
 
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A tenant's quota has changed, in requests per second; 0 for none.
-    Share(TenantId, f64),
+    QuotaChanged(TenantId, f64),
     /// The endpoints of this tenant have changed; delivery must be updated.
     Endpoints(String),
     /// These endpoints were removed.
@@ -91,7 +91,7 @@
 
 /// A request's response and the changes that follow from it.
 #[derive(Clone, Debug)]
-pub struct Handled {
+pub struct AdminResponse {
     /// The status code.
     pub status: u16,
     /// The JSON body; `None` for an empty one.
@@ -104,17 +104,17 @@
 
 /// The result of handling a request.
 #[derive(Debug)]
-pub enum Done {
+pub enum HandleResult {
     /// The response is complete.
-    Now(Handled),
+    Now(AdminResponse),
     /// The store must run this operation; its reply makes the response.
-    Ask(Op),
+    StoreRequest(Op),
 }
 
-impl Handled {
+impl AdminResponse {
     /// Creates a response without changes.
-    pub fn new(status: u16, body: Value) -> Handled {
-        Handled {
+    pub fn new(status: u16, body: Value) -> AdminResponse {
+        AdminResponse {
             status,
             body: Some(body),
             version: None,
@@ -124,14 +124,14 @@
 }
 
 /// Maps a tenant's error to its status.
-pub fn refused(e: TenantError) -> Bad {
+pub fn tenant_error(e: TenantError) -> RequestError {
     let status = match e {
         TenantError::Unknown | TenantError::UnknownEndpoint => 404,
         TenantError::TooMany => 409,
         TenantError::State => 500,
         _ => 422,
     };
-    plain(status, e.why())
+    request_error(status, e.why())
 }
 
 /// The state that a request may access.
@@ -143,27 +143,31 @@
     /// Looks up the health of an endpoint, if webhooks are on.
     pub health: &'a dyn Fn(EndpointId) -> Option<crate::delivery::Health>,
     /// The view of gossip, consensus or leases for the path; null if that subsystem is off.
-    pub fleet: Value,
+    pub subsystem_view: Value,
     /// The current time.
     pub now: Micros,
 }
 
 /// Authenticates the caller and checks its role for the request's method; returns its SPIFFE ID.
-pub fn admit(request: &Request<'_>, gate: &Gate, now: Micros) -> Result<String, Bad> {
+pub fn admit(
+    request: &Request<'_>,
+    gate: &TokenVerifier,
+    now: Micros,
+) -> Result<String, RequestError> {
     let token = request
         .header("Authorization")
         .and_then(|a| a.strip_prefix("Bearer "));
-    let token = token.ok_or(plain(401, "a JWT-SVID is needed"))?;
+    let token = token.ok_or(request_error(401, "a JWT-SVID is needed"))?;
     let (who, role) = gate
         .check(token.trim(), now)
-        .map_err(|_| plain(401, "the JWT-SVID is not accepted"))?;
+        .map_err(|_| request_error(401, "the JWT-SVID is not accepted"))?;
     let needed = if request.method == "GET" {
         Role::Viewer
     } else {
         Role::Operator
     };
     if role.is_none_or(|role| role < needed) {
-        return Err(plain(403, "the caller has no role for this"));
+        return Err(request_error(403, "the caller has no role for this"));
     }
     Ok(who)
 }
@@ -182,17 +186,17 @@
 pub fn body<T: serde::de::DeserializeOwned>(
     request: &Request<'_>,
     what: &'static str,
-) -> Result<T, Bad> {
+) -> Result<T, RequestError> {
     let bytes: &[u8] = if request.body.is_empty() {
         b"{}"
     } else {
         request.body
     };
-    serde_json::from_slice(bytes).map_err(|_| plain(400, what))
+    serde_json::from_slice(bytes).map_err(|_| request_error(400, what))
 }
 
 /// Checks `If-Match` against a version; a request without the header always passes.
-pub fn matches(request: &Request<'_>, version: Option<u64>) -> Result<(), Bad> {
+pub fn matches(request: &Request<'_>, version: Option<u64>) -> Result<(), RequestError> {
     let Some(given) = request.header("If-Match") else {
         return Ok(());
     };
@@ -200,21 +204,34 @@
         Some(v) => tag == "*" || tag == format!("\"{v}\""),
         None => false,
     });
-    fits.then_some(()).ok_or(plain(412, "it has changed since"))
+    fits.then_some(())
+        .ok_or(request_error(412, "it has changed since"))
 }
 
 /// Handles a request of an admitted caller.
-pub fn handle(request: &Request<'_>, who: &str, context: &mut Context<'_>) -> Result<Done, Bad> {
+pub fn handle(
+    request: &Request<'_>,
+    who: &str,
+    context: &mut Context<'_>,
+) -> Result<HandleResult, RequestError> {
     let (path, query) = request.path.split_once('?').unwrap_or((request.path, ""));
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-    let now = |handled: Result<Handled, Bad>| handled.map(Done::Now);
+    let now = |handled: Result<AdminResponse, RequestError>| handled.map(HandleResult::Now);
     match (request.method, parts.as_slice()) {
-        ("GET", ["v1", "counters"]) => Ok(Done::Now(Handled::new(200, json!(context.counters)))),
-        ("GET", ["v1", "peers"]) if context.fleet.is_null() => Err(plain(404, "gossip is off")),
-        ("GET", ["v1", "peers"]) => Ok(Done::Now(Handled::new(200, context.fleet.take()))),
+        ("GET", ["v1", "counters"]) => Ok(HandleResult::Now(AdminResponse::new(
+            200,
+            json!(context.counters),
+        ))),
+        ("GET", ["v1", "peers"]) if context.subsystem_view.is_null() => {
+            Err(request_error(404, "gossip is off"))
+        }
+        ("GET", ["v1", "peers"]) => Ok(HandleResult::Now(AdminResponse::new(
+            200,
+            context.subsystem_view.take(),
+        ))),
         ("GET", ["v1", "council" | "duties"]) => consensus::show(context),
         ("POST", ["v1", "council", "voters"]) => now(consensus::exchange(request, context)),
-        ("GET", ["v1", "store"]) => Ok(Done::Ask(Op::Stats)),
+        ("GET", ["v1", "store"]) => Ok(HandleResult::StoreRequest(Op::Stats)),
         (_, ["v1", "tenants"]) => now(tenants::list(request, context)),
         (_, ["v1", "tenants", name]) => now(tenants::one(request, context, name)),
         ("POST", ["v1", "tenants", name, "secrets"]) => {
@@ -235,8 +252,8 @@
         ("POST", ["v1", "tenants", name, "messages", m, "again"]) => {
             messages::again(request, context, who, name, m)
         }
-        _ if path_exists(&parts) => Err(plain(405, "no such method here")),
-        _ => Err(plain(404, "no such path")),
+        _ if path_exists(&parts) => Err(request_error(405, "no such method here")),
+        _ => Err(request_error(404, "no such path")),
     }
 }
 
@@ -255,7 +272,7 @@
 }
 
 /// Encodes a response. An error becomes a problem detail.
-pub fn answer(handled: &Result<Handled, Bad>, keep: bool) -> Vec<u8> {
+pub fn answer(handled: &Result<AdminResponse, RequestError>, keep: bool) -> Vec<u8> {
     let store = "Cache-Control: no-store\r\n";
     match handled {
         Ok(h) => {
@@ -266,7 +283,7 @@
             let head = format!("Content-Type: application/json\r\n{store}{tag}");
             response(h.status, &head, text.as_bytes(), keep)
         }
-        Err(bad) => problem(bad.status, bad.why, None, keep && !bad.fatal),
+        Err(bad) => problem(bad.status, bad.reason, None, keep && !bad.fatal),
     }
 }
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -205,7 +205,7 @@
         config.listen,
         config.names.classes.len(),
         config.names.tenants.len(),
-        config.known.len()
+        config.initial_updates.len()
     );
     if let Some(path) = operator {
         let operator = Operator::read(&path)?;
--- a/src/cli/webhook.rs
+++ b/src/cli/webhook.rs
@@ -213,7 +213,7 @@
                     continue;
                 }
             },
-            Err(bad) => http::response(bad.status, "", bad.why.as_bytes(), false),
+            Err(bad) => http::response(bad.status, "", bad.reason.as_bytes(), false),
         };
         stream.write_all(&answer)?;
         return Ok(());
--- a/src/config.rs
+++ b/src/config.rs
@@ -124,23 +124,23 @@
     /// The machine's limits.
     pub limits: Limits,
     /// The address of service discovery; `None` if there is none.
-    pub board: Option<SocketAddr>,
+    pub discovery_address: Option<SocketAddr>,
     /// The revision of the last discovery update in the file.
-    pub known_rev: u64,
+    pub initial_revision: u64,
     /// The discovery updates in the file, applied at the start.
-    pub known: Vec<WatchEvent>,
+    pub initial_updates: Vec<WatchEvent>,
     /// The decision module's settings.
     pub settings: Settings,
     /// The names of classes, tenants and zones, and the classes' deadlines.
     pub names: Names,
     /// The timeout for connecting to a worker, in microseconds.
-    pub connect_limit: Micros,
+    pub connect_timeout: Micros,
     /// The time after which workers close idle connections, in microseconds.
-    pub conn_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// Maximum number of concurrent requests on a worker connection.
-    pub streams: usize,
+    pub max_streams_per_connection: usize,
     /// Maximum number of pending requests.
-    pub most_held: usize,
+    pub max_pending_requests: usize,
 }
 
 impl Config {
@@ -173,7 +173,7 @@
     }
 
     /// Reads the same file again, with the same name and listen address.
-    pub fn again(&self) -> Result<Config, ConfigError> {
+    pub fn reload(&self) -> Result<Config, ConfigError> {
         let path = self
             .file
             .as_ref()
@@ -182,13 +182,13 @@
     }
 
     /// The values that a running gateway can change only by a restart.
-    pub fn fixed(&self) -> impl PartialEq + '_ {
+    pub fn restart_only_values(&self) -> impl PartialEq + '_ {
         let limits = (
             self.limits.sockets,
-            self.connect_limit,
-            self.conn_idle,
-            self.streams,
-            self.most_held,
+            self.connect_timeout,
+            self.connection_idle_timeout,
+            self.max_streams_per_connection,
+            self.max_pending_requests,
         );
         (&self.settings, &self.names, limits)
     }
@@ -260,15 +260,16 @@
             admin_addr: admin.map(|a| parse_address("admin_addr", &a)).transpose()?,
             seed: parse_seed(&raw.seed)?,
             limits: raw.limits,
-            board: board.map(|b| parse_address("board", &b)).transpose()?,
-            known_rev: raw.known.rev,
-            known: known.collect::<Result<_, _>>()?,
+            discovery_address: board.map(|b| parse_address("board", &b)).transpose()?,
+            initial_revision: raw.known.rev,
+            initial_updates: known.collect::<Result<_, _>>()?,
             names,
-            connect_limit: number("caps.connectTimeoutMs")
+            connect_timeout: number("caps.connectTimeoutMs")
                 .map_or(250_000, |ms| (ms * 1e3) as Micros),
-            conn_idle: number("caps.connIdleMs").map_or(30_000_000, |ms| (ms * 1e3) as Micros),
-            streams: number("caps.streamsPerConn").map_or(100, |n| n as usize),
-            most_held: number("caps.mostHeld").map_or(20_000, |n| n as usize),
+            connection_idle_timeout: number("caps.connIdleMs")
+                .map_or(30_000_000, |ms| (ms * 1e3) as Micros),
+            max_streams_per_connection: number("caps.streamsPerConn").map_or(100, |n| n as usize),
+            max_pending_requests: number("caps.mostHeld").map_or(20_000, |n| n as usize),
             settings: module,
         })
     }
--- a/src/front/http.rs
+++ b/src/front/http.rs
@@ -12,35 +12,35 @@
 
 /// A rejected request: the status and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct RequestError {
     /// The status code.
     pub status: u16,
     /// The reason, sent as the body or problem detail.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// True if the connection must be closed, as the next request's start is unknown.
     pub fatal: bool,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.status, self.why)
+        write!(f, "{}: {}", self.status, self.reason)
     }
 }
 
 /// Creates an error that closes the connection, for a request with ambiguous framing.
-pub fn fatal(status: u16, why: &'static str) -> Bad {
-    Bad {
+pub fn fatal(status: u16, why: &'static str) -> RequestError {
+    RequestError {
         status,
-        why,
+        reason: why,
         fatal: true,
     }
 }
 
 /// Creates an error that leaves the connection usable, for a well-framed request.
-pub fn plain(status: u16, why: &'static str) -> Bad {
-    Bad {
+pub fn request_error(status: u16, why: &'static str) -> RequestError {
+    RequestError {
         status,
-        why,
+        reason: why,
         fatal: false,
     }
 }
@@ -58,7 +58,7 @@
     /// The request's size in the buffer, in bytes.
     pub size: usize,
     /// True if the connection stays open after the response.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl<'a> Request<'a> {
@@ -77,7 +77,7 @@
 }
 
 /// Parses the first request in `bytes`; `None` while the request is incomplete.
-pub fn request(bytes: &[u8]) -> Result<Option<Request<'_>>, Bad> {
+pub fn request(bytes: &[u8]) -> Result<Option<Request<'_>>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let size = match head.parse(bytes) {
@@ -127,7 +127,7 @@
         path: head.path.unwrap_or_default(),
         body,
         size: size + body.len(),
-        keep,
+        keep_alive: keep,
         headers,
     }))
 }
@@ -139,7 +139,7 @@
         201 => "Created",
         202 => "Accepted",
         204 => "No Content",
-        400 => "Bad Request",
+        400 => "RequestError Request",
         401 => "Unauthorized",
         403 => "Forbidden",
         404 => "Not Found",
@@ -153,7 +153,7 @@
         429 => "Too Many Requests",
         431 => "Request Header Fields Too Large",
         500 => "Internal Server Error",
-        502 => "Bad Gateway",
+        502 => "RequestError Gateway",
         503 => "Service Unavailable",
         504 => "Gateway Timeout",
         _ => "Status",
--- a/src/front/operator_console.rs
+++ b/src/front/operator_console.rs
@@ -65,7 +65,7 @@
 
 /// Parses the connection's line; `None` while the line is incomplete. `ended` is true once the
 /// peer has closed its side: an incomplete line is then an error, and an empty input is `None`.
-pub fn take(bytes: &[u8], ended: bool) -> Result<Option<Request>, RequestError> {
+pub fn parse_line(bytes: &[u8], ended: bool) -> Result<Option<Request>, RequestError> {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return match bytes.len() {
             n if n > MAX_LINE_BYTES => Err(RequestError::TooLong),
--- a/src/front/operator_console/tests.rs
+++ b/src/front/operator_console/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn commands_are_parsed_and_malformed_lines_rejected() {
-    let one = |text: &str| take(text.as_bytes(), false);
+    let one = |text: &str| parse_line(text.as_bytes(), false);
     assert_eq!(one("readyz\n"), Ok(Some(Request::Ready)));
     assert_eq!(one("telemetry\r\n"), Ok(Some(Request::Telemetry)));
     assert_eq!(one("evidence\n"), Ok(Some(Request::Evidence)));
@@ -34,25 +34,28 @@
     ] {
         assert_eq!(one(text), Err(error), "{text:?}");
     }
-    assert_eq!(take(&[0xff, 0, b'\n'], false), Err(RequestError::NotText));
     assert_eq!(
-        take(&vec![b'a'; MAX_LINE_BYTES + 1], false),
+        parse_line(&[0xff, 0, b'\n'], false),
+        Err(RequestError::NotText)
+    );
+    assert_eq!(
+        parse_line(&vec![b'a'; MAX_LINE_BYTES + 1], false),
         Err(RequestError::TooLong)
     );
     let long = [&vec![b'a'; MAX_LINE_BYTES + 1][..], b"\n"].concat();
-    assert_eq!(take(&long, false), Err(RequestError::TooLong));
+    assert_eq!(parse_line(&long, false), Err(RequestError::TooLong));
 }
 
 #[test]
 fn incomplete_line_waits_until_connection_ends() {
     let line = b"exclude s-1\n";
     for cut in 0..line.len() {
-        assert_eq!(take(&line[..cut], false), Ok(None), "{cut}");
+        assert_eq!(parse_line(&line[..cut], false), Ok(None), "{cut}");
         let end = if cut == 0 {
             Ok(None)
         } else {
             Err(RequestError::Half)
         };
-        assert_eq!(take(&line[..cut], true), end, "{cut}");
+        assert_eq!(parse_line(&line[..cut], true), end, "{cut}");
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::http::{self, fatal, plain, Bad, Request};
+use super::http::{self, fatal, request_error, Request, RequestError};
 use crate::api::{Arrival, ClassId, FunctionId, Micros, RequestId, TenantId};
 use crate::core::{Answer, Call};
 use crate::names::Names;
@@ -16,7 +16,7 @@
 
 /// A client's request.
 #[derive(Debug)]
-pub enum Ask {
+pub enum ClientRequest {
     /// A liveness check.
     Ping,
     /// A call whose origin the caller of [`take`] fills in.
@@ -25,13 +25,13 @@
 
 /// A request taken from a client's connection.
 #[derive(Debug)]
-pub struct Taken {
+pub struct ParsedRequest {
     /// The request, or the error to answer it with.
-    pub ask: Result<Ask, Bad>,
+    pub request: Result<ClientRequest, RequestError>,
     /// The request's size in the buffer, in bytes.
     pub size: usize,
     /// True if the connection stays open after the response.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// Parses 16 lower-case hex digits, the form of all identities on this wire.
@@ -47,34 +47,38 @@
 }
 
 /// Parses the next request; `None` while the request is incomplete.
-pub fn take(bytes: &[u8], names: &Names, now: Micros) -> Result<Option<Taken>, Bad> {
+pub fn parse_request(
+    bytes: &[u8],
+    names: &Names,
+    now: Micros,
+) -> Result<Option<ParsedRequest>, RequestError> {
     let Some(r) = http::request(bytes)? else {
         return Ok(None);
     };
-    Ok(Some(Taken {
+    Ok(Some(ParsedRequest {
         size: r.size,
-        keep: r.keep,
-        ask: parse(&r, names, now),
+        keep_alive: r.keep_alive,
+        request: parse(&r, names, now),
     }))
 }
 
-fn parse(r: &Request<'_>, names: &Names, now: Micros) -> Result<Ask, Bad> {
+fn parse(r: &Request<'_>, names: &Names, now: Micros) -> Result<ClientRequest, RequestError> {
     if r.path == "/ping" {
         return if r.method == "GET" {
-            Ok(Ask::Ping)
+            Ok(ClientRequest::Ping)
         } else {
-            Err(plain(405, "ping is a GET"))
+            Err(request_error(405, "ping is a GET"))
         };
     }
     let key = r
         .path
         .strip_prefix("/call/")
         .and_then(|p| p.strip_suffix("/trigger"));
-    let key = key.ok_or(plain(404, "no such path"))?;
+    let key = key.ok_or(request_error(404, "no such path"))?;
     if r.method != "POST" {
-        return Err(plain(405, "a call is a POST"));
+        return Err(request_error(405, "a call is a POST"));
     }
-    let function = FunctionId(hex16(key).ok_or(plain(404, "a function is 16 hex digits"))?);
+    let function = FunctionId(hex16(key).ok_or(request_error(404, "a function is 16 hex digits"))?);
     let class = r
         .header("X-Class")
         .and_then(|c| Names::index_of(&names.classes, c));
@@ -97,23 +101,24 @@
     let parse_estimate = |text| {
         number(text)
             .filter(|ms| *ms <= MAX_DURATION_MS)
-            .ok_or(plain(400, "bad X-Estimate-Ms"))
+            .ok_or(request_error(400, "bad X-Estimate-Ms"))
     };
     let estimate_ms = r.header("X-Estimate-Ms").map(parse_estimate);
-    let id = id.ok_or(plain(400, "bad X-Correlation-Id"))?;
+    let id = id.ok_or(request_error(400, "bad X-Correlation-Id"))?;
     let mut arrival = Arrival {
         request: RequestId(0),
-        class: ClassId(class.ok_or(plain(400, "unknown class"))? as u8),
-        tenant: TenantId(tenant.ok_or(plain(400, "unknown tenant"))? as u32),
+        class: ClassId(class.ok_or(request_error(400, "unknown class"))? as u8),
+        tenant: TenantId(tenant.ok_or(request_error(400, "unknown tenant"))? as u32),
         function,
-        expires_at: now + (deadline_ms.ok_or(plain(400, "bad X-Deadline-Ms"))? * 1e3) as Micros,
+        expires_at: now
+            + (deadline_ms.ok_or(request_error(400, "bad X-Deadline-Ms"))? * 1e3) as Micros,
         expected_work: estimate_ms.transpose()?.map(|ms| (ms * 1e3) as Micros),
         memory_mb: 0.0,
         concurrency_per_copy: 1,
         load_duration: None,
     };
     extras(r.header("X-Extras").unwrap_or_default(), &mut arrival)?;
-    Ok(Ask::Call(Call {
+    Ok(ClientRequest::Call(Call {
         origin: (),
         identity: id.into(),
         body: Rc::from(r.body),
@@ -122,16 +127,18 @@
 }
 
 /// Parses `name:value;name:value` into `arrival`; unknown names are ignored.
-fn extras(text: &str, arrival: &mut Arrival) -> Result<(), Bad> {
+fn extras(text: &str, arrival: &mut Arrival) -> Result<(), RequestError> {
     for part in text.split(';').filter(|p| !p.trim().is_empty()) {
-        let (name, value) = part.split_once(':').ok_or(plain(400, "bad X-Extras"))?;
-        let value = number(value.trim()).ok_or(plain(400, "bad X-Extras"))?;
+        let (name, value) = part
+            .split_once(':')
+            .ok_or(request_error(400, "bad X-Extras"))?;
+        let value = number(value.trim()).ok_or(request_error(400, "bad X-Extras"))?;
         match name.trim() {
-            "memory_mb" if value > MAX_MEMORY_MB => return Err(plain(400, "bad X-Extras")),
+            "memory_mb" if value > MAX_MEMORY_MB => return Err(request_error(400, "bad X-Extras")),
             "lanes" if !(1.0..=MAX_CONCURRENCY).contains(&value) => {
-                return Err(plain(400, "bad X-Extras"))
+                return Err(request_error(400, "bad X-Extras"))
             }
-            "load_ms" if value > MAX_DURATION_MS => return Err(plain(400, "bad X-Extras")),
+            "load_ms" if value > MAX_DURATION_MS => return Err(request_error(400, "bad X-Extras")),
             "memory_mb" => arrival.memory_mb = value,
             "lanes" => arrival.concurrency_per_copy = value as u32,
             "load_ms" => arrival.load_duration = Some((value * 1e3) as Micros).filter(|t| *t > 0),
@@ -159,17 +166,17 @@
 }
 
 /// Encodes the response to a request that is rejected before it reaches the decision module.
-pub fn turn_away(bad: &Bad, keep: bool) -> Vec<u8> {
+pub fn encode_error(bad: &RequestError, keep: bool) -> Vec<u8> {
     http::response(
         bad.status,
         "Content-Type: text/plain\r\n",
-        bad.why.as_bytes(),
+        bad.reason.as_bytes(),
         keep && !bad.fatal,
     )
 }
 
 /// The error for a connection that sends no complete request in time.
-pub fn too_slow() -> Bad {
+pub fn request_timeout() -> RequestError {
     fatal(408, "request took too long")
 }
 
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -17,13 +17,15 @@
 
 #[test]
 fn call_is_parsed_with_an_absolute_deadline() {
-    let taken = take(GOOD.as_bytes(), &names(), 1_000).unwrap().unwrap();
-    let Ok(Ask::Call(call)) = taken.ask else {
+    let taken = parse_request(GOOD.as_bytes(), &names(), 1_000)
+        .unwrap()
+        .unwrap();
+    let Ok(ClientRequest::Call(call)) = taken.request else {
         panic!("a call")
     };
     let a = &call.arrival;
     assert_eq!(
-        (taken.size, taken.keep, &*call.identity, &*call.body),
+        (taken.size, taken.keep_alive, &*call.identity, &*call.body),
         (GOOD.len(), true, "9b1f03aa5c7e2d41", &b"abc"[..])
     );
     assert_eq!(
@@ -45,7 +47,10 @@
 fn malformed_or_incomplete_request_never_panics() {
     for cut in 0..GOOD.len() {
         assert!(
-            matches!(take(&GOOD.as_bytes()[..cut], &names(), 0), Ok(None)),
+            matches!(
+                parse_request(&GOOD.as_bytes()[..cut], &names(), 0),
+                Ok(None)
+            ),
             "cut at {cut}"
         );
     }
@@ -53,7 +58,7 @@
         for byte in [0, b'\r', b'\n', b' ', b':', b'-', b'9', 0xff] {
             let mut bad = GOOD.as_bytes().to_vec();
             bad[at] = byte;
-            if let Err(bad) = take(&bad, &names(), 0) {
+            if let Err(bad) = parse_request(&bad, &names(), 0) {
                 assert!((400..500).contains(&bad.status));
             }
         }
@@ -61,10 +66,10 @@
     for value in ["nan", "inf", "-1", "1e308", "", "0"] {
         let bad = GOOD.replace("1500.5", value);
         assert!(
-            take(bad.as_bytes(), &names(), 0)
+            parse_request(bad.as_bytes(), &names(), 0)
                 .unwrap()
                 .unwrap()
-                .ask
+                .request
                 .is_err(),
             "{value}"
         );
@@ -78,10 +83,10 @@
         ..names()
     };
     let taken = |text: &str| {
-        take(text.as_bytes(), &names, 0)
+        parse_request(text.as_bytes(), &names, 0)
             .unwrap()
             .unwrap()
-            .ask
+            .request
             .is_ok()
     };
     assert!(taken(GOOD) && taken(&GOOD.replace("1500.5", "2000")));
--- a/src/front/webhook/answer.rs
+++ b/src/front/webhook/answer.rs
@@ -15,12 +15,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The head is incomplete.
-    Waits,
+    Incomplete,
     /// The head is complete and the body is not: the status and the `Retry-After` time.
     Status(u16, Option<Micros>),
     /// The response is finished: the status, the `Retry-After` time, the response's size in bytes,
     /// and true if the connection can be reused.
-    Whole(u16, Option<Micros>, usize, bool),
+    Complete(u16, Option<Micros>, usize, bool),
     /// The head cannot be parsed.
     Malformed,
 }
@@ -34,7 +34,7 @@
         let size = match head.parse(&bytes[at..]) {
             Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD_BYTES => n,
             Ok(httparse::Status::Partial) if bytes.len() - at <= MAX_HEAD_BYTES => {
-                return Progress::Waits
+                return Progress::Incomplete
             }
             _ => return Progress::Malformed,
         };
@@ -73,20 +73,20 @@
             (204 | 304, ..) => Some(0),
             (_, Some("chunked"), []) => match chunked(rest) {
                 Ok(end) => end,
-                Err(()) => return Progress::Whole(status, retry_after_time, bytes.len(), false),
+                Err(()) => return Progress::Complete(status, retry_after_time, bytes.len(), false),
             },
             (_, None, [one]) => match one.parse::<usize>() {
                 Ok(n) if n <= MAX_BODY_BYTES => (rest.len() >= n).then_some(n),
-                _ => return Progress::Whole(status, retry_after_time, bytes.len(), false),
+                _ => return Progress::Complete(status, retry_after_time, bytes.len(), false),
             },
             // The body ends with the connection, or its framing is ambiguous: the connection is not
             // reused, so the rest of the body is not awaited.
-            _ => return Progress::Whole(status, retry_after_time, bytes.len(), false),
+            _ => return Progress::Complete(status, retry_after_time, bytes.len(), false),
         };
         return match end {
-            Some(n) => Progress::Whole(status, retry_after_time, at + n, reusable),
+            Some(n) => Progress::Complete(status, retry_after_time, at + n, reusable),
             None if rest.len() > MAX_BODY_BYTES => {
-                Progress::Whole(status, retry_after_time, bytes.len(), false)
+                Progress::Complete(status, retry_after_time, bytes.len(), false)
             }
             None => Progress::Status(status, retry_after_time),
         };
--- a/src/front/webhook/answer/tests.rs
+++ b/src/front/webhook/answer/tests.rs
@@ -5,7 +5,9 @@
 #[test]
 fn response_is_read_to_its_end_for_each_framing() {
     let whole = |text: &str| match read(text.as_bytes(), 0) {
-        Progress::Whole(status, advice, size, keep) => (status, advice, size == text.len(), keep),
+        Progress::Complete(status, advice, size, keep) => {
+            (status, advice, size == text.len(), keep)
+        }
         other => panic!("{text}: {other:?}"),
     };
     assert_eq!(
@@ -43,7 +45,7 @@
         assert!(
             !matches!(
                 read(&chunks.as_bytes()[..cut], 0),
-                Progress::Whole(..) | Progress::Malformed
+                Progress::Complete(..) | Progress::Malformed
             ),
             "{cut}"
         );
--- a/src/front/webhook/inbound.rs
+++ b/src/front/webhook/inbound.rs
@@ -4,11 +4,11 @@
 use serde::Deserialize;
 use sha2::{Digest, Sha256};
 
-use super::replay::{mark, Replays, Seen};
+use super::replay::{identity_digest, RecordResult, ReplayStore};
 use super::signature;
 use crate::api::{Arrival, Class, ClassId, Effect, FunctionId, Micros, RequestId};
 use crate::core::Call;
-use crate::front::http::{plain, Bad, Request};
+use crate::front::http::{request_error, Request, RequestError};
 use crate::front::platform::hex16;
 use crate::names::Names;
 use crate::store::records::IdentityDigest;
@@ -48,7 +48,7 @@
 
 /// An accepted call's data for its callback.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct CallContext {
     /// The tenant's name.
     pub tenant: String,
     /// Distinguishes tenants that have had the same name.
@@ -62,12 +62,12 @@
     /// The function.
     pub function: FunctionId,
     /// The order key: callbacks with the same key are delivered in order.
-    pub order: Option<String>,
+    pub order_key: Option<String>,
 }
 
 /// Checks incoming webhooks.
 #[derive(Debug)]
-pub struct Inbound {
+pub struct WebhookVerifier {
     /// The largest accepted difference between a time stamp and this clock, in seconds.
     pub tolerance_s: u64,
     /// The start time of this process if the identities accepted before it are unknown: the
@@ -75,16 +75,16 @@
     pub started: Option<Micros>,
     /// Identities valid until this time may have been forgotten. Webhooks with such time stamps are
     /// rejected, as they would be accepted a second time after the clock stepped back.
-    pub forgotten: Micros,
+    pub forgotten_until: Micros,
     /// The identities already accepted.
-    pub replays: Replays,
+    pub replays: ReplayStore,
     /// Seed for the identities sent to workers; differs per gateway and per start.
     pub seed: u64,
     /// The decision module's classes, indexed by class id.
     pub classes: Vec<Class>,
 }
 
-impl Inbound {
+impl WebhookVerifier {
     /// Verifies a request and returns its call, the digest of its identity and the time until which
     /// the identity is remembered. The signature is checked first, so that an unsigned request
     /// learns nothing and takes no room in the replay store.
@@ -94,27 +94,30 @@
         tenants: &Registry,
         names: &Names,
         now: Micros,
-    ) -> Result<(Call<Job>, IdentityDigest, Micros), Bad> {
+    ) -> Result<(Call<CallContext>, IdentityDigest, Micros), RequestError> {
         let name = r
             .path
             .strip_prefix("/webhooks/")
-            .ok_or(plain(404, "no such path"))?;
+            .ok_or(request_error(404, "no such path"))?;
         if r.method != "POST" {
-            return Err(plain(405, "a webhook is a POST"));
+            return Err(request_error(405, "a webhook is a POST"));
         }
         let (tenant, id, stamp) = self.verify(r, name, tenants, now)?;
         let call = self.parse_call(r.body, (name, tenant), id, names, now)?;
         if !tenant.wants(COMPLETED) {
-            return Err(plain(422, "the tenant has no portal for the answer"));
+            return Err(request_error(
+                422,
+                "the tenant has no portal for the answer",
+            ));
         }
         let until = (stamp + self.tolerance_s + 1) * 1_000_000;
-        if until <= self.forgotten {
-            return Err(plain(401, "time stamp refused"));
+        if until <= self.forgotten_until {
+            return Err(request_error(401, "time stamp refused"));
         }
         match self.replays.take(name, id, now, until) {
-            Seen::New => Ok((call, mark(name, id), until)),
-            Seen::Before => Err(plain(409, "already taken")),
-            Seen::Full => Err(plain(503, "too many calls remembered")),
+            RecordResult::New => Ok((call, identity_digest(name, id), until)),
+            RecordResult::Before => Err(request_error(409, "already taken")),
+            RecordResult::Full => Err(request_error(503, "too many calls remembered")),
         }
     }
 
@@ -126,8 +129,8 @@
         name: &str,
         tenants: &'t Registry,
         now: Micros,
-    ) -> Result<(&'t Tenant, &'a str, u64), Bad> {
-        let refused = plain(401, "signature refused");
+    ) -> Result<(&'t Tenant, &'a str, u64), RequestError> {
+        let refused = request_error(401, "signature refused");
         let tenant = tenants.get(name).ok_or(refused)?;
         // Full stops separate the signed parts; one inside an identity would make them ambiguous.
         let id = r
@@ -145,11 +148,11 @@
         let seconds = now / 1_000_000;
         let started = self.started.map(|t| t / 1_000_000);
         if stamp.abs_diff(seconds) > self.tolerance_s || started.is_some_and(|s| stamp < s) {
-            return Err(plain(401, "time stamp refused"));
+            return Err(request_error(401, "time stamp refused"));
         }
         // Time stamps are whole seconds: the previous process may have accepted this webhook.
         if started == Some(stamp) {
-            return Err(plain(503, "just started"));
+            return Err(request_error(503, "just started"));
         }
         Ok((tenant, id, stamp))
     }
@@ -157,22 +160,22 @@
     /// Verifies a signed query for a call's state, `GET /webhooks/TENANT/calls/ID`, whose
     /// `webhook-id` must equal the call's. Returns the tenant's serial and the call's identity. The
     /// query is read-only, so its identity is not recorded against replays.
-    pub fn ask<'a>(
+    pub fn verify_state_query<'a>(
         &self,
         r: &Request<'a>,
         tenants: &Registry,
         now: Micros,
-    ) -> Result<(u64, &'a str), Bad> {
+    ) -> Result<(u64, &'a str), RequestError> {
         let rest = r
             .path
             .strip_prefix("/webhooks/")
-            .ok_or(plain(404, "no such path"))?;
+            .ok_or(request_error(404, "no such path"))?;
         let (name, call) = rest
             .split_once("/calls/")
-            .ok_or(plain(404, "no such path"))?;
+            .ok_or(request_error(404, "no such path"))?;
         let (tenant, id, _) = self.verify(r, name, tenants, now)?;
         if id != call || !r.body.is_empty() {
-            return Err(plain(401, "signature refused"));
+            return Err(request_error(401, "signature refused"));
         }
         Ok((tenant.serial, id))
     }
@@ -184,21 +187,22 @@
         webhook_id: &str,
         names: &Names,
         now: Micros,
-    ) -> Result<Call<Job>, Bad> {
-        let event: Event =
-            serde_json::from_slice(body).map_err(|_| plain(400, "body is not a call event"))?;
+    ) -> Result<Call<CallContext>, RequestError> {
+        let event: Event = serde_json::from_slice(body)
+            .map_err(|_| request_error(400, "body is not a call event"))?;
         if event.kind != REQUESTED {
-            return Err(plain(422, "unknown type of event"));
+            return Err(request_error(422, "unknown type of event"));
         }
         let d = event.data;
         let class_index =
-            Names::index_of(&names.classes, &d.class).ok_or(plain(422, "unknown class"))?;
+            Names::index_of(&names.classes, &d.class).ok_or(request_error(422, "unknown class"))?;
         let class = self
             .classes
             .get(class_index)
-            .ok_or(plain(422, "unknown class"))?;
-        let function =
-            FunctionId(hex16(&d.function).ok_or(plain(422, "a function is 16 hex digits"))?);
+            .ok_or(request_error(422, "unknown class"))?;
+        let function = FunctionId(
+            hex16(&d.function).ok_or(request_error(422, "a function is 16 hex digits"))?,
+        );
         let in_range = |ms: &f64| ms.is_finite() && *ms > 0.0 && *ms <= 600_000.0;
         if ![d.deadline_ms, d.estimate_ms, d.load_ms]
             .iter()
@@ -207,24 +211,24 @@
             || d.memory_mb.is_nan()
             || d.memory_mb < 0.0
         {
-            return Err(plain(422, "a figure is out of bounds"));
+            return Err(request_error(422, "a figure is out of bounds"));
         }
         let micros = |ms: f64| (ms * 1e3) as Micros;
         let payload = BASE64_STANDARD
             .decode(&d.payload)
-            .map_err(|_| plain(422, "payload is not base64"))?;
+            .map_err(|_| request_error(422, "payload is not base64"))?;
         let deadline = d
             .deadline_ms
             .map_or(class.deadline, micros)
             .min(class.deadline);
-        let job = Job {
+        let job = CallContext {
             tenant: name.to_owned(),
             serial: tenant.serial,
             webhook_id: webhook_id.to_owned(),
             class: d.class,
             effect: class.effect,
             function,
-            order: d
+            order_key: d
                 .order_key
                 .filter(|k| !k.is_empty() && k.len() <= MAX_ID_BYTES),
         };
--- a/src/front/webhook/inbound/fixture_tests.rs
+++ b/src/front/webhook/inbound/fixture_tests.rs
@@ -2,17 +2,17 @@
 //!
 //! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` rewrites the file.
 
-use super::Inbound;
+use super::WebhookVerifier;
 use crate::fixtures::check_lines;
-use crate::front::webhook::replay::Replays;
+use crate::front::webhook::replay::ReplayStore;
 
 #[test]
 fn worker_identity_matches_its_recorded_value() {
-    let inbound = Inbound {
+    let inbound = WebhookVerifier {
         tolerance_s: 300,
         started: None,
-        forgotten: 0,
-        replays: Replays::new(1),
+        forgotten_until: 0,
+        replays: ReplayStore::new(1),
         seed: 0x5eed,
         classes: Vec::new(),
     };
--- a/src/front/webhook/message.rs
+++ b/src/front/webhook/message.rs
@@ -5,7 +5,7 @@
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-use super::inbound::Job;
+use super::inbound::CallContext;
 use super::signature;
 use crate::api::Micros;
 use crate::core::Answer;
@@ -52,7 +52,7 @@
 }
 
 /// The data of the event `call.completed`.
-pub fn completed(job: &Job, outcome: &Outcome) -> Value {
+pub fn completed(job: &CallContext, outcome: &Outcome) -> Value {
     let mut data = json!({
         "call": job.webhook_id,
         "class": job.class,
--- a/src/front/webhook/replay.rs
+++ b/src/front/webhook/replay.rs
@@ -41,7 +41,7 @@
 }
 
 /// The digest of a tenant's `webhook-id`.
-pub fn mark(tenant: &str, id: &str) -> IdentityDigest {
+pub fn identity_digest(tenant: &str, id: &str) -> IdentityDigest {
     let mut hash = Sha256::new();
     hash.update((tenant.len() as u64).to_le_bytes());
     hash.update(tenant);
@@ -51,7 +51,7 @@
 
 /// The result of recording an identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum RecordResult {
     /// The identity is new and now recorded.
     New,
     /// The identity was recorded before.
@@ -62,17 +62,17 @@
 
 /// Identities of accepted calls, kept as long as their time stamps are accepted.
 #[derive(Debug)]
-pub struct Replays {
+pub struct ReplayStore {
     capacity: usize,
     until: BTreeMap<IdentityDigest, Micros>,
     order: BTreeSet<(Micros, IdentityDigest)>,
     kept: Option<ReplayFile>,
 }
 
-impl Replays {
+impl ReplayStore {
     /// Creates a store in memory for at most `capacity` identities.
-    pub fn new(capacity: usize) -> Replays {
-        Replays {
+    pub fn new(capacity: usize) -> ReplayStore {
+        ReplayStore {
             capacity,
             until: BTreeMap::new(),
             order: BTreeSet::new(),
@@ -82,8 +82,8 @@
 
     /// Opens a store in a file and loads the identities that are still valid. A line truncated by a
     /// kill is skipped: its call was never answered with 202.
-    pub fn open(path: &Path, capacity: usize, now: Micros) -> io::Result<Replays> {
-        let mut store = Replays::new(capacity);
+    pub fn open(path: &Path, capacity: usize, now: Micros) -> io::Result<ReplayStore> {
+        let mut store = ReplayStore::new(capacity);
         let text = match std::fs::read_to_string(path) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => String::new(),
             text => text?,
@@ -149,17 +149,17 @@
 
     /// Records an identity of a tenant until `until`. A valid identity is never dropped for a newer
     /// one, so a flood of calls cannot make the store forget.
-    pub fn take(&mut self, tenant: &str, id: &str, now: Micros, until: Micros) -> Seen {
+    pub fn take(&mut self, tenant: &str, id: &str, now: Micros, until: Micros) -> RecordResult {
         while let Some(&(t, mark)) = self.order.first().filter(|(t, _)| *t < now) {
             self.order.remove(&(t, mark));
             self.until.remove(&mark);
         }
-        let mark = mark(tenant, id);
+        let mark = identity_digest(tenant, id);
         if self.until.contains_key(&mark) {
-            return Seen::Before;
+            return RecordResult::Before;
         }
         if self.until.len() >= self.capacity {
-            return Seen::Full;
+            return RecordResult::Full;
         }
         // Inserted before the write, as `append` may rewrite the file from the maps.
         self.until.insert(mark, until);
@@ -167,9 +167,9 @@
         if self.append(until, &mark).is_err() {
             self.until.remove(&mark);
             self.order.remove(&(until, mark));
-            return Seen::Full;
+            return RecordResult::Full;
         }
-        Seen::New
+        RecordResult::New
     }
 }
 
--- a/src/gateway/admin_api.rs
+++ b/src/gateway/admin_api.rs
@@ -3,19 +3,19 @@
 use std::path::PathBuf;
 
 use super::{tenants, ConnKey, Gateway, GatewayDeadline, GatewayError, ListenerKind};
-use crate::admin::idempotency::{Keys, Known};
-use crate::admin::{self, Change, Context, Done, Handled};
+use crate::admin::idempotency::{KeyState, Keys};
+use crate::admin::{self, AdminResponse, Change, Context, HandleResult};
 use crate::api::Micros;
 use crate::config::Admin;
-use crate::front::http::{self, plain, Bad};
-use crate::identity::Gate;
+use crate::front::http::{self, request_error, RequestError};
+use crate::identity::TokenVerifier;
 use crate::store::{error::StoreError, operations::Reply};
 use crate::tenancy::Registry;
 
 /// The administration API, while it is on.
 #[derive(Debug)]
 pub(super) struct AdminApi {
-    gate: Gate,
+    gate: TokenVerifier,
     /// The file of the trust bundle.
     bundle: PathBuf,
     /// How often the trust bundle is read again.
@@ -48,7 +48,7 @@
 impl Gateway {
     /// Sets up the administration API.
     pub(super) fn set_up_admin(&mut self, now: Micros, config: Admin) -> Result<(), GatewayError> {
-        let gate = Gate::new(&config.trust_domain, &config.audience, config.roles())
+        let gate = TokenVerifier::new(&config.trust_domain, &config.audience, config.roles())
             .map_err(GatewayError::Identity)?;
         self.secondary.admin = Some(AdminApi {
             gate,
@@ -114,9 +114,13 @@
         }
     }
 
-    fn admit_caller(&self, request: &http::Request<'_>, now: Micros) -> Result<String, Bad> {
+    fn admit_caller(
+        &self,
+        request: &http::Request<'_>,
+        now: Micros,
+    ) -> Result<String, RequestError> {
         let Some(admin) = &self.secondary.admin else {
-            return Err(plain(404, "off"));
+            return Err(request_error(404, "off"));
         };
         admin::admit(request, &admin.gate, now)
     }
@@ -141,24 +145,24 @@
         &mut self,
         admitted: &AdmittedRequest<'_>,
         contents: &[u8],
-    ) -> Result<Option<Vec<u8>>, Bad> {
+    ) -> Result<Option<Vec<u8>>, RequestError> {
         let Some(key) = &admitted.key else {
             return Ok(None);
         };
         if !Keys::usable(key) {
-            return Err(plain(422, "an Idempotency-Key is 1 to 128 bytes"));
+            return Err(request_error(422, "an Idempotency-Key is 1 to 128 bytes"));
         }
         let Some(admin) = &mut self.secondary.admin else {
-            return Err(plain(404, "off"));
+            return Err(request_error(404, "off"));
         };
         match admin
             .idempotency_keys
             .begin(&admitted.caller, key, contents, admitted.now)
         {
-            Known::New => {}
-            Known::Answered(response) => return Ok(Some(response)),
-            Known::Conflict => {
-                return Err(plain(
+            KeyState::New => {}
+            KeyState::Answered(response) => return Ok(Some(response)),
+            KeyState::Conflict => {
+                return Err(request_error(
                     409,
                     "the Idempotency-Key is in use for another request",
                 ))
@@ -179,14 +183,14 @@
     fn handle_admitted(&mut self, admitted: &AdmittedRequest<'_>) -> Option<Vec<u8>> {
         let tenants_before = self.secondary.tenants.clone();
         let mut handled = match self.handle_admin_request(admitted) {
-            Ok(Done::Ask(operation)) => {
+            Ok(HandleResult::StoreRequest(operation)) => {
                 let key = admitted.caller_and_key();
                 match self.submit_admin_request(admitted.connection, operation, key) {
                     Ok(()) => return None,
                     Err(bad) => Err(bad),
                 }
             }
-            Ok(Done::Now(handled)) => Ok(handled),
+            Ok(HandleResult::Now(handled)) => Ok(handled),
             Err(bad) => Err(bad),
         };
         let changes = handled
@@ -205,7 +209,10 @@
         Some(response)
     }
 
-    fn handle_admin_request(&mut self, admitted: &AdmittedRequest<'_>) -> Result<Done, Bad> {
+    fn handle_admin_request(
+        &mut self,
+        admitted: &AdmittedRequest<'_>,
+    ) -> Result<HandleResult, RequestError> {
         let fleet = match admitted.request.path {
             "/v1/peers" => self.gossip_view(admitted.now),
             "/v1/council" | "/v1/council/voters" => self.consensus_view(),
@@ -218,7 +225,7 @@
             tenants: &mut self.secondary.tenants,
             counters: &self.core.counters,
             health: &health,
-            fleet,
+            subsystem_view: fleet,
             now: admitted.now,
         };
         admin::handle(admitted.request, &admitted.caller, &mut context)
@@ -229,7 +236,7 @@
         &mut self,
         admitted: &AdmittedRequest<'_>,
         tenants_before: Registry,
-        handled: Handled,
+        handled: AdminResponse,
         changes: Vec<Change>,
     ) {
         let Some(tenant) = admin::tenant_of(admitted.request.path) else {
@@ -258,15 +265,15 @@
         &mut self,
         admitted: &AdmittedRequest<'_>,
         tenants_before: Registry,
-        handled: Result<Handled, Bad>,
+        handled: Result<AdminResponse, RequestError>,
         changes: Vec<Change>,
-    ) -> Result<Handled, Bad> {
+    ) -> Result<AdminResponse, RequestError> {
         if changes.is_empty() {
             return handled;
         }
         if !self.persist_tenants() {
             self.secondary.tenants = tenants_before;
-            return Err(plain(500, "the change could not be kept"));
+            return Err(request_error(500, "the change could not be kept"));
         }
         tracing::info!(
             caller = admitted.caller,
@@ -319,7 +326,7 @@
     /// Applies a change that follows from an administrator's request.
     pub(super) fn apply_change(&mut self, now: Micros, change: Change) {
         match change {
-            Change::Share(tenant, per_s) => self.core.set_tenant_quota(now, tenant, per_s),
+            Change::QuotaChanged(tenant, per_s) => self.core.set_tenant_quota(now, tenant, per_s),
             Change::Endpoints(tenant) => self.update_delivery_endpoints(now, &tenant),
             Change::Voters { joins, leaves } => self.exchange_voters(now, joins, leaves),
             Change::Removed(ids) => self.remove_delivery_endpoints(now, &ids),
@@ -342,7 +349,7 @@
 }
 
 /// Whether a request with the same idempotency key gets the same response from now on.
-fn is_final(handled: &Result<Handled, Bad>) -> bool {
+fn is_final(handled: &Result<AdminResponse, RequestError>) -> bool {
     match handled {
         Ok(_) => true,
         Err(bad) => bad.status < 500,
--- a/src/gateway/clients.rs
+++ b/src/gateway/clients.rs
@@ -5,7 +5,7 @@
 use crate::completion::CloseReason;
 use crate::core::{Answer, Call};
 use crate::front::http::{self, READ_LIMIT};
-use crate::front::platform::{self, Ask};
+use crate::front::platform::{self, ClientRequest};
 use crate::net::UNTAGGED_FRAME;
 
 /// A client's connection without a pending request is closed after this time. The platform's
@@ -66,12 +66,13 @@
         if pending.is_some() || connection.closing || connection.pause_if_backlogged() {
             return ReadProgress::Stop;
         }
-        let taken = match platform::take(connection.input.bytes(), &self.config.names, now) {
+        let taken = match platform::parse_request(connection.input.bytes(), &self.config.names, now)
+        {
             Ok(Some(taken)) => taken,
             Ok(None) => return self.await_rest_of_request(key, now),
             Err(bad) => {
                 self.core.counters.bad_requests += 1;
-                let response = platform::turn_away(&bad, false);
+                let response = platform::encode_error(&bad, false);
                 connection.outbox.push(UNTAGGED_FRAME, response);
                 connection.closing = true;
                 connection.linger = true;
@@ -84,11 +85,16 @@
         connection.idle_since = now;
         // The request is complete: the time for the next request starts again.
         self.set_deadline(key, Some(now + CLIENT_IDLE_TIMEOUT));
-        let keep_open = taken.keep && self.ops.lifecycle.keeps_alive(now);
+        let keep_open = taken.keep_alive && self.ops.lifecycle.keeps_alive(now);
         if let Some((_, Role::Client { keep_alive, .. })) = self.connections.get_mut(key) {
             *keep_alive = keep_open;
         }
-        self.handle_client_request(key, now, taken.ask, AfterResponse::keep_open_if(keep_open))
+        self.handle_client_request(
+            key,
+            now,
+            taken.request,
+            AfterResponse::keep_open_if(keep_open),
+        )
     }
 
     /// Reads the rest of a partial request, or waits for it.
@@ -119,19 +125,19 @@
         &mut self,
         key: ConnKey,
         now: Micros,
-        request: Result<Ask, http::Bad>,
+        request: Result<ClientRequest, http::RequestError>,
         after: AfterResponse,
     ) -> ReadProgress {
         let keep_open = after.keeps_open();
         let response = match request {
-            Ok(Ask::Call(call)) => match self.reject_client_call(&call, after) {
+            Ok(ClientRequest::Call(call)) => match self.reject_client_call(&call, after) {
                 Some(response) => response,
                 None => {
                     self.submit_client_call(key, now, call);
                     return ReadProgress::Stop;
                 }
             },
-            Ok(Ask::Ping) => {
+            Ok(ClientRequest::Ping) => {
                 let draining = self.ops.lifecycle.is_draining();
                 let status = if draining || !self.core.knows_workers(now) {
                     503
@@ -142,7 +148,7 @@
             }
             Err(bad) => {
                 self.core.counters.bad_requests += 1;
-                platform::turn_away(&bad, keep_open)
+                platform::encode_error(&bad, keep_open)
             }
         };
         self.respond_to_client(key, response, after);
@@ -152,7 +158,7 @@
     /// Returns the response to a call that is rejected before the decision module sees it; `None`
     /// if the call is to be submitted.
     fn reject_client_call(&mut self, call: &Call<()>, after: AfterResponse) -> Option<Vec<u8>> {
-        if self.core.pending_requests() >= self.config.most_held {
+        if self.core.pending_requests() >= self.config.max_pending_requests {
             // The platform does the same beyond `mostHeld`.
             self.core.count_rejected(call.arrival.class);
             let answer = Answer::Rejected {
@@ -162,8 +168,8 @@
         }
         if self.core.is_open(&call.identity) {
             self.core.counters.bad_requests += 1;
-            let bad = http::plain(409, "X-Correlation-Id of an open request");
-            return Some(platform::turn_away(&bad, after.keeps_open()));
+            let bad = http::request_error(409, "X-Correlation-Id of an open request");
+            return Some(platform::encode_error(&bad, after.keeps_open()));
         }
         None
     }
@@ -269,7 +275,7 @@
         if !connection.input.bytes().is_empty() && connection.outbox.is_empty() {
             connection.outbox.push(
                 UNTAGGED_FRAME,
-                platform::turn_away(&platform::too_slow(), false),
+                platform::encode_error(&platform::request_timeout(), false),
             );
             // The connection is closed even if the response cannot be written.
             let _ = connection.flush();
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -126,7 +126,7 @@
         let read = connection.read(limit);
         if !was_connected {
             let next = match role {
-                Role::Worker(_) => now + worker_idle_timeout(self.config.conn_idle),
+                Role::Worker(_) => now + worker_idle_timeout(self.config.connection_idle_timeout),
                 Role::Portal(_) => connection.deadline.unwrap_or(now),
                 Role::Peer(_) => now + consensus::PEER_SILENCE_TIMEOUT,
                 _ => now + DISCOVERY_SILENCE_TIMEOUT,
@@ -243,7 +243,7 @@
 
     /// Handles the deadline of a connection by its role.
     pub(super) fn on_deadline(&mut self, now: Micros, key: ConnKey) {
-        let idle_timeout = worker_idle_timeout(self.config.conn_idle);
+        let idle_timeout = worker_idle_timeout(self.config.connection_idle_timeout);
         let Some((connection, role)) = self.connections.get_mut(key) else {
             return;
         };
--- a/src/gateway/endpoint_updates.rs
+++ b/src/gateway/endpoint_updates.rs
@@ -15,7 +15,7 @@
 impl Gateway {
     /// Connects to service discovery, if one is configured and no connection to it exists.
     pub(super) fn connect_discovery(&mut self, now: Micros) {
-        let Some(address) = self.config.board else {
+        let Some(address) = self.config.discovery_address else {
             return;
         };
         if self
--- a/src/gateway/hot_restart.rs
+++ b/src/gateway/hot_restart.rs
@@ -368,7 +368,8 @@
         if self.ops.lifecycle.has_started() {
             return;
         }
-        let discovery_known = self.config.board.is_none() || hot_restart.discovery_answered;
+        let discovery_known =
+            self.config.discovery_address.is_none() || hot_restart.discovery_answered;
         if discovery_known
             && self.discovery.last_revision >= hot_restart.siblings.latest_list_revision()
             || now >= hot_restart.started_at + DISCOVERY_START_TIMEOUT
--- a/src/gateway/operations.rs
+++ b/src/gateway/operations.rs
@@ -195,11 +195,12 @@
         else {
             return;
         };
-        let bytes = match operator_console::take(connection.input.bytes(), connection.peer_closed) {
-            Ok(None) => return,
-            Ok(Some(request)) => self.answer_console(now, request),
-            Err(e) => operator_console::answer(false, e),
-        };
+        let bytes =
+            match operator_console::parse_line(connection.input.bytes(), connection.peer_closed) {
+                Ok(None) => return,
+                Ok(Some(request)) => self.answer_console(now, request),
+                Err(e) => operator_console::answer(false, e),
+            };
         self.set_deadline(key, Some(now + LINGER_TIMEOUT));
         let Some((connection, _)) = self.connections.get_mut(key) else {
             return;
@@ -310,7 +311,7 @@
     }
 
     fn gauges(&self) -> Gauges {
-        let members = self.ops.overrides.listed();
+        let members = self.ops.overrides.listed_count();
         Gauges {
             pending: self.core.pending_requests(),
             members,
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -8,28 +8,28 @@
     /// calls depend on (names, limits, the decision module's settings) stay until a restart; a file
     /// that changes them is logged.
     pub(super) fn reload(&mut self) {
-        let reloaded = match self.config.again() {
+        let reloaded = match self.config.reload() {
             Ok(reloaded) => reloaded,
             Err(error) => return tracing::error!(%error, "the settings stay as they are"),
         };
         let now = self.clock.now();
         self.reload_gossip(now);
         self.reload_consensus();
-        if self.config.fixed() != reloaded.fixed() {
+        if self.config.restart_only_values() != reloaded.restart_only_values() {
             tracing::warn!(
                 "only the notice board address is reloaded; other changes need a restart"
             );
         }
-        for update in &reloaded.known {
+        for update in &reloaded.initial_updates {
             // If an update in between was missed, service discovery is asked to send it.
             if !self.apply_watch_event(now, update) {
                 break;
             }
         }
-        self.config.board = reloaded.board;
+        self.config.discovery_address = reloaded.discovery_address;
         self.reopen_discovery(now);
         let address = reloaded
-            .board
+            .discovery_address
             .map_or("none".to_owned(), |address| address.to_string());
         tracing::info!(discovery = %address, "the configuration was read anew");
     }
--- a/src/gateway/replication/requests.rs
+++ b/src/gateway/replication/requests.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::Micros;
-use crate::front::http::plain;
+use crate::front::http::request_error;
 use crate::gateway::webhooks::{Caller, IncomingCall, MAX_IDENTITIES};
 use crate::gateway::{ConnKey, Gateway};
 use crate::replication::error::ReplicationError;
@@ -196,7 +196,7 @@
                     RequestOutcome::Content(bytes) => {
                         Ok(postcard::from_bytes(&bytes).unwrap_or_default())
                     }
-                    _ => Err(plain(503, "nobody who knows of the call answered")),
+                    _ => Err(request_error(503, "nobody who knows of the call answered")),
                 };
                 self.answer_state(now, conn, &id, state);
             }
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -150,7 +150,7 @@
         request: &http::Request<'_>,
         now: Micros,
     ) -> HandledRequest {
-        let keep_open = request.keep && self.ops.lifecycle.keeps_alive(now);
+        let keep_open = request.keep_alive && self.ops.lifecycle.keeps_alive(now);
         if let Some((_, Role::Client { keep_alive, .. })) = self.connections.get_mut(key) {
             *keep_alive = keep_open;
         }
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -42,7 +42,7 @@
             clock,
             core: Core::new(config.settings.clone(), config.seed, now),
             discovery: DiscoveryState {
-                last_revision: config.known_rev,
+                last_revision: config.initial_revision,
                 ..DiscoveryState::default()
             },
             config,
@@ -113,7 +113,7 @@
     /// Applies the configured list of workers; returns the workers that are ready.
     fn apply_known_events(&mut self, now: Micros) -> BTreeSet<WorkerId> {
         let mut workers: BTreeMap<WorkerId, WorkerEntry> = BTreeMap::new();
-        for event in &self.config.known {
+        for event in &self.config.initial_updates {
             if event.snapshot {
                 workers.clear();
             }
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-use crate::admin::{self, Change, Handled};
+use crate::admin::{self, AdminResponse, Change};
 use crate::api::Micros;
 use crate::consensus::participant::Input as ConsensusInput;
 use crate::consensus::state::SubsystemEntry;
 use crate::delivery::EndpointId;
-use crate::front::http::{plain, Bad};
+use crate::front::http::{request_error, RequestError};
 use crate::gateway::consensus::uptime;
 use crate::gateway::history::History;
 use crate::gateway::{ConnKey, Gateway, GatewayDeadline};
@@ -33,7 +33,7 @@
     /// request.
     pub(super) key: Option<(String, [u8; 32], [u8; 32])>,
     /// The response once the change is agreed on.
-    pub(super) handled: Handled,
+    pub(super) handled: AdminResponse,
     /// The changes that follow once the change is agreed on.
     pub(super) changes: Vec<Change>,
 }
@@ -154,7 +154,7 @@
         &self,
         key: &[u8; 32],
         request: &[u8; 32],
-    ) -> Option<Result<Vec<u8>, Bad>> {
+    ) -> Option<Result<Vec<u8>, RequestError>> {
         let answer = self
             .cluster
             .tenants
@@ -162,7 +162,7 @@
             .changes
             .agreed()
             .answer(key)?;
-        let conflict = plain(409, "the Idempotency-Key is in use for another request");
+        let conflict = request_error(409, "the Idempotency-Key is in use for another request");
         Some(if answer.request == *request {
             Ok(answer.bytes.clone())
         } else {
--- a/src/gateway/webhooks.rs
+++ b/src/gateway/webhooks.rs
@@ -1,5 +1,5 @@
 //! Driver of the secondary front: passes calls to the store and the core, and callbacks to portals.
-//! The decisions are made elsewhere: [`Inbound`] admits calls, the store persists them, and
+//! The decisions are made elsewhere: [`WebhookVerifier`] admits calls, the store persists them, and
 //! [`Delivery`] schedules callbacks.
 
 use std::collections::HashMap;
@@ -22,11 +22,11 @@
 use crate::delivery::response::{DeadLetterReason, DeliveryReport, MessageState};
 use crate::delivery::schedule::Schedule;
 use crate::delivery::{Delivery, EndpointId, Input, Limits, Output, PendingMessage, Seq};
-use crate::front::http::{self, plain, Bad};
+use crate::front::http::{self, request_error, RequestError};
 use crate::front::webhook::answer::{self, Progress};
-use crate::front::webhook::inbound::{Inbound, Job};
+use crate::front::webhook::inbound::{CallContext, WebhookVerifier};
 use crate::front::webhook::message::{self, Outcome};
-use crate::front::webhook::replay::{self, Replays};
+use crate::front::webhook::replay::{self, ReplayStore};
 use crate::net::UNTAGGED_FRAME;
 use crate::replication::error::ReplicationError;
 use crate::replication::wire::RequestOutcome;
@@ -116,7 +116,7 @@
 #[derive(Debug)]
 struct OpenCall {
     seq: Seq,
-    job: Job,
+    job: CallContext,
     /// The identity that workers are told.
     id: Rc<str>,
     /// The call in the core, while it runs.
@@ -144,7 +144,7 @@
     /// Persists an accepted call.
     AcceptCall {
         caller: Caller,
-        call: Box<Call<Job>>,
+        call: Box<Call<CallContext>>,
         seq: Seq,
         identity_digest: IdentityDigest,
     },
@@ -203,7 +203,7 @@
 /// State of webhooks while they are enabled.
 #[derive(Debug)]
 pub(super) struct WebhookDriver {
-    inbound: Inbound,
+    inbound: WebhookVerifier,
     delivery: Delivery,
     jobs: SlotMap<OpenCallKey, OpenCall>,
     backend: Backend,
@@ -333,20 +333,20 @@
     }
 }
 
-fn job_of(call: &CallRecord) -> Job {
-    Job {
+fn job_of(call: &CallRecord) -> CallContext {
+    CallContext {
         tenant: call.tenant.clone(),
         serial: call.serial,
         webhook_id: call.webhook_id.clone(),
         class: call.class.clone(),
         effect: call.effect,
         function: FunctionId(call.function),
-        order: call.order.clone(),
+        order_key: call.order.clone(),
     }
 }
 
 fn order_key_hash(key: &str) -> u64 {
-    let digest = replay::mark("", key);
+    let digest = replay::identity_digest("", key);
     digest.iter().take(8).fold(0, |n, b| n << 8 | u64::from(*b))
 }
 
@@ -374,13 +374,18 @@
 }
 
 /// Returns the response to a refused request.
-pub(super) fn refuse(bad: &Bad, stays: bool) -> Vec<u8> {
+pub(super) fn refuse(bad: &RequestError, stays: bool) -> Vec<u8> {
     let extra = if bad.status == 503 {
         "Content-Type: text/plain\r\nRetry-After: 1\r\n"
     } else {
         "Content-Type: text/plain\r\n"
     };
-    http::response(bad.status, extra, bad.why.as_bytes(), stays && !bad.fatal)
+    http::response(
+        bad.status,
+        extra,
+        bad.reason.as_bytes(),
+        stays && !bad.fatal,
+    )
 }
 
 impl Gateway {
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -1,12 +1,12 @@
 //! Calls: acceptance, execution and final answer.
 
 use super::{
-    fault_injection_point, http, message, new_message, order_key_hash, plain, refuse, replay,
-    AcceptCall, AtMostOnceCall, AttemptDispatch, AttemptKey, Call, CallRecord, Caller, CloseReason,
-    CompleteCall, Completed, ConnKey, Effect, Exchange, Gateway, IdentityDigest, Job, Micros, Op,
-    OpenCall, OpenCallKey, Origin, Outcome, PendingStoreOp, PrimaryRequest, ReplicationError,
-    Reply, RequestOrigin, RequestOutcome, SendProgress, Seq, StoreError, UnrecordedAttempt,
-    COMPLETED, MAX_PENDING_STORE_OPS, MAX_RECORD_WAIT,
+    fault_injection_point, http, message, new_message, order_key_hash, refuse, replay,
+    request_error, AcceptCall, AtMostOnceCall, AttemptDispatch, AttemptKey, Call, CallContext,
+    CallRecord, Caller, CloseReason, CompleteCall, Completed, ConnKey, Effect, Exchange, Gateway,
+    IdentityDigest, Micros, Op, OpenCall, OpenCallKey, Origin, Outcome, PendingStoreOp,
+    PrimaryRequest, ReplicationError, Reply, RequestOrigin, RequestOutcome, SendProgress, Seq,
+    StoreError, UnrecordedAttempt, COMPLETED, MAX_PENDING_STORE_OPS, MAX_RECORD_WAIT,
 };
 
 impl Gateway {
@@ -21,22 +21,23 @@
         if let Err(why) = self.knows_tenants() {
             tracing::debug!(remedy = why.remedy(), "{why}");
             return Some(refuse(
-                &plain(503, "it is not known yet what is agreed of tenants"),
+                &request_error(503, "it is not known yet what is agreed of tenants"),
                 stays,
             ));
         }
         let tenants = &self.secondary.tenants;
         let Some(hooks) = &mut self.secondary.webhooks else {
-            return Some(refuse(&plain(404, "off"), stays));
+            return Some(refuse(&request_error(404, "off"), stays));
         };
         if r.method == "GET" {
-            return match hooks.inbound.ask(r, tenants, now) {
+            return match hooks.inbound.verify_state_query(r, tenants, now) {
                 Ok((serial, id)) if self.cluster.replication.is_some() => {
                     let tenant = r
                         .path
                         .strip_prefix("/webhooks/")
                         .and_then(|p| p.split_once('/'));
-                    let identity_digest = replay::mark(tenant.map_or("", |(t, _)| t), id);
+                    let identity_digest =
+                        replay::identity_digest(tenant.map_or("", |(t, _)| t), id);
                     let (id, shard) = (
                         id.to_owned(),
                         self.cluster
@@ -71,14 +72,14 @@
                 .saturating_sub(MAX_PENDING_STORE_OPS)
             >= hooks.pending;
         let admitted = if full || hooks.pending_store_ops.len() >= MAX_PENDING_STORE_OPS {
-            Err(plain(503, "too many calls under way"))
+            Err(request_error(503, "too many calls under way"))
         } else {
             hooks.inbound.take(r, tenants, &self.config.names, now)
         };
         match admitted {
             // Answers on workers' connections are distinguished by identity alone.
             Ok((call, ..)) if self.core.is_open(&call.identity) => {
-                Some(refuse(&plain(409, "already taken"), stays))
+                Some(refuse(&request_error(409, "already taken"), stays))
             }
             Ok((call, identity_digest, until)) => {
                 let (seq, job, a) = (hooks.seq(), &call.origin, &call.arrival);
@@ -97,7 +98,7 @@
                     concurrency_per_copy: a.concurrency_per_copy,
                     load_time: a.load_duration,
                     body: call.body.to_vec(),
-                    order: job.order.clone(),
+                    order: job.order_key.clone(),
                     sent: None,
                 };
                 if let Some(shard) = self
@@ -149,7 +150,7 @@
         &mut self,
         now: Micros,
         caller: Caller,
-        call: Call<Job>,
+        call: Call<CallContext>,
         seq: Seq,
         identity_digest: IdentityDigest,
         reply: Result<Reply, StoreError>,
@@ -168,7 +169,9 @@
                     } else {
                         "the call cannot be kept"
                     };
-                    self.answer_secondary_client(conn, now, |stays| refuse(&plain(503, why), stays))
+                    self.answer_secondary_client(conn, now, |stays| {
+                        refuse(&request_error(503, why), stays)
+                    })
                 }
                 (Caller::Gateway(to, number), e) => {
                     let shard = seq.shard();
@@ -328,7 +331,7 @@
             // Messages with the same order key are ordered within a shard.
             m.order = open_call
                 .job
-                .order
+                .order_key
                 .as_ref()
                 .filter(|_| e.ordered)
                 .map(|k| order_key_hash(k) ^ u64::from(shard));
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -1,10 +1,10 @@
 //! Connections to portals, and store requests of administrators.
 
 use super::{
-    answer, answer_report, fault_injection_point, io, message, net, plain, Bad, CloseReason,
+    answer, answer_report, fault_injection_point, io, message, net, request_error, CloseReason,
     ConnKey, DeliveryReport, Effect, Endpoint, Gateway, Input, MessageRecord, Micros, Op,
-    PendingStoreOp, PortalConnection, Progress, Role, SendProgress, Seq, MAX_IDLE_PER_ENDPOINT,
-    PORTAL_IDLE_TIMEOUT,
+    PendingStoreOp, PortalConnection, Progress, RequestError, Role, SendProgress, Seq,
+    MAX_IDLE_PER_ENDPOINT, PORTAL_IDLE_TIMEOUT,
 };
 
 impl Gateway {
@@ -97,10 +97,10 @@
             return;
         };
         match answer::read(conn.input.bytes(), now) {
-            Progress::Waits => {}
+            Progress::Incomplete => {}
             Progress::Status(status, advice) => link.status = Some((status, advice)),
             Progress::Malformed => self.close(key, CloseReason::Malformed),
-            Progress::Whole(status, advice, size, keep) => {
+            Progress::Complete(status, advice, size, keep) => {
                 conn.input.consume(size);
                 (link.current, link.status) = (None, None);
                 let (id, address) = (link.endpoint, link.address);
@@ -205,12 +205,12 @@
         conn: ConnKey,
         op: Op,
         key: Option<(String, String)>,
-    ) -> Result<(), Bad> {
+    ) -> Result<(), RequestError> {
         let hooks = self
             .secondary
             .webhooks
             .as_mut()
-            .ok_or(plain(404, "webhooks are off"))?;
+            .ok_or(request_error(404, "webhooks are off"))?;
         let limit = match &op {
             Op::ListMessages(filter) => Some(filter.limit),
             _ => None,
--- a/src/gateway/webhooks/replies.rs
+++ b/src/gateway/webhooks/replies.rs
@@ -1,11 +1,11 @@
 //! Replies of the store, and outputs of delivery.
 
 use super::{
-    fault_injection_point, http, plain, refuse, ApplyRetention, AttemptRecord, Bad, BeginAttempt,
-    CallState, ConnKey, DeadLetterReason, DeliveryReport, FinishAttempt, Gateway, GatewayDeadline,
-    Input, MessageState, Micros, Op, Output, PendingMessage, PendingStoreOp, ReplicationError,
-    Reply, RequestOutcome, RetentionResult, StoreError, COMPLETED, RETENTION_BATCH,
-    RETENTION_CONTINUE_DELAY, RETENTION_INTERVAL,
+    fault_injection_point, http, refuse, request_error, ApplyRetention, AttemptRecord,
+    BeginAttempt, CallState, ConnKey, DeadLetterReason, DeliveryReport, FinishAttempt, Gateway,
+    GatewayDeadline, Input, MessageState, Micros, Op, Output, PendingMessage, PendingStoreOp,
+    ReplicationError, Reply, RequestError, RequestOutcome, RetentionResult, StoreError, COMPLETED,
+    RETENTION_BATCH, RETENTION_CONTINUE_DELAY, RETENTION_INTERVAL,
 };
 use crate::delivery::{EndpointId, Seq};
 use crate::replication::replicator::Input as ReplicatorInput;
@@ -101,7 +101,7 @@
             PendingStoreOp::ReadCallState { conn, id } => {
                 let state = match reply {
                     Ok(Reply::Call(state)) => Ok(state),
-                    _ => Err(plain(503, "the store cannot be read")),
+                    _ => Err(request_error(503, "the store cannot be read")),
                 };
                 self.answer_state(now, conn, &id, state);
             }
@@ -221,7 +221,7 @@
         now: Micros,
         conn: ConnKey,
         id: &str,
-        body: Result<Option<CallState>, Bad>,
+        body: Result<Option<CallState>, RequestError>,
     ) {
         self.answer_secondary_client(conn, now, |stays| match body {
             Ok(Some(state)) => {
@@ -234,7 +234,7 @@
                     stays,
                 )
             }
-            Ok(None) => refuse(&plain(404, "no such call"), stays),
+            Ok(None) => refuse(&request_error(404, "no such call"), stays),
             Err(bad) => refuse(&bad, stays),
         });
     }
--- a/src/gateway/webhooks/shard_calls.rs
+++ b/src/gateway/webhooks/shard_calls.rs
@@ -7,8 +7,8 @@
 };
 use crate::api::{Arrival, ClassId, Effect, FunctionId, Micros, RequestId};
 use crate::core::{Answer, Call, RequestKey};
-use crate::front::http::{self, plain};
-use crate::front::webhook::inbound::Job;
+use crate::front::http::{self, request_error};
+use crate::front::webhook::inbound::CallContext;
 use crate::front::webhook::message::Outcome;
 use crate::gateway::{ConnKey, Gateway, Origin};
 use crate::names::Names;
@@ -124,7 +124,7 @@
     }
 
     /// Creates the call of a record; none if its class or tenant is not known here.
-    pub(super) fn call_of(&self, call: &CallRecord) -> Option<Call<Job>> {
+    pub(super) fn call_of(&self, call: &CallRecord) -> Option<Call<CallContext>> {
         let class = Names::index_of(&self.config.names.classes, &call.class)?;
         let tenant = self.secondary.tenants.same(&call.tenant, call.serial)?.id;
         let arrival = Arrival {
@@ -207,7 +207,9 @@
         self.core.counters.webhooks_rejected += 1;
         let (status, problem) = problem_of(error);
         tracing::debug!(%error, remedy = error.remedy(), "call rejected: not committed");
-        self.answer_secondary_client(conn, now, |stays| refuse(&plain(status, problem), stays));
+        self.answer_secondary_client(conn, now, |stays| {
+            refuse(&request_error(status, problem), stays)
+        });
     }
 }
 
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -2,10 +2,10 @@
 
 use super::{
     channel, store_error, Backend, CloseReason, ConfigError, Delivery, Disk, EgressPolicy,
-    EndpointId, Gateway, GatewayDeadline, GatewayError, HashMap, Inbound, Input, Limits,
-    ListenerKind, MemoryKeyspace, Micros, Op, PathBuf, PendingStoreOp, RecoveredState,
-    RecoveryAction, Replays, ResumeAction, Schedule, SecondaryMap, SlotMap, StoreError, Tables,
-    VecDeque, WebhookDriver, Webhooks, Writer, RETENTION_BATCH, RETENTION_CONTINUE_DELAY,
+    EndpointId, Gateway, GatewayDeadline, GatewayError, HashMap, Input, Limits, ListenerKind,
+    MemoryKeyspace, Micros, Op, PathBuf, PendingStoreOp, RecoveredState, RecoveryAction,
+    ReplayStore, ResumeAction, Schedule, SecondaryMap, SlotMap, StoreError, Tables, VecDeque,
+    WebhookDriver, WebhookVerifier, Webhooks, Writer, RETENTION_BATCH, RETENTION_CONTINUE_DELAY,
 };
 
 impl Gateway {
@@ -57,9 +57,9 @@
         };
         let durable = w.store.is_some();
         let mut replays = match &w.replay_file {
-            Some(path) => Replays::open(path, w.replay_entries, now)
+            Some(path) => ReplayStore::open(path, w.replay_entries, now)
                 .map_err(|e| GatewayError::Operator(ConfigError::Read(path.clone(), e)))?,
-            None => Replays::new(w.replay_entries),
+            None => ReplayStore::new(w.replay_entries),
         };
         replays.load(&found.identities);
         let schedule = match (&w.schedule_s, durable) {
@@ -88,10 +88,10 @@
             ..limits
         };
         self.secondary.webhooks = Some(WebhookDriver {
-            inbound: Inbound {
+            inbound: WebhookVerifier {
                 tolerance_s: w.tolerance_s,
                 started: (w.replay_file.is_none() && !durable).then_some(now),
-                forgotten: found.identities_expired_until,
+                forgotten_until: found.identities_expired_until,
                 replays,
                 seed,
                 classes: self.config.settings.classes.clone(),
--- a/src/gateway/worker_connections.rs
+++ b/src/gateway/worker_connections.rs
@@ -85,7 +85,7 @@
         // endpoint list.
         let keys = self.routes.connections.entry(worker).or_default();
         let open_connections = keys.len();
-        let max_open = self.config.streams;
+        let max_open = self.config.max_streams_per_connection;
         let accepting = keys.iter().copied().find(|key| {
             let Some((connection, Role::Worker(worker))) = self.connections.get(*key) else {
                 return false;
@@ -142,7 +142,7 @@
             "worker connection opened"
         );
         self.routes.add(worker, key);
-        self.set_deadline(key, Some(now + self.config.connect_limit));
+        self.set_deadline(key, Some(now + self.config.connect_timeout));
         Ok(key)
     }
 
--- a/src/identity.rs
+++ b/src/identity.rs
@@ -93,22 +93,22 @@
 
 /// A trust domain's keys and the roles by SPIFFE ID. A caller without an entry has no role.
 #[derive(Debug)]
-pub struct Gate {
+pub struct TokenVerifier {
     trust_domain: String,
     audience: String,
     keys: BTreeMap<String, DecodingKey>,
     roles: BTreeMap<String, Role>,
 }
 
-impl Gate {
+impl TokenVerifier {
     /// Creates a gate without keys, which rejects every token.
     pub fn new(
         trust_domain: &str,
         audience: &str,
         roles: BTreeMap<String, Role>,
-    ) -> Result<Gate, IdentityError> {
+    ) -> Result<TokenVerifier, IdentityError> {
         roles.keys().try_for_each(|id| check_id(id, trust_domain))?;
-        Ok(Gate {
+        Ok(TokenVerifier {
             trust_domain: trust_domain.into(),
             audience: audience.into(),
             keys: BTreeMap::new(),
--- a/src/operations/hot_restart.rs
+++ b/src/operations/hot_restart.rs
@@ -94,7 +94,7 @@
     UnknownLine(String),
     /// The text belongs to another gateway. The operator gives each gateway a `TMPDIR` of its own.
     #[error("the text belongs to the gateway '{0}'")]
-    Foreign(String),
+    OtherGateway(String),
     /// The process ended too long ago to be part of an upgrade. Nothing needs to be done.
     #[error("the process that wrote the text ended too long ago")]
     Abandoned,
@@ -166,7 +166,7 @@
                 .ok_or_else(|| HotRestartError::UnknownLine(line.chars().take(40).collect()))?;
         }
         if state.gateway != name {
-            return Err(HotRestartError::Foreign(state.gateway));
+            return Err(HotRestartError::OtherGateway(state.gateway));
         }
         if !alive && age > ABANDONED_AFTER {
             return Err(HotRestartError::Abandoned);
--- a/src/operations/hot_restart/tests.rs
+++ b/src/operations/hot_restart/tests.rs
@@ -46,7 +46,7 @@
     };
     assert_eq!(
         read(&text, "n4", true, 0),
-        HotRestartError::Foreign("n3".into())
+        HotRestartError::OtherGateway("n3".into())
     );
     assert_eq!(
         read(&text, "n3", false, ABANDONED_AFTER + 1),
--- a/src/operations/overrides.rs
+++ b/src/operations/overrides.rs
@@ -194,7 +194,7 @@
     }
 
     /// The number of workers on the list.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 }
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -2,7 +2,7 @@
 //!
 //! The sequence number of a call or message contains its shard; identities and states of calls
 //! store the shard in the value. A replica has all rows of a shard except those in
-//! [`Table::PendingMessage`], which are created when this gateway becomes the primary and removed when the
+//! [`Table::Waiting`], which are created when this gateway becomes the primary and removed when the
 //! gateway resigns.
 
 use std::collections::BTreeSet;
@@ -124,7 +124,7 @@
     if !header.is_primary {
         return Ok(());
     }
-    remove_rows(keyspace, Table::PendingMessage, |row_key, _| {
+    remove_rows(keyspace, Table::Waiting, |row_key, _| {
         Seq(key_part(row_key, 2)).shard() == shard
     })?;
     let header = ShardHeader {
@@ -145,11 +145,7 @@
     let mut state = ShardState::default();
     for message in waiting_messages(keyspace, shard)? {
         let waiting = message.waiting;
-        keyspace.put(
-            Table::PendingMessage,
-            &waiting_key(&waiting),
-            &encode(&waiting)?,
-        )?;
+        keyspace.put(Table::Waiting, &waiting_key(&waiting), &encode(&waiting)?)?;
         match keyspace.get(Table::StartedAttempts, &sequence_key(waiting.seq))? {
             Some(started) => {
                 let started_at = decode(&started, "an attempt's beginning")?;
--- a/src/store/tables.rs
+++ b/src/store/tables.rs
@@ -242,13 +242,7 @@
     let mut from = key(&[0]);
     loop {
         let first = reader
-            .scan(
-                Table::PendingMessage,
-                &from,
-                &KEY_END,
-                1,
-                ScanOrder::Ascending,
-            )?
+            .scan(Table::Waiting, &from, &KEY_END, 1, ScanOrder::Ascending)?
             .pop();
         let Some((row_key, _)) = first else {
             return Ok(endpoints);
--- a/src/store/tables/attempts.rs
+++ b/src/store/tables/attempts.rs
@@ -64,7 +64,7 @@
         if was_over && state != MessageState::Delivered {
             return Ok(Vec::new());
         }
-        keyspace.remove(Table::PendingMessage, &waiting_key(&message.waiting))?;
+        keyspace.remove(Table::Waiting, &waiting_key(&message.waiting))?;
         if let Some(attempt) = finish.attempt {
             append_attempt(keyspace, seq, &attempt)?;
         }
--- a/src/store/tables/messages.rs
+++ b/src/store/tables/messages.rs
@@ -18,11 +18,7 @@
     waiting: &PendingMessage,
 ) -> Result<(), StoreError> {
     keyspace
-        .put(
-            Table::PendingMessage,
-            &waiting_key(waiting),
-            &encode(waiting)?,
-        )
+        .put(Table::Waiting, &waiting_key(waiting), &encode(waiting)?)
         .map(drop)
 }
 
@@ -63,19 +59,13 @@
     ) -> Result<Reply, StoreError> {
         let from = key(&[endpoint.0]);
         let to = key(&[endpoint.0, u64::MAX, u64::MAX]);
-        let rows = keyspace.scan(
-            Table::PendingMessage,
-            &from,
-            &to,
-            limit,
-            ScanOrder::Ascending,
-        )?;
+        let rows = keyspace.scan(Table::Waiting, &from, &to, limit, ScanOrder::Ascending)?;
         for (row_key, value) in &rows {
             let waiting: PendingMessage = decode(value, "what waits")?;
             let started = keyspace.get(Table::StartedAttempts, &sequence_key(waiting.seq))?;
             if started.is_some() {
                 // The end of the attempt, or recovery after a crash, sets the message's state.
-                keyspace.remove(Table::PendingMessage, row_key)?;
+                keyspace.remove(Table::Waiting, row_key)?;
                 continue;
             }
             // Ending a message releases the next one of its order key, which has the same endpoint.
--- a/src/store/tables/queries.rs
+++ b/src/store/tables/queries.rs
@@ -41,13 +41,7 @@
 ) -> Result<Reply, StoreError> {
     let from = key(&[endpoint.0]);
     let to = key(&[endpoint.0, u64::MAX, u64::MAX]);
-    let mut rows = reader.scan(
-        Table::PendingMessage,
-        &from,
-        &to,
-        limit + 1,
-        ScanOrder::Ascending,
-    )?;
+    let mut rows = reader.scan(Table::Waiting, &from, &to, limit + 1, ScanOrder::Ascending)?;
     let next_due = rows.get(limit).map(|(row_key, _)| key_part(row_key, 1));
     rows.truncate(limit);
     let waiting = rows
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -8,7 +8,7 @@
 use common::*;
 use jsonwebtoken::jwk::{Jwk, PublicKeyUse};
 use jsonwebtoken::{Algorithm, EncodingKey, Header};
-use molelug::identity::{check_id, Gate, IdentityError, Role};
+use molelug::identity::{check_id, IdentityError, Role, TokenVerifier};
 use serde_json::{json, Value};
 
 const VIEWER: &str = "spiffe://aurora.example/desk/viewer";
@@ -45,12 +45,12 @@
     json!({ "sub": sub, "aud": aud, "exp": exp })
 }
 
-fn gate() -> Gate {
+fn gate() -> TokenVerifier {
     let roles = BTreeMap::from([
         (VIEWER.into(), Role::Viewer),
         (OPERATOR.into(), Role::Operator),
     ]);
-    let mut gate = Gate::new("aurora.example", "molelug", roles).unwrap();
+    let mut gate = TokenVerifier::new("aurora.example", "molelug", roles).unwrap();
     assert_eq!(gate.load(&bundle("k1", 7, "jwt-svid")), Ok(1));
     gate
 }
--- a/tests/stored_data/texts.rs
+++ b/tests/stored_data/texts.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use molelug::delivery::Enabled;
-use molelug::front::webhook::replay::{Replays, Seen};
+use molelug::front::webhook::replay::{RecordResult, ReplayStore};
 use molelug::operations::hot_restart::{ProcessState, SiblingState};
 use molelug::tenancy::{EndpointSpec, Registry, Secret, Spec};
 
@@ -193,9 +193,9 @@
 #[test]
 fn seen_identities_are_written_and_read_as_before() {
     let file = Scratch::new();
-    let mut replays = Replays::open(file.path(), 10, 0).expect("the file is created");
+    let mut replays = ReplayStore::open(file.path(), 10, 0).expect("the file is created");
     for (id, until) in [("call-1", 5_000), ("call-2", 4_000)] {
-        assert_eq!(replays.take("clinic", id, 1_000, until), Seen::New);
+        assert_eq!(replays.take("clinic", id, 1_000, until), RecordResult::New);
     }
     fixture::assert_matches(
         REPLAYS,
@@ -204,7 +204,13 @@
 
     let copy = Scratch::new();
     std::fs::write(copy.path(), fixture::read(REPLAYS)).expect("a copy");
-    let mut replays = Replays::open(copy.path(), 10, 4_500).expect("the file is read");
-    assert_eq!(replays.take("clinic", "call-1", 4_500, 9_000), Seen::Before);
-    assert_eq!(replays.take("clinic", "call-2", 4_500, 9_000), Seen::New);
+    let mut replays = ReplayStore::open(copy.path(), 10, 4_500).expect("the file is read");
+    assert_eq!(
+        replays.take("clinic", "call-1", 4_500, 9_000),
+        RecordResult::Before
+    );
+    assert_eq!(
+        replays.take("clinic", "call-2", 4_500, 9_000),
+        RecordResult::New
+    );
 }
