--- a/src/completion.rs
+++ b/src/completion.rs
@@ -2,7 +2,7 @@
 //! decision module's [`Outcome`].
 
 use crate::api::Outcome;
-use crate::membership::group::Observed;
+use crate::membership::group::AttemptOutcome;
 
 /// The reason for the end of a connection or of an exchange on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -82,7 +82,7 @@
 
     /// Returns the observation of the worker that gossip sends to other instances; `None` if the reason is no evidence
     /// about it.
-    pub fn observation(self, progress: SendProgress) -> Option<Observed> {
+    pub fn observation(self, progress: SendProgress) -> Option<AttemptOutcome> {
         match (self, progress) {
             (
                 CloseReason::Served
@@ -90,16 +90,18 @@
                 | CloseReason::AtCapacity
                 | CloseReason::Expired,
                 _,
-            ) => Some(Observed::Answered),
-            (CloseReason::Failed, _) => Some(Observed::Failed),
-            (CloseReason::Refused | CloseReason::ConnectTimeout, _) => Some(Observed::Refused),
+            ) => Some(AttemptOutcome::Answered),
+            (CloseReason::Failed, _) => Some(AttemptOutcome::Failed),
+            (CloseReason::Refused | CloseReason::ConnectTimeout, _) => {
+                Some(AttemptOutcome::Refused)
+            }
             (CloseReason::TimedOut | CloseReason::Cancelled, SendProgress::Started) => {
-                Some(Observed::Silent)
+                Some(AttemptOutcome::TimedOut)
             }
             (
                 CloseReason::Reset | CloseReason::Closed | CloseReason::Malformed,
                 SendProgress::Started,
-            ) => Some(Observed::Failed),
+            ) => Some(AttemptOutcome::Failed),
             _ => None,
         }
     }
--- a/src/completion/tests.rs
+++ b/src/completion/tests.rs
@@ -26,7 +26,10 @@
             Served.observation(SendProgress::Started),
             ConnectTimeout.observation(SendProgress::Unsent)
         ),
-        (Some(Observed::Answered), Some(Observed::Refused))
+        (
+            Some(AttemptOutcome::Answered),
+            Some(AttemptOutcome::Refused)
+        )
     );
 }
 
--- a/src/consensus/learners/learner.rs
+++ b/src/consensus/learners/learner.rs
@@ -16,7 +16,7 @@
     effects: (u64, u64),
     voters: Vec<Arc<str>>,
     /// The index of the voter to poll.
-    source: usize,
+    polled_voter_index: usize,
     /// The time at which the outstanding poll was sent.
     polled_at: Option<Micros>,
     replica: Option<ReplicaId>,
@@ -41,7 +41,7 @@
             state: State::default(),
             effects: (0, 0),
             voters,
-            source,
+            polled_voter_index: source,
             polled_at: None,
             replica,
         }
@@ -54,7 +54,7 @@
 
     /// Returns the voter that this learner polls.
     pub fn source(&self) -> Option<&Arc<str>> {
-        self.voters.get(self.source)
+        self.voters.get(self.polled_voter_index)
     }
 
     /// Returns the time at which [`Learner::poll`] is due.
@@ -89,7 +89,7 @@
     }
 
     fn advance_source(&mut self) {
-        self.source = (self.source + 1)
+        self.polled_voter_index = (self.polled_voter_index + 1)
             .checked_rem(self.voters.len())
             .unwrap_or(0);
     }
--- a/src/consensus/participant/queries.rs
+++ b/src/consensus/participant/queries.rs
@@ -25,7 +25,7 @@
     pub fn voter_error(&self) -> Option<&str> {
         self.voter_error
             .as_deref()
-            .or_else(|| self.voter.as_ref().and_then(Voter::retired))
+            .or_else(|| self.voter.as_ref().and_then(Voter::retirement_reason))
     }
 
     /// Returns whether this gateway is an active voter.
@@ -118,13 +118,17 @@
     /// Returns the gateways to stay connected to: the other voters for a voter, the polled voter for a learner.
     pub fn peers(&self) -> BTreeSet<Arc<str>> {
         let mut peers: BTreeSet<Arc<str>> = match &self.voter {
-            Some(voter) if voter.retired().is_none() && !voter.state().voters.is_empty() => voter
-                .state()
-                .voters
-                .values()
-                .chain(&self.settings.contacts)
-                .cloned()
-                .collect(),
+            Some(voter)
+                if voter.retirement_reason().is_none() && !voter.state().voters.is_empty() =>
+            {
+                voter
+                    .state()
+                    .voters
+                    .values()
+                    .chain(&self.settings.contacts)
+                    .cloned()
+                    .collect()
+            }
             _ => self.learner.source().cloned().into_iter().collect(),
         };
         peers.remove(&self.settings.name);
--- a/src/consensus/voter/mod.rs
+++ b/src/consensus/voter/mod.rs
@@ -52,7 +52,7 @@
     state: State,
     peer_memory: PeerMemory,
     state_check: Option<StateCheck>,
-    retired: Option<String>,
+    retirement_reason: Option<String>,
     /// Records that are not persisted yet, in order.
     pending_records: VecDeque<PendingRecord>,
     last_record_number: u64,
@@ -148,7 +148,7 @@
             state,
             peer_memory: PeerMemory::default(),
             state_check: (!disabled_guards.state_check).then(StateCheck::default),
-            retired: None,
+            retirement_reason: None,
             pending_records: VecDeque::new(),
             last_record_number: 0,
             leading_term: None,
@@ -214,12 +214,12 @@
 
     /// Returns whether this voter takes part: its state check is over and its replica is not retired.
     pub fn votes(&self) -> bool {
-        self.raw.is_some() && self.state_check.is_none() && self.retired.is_none()
+        self.raw.is_some() && self.state_check.is_none() && self.retirement_reason.is_none()
     }
 
     /// Returns the reason why the replica was retired, if it was.
-    pub fn retired(&self) -> Option<&str> {
-        self.retired.as_deref()
+    pub fn retirement_reason(&self) -> Option<&str> {
+        self.retirement_reason.as_deref()
     }
 
     /// Returns the number of log entries after the snapshot.
@@ -229,7 +229,7 @@
 
     /// Returns the time at which [`Input::Tick`] is due.
     pub fn next_deadline(&self) -> Option<Micros> {
-        let active = self.raw.is_some() && self.retired.is_none();
+        let active = self.raw.is_some() && self.retirement_reason.is_none();
         active.then_some(self.next_tick_at)
     }
 
@@ -278,11 +278,11 @@
 
     /// Stops voting with this replica permanently.
     fn retire(&mut self, reason: String) {
-        if self.retired.is_some() {
+        if self.retirement_reason.is_some() {
             return;
         }
         tracing::error!(reason, "replica retired");
-        self.retired = Some(reason.clone());
+        self.retirement_reason = Some(reason.clone());
         if self.leading_term.take().is_some() {
             self.outputs.push_back(Output::LostLeadership);
         }
@@ -313,7 +313,7 @@
     }
 
     fn tick(&mut self, now: Micros) {
-        if now < self.next_tick_at || self.raw.is_none() || self.retired.is_some() {
+        if now < self.next_tick_at || self.raw.is_none() || self.retirement_reason.is_some() {
             return;
         }
         // After a pause of the process, missed ticks are skipped.
@@ -330,7 +330,8 @@
 
     /// Processes the library's `Ready` values until there are none left.
     fn process_ready(&mut self) {
-        while self.retired.is_none() && self.raw.as_ref().is_some_and(RawNode::has_ready) {
+        while self.retirement_reason.is_none() && self.raw.as_ref().is_some_and(RawNode::has_ready)
+        {
             match self.with_raft(|raw| raw.ready()) {
                 Some(ready) => self.on_ready(ready),
                 None => return,
--- a/src/consensus/wire/session.rs
+++ b/src/consensus/wire/session.rs
@@ -261,7 +261,7 @@
 
     fn accepts_sender(&self, keys: &Keys, from: &str) -> bool {
         let is_peer = self.peer.as_ref().is_none_or(|peer| peer == from);
-        is_name(from) && keys.knows(from) && is_peer
+        is_name(from) && keys.accepts_name(from) && is_peer
     }
 }
 
--- a/src/gateway/admin_api.rs
+++ b/src/gateway/admin_api.rs
@@ -242,7 +242,7 @@
         let Some(tenant) = admin::tenant_of(admitted.request.path) else {
             return;
         };
-        let changed = self.secondary.tenants.told(tenant, admitted.now);
+        let changed = self.secondary.tenants.encode_tenant(tenant, admitted.now);
         self.secondary.tenants = tenants_before;
         let key = admitted
             .key
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -145,7 +145,7 @@
         let mut group = Group::new(settings, keys, self.config.seed ^ now, now);
         group.handle(
             now,
-            Input::Known(
+            Input::KnownMembers(
                 config.state.as_deref().map_or(Vec::new(), read_members),
                 config.seeds.clone(),
             ),
@@ -238,10 +238,10 @@
             match output {
                 // A datagram that cannot be sent is dropped: gossip tolerates losses.
                 Output::Datagram(to, bytes) => drop(driver.socket.send_to(&bytes, to)),
-                Output::Advice(worker, HealthAdvice::Down(until)) => {
+                Output::Advice(worker, HealthAdvice::Demote(until)) => {
                     self.core.update_peer_health(now, worker, Some(until))
                 }
-                Output::Advice(worker, HealthAdvice::Well) => {
+                Output::Advice(worker, HealthAdvice::AllowTrial) => {
                     self.core.update_peer_health(now, worker, None)
                 }
                 Output::Changed(name, state) => {
@@ -252,7 +252,7 @@
                         "gossip peer changed state"
                     );
                 }
-                Output::Keep => {
+                Output::StoreMembers => {
                     driver.write_at.get_or_insert(now + MEMBERS_WRITE_INTERVAL);
                 }
             }
@@ -260,7 +260,7 @@
         let counters = &mut self.core.counters;
         (counters.gossip_bytes, counters.gossip_datagrams) =
             (driver.group.sent_bytes, driver.group.sent_datagrams);
-        counters.gossip_rejected = driver.group.refused().0.values().sum();
+        counters.gossip_rejected = driver.group.rejections().0.values().sum();
         let next = driver.group.next_deadline();
         let next = next.map(|at| driver.write_at.map_or(at, |write_at| at.min(write_at)));
         if next != driver.scheduled_at {
@@ -284,7 +284,7 @@
         if driver.write_at.is_some_and(|at| at <= now) {
             driver.write_at = None;
             if let Some(path) = &driver.state {
-                if let Err(error) = write_members(path, driver.group.keep()) {
+                if let Err(error) = write_members(path, driver.group.members_to_store()) {
                     tracing::warn!(file = %path.display(), "gossip members cannot be written: {error}");
                 }
             }
@@ -301,7 +301,9 @@
         {
             Ok((keys, seeds)) => {
                 driver.group.handle(now, Input::Keys(keys));
-                driver.group.handle(now, Input::Known(Vec::new(), seeds));
+                driver
+                    .group
+                    .handle(now, Input::KnownMembers(Vec::new(), seeds));
                 tracing::info!("gossip seeds and keys reloaded");
             }
             Err(error) => tracing::error!("gossip reload failed: {error}"),
@@ -321,8 +323,8 @@
         let Some(driver) = &self.cluster.gossip else {
             return serde_json::Value::Null;
         };
-        let (rejected, withheld) = driver.group.refused();
-        let (rumours, observations) = driver.group.sizes();
+        let (rejected, withheld) = driver.group.rejections();
+        let (rumours, observations) = driver.group.queue_sizes();
         serde_json::json!({ "name": driver.name, "peers": driver.group.peers(now), "refused": rejected,
             "withheld": withheld, "rumours": rumours, "sightings_held": observations,
             "sent_bytes": driver.group.sent_bytes, "sent_datagrams": driver.group.sent_datagrams })
--- a/src/gateway/health_checks.rs
+++ b/src/gateway/health_checks.rs
@@ -11,7 +11,7 @@
 use crate::consensus::participant;
 use crate::core::HealthCheckKey;
 use crate::health_checks::{HealthChecker, Input, Output, ProbeResult, Verdict, LEASE_NAME};
-use crate::membership::group::Observed;
+use crate::membership::group::AttemptOutcome;
 
 #[cfg(test)]
 mod fixture_tests;
@@ -77,7 +77,7 @@
         &mut self,
         now: Micros,
         worker: WorkerId,
-        observed: Observed,
+        observed: AttemptOutcome,
     ) {
         self.handle_health_checks(now, Input::Outcome(worker, observed));
     }
--- a/src/gateway/replication.rs
+++ b/src/gateway/replication.rs
@@ -132,9 +132,9 @@
         let tenant_settings = TenantSettings {
             name: name.clone(),
             process,
-            copies: settings.replicas,
-            ask: settings.request_timeout,
-            without_agreed: settings.disabled_guards.tenant_agreement,
+            replicas: settings.replicas,
+            agreement_timeout: settings.request_timeout,
+            confirm_before_agreement: settings.disabled_guards.tenant_agreement,
         };
         let addresses = file.members.iter();
         self.add_peer_addresses(
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -19,7 +19,7 @@
 use crate::tenancy::replicated::error::Refusal;
 use crate::tenancy::replicated::history::HistoryEvent;
 use crate::tenancy::replicated::state::Answer;
-use crate::tenancy::replicated::LONGEST_ANSWER;
+use crate::tenancy::replicated::MAX_ANSWER_BYTES;
 use crate::tenancy::Tenant;
 
 /// An administrator's request that waits until its change of a tenant is agreed on.
@@ -116,7 +116,7 @@
         if (driver.changes.agreed().changes, driver.changes.voters())
             != (state.tenants.changes, state.voters.len())
         {
-            let agreed = Input::Agreed(Arc::new(state.tenants.clone()), state.voters.len());
+            let agreed = Input::StateChanged(Arc::new(state.tenants.clone()), state.voters.len());
             self.handle_tenants(now, agreed);
         }
     }
@@ -136,7 +136,7 @@
         if driver.caught_up {
             Ok(())
         } else {
-            Err(Refusal::Unheard)
+            Err(Refusal::NotCaughtUp)
         }
     }
 
@@ -182,7 +182,7 @@
         let answer = pending
             .key
             .as_ref()
-            .filter(|_| bytes.len() <= LONGEST_ANSWER);
+            .filter(|_| bytes.len() <= MAX_ANSWER_BYTES);
         let answer = answer.map(|(_, key, request)| Answer {
             key: *key,
             request: *request,
@@ -204,7 +204,7 @@
             .get(tenant)
             .and_then(|tenant| tenant.endpoint(id))
             .map(|(_, endpoint)| endpoint.version);
-        let encoded = self.secondary.tenants.told(tenant, now);
+        let encoded = self.secondary.tenants.encode_tenant(tenant, now);
         self.queue_tenant_change(
             tenant,
             encoded,
@@ -230,7 +230,7 @@
             ticket,
             ChangeRequest {
                 tenant: tenant.to_owned(),
-                kept: encoded,
+                encoded: encoded,
                 listed,
                 answer,
             },
@@ -270,7 +270,7 @@
                         Box::new(entry),
                     )));
                 }
-                Output::Removals(removals) => self.secondary.tenants.set_removals(removals),
+                Output::Removals(removals) => self.secondary.tenants.set_removal_count(removals),
                 Output::Adopt(tenant, encoded) => {
                     adopted = true;
                     self.adopt_tenant(now, &tenant, encoded.as_deref());
@@ -279,7 +279,7 @@
                 Output::Refused(ticket, refusal) => {
                     self.on_tenant_change_refused(now, ticket, &refusal)
                 }
-                Output::Noted(event) => {
+                Output::RecordEvent(event) => {
                     if let Some(driver) = &mut self.cluster.tenants {
                         driver.history.record(&event);
                     }
@@ -330,7 +330,7 @@
         if let Some(driver) = &self.cluster.tenants {
             self.secondary
                 .tenants
-                .set_removals(driver.changes.agreed().removals);
+                .set_removal_count(driver.changes.agreed().removals);
         }
     }
 
@@ -394,7 +394,7 @@
             // The endpoint stays disabled, and the change is proposed again on top of the others'
             // changes, unless those changed this endpoint; likewise if the proposal timed out and
             // only this gateway knows of it.
-            Some(ChangeOrigin::Disabled(id, version)) if refusal.may_come_again() => {
+            Some(ChangeOrigin::Disabled(id, version)) if refusal.is_retryable() => {
                 let with_endpoint = |(name, tenant): (&String, &Tenant)| {
                     Some((name.clone(), tenant.endpoint(id)?.1.version))
                 };
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -315,7 +315,7 @@
         let tenant = self
             .secondary
             .tenants
-            .same(&open_call.job.tenant, open_call.job.serial);
+            .get_with_serial(&open_call.job.tenant, open_call.job.serial);
         let mut messages = Vec::new();
         for e in tenant
             .iter()
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -14,7 +14,10 @@
             return;
         };
         let (seq, id) = (record.waiting.seq, record.waiting.endpoint);
-        let tenant = self.secondary.tenants.same(&record.tenant, record.serial);
+        let tenant = self
+            .secondary
+            .tenants
+            .get_with_serial(&record.tenant, record.serial);
         let Some((tenant, e)) = tenant.and_then(|t| t.endpoint(id).map(|(_, e)| (t, e))) else {
             // The endpoint was removed meanwhile; the removal ends its messages.
             return hooks
--- a/src/gateway/webhooks/shard_calls.rs
+++ b/src/gateway/webhooks/shard_calls.rs
@@ -126,7 +126,11 @@
     /// Creates the call of a record; none if its class or tenant is not known here.
     pub(super) fn call_of(&self, call: &CallRecord) -> Option<Call<CallContext>> {
         let class = Names::index_of(&self.config.names.classes, &call.class)?;
-        let tenant = self.secondary.tenants.same(&call.tenant, call.serial)?.id;
+        let tenant = self
+            .secondary
+            .tenants
+            .get_with_serial(&call.tenant, call.serial)?
+            .id;
         let arrival = Arrival {
             request: RequestId(0),
             class: ClassId(class as u8),
--- a/src/health_checks/mod.rs
+++ b/src/health_checks/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::api::{Micros, WorkerId};
-use crate::membership::group::Observed;
+use crate::membership::group::AttemptOutcome;
 
 /// The name of the lease for health checks.
 pub const LEASE_NAME: &str = "trials";
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A request of this gateway ended.
-    Outcome(WorkerId, Observed),
+    Outcome(WorkerId, AttemptOutcome),
     /// The workers that are ready.
     Ready(BTreeSet<WorkerId>),
     /// Whether this gateway holds the lease.
@@ -171,7 +171,7 @@
     /// Handles one event.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Outcome(worker, Observed::Answered) => self.on_answer(worker),
+            Input::Outcome(worker, AttemptOutcome::Answered) => self.on_answer(worker),
             Input::Outcome(worker, _) => self.on_failure(now, worker),
             Input::Ready(ready) => self.set_ready(ready),
             Input::LeaseChanged(held) => self.set_is_holder(now, held),
--- a/src/health_checks/tests.rs
+++ b/src/health_checks/tests.rs
@@ -5,7 +5,7 @@
     REPORT_INTERVAL, VERDICT_TIMEOUT,
 };
 use crate::api::{Micros, WorkerId};
-use crate::membership::group::Observed;
+use crate::membership::group::AttemptOutcome;
 
 const MS: Micros = 1_000;
 
@@ -40,13 +40,13 @@
 #[test]
 fn unanswered_worker_is_reported_once_per_interval() {
     let (mut checker, worker) = (new_checker(false, 3), WorkerId(1));
-    checker.handle(1, Input::Outcome(worker, Observed::Answered));
+    checker.handle(1, Input::Outcome(worker, AttemptOutcome::Answered));
     assert_eq!(drain_outputs(&mut checker), []);
-    checker.handle(5, Input::Outcome(worker, Observed::Refused));
+    checker.handle(5, Input::Outcome(worker, AttemptOutcome::Refused));
     assert_eq!(drain_outputs(&mut checker), [Output::Report(worker)]);
     checker.handle(
         5 + REPORT_INTERVAL,
-        Input::Outcome(worker, Observed::Refused),
+        Input::Outcome(worker, AttemptOutcome::Refused),
     );
     assert_eq!(drain_outputs(&mut checker), [Output::Report(worker)]);
 }
@@ -81,7 +81,10 @@
         pauses[..5],
         [250, 500, 1_000, 2_000, 4_000].map(|ms| ms * MS)
     );
-    checker.handle(30_000 * MS, Input::Outcome(worker, Observed::Answered));
+    checker.handle(
+        30_000 * MS,
+        Input::Outcome(worker, AttemptOutcome::Answered),
+    );
     assert_eq!(
         drain_outputs(&mut checker),
         [
@@ -117,7 +120,7 @@
         "{announced:?}"
     );
     const { assert!(3 * ANNOUNCE_INTERVAL < VERDICT_TIMEOUT) };
-    checker.handle(now, Input::Outcome(worker, Observed::Answered));
+    checker.handle(now, Input::Outcome(worker, AttemptOutcome::Answered));
     drain_outputs(&mut checker);
     now += 10_000 * MS;
     checker.handle(now, Input::Tick);
@@ -147,7 +150,7 @@
     drain_outputs(&mut checker);
     checker.handle(
         VERDICT_TIMEOUT + 1,
-        Input::Outcome(worker, Observed::Answered),
+        Input::Outcome(worker, AttemptOutcome::Answered),
     );
     assert_eq!(drain_outputs(&mut checker), [Output::Advise(worker, None)]);
 }
@@ -163,7 +166,7 @@
         );
     }
     assert!(drain_outputs(&mut checker).contains(&Output::SetCapable(false)));
-    checker.handle(9, Input::Outcome(WorkerId(0), Observed::Answered));
+    checker.handle(9, Input::Outcome(WorkerId(0), AttemptOutcome::Answered));
     let outputs: Vec<Output> = std::iter::from_fn(|| checker.output()).collect();
     assert!(outputs.contains(&Output::SetCapable(true)));
 }
--- a/src/lease/grantor/placement.rs
+++ b/src/lease/grantor/placement.rs
@@ -45,7 +45,7 @@
 
     /// Assigns each lease without a holder to the candidate with the fewest leases.
     fn choose_grants(&self, now: Micros) -> Vec<Entry> {
-        let mut loads = self.loads();
+        let mut loads = self.lease_counts();
         let mut grants = Vec::new();
         for lease in &self.configured {
             let record = self.table.record(lease);
@@ -70,7 +70,7 @@
     }
 
     /// The number of leases that each candidate holds.
-    fn loads(&self) -> BTreeMap<LeaseHolder, usize> {
+    fn lease_counts(&self) -> BTreeMap<LeaseHolder, usize> {
         let mut loads: BTreeMap<LeaseHolder, usize> = self
             .candidates
             .keys()
--- a/src/lease/tests/model/mod.rs
+++ b/src/lease/tests/model/mod.rs
@@ -94,7 +94,7 @@
         "without the grantor's margin: {found:?}"
     );
     let (found, _) = violated_properties(Scenario {
-        confirms_leadership: false,
+        requires_leadership: false,
         ..Scenario::guarded(2, 1, 1)
     });
     assert!(
--- a/src/lease/tests/model/scenario.rs
+++ b/src/lease/tests/model/scenario.rs
@@ -25,7 +25,7 @@
     pub(super) grantor: Settings,
     /// Whether leadership is really confirmed; otherwise a grantor that no longer leads gets a
     /// confirmation too.
-    pub(super) confirms_leadership: bool,
+    pub(super) requires_leadership: bool,
     /// Whether receivers reject old terms.
     pub(super) fences: bool,
     /// The maximum number of messages that arrive twice.
@@ -161,7 +161,7 @@
             max_elections,
             holder: settings,
             grantor: settings,
-            confirms_leadership: true,
+            requires_leadership: true,
             fences: true,
             duplicates: 0,
             late_effects: false,
@@ -201,7 +201,7 @@
         match output {
             // A confirmation may arrive at any later time; a former leader gets none.
             grantor::Output::Confirm(number) => {
-                if leads || !self.confirms_leadership {
+                if leads || !self.requires_leadership {
                     state.confirmed.insert((grantor, number));
                 }
             }
--- a/src/load_coordination/coordinator.rs
+++ b/src/load_coordination/coordinator.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::{
-    CopyKey, Input, LoadMessage, Output, ANSWER_TIMEOUT, LOAD_TIMEOUT, MAX_COPIES, RESIDENT_WINDOW,
-    SHARD_LEASE_PREFIX, SILENT_HOLDER_BACKOFF,
+    CopyKey, Input, LoadMessage, Output, ANSWER_TIMEOUT, ASSIGNED_LOAD_TIMEOUT, MAX_COPIES,
+    RESIDENT_WINDOW, SHARD_LEASE_PREFIX, SILENT_HOLDER_BACKOFF,
 };
 use crate::api::{FunctionId, Micros};
 use crate::lease::LeaseName;
@@ -277,7 +277,9 @@
             .assignments
             .get(&copy)
             .filter(|assignment| assignment.gateway == gateway)
-            .map_or(now + LOAD_TIMEOUT, |assignment| assignment.expires_at);
+            .map_or(now + ASSIGNED_LOAD_TIMEOUT, |assignment| {
+                assignment.expires_at
+            });
         let is_own = gateway == self.own_name;
         if self.assignments.len() < MAX_COPIES {
             let assignment = Assignment {
--- a/src/load_coordination/mod.rs
+++ b/src/load_coordination/mod.rs
@@ -24,9 +24,9 @@
 /// How long an order waits for the holder's answer.
 pub const ANSWER_TIMEOUT: Micros = 60_000;
 /// How long an order waits for a copy that another gateway loads: no longer than a request can wait.
-const LOAD_TIMEOUT: Micros = 600_000;
+const ASSIGNED_LOAD_TIMEOUT: Micros = 600_000;
 /// The maximum time for which coordination delays a load order.
-pub const MAX_ORDER_DELAY: Micros = ANSWER_TIMEOUT + LOAD_TIMEOUT;
+pub const MAX_ORDER_DELAY: Micros = ANSWER_TIMEOUT + ASSIGNED_LOAD_TIMEOUT;
 /// How long a gateway does not ask a silent holder again, unless a message from the holder arrives.
 const SILENT_HOLDER_BACKOFF: Micros = 5_000_000;
 /// How long a copy is assumed to be resident after its announcement: shorter than workers keep an idle copy.
--- a/src/load_coordination/tests.rs
+++ b/src/load_coordination/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
-    CopyKey, Input, LoadCoordinator, LoadMessage, Output, ANSWER_TIMEOUT, LOAD_TIMEOUT,
+    CopyKey, Input, LoadCoordinator, LoadMessage, Output, ANSWER_TIMEOUT, ASSIGNED_LOAD_TIMEOUT,
     RESIDENT_WINDOW, SHARD_LEASE_PREFIX,
 };
 use crate::api::{FunctionId, Micros, WorkerId};
@@ -146,26 +146,29 @@
     assert_eq!(deliver_messages(&mut all, 0, 0), [(1, Output::Load(1))]);
     all[2].handle(10, Input::Order(2, COPY));
     assert_eq!(deliver_messages(&mut all, 0, 10), []);
-    all[2].handle(10 + LOAD_TIMEOUT, Input::Tick);
+    all[2].handle(10 + ASSIGNED_LOAD_TIMEOUT, Input::Tick);
     assert_eq!(drain_outputs(&mut all[2]), [Output::Load(2)]);
     // The same if the load ends without a copy.
-    all[2].handle(20 + LOAD_TIMEOUT, Input::Order(3, COPY));
-    let orders = deliver_messages(&mut all, 0, 20 + LOAD_TIMEOUT);
+    all[2].handle(20 + ASSIGNED_LOAD_TIMEOUT, Input::Order(3, COPY));
+    let orders = deliver_messages(&mut all, 0, 20 + ASSIGNED_LOAD_TIMEOUT);
     assert_eq!(orders, [(2, Output::Load(3))]);
-    all[1].handle(30 + LOAD_TIMEOUT, Input::Order(4, COPY));
-    assert_eq!(deliver_messages(&mut all, 0, 30 + LOAD_TIMEOUT), []);
-    all[2].handle(40 + LOAD_TIMEOUT, Input::Ended(3, 0));
+    all[1].handle(30 + ASSIGNED_LOAD_TIMEOUT, Input::Order(4, COPY));
     assert_eq!(
-        deliver_messages(&mut all, 0, 40 + LOAD_TIMEOUT),
+        deliver_messages(&mut all, 0, 30 + ASSIGNED_LOAD_TIMEOUT),
+        []
+    );
+    all[2].handle(40 + ASSIGNED_LOAD_TIMEOUT, Input::Ended(3, 0));
+    assert_eq!(
+        deliver_messages(&mut all, 0, 40 + ASSIGNED_LOAD_TIMEOUT),
         [(1, Output::Load(4))]
     );
     // A gateway that has received the assignment does not ask the holder again.
-    all[2].handle(50 + LOAD_TIMEOUT, Input::Order(5, COPY));
+    all[2].handle(50 + ASSIGNED_LOAD_TIMEOUT, Input::Order(5, COPY));
     assert_eq!(
-        deliver_messages(&mut all, 0, 50 + LOAD_TIMEOUT),
+        deliver_messages(&mut all, 0, 50 + ASSIGNED_LOAD_TIMEOUT),
         [(2, Output::Load(5))]
     );
-    all[1].handle(60 + LOAD_TIMEOUT, Input::Order(6, COPY));
+    all[1].handle(60 + ASSIGNED_LOAD_TIMEOUT, Input::Order(6, COPY));
     assert_eq!(drain_outputs(&mut all[1]), []);
 }
 
--- a/src/membership/config.rs
+++ b/src/membership/config.rs
@@ -114,7 +114,7 @@
         (None, Some(own), Some(accepted)) => {
             let all: BTreeMap<String, Vec<String>> = toml::from_str(&read(accepted)?)
                 .map_err(|e| ConfigError::Parse(accepted.clone(), e.message().to_owned()))?;
-            let keys = Keys::each(name, read(own)?.trim(), &all);
+            let keys = Keys::per_instance(name, read(own)?.trim(), &all);
             keys.map_err(|e| ConfigError::Parse(own.clone(), e.to_string()))
         }
         _ => Err(ConfigError::Value(
--- a/src/membership/group.rs
+++ b/src/membership/group.rs
@@ -11,7 +11,7 @@
 use super::observations::{HealthVerdict, Observation, Observations, OBSERVATION_LIFETIME};
 use super::reputation::{Bounds, HealthAdvice, Reputation};
 use super::swim::{self, MemberState, Message, Record, Swim};
-use super::wire::{self, Opener, SealedObservation, MAX_OBSERVATIONS, MTU, SKEW};
+use super::wire::{self, Decoder, SealedObservation, MAX_OBSERVATIONS, MTU, SKEW};
 use crate::api::{Micros, WorkerId};
 
 const SECOND: Micros = 1_000_000;
@@ -24,13 +24,13 @@
 
 /// Outcome of a local attempt at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Observed {
+pub enum AttemptOutcome {
     /// The worker answered, with any result.
     Answered,
     /// The attempt failed before its timeout.
     Failed,
     /// The worker did not answer before the timeout.
-    Silent,
+    TimedOut,
     /// The connection was refused or could not be established.
     Refused,
 }
@@ -58,11 +58,11 @@
     /// A datagram arrived from this address.
     Datagram(SocketAddr, &'a [u8]),
     /// A local attempt at a worker ended.
-    Outcome(WorkerId, Observed),
+    Outcome(WorkerId, AttemptOutcome),
     /// The current set of ready workers.
     Ready(BTreeSet<WorkerId>),
     /// Members stored by the previous run, and seed addresses.
-    Known(Vec<Record>, Vec<SocketAddr>),
+    KnownMembers(Vec<Record>, Vec<SocketAddr>),
     /// Replaces the keys.
     Keys(Keys),
     /// The deadline from [`Group::next_deadline`] has passed.
@@ -81,7 +81,7 @@
     /// A member's state changed.
     Changed(String, MemberState),
     /// The list of members to store for the next start changed.
-    Keep,
+    StoreMembers,
 }
 
 /// A member as shown by the administration API.
@@ -92,7 +92,8 @@
     /// The member's address.
     pub address: SocketAddr,
     /// Name of the member's state.
-    pub standing: &'static str,
+    #[serde(rename = "standing")]
+    pub state: &'static str,
     /// The member's incarnation.
     pub incarnation: u64,
     /// Weight of the member's observations at this instance.
@@ -109,7 +110,7 @@
     swim: Swim,
     observations: Observations,
     reputation: Reputation,
-    opener: Opener,
+    opener: Decoder,
     budget: Budget,
     number: u64,
     ready: BTreeSet<WorkerId>,
@@ -135,7 +136,7 @@
             swim: Swim::new(settings.swim, own, seed, now),
             observations: Observations::default(),
             reputation: Reputation::new(settings.bounds),
-            opener: Opener::default(),
+            opener: Decoder::default(),
             budget: Budget::new(settings.bytes_per_s, settings.datagrams_per_s, now),
             number: now,
             ready: BTreeSet::new(),
@@ -163,10 +164,10 @@
     }
 
     /// Returns the member records to store for the next start.
-    pub fn keep(&self) -> Vec<Record> {
+    pub fn members_to_store(&self) -> Vec<Record> {
         self.swim
             .members()
-            .filter(|m| m.standing <= MemberState::Suspect)
+            .filter(|m| m.state <= MemberState::Suspect)
             .map(|m| m.record)
             .collect()
     }
@@ -177,7 +178,7 @@
             weight: self.reputation.weight(now, &m.record.name),
             name: m.record.name,
             address: m.record.address,
-            standing: m.standing.name(),
+            state: m.state.name(),
             incarnation: m.record.incarnation,
             heard: m.heard,
         };
@@ -188,22 +189,22 @@
     pub fn alive(&self) -> usize {
         self.swim
             .members()
-            .filter(|m| m.standing == MemberState::Alive)
+            .filter(|m| m.state == MemberState::Alive)
             .count()
     }
 
     /// Returns a member's state.
-    pub fn standing(&self, name: &str) -> Option<MemberState> {
-        self.swim.standing(name)
+    pub fn state(&self, name: &str) -> Option<MemberState> {
+        self.swim.state(name)
     }
 
     /// Returns the numbers of rejected datagrams by reason, and the number withheld by the budget.
-    pub fn refused(&self) -> (&BTreeMap<&'static str, u64>, u64) {
+    pub fn rejections(&self) -> (&BTreeMap<&'static str, u64>, u64) {
         (&self.opener.refused, self.budget.withheld)
     }
 
     /// Returns the number of stored observations and the length of the relay queue.
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn queue_sizes(&self) -> (usize, usize) {
         (self.observations.len(), self.relay_queue.len())
     }
 
@@ -214,10 +215,10 @@
             Input::Outcome(worker, seen) => {
                 let o = self.window.entry(worker).or_default();
                 let count = match seen {
-                    Observed::Answered => &mut o.answered,
-                    Observed::Failed => &mut o.failed,
-                    Observed::Silent => &mut o.silent,
-                    Observed::Refused => &mut o.refused,
+                    AttemptOutcome::Answered => &mut o.answered,
+                    AttemptOutcome::Failed => &mut o.failed,
+                    AttemptOutcome::TimedOut => &mut o.silent,
+                    AttemptOutcome::Refused => &mut o.refused,
                 };
                 *count = count.saturating_add(1);
             }
@@ -226,12 +227,13 @@
                 self.reported_unhealthy.retain(|w| ready.contains(w));
                 self.ready = ready;
             }
-            Input::Known(records, seeds) => {
+            Input::KnownMembers(records, seeds) => {
                 let good = records
                     .into_iter()
                     .filter(|r| wire::check_record(&self.keys, r))
                     .collect();
-                self.swim.handle(now, swim::Input::Known(good, seeds));
+                self.swim
+                    .handle(now, swim::Input::KnownMembers(good, seeds));
             }
             Input::Keys(keys) => {
                 self.keys = keys;
@@ -272,7 +274,7 @@
         if opened.from == self.settings.name {
             return;
         }
-        for s in opened.sightings {
+        for s in opened.observations {
             self.receive_observation(now, s);
         }
         // Answers go to the address in the sender's sealed record: a host that replays a datagram
@@ -298,7 +300,7 @@
     fn receive_observation(&mut self, now: Micros, s: SealedObservation) {
         let member = self
             .swim
-            .standing(&s.origin)
+            .state(&s.origin)
             .is_some_and(|t| t <= MemberState::Suspect);
         if s.origin == self.settings.name || !member {
             return;
@@ -368,7 +370,7 @@
                 .iter()
                 .map(|(w, o)| (*w, Observation { at, ..*o }))
                 .collect();
-            let sealed = wire::seal_sighting(&self.keys, &self.settings.name, at, part);
+            let sealed = wire::seal_observation(&self.keys, &self.settings.name, at, part);
             self.queue_for_relay(sealed);
         }
         self.observations.expire(now);
@@ -391,9 +393,9 @@
                     self.reputation.forget_origin(&name);
                     self.relay_queue.retain(|(origin, _), _| *origin != name);
                 }
-                swim::Output::Keep => {
-                    if self.outputs.back() != Some(&Output::Keep) {
-                        self.outputs.push_back(Output::Keep);
+                swim::Output::StoreMembers => {
+                    if self.outputs.back() != Some(&Output::StoreMembers) {
+                        self.outputs.push_back(Output::StoreMembers);
                     }
                 }
                 swim::Output::Accuse(accused, incarnation) => {
--- a/src/membership/group_tests.rs
+++ b/src/membership/group_tests.rs
@@ -41,7 +41,10 @@
             .map(|n| Group::new(settings(n), each(n, N), u64::from(n), now))
             .collect();
         for g in &mut groups {
-            g.handle(now, Input::Known(Vec::new(), vec![address(0), address(1)]));
+            g.handle(
+                now,
+                Input::KnownMembers(Vec::new(), vec![address(0), address(1)]),
+            );
             g.handle(now, Input::Ready((0..12).map(WorkerId).collect()));
         }
         let n = groups.len();
@@ -74,7 +77,7 @@
                         }
                         Output::Advice(worker, advice) => {
                             self.advice[n].insert(worker, advice);
-                            if matches!(advice, HealthAdvice::Down(_)) {
+                            if matches!(advice, HealthAdvice::Demote(_)) {
                                 self.first_down[n].get_or_insert(self.now);
                             }
                         }
@@ -90,7 +93,7 @@
     fn run(
         &mut self,
         seconds: u64,
-        seen: impl Fn(usize, u32) -> Observed,
+        seen: impl Fn(usize, u32) -> AttemptOutcome,
         mut each_second: impl FnMut(&mut World),
     ) {
         for _ in 0..seconds * 10 {
@@ -115,7 +118,7 @@
         (0..9).all(|n| {
             (0..9)
                 .filter(|m| *m != n)
-                .all(|m| self.groups[n].standing(&name(m as u8)) == Some(MemberState::Alive))
+                .all(|m| self.groups[n].state(&name(m as u8)) == Some(MemberState::Alive))
         })
     }
 }
@@ -123,19 +126,19 @@
 #[test]
 fn silent_worker_is_demoted_by_instances_without_attempts() {
     let mut w = World::new();
-    w.run(20, |_, _| Observed::Answered, |_| {});
+    w.run(20, |_, _| AttemptOutcome::Answered, |_| {});
     assert!(w.all_alive() && w.advice.iter().all(BTreeMap::is_empty));
     let started = w.now;
     // Three instances find worker 5 silent; the others record no attempts at it.
     let silent = |n: usize, worker: u32| {
         if worker == 5 {
             if n < 3 {
-                Observed::Silent
+                AttemptOutcome::TimedOut
             } else {
-                Observed::Failed
+                AttemptOutcome::Failed
             }
         } else {
-            Observed::Answered
+            AttemptOutcome::Answered
         }
     };
     w.run(15, silent, |w| {
@@ -164,14 +167,14 @@
         .flat_map(BTreeMap::keys)
         .all(|worker| *worker == WorkerId(5)));
     // The worker answers again: its observations expire and no advice remains.
-    w.run(30, |_, _| Observed::Answered, |_| {});
+    w.run(30, |_, _| AttemptOutcome::Answered, |_| {});
     w.advice.iter_mut().for_each(BTreeMap::clear);
-    w.run(10, |_, _| Observed::Answered, |_| {});
+    w.run(10, |_, _| AttemptOutcome::Answered, |_| {});
     assert!(w.advice.iter().all(BTreeMap::is_empty));
     assert!(
         w.groups.iter().all(|g| g.relay_queue.len() < 40),
         "{:?}",
-        w.groups.iter().map(Group::sizes).collect::<Vec<_>>()
+        w.groups.iter().map(Group::queue_sizes).collect::<Vec<_>>()
     );
 }
 
@@ -183,12 +186,12 @@
     let mut w = World::new();
     let all_dead = |n: usize, _| {
         if n == 9 {
-            Observed::Refused
+            AttemptOutcome::Refused
         } else {
-            Observed::Answered
+            AttemptOutcome::Answered
         }
     };
-    w.run(20, |_, _| Observed::Answered, |_| {});
+    w.run(20, |_, _| AttemptOutcome::Answered, |_| {});
     let before: Vec<u64> = w.groups.iter().map(|g| g.sent_bytes).collect();
     let keys = each(9, N);
     let mut forged = 0;
@@ -216,7 +219,7 @@
                 true,
             )];
             let message = Message {
-                say: swim::Say::Sync(true),
+                kind: swim::MessageKind::Sync(true),
                 records,
                 accusations,
             };
@@ -226,7 +229,7 @@
                 ..Observation::default()
             };
             let seen = (0..12).map(|worker| (WorkerId(worker), ill)).collect();
-            let mut lie = Some(wire::seal_sighting(&keys, "j", now, seen));
+            let mut lie = Some(wire::seal_observation(&keys, "j", now, seen));
             w.groups[9].number += 1;
             let number = w.groups[9].number;
             let sealed =
@@ -253,7 +256,7 @@
             "{}",
             g.reputation.weight(w.now, "j")
         );
-        let (refused, _) = g.refused();
+        let (refused, _) = g.rejections();
         assert!(
             ["seal", "replayed", "garbled", "too_long", "part"]
                 .iter()
@@ -261,7 +264,7 @@
             "{refused:?}"
         );
         assert!((g.sent_bytes - before[n]) / 30 <= 8000, "the byte budget");
-        assert!(g.sizes().0 <= 12 * 10 && g.sizes().1 <= MAX_RELAY_QUEUE);
+        assert!(g.queue_sizes().0 <= 12 * 10 && g.queue_sizes().1 <= MAX_RELAY_QUEUE);
     }
 }
 
@@ -269,7 +272,7 @@
 fn key_rotation_rejects_no_datagram() {
     use super::super::keys::{tests::private, Keys};
     let mut w = World::new();
-    w.run(20, |_, _| Observed::Answered, |_| {});
+    w.run(20, |_, _| AttemptOutcome::Answered, |_| {});
     let public = |n: u8| Keys::public(&private(n)).unwrap();
     // Instance `a` changes from key 1 to key 101: all accept both keys, then `a` signs with the new
     // key, then all stop accepting the old key.
@@ -294,13 +297,13 @@
     ] {
         for n in 0..N {
             let key = if n == 0 { own } else { n + 1 };
-            let keys = Keys::each(&name(n), &private(key), &accepted).unwrap();
+            let keys = Keys::per_instance(&name(n), &private(key), &accepted).unwrap();
             let now = w.now;
             w.groups[n as usize].handle(now, Input::Keys(keys));
         }
-        w.run(20, |_, _| Observed::Answered, |_| {});
+        w.run(20, |_, _| AttemptOutcome::Answered, |_| {});
         assert!(w.all_alive());
     }
-    let refused = w.groups[3].refused().0.get("seal").copied().unwrap_or(0);
+    let refused = w.groups[3].rejections().0.get("seal").copied().unwrap_or(0);
     assert_eq!(refused, 0, "no datagram was rejected during the rotation");
 }
--- a/src/membership/keys.rs
+++ b/src/membership/keys.rs
@@ -90,7 +90,7 @@
 
     /// Creates the mode with one private key per instance. `accepted` lists the public keys
     /// accepted for each name and must contain this instance's own public key.
-    pub fn each(
+    pub fn per_instance(
         name: &str,
         own: &str,
         accepted: &BTreeMap<String, Vec<String>>,
@@ -138,7 +138,7 @@
     }
 
     /// Returns whether seals by `name` can be accepted at all.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn accepts_name(&self, name: &str) -> bool {
         match &self.0 {
             Mode::Shared { .. } => is_name(name),
             Mode::PerInstance { accepted, .. } => accepted.contains_key(name),
@@ -202,7 +202,7 @@
         let all = (0..of)
             .map(|n| (name(n), vec![Keys::public(&private(n + 1)).unwrap()]))
             .collect();
-        Keys::each(&name(n), &private(n + 1), &all).unwrap()
+        Keys::per_instance(&name(n), &private(n + 1), &all).unwrap()
     }
 
     #[test]
@@ -242,7 +242,7 @@
                 .iter()
                 .map(|n| Keys::public(&private(*n)).unwrap())
                 .collect();
-            Keys::each("a", &private(own), &BTreeMap::from([("a".to_owned(), all)]))
+            Keys::per_instance("a", &private(own), &BTreeMap::from([("a".to_owned(), all)]))
         };
         assert!(own(1, &[1, 2]).unwrap().check(
             "a",
--- a/src/membership/reputation.rs
+++ b/src/membership/reputation.rs
@@ -59,9 +59,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthAdvice {
     /// Prefer other workers until this time.
-    Down(Micros),
+    Demote(Micros),
     /// A trial after a local failure may start now.
-    Well,
+    AllowTrial,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -206,7 +206,7 @@
             } else if in_favor - against >= self.bounds.needed_weight
                 && own.is_some_and(|o| o.verdict() == HealthVerdict::Unhealthy)
             {
-                advice.push((*worker, HealthAdvice::Well));
+                advice.push((*worker, HealthAdvice::AllowTrial));
             }
         }
         if unhealthy.len() as f64 > self.bounds.panic_share * ready.len() as f64 {
@@ -221,7 +221,7 @@
             }
             let until = now + self.bounds.demotion_duration;
             self.demoted.insert(worker, until);
-            advice.push((worker, HealthAdvice::Down(until)));
+            advice.push((worker, HealthAdvice::Demote(until)));
         }
         advice
     }
--- a/src/membership/reputation/tests.rs
+++ b/src/membership/reputation/tests.rs
@@ -33,7 +33,7 @@
     r.merge(10, SKEW, "b", WorkerId(1), ill(10));
     assert_eq!(
         t.advise(10, &r, &ready(8)),
-        [(WorkerId(1), HealthAdvice::Down(10 + 3 * SECOND))]
+        [(WorkerId(1), HealthAdvice::Demote(10 + 3 * SECOND))]
     );
     assert!(
         t.advise(11, &r, &ready(8)).is_empty(),
@@ -88,7 +88,7 @@
     // Local attempts contradict the claims at once: three contradicted origins weigh 0.9 together,
     // then less.
     let first = t.advise(now, &r, &ready(8));
-    assert!(first.is_empty() || first == [(WorkerId(3), HealthAdvice::Well)]);
+    assert!(first.is_empty() || first == [(WorkerId(3), HealthAdvice::AllowTrial)]);
     for round in 1..4 {
         let now = now + round * SECOND;
         t.observe(WorkerId(3), ill(now));
@@ -116,7 +116,7 @@
             down.retain(|_, until| *until > now);
             for (worker, advice) in t.advise(now, &r, &ready(n)) {
                 prop_assert!(worker.0 < n);
-                if let HealthAdvice::Down(until) = advice {
+                if let HealthAdvice::Demote(until) = advice {
                     prop_assert!(until <= now + Bounds::default().demotion_duration);
                     down.insert(worker, until);
                 }
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -104,14 +104,14 @@
 
 /// Kind of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Say {
+pub enum MessageKind {
     /// Probe with a number and the name of its target. Another member that now has the address
     /// ignores the probe.
     Ping(u64, String),
     /// Answer to the probe with this number.
     Ack(u64),
     /// Request to probe the named member on behalf of the sender.
-    PingFor(u64, String),
+    PingRequest(u64, String),
     /// Report that an indirect probe got no answer; shows that the sender itself is responsive.
     Nack(u64),
     /// A page of the sender's members; `true` requests a page in return.
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Kind of the message.
-    pub say: Say,
+    pub kind: MessageKind,
     /// Member records.
     pub records: Vec<Record>,
     /// Accusations of members.
@@ -160,7 +160,7 @@
     /// A message from a member, with its address; its seals are verified.
     Message(String, SocketAddr, Message),
     /// Members stored by the previous run, and seed addresses.
-    Known(Vec<Record>, Vec<SocketAddr>),
+    KnownMembers(Vec<Record>, Vec<SocketAddr>),
     /// The deadline from [`Swim::next_deadline`] has passed.
     Tick,
     /// Announces a graceful departure.
@@ -177,7 +177,7 @@
     /// A member was removed.
     Forgotten(String),
     /// The list of members to store for the next start changed.
-    Keep,
+    StoreMembers,
     /// Seal an accusation of this member in this incarnation and pass it to [`Swim::accuse`].
     Accuse(String, u64),
     /// Seal the own record with this incarnation and leaving flag, and pass it to [`Swim::renew`].
@@ -235,7 +235,7 @@
     /// The member's record.
     pub record: Record,
     /// The member's state.
-    pub standing: MemberState,
+    pub state: MemberState,
     /// Time of the last state change.
     pub since: Micros,
     /// Time of the last message from the member.
@@ -317,14 +317,14 @@
     pub fn members(&self) -> impl Iterator<Item = View> + '_ {
         self.members.values().map(|m| View {
             record: m.record.clone(),
-            standing: m.standing,
+            state: m.standing,
             since: m.since,
             heard: m.heard,
         })
     }
 
     /// Returns a member's state.
-    pub fn standing(&self, name: &str) -> Option<MemberState> {
+    pub fn state(&self, name: &str) -> Option<MemberState> {
         self.members.get(name).map(|m| m.standing)
     }
 
@@ -351,7 +351,7 @@
             Input::Message(from, address, message) => {
                 self.handle_message(now, &from, address, message)
             }
-            Input::Known(records, seeds) => {
+            Input::KnownMembers(records, seeds) => {
                 self.seeds = seeds;
                 for record in records {
                     self.apply_record(now, record);
@@ -385,7 +385,7 @@
             // Notifies a few members at once, because this instance sends nothing later.
             for address in self.pick_members(self.settings.indirect + 1, "") {
                 self.next_number += 1;
-                self.send(address, Say::Sync(false));
+                self.send(address, MessageKind::Sync(false));
             }
         }
     }
@@ -421,7 +421,7 @@
         (records, accusations)
     }
 
-    fn send(&mut self, to: SocketAddr, say: Say) {
+    fn send(&mut self, to: SocketAddr, say: MessageKind) {
         let (records, mut accusations) = self.take_news(PIGGYBACKED_PER_MESSAGE);
         // Lifeguard's buddy system: every message to a suspected or dead member carries the
         // accusation.
@@ -434,7 +434,7 @@
         self.outputs.push_back(Output::Send(
             to,
             Message {
-                say,
+                kind: say,
                 records,
                 accusations,
             },
@@ -471,14 +471,14 @@
         }
         self.outputs
             .push_back(Output::Changed(name.to_owned(), standing));
-        self.outputs.push_back(Output::Keep);
+        self.outputs.push_back(Output::StoreMembers);
     }
 
     // ---- Received messages ----
 
     fn handle_message(&mut self, now: Micros, from: &str, address: SocketAddr, message: Message) {
         let Message {
-            say,
+            kind: say,
             records,
             accusations,
         } = message;
@@ -496,18 +496,18 @@
             m.heard = now;
         }
         match say {
-            Say::Ping(number, name) if name == self.own.name => {
-                self.send(address, Say::Ack(number));
+            MessageKind::Ping(number, name) if name == self.own.name => {
+                self.send(address, MessageKind::Ack(number));
             }
             // The probe is for a member that had this address before.
-            Say::Ping(..) => {}
-            Say::Ack(number) => self.handle_ack(now, from, number),
-            Say::Nack(number) => {
+            MessageKind::Ping(..) => {}
+            MessageKind::Ack(number) => self.handle_ack(now, from, number),
+            MessageKind::Nack(number) => {
                 if let Some(p) = self.probes.get_mut(&number) {
                     p.nacks += 1;
                 }
             }
-            Say::PingFor(number, name) => {
+            MessageKind::PingRequest(number, name) => {
                 let Some(to) = self.members.get(&name).map(|m| m.record.address) else {
                     return;
                 };
@@ -521,9 +521,9 @@
                     now + self.settings.timeout,
                     Timer::IndirectTimeout(own_number),
                 ));
-                self.send(to, Say::Ping(own_number, name));
+                self.send(to, MessageKind::Ping(own_number, name));
             }
-            Say::Sync(wants_reply) => {
+            MessageKind::Sync(wants_reply) => {
                 // Answers each member at most once per second, so that more requests cost no more
                 // traffic.
                 let answered_recently = self
@@ -571,7 +571,7 @@
 
     fn handle_ack(&mut self, now: Micros, from: &str, number: u64) {
         if let Some((requester, requester_number)) = self.indirect_requests.remove(&number) {
-            return self.send(requester, Say::Ack(requester_number));
+            return self.send(requester, MessageKind::Ack(requester_number));
         }
         let Some(p) = self.probes.get(&number) else {
             return;
@@ -729,7 +729,7 @@
                     p.asked = others.len();
                 }
                 for to in others {
-                    self.send(to, Say::PingFor(number, target.clone()));
+                    self.send(to, MessageKind::PingRequest(number, target.clone()));
                 }
             }
             Timer::ProbeEnd(number) => {
@@ -753,7 +753,7 @@
             Timer::IndirectTimeout(number) => {
                 if let Some((requester, requester_number)) = self.indirect_requests.remove(&number)
                 {
-                    self.send(requester, Say::Nack(requester_number));
+                    self.send(requester, MessageKind::Nack(requester_number));
                 }
             }
             Timer::Sync => {
@@ -838,7 +838,7 @@
                 now + self.settings.interval * slowdown,
                 Timer::ProbeEnd(number),
             ));
-            return self.send(address, Say::Ping(number, name));
+            return self.send(address, MessageKind::Ping(number, name));
         }
     }
 
@@ -868,7 +868,7 @@
             .and_then(|m| m.last_suspicion.clone());
         let accusations = last_suspicion.into_iter().collect();
         let message = Message {
-            say: Say::Sync(wants_reply),
+            kind: MessageKind::Sync(wants_reply),
             records: all,
             accusations,
         };
--- a/src/membership/swim_tests.rs
+++ b/src/membership/swim_tests.rs
@@ -61,7 +61,7 @@
         let mut swim = Swim::new(Settings::default(), record(n, incarnation), seed, self.now);
         swim.handle(
             self.now,
-            Input::Known(Vec::new(), vec![address(0), address(1)]),
+            Input::KnownMembers(Vec::new(), vec![address(0), address(1)]),
         );
         self.nodes.insert(name(n), swim);
     }
@@ -169,7 +169,7 @@
         self.nodes.iter().all(|(me, s)| {
             let alive: BTreeSet<String> = s
                 .members()
-                .filter(|m| m.standing == MemberState::Alive)
+                .filter(|m| m.state == MemberState::Alive)
                 .map(|m| m.record.name)
                 .collect();
             let there: BTreeSet<String> = self.nodes.keys().filter(|n| *n != me).cloned().collect();
@@ -203,7 +203,7 @@
     assert!(net
         .nodes
         .values()
-        .all(|s| s.standing(&name(3)).is_none() && s.members.len() == 18));
+        .all(|s| s.state(&name(3)).is_none() && s.members.len() == 18));
     assert!(net.nodes.values().all(|s| !s.probe_order.contains(&name(3))
         && s.probes.len() < 4
         && s.indirect_requests.len() < 8));
@@ -236,10 +236,7 @@
         }
     }
     net.run(90 * SECOND);
-    assert_eq!(
-        net.nodes[&name(2)].standing(&name(8)),
-        Some(MemberState::Dead)
-    );
+    assert_eq!(net.nodes[&name(2)].state(&name(8)), Some(MemberState::Dead));
     net.cut.clear();
     net.run(90 * SECOND);
     assert!(net.agree());
@@ -272,7 +269,7 @@
     assert!(net
         .nodes
         .values()
-        .all(|s| s.standing(&name(4)) == Some(MemberState::Left)));
+        .all(|s| s.state(&name(4)) == Some(MemberState::Left)));
 }
 
 /// Guards against a member that continually accuses all others, with current and huge incarnations,
@@ -292,9 +289,9 @@
                     by: name(9),
                     seal: Vec::new(),
                 };
-                let say = Say::Sync(false);
+                let say = MessageKind::Sync(false);
                 let message = Message {
-                    say,
+                    kind: say,
                     records: vec![record(victim, 0)],
                     accusations: vec![a],
                 };
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -13,7 +13,7 @@
 use super::is_name;
 use super::keys::Keys;
 use super::observations::Observation;
-use super::swim::{Message, Record, Say, Suspicion};
+use super::swim::{Message, MessageKind, Record, Suspicion};
 use crate::api::{Micros, WorkerId};
 
 /// Version of the wire format.
@@ -246,7 +246,7 @@
 }
 
 /// Creates and seals the observations by this instance.
-pub fn seal_sighting(
+pub fn seal_observation(
     keys: &Keys,
     origin: &str,
     at: Micros,
@@ -292,13 +292,13 @@
     max_bytes: usize,
     mut observations: impl FnMut(usize) -> Option<SealedObservation>,
 ) -> Option<Vec<u8>> {
-    let (say, asked, name) = match &message.say {
-        Say::Ping(n, name) => (1, *n, name.clone()),
-        Say::Ack(n) => (2, *n, String::new()),
-        Say::PingFor(n, name) => (3, *n, name.clone()),
-        Say::Nack(n) => (4, *n, String::new()),
-        Say::Sync(false) => (5, 0, String::new()),
-        Say::Sync(true) => (6, 0, String::new()),
+    let (say, asked, name) = match &message.kind {
+        MessageKind::Ping(n, name) => (1, *n, name.clone()),
+        MessageKind::Ack(n) => (2, *n, String::new()),
+        MessageKind::PingRequest(n, name) => (3, *n, name.clone()),
+        MessageKind::Nack(n) => (4, *n, String::new()),
+        MessageKind::Sync(false) => (5, 0, String::new()),
+        MessageKind::Sync(true) => (6, 0, String::new()),
     };
     let mut body = Body {
         say,
@@ -405,14 +405,14 @@
     /// The message, without known records and items with invalid seals.
     pub message: Message,
     /// Sealed observations with valid seals.
-    pub sightings: Vec<SealedObservation>,
+    pub observations: Vec<SealedObservation>,
     /// Number of items dropped because of an invalid seal, name, address or length.
     pub refused: u32,
 }
 
 /// Decodes and verifies datagrams.
 #[derive(Clone, Debug, Default)]
-pub struct Opener {
+pub struct Decoder {
     windows: BTreeMap<String, ReplayWindow>,
     /// Number of rejected datagrams by reason.
     pub refused: BTreeMap<&'static str, u64>,
@@ -421,7 +421,7 @@
 /// Number of senders with replay windows above which stale windows are removed.
 const MAX_SENDERS: usize = 4096;
 
-impl Opener {
+impl Decoder {
     /// Decodes and verifies a datagram. Cheap checks come before the seals. `known` returns whether
     /// a record is already known, so that its seal needs no check.
     pub fn open(
@@ -457,7 +457,7 @@
         if e.version != VERSION {
             return Err(DatagramError::Version);
         }
-        if !is_name(&e.from) || !keys.knows(&e.from) {
+        if !is_name(&e.from) || !keys.accepts_name(&e.from) {
             return Err(DatagramError::Stranger);
         }
         if e.sent_us.abs_diff(now) > SKEW {
@@ -478,12 +478,12 @@
         window.heard = now;
         let body = Body::decode(&e.body[..]).map_err(|_| DatagramError::Garbled)?;
         let say = match body.say {
-            1 => Say::Ping(body.number, body.name),
-            2 => Say::Ack(body.number),
-            3 => Say::PingFor(body.number, body.name),
-            4 => Say::Nack(body.number),
-            5 => Say::Sync(false),
-            6 => Say::Sync(true),
+            1 => MessageKind::Ping(body.number, body.name),
+            2 => MessageKind::Ack(body.number),
+            3 => MessageKind::PingRequest(body.number, body.name),
+            4 => MessageKind::Nack(body.number),
+            5 => MessageKind::Sync(false),
+            6 => MessageKind::Sync(true),
             _ => return Err(DatagramError::Garbled),
         };
         let mut refused = 0;
@@ -562,11 +562,11 @@
         Ok(Opened {
             from: e.from,
             message: Message {
-                say,
+                kind: say,
                 records,
                 accusations,
             },
-            sightings,
+            observations: sightings,
             refused,
         })
     }
--- a/src/membership/wire/tests.rs
+++ b/src/membership/wire/tests.rs
@@ -14,7 +14,7 @@
     let records = vec![seal_record(keys, "a", address(1), 5, false)];
     let accusations = vec![seal_accusation(keys, "b", 3, "a")];
     Message {
-        say: Say::Ping(7, "b".into()),
+        kind: MessageKind::Ping(7, "b".into()),
         records,
         accusations,
     }
@@ -28,7 +28,7 @@
         silent: 3,
         refused: 4,
     };
-    seal_sighting(keys, "a", NOW, vec![(WorkerId(9), o)])
+    seal_observation(keys, "a", NOW, vec![(WorkerId(9), o)])
 }
 
 fn packed(keys: &Keys, number: u64) -> Vec<u8> {
@@ -39,11 +39,14 @@
 #[test]
 fn datagram_is_accepted_once_and_while_fresh() {
     let (a, b) = (each(0, 2), each(1, 2));
-    let mut opener = Opener::default();
+    let mut opener = Decoder::default();
     let bytes = packed(&a, 10);
     let opened = opener.open(&b, NOW + 5, &bytes, |_| false).unwrap();
     assert_eq!((opened.from.as_str(), &opened.message), ("a", &ping(&a)));
-    assert_eq!((opened.sightings, opened.refused), (vec![sighting(&a)], 0));
+    assert_eq!(
+        (opened.observations, opened.refused),
+        (vec![sighting(&a)], 0)
+    );
     assert_eq!(
         opener.open(&b, NOW + 6, &bytes, |_| false).unwrap_err(),
         DatagramError::Replayed
@@ -94,7 +97,7 @@
         ..seal_accusation(&b, "c", 1, "b")
     }];
     let message = Message {
-        say: Say::Sync(false),
+        kind: MessageKind::Sync(false),
         records,
         accusations,
     };
@@ -103,16 +106,16 @@
         ..sighting(&b)
     });
     let bytes = pack(&b, "b", 1, NOW, &message, MTU, |_| forged.take()).unwrap();
-    let opened = Opener::default().open(&a, NOW, &bytes, |_| false).unwrap();
+    let opened = Decoder::default().open(&a, NOW, &bytes, |_| false).unwrap();
     assert_eq!(opened.refused, 3);
     assert!(
         opened.message.records.is_empty()
             && opened.message.accusations.is_empty()
-            && opened.sightings.is_empty()
+            && opened.observations.is_empty()
     );
     let bytes = pack(&b, "a", 1, NOW, &message, MTU, |_| None).unwrap();
     assert_eq!(
-        Opener::default()
+        Decoder::default()
             .open(&each(2, 3), NOW, &bytes, |_| false)
             .unwrap_err(),
         DatagramError::Seal
@@ -125,7 +128,7 @@
     let mut e = Envelope::decode(&packed(&a, 1)[..]).unwrap();
     e.version = 2;
     e.seal = a.seal(ENVELOPE, &envelope_content(&e));
-    let mut opener = Opener::default();
+    let mut opener = Decoder::default();
     assert_eq!(
         opener
             .open(&b, NOW, &e.encode_to_vec(), |_| false)
@@ -144,7 +147,7 @@
     #[test]
     fn damaged_datagrams_are_rejected(noise in prop::collection::vec(any::<u8>(), 0..1300), at in any::<usize>(), bit in 0u8..8) {
         let (a, b) = (each(0, 2), each(1, 2));
-        let mut opener = Opener::default();
+        let mut opener = Decoder::default();
         let _ = opener.open(&b, NOW, &noise, |_| false);
         let mut bytes = packed(&a, 1);
         let at = at % bytes.len();
@@ -157,7 +160,7 @@
     fn items_that_do_not_fit_are_omitted(max_bytes in 0usize..MTU, n in 0usize..40) {
         let a = each(0, 2);
         let records = (0..n).map(|i| seal_record(&a, &format!("member-{i}"), address(1), 5, false)).collect();
-        let message = Message { say: Say::Sync(true), records, accusations: Vec::new() };
+        let message = Message { kind: MessageKind::Sync(true), records, accusations: Vec::new() };
         let bytes = pack(&a, "a", 1, NOW, &message, max_bytes, |left| (left > 200).then(|| sighting(&a)));
         prop_assert!(bytes.is_none_or(|b| b.len() <= max_bytes));
     }
--- a/src/policy/evidence/contradiction.rs
+++ b/src/policy/evidence/contradiction.rs
@@ -41,11 +41,11 @@
         // Spreads the reopenings of different instances.
         let spread = self.seed % (interval / 2);
         let contradicted_for = self.contradicted_for(now).max(self.doubted_for(now));
-        let is_due = now >= self.reopened_at + interval + spread * u64::from(doublings > 0)
+        let is_due = now >= self.stream_reopened_at + interval + spread * u64::from(doublings > 0)
             && self.discovery.has_open_stream()
             && contradicted_for >= Some(REOPEN_AFTER);
         if is_due {
-            self.reopened_at = now;
+            self.stream_reopened_at = now;
             self.reopenings += 1;
             self.discovery.reopen();
         }
--- a/src/policy/evidence/tracker.rs
+++ b/src/policy/evidence/tracker.rs
@@ -35,7 +35,7 @@
     /// Whether any worker may be doubted, suspended or reported as ended.
     pub(super) has_anomalies: bool,
     /// When the discovery stream was last reopened.
-    pub(super) reopened_at: Micros,
+    pub(super) stream_reopened_at: Micros,
     /// The number of reopenings since the last update.
     pub(super) reopenings: u32,
     pub(super) changes: VecDeque<EvidenceChange>,
@@ -64,7 +64,7 @@
             budget: CheckBudget::new(settings.instances, now),
             last_request_at: None,
             has_anomalies: false,
-            reopened_at: 0,
+            stream_reopened_at: 0,
             reopenings: 0,
             changes: VecDeque::new(),
         }
--- a/src/policy/load_backoff.rs
+++ b/src/policy/load_backoff.rs
@@ -10,9 +10,9 @@
 
 /// The pause for one function after the first failed order, in microseconds. It doubles with each
 /// further failure.
-const INITIAL_COPY_PAUSE: Micros = 250_000;
+const INITIAL_FUNCTION_PAUSE: Micros = 250_000;
 /// The maximum of this pause, in microseconds.
-const MAX_COPY_PAUSE: Micros = 8_000_000;
+const MAX_FUNCTION_PAUSE: Micros = 8_000_000;
 /// The pause for all functions after the second consecutive rejection, in microseconds. It doubles
 /// with each further rejection.
 const INITIAL_WORKER_PAUSE: Micros = 100_000;
@@ -99,8 +99,8 @@
         self.copies.entry(key).or_default().record_failure(
             now,
             0,
-            INITIAL_COPY_PAUSE,
-            MAX_COPY_PAUSE,
+            INITIAL_FUNCTION_PAUSE,
+            MAX_FUNCTION_PAUSE,
         );
     }
 
@@ -113,8 +113,8 @@
     /// Forgets pauses that ended long ago.
     pub(super) fn forget_outdated(&mut self, now: Micros) {
         self.copies
-            .retain(|_, backoff| now < backoff.until + MAX_COPY_PAUSE);
+            .retain(|_, backoff| now < backoff.until + MAX_FUNCTION_PAUSE);
         self.workers
-            .retain(|_, backoff| now < backoff.until + MAX_COPY_PAUSE);
+            .retain(|_, backoff| now < backoff.until + MAX_FUNCTION_PAUSE);
     }
 }
--- a/src/store/keyspace.rs
+++ b/src/store/keyspace.rs
@@ -17,7 +17,7 @@
     /// Bodies of messages, by sequence number.
     Bodies,
     /// Messages that this gateway has to deliver, by endpoint, due time and sequence number.
-    PendingMessage,
+    Waiting,
     /// Start times of unfinished attempts, by the message's sequence number.
     StartedAttempts,
     /// Finished attempts, by the message's sequence number and a counter.
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -179,7 +179,7 @@
 
     /// Returns a tenant if its serial matches. This prevents an answer from going to
     /// another tenant's portal after the tenant was removed and its name was reused.
-    pub fn same(&self, name: &str, serial: u64) -> Option<&Tenant> {
+    pub fn get_with_serial(&self, name: &str, serial: u64) -> Option<&Tenant> {
         self.get(name).filter(|t| t.serial == serial)
     }
 
--- a/src/tenancy/persistence.rs
+++ b/src/tenancy/persistence.rs
@@ -90,7 +90,7 @@
 impl Registry {
     /// Returns a tenant serialized for other gateways, including secrets, or `None` if the tenant
     /// does not exist.
-    pub fn told(&self, name: &str, now: Micros) -> Option<Vec<u8>> {
+    pub fn encode_tenant(&self, name: &str, now: Micros) -> Option<Vec<u8>> {
         let kept = StoredTenant::of(name, self.get(name)?)
             .shifted(|until| until.checked_sub(now).filter(|s| *s > 0));
         // Contains only strings and numbers, so serialization cannot fail.
@@ -137,7 +137,7 @@
 
     /// Sets the number of tenants removed by all gateways. The number enters the serials of new
     /// tenants, so a new tenant differs from all removed ones.
-    pub fn set_removals(&mut self, removals: u64) {
+    pub fn set_removal_count(&mut self, removals: u64) {
         self.serials = removals;
     }
 
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -23,11 +23,11 @@
     /// Unique identifier of this process.
     pub process: u64,
     /// Minimum number of disks that store a change.
-    pub copies: usize,
+    pub replicas: usize,
     /// Timeout for agreement on a change.
-    pub ask: Micros,
+    pub agreement_timeout: Micros,
     /// For tests: reports changes as done before agreement, which disables the safeguard.
-    pub without_agreed: bool,
+    pub confirm_before_agreement: bool,
 }
 
 /// A change requested at this gateway.
@@ -36,7 +36,7 @@
     /// Name of the tenant.
     pub tenant: String,
     /// The new contents of the tenant; `None` for a removal.
-    pub kept: Option<Vec<u8>>,
+    pub encoded: Option<Vec<u8>>,
     /// Whether the operator's file lists the tenant.
     pub listed: bool,
     /// Answer for repeated requests, if the request had an idempotency key.
@@ -49,7 +49,7 @@
     /// A change requested here, based on the state adopted so far.
     Change(Ticket, ChangeRequest),
     /// The agreed state, and the number of voters.
-    Agreed(Arc<Tenants>, usize),
+    StateChanged(Arc<Tenants>, usize),
     /// The deadline from [`Changes::next_deadline`] has passed.
     Tick,
 }
@@ -68,7 +68,7 @@
     /// A change is not confirmed.
     Refused(Ticket, Refusal),
     /// Record an event.
-    Noted(HistoryEvent),
+    RecordEvent(HistoryEvent),
 }
 
 #[derive(Clone, Debug)]
@@ -138,7 +138,7 @@
                     self.outputs.push_back(Output::Refused(ticket, why));
                 }
             }
-            Input::Agreed(agreed, voters) => {
+            Input::StateChanged(agreed, voters) => {
                 self.voters = voters;
                 self.apply_agreed(now, agreed);
             }
@@ -159,20 +159,21 @@
         } else {
             self.voters / 2 + 1
         };
-        let want = self.settings.copies;
+        let want = self.settings.replicas;
         if have < want {
-            return Err(Refusal::Fewer { have, want });
+            return Err(Refusal::TooFewDisks { have, want });
         }
         if self.open.len() >= MAX_OPEN_CHANGES {
             return Err(Refusal::Busy {
                 open: self.open.len(),
             });
         }
-        self.agreed.room(&request.tenant, request.kept.as_deref())?;
+        self.agreed
+            .room(&request.tenant, request.encoded.as_deref())?;
         self.number += 1;
         let ChangeRequest {
             tenant,
-            kept,
+            encoded: kept,
             listed,
             answer,
         } = request;
@@ -188,17 +189,18 @@
             listed,
             answer,
         };
-        if self.settings.without_agreed {
+        if self.settings.confirm_before_agreement {
             let version = self.agreed.changes + 1;
-            self.outputs.push_back(Output::Noted(HistoryEvent::Told {
-                tenant: entry.tenant.clone(),
-                version,
-            }));
+            self.outputs
+                .push_back(Output::RecordEvent(HistoryEvent::Told {
+                    tenant: entry.tenant.clone(),
+                    version,
+                }));
             self.outputs.push_back(Output::Propose(entry));
             self.outputs.push_back(Output::Done(ticket));
             return Ok(());
         }
-        let (changes, until) = (self.agreed.changes, now + self.settings.ask);
+        let (changes, until) = (self.agreed.changes, now + self.settings.agreement_timeout);
         self.open.insert(
             self.number,
             OpenChange {
@@ -230,11 +232,12 @@
             let (tenant, digest) = (name.clone(), kept.as_deref().map(digest));
             let version = version(&agreed, name).unwrap_or(agreed.changes);
             self.outputs.push_back(Output::Adopt(name.clone(), kept));
-            self.outputs.push_back(Output::Noted(HistoryEvent::Adopted {
-                tenant,
-                version,
-                digest,
-            }));
+            self.outputs
+                .push_back(Output::RecordEvent(HistoryEvent::Adopted {
+                    tenant,
+                    version,
+                    digest,
+                }));
         }
         let open: Vec<u64> = self.open.keys().copied().collect();
         for number in open {
@@ -245,7 +248,7 @@
             let since = agreed.changes.saturating_sub(o.changes);
             let outcome = if let Some(version) = agreed.held(o.entry.origin) {
                 self.outputs
-                    .push_back(Output::Noted(HistoryEvent::Told { tenant, version }));
+                    .push_back(Output::RecordEvent(HistoryEvent::Told { tenant, version }));
                 Output::Done(o.ticket)
             } else if since > super::MAX_RECENT_CHANGES as u64 {
                 Output::Refused(o.ticket, Refusal::Unknown { tenant, since })
@@ -269,7 +272,7 @@
     }
 
     fn tick(&mut self, now: Micros) {
-        let (ask, mut expired) = (self.settings.ask, Vec::new());
+        let (ask, mut expired) = (self.settings.agreement_timeout, Vec::new());
         for (number, o) in &mut self.open {
             if now >= o.until {
                 expired.push(*number);
@@ -279,7 +282,7 @@
             }
         }
         for o in expired.into_iter().filter_map(|n| self.open.remove(&n)) {
-            let why = Refusal::Unreached {
+            let why = Refusal::AgreementTimeout {
                 tenant: o.entry.tenant,
             };
             self.outputs.push_back(Output::Refused(o.ticket, why));
--- a/src/tenancy/replicated/error.rs
+++ b/src/tenancy/replicated/error.rs
@@ -13,7 +13,7 @@
     },
     /// The change was not agreed on in time.
     #[error("the change of {tenant} was not agreed on in time; it may still take hold")]
-    Unreached {
+    AgreementTimeout {
         /// Name of the tenant.
         tenant: String,
     },
@@ -27,7 +27,7 @@
     },
     /// A majority of the voters has fewer machines than `copies` requires.
     #[error("a majority of the council is {have} machines, a promise asks for {want}")]
-    Fewer {
+    TooFewDisks {
         /// Minimum number of disks that store an agreed change.
         have: usize,
         /// Required number of disks.
@@ -61,7 +61,7 @@
     },
     /// The process started and has not yet received the agreed state.
     #[error("this gateway has not heard since its start what is agreed of tenants")]
-    Unheard,
+    NotCaughtUp,
     /// The agreed record of a tenant cannot be read by this version.
     #[error("what is agreed of {tenant} cannot be read by this version: {why}")]
     Unreadable {
@@ -77,27 +77,27 @@
     pub fn remedy(&self) -> &'static str {
         match self {
             Refusal::Changed { .. } => "look at the tenant as it is now, and make the change again if it is still wanted",
-            Refusal::Unreached { .. } => {
+            Refusal::AgreementTimeout { .. } => {
                 "look at whether the council has a majority, then at the tenant itself before the change is made again"
             }
             Refusal::Unknown { .. } => "look at the tenant before the change is made again, and at this gateway's links",
-            Refusal::Fewer { .. } => "name more voters in the council's file, or ask for fewer copies",
+            Refusal::TooFewDisks { .. } => "name more voters in the council's file, or ask for fewer copies",
             Refusal::TooMuch { .. } | Refusal::TooMany { .. } => {
                 "write tenants into the operator's file of all gateways instead, or remove some"
             }
             Refusal::TooLong { .. } => "give the tenant fewer endpoints or secrets",
             Refusal::Busy { .. } => "wait for those under way; if they do not end, look at whether the council has a majority",
-            Refusal::Unheard => "wait; if it lasts, look at this gateway's links and at whether the council has a majority",
+            Refusal::NotCaughtUp => "wait; if it lasts, look at this gateway's links and at whether the council has a majority",
             Refusal::Unreadable { .. } => "bring this gateway to the version of the others",
         }
     }
 
     /// Returns whether the same request may be repeated on a later state.
-    pub fn may_come_again(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         matches!(
             self,
             Refusal::Changed { .. }
-                | Refusal::Unreached { .. }
+                | Refusal::AgreementTimeout { .. }
                 | Refusal::Unknown { .. }
                 | Refusal::Busy { .. }
         )
--- a/src/tenancy/replicated/mod.rs
+++ b/src/tenancy/replicated/mod.rs
@@ -32,7 +32,7 @@
 pub const MAX_ANSWERS: usize = 128;
 /// Maximum size of a stored answer, in bytes. A longer answer is not stored, and a repeated request
 /// is executed again.
-pub const LONGEST_ANSWER: usize = 2 << 10;
+pub const MAX_ANSWER_BYTES: usize = 2 << 10;
 
 /// Identifier of a change: the process that made the change, and the number of the change there.
 #[derive(
--- a/src/tenancy/replicated/state.rs
+++ b/src/tenancy/replicated/state.rs
@@ -7,8 +7,8 @@
 
 use super::error::Refusal;
 use super::{
-    Origin, LONGEST_ANSWER, MAX_ANSWERS, MAX_RECENT_CHANGES, MAX_TENANT_BYTES, MAX_TENANT_RECORDS,
-    MAX_TOTAL_BYTES,
+    Origin, MAX_ANSWERS, MAX_ANSWER_BYTES, MAX_RECENT_CHANGES, MAX_TENANT_BYTES,
+    MAX_TENANT_RECORDS, MAX_TOTAL_BYTES,
 };
 
 /// The state that a change is based on.
@@ -166,7 +166,7 @@
         if let Some(answer) = e
             .answer
             .as_ref()
-            .filter(|a| a.bytes.len() <= LONGEST_ANSWER)
+            .filter(|a| a.bytes.len() <= MAX_ANSWER_BYTES)
         {
             push_bounded(&mut self.answers, answer.clone(), MAX_ANSWERS);
         }
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -39,9 +39,9 @@
             let settings = Settings {
                 name: format!("g{n}").into(),
                 process: 100 + n as u64,
-                copies,
-                ask: ASK,
-                without_agreed: false,
+                replicas: copies,
+                agreement_timeout: ASK,
+                confirm_before_agreement: false,
             };
             Changes::new(settings)
         };
@@ -63,7 +63,7 @@
         while let Some(output) = self.all[n].output() {
             match output {
                 Output::Propose(e) => self.proposed.push(e),
-                Output::Noted(note) => self.notes.push(note),
+                Output::RecordEvent(note) => self.notes.push(note),
                 other => self.outputs.push((n, other)),
             }
         }
@@ -71,14 +71,14 @@
 
     fn deliver(&mut self, now: Micros, n: usize, voters: usize) {
         let agreed = Arc::new(self.agreed.clone());
-        self.handle(now, n, Input::Agreed(agreed, voters));
+        self.handle(now, n, Input::StateChanged(agreed, voters));
     }
 
     fn request(&mut self, now: Micros, n: usize, ticket: u64, tenant: &str, kept: Option<&str>) {
         let kept = kept.map(|k| k.as_bytes().to_vec());
         let change = ChangeRequest {
             tenant: tenant.into(),
-            kept,
+            encoded: kept,
             listed: false,
             answer: None,
         };
@@ -237,7 +237,7 @@
         t.outputs_of(0),
         [Output::Refused(
             9,
-            Refusal::Unreached { tenant: "t".into() }
+            Refusal::AgreementTimeout { tenant: "t".into() }
         )]
     );
     // A late agreement is adopted like a change by any other gateway.
@@ -255,7 +255,10 @@
     t.request(0, 0, 1, "t", Some("one"));
     assert_eq!(
         t.outputs_of(0),
-        [Output::Refused(1, Refusal::Fewer { have: 2, want: 3 })]
+        [Output::Refused(
+            1,
+            Refusal::TooFewDisks { have: 2, want: 3 }
+        )]
     );
     t.deliver(0, 0, 5);
     t.request(0, 0, 2, "t", Some(&"x".repeat(MAX_TENANT_BYTES + 1)));
@@ -324,7 +327,7 @@
     let mut s = Tenants::default();
     for n in 0..MAX_ANSWERS as u64 + 5 {
         let mut e = entry("t", s.follows("t"), n, Some("x"));
-        let bytes = vec![n as u8; if n == 0 { LONGEST_ANSWER + 1 } else { 4 }];
+        let bytes = vec![n as u8; if n == 0 { MAX_ANSWER_BYTES + 1 } else { 4 }];
         e.answer = Some(Answer {
             key: [n as u8; 32],
             request: [1; 32],
@@ -339,7 +342,7 @@
     );
     assert_eq!(s.answers.len(), MAX_ANSWERS);
     // The state at its maximum size fits into the frame that carries it.
-    let most = MAX_TOTAL_BYTES + MAX_ANSWERS * (LONGEST_ANSWER + 64) + MAX_RECENT_CHANGES * 20;
+    let most = MAX_TOTAL_BYTES + MAX_ANSWERS * (MAX_ANSWER_BYTES + 64) + MAX_RECENT_CHANGES * 20;
     assert!(most < crate::consensus::wire::MAX_FRAME_BYTES * 2 / 3);
 }
 
@@ -349,12 +352,12 @@
     let t = || "clinic".to_owned();
     let all = [
         Refusal::Changed { tenant: t() },
-        Refusal::Unreached { tenant: t() },
+        Refusal::AgreementTimeout { tenant: t() },
         Refusal::Unknown {
             tenant: t(),
             since: 300,
         },
-        Refusal::Fewer { have: 2, want: 3 },
+        Refusal::TooFewDisks { have: 2, want: 3 },
         Refusal::TooMuch { bytes: 400_000 },
         Refusal::TooMany { lines: 4096 },
         Refusal::TooLong {
@@ -362,7 +365,7 @@
             bytes: 30_000,
         },
         Refusal::Busy { open: 64 },
-        Refusal::Unheard,
+        Refusal::NotCaughtUp,
         Refusal::Unreadable {
             tenant: t(),
             why: "the tenants' state cannot be read".into(),
--- a/src/tenancy/tests.rs
+++ b/src/tenancy/tests.rs
@@ -147,7 +147,7 @@
     assert_eq!(r.remove("other"), Ok((TenantId(1), 0.0)));
     assert_eq!(r.put("other", &spec()), Ok(true));
     assert!(
-        r.get("other").is_some() && r.same("other", serial).is_none(),
+        r.get("other").is_some() && r.get_with_serial("other", serial).is_none(),
         "the name now belongs to another tenant"
     );
 }
@@ -232,7 +232,7 @@
     there.put("t", &spec()).unwrap();
     there.rotate("t", B, 1_000, 1_500).unwrap();
     there.rotate("t", A, 1_100, 1_200).unwrap();
-    let told = there.told("t", 1_150).unwrap();
+    let told = there.encode_tenant("t", 1_150).unwrap();
     // The local clock differs, and the tenant has other endpoints and a local number.
     let mut here = Registry::new(&[("org".into(), 5.0)]);
     here.put("t", &spec()).unwrap();
@@ -269,7 +269,7 @@
         ),
         (2, 2, 1)
     );
-    let later = there.told("t", 1_300).unwrap();
+    let later = there.encode_tenant("t", 1_300).unwrap();
     here.adopt(9, "t", Some(&later)).unwrap();
     assert_eq!(
         here.get("t").unwrap().secrets(9).count(),
@@ -284,10 +284,10 @@
     assert_eq!(here.adopt(9, "t", None), Ok(None));
     // With equal removal counts, a new tenant of the same name gets the same new serial at any
     // gateway.
-    there.set_removals(1);
-    here.set_removals(1);
+    there.set_removal_count(1);
+    here.set_removal_count(1);
     there.remove("t").unwrap();
-    there.set_removals(1);
+    there.set_removal_count(1);
     let serial = |r: &mut Registry| r.put("t", &spec()).map(|_| r.get("t").map(|t| t.serial));
     assert_eq!(serial(&mut there), serial(&mut here));
 }
--- a/testbed/src/gossip.rs
+++ b/testbed/src/gossip.rs
@@ -11,7 +11,7 @@
 use molelug::api::WorkerId;
 use molelug::membership::keys::Keys;
 use molelug::membership::observations::Observation;
-use molelug::membership::swim::{Message, Say};
+use molelug::membership::swim::{Message, MessageKind};
 use molelug::membership::wire;
 
 use crate::fakes::gateway::{Folder, SAFE};
@@ -83,14 +83,14 @@
                 ..Observation::default()
             };
             let seen = workers.iter().map(|w| (WorkerId(*w), ill)).collect();
-            let mut sighting = Some(wire::seal_sighting(keys, me, at, seen));
+            let mut sighting = Some(wire::seal_observation(keys, me, at, seen));
             let accusations = vec![wire::seal_accusation(keys, &victim, u64::MAX, me)];
             let records = vec![
                 own.clone(),
                 wire::seal_record(keys, &victim, *peer, u64::MAX, true),
             ];
             let message = Message {
-                say: Say::Sync(true),
+                kind: MessageKind::Sync(true),
                 records,
                 accusations,
             };
@@ -176,7 +176,8 @@
             let accepted = accepted.clone();
             let ids: Vec<u32> = (0..workers.len() as u32).collect();
             std::thread::spawn(move || -> Result<()> {
-                let keys = Keys::each(&name(n), &private(n), &accepted).map_err(Error::other)?;
+                let keys =
+                    Keys::per_instance(&name(n), &private(n), &accepted).map_err(Error::other)?;
                 run_malicious_peer(&UdpSocket::bind(at)?, &keys, &name(n), &peers, &ids, &stop)
             })
         })
--- a/tests/operator_answers.rs
+++ b/tests/operator_answers.rs
@@ -412,7 +412,7 @@
     let peer = PeerView {
         name: "n2".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 8190)),
-        standing: "alive",
+        state: "alive",
         incarnation: 3,
         heard: 4,
         weight: 0.5,
--- a/tests/operator_configuration.rs
+++ b/tests/operator_configuration.rs
@@ -99,8 +99,8 @@
 }
 
 fn known_values(out: &mut Values, config: &Config) {
-    out.add("known.revision", config.known_rev);
-    for (n, notice) in config.known.iter().enumerate() {
+    out.add("known.revision", config.initial_revision);
+    for (n, notice) in config.initial_updates.iter().enumerate() {
         out.add(&format!("known.{n}.revision"), notice.revision);
         out.add(&format!("known.{n}.snapshot"), notice.snapshot);
         for (m, endpoint) in notice.endpoints.iter().enumerate() {
@@ -149,16 +149,16 @@
     out.add("seed", config.seed);
     out.add("limits.memory_mb", config.limits.memory_mb);
     out.add("limits.sockets", config.limits.sockets);
-    out.add("discovery", config.board);
+    out.add("discovery", config.discovery_address);
     known_values(&mut out, &config);
     out.add("names.classes", &config.names.classes);
     out.add("names.tenants", &config.names.tenants);
     out.add("names.zones", &config.names.zones);
     out.add("names.deadlines_us", &config.names.max_deadlines);
-    out.add("connect_timeout_us", config.connect_limit);
-    out.add("connection_idle_timeout_us", config.conn_idle);
-    out.add("streams_per_connection", config.streams);
-    out.add("max_held", config.most_held);
+    out.add("connect_timeout_us", config.connect_timeout);
+    out.add("connection_idle_timeout_us", config.connection_idle_timeout);
+    out.add("streams_per_connection", config.max_streams_per_connection);
+    out.add("max_held", config.max_pending_requests);
     settings_values(&mut out, &config.settings);
     simulator_values(&mut out, &file["settings"]);
     Ok(out.0)
--- a/tests/stored_data/agreed_log.rs
+++ b/tests/stored_data/agreed_log.rs
@@ -493,7 +493,7 @@
     let first = LogPosition::default().advance(b"record");
     recorded.postcard("place of a first record", &first);
     recorded.postcard("place of a second record", &first.advance(b"another"));
-    let mark = molelug::front::webhook::replay::mark("clinic", "call-1");
+    let mark = molelug::front::webhook::replay::identity_digest("clinic", "call-1");
     recorded.bytes("mark of a call", &mark);
     recorded.line("shard of a mark", &shard_of(&mark, 64).to_string());
     let host = |at: u32| Host {
--- a/tests/stored_data/texts.rs
+++ b/tests/stored_data/texts.rs
@@ -139,7 +139,9 @@
 /// The encoding of a tenant in the consensus log.
 #[test]
 fn replicated_tenant_is_written_and_adopted_as_before() {
-    let told = registry().told("clinic", 1_000_000).expect("a tenant");
+    let told = registry()
+        .encode_tenant("clinic", 1_000_000)
+        .expect("a tenant");
     fixture::assert_matches(TENANT_TOLD, std::str::from_utf8(&told).expect("text"));
     let mut other = Registry::new(&[]);
     let stored = fixture::read(TENANT_TOLD);
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -46,5 +46,5 @@
         .iter()
         .map(|(name, key)| ((*name).to_owned(), public(key)))
         .collect();
-    Keys::each(name, &private[name], &accepted).expect("its own key is accepted")
+    Keys::per_instance(name, &private[name], &accepted).expect("its own key is accepted")
 }
--- a/tests/wire_formats/digests.rs
+++ b/tests/wire_formats/digests.rs
@@ -4,7 +4,7 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use molelug::consensus::bootstrap_replica_id;
 use molelug::consensus::wire::challenge;
-use molelug::front::webhook::replay::mark;
+use molelug::front::webhook::replay::identity_digest;
 use molelug::front::webhook::signature::{sign, verify};
 use molelug::replication::placement::{next_replica, replica_order, Host};
 use molelug::replication::{shard_of, LogPosition};
@@ -45,7 +45,7 @@
     let log_position = LogPosition::default()
         .advance(b"first record")
         .advance(b"second record");
-    let identity = mark("acme", MESSAGE_ID);
+    let identity = identity_digest("acme", MESSAGE_ID);
     let lines = [
         hex_line("session-word", &challenge("alpha", 0x0a0a, 4)),
         hex_line(
--- a/tests/wire_formats/membership.rs
+++ b/tests/wire_formats/membership.rs
@@ -3,9 +3,9 @@
 use molelug::api::{Micros, WorkerId};
 use molelug::membership::keys::Keys;
 use molelug::membership::observations::Observation;
-use molelug::membership::swim::{Message, Say};
+use molelug::membership::swim::{Message, MessageKind};
 use molelug::membership::wire::{
-    pack, seal_accusation, seal_record, seal_sighting, Opener, SealedObservation, MTU,
+    pack, seal_accusation, seal_observation, seal_record, Decoder, SealedObservation, MTU,
 };
 
 use crate::fixtures::check_lines;
@@ -15,25 +15,25 @@
 /// The time at which all datagrams are sent.
 const NOW: Micros = 1_700_000_000_000_000;
 
-fn says() -> Vec<(&'static str, Say)> {
+fn says() -> Vec<(&'static str, MessageKind)> {
     vec![
-        ("ping", Say::Ping(7, BETA.into())),
-        ("ack", Say::Ack(7)),
-        ("ping-for", Say::PingFor(8, "gamma".into())),
-        ("nack", Say::Nack(8)),
-        ("sync", Say::Sync(false)),
-        ("sync-wants-answer", Say::Sync(true)),
+        ("ping", MessageKind::Ping(7, BETA.into())),
+        ("ack", MessageKind::Ack(7)),
+        ("ping-for", MessageKind::PingRequest(8, "gamma".into())),
+        ("nack", MessageKind::Nack(8)),
+        ("sync", MessageKind::Sync(false)),
+        ("sync-wants-answer", MessageKind::Sync(true)),
     ]
 }
 
-fn message(keys: &Keys, say: Say) -> Message {
+fn message(keys: &Keys, say: MessageKind) -> Message {
     let address = "[2001:db8::7]:7946".parse().expect("an address");
     let records = vec![
         seal_record(keys, ALPHA, address, 5, false),
         seal_record(keys, ALPHA, ([192, 0, 2, 1], 7946).into(), 6, true),
     ];
     Message {
-        say,
+        kind: say,
         records,
         accusations: vec![seal_accusation(keys, BETA, 3, ALPHA)],
     }
@@ -47,7 +47,7 @@
         silent: 300,
         refused: 4,
     };
-    seal_sighting(
+    seal_observation(
         keys,
         ALPHA,
         NOW,
@@ -59,7 +59,7 @@
 }
 
 fn check_datagrams(file: &str, sender: &Keys, receiver: &Keys) {
-    let mut opener = Opener::default();
+    let mut opener = Decoder::default();
     let mut lines = Vec::new();
     for (number, (name, say)) in (1..).zip(says()) {
         let message = message(sender, say);
@@ -74,7 +74,7 @@
             .expect("it can be opened");
         assert_eq!(opened.from, ALPHA);
         assert_eq!((opened.message, opened.refused), (message, 0), "{name}");
-        assert_eq!(opened.sightings, [sighting(sender)], "{name}");
+        assert_eq!(opened.observations, [sighting(sender)], "{name}");
     }
     check_lines(file, &lines);
 }
