--- a/testbed/src/conformance.rs
+++ b/testbed/src/conformance.rs
@@ -9,10 +9,10 @@
 use molelug::tenancy::Secret;
 use serde::Deserialize;
 
-use crate::fakes::gateway::{Folder, SAFE, UNSAFE};
+use crate::fakes::gateway::{TempFolder, NON_IDEMPOTENT_CLASS, READ_CLASS};
 use crate::fakes::{
     body, call_body, header, now_s, read_http, secret, secret_text, status, Caller, Gateway,
-    Worker, PATIENCE,
+    Worker, WAIT_TIMEOUT,
 };
 
 #[derive(Debug, Deserialize)]
@@ -151,14 +151,14 @@
         let key = Secret::parse(key).map_err(Error::other)?;
         return check_receiver(target, path, &key, text);
     }
-    let folder = Folder::new("receiver")?;
+    let folder = TempFolder::new("receiver")?;
     let workers = [Worker::start(Duration::ZERO, 0)?];
     let portal = TcpListener::bind("127.0.0.1:0")?;
     let mut g = Gateway::start(&folder.0, &workers, &operator(portal.local_addr()?), 900.0)?;
     let to = g
         .webhooks
         .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
-    let text = String::from_utf8(call_body(SAFE, 1, None)).map_err(Error::other)?;
+    let text = String::from_utf8(call_body(READ_CLASS, 1, None)).map_err(Error::other)?;
     let passed = check_receiver(to, "/webhooks/t", &secret(1), &text)?;
     g.stop()?;
     Ok(passed)
@@ -213,7 +213,7 @@
         );
         return check_sender(&listener, &key, None);
     }
-    let folder = Folder::new("sender")?;
+    let folder = TempFolder::new("sender")?;
     let workers = [Worker::start(Duration::ZERO, 0)?];
     let mut g = Gateway::start(
         &folder.0,
@@ -224,10 +224,10 @@
     let to = g
         .webhooks
         .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
-    for class in [SAFE, UNSAFE] {
+    for class in [READ_CLASS, NON_IDEMPOTENT_CLASS] {
         Caller::new(to).call("t", &secret(1), class, &call_body(class, 1, None))?;
     }
-    let passed = check_sender(&listener, &key, Some(UNSAFE))?;
+    let passed = check_sender(&listener, &key, Some(NON_IDEMPOTENT_CLASS))?;
     g.stop()?;
     Ok(passed)
 }
@@ -238,7 +238,7 @@
     let elsewhere = TcpListener::bind("127.0.0.1:0")?;
     elsewhere.set_nonblocking(true)?;
     let mut deliveries: Vec<Delivery> = Vec::new();
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     // Three deliveries of one message end the check, after a wait for deliveries that must not
     // follow.
     let mut quiet = None;
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -12,9 +12,9 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::fakes::gateway::{Folder, KEYED, SAFE, UNSAFE};
+use crate::fakes::gateway::{TempFolder, KEYED_CLASS, NON_IDEMPOTENT_CLASS, READ_CLASS};
 use crate::fakes::{
-    call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
+    call_body, secret, secret_text, status, Caller, Gateway, Portal, PortalBehavior, Worker,
 };
 
 /// Result of one round.
@@ -57,16 +57,16 @@
 
 fn run_round(seed: u64) -> Result<Round> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let folder = Folder::new(&format!("crash-{seed}"))?;
+    let folder = TempFolder::new(&format!("crash-{seed}"))?;
     let delay = |r: &mut ChaCha8Rng| Duration::from_millis(random_below(r, 12));
     let workers: Vec<Worker> = (0..3)
         .map(|n| Worker::start(delay(&mut random), [0, 9, 14][n]))
         .collect::<Result<_>>()?;
     let manners = [
-        Manner::Good,
-        Manner::Cuts(5),
-        Manner::Fails(4),
-        Manner::Slow(15),
+        PortalBehavior::Good,
+        PortalBehavior::Cuts(5),
+        PortalBehavior::Fails(4),
+        PortalBehavior::Slow(15),
     ];
     let portals: Vec<Portal> = manners
         .iter()
@@ -99,7 +99,7 @@
                 std::thread::spawn(move || {
                     let (mut caller, secret) = (Caller::new(to), secret(1));
                     for n in from..from + 60 {
-                        let class = [SAFE, UNSAFE, KEYED][n as usize % 3];
+                        let class = [READ_CLASS, NON_IDEMPOTENT_CLASS, KEYED_CLASS][n as usize % 3];
                         let text = call_body(class, n % 7, None);
                         let id = format!("call-{n}");
                         match caller.call(&format!("t{}", n % 4), &secret, &id, &text) {
@@ -141,7 +141,7 @@
 
 /// Waits until the store has no open calls and no waiting messages: stops the gateway in order,
 /// inspects the store, and restarts the gateway while anything remains.
-fn wait_until_delivered(folder: &Folder, mut g: Gateway) -> Result<()> {
+fn wait_until_delivered(folder: &TempFolder, mut g: Gateway) -> Result<()> {
     let end = Instant::now() + Duration::from_secs(60);
     loop {
         std::thread::sleep(Duration::from_millis(1500));
@@ -162,7 +162,7 @@
             )));
         }
         let read = |name: &str| std::fs::read_to_string(folder.0.join(name));
-        g = Gateway::again(&folder.0, &read("operator.toml")?)?;
+        g = Gateway::restart(&folder.0, &read("operator.toml")?)?;
     }
 }
 
@@ -170,7 +170,7 @@
     crate::fakes::now_s() * 1_000_000
 }
 
-fn open(folder: &Folder) -> Result<(Disk, usize)> {
+fn open(folder: &TempFolder) -> Result<(Disk, usize)> {
     let (disk, found) =
         Disk::open(&folder.0.join("store"), u64::MAX, now()).map_err(Error::other)?;
     Ok((disk, found.calls.len()))
@@ -178,7 +178,7 @@
 
 /// Checks the accepted calls against the workers' runs, the portals' callbacks and the store.
 fn check_accepted_calls(
-    folder: &Folder,
+    folder: &TempFolder,
     accepted: &BTreeSet<String>,
     workers: &[Worker],
     portals: &[Portal],
@@ -188,7 +188,10 @@
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for w in workers {
         let all = w.runs.lock().map_err(|_| Error::other("a worker failed"))?;
-        for ((id, class), n) in all.iter().filter(|((_, class), _)| class == UNSAFE) {
+        for ((id, class), n) in all
+            .iter()
+            .filter(|((_, class), _)| class == NON_IDEMPOTENT_CLASS)
+        {
             let n = runs.entry(id.clone()).and_modify(|m| *m += n).or_insert(*n);
             if *n > 1 {
                 return wrong(format!("{class} {id} ran {n} times"));
@@ -196,7 +199,7 @@
         }
     }
     let mut seen: BTreeMap<String, (u32, u32)> = BTreeMap::new();
-    for s in portals.iter().flat_map(Portal::all) {
+    for s in portals.iter().flat_map(Portal::deliveries) {
         if !s.signed {
             return wrong(format!("{} came unsigned", s.id));
         }
@@ -255,7 +258,7 @@
 }
 
 /// Returns the tenants' serial numbers, as the gateway assigns them to an operator's file.
-fn tenants(folder: &Folder) -> Result<Vec<u64>> {
+fn tenants(folder: &TempFolder) -> Result<Vec<u64>> {
     let operator =
         molelug::config::Operator::read(&folder.0.join("operator.toml")).map_err(Error::other)?;
     let registry = operator.registry(&[]).map_err(Error::other)?;
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -147,7 +147,7 @@
 
 /// Results of a run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Ran {
+pub struct RunReport {
     /// The seed.
     pub seed: u64,
     /// Number of gateways.
@@ -261,7 +261,7 @@
     events: BTreeMap<usize, Event>,
     instances: Vec<Instance>,
     workers: Vec<Worker>,
-    results: Ran,
+    results: RunReport,
     last_process: u64,
     /// Time of the fault that hit the lease holder, and the holder's term.
     holder_lost: Option<(Micros, u64)>,
@@ -396,10 +396,10 @@
             events: BTreeMap::new(),
             instances,
             workers: (0..scenario.workers).map(|_| Worker::default()).collect(),
-            results: Ran {
+            results: RunReport {
                 seed,
                 instances: scenario.instances,
-                ..Ran::default()
+                ..RunReport::default()
             },
             last_process: 0,
             holder_lost: None,
@@ -1199,7 +1199,7 @@
 }
 
 /// Runs a scenario with a seed.
-pub fn play(scenario: &Scenario, seed: u64) -> Result<Ran> {
+pub fn play(scenario: &Scenario, seed: u64) -> Result<RunReport> {
     let mut emulation = Emulation::new(scenario, seed)?;
     emulation.play();
     let mut results = std::mem::take(&mut emulation.results);
--- a/testbed/src/emulator/plot.rs
+++ b/testbed/src/emulator/plot.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use super::Ran;
+use super::RunReport;
 
 const WIDTH: f64 = 640.0;
 const HEIGHT: f64 = 400.0;
@@ -14,7 +14,7 @@
 ];
 
 /// Name of a metric and its value in a run.
-type Metric = (&'static str, fn(&Ran) -> f64);
+type Metric = (&'static str, fn(&RunReport) -> f64);
 
 const METRICS: [Metric; 6] = [
     ("pings", |r| r.pings as f64),
@@ -30,11 +30,11 @@
 }
 
 /// Returns an SVG plot of each metric's mean over the runs with the same number of gateways.
-pub fn by_size(runs: &[Ran]) -> String {
-    let mut sizes: BTreeMap<usize, Vec<&Ran>> = BTreeMap::new();
+pub fn by_size(runs: &[RunReport]) -> String {
+    let mut sizes: BTreeMap<usize, Vec<&RunReport>> = BTreeMap::new();
     runs.iter()
         .for_each(|r| sizes.entry(r.instances).or_default().push(r));
-    let mean = |of: fn(&Ran) -> f64, runs: &[&Ran]| {
+    let mean = |of: fn(&RunReport) -> f64, runs: &[&RunReport]| {
         runs.iter().map(|r| of(r)).sum::<f64>() / runs.len() as f64
     };
     let least = sizes.keys().next().map_or(0.0, |s| log(*s as f64));
--- a/testbed/src/fakes/gateway.rs
+++ b/testbed/src/fakes/gateway.rs
@@ -9,19 +9,19 @@
 
 use serde_json::{json, Value};
 
-use super::{Worker, PATIENCE};
+use super::{Worker, WAIT_TIMEOUT};
 
 /// Name of the request class whose calls are safe to repeat.
-pub const SAFE: &str = "disponibilidad";
+pub const READ_CLASS: &str = "disponibilidad";
 /// Name of the request class whose calls must never run twice.
-pub const UNSAFE: &str = "confirmar-traslado";
+pub const NON_IDEMPOTENT_CLASS: &str = "confirmar-traslado";
 
 /// Path of the test bed's program. Tests set it, because their own executable has no `gateway`
 /// command.
 pub static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
 
 /// Name of the request class with an idempotency key; workers drop repeats for five seconds.
-pub const KEYED: &str = "traslado-con-clave";
+pub const KEYED_CLASS: &str = "traslado-con-clave";
 
 /// A running gateway.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
     };
     json!({
         "groupSize": 1, "me": 0, "zone": 0, "tickMs": 4.0, "dcs": ["north"],
-        "services": [class(SAFE, "read_like"), class(UNSAFE, "non_idempotent"), class(KEYED, "idempotency_key")],
+        "services": [class(READ_CLASS, "read_like"), class(NON_IDEMPOTENT_CLASS, "non_idempotent"), class(KEYED_CLASS, "idempotency_key")],
         "orgs": [{ "name": "franq-bajio", "quotaPerS": 0.0, "fraction": 1.0 }],
         "caps": { "mostTries": 3, "cancel": true, "connectTimeoutMs": 250.0, "connIdleMs": 30000.0,
                   "streamsPerConn": 100, "mostHeld": 20000, "maxRetryAfterMs": 500.0 },
@@ -58,7 +58,7 @@
 }
 
 /// Default limit on a gateway's open sockets.
-pub const SOCKETS: usize = 1024;
+pub const DEFAULT_MAX_SOCKETS: usize = 1024;
 
 /// Returns the configuration of a gateway in front of these workers.
 fn config(workers: &[Worker], deadline_ms: f64, sockets: usize) -> Value {
@@ -75,20 +75,20 @@
 
 /// A temporary folder that is removed when the value is dropped.
 #[derive(Debug)]
-pub struct Folder(pub PathBuf);
+pub struct TempFolder(pub PathBuf);
 
-impl Folder {
+impl TempFolder {
     /// Creates a folder in the system's temporary directory, named after `name` and the process id.
-    pub fn new(name: &str) -> Result<Folder> {
+    pub fn new(name: &str) -> Result<TempFolder> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("molelug-{name}-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&path)?;
-        Ok(Folder(path))
+        Ok(TempFolder(path))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         // A failure leaves files in the temporary directory, which the system cleans.
         let _ = std::fs::remove_dir_all(&self.0);
@@ -116,11 +116,11 @@
         operator: &str,
         deadline_ms: f64,
     ) -> Result<Gateway> {
-        Gateway::with(None, folder, workers, operator, deadline_ms)
+        Gateway::start_program(None, folder, workers, operator, deadline_ms)
     }
 
     /// Starts a gateway like [`Gateway::start`], with `program` if one is given.
-    pub fn with(
+    pub fn start_program(
         program: Option<&Path>,
         folder: &Path,
         workers: &[Worker],
@@ -129,17 +129,21 @@
     ) -> Result<Gateway> {
         std::fs::write(
             folder.join("config.json"),
-            config(workers, deadline_ms, SOCKETS).to_string(),
+            config(workers, deadline_ms, DEFAULT_MAX_SOCKETS).to_string(),
         )?;
         std::fs::write(folder.join("operator.toml"), operator)?;
         Gateway::run(program, folder, operator)
     }
 
     /// Starts a gateway without webhooks, with a gossip file if one is given.
-    pub fn talking(folder: &Path, workers: &[Worker], gossip: Option<&Path>) -> Result<Gateway> {
+    pub fn start_with_gossip(
+        folder: &Path,
+        workers: &[Worker],
+        gossip: Option<&Path>,
+    ) -> Result<Gateway> {
         std::fs::write(
             folder.join("config.json"),
-            config(workers, 900.0, SOCKETS).to_string(),
+            config(workers, 900.0, DEFAULT_MAX_SOCKETS).to_string(),
         )?;
         std::fs::write(folder.join("operator.toml"), "")?;
         Gateway::run_with(None, folder, "", gossip, None)
@@ -147,7 +151,7 @@
 
     /// Starts a gateway without webhooks as a participant of the consensus group in the `council`
     /// file. `without` names a guard to disable.
-    pub fn meeting(
+    pub fn start_with_consensus(
         folder: &Path,
         workers: &[Worker],
         council: &Path,
@@ -167,7 +171,7 @@
     /// if a `copies` file is given, aborts at the step `ends_at` once the file `armed` exists, and
     /// cannot write files larger than `most_kib` KiB.
     #[allow(clippy::too_many_arguments)]
-    pub fn holding(
+    pub fn start_with_replication(
         folder: &Path,
         workers: &[Worker],
         council: &Path,
@@ -179,7 +183,7 @@
     ) -> Result<Gateway> {
         std::fs::write(
             folder.join("config.json"),
-            config(workers, 3_000.0, SOCKETS).to_string(),
+            config(workers, 3_000.0, DEFAULT_MAX_SOCKETS).to_string(),
         )?;
         std::fs::write(folder.join("operator.toml"), operator)?;
         let mut command = Gateway::command(None, folder, None, Some((council, without)))?;
@@ -210,7 +214,7 @@
     }
 
     /// Starts a gateway on the files that exist in a folder.
-    pub fn again(folder: &Path, operator: &str) -> Result<Gateway> {
+    pub fn restart(folder: &Path, operator: &str) -> Result<Gateway> {
         Gateway::run(None, folder, operator)
     }
 
@@ -293,15 +297,15 @@
     }
 
     fn listener(&mut self, what: &str) -> Result<SocketAddr> {
-        let line = self.line(what)?;
+        let line = self.wait_for_log_line(what)?;
         let address = line.rsplit(' ').next().and_then(|a| a.parse().ok());
         address.ok_or_else(|| Error::other(format!("no address in the log line '{line}'")))
     }
 
     /// Waits for the next log line that contains `what`.
-    pub fn line(&mut self, what: &str) -> Result<String> {
+    pub fn wait_for_log_line(&mut self, what: &str) -> Result<String> {
         loop {
-            let line = self.lines.recv_timeout(PATIENCE).map_err(|_| {
+            let line = self.lines.recv_timeout(WAIT_TIMEOUT).map_err(|_| {
                 Error::other(format!(
                     "no line with '{what}' in the gateway's log: {}",
                     self.log.join(" | ")
@@ -320,12 +324,12 @@
     }
 
     /// Returns the processor time used so far.
-    pub fn processor(&self) -> Result<std::time::Duration> {
+    pub fn cpu_time(&self) -> Result<std::time::Duration> {
         crate::rate::processor_of(self.pid())
     }
 
     /// Suspends the process with SIGSTOP; it keeps its memory and connections.
-    pub fn freeze(&self) -> Result<()> {
+    pub fn suspend(&self) -> Result<()> {
         Ok(rustix::process::kill_process(
             self.pid(),
             rustix::process::Signal::STOP,
@@ -333,7 +337,7 @@
     }
 
     /// Resumes the process with SIGCONT.
-    pub fn thaw(&self) -> Result<()> {
+    pub fn resume(&self) -> Result<()> {
         Ok(rustix::process::kill_process(
             self.pid(),
             rustix::process::Signal::CONT,
@@ -349,7 +353,7 @@
     }
 
     /// Sends SIGTERM without waiting for the exit.
-    pub fn end(&self) -> Result<()> {
+    pub fn terminate(&self) -> Result<()> {
         Ok(rustix::process::kill_process(
             self.pid(),
             rustix::process::Signal::TERM,
@@ -363,7 +367,7 @@
     }
 
     /// Returns whether the process has exited.
-    pub fn has_ended(&mut self) -> Result<bool> {
+    pub fn has_exited(&mut self) -> Result<bool> {
         Ok(self.child.try_wait()?.is_some())
     }
 
@@ -377,7 +381,7 @@
     /// Returns the current counters, which the gateway logs on SIGUSR1.
     pub fn counters(&mut self) -> Result<Value> {
         rustix::process::kill_process(self.pid(), rustix::process::Signal::USR1)?;
-        let line = self.line("counters ")?;
+        let line = self.wait_for_log_line("counters ")?;
         let text = line.split_once("counters ").map_or("", |(_, t)| t);
         serde_json::from_str(text).map_err(Error::other)
     }
@@ -385,7 +389,7 @@
     /// Sends SIGTERM, waits for the exit and returns the counters that the gateway logs.
     pub fn stop(&mut self) -> Result<Value> {
         rustix::process::kill_process(self.pid(), rustix::process::Signal::TERM)?;
-        let line = self.line("counters ")?;
+        let line = self.wait_for_log_line("counters ")?;
         let status = self.child.wait()?;
         if !status.success() {
             return Err(Error::other(format!("the gateway exited with {status}")));
--- a/testbed/src/fakes/mod.rs
+++ b/testbed/src/fakes/mod.rs
@@ -15,11 +15,11 @@
 pub mod worker;
 
 pub use gateway::Gateway;
-pub use portal::{Manner, Portal};
+pub use portal::{Portal, PortalBehavior};
 pub use worker::Worker;
 
 /// Longest time that the fakes and the tests wait for an answer or a log line.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Returns the current Unix time in seconds.
 pub fn now_s() -> u64 {
@@ -108,17 +108,17 @@
 }
 
 impl Caller {
-    /// Creates a caller of one address that waits up to [`PATIENCE`] for an answer.
+    /// Creates a caller of one address that waits up to [`WAIT_TIMEOUT`] for an answer.
     pub fn new(to: SocketAddr) -> Caller {
         Caller {
             to,
-            patience: PATIENCE,
+            patience: WAIT_TIMEOUT,
             stream: None,
         }
     }
 
     /// Creates a caller that waits up to this many seconds for an answer.
-    pub fn patient(to: SocketAddr, seconds: u64) -> Caller {
+    pub fn with_timeout(to: SocketAddr, seconds: u64) -> Caller {
         Caller {
             to,
             patience: Duration::from_secs(seconds),
--- a/testbed/src/fakes/portal.rs
+++ b/testbed/src/fakes/portal.rs
@@ -12,7 +12,7 @@
 
 /// How the portal answers deliveries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum PortalBehavior {
     /// Answers 204 at once.
     Good,
     /// Answers 204 after this many milliseconds.
@@ -55,13 +55,13 @@
     pub address: SocketAddr,
     /// Deliveries received.
     pub deliveries: Arc<Mutex<Vec<Delivery>>>,
-    manner: Arc<Mutex<Manner>>,
+    manner: Arc<Mutex<PortalBehavior>>,
     secret: Secret,
 }
 
 impl Portal {
     /// Starts a portal on a free port.
-    pub fn start(secret: Secret, manner: Manner) -> std::io::Result<Portal> {
+    pub fn start(secret: Secret, manner: PortalBehavior) -> std::io::Result<Portal> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let manner = Arc::new(Mutex::new(manner));
         let portal = Portal {
@@ -81,14 +81,14 @@
     }
 
     /// Changes how the portal answers from now on.
-    pub fn set(&self, manner: Manner) {
+    pub fn set(&self, manner: PortalBehavior) {
         if let Ok(mut m) = self.manner.lock() {
             *m = manner;
         }
     }
 
     /// Returns the deliveries received so far.
-    pub fn all(&self) -> Vec<Delivery> {
+    pub fn deliveries(&self) -> Vec<Delivery> {
         self.deliveries.lock().map_or(Vec::new(), |s| s.clone())
     }
 
@@ -115,12 +115,14 @@
             let confirmed = {
                 let mut deliveries = self.deliveries.lock().ok()?;
                 let confirmed = match manner {
-                    Manner::Good | Manner::Slow(_) | Manner::Drips(_) => true,
-                    Manner::Cuts(n) | Manner::Fails(n) => {
+                    PortalBehavior::Good | PortalBehavior::Slow(_) | PortalBehavior::Drips(_) => {
+                        true
+                    }
+                    PortalBehavior::Cuts(n) | PortalBehavior::Fails(n) => {
                         !(deliveries.len() as u32 + 1).is_multiple_of(n)
                     }
-                    Manner::Says(status, _) => status / 100 == 2,
-                    Manner::Silent => false,
+                    PortalBehavior::Says(status, _) => status / 100 == 2,
+                    PortalBehavior::Silent => false,
                 };
                 deliveries.push(Delivery {
                     at: Instant::now(),
@@ -135,24 +137,24 @@
             };
             let no_content = b"HTTP/1.1 204 No Content\r\n\r\n";
             match manner {
-                Manner::Slow(ms) => std::thread::sleep(Duration::from_millis(ms)),
-                Manner::Cuts(_) if !confirmed => return None,
-                Manner::Fails(_) if !confirmed => {
+                PortalBehavior::Slow(ms) => std::thread::sleep(Duration::from_millis(ms)),
+                PortalBehavior::Cuts(_) if !confirmed => return None,
+                PortalBehavior::Fails(_) if !confirmed => {
                     stream
                         .write_all(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
                         .ok()?;
                     continue;
                 }
-                Manner::Says(status, line) => {
+                PortalBehavior::Says(status, line) => {
                     let text = format!("HTTP/1.1 {status} So\r\n{line}Content-Length: 0\r\n\r\n");
                     stream.write_all(text.as_bytes()).ok()?;
                     continue;
                 }
-                Manner::Silent => {
-                    std::thread::sleep(super::PATIENCE);
+                PortalBehavior::Silent => {
+                    std::thread::sleep(super::WAIT_TIMEOUT);
                     return None;
                 }
-                Manner::Drips(ms) => {
+                PortalBehavior::Drips(ms) => {
                     for byte in no_content {
                         std::thread::sleep(Duration::from_millis(ms));
                         stream.write_all(&[*byte]).ok()?;
--- a/testbed/src/fakes/worker.rs
+++ b/testbed/src/fakes/worker.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the numbers of health checks, of load orders, and of calls received while silent.
-    pub fn asked(&self) -> (u64, u64, u64) {
+    pub fn request_counts(&self) -> (u64, u64, u64) {
         let of = |n: &AtomicU64| n.load(Ordering::Relaxed);
         (
             of(&self.pings),
--- a/testbed/src/fault_injection/copies.rs
+++ b/testbed/src/fault_injection/copies.rs
@@ -8,7 +8,7 @@
 
 use super::fleet::{Fleet, FleetConfig};
 use crate::fault_proxy::Faults;
-use crate::history::promises::Promised;
+use crate::history::promises::DurabilityCounts;
 
 /// Faults that a round can inject.
 pub const FAULTS: [&str; 12] = [
@@ -32,7 +32,7 @@
     /// Injected faults, in order.
     pub faults: Vec<&'static str>,
     /// Counts from the checked histories.
-    pub counts: Promised,
+    pub counts: DurabilityCounts,
     /// Milliseconds from each loss of a primary's machine until all its shards have another
     /// primary.
     pub gaps_ms: Vec<f64>,
@@ -92,7 +92,7 @@
             fleet.start_instance(n)?;
         }
         "a process stopped and woken" => {
-            fleet.gateway(primary)?.freeze()?;
+            fleet.gateway(primary)?.suspend()?;
             fleet.wait_until("another primary", || {
                 fleet
                     .shard_leaders()
@@ -100,7 +100,7 @@
                     .filter(|s| s.2.len() == config.copies)
                     .all(|s| s.1 != primary)
             })?;
-            fleet.gateway(primary)?.thaw()?;
+            fleet.gateway(primary)?.resume()?;
             fleet.wait_for_promises(10)?;
         }
         "cut off from all" | "cut off one way" | "replies two seconds slow" => {
@@ -126,8 +126,8 @@
         }
         "a third of all frames lost" => {
             fleet.set_all_faults(Faults {
-                lost: 30,
-                doubled: 3,
+                drop_percent: 30,
+                duplicate_percent: 3,
                 jitter_ms: 20,
                 ..Faults::default()
             });
@@ -145,7 +145,7 @@
         "a disk that changed what it holds" => {
             // Shuts down in order, because a store that was not closed is checked when it is
             // opened.
-            fleet.gateway(primary)?.end()?;
+            fleet.gateway(primary)?.terminate()?;
             fleet.wait_for_exit(primary)?;
             if fleet.corrupt_store(primary)? > 0 {
                 let before = fleet.detected_damages(primary);
--- a/testbed/src/fault_injection/fleet.rs
+++ b/testbed/src/fault_injection/fleet.rs
@@ -13,13 +13,13 @@
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 
-use crate::fakes::gateway::{Folder, KEYED, SAFE, UNSAFE};
+use crate::fakes::gateway::{TempFolder, KEYED_CLASS, NON_IDEMPOTENT_CLASS, READ_CLASS};
 use crate::fakes::{
-    call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
-    PATIENCE,
+    call_body, now_s, secret, secret_text, status, Caller, Gateway, Portal, PortalBehavior, Worker,
+    WAIT_TIMEOUT,
 };
-use crate::fault_proxy::{Faults, Link, Way};
-use crate::history::promises::{self, CopyNote, Promised, Wrong};
+use crate::fault_proxy::{Direction, Faults, Link};
+use crate::history::promises::{self, CopyNote, DurabilityCounts, Violation};
 use crate::lease_trials::{create_seat, free_port_address, instance_name};
 
 /// Tenant of all calls.
@@ -97,7 +97,7 @@
         while Instant::now() < end {
             let id = format!("{prefix}-{}", micros.len() as u64 + refused);
             let from = Instant::now();
-            match caller.call(TENANT, &secret, &id, &call_body(SAFE, 7, None)) {
+            match caller.call(TENANT, &secret, &id, &call_body(READ_CLASS, 7, None)) {
                 Ok(answer) if status(&answer) == 202 => {
                     micros.push(from.elapsed().as_micros() as u64)
                 }
@@ -121,7 +121,7 @@
     pub links: BTreeMap<(usize, usize), Link>,
     /// Responses that callers received.
     pub responses: CallResponses,
-    folder: Folder,
+    folder: TempFolder,
     operator: String,
     config: FleetConfig,
     front_ports: Vec<Arc<AtomicU64>>,
@@ -137,7 +137,7 @@
 impl Fleet {
     /// Creates the consensus group's files and starts all instances.
     pub fn start(config: FleetConfig, seed: u64) -> Result<Fleet> {
-        let folder = Folder::new(&format!("copies-{seed}"))?;
+        let folder = TempFolder::new(&format!("copies-{seed}"))?;
         std::fs::create_dir_all(folder.0.join("history"))?;
         std::fs::write(
             folder.0.join("shared.keys"),
@@ -146,7 +146,7 @@
         let workers: Vec<Worker> = (0..4)
             .map(|_| Worker::start(config.worker_latency, 0))
             .collect::<Result<_>>()?;
-        let portal = Portal::start(secret(1), Manner::Good)?;
+        let portal = Portal::start(secret(1), PortalBehavior::Good)?;
         let admin = if config.with_admin {
             crate::fakes::admin::write(&folder.0)?
         } else {
@@ -200,7 +200,7 @@
                 })
                 .collect();
             let fewer = if config.accept_with_fewer {
-                format!("[when_fewer]\n{SAFE} = \"fewer\"\n")
+                format!("[when_fewer]\n{READ_CLASS} = \"fewer\"\n")
             } else {
                 String::new()
             };
@@ -256,7 +256,7 @@
         let council = home.join("council.toml");
         let copies = self.config.replicated.then(|| home.join("copies.toml"));
         let disabled_guard = self.config.disabled_guard.as_deref();
-        let gateway = Gateway::holding(
+        let gateway = Gateway::start_with_replication(
             &home,
             &self.workers,
             &council,
@@ -356,9 +356,9 @@
     pub fn save_store(&self, n: usize) -> Result<()> {
         let (store, then) = (self.home(n).join("store"), self.home(n).join("then"));
         // The stopped process writes nothing, so the copy has the state that a kill would leave.
-        self.gateway(n)?.freeze()?;
+        self.gateway(n)?.suspend()?;
         std::fs::copy(store, then)?;
-        self.gateway(n)?.thaw()
+        self.gateway(n)?.resume()
     }
 
     /// Kills an instance and puts back the store that `save_store` saved.
@@ -386,10 +386,10 @@
     /// Arms an instance to exit at the configured step, and waits until it has exited.
     pub fn wait_for_exit_at_step(&mut self, n: usize) -> Result<()> {
         std::fs::write(self.home(n).join("armed"), "")?;
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !self.gateways[n]
             .as_mut()
-            .map_or(Ok(true), Gateway::has_ended)?
+            .map_or(Ok(true), Gateway::has_exited)?
         {
             if Instant::now() > end {
                 return Err(Error::other(format!(
@@ -414,11 +414,11 @@
     pub fn set_instance_faults(&self, n: usize, outbound: Faults, inbound: Faults) {
         for ((from, to), link) in &self.links {
             if *from == n {
-                link.set(Way::There, outbound);
-                link.set(Way::Back, inbound);
+                link.set(Direction::Forward, outbound);
+                link.set(Direction::Reverse, inbound);
             } else if *to == n {
-                link.set(Way::There, inbound);
-                link.set(Way::Back, outbound);
+                link.set(Direction::Forward, inbound);
+                link.set(Direction::Reverse, outbound);
             }
         }
     }
@@ -462,10 +462,10 @@
                         continue;
                     }
                     let n = calls.fetch_add(1, Ordering::Relaxed);
-                    let class = [SAFE, UNSAFE, KEYED][n as usize % 3];
+                    let class = [READ_CLASS, NON_IDEMPOTENT_CLASS, KEYED_CLASS][n as usize % 3];
                     let id = format!("call-{n}");
                     let to = open.entry(port).or_insert_with(|| {
-                        Caller::patient(([127, 0, 0, 1], port as u16).into(), 4)
+                        Caller::with_timeout(([127, 0, 0, 1], port as u16).into(), 4)
                     });
                     let status = match to.call(TENANT, &secret, &id, &call_body(class, n % 7, None))
                     {
@@ -500,7 +500,7 @@
     /// Waits until a condition holds. The timeout only bounds the run; it is no requirement on the
     /// gateways.
     pub fn wait_until(&self, what: &str, holds: impl Fn() -> bool) -> Result<()> {
-        let end = Instant::now() + 2 * PATIENCE;
+        let end = Instant::now() + 2 * WAIT_TIMEOUT;
         while !holds() {
             if Instant::now() > end {
                 let log = |g: &Gateway| g.log.last().cloned();
@@ -599,7 +599,7 @@
     }
 
     /// Stops the callers, waits until every promised call has an outcome, and checks the histories.
-    pub fn judge(mut self) -> Result<(Promised, Vec<Wrong>)> {
+    pub fn judge(mut self) -> Result<(DurabilityCounts, Vec<Violation>)> {
         self.stop_callers()?;
         let responses = self
             .responses
@@ -614,7 +614,7 @@
         let at = (0..self.config.instances)
             .find(|n| self.gateways[*n].is_some())
             .unwrap_or(0);
-        let end = Instant::now() + 2 * PATIENCE;
+        let end = Instant::now() + 2 * WAIT_TIMEOUT;
         let mut outcomes: BTreeMap<String, String> = BTreeMap::new();
         while !open.is_empty() && Instant::now() < end {
             for id in open.clone() {
@@ -631,10 +631,10 @@
         // Idempotent calls get their callbacks; the delivery of other callbacks may stay unknown.
         let safe: BTreeSet<&String> = outcomes
             .keys()
-            .filter(|id| responses[*id].0 == SAFE)
+            .filter(|id| responses[*id].0 == READ_CLASS)
             .collect();
         let came = |p: &Portal| {
-            p.all()
+            p.deliveries()
                 .into_iter()
                 .filter(|s| s.confirmed)
                 .map(|s| s.call)
@@ -663,7 +663,7 @@
         }
         let portal: Vec<(String, bool)> = self
             .portal
-            .all()
+            .deliveries()
             .into_iter()
             .map(|s| (s.call, s.confirmed))
             .collect();
--- a/testbed/src/fault_injection/tenants.rs
+++ b/testbed/src/fault_injection/tenants.rs
@@ -8,7 +8,7 @@
 
 use super::fleet::Fleet;
 use crate::fakes::{body, call_body, header, status, Caller};
-use crate::history::tenants::{check, read, TenantNote, Wrong};
+use crate::history::tenants::{check, read, TenantNote, Violation};
 use crate::lease_trials::instance_name;
 
 /// Client of one gateway's administration interface, which other threads can use.
@@ -99,7 +99,7 @@
             .gateway(n)?
             .webhooks
             .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
-        let text = call_body(crate::fakes::gateway::SAFE, 7, None);
+        let text = call_body(crate::fakes::gateway::READ_CLASS, 7, None);
         Ok(Caller::new(at)
             .call(tenant, secret, id, &text)
             .map_or(0, |a| status(&a)))
@@ -147,7 +147,7 @@
 
     /// Checks the recorded tenant histories. Returns the number of acknowledged changes and all
     /// violations.
-    pub fn check_tenants(&self) -> Result<(usize, Vec<Wrong>)> {
+    pub fn check_tenants(&self) -> Result<(usize, Vec<Violation>)> {
         Ok(check(&read(&self.histories())?, &self.running()))
     }
 }
--- a/testbed/src/fault_proxy/mod.rs
+++ b/testbed/src/fault_proxy/mod.rs
@@ -22,11 +22,11 @@
     /// Nothing passes; data is queued and passes after the cut ends.
     pub cut: bool,
     /// Percentage of frames or datagrams that are dropped.
-    pub lost: u32,
+    pub drop_percent: u32,
     /// Percentage of frames or datagrams that are delivered twice.
-    pub doubled: u32,
+    pub duplicate_percent: u32,
     /// Percentage of frames or datagrams that swap places with the one queued before.
-    pub behind: u32,
+    pub reorder_percent: u32,
     /// Fixed delay in milliseconds.
     pub delay_ms: u32,
     /// Maximum random delay on top, in milliseconds.
@@ -37,11 +37,11 @@
 
 /// Direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the connecting side to the accepting side.
-    There,
+    Forward,
     /// From the accepting side to the connecting side.
-    Back,
+    Reverse,
 }
 
 #[derive(Debug)]
@@ -125,8 +125,8 @@
         };
         let last_sender: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
         for (way, from, out) in [
-            (Way::There, near.try_clone()?, far.try_clone()?),
-            (Way::Back, far, near),
+            (Direction::Forward, near.try_clone()?, far.try_clone()?),
+            (Direction::Reverse, far, near),
         ] {
             from.set_read_timeout(Some(POLL_INTERVAL))?;
             let (shared, last_sender) = (link.shared.clone(), last_sender.clone());
@@ -135,7 +135,7 @@
                 let mut bytes = [0; 2048];
                 while !shared.stop.load(Ordering::Relaxed) {
                     if let Ok((n, source)) = from.recv_from(&mut bytes) {
-                        if way == Way::There {
+                        if way == Direction::Forward {
                             *last_sender.lock().unwrap_or_else(PoisonError::into_inner) =
                                 Some(source);
                         }
@@ -143,7 +143,11 @@
                     }
                     while let Some(bytes) = queue.pop_due() {
                         let back = *last_sender.lock().unwrap_or_else(PoisonError::into_inner);
-                        let to = if way == Way::There { Some(to) } else { back };
+                        let to = if way == Direction::Forward {
+                            Some(to)
+                        } else {
+                            back
+                        };
                         // A datagram that cannot be sent is lost; UDP allows that.
                         to.map(|to| out.send_to(&bytes, to));
                     }
@@ -154,7 +158,7 @@
     }
 
     /// Sets the faults of one direction.
-    pub fn set(&self, way: Way, faults: Faults) {
+    pub fn set(&self, way: Direction, faults: Faults) {
         self.shared.faults()[way as usize] = faults;
     }
 
@@ -187,7 +191,7 @@
 
 /// Data of one direction that waits to be forwarded.
 struct Queue {
-    way: Way,
+    way: Direction,
     shared: Arc<Shared>,
     random: ChaCha8Rng,
     pending: VecDeque<(Instant, Vec<u8>)>,
@@ -195,7 +199,7 @@
 }
 
 impl Queue {
-    fn new(seed: u64, way: Way, shared: Arc<Shared>) -> Queue {
+    fn new(seed: u64, way: Direction, shared: Arc<Shared>) -> Queue {
         let random = ChaCha8Rng::seed_from_u64(seed);
         Queue {
             way,
@@ -214,19 +218,19 @@
     /// reordered.
     fn push(&mut self, bytes: Vec<u8>, whole: bool) {
         let f = self.shared.faults()[self.way as usize];
-        if whole && self.chance(f.lost) {
+        if whole && self.chance(f.drop_percent) {
             return;
         }
         let jitter = self.random.next_u32() % (f.jitter_ms + 1);
         let at = Instant::now() + Duration::from_millis(u64::from(f.delay_ms + jitter));
         // Jitter does not reorder: nothing is due before the data queued earlier.
         let at = self.pending.back().map_or(at, |(last, _)| at.max(*last));
-        if whole && self.chance(f.doubled) {
+        if whole && self.chance(f.duplicate_percent) {
             self.pending.push_back((at, bytes.clone()));
         }
         self.pending.push_back((at, bytes));
         let n = self.pending.len();
-        if whole && n >= 2 && self.chance(f.behind) {
+        if whole && n >= 2 && self.chance(f.reorder_percent) {
             self.pending.swap(n - 1, n - 2);
         }
     }
@@ -260,8 +264,8 @@
         s.set_read_timeout(Some(POLL_INTERVAL))?;
     }
     let pairs = [
-        (Way::There, near.try_clone()?, far.try_clone()?),
-        (Way::Back, far, near),
+        (Direction::Forward, near.try_clone()?, far.try_clone()?),
+        (Direction::Reverse, far, near),
     ];
     for (way, from, to) in pairs {
         let shared = shared.clone();
@@ -280,7 +284,7 @@
 }
 
 fn pump(
-    way: Way,
+    way: Direction,
     mut from: TcpStream,
     mut to: TcpStream,
     seed: u64,
@@ -290,7 +294,11 @@
     let mut queue = Queue::new(seed, way, shared.clone());
     let (mut buffer, mut chunk) = (Vec::new(), [0; 16 * 1024]);
     // The accepting side sends a challenge before its frames.
-    let mut challenge_left = if way == Way::Back { CHALLENGE_BYTES } else { 0 };
+    let mut challenge_left = if way == Direction::Reverse {
+        CHALLENGE_BYTES
+    } else {
+        0
+    };
     let mut ended = false;
     while !shared.stop.load(Ordering::Relaxed)
         && shared.sever_count.load(Ordering::Relaxed) == initial_sever_count
--- a/testbed/src/fault_proxy/tests.rs
+++ b/testbed/src/fault_proxy/tests.rs
@@ -46,18 +46,18 @@
     s.write_all(&frame(1)).unwrap();
     assert_eq!(read(&mut s), 1);
     link.set(
-        Way::There,
+        Direction::Forward,
         Faults {
-            lost: 100,
+            drop_percent: 100,
             ..Faults::default()
         },
     );
     s.write_all(&frame(2)).unwrap();
     std::thread::sleep(Duration::from_millis(50));
     link.set(
-        Way::There,
+        Direction::Forward,
         Faults {
-            doubled: 100,
+            duplicate_percent: 100,
             ..Faults::default()
         },
     );
@@ -66,7 +66,7 @@
     // A cut on the way back holds the frame; it arrives after the cut ends.
     link.set_both(Faults::default());
     link.set(
-        Way::Back,
+        Direction::Reverse,
         Faults {
             cut: true,
             ..Faults::default()
@@ -76,7 +76,7 @@
     s.set_read_timeout(Some(Duration::from_millis(100)))
         .unwrap();
     assert!(s.read(&mut [0; 8]).is_err());
-    link.set(Way::Back, Faults::default());
+    link.set(Direction::Reverse, Faults::default());
     s.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     assert_eq!(read(&mut s), 4);
     link.sever();
@@ -95,9 +95,9 @@
     b.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let link = Link::datagram(b.local_addr().unwrap(), 1).unwrap();
     link.set(
-        Way::There,
+        Direction::Forward,
         Faults {
-            behind: 100,
+            reorder_percent: 100,
             delay_ms: 100,
             ..Faults::default()
         },
--- a/testbed/src/gossip.rs
+++ b/testbed/src/gossip.rs
@@ -14,8 +14,8 @@
 use molelug::membership::swim::{Message, MessageKind};
 use molelug::membership::wire;
 
-use crate::fakes::gateway::{Folder, SAFE};
-use crate::fakes::{status, Caller, Gateway, Worker, PATIENCE};
+use crate::fakes::gateway::{TempFolder, READ_CLASS};
+use crate::fakes::{status, Caller, Gateway, Worker, WAIT_TIMEOUT};
 
 /// Configured limit on the gossip that each instance sends, in bytes per second.
 pub const BYTES_PER_S: u32 = 16_384;
@@ -127,7 +127,7 @@
     if malicious >= instances {
         return Err(Error::other("some instances must be honest"));
     }
-    let folder = Folder::new("gossip")?;
+    let folder = TempFolder::new("gossip")?;
     let workers: Vec<Worker> = (0..6)
         .map(|_| Worker::start(Duration::from_millis(2), 0))
         .collect::<Result<_>>()?;
@@ -166,7 +166,11 @@
             );
             std::fs::write(file, text)?;
         }
-        gateways.push(Gateway::talking(&home, &workers, file.as_deref())?);
+        gateways.push(Gateway::start_with_gossip(
+            &home,
+            &workers,
+            file.as_deref(),
+        )?);
     }
     let stop = Arc::new(AtomicBool::new(false));
     let malicious: Vec<_> = (honest..instances)
@@ -192,7 +196,7 @@
                 while !stop.load(Ordering::Relaxed) {
                     let id = ((g as u64) << 48) | calls;
                     let request = format!(
-                        "POST /call/{:016x}/trigger HTTP/1.1\r\nHost: lab\r\nX-Class: {SAFE}\r\nX-Org: franq-bajio\r\n\
+                        "POST /call/{:016x}/trigger HTTP/1.1\r\nHost: lab\r\nX-Class: {READ_CLASS}\r\nX-Org: franq-bajio\r\n\
                          X-Correlation-Id: {id:016x}\r\nX-Deadline-Ms: 900\r\nX-Extras: lanes:4\r\nContent-Length: 0\r\n\r\n",
                         calls % 24
                     );
@@ -207,7 +211,7 @@
     std::thread::sleep(Duration::from_secs(seconds));
     let mut result = RunResult::default();
     // The malicious peers still run. The loop gives slow machines more time to agree.
-    let patience = Instant::now() + PATIENCE;
+    let patience = Instant::now() + WAIT_TIMEOUT;
     while gossip && result.agreeing < honest && Instant::now() < patience {
         result.agreeing = 0;
         for gateway in &mut gateways {
--- a/testbed/src/history/mod.rs
+++ b/testbed/src/history/mod.rs
@@ -110,7 +110,7 @@
 /// A violation found in a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum Wrong {
+pub enum Violation {
     /// A receiver accepted an effect under a lower term than an effect it had accepted before.
     Stale {
         receiver: String,
@@ -146,10 +146,10 @@
     Nothing(&'static str),
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wrong::Stale {
+            Violation::Stale {
                 receiver,
                 duty,
                 term,
@@ -160,12 +160,14 @@
                     "{receiver} took an effect of {duty} under term {term} after one under {after}"
                 )
             }
-            Wrong::TwoOwners { duty, term } => write!(f, "two owners of {duty} under term {term}"),
-            Wrong::TwoEntries { index } => write!(f, "two entries at {index}"),
-            Wrong::Gap { duty, term } => {
+            Violation::TwoOwners { duty, term } => {
+                write!(f, "two owners of {duty} under term {term}")
+            }
+            Violation::TwoEntries { index } => write!(f, "two entries at {index}"),
+            Violation::Gap { duty, term } => {
                 write!(f, "term {term} of {duty} does not follow the one before")
             }
-            Wrong::NoLease {
+            Violation::NoLease {
                 owner,
                 duty,
                 term,
@@ -176,7 +178,7 @@
                     "{owner} did effect {number} of {duty} under term {term} without a lease"
                 )
             }
-            Wrong::Forged {
+            Violation::Forged {
                 receiver,
                 duty,
                 term,
@@ -187,16 +189,16 @@
                     "{receiver} took effect {number} of {duty} under term {term}, which nobody did"
                 )
             }
-            Wrong::TwoLeaders { term } => write!(f, "two led in term {term} of the log"),
-            Wrong::TwoAnswers { call } => write!(f, "call {call:016x} has two answers"),
-            Wrong::Nothing(what) => write!(f, "the history has no {what}"),
+            Violation::TwoLeaders { term } => write!(f, "two led in term {term} of the log"),
+            Violation::TwoAnswers { call } => write!(f, "call {call:016x} has two answers"),
+            Violation::Nothing(what) => write!(f, "the history has no {what}"),
         }
     }
 }
 
 /// Counts of the events in a history, for the report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct EventCounts {
     /// Number of processes.
     pub processes: usize,
     /// Terms granted, of all leases.
@@ -235,9 +237,9 @@
 }
 
 /// Checks histories, one list of lines per file. Returns counts of the events and all violations.
-pub fn check(files: &[Vec<Line>]) -> (Held, Vec<Wrong>) {
+pub fn check(files: &[Vec<Line>]) -> (EventCounts, Vec<Violation>) {
     let mut violations = Vec::new();
-    let mut counts = Held::default();
+    let mut counts = EventCounts::default();
     let mut entries: BTreeMap<u64, (&str, u64, &Option<Owner>)> = BTreeMap::new();
     let mut owners: BTreeMap<(&str, u64), &Owner> = BTreeMap::new();
     let mut actors: BTreeMap<(&str, u64), (&str, u64)> = BTreeMap::new();
@@ -256,7 +258,7 @@
             } => (name.as_str(), *process, note),
             Line::Answered { call, status } => {
                 if *status > 0 && !answers.insert(*call) {
-                    violations.push(Wrong::TwoAnswers { call: *call });
+                    violations.push(Violation::TwoAnswers { call: *call });
                 }
                 continue;
             }
@@ -271,11 +273,11 @@
             } => {
                 let entry = (duty.as_str(), *term, owner);
                 if *entries.entry(*index).or_insert(entry) != entry {
-                    violations.push(Wrong::TwoEntries { index: *index });
+                    violations.push(Violation::TwoEntries { index: *index });
                 }
                 if let Some(owner) = owner {
                     if *owners.entry((duty, *term)).or_insert(owner) != owner {
-                        violations.push(Wrong::TwoOwners {
+                        violations.push(Violation::TwoOwners {
                             duty: duty.clone(),
                             term: *term,
                         });
@@ -287,7 +289,7 @@
                 counts.acted += 1;
                 let recorder = (name, process);
                 if *actors.entry((duty, *term)).or_insert(recorder) != recorder {
-                    violations.push(Wrong::TwoOwners {
+                    violations.push(Violation::TwoOwners {
                         duty: duty.clone(),
                         term: *term,
                     });
@@ -296,7 +298,7 @@
             Note::Leads { term } => {
                 let recorder = (name, process);
                 if *leaders.entry(*term).or_insert(recorder) != recorder {
-                    violations.push(Wrong::TwoLeaders { term: *term });
+                    violations.push(Violation::TwoLeaders { term: *term });
                 }
             }
             _ => {}
@@ -305,7 +307,7 @@
     for ((duty, term), (name, process)) in &actors {
         let holder = owners.get(&(*duty, *term));
         if holder.is_some_and(|o| o.name != *name || o.incarnation != *process) {
-            violations.push(Wrong::TwoOwners {
+            violations.push(Violation::TwoOwners {
                 duty: (*duty).into(),
                 term: *term,
             });
@@ -325,7 +327,10 @@
 /// Checks along the log that each grant of a lease raises its term by one and that a release keeps
 /// the term. The first entry of a lease may have any term, as the group may have been bootstrapped
 /// anew.
-fn check_terms(entries: &BTreeMap<u64, (&str, u64, &Option<Owner>)>, violations: &mut Vec<Wrong>) {
+fn check_terms(
+    entries: &BTreeMap<u64, (&str, u64, &Option<Owner>)>,
+    violations: &mut Vec<Violation>,
+) {
     let mut last: BTreeMap<&str, u64> = BTreeMap::new();
     for (duty, term, owner) in entries.values() {
         let before = last
@@ -334,7 +339,7 @@
             .unwrap_or(*term - u64::from(owner.is_some()));
         let follows = if owner.is_some() { before + 1 } else { before };
         if *term != follows {
-            violations.push(Wrong::Gap {
+            violations.push(Violation::Gap {
                 duty: (*duty).into(),
                 term: *term,
             });
@@ -346,8 +351,8 @@
 fn check_file(
     file: &[Line],
     acted: &BTreeSet<(&str, u64, &str, u64)>,
-    counts: &mut Held,
-    violations: &mut Vec<Wrong>,
+    counts: &mut EventCounts,
+    violations: &mut Vec<Violation>,
 ) {
     // Keyed by process: a file continues over restarts, and a new process has accepted nothing.
     let mut highest_terms: BTreeMap<(u64, &str), u64> = BTreeMap::new();
@@ -369,7 +374,7 @@
                 if !active.contains(&(*process, duty.as_str(), *term)) =>
             {
                 let (owner, duty) = (name.clone(), duty.clone());
-                violations.push(Wrong::NoLease {
+                violations.push(Violation::NoLease {
                     owner,
                     duty,
                     term: *term,
@@ -388,7 +393,7 @@
                 let highest = highest_terms.entry((*process, duty)).or_default();
                 if *term < *highest {
                     let (receiver, duty) = (name.clone(), duty.clone());
-                    violations.push(Wrong::Stale {
+                    violations.push(Violation::Stale {
                         receiver,
                         duty,
                         term: *term,
@@ -398,7 +403,7 @@
                 *highest = (*highest).max(*term);
                 if !acted.contains(&(duty.as_str(), *term, owner.as_str(), *number)) {
                     let (receiver, duty) = (name.clone(), duty.clone());
-                    violations.push(Wrong::Forged {
+                    violations.push(Violation::Forged {
                         receiver,
                         duty,
                         term: *term,
@@ -416,7 +421,7 @@
 pub fn run(folder: &Path) -> Result<bool> {
     let (counts, mut violations) = check(&read(folder)?);
     if counts.processes == 0 {
-        violations.push(Wrong::Nothing("process"));
+        violations.push(Violation::Nothing("process"));
     }
     println!(
         "{} processes, {} terms, {} effects done, {} taken, {} refused, {} taken back, {} calls answered",
--- a/testbed/src/history/promises.rs
+++ b/testbed/src/history/promises.rs
@@ -9,7 +9,7 @@
 
 use serde::Deserialize;
 
-use crate::fakes::gateway::{SAFE, UNSAFE};
+use crate::fakes::gateway::{NON_IDEMPOTENT_CLASS, READ_CLASS};
 
 /// An event of a shard at a gateway.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -103,7 +103,7 @@
 /// A violation of the guarantees.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum Wrong {
+pub enum Violation {
     /// Two processes were primary of a shard in one epoch.
     TwoLed { shard: u16, epoch: u64 },
     /// One record number was acknowledged with two contents.
@@ -122,7 +122,7 @@
     RanTwice { call: String, times: u32 },
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self:?}")
     }
@@ -130,7 +130,7 @@
 
 /// Counts of the events in a history.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Promised {
+pub struct DurabilityCounts {
     /// Calls answered 202.
     pub calls: usize,
     /// Calls answered 202 whose outcome is `unknown`.
@@ -160,8 +160,8 @@
     outcomes: &BTreeMap<String, String>,
     runs: &BTreeMap<(String, String), u32>,
     portal: &[(String, bool)],
-) -> (Promised, Vec<Wrong>) {
-    let (mut counts, mut violations) = (Promised::default(), Vec::new());
+) -> (DurabilityCounts, Vec<Violation>) {
+    let (mut counts, mut violations) = (DurabilityCounts::default(), Vec::new());
     let mut primaries: BTreeMap<(u16, u64), u64> = BTreeMap::new();
     // The digest of each acknowledged number with its lowest epoch, and the number that each
     // primary began at.
@@ -178,7 +178,7 @@
                 counts.epochs += 1;
                 epoch_starts.push((*shard, *epoch, *number));
                 if *primaries.entry((*shard, *epoch)).or_insert(*process) != *process {
-                    violations.push(Wrong::TwoLed {
+                    violations.push(Violation::TwoLed {
                         shard: *shard,
                         epoch: *epoch,
                     });
@@ -196,7 +196,7 @@
                     .entry((*shard, *number))
                     .or_insert((*chain, *epoch));
                 if known.0 != *chain {
-                    violations.push(Wrong::TwoPromised {
+                    violations.push(Violation::TwoPromised {
                         shard: *shard,
                         number: *number,
                     });
@@ -206,11 +206,11 @@
             CopyNote::Declined { .. } => counts.declined += 1,
             CopyNote::Installed { .. } => counts.installed += 1,
             CopyNote::Refuted { .. } => counts.refuted += 1,
-            CopyNote::Lost { shard } => violations.push(Wrong::Lost { shard: *shard }),
+            CopyNote::Lost { shard } => violations.push(Violation::Lost { shard: *shard }),
             CopyNote::Mended {
                 accepted: false, ..
             } => counts.mended += 1,
-            CopyNote::Mended { shard, .. } => violations.push(Wrong::Lost { shard: *shard }),
+            CopyNote::Mended { shard, .. } => violations.push(Violation::Lost { shard: *shard }),
             CopyNote::Recalled { .. }
             | CopyNote::Rested { .. }
             | CopyNote::Stored { .. }
@@ -225,7 +225,7 @@
             .into_iter()
             .find(|(_, (_, acknowledged_in))| *acknowledged_in < epoch)
         {
-            violations.push(Wrong::Gone {
+            violations.push(Violation::Gone {
                 shard,
                 number: *missing,
                 epoch,
@@ -242,8 +242,10 @@
         .map(|(call, _)| call.as_str())
         .collect();
     for (call, (class, status)) in told {
-        if class == UNSAFE && callback_counts.get(call.as_str()).is_some_and(|n| *n > 1) {
-            violations.push(Wrong::CallbackTwice {
+        if class == NON_IDEMPOTENT_CLASS
+            && callback_counts.get(call.as_str()).is_some_and(|n| *n > 1)
+        {
+            violations.push(Violation::CallbackTwice {
                 call: call.clone(),
                 times: callback_counts[call.as_str()],
             });
@@ -254,19 +256,20 @@
         }
         counts.calls += 1;
         match outcomes.get(call) {
-            None => violations.push(Wrong::NoEnd { call: call.clone() }),
+            None => violations.push(Violation::NoEnd { call: call.clone() }),
             Some(o) if o == "unknown" => counts.unknown += 1,
             Some(_) => {}
         }
-        if class == SAFE && outcomes.contains_key(call) && !confirmed.contains(call.as_str()) {
-            violations.push(Wrong::NoCallback { call: call.clone() });
+        if class == READ_CLASS && outcomes.contains_key(call) && !confirmed.contains(call.as_str())
+        {
+            violations.push(Violation::NoCallback { call: call.clone() });
         }
     }
     for ((id, class), n) in runs
         .iter()
-        .filter(|((_, class), n)| class == UNSAFE && **n > 1)
+        .filter(|((_, class), n)| class == NON_IDEMPOTENT_CLASS && **n > 1)
     {
-        violations.push(Wrong::RanTwice {
+        violations.push(Violation::RanTwice {
             call: format!("{class} {id}"),
             times: *n,
         });
--- a/testbed/src/history/promises/tests.rs
+++ b/testbed/src/history/promises/tests.rs
@@ -30,7 +30,7 @@
     )
 }
 
-fn violations(notes: &[(String, u64, CopyNote)]) -> Vec<Wrong> {
+fn violations(notes: &[(String, u64, CopyNote)]) -> Vec<Violation> {
     check(
         notes,
         &BTreeMap::new(),
@@ -54,16 +54,16 @@
     );
     assert_eq!(
         violations(&[led(1, 1, 0), led(2, 1, 0)]),
-        [Wrong::TwoLed { shard: 1, epoch: 1 }]
+        [Violation::TwoLed { shard: 1, epoch: 1 }]
     );
     assert_eq!(
         violations(&[promised(1, 1, 7), promised(2, 1, 8)]),
-        [Wrong::TwoPromised {
+        [Violation::TwoPromised {
             shard: 1,
             number: 1
         }]
     );
-    let gone = Wrong::Gone {
+    let gone = Violation::Gone {
         shard: 1,
         number: 2,
         epoch: 2,
@@ -72,26 +72,30 @@
         violations(&[promised(1, 1, 7), promised(1, 2, 8), led(2, 2, 1)]),
         [gone]
     );
-    let told = [("a", SAFE, 202), ("b", UNSAFE, 202), ("c", UNSAFE, 503)];
+    let told = [
+        ("a", READ_CLASS, 202),
+        ("b", NON_IDEMPOTENT_CLASS, 202),
+        ("c", NON_IDEMPOTENT_CLASS, 503),
+    ];
     let told = told
         .map(|(id, class, status)| (id.to_owned(), (class.to_owned(), status)))
         .into();
     let outcomes = [("a".to_owned(), "served".to_owned())].into();
-    let runs = [(("x".to_owned(), UNSAFE.to_owned()), 2)].into();
+    let runs = [(("x".to_owned(), NON_IDEMPOTENT_CLASS.to_owned()), 2)].into();
     let portal = [("c".to_owned(), true), ("c".to_owned(), true)];
     let (counts, wrong) = check(&[], &told, &outcomes, &runs, &portal);
     assert_eq!((counts.calls, counts.refused), (2, 1));
     assert_eq!(
         wrong,
         [
-            Wrong::NoCallback { call: "a".into() },
-            Wrong::NoEnd { call: "b".into() },
-            Wrong::CallbackTwice {
+            Violation::NoCallback { call: "a".into() },
+            Violation::NoEnd { call: "b".into() },
+            Violation::CallbackTwice {
                 call: "c".into(),
                 times: 2
             },
-            Wrong::RanTwice {
-                call: format!("{UNSAFE} x"),
+            Violation::RanTwice {
+                call: format!("{NON_IDEMPOTENT_CLASS} x"),
                 times: 2
             },
         ]
--- a/testbed/src/history/tenants.rs
+++ b/testbed/src/history/tenants.rs
@@ -53,7 +53,7 @@
 /// A violation found in a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum Wrong {
+pub enum Violation {
     /// One version of a tenant was adopted with two contents.
     TwoContents { tenant: String, version: u64 },
     /// A process returned to an older version.
@@ -75,7 +75,7 @@
 
 /// Checks the lines and returns the number of confirmed changes and all violations. `running` are
 /// the gateways that run at the end, after a wait for them to learn all changes.
-pub fn check(lines: &[TenantLine], running: &BTreeSet<String>) -> (usize, Vec<Wrong>) {
+pub fn check(lines: &[TenantLine], running: &BTreeSet<String>) -> (usize, Vec<Violation>) {
     let mut violations = Vec::new();
     let mut contents: BTreeMap<(&str, u64), Option<u64>> = BTreeMap::new();
     let mut process_versions: BTreeMap<(&str, u64), u64> = BTreeMap::new();
@@ -94,7 +94,7 @@
                 if digest.is_some()
                     && *contents.entry((tenant, *version)).or_insert(*digest) != *digest
                 {
-                    violations.push(Wrong::TwoContents {
+                    violations.push(Violation::TwoContents {
                         tenant: tenant.clone(),
                         version: *version,
                     });
@@ -104,7 +104,7 @@
                     .unwrap_or(0);
                 if before > *version {
                     let (tenant, process) = (tenant.clone(), l.process);
-                    violations.push(Wrong::Back {
+                    violations.push(Violation::Back {
                         tenant,
                         process,
                         from: before,
@@ -115,7 +115,7 @@
             }
             TenantNote::Told { tenant, version } => {
                 if !confirmed.insert((tenant, *version)) {
-                    violations.push(Wrong::TwoTold {
+                    violations.push(Violation::TwoTold {
                         tenant: tenant.clone(),
                         version: *version,
                     });
@@ -130,7 +130,7 @@
                 .is_none_or(|known| known < version)
             {
                 let (tenant, at) = ((*tenant).to_owned(), name.clone());
-                violations.push(Wrong::Gone {
+                violations.push(Violation::Gone {
                     tenant,
                     version: *version,
                     at,
--- a/testbed/src/history/tenants/tests.rs
+++ b/testbed/src/history/tenants/tests.rs
@@ -40,13 +40,13 @@
     let two = [adopted("a", 1, 1, 7), adopted("b", 2, 1, 8)];
     assert_eq!(
         check(&two, &running).1,
-        [Wrong::TwoContents {
+        [Violation::TwoContents {
             tenant: "t".into(),
             version: 1
         }]
     );
     let back = [adopted("a", 1, 2, 7), adopted("a", 1, 1, 6)];
-    let violation = Wrong::Back {
+    let violation = Violation::Back {
         tenant: "t".into(),
         process: 1,
         from: 2,
@@ -61,13 +61,13 @@
     ];
     assert_eq!(
         check(&twice, &running).1,
-        [Wrong::TwoTold {
+        [Violation::TwoTold {
             tenant: "t".into(),
             version: 1
         }]
     );
     let gone = [adopted("a", 1, 1, 7), confirmed(1)];
-    let violation = Wrong::Gone {
+    let violation = Violation::Gone {
         tenant: "t".into(),
         version: 1,
         at: "b".into(),
--- a/testbed/src/history/tests.rs
+++ b/testbed/src/history/tests.rs
@@ -33,7 +33,7 @@
     notes.iter().map(|n| line(name, n)).collect()
 }
 
-fn violations(files: &[String]) -> Vec<Wrong> {
+fn violations(files: &[String]) -> Vec<Violation> {
     let files: Vec<Vec<Line>> = files.iter().map(|f| parse(f).unwrap()).collect();
     check(&files).1
 }
@@ -57,7 +57,7 @@
     let stale = lines("c", &[accepted(2, "b"), accepted(1, "a")]);
     assert!(matches!(
         violations(&[a.clone(), b.clone(), stale])[..],
-        [Wrong::Stale {
+        [Violation::Stale {
             term: 1,
             after: 2,
             ..
@@ -66,40 +66,47 @@
     let forged = lines("c", &[accepted(2, "a")]);
     assert!(matches!(
         violations(&[a.clone(), b.clone(), forged])[..],
-        [Wrong::Forged { .. }]
+        [Violation::Forged { .. }]
     ));
     // Two owners of one term, shown by the log and by their effects.
     let other = lines("b", &[agreed(6, 1, "b")]);
-    assert!(violations(&[a.clone(), other]).contains(&Wrong::TwoOwners {
-        duty: "d".into(),
-        term: 1
-    }));
+    assert!(
+        violations(&[a.clone(), other]).contains(&Violation::TwoOwners {
+            duty: "d".into(),
+            term: 1
+        })
+    );
     let other = lines("b", &[event("began", 1), event("acted", 1)]);
-    assert!(violations(&[a.clone(), other]).contains(&Wrong::TwoOwners {
-        duty: "d".into(),
-        term: 1
-    }));
+    assert!(
+        violations(&[a.clone(), other]).contains(&Violation::TwoOwners {
+            duty: "d".into(),
+            term: 1
+        })
+    );
     let other = lines("c", &[agreed(5, 1, "b")]);
-    assert!(violations(&[a.clone(), other]).contains(&Wrong::TwoEntries { index: 5 }));
+    assert!(violations(&[a.clone(), other]).contains(&Violation::TwoEntries { index: 5 }));
     let gap = owner_history("b", 6, 3);
-    assert!(violations(&[a.clone(), gap]).contains(&Wrong::Gap {
+    assert!(violations(&[a.clone(), gap]).contains(&Violation::Gap {
         duty: "d".into(),
         term: 3
     }));
     for late in ["acted", "sent"] {
         let late = owner_history("a", 5, 1) + &lines("a", &[event(late, 1)]);
-        assert!(matches!(violations(&[late])[..], [Wrong::NoLease { .. }]));
+        assert!(matches!(
+            violations(&[late])[..],
+            [Violation::NoLease { .. }]
+        ));
     }
     let leads = |n: &str| lines(n, &[r#"{"what":"leads","term":4}"#.into()]);
     assert_eq!(
         violations(&[leads("a"), leads("b")]),
-        [Wrong::TwoLeaders { term: 4 }]
+        [Violation::TwoLeaders { term: 4 }]
     );
     let answers =
         "{\"call\":9,\"status\":200}\n{\"call\":9,\"status\":503}\n{\"call\":8,\"status\":0}\n";
     assert_eq!(
         violations(&[answers.into()]),
-        [Wrong::TwoAnswers { call: 9 }]
+        [Violation::TwoAnswers { call: 9 }]
     );
     assert!(parse("not json\n").is_err());
 }
--- a/testbed/src/lease_trials.rs
+++ b/testbed/src/lease_trials.rs
@@ -15,9 +15,9 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::fakes::gateway::{command, Folder, SAFE, SOCKETS};
-use crate::fakes::{status, Caller, Gateway, Worker, PATIENCE};
-use crate::fault_proxy::{Faults, Link, Way};
+use crate::fakes::gateway::{command, TempFolder, DEFAULT_MAX_SOCKETS, READ_CLASS};
+use crate::fakes::{status, Caller, Gateway, Worker, WAIT_TIMEOUT};
+use crate::fault_proxy::{Direction, Faults, Link};
 use crate::history::{self, Line, Note};
 
 /// Default lease duration of a round in milliseconds.
@@ -67,7 +67,7 @@
             consensus: true,
             disabled_guard: None,
             lease_ms: LEASE_MS,
-            max_descriptors: SOCKETS,
+            max_descriptors: DEFAULT_MAX_SOCKETS,
         }
     }
 }
@@ -94,7 +94,7 @@
     pub workers: Vec<Worker>,
     /// Links by (connecting instance, voter or seat).
     pub links: BTreeMap<(usize, usize), Link>,
-    folder: Folder,
+    folder: TempFolder,
     operator: String,
     config: FleetConfig,
     read_offsets: Vec<u64>,
@@ -123,7 +123,7 @@
 impl Fleet {
     /// Creates the consensus group's files and starts all instances.
     pub fn start(config: FleetConfig, seed: u64) -> Result<Fleet> {
-        let folder = Folder::new(&format!("owners-{seed}"))?;
+        let folder = TempFolder::new(&format!("owners-{seed}"))?;
         std::fs::create_dir_all(folder.0.join("history"))?;
         std::fs::write(
             folder.0.join("shared.keys"),
@@ -221,13 +221,13 @@
     pub fn start_process(&mut self, n: usize) -> Result<Gateway> {
         let home = self.home(n);
         if !self.config.consensus {
-            return Gateway::talking(&home, &self.workers, None);
+            return Gateway::start_with_gossip(&home, &self.workers, None);
         }
         let (file, without) = (
             home.join("council.toml"),
             self.config.disabled_guard.as_deref(),
         );
-        Gateway::meeting(
+        Gateway::start_with_consensus(
             &home,
             &self.workers,
             &file,
@@ -265,7 +265,7 @@
         std::fs::write(self.folder.0.join("shared.keys"), lines.join("\n"))?;
         for gateway in self.gateways.iter_mut().flatten() {
             gateway.reload()?;
-            gateway.line("consensus addresses and keys reloaded")?;
+            gateway.wait_for_log_line("consensus addresses and keys reloaded")?;
         }
         Ok(())
     }
@@ -288,11 +288,11 @@
     pub fn set_instance_faults(&self, n: usize, outbound: Faults, inbound: Faults) {
         for ((from, to), link) in &self.links {
             if *from == n {
-                link.set(Way::There, outbound);
-                link.set(Way::Back, inbound);
+                link.set(Direction::Forward, outbound);
+                link.set(Direction::Reverse, inbound);
             } else if *to == n {
-                link.set(Way::There, inbound);
-                link.set(Way::Back, outbound);
+                link.set(Direction::Forward, inbound);
+                link.set(Direction::Reverse, outbound);
             }
         }
     }
@@ -395,7 +395,7 @@
         what: &str,
         is: impl Fn(&ObservedNote) -> bool,
     ) -> Result<usize> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             self.read_notes()?;
             if let Some(at) = (from..self.notes.len()).find(|i| is(&self.notes[*i])) {
@@ -449,7 +449,7 @@
     }
 
     /// Stops callers and gateways, and checks the recorded histories.
-    pub fn judge(mut self) -> Result<(history::Held, Vec<history::Wrong>)> {
+    pub fn judge(mut self) -> Result<(history::EventCounts, Vec<history::Violation>)> {
         self.stop.store(true, Ordering::Relaxed);
         for caller in std::mem::take(&mut self.callers) {
             caller
@@ -506,14 +506,14 @@
     /// Each fault and the milliseconds from the fault to the next owner's start.
     pub gaps_ms: Vec<(&'static str, f64)>,
     /// Counts from the checked histories.
-    pub counts: history::Held,
+    pub counts: history::EventCounts,
 }
 
 const CUT: Faults = Faults {
     cut: true,
-    lost: 0,
-    doubled: 0,
-    behind: 0,
+    drop_percent: 0,
+    duplicate_percent: 0,
+    reorder_percent: 0,
     delay_ms: 0,
     jitter_ms: 0,
     bytes_per_s: 0,
@@ -580,7 +580,7 @@
             0 | 1 => {
                 // Stops the owner past its lease, with calls and probes in progress; it continues
                 // once another instance owns the duty.
-                fleet.gateway(owner)?.freeze()?;
+                fleet.gateway(owner)?.suspend()?;
                 "stopped"
             }
             2 => {
@@ -600,18 +600,18 @@
                 "cut off"
             }
             6 => {
-                fleet.gateway(owner)?.end()?;
+                fleet.gateway(owner)?.terminate()?;
                 "ended in order"
             }
             7 => {
                 let faults = Faults {
-                    lost: 30,
-                    doubled: 0,
+                    drop_percent: 30,
+                    duplicate_percent: 0,
                     jitter_ms: 30,
                     ..Faults::default()
                 };
                 fleet.set_all_faults(faults);
-                fleet.gateway(owner)?.freeze()?;
+                fleet.gateway(owner)?.suspend()?;
                 "stopped, with 30% of frames lost"
             }
             _ => {
@@ -635,7 +635,7 @@
         match kind {
             0 | 1 | 7 => {
                 let from = fleet.notes.len();
-                fleet.gateway(owner)?.thaw()?;
+                fleet.gateway(owner)?.resume()?;
                 let old = owner;
                 let is = |s: &ObservedNote| {
                     s.instance == old
@@ -680,7 +680,7 @@
 /// Builds the request of an idempotent call.
 fn call_request(id: u64, function: u64) -> String {
     format!(
-        "POST /call/{function:016x}/trigger HTTP/1.1\r\nHost: lab\r\nX-Class: {SAFE}\r\nX-Org: franq-bajio\r\n\
+        "POST /call/{function:016x}/trigger HTTP/1.1\r\nHost: lab\r\nX-Class: {READ_CLASS}\r\nX-Org: franq-bajio\r\n\
          X-Correlation-Id: {id:016x}\r\nX-Deadline-Ms: 900\r\nX-Extras: lanes:4\r\nContent-Length: 0\r\n\r\n"
     )
 }
@@ -803,7 +803,7 @@
         measure_calls(&fleet, &all, 2)?;
         fleet.workers[0].set_silent(true);
         let met = measure_calls(&fleet, &all, seconds)?;
-        let (pings, _, lost) = fleet.workers[0].asked();
+        let (pings, _, lost) = fleet.workers[0].request_counts();
         fleet.workers[0].set_silent(false);
         let after = measure_calls(&fleet, &all, seconds)?;
         let before = fleet.workers[0].runs.lock().map_or(0, |r| r.len());
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -17,9 +17,9 @@
 use molelug::store::records::MessageRecord;
 use serde_json::json;
 
-use crate::fakes::gateway::{Folder, SAFE};
+use crate::fakes::gateway::{TempFolder, READ_CLASS};
 use crate::fakes::{
-    call_body, now_s, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
+    call_body, now_s, secret, secret_text, status, Caller, Gateway, Portal, PortalBehavior, Worker,
 };
 
 /// Creates a histogram of microseconds up to ten minutes.
@@ -58,7 +58,7 @@
             "at least one portal must be healthy and the rate above 0",
         ));
     }
-    let folder = Folder::new("load")?;
+    let folder = TempFolder::new("load")?;
     let workers = workers(4)?;
     let mut operator =
         String::from("[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\npending = 4096\n");
@@ -73,9 +73,9 @@
             continue;
         }
         let manner = if n < dead + slow {
-            Manner::Slow(2000)
+            PortalBehavior::Slow(2000)
         } else {
-            Manner::Good
+            PortalBehavior::Good
         };
         let portal = Portal::start(secret(1), manner)?;
         operator.push_str(&tenant(&format!("t{n}"), portal.address));
@@ -94,7 +94,7 @@
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let id = format!("c{n}");
         let name = format!("t{}", n as usize % portals);
-        let answer = caller.call(&name, &key, &id, &call_body(SAFE, n % 16, None))?;
+        let answer = caller.call(&name, &key, &id, &call_body(READ_CLASS, n % 16, None))?;
         match status(&answer) {
             202 => {
                 accepted.insert(id, Instant::now());
@@ -107,7 +107,7 @@
     let mut missing = 0;
     let mut callback_times: HashMap<String, Instant> = HashMap::new();
     for (_, portal) in all.iter().filter(|(n, _)| *n >= dead + slow) {
-        callback_times.extend(portal.all().into_iter().map(|s| (s.call, s.at)));
+        callback_times.extend(portal.deliveries().into_iter().map(|s| (s.call, s.at)));
     }
     for (id, at) in &accepted {
         let n: usize = id[1..].parse().unwrap_or(0);
@@ -160,14 +160,14 @@
         if name.ends_with("before") && program.is_none() {
             continue;
         }
-        let folder = Folder::new("accept")?;
+        let folder = TempFolder::new("accept")?;
         let workers = workers(4)?;
-        let portal = Portal::start(secret(1), Manner::Good)?;
+        let portal = Portal::start(secret(1), PortalBehavior::Good)?;
         let operator = format!(
             "[webhooks]\nlisten = \"127.0.0.1:0\"\npending = 20000\nreplay_entries = 4000000\n{kept}{}",
             tenant("t", portal.address)
         );
-        let mut g = Gateway::with(program, &folder.0, &workers, &operator, 900.0)?;
+        let mut g = Gateway::start_program(program, &folder.0, &workers, &operator, 900.0)?;
         // Without a store the gateway refuses calls signed in its first second.
         std::thread::sleep(Duration::from_millis(1100));
         let to = g
@@ -184,7 +184,7 @@
                     let (mut caller, key, mut h) = (Caller::new(to), secret(1), histogram()?);
                     let mut n = 0u64;
                     while !stop.load(Ordering::Relaxed) {
-                        let text = call_body(SAFE, n % 16, None);
+                        let text = call_body(READ_CLASS, n % 16, None);
                         let started = Instant::now();
                         let answer = caller.call("t", &key, &format!("{c}-{n}"), &text)?;
                         n += 1;
@@ -220,7 +220,7 @@
 /// Fills a store with messages for a portal that refuses connections, and measures memory use and
 /// start time of a gateway on this store.
 pub fn waiting(messages: u64) -> Result<bool> {
-    let folder = Folder::new("waiting")?;
+    let folder = TempFolder::new("waiting")?;
     let closed = TcpListener::bind("127.0.0.1:0")?;
     let operator = format!(
         "[webhooks]\nlisten = \"127.0.0.1:0\"\nstore = \"store\"\n{}",
@@ -277,13 +277,13 @@
     }
     drop(disk);
     let started = Instant::now();
-    let mut g = Gateway::again(&folder.0, &operator)?;
+    let mut g = Gateway::restart(&folder.0, &operator)?;
     let start = started.elapsed();
     std::thread::sleep(Duration::from_secs(5));
     let full = g.memory_kib();
     g.kill()?;
     let started = Instant::now();
-    let mut g = Gateway::again(&folder.0, &operator)?;
+    let mut g = Gateway::restart(&folder.0, &operator)?;
     let again = started.elapsed();
     g.kill()?;
     println!(
--- a/testbed/src/outage/clients.rs
+++ b/testbed/src/outage/clients.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use super::scenario::Scenario;
-use crate::fakes::gateway::{SAFE, UNSAFE};
+use crate::fakes::gateway::{NON_IDEMPOTENT_CLASS, READ_CLASS};
 use crate::fakes::{status, Caller};
 
 /// Number of functions that are called in turn, besides new ones.
@@ -73,7 +73,7 @@
             let address = self.address();
             if caller.as_ref().is_none_or(|(to, _)| *to != address) {
                 let patience_s = (self.scenario.deadline + ANSWER_SLACK).as_secs() + 1;
-                caller = Some((address, Caller::patient(address, patience_s)));
+                caller = Some((address, Caller::with_timeout(address, patience_s)));
             }
             let Some((_, connection)) = &mut caller else {
                 continue;
@@ -124,9 +124,9 @@
             number % FUNCTIONS
         };
         let class = if number.is_multiple_of(5) {
-            UNSAFE
+            NON_IDEMPOTENT_CLASS
         } else {
-            SAFE
+            READ_CLASS
         };
         let deadline_ms = self.scenario.deadline.as_millis();
         format!(
--- a/testbed/src/outage/run.rs
+++ b/testbed/src/outage/run.rs
@@ -12,7 +12,7 @@
 use super::judge::{Verdict, WorkerRecord};
 use super::scenario::{OutageKind, Restarts, Scenario};
 use super::worker::{DrainableWorker, ProcessState};
-use crate::fakes::gateway::{settings, Folder};
+use crate::fakes::gateway::{settings, TempFolder};
 use crate::fakes::Gateway;
 
 /// Shortest time from SIGTERM to SIGKILL that the platform allows, on top of the longest deadline.
@@ -41,7 +41,7 @@
     scenario: Scenario,
     discovery: Discovery,
     workers: Vec<DrainableWorker>,
-    folders: Vec<Folder>,
+    folders: Vec<TempFolder>,
     gateways: Vec<Gateway>,
     addresses: Addresses,
 }
@@ -154,13 +154,13 @@
             addresses: Addresses::new(Mutex::new(Vec::new())),
         };
         for number in 0..scenario.gateways {
-            let folder = Folder::new("outage")?;
+            let folder = TempFolder::new("outage")?;
             std::fs::write(
                 folder.0.join("config.json"),
                 test_run.config(number).to_string(),
             )?;
             std::fs::write(folder.0.join("operator.toml"), "")?;
-            let gateway = Gateway::again(&folder.0, "")?;
+            let gateway = Gateway::restart(&folder.0, "")?;
             test_run.lock_addresses().push(gateway.platform);
             test_run.folders.push(folder);
             test_run.gateways.push(gateway);
@@ -225,17 +225,17 @@
             }
             Step::Terminate => {
                 // The gateway may have exited cleanly since the first signal.
-                if !self.gateways[0].has_ended()? {
-                    self.gateways[0].end()?;
+                if !self.gateways[0].has_exited()? {
+                    self.gateways[0].terminate()?;
                 }
             }
             Step::Kill => {
-                if !self.gateways[0].has_ended()? {
+                if !self.gateways[0].has_exited()? {
                     self.gateways[0].kill()?;
                 }
             }
             Step::Restart => {
-                self.gateways[0] = Gateway::again(&self.folders[0].0, "")?;
+                self.gateways[0] = Gateway::restart(&self.folders[0].0, "")?;
                 self.lock_addresses()[0] = self.gateways[0].platform;
             }
         }
@@ -245,7 +245,7 @@
     /// Stops all processes and fakes; fails if a gateway has already exited.
     fn finish(&mut self) -> Result<()> {
         for gateway in &mut self.gateways {
-            if gateway.has_ended()? {
+            if gateway.has_exited()? {
                 let log = gateway.log.join(" | ");
                 return Err(Error::other(format!("a gateway exited early: {log}")));
             }
--- a/testbed/src/rate.rs
+++ b/testbed/src/rate.rs
@@ -9,7 +9,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::fakes::gateway::{Folder, SAFE};
+use crate::fakes::gateway::{TempFolder, READ_CLASS};
 use crate::fakes::{status, Caller, Gateway, Worker};
 
 /// Parameters of the load.
@@ -82,18 +82,18 @@
 fn call_request(id: u64) -> Vec<u8> {
     let function = id % FUNCTIONS;
     format!(
-        "POST /call/{function:016x}/trigger HTTP/1.1\r\nHost: lab\r\nX-Class: {SAFE}\r\nX-Org: franq-bajio\r\n\
+        "POST /call/{function:016x}/trigger HTTP/1.1\r\nHost: lab\r\nX-Class: {READ_CLASS}\r\nX-Org: franq-bajio\r\n\
          X-Correlation-Id: {id:016x}\r\nX-Deadline-Ms: {DEADLINE_MS}\r\nX-Extras: lanes:2\r\nContent-Length: 0\r\n\r\n"
     )
     .into_bytes()
 }
 
 fn measure(load: Load, program: Option<&Path>) -> Result<Measurement> {
-    let folder = Folder::new("rate")?;
+    let folder = TempFolder::new("rate")?;
     let workers: Vec<Worker> = (0..WORKERS)
         .map(|_| Worker::start(RUN_TIME, 0))
         .collect::<Result<_>>()?;
-    let g = Gateway::with(program, &folder.0, &workers, "", DEADLINE_MS as f64)?;
+    let g = Gateway::start_program(program, &folder.0, &workers, "", DEADLINE_MS as f64)?;
     let (to, started) = (g.platform, Instant::now());
     let end = started + Duration::from_secs(load.seconds);
     let (served, other) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
@@ -128,7 +128,7 @@
             })
         })
         .collect();
-    let (over, used) = (Arc::new(AtomicBool::new(false)), g.processor()?);
+    let (over, used) = (Arc::new(AtomicBool::new(false)), g.cpu_time()?);
     let limiter = {
         let (over, pid, cores) = (over.clone(), g.pid(), load.cores);
         std::thread::spawn(move || limit_processor(pid, cores, &over))
@@ -144,7 +144,7 @@
     let (most, stopped) = limiter
         .join()
         .map_err(|_| Error::other("the processor limiter failed"))??;
-    let processor = g.processor()?.saturating_sub(used);
+    let processor = g.cpu_time()?.saturating_sub(used);
     let count = |c: &AtomicU64| c.load(Ordering::Relaxed);
     Ok(Measurement {
         latency_us,
--- a/testbed/tests/copies.rs
+++ b/testbed/tests/copies.rs
@@ -4,11 +4,11 @@
 use std::sync::{Mutex, MutexGuard, TryLockError};
 use std::time::Duration;
 
-use molelug_testbed::fakes::gateway::{PROGRAM, SAFE, UNSAFE};
+use molelug_testbed::fakes::gateway::{NON_IDEMPOTENT_CLASS, PROGRAM, READ_CLASS};
 use molelug_testbed::fault_injection::copies::run_round;
 use molelug_testbed::fault_injection::fleet::{Fleet, FleetConfig};
 use molelug_testbed::fault_proxy::Faults;
-use molelug_testbed::history::promises::{check, CopyNote, Wrong};
+use molelug_testbed::history::promises::{check, CopyNote, Violation};
 
 /// Limits the tests to two fleets at a time: with more, the machine is too slow for the fleets'
 /// timeouts.
@@ -113,7 +113,7 @@
         let statuses: Vec<u16> = std::thread::scope(|s| {
             let (sender, id) = (&sender, &id);
             let all: Vec<_> = (0..3)
-                .map(|at| s.spawn(move || sender.send(at, id, UNSAFE)))
+                .map(|at| s.spawn(move || sender.send(at, id, NON_IDEMPOTENT_CLASS)))
                 .collect();
             all.into_iter().map(|t| t.join().unwrap()).collect()
         });
@@ -136,7 +136,7 @@
     for n in 0..12 {
         for at in (0..6).filter(|at| *at != primary) {
             assert_eq!(
-                fleet.send(at, &format!("once-{n}"), UNSAFE),
+                fleet.send(at, &format!("once-{n}"), NON_IDEMPOTENT_CLASS),
                 409,
                 "once-{n} at {at}"
             );
@@ -189,7 +189,10 @@
     .unwrap();
     fleet.wait_for_full_sets().unwrap();
     assert_eq!(
-        (fleet.send(0, "all-1", SAFE), fleet.send(0, "all-2", UNSAFE)),
+        (
+            fleet.send(0, "all-1", READ_CLASS),
+            fleet.send(0, "all-2", NON_IDEMPOTENT_CLASS)
+        ),
         (202, 202)
     );
     fleet.lose_machine(4).unwrap();
@@ -202,8 +205,11 @@
     };
     fleet.wait_until("sets of four", || left(&fleet)).unwrap();
     for n in 0..8 {
-        assert_eq!(fleet.send(n % 4, &format!("safe-{n}"), SAFE), 202);
-        assert_eq!(fleet.send(n % 4, &format!("unsafe-{n}"), UNSAFE), 503);
+        assert_eq!(fleet.send(n % 4, &format!("safe-{n}"), READ_CLASS), 202);
+        assert_eq!(
+            fleet.send(n % 4, &format!("unsafe-{n}"), NON_IDEMPOTENT_CLASS),
+            503
+        );
     }
     let (_, wrong) = fleet.judge().unwrap();
     assert_eq!(wrong, []);
@@ -218,7 +224,7 @@
     fleet.start_callers(3);
     fleet.wait_for_promises(20).unwrap();
     let leaves = primary_of(&fleet, 1);
-    fleet.gateway(leaves).unwrap().end().unwrap();
+    fleet.gateway(leaves).unwrap().terminate().unwrap();
     fleet.gateways[leaves].as_mut().unwrap().wait().unwrap();
     let rested = |n: &CopyNote| matches!(n, CopyNote::Rested { .. });
     let led = |n: &CopyNote| matches!(n, CopyNote::Led { .. });
@@ -257,7 +263,7 @@
     // instead would also cut the replication that shares these links.
     let gone = [0, 1, 2];
     for n in gone {
-        fleet.gateway(n).unwrap().freeze().unwrap();
+        fleet.gateway(n).unwrap().suspend().unwrap();
     }
     let names: Vec<String> = gone
         .iter()
@@ -268,7 +274,7 @@
         .filter(|s| s.2.iter().all(|m| !names.contains(m)))
         .count();
     let statuses: Vec<u16> = (0..24)
-        .map(|n| fleet.send(5, &format!("alone-{n}"), SAFE))
+        .map(|n| fleet.send(5, &format!("alone-{n}"), READ_CLASS))
         .collect();
     let taken = statuses.iter().filter(|s| **s == 202).count();
     assert!(
@@ -277,7 +283,7 @@
     );
     assert_eq!(taken > 0, whole > 0, "{statuses:?} {led:?}");
     for n in gone {
-        fleet.gateway(n).unwrap().thaw().unwrap();
+        fleet.gateway(n).unwrap().resume().unwrap();
     }
     fleet.start_callers(2);
     fleet.wait_for_promises(20).unwrap();
@@ -320,7 +326,7 @@
     };
     let before = promised(&fleet);
     for n in 0..40 {
-        fleet.send(primary, &format!("held-{n}"), SAFE);
+        fleet.send(primary, &format!("held-{n}"), READ_CLASS);
     }
     assert!(promised(&fleet) > before);
     fleet.lose_machine(primary).unwrap();
@@ -336,7 +342,7 @@
     assert!(
         wrong
             .iter()
-            .any(|w| matches!(w, Wrong::Gone { .. } | Wrong::TwoPromised { .. })),
+            .any(|w| matches!(w, Violation::Gone { .. } | Violation::TwoPromised { .. })),
         "{wrong:?}"
     );
 }
--- a/testbed/tests/disks.rs
+++ b/testbed/tests/disks.rs
@@ -7,7 +7,7 @@
 use molelug_testbed::fakes::gateway::PROGRAM;
 use molelug_testbed::fault_injection::copies::run_round;
 use molelug_testbed::fault_injection::fleet::{Fleet, FleetConfig};
-use molelug_testbed::history::promises::Wrong;
+use molelug_testbed::history::promises::Violation;
 use molelug_testbed::lease_trials::instance_name;
 
 /// Limits the tests to one fleet at a time: with more, the fleets would only wait for the machine.
@@ -35,7 +35,7 @@
     fleet.start_callers(4);
     fleet.wait_for_promises(60).unwrap();
     let n = fleet.shard_leaders()[&1].1;
-    fleet.gateway(n).unwrap().end().unwrap();
+    fleet.gateway(n).unwrap().terminate().unwrap();
     fleet.wait_for_exit(n).unwrap();
     assert!(fleet.corrupt_store(n).unwrap() > 0);
     // No other instance replaces it: it is reachable again before its timeout as a member ends.
@@ -98,7 +98,7 @@
     fleet.wait_for_promises(50).unwrap();
     fleet.wait_for_full_sets().unwrap();
     assert!(
-        !fleet.gateways[full].as_mut().unwrap().has_ended().unwrap(),
+        !fleet.gateways[full].as_mut().unwrap().has_exited().unwrap(),
         "a full disk ended the process"
     );
     let (_, wrong) = fleet.judge().unwrap();
@@ -158,7 +158,7 @@
         );
         let lost = wrong
             .iter()
-            .any(|w| matches!(w, Wrong::Gone { .. } | Wrong::TwoPromised { .. }));
+            .any(|w| matches!(w, Violation::Gone { .. } | Violation::TwoPromised { .. }));
         match without {
             None => {
                 let (_, wrong) = fleet.judge().unwrap();
--- a/testbed/tests/emulator.rs
+++ b/testbed/tests/emulator.rs
@@ -64,7 +64,7 @@
         with.spared > 0 && with.orders < without.orders,
         "{with:?} {without:?}"
     );
-    let share = |r: &molelug_testbed::emulator::Ran| r.served as f64 / r.calls as f64;
+    let share = |r: &molelug_testbed::emulator::RunReport| r.served as f64 / r.calls as f64;
     assert!(
         share(&with) > share(&without) - 0.03,
         "{} {}",
--- a/testbed/tests/owners.rs
+++ b/testbed/tests/owners.rs
@@ -5,8 +5,8 @@
 use std::sync::{Mutex, MutexGuard, TryLockError};
 
 use molelug_testbed::fakes::gateway::PROGRAM;
-use molelug_testbed::fault_proxy::{Faults, Way};
-use molelug_testbed::history::{Note, Wrong};
+use molelug_testbed::fault_proxy::{Direction, Faults};
+use molelug_testbed::history::{Note, Violation};
 use molelug_testbed::lease_trials::{instance_name, run_round, Fleet, FleetConfig, OBSERVED_DUTY};
 
 /// Limits the tests to three fleets at a time: with more, the machine is too slow for the leases.
@@ -83,7 +83,7 @@
             .wait_for_note(from, "the held effect", |s| late(&s.note))
             .unwrap();
         let (counts, wrong) = fleet.judge().unwrap();
-        let stale = wrong.iter().any(|w| matches!(w, Wrong::Stale { .. }));
+        let stale = wrong.iter().any(|w| matches!(w, Violation::Stale { .. }));
         assert_eq!(stale, without.is_some(), "{wrong:?}");
         assert!(
             without.is_some() || wrong.is_empty() && counts.refused > 0,
@@ -109,11 +109,11 @@
         fleet.start_callers().unwrap();
         let (owner, term, _) = fleet.wait_for_owner_after(0).unwrap();
         fleet.wait_for_effect(term).unwrap();
-        fleet.gateway(owner).unwrap().freeze().unwrap();
+        fleet.gateway(owner).unwrap().suspend().unwrap();
         let (_, later, _) = fleet.wait_for_owner_after(term).unwrap();
         fleet.wait_for_effect(later).unwrap();
         let from = fleet.notes.len();
-        fleet.gateway(owner).unwrap().thaw().unwrap();
+        fleet.gateway(owner).unwrap().resume().unwrap();
         let ended = |n: &Note| matches!(n, Note::Ended { duty, term: t } if duty == OBSERVED_DUTY && *t == term);
         fleet
             .wait_for_note(from, "the end of its lease", |s| {
@@ -121,9 +121,9 @@
             })
             .unwrap();
         let (_, wrong) = fleet.judge().unwrap();
-        let acted = wrong
-            .iter()
-            .any(|w| matches!(w, Wrong::NoLease { owner: o, .. } if *o == instance_name(owner)));
+        let acted = wrong.iter().any(
+            |w| matches!(w, Violation::NoLease { owner: o, .. } if *o == instance_name(owner)),
+        );
         assert!(without.is_some() || wrong.is_empty(), "{wrong:?}");
         // Without the check the owner may act before it learns that the lease has ended, but need
         // not; the rounds drawn from seeds search for such cases.
@@ -164,7 +164,7 @@
             .count()
     };
     let before = served();
-    let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
+    let end = std::time::Instant::now() + molelug_testbed::fakes::WAIT_TIMEOUT;
     while served() < before + 10 {
         assert!(
             std::time::Instant::now() < end,
@@ -239,7 +239,7 @@
     // The other two voters continue without the victim.
     let (owner, _) = fleet.owner().unwrap();
     if owner != victim {
-        fleet.gateway(owner).unwrap().end().unwrap();
+        fleet.gateway(owner).unwrap().terminate().unwrap();
         fleet.gateways[owner].take().unwrap().wait().unwrap();
         fleet.start_instance(owner).unwrap();
         fleet.wait_for_owner_after(term).unwrap();
@@ -280,7 +280,7 @@
         "{:?}",
         second.log
     );
-    fleet.gateway(owner).unwrap().end().unwrap();
+    fleet.gateway(owner).unwrap().terminate().unwrap();
     fleet.gateways[owner].take().unwrap().wait().unwrap();
     fleet.gateways[owner] = Some(second);
     fleet.wait_for_owner_after(term).unwrap();
@@ -290,8 +290,8 @@
     fleet.kill(other).unwrap();
     let (last, _) = fleet.owner().unwrap();
     if last != other {
-        fleet.gateway(last).unwrap().freeze().unwrap();
-        fleet.gateway(last).unwrap().thaw().unwrap();
+        fleet.gateway(last).unwrap().suspend().unwrap();
+        fleet.gateway(last).unwrap().resume().unwrap();
     }
     let from = fleet.notes.len();
     fleet.start_instance(other).unwrap();
@@ -316,8 +316,8 @@
     fleet.start_callers().unwrap();
     let (_, mut term, _) = fleet.wait_for_owner_after(0).unwrap();
     fleet.set_all_faults(Faults {
-        lost: 30,
-        doubled: 3,
+        drop_percent: 30,
+        duplicate_percent: 3,
         jitter_ms: 20,
         ..Faults::default()
     });
@@ -332,10 +332,10 @@
         for ((from, to), link) in &fleet.links {
             let hears = [*from, *to].contains(&leader) && ![*from, *to].contains(&one);
             link.set(
-                Way::There,
+                Direction::Forward,
                 Faults {
                     cut: hears && round % 2 == 0,
-                    lost: 30,
+                    drop_percent: 30,
                     ..Faults::default()
                 },
             );
@@ -374,7 +374,7 @@
     let gone = |s: &molelug_testbed::lease_trials::ObservedNote| {
         s.instance == owner && matches!(&s.note, Note::Ended { term: t, .. } if *t == term)
     };
-    let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
+    let end = std::time::Instant::now() + molelug_testbed::fakes::WAIT_TIMEOUT;
     while !fleet.notes[from..].iter().any(gone) {
         assert!(std::time::Instant::now() < end, "the owner kept the duty");
         // The gateway closes an idle connection after two seconds; further connections replace it.
@@ -462,7 +462,7 @@
         &[],
     ] {
         let mut s = std::net::TcpStream::connect(&listen).unwrap();
-        s.set_read_timeout(Some(molelug_testbed::fakes::PATIENCE))
+        s.set_read_timeout(Some(molelug_testbed::fakes::WAIT_TIMEOUT))
             .unwrap();
         s.write_all(bytes).unwrap();
         let mut word = [0; molelug::consensus::wire::CHALLENGE_BYTES];
@@ -481,7 +481,7 @@
     .unwrap();
     use molelug::consensus::wire::{challenge, Body, Session};
     let mut s = std::net::TcpStream::connect(&listen).unwrap();
-    s.set_read_timeout(Some(molelug_testbed::fakes::PATIENCE))
+    s.set_read_timeout(Some(molelug_testbed::fakes::WAIT_TIMEOUT))
         .unwrap();
     let mut first = [0; molelug::consensus::wire::CHALLENGE_BYTES];
     s.read_exact(&mut first).unwrap();
@@ -541,7 +541,7 @@
     };
     fleet.set_instance_faults(gone, cut, cut);
     let wait_for_output = |f: &Fleet, at: usize, what: &[&str], has: &str| {
-        let end = std::time::Instant::now() + molelug_testbed::fakes::PATIENCE;
+        let end = std::time::Instant::now() + molelug_testbed::fakes::WAIT_TIMEOUT;
         loop {
             let said = f.run_command(at, what).unwrap_or_else(|e| e.to_string());
             if said.contains(has) {
--- a/testbed/tests/second_front.rs
+++ b/testbed/tests/second_front.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use molelug_testbed::fakes::gateway::{Folder, PROGRAM, SAFE, UNSAFE};
+use molelug_testbed::fakes::gateway::{TempFolder, NON_IDEMPOTENT_CLASS, PROGRAM, READ_CLASS};
 use molelug_testbed::fakes::*;
 use molelug_testbed::{conformance, crash, demo};
 
@@ -18,7 +18,7 @@
 
 /// Waits until a condition holds.
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
@@ -39,7 +39,7 @@
 
 /// Folder, workers and operator's file of a gateway under test.
 struct Setup {
-    folder: Folder,
+    folder: TempFolder,
     workers: Vec<Worker>,
     operator: String,
 }
@@ -49,7 +49,7 @@
         set_program();
         let workers = vec![Worker::start(Duration::ZERO, 0).unwrap()];
         Setup {
-            folder: Folder::new(name).unwrap(),
+            folder: TempFolder::new(name).unwrap(),
             workers,
             operator,
         }
@@ -94,14 +94,17 @@
     let to: &'static str =
         format!("Location: http://{}/\r\n", elsewhere.local_addr().unwrap()).leak();
     let manners = [
-        ("well", Manner::Good),
-        ("silent", Manner::Silent),
-        ("drips", Manner::Drips(40)),
-        ("cuts", Manner::Cuts(1)),
-        ("redirects", Manner::Says(302, to)),
-        ("gone", Manner::Says(410, "")),
-        ("junk", Manner::Says(429, "Retry-After: soon\r\n")),
-        ("year", Manner::Says(503, "Retry-After: 31536000\r\n")),
+        ("well", PortalBehavior::Good),
+        ("silent", PortalBehavior::Silent),
+        ("drips", PortalBehavior::Drips(40)),
+        ("cuts", PortalBehavior::Cuts(1)),
+        ("redirects", PortalBehavior::Says(302, to)),
+        ("gone", PortalBehavior::Says(410, "")),
+        ("junk", PortalBehavior::Says(429, "Retry-After: soon\r\n")),
+        (
+            "year",
+            PortalBehavior::Says(503, "Retry-After: 31536000\r\n"),
+        ),
     ];
     let portals: BTreeMap<&str, Portal> = manners.iter().map(|(n, m)| (*n, start(*m))).collect();
     let operator: String = portals.iter().map(|(n, p)| tenant(n, p, "")).collect();
@@ -109,7 +112,7 @@
     let mut g = setup.start();
     let came = |name: &str, call: &str| {
         portals[name]
-            .all()
+            .deliveries()
             .iter()
             .filter(|s| s.call == call)
             .count()
@@ -117,7 +120,7 @@
     // The callback that must not be repeated is sent first everywhere. After a response to the
     // other callback that demands a wait or says that the endpoint is gone, it would correctly not
     // be sent at all, and the order would depend on timing.
-    for (id, class) in [("u", UNSAFE), ("s", SAFE)] {
+    for (id, class) in [("u", NON_IDEMPOTENT_CLASS), ("s", READ_CLASS)] {
         for name in portals.keys() {
             assert_eq!(call(&g, name, id, class), 202, "{name}");
         }
@@ -138,7 +141,7 @@
     });
     for name in portals.keys() {
         assert_eq!(came(name, "u"), 1, "{name}: what must not come twice");
-        assert!(portals[name].all().iter().all(|s| s.signed));
+        assert!(portals[name].deliveries().iter().all(|s| s.signed));
     }
     // A portal that demands a wait, or whose endpoint is disabled, gets at most the attempt already
     // in flight.
@@ -148,10 +151,10 @@
     // The portals recover: all waiting callbacks arrive, except at the disabled endpoint.
     ["silent", "drips", "cuts", "redirects", "junk"]
         .iter()
-        .for_each(|n| portals[n].set(Manner::Good));
+        .for_each(|n| portals[n].set(PortalBehavior::Good));
     let back = |n: &str| {
         portals[n]
-            .all()
+            .deliveries()
             .iter()
             .any(|s| s.call == "s" && s.confirmed)
     };
@@ -175,7 +178,7 @@
 /// order of their key.
 #[test]
 fn waiting_callbacks_continue_in_order_after_restart() {
-    let portal = Portal::start(secret(1), Manner::Says(503, "")).unwrap();
+    let portal = Portal::start(secret(1), PortalBehavior::Says(503, "")).unwrap();
     let ordered = format!(
         "[[tenants.endpoints]]\nname = \"ordered\"\nurl = \"http://{}/in\"\nordered = true\n",
         portal.address
@@ -188,7 +191,7 @@
     let mut g = setup.start();
     let mut caller = Caller::new(g.webhooks.unwrap());
     for n in 0..6 {
-        let text = call_body(SAFE, 1, Some("patient-7"));
+        let text = call_body(READ_CLASS, 1, Some("patient-7"));
         let answer = caller
             .call("t", &secret(1), &format!("c{n}"), &text)
             .unwrap();
@@ -197,26 +200,26 @@
             (202, "store")
         );
     }
-    wait_until("the first was tried", || !portal.all().is_empty());
+    wait_until("the first was tried", || !portal.deliveries().is_empty());
     g.stop().unwrap();
     assert!(
-        portal.all().iter().all(|s| s.call == "c0"),
+        portal.deliveries().iter().all(|s| s.call == "c0"),
         "the others stand behind the first"
     );
-    portal.set(Manner::Good);
+    portal.set(PortalBehavior::Good);
     let mut g = setup.start();
     wait_until("all arrive", || {
-        portal.all().iter().filter(|s| s.confirmed).count() == 6
+        portal.deliveries().iter().filter(|s| s.confirmed).count() == 6
     });
     let order: Vec<String> = portal
-        .all()
+        .deliveries()
         .into_iter()
         .filter(|s| s.confirmed)
         .map(|s| s.call)
         .collect();
     assert_eq!(order, ["c0", "c1", "c2", "c3", "c4", "c5"]);
     // Two processes cannot hold the same store.
-    let second = Gateway::again(&setup.folder.0, &setup.operator);
+    let second = Gateway::restart(&setup.folder.0, &setup.operator);
     assert!(second
         .unwrap_err()
         .to_string()
@@ -227,11 +230,11 @@
 /// A tenant queries the state of its own call with a signed request; other requests are refused.
 #[test]
 fn only_the_tenant_can_query_its_call() {
-    let portal = Portal::start(secret(1), Manner::Good).unwrap();
+    let portal = Portal::start(secret(1), PortalBehavior::Good).unwrap();
     let setup = Setup::new("asks", HEAD.to_owned() + &tenant("t", &portal, ""));
     let mut g = setup.start();
-    assert_eq!(call(&g, "t", "mine", SAFE), 202);
-    wait_until("it is answered", || portal.all().len() == 1);
+    assert_eq!(call(&g, "t", "mine", READ_CLASS), 202);
+    wait_until("it is answered", || portal.deliveries().len() == 1);
     let ask = |id: &str, path: &str, key| {
         let stamp = now_s();
         let signed =
@@ -272,7 +275,7 @@
 /// still gets a response.
 #[test]
 fn ten_thousand_concurrent_calls_are_accepted_or_refused() {
-    let portal = Portal::start(secret(1), Manner::Good).unwrap();
+    let portal = Portal::start(secret(1), PortalBehavior::Good).unwrap();
     let setup = Setup::new("flood", HEAD.to_owned() + &tenant("t", &portal, ""));
     let mut g = setup.start();
     let to = g.webhooks.unwrap();
@@ -282,7 +285,7 @@
                 // Each caller writes all calls before it reads the first response.
                 let mut text = Vec::new();
                 for n in 0..250 {
-                    let (id, stamp, b) = (format!("c{c}-{n}"), now_s(), call_body(SAFE, n % 8, None));
+                    let (id, stamp, b) = (format!("c{c}-{n}"), now_s(), call_body(READ_CLASS, n % 8, None));
                     let key = secret(1);
                     let signed = molelug::front::webhook::signature::sign(std::iter::once(&key), &id, stamp, &b);
                     text.extend(format!("POST /webhooks/t HTTP/1.1\r\nHost: t\r\nwebhook-id: {id}\r\n\
@@ -290,7 +293,7 @@
                     text.extend(b);
                 }
                 let mut stream = TcpStream::connect(to).unwrap();
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 let mut writer = stream.try_clone().unwrap();
                 let writes = std::thread::spawn(move || writer.write_all(&text).unwrap());
                 let (mut held, mut taken) = (Vec::new(), BTreeSet::new());
@@ -308,7 +311,7 @@
         })
         .collect();
     let request = format!(
-        "POST /call/{:016x}/trigger HTTP/1.1\r\nHost: t\r\nX-Class: {SAFE}\r\nX-Org: franq-bajio\r\n\
+        "POST /call/{:016x}/trigger HTTP/1.1\r\nHost: t\r\nX-Class: {READ_CLASS}\r\nX-Org: franq-bajio\r\n\
          X-Correlation-Id: {:016x}\r\nX-Deadline-Ms: 900\r\nContent-Length: 0\r\n\r\n",
         99, 99
     );
@@ -325,9 +328,9 @@
         .collect();
     assert!(taken.len() >= 100, "{}", taken.len());
     wait_until("each that was taken has its callback", || {
-        portal.all().len() >= taken.len()
+        portal.deliveries().len() >= taken.len()
     });
-    let came: Vec<String> = portal.all().into_iter().map(|s| s.call).collect();
+    let came: Vec<String> = portal.deliveries().into_iter().map(|s| s.call).collect();
     assert_eq!(came.iter().cloned().collect::<BTreeSet<_>>(), taken);
     assert_eq!(came.len(), taken.len(), "some callbacks came twice");
     g.stop().unwrap();
@@ -337,8 +340,8 @@
 /// notified. A callback to a portal that listens and never accepts is given up after its deadline.
 #[test]
 fn operations_endpoint_is_notified_of_failed_deliveries() {
-    let gone = Portal::start(secret(1), Manner::Says(410, "")).unwrap();
-    let ops = Portal::start(secret(1), Manner::Good).unwrap();
+    let gone = Portal::start(secret(1), PortalBehavior::Says(410, "")).unwrap();
+    let ops = Portal::start(secret(1), PortalBehavior::Good).unwrap();
     let never = TcpListener::bind("127.0.0.1:0").unwrap();
     let events = format!(
         "[[tenants.endpoints]]\nname = \"ops\"\nurl = \"http://{}/in\"\ntypes = [\"endpoint.*\", \"message.exhausted\"]\n\
@@ -348,9 +351,9 @@
     );
     let setup = Setup::new("off", HEAD.to_owned() + &tenant("t", &gone, &events));
     let mut g = setup.start();
-    assert_eq!(call(&g, "t", "booking", UNSAFE), 202);
+    assert_eq!(call(&g, "t", "booking", NON_IDEMPOTENT_CLASS), 202);
     let heard = |kind: &str| {
-        ops.all()
+        ops.deliveries()
             .iter()
             .filter(|s| s.kind == kind && s.signed)
             .count()
@@ -363,7 +366,7 @@
     wait_until("and that nobody can tell", || {
         heard("message.exhausted") == 2
     });
-    assert_eq!(gone.all().len(), 1);
+    assert_eq!(gone.deliveries().len(), 1);
     let counters = g.stop().unwrap();
     assert_eq!(counters["callbacks_unknown"], 2, "{counters}");
 }
--- a/testbed/tests/tenants.rs
+++ b/testbed/tests/tenants.rs
@@ -8,7 +8,7 @@
 use molelug_testbed::fakes::{secret, secret_text};
 use molelug_testbed::fault_injection::fleet::{Fleet, FleetConfig};
 use molelug_testbed::fault_proxy::Faults;
-use molelug_testbed::history::tenants::Wrong;
+use molelug_testbed::history::tenants::Violation;
 use serde_json::json;
 
 /// Limits the tests to one fleet at a time: with more, the fleets would only wait for the machine.
@@ -233,8 +233,8 @@
     let _slot = acquire_slot();
     let mut fleet = fleet(4, None);
     fleet.set_all_faults(Faults {
-        lost: 30,
-        doubled: 3,
+        drop_percent: 30,
+        duplicate_percent: 3,
         jitter_ms: 20,
         ..Faults::default()
     });
@@ -268,13 +268,13 @@
     assert_eq!(there.put("clinic", &spec(2)).status, 201);
     fleet.wait_for_tenants().unwrap();
     for n in 0..3 {
-        fleet.gateway(n).unwrap().freeze().unwrap();
+        fleet.gateway(n).unwrap().suspend().unwrap();
     }
     assert_eq!(there.put("clinic", &spec(3)).status, 503);
     assert_eq!(fleet.send_as(5, "clinic", &secret(3), "new").unwrap(), 401);
     assert_ne!(fleet.send_as(5, "clinic", &secret(2), "old").unwrap(), 401);
     for n in 0..3 {
-        fleet.gateway(n).unwrap().thaw().unwrap();
+        fleet.gateway(n).unwrap().resume().unwrap();
     }
     fleet.wait_for_tenants().unwrap();
     assert_eq!(fleet.check_tenants().unwrap().1, []);
@@ -302,7 +302,7 @@
     fleet.lose_machine(5).unwrap();
     let (_, wrong) = fleet.check_tenants().unwrap();
     assert!(
-        wrong.iter().any(|w| matches!(w, Wrong::Gone { .. })),
+        wrong.iter().any(|w| matches!(w, Violation::Gone { .. })),
         "{wrong:?}"
     );
 }
