--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -230,7 +230,7 @@
             ticket,
             ChangeRequest {
                 tenant: tenant.to_owned(),
-                encoded: encoded,
+                encoded,
                 listed,
                 answer,
             },
