--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -97,7 +97,7 @@
                 self.discovery_closed(now, &stream, reason);
             }
             Role::Portal(portal) => {
-                let untouched = portal.untouched(&connection.outbox);
+                let untouched = portal.is_unsent(&connection.outbox);
                 self.portal_closed(now, key, &portal, reason, untouched);
             }
         }
@@ -126,7 +126,7 @@
         let read = connection.read(limit);
         if !was_connected {
             let next = match role {
-                Role::Worker(_) => now + worker_idle_timeout(self.config.conn_idle),
+                Role::Worker(_) => now + worker_idle_timeout(self.config.connection_idle_timeout),
                 Role::Portal(_) => connection.deadline.unwrap_or(now),
                 Role::Peer(_) => now + consensus::PEER_SILENCE_TIMEOUT,
                 _ => now + DISCOVERY_SILENCE_TIMEOUT,
@@ -163,7 +163,7 @@
                 ..
             } => self.read_client_requests(key, now),
             Role::Client { .. } => self.read_secondary_requests(key, now),
-            Role::Portal(_) => self.on_portal(key, now),
+            Role::Portal(_) => self.handle_portal_input(key, now),
             Role::Console => self.read_console_request(key, now),
             Role::Peer(_) => self.on_peer(key, now),
             Role::Worker(_) => self.read_worker_replies(key, now),
@@ -243,7 +243,7 @@
 
     /// Handles the deadline of a connection by its role.
     pub(super) fn on_deadline(&mut self, now: Micros, key: ConnKey) {
-        let idle_timeout = worker_idle_timeout(self.config.conn_idle);
+        let idle_timeout = worker_idle_timeout(self.config.connection_idle_timeout);
         let Some((connection, role)) = self.connections.get_mut(key) else {
             return;
         };
--- a/src/gateway/secondary_listeners.rs
+++ b/src/gateway/secondary_listeners.rs
@@ -25,7 +25,7 @@
     pub(super) listed: BTreeSet<String>,
     /// The file that tenants are written to, if one is configured.
     state_file: Option<PathBuf>,
-    pub(super) hooks: Option<WebhookDriver>,
+    pub(super) webhooks: Option<WebhookDriver>,
     pub(super) admin: Option<AdminApi>,
 }
 
@@ -150,14 +150,14 @@
         request: &http::Request<'_>,
         now: Micros,
     ) -> HandledRequest {
-        let keep_open = request.keep && self.ops.lifecycle.keeps_alive(now);
+        let keep_open = request.keep_alive && self.ops.lifecycle.keeps_alive(now);
         if let Some((_, Role::Client { keep_alive, .. })) = self.connections.get_mut(key) {
             *keep_alive = keep_open;
         }
         let response = match kind {
             ListenerKind::Admin => self.administer(key, request, keep_open, now),
             ListenerKind::Platform | ListenerKind::Webhook => {
-                self.take_webhook(key, request, keep_open, now)
+                self.handle_webhook_request(key, request, keep_open, now)
             }
         };
         HandledRequest {
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-use crate::admin::{self, Change, Handled};
+use crate::admin::{self, AdminResponse, Change};
 use crate::api::Micros;
 use crate::consensus::participant::Input as ConsensusInput;
 use crate::consensus::state::SubsystemEntry;
 use crate::delivery::EndpointId;
-use crate::front::http::{plain, Bad};
+use crate::front::http::{request_error, RequestError};
 use crate::gateway::consensus::uptime;
 use crate::gateway::history::History;
 use crate::gateway::{ConnKey, Gateway, GatewayDeadline};
@@ -19,7 +19,7 @@
 use crate::tenancy::replicated::error::Refusal;
 use crate::tenancy::replicated::history::HistoryEvent;
 use crate::tenancy::replicated::state::Answer;
-use crate::tenancy::replicated::LONGEST_ANSWER;
+use crate::tenancy::replicated::MAX_ANSWER_BYTES;
 use crate::tenancy::Tenant;
 
 /// An administrator's request that waits until its change of a tenant is agreed on.
@@ -33,7 +33,7 @@
     /// request.
     pub(super) key: Option<(String, [u8; 32], [u8; 32])>,
     /// The response once the change is agreed on.
-    pub(super) handled: Handled,
+    pub(super) handled: AdminResponse,
     /// The changes that follow once the change is agreed on.
     pub(super) changes: Vec<Change>,
 }
@@ -116,7 +116,7 @@
         if (driver.changes.agreed().changes, driver.changes.voters())
             != (state.tenants.changes, state.voters.len())
         {
-            let agreed = Input::Agreed(Arc::new(state.tenants.clone()), state.voters.len());
+            let agreed = Input::StateChanged(Arc::new(state.tenants.clone()), state.voters.len());
             self.handle_tenants(now, agreed);
         }
     }
@@ -136,7 +136,7 @@
         if driver.caught_up {
             Ok(())
         } else {
-            Err(Refusal::Unheard)
+            Err(Refusal::NotCaughtUp)
         }
     }
 
@@ -154,7 +154,7 @@
         &self,
         key: &[u8; 32],
         request: &[u8; 32],
-    ) -> Option<Result<Vec<u8>, Bad>> {
+    ) -> Option<Result<Vec<u8>, RequestError>> {
         let answer = self
             .cluster
             .tenants
@@ -162,7 +162,7 @@
             .changes
             .agreed()
             .answer(key)?;
-        let conflict = plain(409, "the Idempotency-Key is in use for another request");
+        let conflict = request_error(409, "the Idempotency-Key is in use for another request");
         Some(if answer.request == *request {
             Ok(answer.bytes.clone())
         } else {
@@ -182,7 +182,7 @@
         let answer = pending
             .key
             .as_ref()
-            .filter(|_| bytes.len() <= LONGEST_ANSWER);
+            .filter(|_| bytes.len() <= MAX_ANSWER_BYTES);
         let answer = answer.map(|(_, key, request)| Answer {
             key: *key,
             request: *request,
@@ -197,14 +197,14 @@
     }
 
     /// Proposes to all gateways to disable an endpoint that this gateway has disabled.
-    pub(super) fn agree_on_disabled(&mut self, now: Micros, tenant: &str, id: EndpointId) {
+    pub(super) fn propose_endpoint_disabled(&mut self, now: Micros, tenant: &str, id: EndpointId) {
         let version = self
             .secondary
             .tenants
             .get(tenant)
             .and_then(|tenant| tenant.endpoint(id))
             .map(|(_, endpoint)| endpoint.version);
-        let encoded = self.secondary.tenants.told(tenant, now);
+        let encoded = self.secondary.tenants.encode_tenant(tenant, now);
         self.queue_tenant_change(
             tenant,
             encoded,
@@ -230,7 +230,7 @@
             ticket,
             ChangeRequest {
                 tenant: tenant.to_owned(),
-                kept: encoded,
+                encoded,
                 listed,
                 answer,
             },
@@ -270,7 +270,7 @@
                         Box::new(entry),
                     )));
                 }
-                Output::Removals(removals) => self.secondary.tenants.set_removals(removals),
+                Output::Removals(removals) => self.secondary.tenants.set_removal_count(removals),
                 Output::Adopt(tenant, encoded) => {
                     adopted = true;
                     self.adopt_tenant(now, &tenant, encoded.as_deref());
@@ -279,7 +279,7 @@
                 Output::Refused(ticket, refusal) => {
                     self.on_tenant_change_refused(now, ticket, &refusal)
                 }
-                Output::Noted(event) => {
+                Output::RecordEvent(event) => {
                     if let Some(driver) = &mut self.cluster.tenants {
                         driver.history.record(&event);
                     }
@@ -314,8 +314,8 @@
                 tracing::info!(tenant, removed = encoded.is_none(), "agreed tenant adopted");
                 self.core
                     .set_tenant_quota(now, adopted.share.0, adopted.share.1);
-                self.forget_endpoints(now, &adopted.gone);
-                self.tell_endpoints(now, tenant);
+                self.remove_delivery_endpoints(now, &adopted.gone);
+                self.update_delivery_endpoints(now, tenant);
             }
             Ok(None) => {}
             Err(error) => {
@@ -330,7 +330,7 @@
         if let Some(driver) = &self.cluster.tenants {
             self.secondary
                 .tenants
-                .set_removals(driver.changes.agreed().removals);
+                .set_removal_count(driver.changes.agreed().removals);
         }
     }
 
@@ -359,7 +359,7 @@
             .for_each(|change| self.apply_change(now, change));
         let bytes = admin::answer(&Ok(handled.clone()), true);
         self.finish_idempotency_key(key.map(|(key, ..)| (caller, key)), true, &bytes);
-        self.answer_second(connection, now, |keep_open| {
+        self.answer_secondary_client(connection, now, |keep_open| {
             if keep_open {
                 bytes
             } else {
@@ -387,14 +387,14 @@
                 // still agreed on later.
                 self.finish_idempotency_key(key.map(|(key, ..)| (caller, key)), false, &[]);
                 let (status, text) = (refusal.status(), refusal.to_string());
-                self.answer_second(connection, now, |keep_open| {
+                self.answer_secondary_client(connection, now, |keep_open| {
                     admin::problem(status, &text, Some(refusal.remedy()), keep_open)
                 });
             }
             // The endpoint stays disabled, and the change is proposed again on top of the others'
             // changes, unless those changed this endpoint; likewise if the proposal timed out and
             // only this gateway knows of it.
-            Some(ChangeOrigin::Disabled(id, version)) if refusal.may_come_again() => {
+            Some(ChangeOrigin::Disabled(id, version)) if refusal.is_retryable() => {
                 let with_endpoint = |(name, tenant): (&String, &Tenant)| {
                     Some((name.clone(), tenant.endpoint(id)?.1.version))
                 };
@@ -402,10 +402,10 @@
                 match found {
                     Some((tenant, current)) if current == version => {
                         self.secondary.tenants.disable(id);
-                        self.agree_on_disabled(now, &tenant, id);
+                        self.propose_endpoint_disabled(now, &tenant, id);
                     }
                     Some((tenant, current)) if current == version + 1 => {
-                        self.agree_on_disabled(now, &tenant, id)
+                        self.propose_endpoint_disabled(now, &tenant, id)
                     }
                     _ => {}
                 }
--- a/src/gateway/webhooks/calls.rs
+++ b/src/gateway/webhooks/calls.rs
@@ -1,17 +1,17 @@
 //! Calls: acceptance, execution and final answer.
 
 use super::{
-    fault_injection_point, http, message, new_message, order_key_hash, plain, refuse, replay,
-    AcceptCall, AtMostOnceCall, AttemptDispatch, AttemptKey, Call, CallRecord, Caller, CloseReason,
-    CompleteCall, Completed, ConnKey, Effect, Exchange, Gateway, IdentityDigest, Job, JobKey,
-    Micros, Op, OpenCall, Origin, Outcome, PendingStoreOp, PrimaryRequest, ReplicationError, Reply,
-    RequestOrigin, RequestOutcome, SendProgress, Seq, StoreError, UnrecordedAttempt, COMPLETED,
-    MAX_PENDING_STORE_OPS, MAX_RECORD_WAIT,
+    fault_injection_point, http, message, new_message, order_key_hash, refuse, replay,
+    request_error, AcceptCall, AtMostOnceCall, AttemptDispatch, AttemptKey, Call, CallContext,
+    CallRecord, Caller, CloseReason, CompleteCall, Completed, ConnKey, Effect, Exchange, Gateway,
+    IdentityDigest, Micros, Op, OpenCall, OpenCallKey, Origin, Outcome, PendingStoreOp,
+    PrimaryRequest, ReplicationError, Reply, RequestOrigin, RequestOutcome, SendProgress, Seq,
+    StoreError, UnrecordedAttempt, COMPLETED, MAX_PENDING_STORE_OPS, MAX_RECORD_WAIT,
 };
 
 impl Gateway {
     /// Handles a webhook request. Returns the answer, or none if the answer depends on the store.
-    pub(in crate::gateway) fn take_webhook(
+    pub(in crate::gateway) fn handle_webhook_request(
         &mut self,
         key: ConnKey,
         r: &http::Request<'_>,
@@ -21,22 +21,23 @@
         if let Err(why) = self.knows_tenants() {
             tracing::debug!(remedy = why.remedy(), "{why}");
             return Some(refuse(
-                &plain(503, "it is not known yet what is agreed of tenants"),
+                &request_error(503, "it is not known yet what is agreed of tenants"),
                 stays,
             ));
         }
         let tenants = &self.secondary.tenants;
-        let Some(hooks) = &mut self.secondary.hooks else {
-            return Some(refuse(&plain(404, "off"), stays));
+        let Some(hooks) = &mut self.secondary.webhooks else {
+            return Some(refuse(&request_error(404, "off"), stays));
         };
         if r.method == "GET" {
-            return match hooks.inbound.ask(r, tenants, now) {
+            return match hooks.inbound.verify_state_query(r, tenants, now) {
                 Ok((serial, id)) if self.cluster.replication.is_some() => {
                     let tenant = r
                         .path
                         .strip_prefix("/webhooks/")
                         .and_then(|p| p.split_once('/'));
-                    let identity_digest = replay::mark(tenant.map_or("", |(t, _)| t), id);
+                    let identity_digest =
+                        replay::identity_digest(tenant.map_or("", |(t, _)| t), id);
                     let (id, shard) = (
                         id.to_owned(),
                         self.cluster
@@ -71,14 +72,14 @@
                 .saturating_sub(MAX_PENDING_STORE_OPS)
             >= hooks.pending;
         let admitted = if full || hooks.pending_store_ops.len() >= MAX_PENDING_STORE_OPS {
-            Err(plain(503, "too many calls under way"))
+            Err(request_error(503, "too many calls under way"))
         } else {
             hooks.inbound.take(r, tenants, &self.config.names, now)
         };
         match admitted {
             // Answers on workers' connections are distinguished by identity alone.
             Ok((call, ..)) if self.core.is_open(&call.identity) => {
-                Some(refuse(&plain(409, "already taken"), stays))
+                Some(refuse(&request_error(409, "already taken"), stays))
             }
             Ok((call, identity_digest, until)) => {
                 let (seq, job, a) = (hooks.seq(), &call.origin, &call.arrival);
@@ -97,7 +98,7 @@
                     concurrency_per_copy: a.concurrency_per_copy,
                     load_time: a.load_duration,
                     body: call.body.to_vec(),
-                    order: job.order.clone(),
+                    order: job.order_key.clone(),
                     sent: None,
                 };
                 if let Some(shard) = self
@@ -149,12 +150,12 @@
         &mut self,
         now: Micros,
         caller: Caller,
-        call: Call<Job>,
+        call: Call<CallContext>,
         seq: Seq,
         identity_digest: IdentityDigest,
         reply: Result<Reply, StoreError>,
     ) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         if let Err(e) = reply {
@@ -168,7 +169,9 @@
                     } else {
                         "the call cannot be kept"
                     };
-                    self.answer_second(conn, now, |stays| refuse(&plain(503, why), stays))
+                    self.answer_secondary_client(conn, now, |stays| {
+                        refuse(&request_error(503, why), stays)
+                    })
                 }
                 (Caller::Gateway(to, number), e) => {
                     let shard = seq.shard();
@@ -197,7 +200,7 @@
         match caller {
             Caller::Here(conn) => {
                 self.core.counters.webhooks_accepted += 1;
-                self.answer_second(conn, now, |stays| {
+                self.answer_secondary_client(conn, now, |stays| {
                     http::response(202, &format!("X-Kept-In: {kept_in}\r\n"), b"", stays)
                 });
             }
@@ -220,7 +223,7 @@
         now: Micros,
         dispatch: AttemptDispatch,
     ) -> Option<AttemptDispatch> {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return Some(dispatch);
         };
         let Some(guard) = hooks.at_most_once_calls.get(&dispatch.identity) else {
@@ -245,15 +248,15 @@
 
     /// Discards an attempt that waits for its record. Returns whether there was one; such an
     /// attempt was never sent.
-    pub(in crate::gateway) fn unrecorded(&mut self, attempt: AttemptKey) -> bool {
+    pub(in crate::gateway) fn discard_unrecorded_attempt(&mut self, attempt: AttemptKey) -> bool {
         self.secondary
-            .hooks
+            .webhooks
             .as_mut()
             .is_some_and(|h| h.unrecorded.remove(attempt).is_some())
     }
 
     pub(super) fn attempt_recorded(&mut self, now: Micros, attempt: AttemptKey, is_recorded: bool) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let Some(waiting) = hooks.unrecorded.remove(attempt) else {
@@ -271,8 +274,12 @@
     }
 
     /// Handles the end of an attempt. `never_ran` is set if the attempt is proved not to have run.
-    pub(in crate::gateway) fn guarded_ended(&mut self, attempt: AttemptKey, never_ran: bool) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+    pub(in crate::gateway) fn at_most_once_attempt_ended(
+        &mut self,
+        attempt: AttemptKey,
+        never_ran: bool,
+    ) {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let Some(id) = hooks.at_most_once_attempts.remove(attempt) else {
@@ -291,8 +298,13 @@
 
     /// Handles the final answer of a webhook's call: the store replaces the call by its outcome and
     /// the callback messages.
-    pub(in crate::gateway) fn call_back(&mut self, now: Micros, job: JobKey, outcome: &Outcome) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+    pub(in crate::gateway) fn complete_call(
+        &mut self,
+        now: Micros,
+        job: OpenCallKey,
+        outcome: &Outcome,
+    ) {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let Some(open_call) = hooks.jobs.remove(job) else {
@@ -303,7 +315,7 @@
         let tenant = self
             .secondary
             .tenants
-            .same(&open_call.job.tenant, open_call.job.serial);
+            .get_with_serial(&open_call.job.tenant, open_call.job.serial);
         let mut messages = Vec::new();
         for e in tenant
             .iter()
@@ -319,7 +331,7 @@
             // Messages with the same order key are ordered within a shard.
             m.order = open_call
                 .job
-                .order
+                .order_key
                 .as_ref()
                 .filter(|_| e.ordered)
                 .map(|k| order_key_hash(k) ^ u64::from(shard));
@@ -340,7 +352,7 @@
 
     /// Sends an operational event to the tenant's endpoints that subscribe to it, or only to the
     /// endpoint `only`.
-    pub(in crate::gateway) fn tell_tenant(
+    pub(in crate::gateway) fn publish_operational_event(
         &mut self,
         now: Micros,
         tenant: &str,
@@ -349,7 +361,7 @@
         data: &serde_json::Value,
     ) {
         let (Some(hooks), Some(t)) = (
-            &mut self.secondary.hooks,
+            &mut self.secondary.webhooks,
             self.secondary.tenants.get(tenant),
         ) else {
             return;
--- a/src/gateway/webhooks/portals.rs
+++ b/src/gateway/webhooks/portals.rs
@@ -1,20 +1,23 @@
 //! Connections to portals, and store requests of administrators.
 
 use super::{
-    answer, answer_report, fault_injection_point, io, message, net, plain, Bad, CloseReason,
+    answer, answer_report, fault_injection_point, io, message, net, request_error, CloseReason,
     ConnKey, DeliveryReport, Effect, Endpoint, Gateway, Input, MessageRecord, Micros, Op,
-    PendingStoreOp, PortalLink, Progress, Role, SendProgress, Seq, MAX_IDLE_PER_ENDPOINT,
-    PORTAL_IDLE_TIMEOUT,
+    PendingStoreOp, PortalConnection, Progress, RequestError, Role, SendProgress, Seq,
+    MAX_IDLE_PER_ENDPOINT, PORTAL_IDLE_TIMEOUT,
 };
 
 impl Gateway {
     /// Sends a message on an idle connection or a new one.
     pub(super) fn send_message(&mut self, now: Micros, mut record: MessageRecord, body: &[u8]) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         let (seq, id) = (record.waiting.seq, record.waiting.endpoint);
-        let tenant = self.secondary.tenants.same(&record.tenant, record.serial);
+        let tenant = self
+            .secondary
+            .tenants
+            .get_with_serial(&record.tenant, record.serial);
         let Some((tenant, e)) = tenant.and_then(|t| t.endpoint(id).map(|(_, e)| (t, e))) else {
             // The endpoint was removed meanwhile; the removal ends its messages.
             return hooks
@@ -46,7 +49,7 @@
         let key = match idle {
             Some(key) => Ok(key),
             None => {
-                let link = PortalLink {
+                let link = PortalConnection {
                     endpoint: id,
                     address,
                     current: None,
@@ -75,7 +78,7 @@
                     }
                     _ => CloseReason::ConnectTimeout,
                 };
-                if let Some(hooks) = &mut self.secondary.hooks {
+                if let Some(hooks) = &mut self.secondary.webhooks {
                     hooks
                         .delivery
                         .handle(now, Input::AttemptEnded(seq, unsent(ending)));
@@ -85,7 +88,7 @@
     }
 
     /// Handles input from a portal.
-    pub(in crate::gateway) fn on_portal(&mut self, key: ConnKey, now: Micros) {
+    pub(in crate::gateway) fn handle_portal_input(&mut self, key: ConnKey, now: Micros) {
         let Some((conn, Role::Portal(link))) = self.connections.get_mut(key) else {
             return;
         };
@@ -97,10 +100,10 @@
             return;
         };
         match answer::read(conn.input.bytes(), now) {
-            Progress::Waits => {}
+            Progress::Incomplete => {}
             Progress::Status(status, advice) => link.status = Some((status, advice)),
             Progress::Malformed => self.close(key, CloseReason::Malformed),
-            Progress::Whole(status, advice, size, keep) => {
+            Progress::Complete(status, advice, size, keep) => {
                 conn.input.consume(size);
                 (link.current, link.status) = (None, None);
                 let (id, address) = (link.endpoint, link.address);
@@ -111,7 +114,7 @@
                     && conn.input.bytes().is_empty()
                     && !conn.peer_closed;
                 self.delivery_ended(now, seq, answer_report(status, advice));
-                let Some(hooks) = &mut self.secondary.hooks else {
+                let Some(hooks) = &mut self.secondary.webhooks else {
                     return;
                 };
                 let tenants = &self.secondary.tenants;
@@ -139,11 +142,11 @@
         &mut self,
         now: Micros,
         key: ConnKey,
-        link: &PortalLink,
+        link: &PortalConnection,
         ending: CloseReason,
         untouched: bool,
     ) {
-        if let Some(hooks) = &mut self.secondary.hooks {
+        if let Some(hooks) = &mut self.secondary.webhooks {
             if let Some(idle) = hooks.idle.get_mut(&link.endpoint) {
                 idle.retain(|k| *k != key);
                 if idle.is_empty() {
@@ -174,7 +177,7 @@
 
     pub(super) fn delivery_ended(&mut self, now: Micros, seq: Seq, report: DeliveryReport) {
         fault_injection_point("callback answered");
-        if let Some(hooks) = &mut self.secondary.hooks {
+        if let Some(hooks) = &mut self.secondary.webhooks {
             hooks.delivery.handle(now, Input::AttemptEnded(seq, report));
         }
     }
@@ -183,7 +186,7 @@
     /// and are retried if their class permits. Without a store, all deliveries continue to their
     /// end.
     pub(in crate::gateway) fn stop_webhooks(&mut self, now: Micros) {
-        let Some(hooks) = self.secondary.hooks.as_mut().filter(|h| h.durable()) else {
+        let Some(hooks) = self.secondary.webhooks.as_mut().filter(|h| h.durable()) else {
             return;
         };
         hooks.stopping = Some(now);
@@ -200,17 +203,17 @@
     }
 
     /// Submits an administrator's operation to the store.
-    pub(in crate::gateway) fn ask_for_admin(
+    pub(in crate::gateway) fn submit_admin_request(
         &mut self,
         conn: ConnKey,
         op: Op,
         key: Option<(String, String)>,
-    ) -> Result<(), Bad> {
+    ) -> Result<(), RequestError> {
         let hooks = self
             .secondary
-            .hooks
+            .webhooks
             .as_mut()
-            .ok_or(plain(404, "webhooks are off"))?;
+            .ok_or(request_error(404, "webhooks are off"))?;
         let limit = match &op {
             Op::ListMessages(filter) => Some(filter.limit),
             _ => None,
--- a/src/gateway/webhooks/start.rs
+++ b/src/gateway/webhooks/start.rs
@@ -2,10 +2,10 @@
 
 use super::{
     channel, store_error, Backend, CloseReason, ConfigError, Delivery, Disk, EgressPolicy,
-    EndpointId, Gateway, GatewayDeadline, GatewayError, HashMap, Inbound, Input, Limits,
-    ListenerKind, MemoryKeyspace, Micros, Op, PathBuf, PendingStoreOp, RecoveredState,
-    RecoveryAction, Replays, ResumeAction, Schedule, SecondaryMap, SlotMap, StoreError, Tables,
-    VecDeque, WebhookDriver, Webhooks, Writer, RETENTION_BATCH, RETENTION_CONTINUE_DELAY,
+    EndpointId, Gateway, GatewayDeadline, GatewayError, HashMap, Input, Limits, ListenerKind,
+    MemoryKeyspace, Micros, Op, PathBuf, PendingStoreOp, RecoveredState, RecoveryAction,
+    ReplayStore, ResumeAction, Schedule, SecondaryMap, SlotMap, StoreError, Tables, VecDeque,
+    WebhookDriver, WebhookVerifier, Webhooks, Writer, RETENTION_BATCH, RETENTION_CONTINUE_DELAY,
 };
 
 impl Gateway {
@@ -26,7 +26,7 @@
                 let (sender, replies) = channel::channel();
                 let on_reply = |event, _: &mut (), node: &mut Gateway| {
                     if let (channel::Event::Msg((number, reply)), Some(h)) =
-                        (event, &mut node.secondary.hooks)
+                        (event, &mut node.secondary.webhooks)
                     {
                         h.reply(number, reply);
                     }
@@ -57,9 +57,9 @@
         };
         let durable = w.store.is_some();
         let mut replays = match &w.replay_file {
-            Some(path) => Replays::open(path, w.replay_entries, now)
+            Some(path) => ReplayStore::open(path, w.replay_entries, now)
                 .map_err(|e| GatewayError::Operator(ConfigError::Read(path.clone(), e)))?,
-            None => Replays::new(w.replay_entries),
+            None => ReplayStore::new(w.replay_entries),
         };
         replays.load(&found.identities);
         let schedule = match (&w.schedule_s, durable) {
@@ -87,11 +87,11 @@
             disable_after: w.disable_after_s * 1_000_000,
             ..limits
         };
-        self.secondary.hooks = Some(WebhookDriver {
-            inbound: Inbound {
+        self.secondary.webhooks = Some(WebhookDriver {
+            inbound: WebhookVerifier {
                 tolerance_s: w.tolerance_s,
                 started: (w.replay_file.is_none() && !durable).then_some(now),
-                forgotten: found.identities_expired_until,
+                forgotten_until: found.identities_expired_until,
                 replays,
                 seed,
                 classes: self.config.settings.classes.clone(),
@@ -115,7 +115,7 @@
             answer_timeout: w.callback_answer_ms * 1000,
             retention: (w.retention_days * 86_400_000_000, w.retention_mb << 20),
             stopping: None,
-            shared: VecDeque::new(),
+            pending_appends: VecDeque::new(),
             postponed: Vec::new(),
             numbers: HashMap::new(),
         });
@@ -125,7 +125,9 @@
             .iter()
             .map(|(name, _)| name.clone())
             .collect();
-        names.iter().for_each(|name| self.tell_endpoints(now, name));
+        names
+            .iter()
+            .for_each(|name| self.update_delivery_endpoints(now, name));
         self.listen(ListenerKind::Webhook, w.listen)?;
         self.recover(now, found);
         if durable {
@@ -139,7 +141,7 @@
 
     /// Resumes the calls, deliveries and endpoints that the previous process left in the store.
     pub(super) fn recover(&mut self, now: Micros, found: RecoveredState) {
-        let Some(hooks) = &mut self.secondary.hooks else {
+        let Some(hooks) = &mut self.secondary.webhooks else {
             return;
         };
         for (id, due) in &found.endpoints {
@@ -178,9 +180,9 @@
     }
 
     /// Passes the current settings of a tenant's endpoints to delivery.
-    pub(in crate::gateway) fn tell_endpoints(&mut self, now: Micros, tenant: &str) {
+    pub(in crate::gateway) fn update_delivery_endpoints(&mut self, now: Micros, tenant: &str) {
         let (Some(hooks), Some(t)) = (
-            &mut self.secondary.hooks,
+            &mut self.secondary.webhooks,
             self.secondary.tenants.get(tenant),
         ) else {
             return;
@@ -188,15 +190,19 @@
         for e in t.endpoints.values() {
             hooks.delivery.handle(
                 now,
-                Input::EndpointChanged(e.id, e.plan(t.serial, &hooks.schedule)),
+                Input::EndpointChanged(e.id, e.settings(t.serial, &hooks.schedule)),
             );
         }
     }
 
     /// Removes endpoints from delivery and closes their idle connections.
-    pub(in crate::gateway) fn forget_endpoints(&mut self, now: Micros, ids: &[EndpointId]) {
+    pub(in crate::gateway) fn remove_delivery_endpoints(
+        &mut self,
+        now: Micros,
+        ids: &[EndpointId],
+    ) {
         for id in ids {
-            let Some(hooks) = &mut self.secondary.hooks else {
+            let Some(hooks) = &mut self.secondary.webhooks else {
                 return;
             };
             hooks.delivery.handle(now, Input::EndpointRemoved(*id));
--- a/src/store/shards.rs
+++ b/src/store/shards.rs
@@ -19,7 +19,7 @@
 use super::operations::ShardState;
 use super::records::{AttemptRecord, CallRecord, IdentityDigest, MessageRecord};
 use crate::api::Micros;
-use crate::delivery::response::State;
+use crate::delivery::response::MessageState;
 use crate::delivery::Seq;
 use crate::replication::{LogPosition, ShardId};
 
@@ -187,7 +187,7 @@
     let mut messages = Vec::new();
     for (_, value) in shard_rows(reader, Table::Messages, shard)? {
         let message: MessageRecord = decode(&value, "a message")?;
-        if message.state == State::Waiting {
+        if message.state == MessageState::Waiting {
             messages.push(message);
         }
     }
--- a/src/tenancy/mod.rs
+++ b/src/tenancy/mod.rs
@@ -179,7 +179,7 @@
 
     /// Returns a tenant if its serial matches. This prevents an answer from going to
     /// another tenant's portal after the tenant was removed and its name was reused.
-    pub fn same(&self, name: &str, serial: u64) -> Option<&Tenant> {
+    pub fn get_with_serial(&self, name: &str, serial: u64) -> Option<&Tenant> {
         self.get(name).filter(|t| t.serial == serial)
     }
 
@@ -274,7 +274,7 @@
             .iter_mut()
             .find(|(_, t)| t.endpoint(id).is_some())?;
         let (name, e) = t.endpoints.iter_mut().find(|(_, e)| e.id == id)?;
-        (e.enabled, e.version) = (Enabled::ByFailure, e.version + 1);
+        (e.enabled, e.version) = (Enabled::DisabledByFailure, e.version + 1);
         Some((tenant.clone(), name.clone()))
     }
 
--- a/tests/stored_data/texts.rs
+++ b/tests/stored_data/texts.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use molelug::delivery::Enabled;
-use molelug::front::webhook::replay::{Replays, Seen};
+use molelug::front::webhook::replay::{RecordResult, ReplayStore};
 use molelug::operations::hot_restart::{ProcessState, SiblingState};
 use molelug::tenancy::{EndpointSpec, Registry, Secret, Spec};
 
@@ -96,8 +96,11 @@
         );
     }
     assert_eq!(clinic.endpoints["portal"].enabled, Enabled::Yes);
-    assert_eq!(clinic.endpoints["all"].enabled, Enabled::ByHand);
-    assert_eq!(clinic.endpoints["failed"].enabled, Enabled::ByFailure);
+    assert_eq!(clinic.endpoints["all"].enabled, Enabled::DisabledByOperator);
+    assert_eq!(
+        clinic.endpoints["failed"].enabled,
+        Enabled::DisabledByFailure
+    );
 }
 
 #[test]
@@ -136,7 +139,9 @@
 /// The encoding of a tenant in the consensus log.
 #[test]
 fn replicated_tenant_is_written_and_adopted_as_before() {
-    let told = registry().told("clinic", 1_000_000).expect("a tenant");
+    let told = registry()
+        .encode_tenant("clinic", 1_000_000)
+        .expect("a tenant");
     fixture::assert_matches(TENANT_TOLD, std::str::from_utf8(&told).expect("text"));
     let mut other = Registry::new(&[]);
     let stored = fixture::read(TENANT_TOLD);
@@ -190,9 +195,9 @@
 #[test]
 fn seen_identities_are_written_and_read_as_before() {
     let file = Scratch::new();
-    let mut replays = Replays::open(file.path(), 10, 0).expect("the file is created");
+    let mut replays = ReplayStore::open(file.path(), 10, 0).expect("the file is created");
     for (id, until) in [("call-1", 5_000), ("call-2", 4_000)] {
-        assert_eq!(replays.take("clinic", id, 1_000, until), Seen::New);
+        assert_eq!(replays.take("clinic", id, 1_000, until), RecordResult::New);
     }
     fixture::assert_matches(
         REPLAYS,
@@ -201,7 +206,13 @@
 
     let copy = Scratch::new();
     std::fs::write(copy.path(), fixture::read(REPLAYS)).expect("a copy");
-    let mut replays = Replays::open(copy.path(), 10, 4_500).expect("the file is read");
-    assert_eq!(replays.take("clinic", "call-1", 4_500, 9_000), Seen::Before);
-    assert_eq!(replays.take("clinic", "call-2", 4_500, 9_000), Seen::New);
+    let mut replays = ReplayStore::open(copy.path(), 10, 4_500).expect("the file is read");
+    assert_eq!(
+        replays.take("clinic", "call-1", 4_500, 9_000),
+        RecordResult::Before
+    );
+    assert_eq!(
+        replays.take("clinic", "call-2", 4_500, 9_000),
+        RecordResult::New
+    );
 }
