--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The fronts: bytes into the core's calls, and its answers into bytes. Neither decides anything.
+//! The fronts decode requests into calls for the core and encode the core's answers. They contain
+//! no policy.
 
 pub mod http;
 pub mod operator_console;
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,40 +1,40 @@
-//! The platform's front: one call a POST, its fields in headers.
+//! The platform's front: each call is a POST with its fields in headers.
 
 use std::rc::Rc;
 
-use super::http::{self, fatal, plain, Bad, Request};
+use super::http::{self, fatal, request_error, Request, RequestError};
 use crate::api::{Arrival, ClassId, FunctionId, Micros, RequestId, TenantId};
 use crate::core::{Answer, Call};
 use crate::names::Names;
 
-/// The longest time that a caller may ask for where its class states none, and the longest for a figure that is
-/// a time, in milliseconds.
-const LONGEST_MS: f64 = 600_000.0;
-/// What one copy may take and do at the most; no machine is larger.
-const MOST_MEMORY_MB: f64 = 1e6;
-const MOST_LANES: f64 = 1024.0;
+/// The longest deadline for a class that states none, and the largest estimate or load duration,
+/// in milliseconds.
+const MAX_DURATION_MS: f64 = 600_000.0;
+/// The largest memory and concurrency of one copy; no machine is larger.
+const MAX_MEMORY_MB: f64 = 1e6;
+const MAX_CONCURRENCY: f64 = 1024.0;
 
-/// What a client asks.
+/// A client's request.
 #[derive(Debug)]
-pub enum Ask {
-    /// Whether the gateway is there.
+pub enum ClientRequest {
+    /// A liveness check.
     Ping,
-    /// A call, without its origin.
+    /// A call whose origin the caller of [`take`] fills in.
     Call(Call<()>),
 }
 
-/// A request off a client's connection.
+/// A request taken from a client's connection.
 #[derive(Debug)]
-pub struct Taken {
-    /// What it asks, or why it is turned away.
-    pub ask: Result<Ask, Bad>,
-    /// Bytes that it takes up.
+pub struct ParsedRequest {
+    /// The request, or the error to answer it with.
+    pub request: Result<ClientRequest, RequestError>,
+    /// The request's size in the buffer, in bytes.
     pub size: usize,
-    /// Whether the connection stays.
-    pub keep: bool,
+    /// True if the connection stays open after the response.
+    pub keep_alive: bool,
 }
 
-/// Sixteen lower-case hex digits, as all identities on this wire are written.
+/// Parses 16 lower-case hex digits, the form of all identities on this wire.
 pub fn hex16(text: &str) -> Option<u64> {
     let fits = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     fits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
@@ -46,35 +46,39 @@
         .filter(|n| n.is_finite() && *n >= 0.0)
 }
 
-/// Reads the next request; `None` while it is not whole.
-pub fn take(bytes: &[u8], names: &Names, now: Micros) -> Result<Option<Taken>, Bad> {
+/// Parses the next request; `None` while the request is incomplete.
+pub fn parse_request(
+    bytes: &[u8],
+    names: &Names,
+    now: Micros,
+) -> Result<Option<ParsedRequest>, RequestError> {
     let Some(r) = http::request(bytes)? else {
         return Ok(None);
     };
-    Ok(Some(Taken {
+    Ok(Some(ParsedRequest {
         size: r.size,
-        keep: r.keep,
-        ask: ask(&r, names, now),
+        keep_alive: r.keep_alive,
+        request: parse(&r, names, now),
     }))
 }
 
-fn ask(r: &Request<'_>, names: &Names, now: Micros) -> Result<Ask, Bad> {
+fn parse(r: &Request<'_>, names: &Names, now: Micros) -> Result<ClientRequest, RequestError> {
     if r.path == "/ping" {
         return if r.method == "GET" {
-            Ok(Ask::Ping)
+            Ok(ClientRequest::Ping)
         } else {
-            Err(plain(405, "ping is a GET"))
+            Err(request_error(405, "ping is a GET"))
         };
     }
     let key = r
         .path
         .strip_prefix("/call/")
         .and_then(|p| p.strip_suffix("/trigger"));
-    let key = key.ok_or(plain(404, "no such path"))?;
+    let key = key.ok_or(request_error(404, "no such path"))?;
     if r.method != "POST" {
-        return Err(plain(405, "a call is a POST"));
+        return Err(request_error(405, "a call is a POST"));
     }
-    let function = FunctionId(hex16(key).ok_or(plain(404, "a function is 16 hex digits"))?);
+    let function = FunctionId(hex16(key).ok_or(request_error(404, "a function is 16 hex digits"))?);
     let class = r
         .header("X-Class")
         .and_then(|c| Names::index_of(&names.classes, c));
@@ -85,35 +89,36 @@
     let id = r
         .header("X-Correlation-Id")
         .filter(|id| hex16(id).is_some());
-    let stated = class
+    let class_deadline = class
         .and_then(|c| names.max_deadlines.get(c))
         .filter(|t| **t > 0);
-    // A little more than stated is a clock's or a rounding's doing.
-    let longest = stated.map_or(LONGEST_MS, |t| *t as f64 / 1e3 * 1.05);
-    let wait = r
+    // The 5 % tolerance covers clock differences and rounding at the client.
+    let longest_ms = class_deadline.map_or(MAX_DURATION_MS, |t| *t as f64 / 1e3 * 1.05);
+    let deadline_ms = r
         .header("X-Deadline-Ms")
         .and_then(number)
-        .filter(|ms| *ms > 0.0 && *ms <= longest);
-    let estimate = |w| {
-        number(w)
-            .filter(|ms| *ms <= LONGEST_MS)
-            .ok_or(plain(400, "bad X-Estimate-Ms"))
+        .filter(|ms| *ms > 0.0 && *ms <= longest_ms);
+    let parse_estimate = |text| {
+        number(text)
+            .filter(|ms| *ms <= MAX_DURATION_MS)
+            .ok_or(request_error(400, "bad X-Estimate-Ms"))
     };
-    let work = r.header("X-Estimate-Ms").map(estimate);
-    let id = id.ok_or(plain(400, "bad X-Correlation-Id"))?;
+    let estimate_ms = r.header("X-Estimate-Ms").map(parse_estimate);
+    let id = id.ok_or(request_error(400, "bad X-Correlation-Id"))?;
     let mut arrival = Arrival {
         request: RequestId(0),
-        class: ClassId(class.ok_or(plain(400, "unknown class"))? as u8),
-        tenant: TenantId(tenant.ok_or(plain(400, "unknown tenant"))? as u32),
+        class: ClassId(class.ok_or(request_error(400, "unknown class"))? as u8),
+        tenant: TenantId(tenant.ok_or(request_error(400, "unknown tenant"))? as u32),
         function,
-        expires_at: now + (wait.ok_or(plain(400, "bad X-Deadline-Ms"))? * 1e3) as Micros,
-        expected_work: work.transpose()?.map(|ms| (ms * 1e3) as Micros),
+        expires_at: now
+            + (deadline_ms.ok_or(request_error(400, "bad X-Deadline-Ms"))? * 1e3) as Micros,
+        expected_work: estimate_ms.transpose()?.map(|ms| (ms * 1e3) as Micros),
         memory_mb: 0.0,
         concurrency_per_copy: 1,
         load_duration: None,
     };
     extras(r.header("X-Extras").unwrap_or_default(), &mut arrival)?;
-    Ok(Ask::Call(Call {
+    Ok(ClientRequest::Call(Call {
         origin: (),
         identity: id.into(),
         body: Rc::from(r.body),
@@ -121,17 +126,19 @@
     }))
 }
 
-/// Reads `name:value;name:value`; names that mean nothing are passed over.
-fn extras(text: &str, arrival: &mut Arrival) -> Result<(), Bad> {
+/// Parses `name:value;name:value` into `arrival`; unknown names are ignored.
+fn extras(text: &str, arrival: &mut Arrival) -> Result<(), RequestError> {
     for part in text.split(';').filter(|p| !p.trim().is_empty()) {
-        let (name, value) = part.split_once(':').ok_or(plain(400, "bad X-Extras"))?;
-        let value = number(value.trim()).ok_or(plain(400, "bad X-Extras"))?;
+        let (name, value) = part
+            .split_once(':')
+            .ok_or(request_error(400, "bad X-Extras"))?;
+        let value = number(value.trim()).ok_or(request_error(400, "bad X-Extras"))?;
         match name.trim() {
-            "memory_mb" if value > MOST_MEMORY_MB => return Err(plain(400, "bad X-Extras")),
-            "lanes" if !(1.0..=MOST_LANES).contains(&value) => {
-                return Err(plain(400, "bad X-Extras"))
+            "memory_mb" if value > MAX_MEMORY_MB => return Err(request_error(400, "bad X-Extras")),
+            "lanes" if !(1.0..=MAX_CONCURRENCY).contains(&value) => {
+                return Err(request_error(400, "bad X-Extras"))
             }
-            "load_ms" if value > LONGEST_MS => return Err(plain(400, "bad X-Extras")),
+            "load_ms" if value > MAX_DURATION_MS => return Err(request_error(400, "bad X-Extras")),
             "memory_mb" => arrival.memory_mb = value,
             "lanes" => arrival.concurrency_per_copy = value as u32,
             "load_ms" => arrival.load_duration = Some((value * 1e3) as Micros).filter(|t| *t > 0),
@@ -141,7 +148,7 @@
     Ok(())
 }
 
-/// The bytes of a final answer. A refusal says when to come back, in whole seconds as HTTP has it.
+/// Encodes a final answer. A rejection has a `Retry-After` header in whole seconds, rounded up.
 pub fn answer(answer: &Answer, keep: bool) -> Vec<u8> {
     match answer {
         Answer::Served(body) => http::response(
@@ -158,18 +165,18 @@
     }
 }
 
-/// The bytes for a request that is turned away before it reaches the module.
-pub fn turn_away(bad: &Bad, keep: bool) -> Vec<u8> {
+/// Encodes the response to a request that is rejected before it reaches the decision module.
+pub fn encode_error(bad: &RequestError, keep: bool) -> Vec<u8> {
     http::response(
         bad.status,
         "Content-Type: text/plain\r\n",
-        bad.why.as_bytes(),
+        bad.reason.as_bytes(),
         keep && !bad.fatal,
     )
 }
 
-/// What a connection that is idle within a request for too long is told.
-pub fn too_slow() -> Bad {
+/// The error for a connection that sends no complete request in time.
+pub fn request_timeout() -> RequestError {
     fatal(408, "request took too long")
 }
 
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -16,14 +16,16 @@
     X-Extras: memory_mb:512;lanes:2;load_ms:640;new:1\r\nContent-Length: 3\r\n\r\nabc";
 
 #[test]
-fn a_call_is_read_with_an_absolute_deadline() {
-    let taken = take(GOOD.as_bytes(), &names(), 1_000).unwrap().unwrap();
-    let Ok(Ask::Call(call)) = taken.ask else {
+fn call_is_parsed_with_an_absolute_deadline() {
+    let taken = parse_request(GOOD.as_bytes(), &names(), 1_000)
+        .unwrap()
+        .unwrap();
+    let Ok(ClientRequest::Call(call)) = taken.request else {
         panic!("a call")
     };
     let a = &call.arrival;
     assert_eq!(
-        (taken.size, taken.keep, &*call.identity, &*call.body),
+        (taken.size, taken.keep_alive, &*call.identity, &*call.body),
         (GOOD.len(), true, "9b1f03aa5c7e2d41", &b"abc"[..])
     );
     assert_eq!(
@@ -42,10 +44,13 @@
 }
 
 #[test]
-fn damage_is_turned_away_or_waited_on_and_never_panics() {
+fn malformed_or_incomplete_request_never_panics() {
     for cut in 0..GOOD.len() {
         assert!(
-            matches!(take(&GOOD.as_bytes()[..cut], &names(), 0), Ok(None)),
+            matches!(
+                parse_request(&GOOD.as_bytes()[..cut], &names(), 0),
+                Ok(None)
+            ),
             "cut at {cut}"
         );
     }
@@ -53,7 +58,7 @@
         for byte in [0, b'\r', b'\n', b' ', b':', b'-', b'9', 0xff] {
             let mut bad = GOOD.as_bytes().to_vec();
             bad[at] = byte;
-            if let Err(bad) = take(&bad, &names(), 0) {
+            if let Err(bad) = parse_request(&bad, &names(), 0) {
                 assert!((400..500).contains(&bad.status));
             }
         }
@@ -61,10 +66,10 @@
     for value in ["nan", "inf", "-1", "1e308", "", "0"] {
         let bad = GOOD.replace("1500.5", value);
         assert!(
-            take(bad.as_bytes(), &names(), 0)
+            parse_request(bad.as_bytes(), &names(), 0)
                 .unwrap()
                 .unwrap()
-                .ask
+                .request
                 .is_err(),
             "{value}"
         );
@@ -72,16 +77,16 @@
 }
 
 #[test]
-fn figures_out_of_range_are_turned_away() {
+fn values_out_of_range_are_rejected() {
     let names = Names {
         max_deadlines: vec![2_000_000],
         ..names()
     };
     let taken = |text: &str| {
-        take(text.as_bytes(), &names, 0)
+        parse_request(text.as_bytes(), &names, 0)
             .unwrap()
             .unwrap()
-            .ask
+            .request
             .is_ok()
     };
     assert!(taken(GOOD) && taken(&GOOD.replace("1500.5", "2000")));
@@ -98,7 +103,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_in_whole_seconds() {
+fn rejection_has_retry_after_in_whole_seconds() {
     for (advice, seconds) in [(0, 0), (1, 1), (500_000, 1), (1_000_001, 2)] {
         let bytes = answer(
             &Answer::Rejected {
--- a/src/gateway/replication/requests/digest_tests.rs
+++ b/src/gateway/replication/requests/digest_tests.rs
@@ -1,6 +1,6 @@
-//! Questions to a shard's primary, compared with their recorded bytes.
+//! Guards the encoding of requests to a shard's primary against their recorded bytes.
 //!
-//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file anew.
+//! See `tests/wire_formats.rs`; `UPDATE_FIXTURES=1` writes the file again.
 
 use super::PrimaryRequest;
 use crate::api::{Effect, IdempotencyScope};
@@ -74,7 +74,7 @@
 fn call_state_response_matches_recorded_bytes() {
     let state = |outcome: Option<&str>| {
         Some(CallState {
-            taken: 1_700_000_000_000_000,
+            retention_start: 1_700_000_000_000_000,
             outcome: outcome.map(str::to_owned),
             shard: 9,
         })
--- a/src/membership/group_tests.rs
+++ b/src/membership/group_tests.rs
@@ -1,4 +1,4 @@
-//! Ten instances and what one that lies can do to nine.
+//! Ten instances on a simulated network, one of which may lie.
 
 use super::super::keys::tests::each;
 use super::*;
@@ -24,14 +24,14 @@
     }
 }
 
-/// Instances on a network without delay; the advice that each was given.
+/// Instances on a network without delay, with the advice that each one received.
 struct World {
     now: Micros,
     groups: Vec<Group>,
     advice: Vec<BTreeMap<WorkerId, HealthAdvice>>,
     first_down: Vec<Option<Micros>>,
-    /// All datagrams that went, for who replays.
-    caught: Vec<Vec<u8>>,
+    /// The first 500 datagrams sent, for replays.
+    captured: Vec<Vec<u8>>,
 }
 
 impl World {
@@ -41,7 +41,10 @@
             .map(|n| Group::new(settings(n), each(n, N), u64::from(n), now))
             .collect();
         for g in &mut groups {
-            g.handle(now, Input::Known(Vec::new(), vec![address(0), address(1)]));
+            g.handle(
+                now,
+                Input::KnownMembers(Vec::new(), vec![address(0), address(1)]),
+            );
             g.handle(now, Input::Ready((0..12).map(WorkerId).collect()));
         }
         let n = groups.len();
@@ -50,7 +53,7 @@
             groups,
             advice: vec![BTreeMap::new(); n],
             first_down: vec![None; n],
-            caught: Vec::new(),
+            captured: Vec::new(),
         }
     }
 
@@ -63,8 +66,8 @@
                     more = true;
                     match output {
                         Output::Datagram(to, bytes) => {
-                            if self.caught.len() < 500 {
-                                self.caught.push(bytes.clone());
+                            if self.captured.len() < 500 {
+                                self.captured.push(bytes.clone());
                             }
                             if let Some(at) = (0..N).position(|i| address(i) == to) {
                                 let now = self.now;
@@ -74,7 +77,7 @@
                         }
                         Output::Advice(worker, advice) => {
                             self.advice[n].insert(worker, advice);
-                            if matches!(advice, HealthAdvice::Down(_)) {
+                            if matches!(advice, HealthAdvice::Demote(_)) {
                                 self.first_down[n].get_or_insert(self.now);
                             }
                         }
@@ -85,11 +88,12 @@
         }
     }
 
-    /// Seconds go by; each instance tries each worker a few times a second, and sees what `seen` says.
+    /// Runs for `seconds`. Each instance tries each worker ten times per second with the outcome
+    /// that `seen` returns.
     fn run(
         &mut self,
         seconds: u64,
-        seen: impl Fn(usize, u32) -> Observed,
+        seen: impl Fn(usize, u32) -> AttemptOutcome,
         mut each_second: impl FnMut(&mut World),
     ) {
         for _ in 0..seconds * 10 {
@@ -114,27 +118,27 @@
         (0..9).all(|n| {
             (0..9)
                 .filter(|m| *m != n)
-                .all(|m| self.groups[n].standing(&name(m as u8)) == Some(MemberState::Alive))
+                .all(|m| self.groups[n].state(&name(m as u8)) == Some(MemberState::Alive))
         })
     }
 }
 
 #[test]
-fn one_silent_worker_is_moved_down_by_those_who_have_not_tried_it() {
+fn silent_worker_is_demoted_by_instances_without_attempts() {
     let mut w = World::new();
-    w.run(20, |_, _| Observed::Answered, |_| {});
+    w.run(20, |_, _| AttemptOutcome::Answered, |_| {});
     assert!(w.all_alive() && w.advice.iter().all(BTreeMap::is_empty));
-    let begun = w.now;
-    // Three find worker 5 silent; the others see nothing of it themselves.
+    let started = w.now;
+    // Three instances find worker 5 silent; the others record no attempts at it.
     let silent = |n: usize, worker: u32| {
         if worker == 5 {
             if n < 3 {
-                Observed::Silent
+                AttemptOutcome::TimedOut
             } else {
-                Observed::Failed
+                AttemptOutcome::Failed
             }
         } else {
-            Observed::Answered
+            AttemptOutcome::Answered
         }
     };
     w.run(15, silent, |w| {
@@ -142,19 +146,19 @@
             w.groups[n].window.remove(&WorkerId(5));
         }
     });
-    let told = w
+    let demotions = w
         .first_down
         .iter()
         .skip(3)
         .filter_map(|t| *t)
-        .filter(|t| *t < begun + 10 * SECOND)
+        .filter(|t| *t < started + 10 * SECOND)
         .count();
     assert!(
-        told >= 6,
+        demotions >= 6,
         "{:?}",
         w.first_down
             .iter()
-            .map(|t| t.map(|t| t - begun))
+            .map(|t| t.map(|t| t - started))
             .collect::<Vec<_>>()
     );
     assert!(w
@@ -162,30 +166,32 @@
         .iter()
         .flat_map(BTreeMap::keys)
         .all(|worker| *worker == WorkerId(5)));
-    // It answers again: nothing is left of the rumour when its life is over.
-    w.run(30, |_, _| Observed::Answered, |_| {});
+    // The worker answers again: its observations expire and no advice remains.
+    w.run(30, |_, _| AttemptOutcome::Answered, |_| {});
     w.advice.iter_mut().for_each(BTreeMap::clear);
-    w.run(10, |_, _| Observed::Answered, |_| {});
+    w.run(10, |_, _| AttemptOutcome::Answered, |_| {});
     assert!(w.advice.iter().all(BTreeMap::is_empty));
     assert!(
-        w.groups.iter().all(|g| g.held.len() < 40),
+        w.groups.iter().all(|g| g.relay_queue.len() < 40),
         "{:?}",
-        w.groups.iter().map(Group::sizes).collect::<Vec<_>>()
+        w.groups.iter().map(Group::queue_sizes).collect::<Vec<_>>()
     );
 }
 
-/// The tenth lies in every way at once; the nine keep each other, move no worker, and stay under their ceiling.
+/// Guards against one malicious member: the tenth instance sends false observations and
+/// accusations, forgeries, replays and malformed datagrams. The other nine keep each other alive,
+/// demote no worker, and stay within their budgets.
 #[test]
-fn a_liar_moves_no_worker_and_kills_no_member() {
+fn lying_member_demotes_no_worker_and_kills_no_member() {
     let mut w = World::new();
     let all_dead = |n: usize, _| {
         if n == 9 {
-            Observed::Refused
+            AttemptOutcome::Refused
         } else {
-            Observed::Answered
+            AttemptOutcome::Answered
         }
     };
-    w.run(20, |_, _| Observed::Answered, |_| {});
+    w.run(20, |_, _| AttemptOutcome::Answered, |_| {});
     let before: Vec<u64> = w.groups.iter().map(|g| g.sent_bytes).collect();
     let keys = each(9, N);
     let mut forged = 0;
@@ -194,8 +200,8 @@
         forged += 1;
         for to in 0..9usize {
             let victim = name((to as u8 + 1) % 9);
-            // Accusations in its own name, in a huge incarnation and the right one; others' names forged; replays;
-            // garbage; datagrams that are too long.
+            // Accusations in its own name with the current and a huge incarnation, datagrams forged
+            // in other names, replays, malformed datagrams and oversized ones.
             let known = w.groups[to]
                 .swim
                 .members()
@@ -213,7 +219,7 @@
                 true,
             )];
             let message = Message {
-                say: swim::Say::Sync(true),
+                kind: swim::MessageKind::Sync(true),
                 records,
                 accusations,
             };
@@ -223,7 +229,7 @@
                 ..Observation::default()
             };
             let seen = (0..12).map(|worker| (WorkerId(worker), ill)).collect();
-            let mut lie = Some(wire::seal_sighting(&keys, "j", now, seen));
+            let mut lie = Some(wire::seal_observation(&keys, "j", now, seen));
             w.groups[9].number += 1;
             let number = w.groups[9].number;
             let sealed =
@@ -233,7 +239,7 @@
             for bytes in [sealed, as_other, vec![7; 900], vec![0; 9000]] {
                 w.groups[to].handle(now, Input::Datagram(address(9), &bytes));
             }
-            for bytes in w.caught.clone().iter().rev().take(20) {
+            for bytes in w.captured.clone().iter().rev().take(20) {
                 w.groups[to].handle(now, Input::Datagram(address(9), bytes));
             }
         }
@@ -242,34 +248,34 @@
     assert!(w.all_alive());
     assert!(
         w.advice.iter().take(9).all(BTreeMap::is_empty),
-        "no worker was moved"
+        "no worker was demoted"
     );
     for (n, g) in w.groups.iter().enumerate().take(9) {
         assert!(
-            g.trust.weight(w.now, "j") < 0.1,
+            g.reputation.weight(w.now, "j") < 0.1,
             "{}",
-            g.trust.weight(w.now, "j")
+            g.reputation.weight(w.now, "j")
         );
-        let (refused, _) = g.refused();
+        let (refused, _) = g.rejections();
         assert!(
             ["seal", "replayed", "garbled", "too_long", "part"]
                 .iter()
                 .all(|why| refused.contains_key(why)),
             "{refused:?}"
         );
-        assert!((g.sent_bytes - before[n]) / 30 <= 8000, "the ceiling");
-        assert!(g.sizes().0 <= 12 * 10 && g.sizes().1 <= MOST_HELD);
+        assert!((g.sent_bytes - before[n]) / 30 <= 8000, "the byte budget");
+        assert!(g.queue_sizes().0 <= 12 * 10 && g.queue_sizes().1 <= MAX_RELAY_QUEUE);
     }
 }
 
 #[test]
-fn keys_rotate_while_the_group_goes_on() {
+fn key_rotation_rejects_no_datagram() {
     use super::super::keys::{tests::private, Keys};
     let mut w = World::new();
-    w.run(20, |_, _| Observed::Answered, |_| {});
+    w.run(20, |_, _| AttemptOutcome::Answered, |_| {});
     let public = |n: u8| Keys::public(&private(n)).unwrap();
-    // Instance a changes from key 1 to key 101: first all accept both, then it signs with the new one, then the old
-    // one goes.
+    // Instance `a` changes from key 1 to key 101: all accept both keys, then `a` signs with the new
+    // key, then all stop accepting the old key.
     let accepted = |a: &[u8]| -> BTreeMap<String, Vec<String>> {
         (0..N)
             .map(|n| {
@@ -291,13 +297,13 @@
     ] {
         for n in 0..N {
             let key = if n == 0 { own } else { n + 1 };
-            let keys = Keys::each(&name(n), &private(key), &accepted).unwrap();
+            let keys = Keys::per_instance(&name(n), &private(key), &accepted).unwrap();
             let now = w.now;
             w.groups[n as usize].handle(now, Input::Keys(keys));
         }
-        w.run(20, |_, _| Observed::Answered, |_| {});
+        w.run(20, |_, _| AttemptOutcome::Answered, |_| {});
         assert!(w.all_alive());
     }
-    let refused = w.groups[3].refused().0.get("seal").copied().unwrap_or(0);
-    assert_eq!(refused, 0, "no datagram was refused on the way");
+    let refused = w.groups[3].rejections().0.get("seal").copied().unwrap_or(0);
+    assert_eq!(refused, 0, "no datagram was rejected during the rotation");
 }
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -1,12 +1,14 @@
-//! Who is there: SWIM (Das, Gupta and Motivala, 2002) with suspicion and refutation, and local health awareness as in
-//! Lifeguard (Dadgar, Phillips and Currey, 2018): a slow instance asks more slowly and suspects more patiently, and
-//! suspicion shortens as independent accusers confirm it.
+//! Group membership by SWIM (Das, Gupta and Motivala, 2002) with suspicion and refutation, and
+//! local health awareness as in Lifeguard (Dadgar, Phillips and Currey, 2018): a slow instance
+//! probes less often and with longer timeouts, and a suspicion shortens as independent accusers
+//! confirm it.
 //!
-//! Beyond both: a member's state is a record that it sealed itself, so that nobody can bring a dead one back, move
-//! another's address or raise its incarnation; an accusation holds for the incarnation that the accused itself sealed
-//! last, and one accuser is one voice.
+//! In addition, each member seals its own record, so no other member can revive a dead one, change
+//! its address or raise its incarnation. An accusation is valid only for the incarnation that the
+//! accused member sealed last, and each accuser counts once.
 //!
-//! Kept by name: members up to [`Settings::most`]; those dead or left until [`Settings::forget`] is over.
+//! Members are stored by name, at most [`Settings::max_members`]. Members that are dead or have
+//! left are removed after [`Settings::forget`].
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,25 +20,25 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// How the group is watched.
+/// Failure detection settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Between probes, while healthy.
+    /// Interval between probes at a local health score of 0.
     pub interval: Micros,
-    /// How long a direct probe may take before others are asked.
+    /// Timeout of a direct probe, after which other members are asked to probe.
     pub timeout: Micros,
-    /// Members asked to probe in one's place.
+    /// Number of members asked for an indirect probe.
     pub indirect: usize,
-    /// The least time of a suspicion, in probe intervals for each power of ten of members.
-    pub suspicion: f64,
-    /// The longest time, as a multiple of the least.
-    pub suspicion_most: f64,
-    /// Between exchanges of all that is known with one member.
+    /// Minimum duration of a suspicion, in probe intervals per power of ten of members.
+    pub min_suspicion: f64,
+    /// Maximum duration of a suspicion, as a multiple of the minimum.
+    pub max_suspicion_factor: f64,
+    /// Interval between state exchanges with a random member.
     pub sync: Micros,
-    /// How long a member that is dead or has left is remembered.
+    /// Time after which a member that is dead or has left is removed.
     pub forget: Micros,
-    /// Members at most.
-    pub most: usize,
+    /// Maximum number of members.
+    pub max_members: usize,
 }
 
 impl Default for Settings {
@@ -45,100 +47,103 @@
             interval: SECOND,
             timeout: SECOND / 2,
             indirect: 3,
-            suspicion: 4.0,
-            suspicion_most: 6.0,
+            min_suspicion: 4.0,
+            max_suspicion_factor: 6.0,
             sync: 30 * SECOND,
             forget: 300 * SECOND,
-            most: 2048,
+            max_members: 2048,
         }
     }
 }
 
-/// The worst local health; the interval and the time-out are multiplied by one more.
-const MOST_UNWELL: u32 = 8;
-/// Accusers whose voices shorten a suspicion.
+/// Maximum local health score. The probe interval and timeout are multiplied by the score plus one.
+const MAX_HEALTH_SCORE: u32 = 8;
+/// Number of confirming accusers that shorten a suspicion to its minimum.
 const CONFIRMATIONS: u32 = 3;
-/// How often a piece of news is sent on, for each power of two of members.
-const RETRANSMIT: u32 = 3;
-/// Accusations that were refuted within [`SILENCED`] after which an accuser has no voice for as long.
-const FAULTS: u32 = 3;
-const SILENCED: Micros = 60 * SECOND;
-/// Pages that one who is new is sent at once.
-const MOST_PAGES: usize = 64;
-/// Records in one exchange's page: they fit one datagram.
+/// Number of times that an item is piggybacked, per power of two of members.
+const RETRANSMIT_FACTOR: u32 = 3;
+/// Number of refuted accusations, each within [`MUTE_DURATION`] of the one before, after which an
+/// accuser is ignored.
+const MAX_REFUTED_ACCUSATIONS: u32 = 3;
+/// Time for which an accuser is ignored after its last refuted accusation.
+const MUTE_DURATION: Micros = 60 * SECOND;
+/// Maximum number of pages sent at once to a new member.
+const MAX_SYNC_PAGES: usize = 64;
+/// Number of records in one page of a state exchange; a page fits one datagram.
 pub const MEMBERS_PER_MESSAGE: usize = 6;
-/// Pieces of news that ride on one message at most.
+/// Maximum number of items piggybacked on one message.
 pub const PIGGYBACKED_PER_MESSAGE: usize = 6;
 
-/// A member's own word on itself.
+/// A member's sealed description of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it listens.
+    /// Address at which the member listens.
     pub address: SocketAddr,
-    /// Which of its words; only it raises this.
+    /// Version of the record; only the member itself raises it.
     pub incarnation: u64,
-    /// Whether it leaves in order.
+    /// Whether the member is leaving gracefully.
     pub leaving: bool,
-    /// Its seal over all that; opaque here, checked before it comes in.
+    /// Seal over the fields above, opaque to this module; callers verify it first.
     pub seal: Vec<u8>,
 }
 
-/// A voice that says that a member does not answer.
+/// An accuser's claim that a member does not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Who is accused.
+    /// Name of the accused member.
     pub accused: String,
-    /// In which incarnation.
+    /// Incarnation of the accused member.
     pub incarnation: u64,
-    /// By whom.
+    /// Name of the accuser.
     pub by: String,
     /// The accuser's seal.
     pub seal: Vec<u8>,
 }
 
-/// What a datagram asks or answers.
+/// Kind of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Say {
-    /// Are you there? The name guards against an address that is another's by now.
+pub enum MessageKind {
+    /// Probe with a number and the name of its target. Another member that now has the address
+    /// ignores the probe.
     Ping(u64, String),
-    /// I am.
+    /// Answer to the probe with this number.
     Ack(u64),
-    /// Ask that one for me.
-    PingFor(u64, String),
-    /// It did not answer me either; shows that I do.
+    /// Request to probe the named member on behalf of the sender.
+    PingRequest(u64, String),
+    /// Report that an indirect probe got no answer; shows that the sender itself is responsive.
     Nack(u64),
-    /// All that I know, a page; whether yours is wanted.
+    /// A page of the sender's members; `true` requests a page in return.
     Sync(bool),
 }
 
-/// A message with the news that rides on it.
+/// A message with piggybacked records and accusations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What it says.
-    pub say: Say,
-    /// Records.
+    /// Kind of the message.
+    pub kind: MessageKind,
+    /// Member records.
     pub records: Vec<Record>,
-    /// Accusations.
+    /// Accusations of members.
     pub accusations: Vec<Suspicion>,
 }
 
-/// How a member stands.
+/// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not, and has time to refute.
+    /// The member did not answer and can still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// It left in order.
+    /// The member left gracefully.
     Left,
 }
 
 impl MemberState {
-    /// Its name.
+    /// Returns the name of the state.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -149,33 +154,33 @@
     }
 }
 
-/// What happens to the membership.
+/// Events that the membership handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message came from a member; its seals hold.
+    /// A message from a member, with its address; its seals are verified.
     Message(String, SocketAddr, Message),
-    /// Members known from the last run, or addresses to begin with.
-    Known(Vec<Record>, Vec<SocketAddr>),
-    /// A deadline fell due.
+    /// Members stored by the previous run, and seed addresses.
+    KnownMembers(Vec<Record>, Vec<SocketAddr>),
+    /// The deadline from [`Swim::next_deadline`] has passed.
     Tick,
-    /// Leave in order.
+    /// Announces a graceful departure.
     Leave,
 }
 
-/// What is to be done.
+/// Actions for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this there.
+    /// Send a message to this address.
     Send(SocketAddr, Message),
-    /// A member stands otherwise than before.
+    /// A member's state changed.
     Changed(String, MemberState),
-    /// A member is forgotten.
+    /// A member was removed.
     Forgotten(String),
-    /// The list of members to begin with next time has changed.
-    Keep,
-    /// An accusation of one's own is to be sealed and handed back as news by [`Swim::accuse`].
+    /// The list of members to store for the next start changed.
+    StoreMembers,
+    /// Seal an accusation of this member in this incarnation and pass it to [`Swim::accuse`].
     Accuse(String, u64),
-    /// One's own record is to be sealed anew, with this incarnation, and handed to [`Swim::renew`].
+    /// Seal the own record with this incarnation and leaving flag, and pass it to [`Swim::renew`].
     Renew(u64, bool),
 }
 
@@ -185,27 +190,28 @@
     standing: MemberState,
     since: Micros,
     heard: Micros,
-    /// Who accuses it, in its present incarnation.
+    /// Accusers of the member's current incarnation.
     accusers: BTreeSet<String>,
-    /// When the suspicion began, and when it ends.
+    /// Start and end of the suspicion.
     suspicion: Option<(Micros, Micros)>,
-    /// The last voice against it, which it is told of when it is heard from.
-    voice: Option<Suspicion>,
-    /// When its wish for an exchange was last met.
+    /// Latest accusation, sent along with every message to the member.
+    last_suspicion: Option<Suspicion>,
+    /// Time of the last state exchange requested by the member.
     synced: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Timer {
     Probe,
     Sync,
-    /// A probe's direct time, and its end.
-    Direct(u64),
-    End(u64),
-    /// Suspicions and memories.
+    /// The direct probe with this number times out.
+    DirectTimeout(u64),
+    /// The probe with this number ends.
+    ProbeEnd(u64),
+    /// Ends expired suspicions and removes members.
     Sweep,
-    /// A probe made for another ends.
-    For(u64),
+    /// The probe with this number, made for another member, times out.
+    IndirectTimeout(u64),
 }
 
 #[derive(Clone, Debug)]
@@ -216,62 +222,62 @@
     indirect: bool,
 }
 
-/// One news item and how often it has gone out.
+/// An item to piggyback on messages.
 #[derive(Clone, Debug)]
 enum News {
     Record(String),
     Accusation(Suspicion),
 }
 
-/// What can be seen of a member.
+/// Snapshot of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// Its record.
+    /// The member's record.
     pub record: Record,
-    /// How it stands.
-    pub standing: MemberState,
-    /// Since when.
+    /// The member's state.
+    pub state: MemberState,
+    /// Time of the last state change.
     pub since: Micros,
-    /// When it was last heard from.
+    /// Time of the last message from the member.
     pub heard: Micros,
 }
 
-/// The members as one of them knows them.
+/// One instance's view of the members.
 #[derive(Clone, Debug)]
 pub struct Swim {
     settings: Settings,
     own: Record,
     members: BTreeMap<String, Member>,
     seeds: Vec<SocketAddr>,
-    /// Names in the order in which they are probed next.
-    round: VecDeque<String>,
+    /// Member names in the order of their next probes.
+    probe_order: VecDeque<String>,
     probes: BTreeMap<u64, Probe>,
-    /// Probes made for others: our number, who asked, its number.
-    favours: BTreeMap<u64, (SocketAddr, u64)>,
-    due: BTreeSet<(Micros, Due)>,
+    /// Probes made for other members: own number to the requester's address and number.
+    indirect_requests: BTreeMap<u64, (SocketAddr, u64)>,
+    timers: BTreeSet<(Micros, Timer)>,
     news: Vec<(u32, News)>,
-    next: u64,
-    unwell: u32,
-    /// The incarnation that a renewal was asked for.
-    renewing: Option<u64>,
-    page: usize,
-    /// Accusers whose accusations were refuted: how many, and when last.
-    faults: BTreeMap<String, (u32, Micros)>,
+    next_number: u64,
+    health_score: u32,
+    /// Incarnation of the requested renewal.
+    pending_incarnation: Option<u64>,
+    sync_page: usize,
+    /// Number of refuted accusations and time of the last one, by accuser.
+    refuted_accusations: BTreeMap<String, (u32, Micros)>,
     random: ChaCha8Rng,
     outputs: VecDeque<Output>,
     leaving: bool,
 }
 
 impl Swim {
-    /// A membership of one. `own` carries the incarnation that this start begins with; one from the clock is above
-    /// those of starts before.
+    /// Creates a membership of one. `own` carries the first incarnation; an incarnation from the
+    /// clock exceeds those of earlier runs.
     pub fn new(settings: Settings, own: Record, seed: u64, now: Micros) -> Swim {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let first = now + random.next_u64() % settings.interval.max(1);
-        let due = BTreeSet::from([
-            (first, Due::Probe),
-            (now, Due::Sync),
-            (now + SECOND, Due::Sweep),
+        let timers = BTreeSet::from([
+            (first, Timer::Probe),
+            (now, Timer::Sync),
+            (now + SECOND, Timer::Sweep),
         ]);
         let own_name = own.name.clone();
         let mut swim = Swim {
@@ -279,81 +285,83 @@
             own,
             members: BTreeMap::new(),
             seeds: Vec::new(),
-            round: VecDeque::new(),
+            probe_order: VecDeque::new(),
             probes: BTreeMap::new(),
-            favours: BTreeMap::new(),
-            due,
+            indirect_requests: BTreeMap::new(),
+            timers,
             news: Vec::new(),
-            next: 0,
-            unwell: 0,
-            renewing: None,
-            page: 0,
-            faults: BTreeMap::new(),
+            next_number: 0,
+            health_score: 0,
+            pending_incarnation: None,
+            sync_page: 0,
+            refuted_accusations: BTreeMap::new(),
             random,
             outputs: VecDeque::new(),
             leaving: false,
         };
-        swim.tell(News::Record(own_name));
+        swim.queue_news(News::Record(own_name));
         swim
     }
 
-    /// The next thing to be done, if any.
+    /// Returns the next pending action, if any.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Input::Tick`] is next to be given.
+    /// Returns the time of the next [`Input::Tick`].
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.due.first().map(|(t, _)| *t)
+        self.timers.first().map(|(t, _)| *t)
     }
 
-    /// The members, without oneself.
+    /// Returns all members except this instance.
     pub fn members(&self) -> impl Iterator<Item = View> + '_ {
         self.members.values().map(|m| View {
             record: m.record.clone(),
-            standing: m.standing,
+            state: m.standing,
             since: m.since,
             heard: m.heard,
         })
     }
 
-    /// How a member stands.
-    pub fn standing(&self, name: &str) -> Option<MemberState> {
+    /// Returns a member's state.
+    pub fn state(&self, name: &str) -> Option<MemberState> {
         self.members.get(name).map(|m| m.standing)
     }
 
-    /// One's own record.
+    /// Returns the own record.
     pub fn own(&self) -> &Record {
         &self.own
     }
 
-    /// How unwell this instance itself seems to be: 0 for well, 8 at most.
-    pub fn unwell(&self) -> u32 {
-        self.unwell
+    /// Returns the local health score: 0 for healthy, 8 at most.
+    pub fn health_score(&self) -> u32 {
+        self.health_score
     }
 
-    fn present(&self) -> usize {
+    fn live_members(&self) -> usize {
         self.members
             .values()
             .filter(|m| m.standing <= MemberState::Suspect)
             .count()
     }
 
-    /// Takes what has happened.
+    /// Handles an event.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Message(from, address, message) => self.message(now, &from, address, message),
-            Input::Known(records, seeds) => {
+            Input::Message(from, address, message) => {
+                self.handle_message(now, &from, address, message)
+            }
+            Input::KnownMembers(records, seeds) => {
                 self.seeds = seeds;
                 for record in records {
-                    self.record(now, record);
+                    self.apply_record(now, record);
                 }
-                self.due.insert((now, Due::Sync));
+                self.timers.insert((now, Timer::Sync));
             }
             Input::Tick => {
-                while let Some(&(at, due)) = self.due.first().filter(|(t, _)| *t <= now) {
-                    self.due.remove(&(at, due));
-                    self.fell_due(now, due);
+                while let Some(&(at, timer)) = self.timers.first().filter(|(t, _)| *t <= now) {
+                    self.timers.remove(&(at, timer));
+                    self.run_timer(now, timer);
                 }
             }
             Input::Leave => {
@@ -364,42 +372,42 @@
         }
     }
 
-    /// One's own record, sealed anew.
+    /// Replaces the own record with a newly sealed one.
     pub fn renew(&mut self, record: Record) {
-        self.renewing = None;
+        self.pending_incarnation = None;
         let leaving = record.leaving;
         self.own = record;
         let name = self.own.name.clone();
         self.news
             .retain(|(_, n)| !matches!(n, News::Record(r) if *r == name));
-        self.tell(News::Record(name));
+        self.queue_news(News::Record(name));
         if leaving {
-            // Said at once to a few: there is no later.
-            for address in self.pick(self.settings.indirect + 1, "") {
-                self.next += 1;
-                self.send(address, Say::Sync(false));
+            // Notifies a few members at once, because this instance sends nothing later.
+            for address in self.pick_members(self.settings.indirect + 1, "") {
+                self.next_number += 1;
+                self.send(address, MessageKind::Sync(false));
             }
         }
     }
 
-    /// An accusation of one's own, sealed.
+    /// Applies a sealed accusation by this instance.
     pub fn accuse(&mut self, now: Micros, accusation: Suspicion) {
-        self.accusation(now, accusation);
+        self.apply_accusation(now, accusation);
     }
 
-    fn tell(&mut self, news: News) {
+    fn queue_news(&mut self, news: News) {
         self.news.push((0, news));
     }
 
-    /// News for one message: what has gone out least comes first.
-    fn riders(&mut self, most: usize) -> (Vec<Record>, Vec<Suspicion>) {
-        let n = self.present() as u32 + 2;
-        let times = RETRANSMIT * (32 - n.leading_zeros());
-        // A refutation goes before what it refutes.
+    /// Returns up to `max_items` items to piggyback, those with the fewest sends first.
+    fn take_news(&mut self, max_items: usize) -> (Vec<Record>, Vec<Suspicion>) {
+        let n = self.live_members() as u32 + 2;
+        let times = RETRANSMIT_FACTOR * (32 - n.leading_zeros());
+        // A refutation precedes the accusation that it refutes.
         self.news
             .sort_by_key(|(sent, n)| (*sent, matches!(n, News::Accusation(_))));
         let (mut records, mut accusations) = (Vec::new(), Vec::new());
-        for (sent, news) in self.news.iter_mut().take(most) {
+        for (sent, news) in self.news.iter_mut().take(max_items) {
             *sent += 1;
             match news {
                 News::Record(name) if *name == self.own.name => records.push(self.own.clone()),
@@ -413,31 +421,32 @@
         (records, accusations)
     }
 
-    fn send(&mut self, to: SocketAddr, say: Say) {
-        let (records, mut accusations) = self.riders(PIGGYBACKED_PER_MESSAGE);
-        // The buddy system: who is suspected or thought dead hears of it from whoever speaks with it.
-        let voice = self
+    fn send(&mut self, to: SocketAddr, say: MessageKind) {
+        let (records, mut accusations) = self.take_news(PIGGYBACKED_PER_MESSAGE);
+        // Lifeguard's buddy system: every message to a suspected or dead member carries the
+        // accusation.
+        let last_suspicion = self
             .members
             .values()
             .find(|m| m.record.address == to)
-            .and_then(|m| m.voice.clone());
-        accusations.extend(voice);
+            .and_then(|m| m.last_suspicion.clone());
+        accusations.extend(last_suspicion);
         self.outputs.push_back(Output::Send(
             to,
             Message {
-                say,
+                kind: say,
                 records,
                 accusations,
             },
         ));
     }
 
-    /// A few members that are there, at random, but for one.
-    fn pick(&mut self, n: usize, but: &str) -> Vec<SocketAddr> {
+    /// Returns the addresses of up to `n` random alive members other than `except`.
+    fn pick_members(&mut self, n: usize, except: &str) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self
             .members
             .iter()
-            .filter(|(name, m)| m.standing == MemberState::Alive && *name != but)
+            .filter(|(name, m)| m.standing == MemberState::Alive && *name != except)
             .map(|(_, m)| m.record.address)
             .collect();
         let mut chosen = Vec::new();
@@ -448,7 +457,7 @@
         chosen
     }
 
-    fn set(&mut self, now: Micros, name: &str, standing: MemberState) {
+    fn set_state(&mut self, now: Micros, name: &str, standing: MemberState) {
         let Some(m) = self
             .members
             .get_mut(name)
@@ -462,14 +471,14 @@
         }
         self.outputs
             .push_back(Output::Changed(name.to_owned(), standing));
-        self.outputs.push_back(Output::Keep);
+        self.outputs.push_back(Output::StoreMembers);
     }
 
-    // ---- What others say ----
+    // ---- Received messages ----
 
-    fn message(&mut self, now: Micros, from: &str, address: SocketAddr, message: Message) {
+    fn handle_message(&mut self, now: Micros, from: &str, address: SocketAddr, message: Message) {
         let Message {
-            say,
+            kind: say,
             records,
             accusations,
         } = message;
@@ -478,102 +487,113 @@
             .get(from)
             .is_none_or(|m| m.standing != MemberState::Alive);
         for record in records {
-            self.record(now, record);
+            self.apply_record(now, record);
         }
         for a in accusations {
-            self.accusation(now, a);
+            self.apply_accusation(now, a);
         }
         if let Some(m) = self.members.get_mut(from) {
             m.heard = now;
         }
         match say {
-            Say::Ping(number, name) if name == self.own.name => {
-                self.send(address, Say::Ack(number));
+            MessageKind::Ping(number, name) if name == self.own.name => {
+                self.send(address, MessageKind::Ack(number));
             }
-            // Another had this address before.
-            Say::Ping(..) => {}
-            Say::Ack(number) => self.acked(now, from, number),
-            Say::Nack(number) => {
+            // The probe is for a member that had this address before.
+            MessageKind::Ping(..) => {}
+            MessageKind::Ack(number) => self.handle_ack(now, from, number),
+            MessageKind::Nack(number) => {
                 if let Some(p) = self.probes.get_mut(&number) {
                     p.nacks += 1;
                 }
             }
-            Say::PingFor(number, name) => {
+            MessageKind::PingRequest(number, name) => {
                 let Some(to) = self.members.get(&name).map(|m| m.record.address) else {
                     return;
                 };
-                if self.favours.len() >= 64 {
+                if self.indirect_requests.len() >= 64 {
                     return;
                 }
-                self.next += 1;
-                let ours = self.next;
-                self.favours.insert(ours, (address, number));
-                self.due
-                    .insert((now + self.settings.timeout, Due::For(ours)));
-                self.send(to, Say::Ping(ours, name));
+                self.next_number += 1;
+                let own_number = self.next_number;
+                self.indirect_requests.insert(own_number, (address, number));
+                self.timers.insert((
+                    now + self.settings.timeout,
+                    Timer::IndirectTimeout(own_number),
+                ));
+                self.send(to, MessageKind::Ping(own_number, name));
             }
-            Say::Sync(wanted) => {
-                // Once a second each: who asks more often costs no more than that.
-                let often = self
+            MessageKind::Sync(wants_reply) => {
+                // Answers each member at most once per second, so that more requests cost no more
+                // traffic.
+                let answered_recently = self
                     .members
                     .get(from)
                     .is_some_and(|m| now < m.synced + SECOND);
-                if wanted && !often {
+                if wants_reply && !answered_recently {
                     if let Some(m) = self.members.get_mut(from) {
                         m.synced = now;
                     }
-                    // One that is new is told all at once.
-                    let pages = if new { self.pages().min(MOST_PAGES) } else { 1 };
+                    // A new member receives all pages of the member list at once, up to a limit.
+                    let pages = if new {
+                        self.pages().min(MAX_SYNC_PAGES)
+                    } else {
+                        1
+                    };
                     (0..pages).for_each(|_| self.sync(address, false));
                 }
             }
         }
     }
 
-    /// Whether an accuser has lost its voice.
-    fn silenced(&self, now: Micros, by: &str) -> bool {
-        self.faults
+    /// Returns whether accusations by this member are ignored.
+    fn is_muted(&self, now: Micros, by: &str) -> bool {
+        self.refuted_accusations
             .get(by)
-            .is_some_and(|(n, at)| *n >= FAULTS && now < at + SILENCED)
+            .is_some_and(|(n, at)| *n >= MAX_REFUTED_ACCUSATIONS && now < at + MUTE_DURATION)
     }
 
-    /// An accusation was refuted.
-    fn fault(&mut self, now: Micros, by: &str) {
+    /// Counts a refuted accusation against its accuser.
+    fn count_refuted_accusation(&mut self, now: Micros, by: &str) {
         if !self.members.contains_key(by) {
             return;
         }
-        let fault = self.faults.entry(by.to_owned()).or_insert((0, now));
-        *fault = if now < fault.1 + SILENCED {
+        let fault = self
+            .refuted_accusations
+            .entry(by.to_owned())
+            .or_insert((0, now));
+        *fault = if now < fault.1 + MUTE_DURATION {
             (fault.0.saturating_add(1), now)
         } else {
             (1, now)
         };
     }
 
-    fn acked(&mut self, now: Micros, from: &str, number: u64) {
-        if let Some((asker, theirs)) = self.favours.remove(&number) {
-            return self.send(asker, Say::Ack(theirs));
+    fn handle_ack(&mut self, now: Micros, from: &str, number: u64) {
+        if let Some((requester, requester_number)) = self.indirect_requests.remove(&number) {
+            return self.send(requester, MessageKind::Ack(requester_number));
         }
         let Some(p) = self.probes.get(&number) else {
             return;
         };
-        // An ack of another, relayed, counts for the target: it carries the relay's name.
+        // A relayed ack carries the relay's name, so it counts once indirect probes were requested.
         let direct = p.target == from;
         if direct || p.indirect {
             let target = p.target.clone();
             self.probes.remove(&number);
-            self.unwell = self.unwell.saturating_sub(1);
+            self.health_score = self.health_score.saturating_sub(1);
             if let Some(m) = self.members.get_mut(&target) {
                 m.heard = now;
             }
         }
     }
 
-    /// A record that its member sealed.
-    fn record(&mut self, now: Micros, record: Record) {
+    /// Applies a record sealed by its member.
+    fn apply_record(&mut self, now: Micros, record: Record) {
         let name = record.name.clone();
         if name == self.own.name {
-            // One's own, from another life or from a clock that was ahead: outdone, so that it is not believed.
+            // An own record from an earlier run or from a clock that was ahead: a higher
+            // incarnation supersedes it.
             if record.incarnation > self.own.incarnation
                 || (record.incarnation == self.own.incarnation && record != self.own)
             {
@@ -585,14 +605,14 @@
             Some(m) if record.incarnation <= m.record.incarnation => return,
             Some(m) => {
                 m.record = record;
-                m.voice = None;
+                m.last_suspicion = None;
                 for by in std::mem::take(&mut m.accusers) {
-                    self.fault(now, &by);
+                    self.count_refuted_accusation(now, &by);
                 }
             }
             None => {
-                // One that has left is not news to who never knew it.
-                if self.members.len() >= self.settings.most || record.leaving {
+                // A departed member is irrelevant to an instance that did not know it.
+                if self.members.len() >= self.settings.max_members || record.leaving {
                     return;
                 }
                 let member = Member {
@@ -602,21 +622,21 @@
                     heard: now,
                     accusers: BTreeSet::new(),
                     suspicion: None,
-                    voice: None,
+                    last_suspicion: None,
                     synced: 0,
                 };
                 self.members.insert(name.clone(), member);
-                let at = self.random.next_u64() as usize % (self.round.len() + 1);
-                self.round.insert(at, name.clone());
+                let at = self.random.next_u64() as usize % (self.probe_order.len() + 1);
+                self.probe_order.insert(at, name.clone());
             }
         }
         self.news.retain(|(_, n)| match n {
             News::Record(r) => *r != name,
             News::Accusation(a) => a.accused != name,
         });
-        self.tell(News::Record(name.clone()));
+        self.queue_news(News::Record(name.clone()));
         let leaving = self.members.get(&name).is_some_and(|m| m.record.leaving);
-        self.set(
+        self.set_state(
             now,
             &name,
             if leaving {
@@ -629,96 +649,98 @@
 
     fn refute(&mut self, incarnation: u64) {
         let next = incarnation.max(self.own.incarnation).saturating_add(1);
-        if self.renewing < Some(next) {
-            self.renewing = Some(next);
+        if self.pending_incarnation < Some(next) {
+            self.pending_incarnation = Some(next);
             self.outputs.push_back(Output::Renew(next, self.leaving));
         }
     }
 
-    /// A voice against a member.
-    fn accusation(&mut self, now: Micros, a: Suspicion) {
+    /// Applies an accusation of a member.
+    fn apply_accusation(&mut self, now: Micros, a: Suspicion) {
         if a.accused == self.own.name {
             if a.incarnation == self.own.incarnation && !self.leaving {
-                // To be suspected is a sign of being slow oneself, unless by one who suspects everybody.
-                if !self.silenced(now, &a.by) {
-                    self.unwell = (self.unwell + 1).min(MOST_UNWELL);
+                // An accusation indicates that this instance is slow, unless the accuser is muted.
+                if !self.is_muted(now, &a.by) {
+                    self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
                 }
-                if self.renewing.is_none() {
-                    self.fault(now, &a.by);
+                if self.pending_incarnation.is_none() {
+                    self.count_refuted_accusation(now, &a.by);
                 }
                 self.refute(a.incarnation);
             }
             return;
         }
-        // Only members have a voice, and only while most of what they say holds.
+        // Only members may accuse, and only while they are not muted.
         let known = a.by == self.own.name
             || self
                 .members
                 .get(&a.by)
                 .is_some_and(|m| m.standing != MemberState::Left);
-        if !known || self.silenced(now, &a.by) {
+        if !known || self.is_muted(now, &a.by) {
             return;
         }
-        let n = self.present();
-        let least = self.least_suspicion(n);
-        let most = (least as f64 * self.settings.suspicion_most) as Micros;
+        let n = self.live_members();
+        let min_duration = self.min_suspicion_duration(n);
+        let max_duration = (min_duration as f64 * self.settings.max_suspicion_factor) as Micros;
         let Some(m) = self.members.get_mut(&a.accused) else {
             return;
         };
-        // Of an incarnation that the accused never sealed, or has outdone: it says nothing.
+        // Ignores accusations of an incarnation that the accused never sealed or has superseded.
         let counts = a.incarnation == m.record.incarnation && m.standing <= MemberState::Suspect;
         if !counts || m.accusers.contains(&a.by) || m.accusers.len() > CONFIRMATIONS as usize {
             return;
         }
         m.accusers.insert(a.by.clone());
-        m.voice = Some(a.clone());
-        let voices = (m.accusers.len() - 1) as f64;
-        let shorter = (voices + 1.0).ln() / (f64::from(CONFIRMATIONS) + 1.0).ln();
-        let span = most - ((most - least) as f64 * shorter.min(1.0)) as Micros;
-        let began = m.suspicion.map_or(now, |(began, _)| began);
-        m.suspicion = Some((began, began + span));
-        self.tell(News::Accusation(a.clone()));
-        self.set(now, &a.accused, MemberState::Suspect);
-        self.due.insert((began + span, Due::Sweep));
-    }
-
-    fn least_suspicion(&self, n: usize) -> Micros {
+        m.last_suspicion = Some(a.clone());
+        let confirmations = (m.accusers.len() - 1) as f64;
+        let reduction = (confirmations + 1.0).ln() / (f64::from(CONFIRMATIONS) + 1.0).ln();
+        let duration =
+            max_duration - ((max_duration - min_duration) as f64 * reduction.min(1.0)) as Micros;
+        let started = m.suspicion.map_or(now, |(started, _)| started);
+        m.suspicion = Some((started, started + duration));
+        self.queue_news(News::Accusation(a.clone()));
+        self.set_state(now, &a.accused, MemberState::Suspect);
+        self.timers.insert((started + duration, Timer::Sweep));
+    }
+
+    fn min_suspicion_duration(&self, n: usize) -> Micros {
         let digits = ((n.max(1) as f64).log10()).max(1.0);
-        (self.settings.suspicion * digits * self.settings.interval as f64) as Micros
+        (self.settings.min_suspicion * digits * self.settings.interval as f64) as Micros
     }
 
-    // ---- Time ----
+    // ---- Timers ----
 
-    fn fell_due(&mut self, now: Micros, due: Due) {
-        let pace = Micros::from(self.unwell + 1);
-        match due {
-            Due::Probe => {
+    fn run_timer(&mut self, now: Micros, timer: Timer) {
+        let slowdown = Micros::from(self.health_score + 1);
+        match timer {
+            Timer::Probe => {
                 self.probe(now);
-                self.due
-                    .insert((now + self.settings.interval * pace, Due::Probe));
+                self.timers
+                    .insert((now + self.settings.interval * slowdown, Timer::Probe));
             }
-            Due::Direct(number) => {
+            Timer::DirectTimeout(number) => {
                 let Some(p) = self.probes.get_mut(&number) else {
                     return;
                 };
                 p.indirect = true;
                 let target = p.target.clone();
-                let others = self.pick(self.settings.indirect, &target);
+                let others = self.pick_members(self.settings.indirect, &target);
                 if let Some(p) = self.probes.get_mut(&number) {
                     p.asked = others.len();
                 }
                 for to in others {
-                    self.send(to, Say::PingFor(number, target.clone()));
+                    self.send(to, MessageKind::PingRequest(number, target.clone()));
                 }
             }
-            Due::End(number) => {
+            Timer::ProbeEnd(number) => {
                 let Some(p) = self.probes.remove(&number) else {
                     return;
                 };
-                // Those asked would have said so if only the target were silent: what is missing of that is a sign
-                // against oneself.
+                // The members asked send a nack if only the target is silent, so missing nacks
+                // indicate a problem of this instance.
                 let missing = p.asked.saturating_sub(p.nacks) as u32;
-                self.unwell = (self.unwell + missing.max(u32::from(p.asked == 0))).min(MOST_UNWELL);
+                self.health_score = (self.health_score + missing.max(u32::from(p.asked == 0)))
+                    .min(MAX_HEALTH_SCORE);
                 let incarnation = self
                     .members
                     .get(&p.target)
@@ -728,19 +750,20 @@
                         .push_back(Output::Accuse(p.target, incarnation));
                 }
             }
-            Due::For(number) => {
-                if let Some((asker, theirs)) = self.favours.remove(&number) {
-                    self.send(asker, Say::Nack(theirs));
+            Timer::IndirectTimeout(number) => {
+                if let Some((requester, requester_number)) = self.indirect_requests.remove(&number)
+                {
+                    self.send(requester, MessageKind::Nack(requester_number));
                 }
             }
-            Due::Sync => {
-                let others = self.pick(1, "");
+            Timer::Sync => {
+                let others = self.pick_members(1, "");
                 let to = match others.first() {
                     Some(to) => Some(*to),
-                    // Alone: the seeds, and those who were there before.
+                    // No live members: tries the seeds and the earlier members.
                     None => self.any_address(),
                 };
-                let soon = if others.is_empty() {
+                let sync_delay = if others.is_empty() {
                     self.settings.interval
                 } else {
                     self.settings.sync
@@ -748,10 +771,10 @@
                 if let Some(to) = to {
                     self.sync(to, true);
                 }
-                self.due.retain(|(_, d)| *d != Due::Sync);
-                self.due.insert((now + soon, Due::Sync));
+                self.timers.retain(|(_, d)| *d != Timer::Sync);
+                self.timers.insert((now + sync_delay, Timer::Sync));
             }
-            Due::Sweep => self.sweep(now),
+            Timer::Sweep => self.sweep(now),
         }
     }
 
@@ -773,30 +796,31 @@
     }
 
     fn probe(&mut self, now: Micros) {
-        for _ in 0..=self.round.len() {
-            let Some(name) = self.round.pop_front() else {
+        for _ in 0..=self.probe_order.len() {
+            let Some(name) = self.probe_order.pop_front() else {
                 return;
             };
             let Some(m) = self.members.get(&name) else {
                 continue;
             };
             let address = m.record.address;
-            // Those thought dead are asked now and then, or two halves of a group would never find together again.
-            let due = match m.standing {
+            // Dead members are contacted occasionally; otherwise the halves of a partitioned group
+            // would never merge again.
+            let selected = match m.standing {
                 MemberState::Alive | MemberState::Suspect => true,
                 MemberState::Dead => self.random.next_u64().is_multiple_of(4),
                 MemberState::Left => false,
             };
-            self.round.push_back(name.clone());
-            if !due {
+            self.probe_order.push_back(name.clone());
+            if !selected {
                 continue;
             }
             if m.standing == MemberState::Dead {
                 return self.sync(address, true);
             }
-            self.next += 1;
-            let number = self.next;
-            let pace = Micros::from(self.unwell + 1);
+            self.next_number += 1;
+            let number = self.next_number;
+            let slowdown = Micros::from(self.health_score + 1);
             self.probes.insert(
                 number,
                 Probe {
@@ -806,41 +830,45 @@
                     indirect: false,
                 },
             );
-            self.due
-                .insert((now + self.settings.timeout * pace, Due::Direct(number)));
-            self.due
-                .insert((now + self.settings.interval * pace, Due::End(number)));
-            return self.send(address, Say::Ping(number, name));
+            self.timers.insert((
+                now + self.settings.timeout * slowdown,
+                Timer::DirectTimeout(number),
+            ));
+            self.timers.insert((
+                now + self.settings.interval * slowdown,
+                Timer::ProbeEnd(number),
+            ));
+            return self.send(address, MessageKind::Ping(number, name));
         }
     }
 
-    /// Pages that all that is known takes.
+    /// Returns the number of pages of a full state exchange.
     fn pages(&self) -> usize {
-        self.present().div_ceil(MEMBERS_PER_MESSAGE - 1).max(1)
+        self.live_members().div_ceil(MEMBERS_PER_MESSAGE - 1).max(1)
     }
 
-    /// A page of all that is known; with each exchange the next one.
-    fn sync(&mut self, to: SocketAddr, wanted: bool) {
+    /// Sends the next page of the known members.
+    fn sync(&mut self, to: SocketAddr, wants_reply: bool) {
         let mut all: Vec<Record> = vec![self.own.clone()];
-        self.page = (self.page + 1) % self.pages();
+        self.sync_page = (self.sync_page + 1) % self.pages();
         let known = self
             .members
             .values()
             .filter(|m| m.standing <= MemberState::Suspect);
         all.extend(
             known
-                .skip(self.page * (MEMBERS_PER_MESSAGE - 1))
+                .skip(self.sync_page * (MEMBERS_PER_MESSAGE - 1))
                 .take(MEMBERS_PER_MESSAGE - 1)
                 .map(|m| m.record.clone()),
         );
-        let voice = self
+        let last_suspicion = self
             .members
             .values()
             .find(|m| m.record.address == to)
-            .and_then(|m| m.voice.clone());
-        let accusations = voice.into_iter().collect();
+            .and_then(|m| m.last_suspicion.clone());
+        let accusations = last_suspicion.into_iter().collect();
         let message = Message {
-            say: Say::Sync(wanted),
+            kind: MessageKind::Sync(wants_reply),
             records: all,
             accusations,
         };
@@ -848,17 +876,17 @@
     }
 
     fn sweep(&mut self, now: Micros) {
-        let over = |m: &&Member| m.suspicion.is_some_and(|(_, end)| end <= now);
+        let expired = |m: &&Member| m.suspicion.is_some_and(|(_, end)| end <= now);
         let dead: Vec<String> = self
             .members
             .values()
-            .filter(over)
+            .filter(expired)
             .map(|m| m.record.name.clone())
             .collect();
         for name in dead {
             self.news
                 .retain(|(_, n)| !matches!(n, News::Accusation(a) if a.accused == name));
-            self.set(now, &name, MemberState::Dead);
+            self.set_state(now, &name, MemberState::Dead);
         }
         let forget = self.settings.forget;
         let gone = |m: &&Member| m.standing >= MemberState::Dead && now >= m.since + forget;
@@ -870,19 +898,19 @@
             .collect();
         for name in gone {
             self.members.remove(&name);
-            self.round.retain(|n| *n != name);
-            self.faults.remove(&name);
+            self.probe_order.retain(|n| *n != name);
+            self.refuted_accusations.remove(&name);
             self.outputs.push_back(Output::Forgotten(name));
         }
-        self.due.retain(|(_, d)| *d != Due::Sweep);
+        self.timers.retain(|(_, d)| *d != Timer::Sweep);
         let next = self
             .members
             .values()
             .filter_map(|m| m.suspicion.map(|(_, end)| end))
             .min();
-        self.due.insert((
+        self.timers.insert((
             next.unwrap_or(now + SECOND).min(now + SECOND).max(now + 1),
-            Due::Sweep,
+            Timer::Sweep,
         ));
     }
 }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,7 +1,8 @@
-//! Datagrams: protobuf within one MTU, versioned, each sealed and fresh, with a replay window for each sender.
+//! Datagrams: versioned protobuf within one MTU, sealed and timestamped, with a replay window per
+//! sender.
 //!
-//! What does not fit is left out and goes with a later one: nothing is put together from parts, so that nobody's
-//! sizes are trusted. Unknown fields pass; an unknown version is refused and counted.
+//! Items that do not fit are sent in a later datagram. There is no fragmentation, so no declared
+//! size has to be trusted. Unknown fields are ignored; an unknown version is rejected and counted.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,23 +13,23 @@
 use super::is_name;
 use super::keys::Keys;
 use super::observations::Observation;
-use super::swim::{Message, Record, Say, Suspicion};
+use super::swim::{Message, MessageKind, Record, Suspicion};
 use crate::api::{Micros, WorkerId};
 
-/// The version of this wire.
+/// Version of the wire format.
 pub const VERSION: u32 = 1;
-/// Bytes of a datagram at most: within an Ethernet's MTU, with room for tunnels.
+/// Maximum size of a datagram in bytes: within the Ethernet MTU, with room for tunnels.
 pub const MTU: usize = 1200;
-/// How far the clocks of members may be apart, and how late a datagram may come.
+/// Maximum difference between the clocks of members, and maximum delay of a datagram.
 pub const SKEW: Micros = 10_000_000;
-/// Observations in one sighting.
+/// Maximum number of workers in one sealed observation.
 pub const MAX_OBSERVATIONS: usize = 24;
 
-/// What is sealed: a seal for one is none for another.
+/// Purposes of seals: a seal for one purpose is invalid for any other.
 const ENVELOPE: u8 = 1;
 const RECORD: u8 = 2;
 const ACCUSATION: u8 = 3;
-const SIGHTING: u8 = 4;
+const OBSERVATION: u8 = 4;
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Envelope {
@@ -48,7 +49,8 @@
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Body {
-    /// 1 ping, 2 ack, 3 ping for another, 4 nack, 5 exchange, 6 exchange that wants an answer.
+    /// 1 ping, 2 ack, 3 indirect ping request, 4 nack, 5 exchange, 6 exchange with an answer
+    /// requested.
     #[prost(uint32, tag = "1")]
     say: u32,
     #[prost(uint64, tag = "2")]
@@ -60,7 +62,7 @@
     #[prost(message, repeated, tag = "5")]
     accusations: Vec<AccusationPart>,
     #[prost(message, repeated, tag = "6")]
-    sightings: Vec<SightingPart>,
+    observations: Vec<ObservationPart>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -90,19 +92,19 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct SightingPart {
+struct ObservationPart {
     #[prost(string, tag = "1")]
     origin: String,
     #[prost(uint64, tag = "2")]
     at_us: u64,
     #[prost(message, repeated, tag = "3")]
-    seen: Vec<SeenPart>,
+    seen: Vec<WorkerOutcomesPart>,
     #[prost(bytes = "vec", tag = "4")]
     seal: Vec<u8>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct SeenPart {
+struct WorkerOutcomesPart {
     #[prost(fixed32, tag = "1")]
     worker: u32,
     #[prost(uint32, tag = "2")]
@@ -115,42 +117,42 @@
     refused: u32,
 }
 
-/// What an origin saw over one window, sealed by it.
+/// Observations by one origin over one window, sealed by the origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SealedObservation {
-    /// Whose word it is.
+    /// Name of the origin.
     pub origin: String,
-    /// The end of its window.
+    /// End of the window, in Unix microseconds by the origin's clock.
     pub at: Micros,
-    /// What it saw.
+    /// Observed workers with their outcomes.
     pub seen: Vec<(WorkerId, Observation)>,
-    /// Its seal.
+    /// The origin's seal.
     pub seal: Vec<u8>,
 }
 
-/// Why a datagram, or a part of one, is not taken.
+/// Reasons why a datagram, or a part of one, is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DatagramError {
-    /// It is longer than a datagram may be.
+    /// The datagram is longer than [`MTU`].
     TooLong,
-    /// It cannot be read.
+    /// The datagram cannot be decoded.
     Garbled,
-    /// It has another version.
+    /// The datagram has another version.
     Version,
-    /// No key is accepted for its sender.
+    /// No key is accepted for the sender.
     Stranger,
-    /// Its seal does not hold.
+    /// The seal is invalid.
     Seal,
-    /// It is too old, or from too far ahead.
+    /// The timestamp is too old or too far ahead.
     Stale,
-    /// It came before.
+    /// The sequence number was received before.
     Replayed,
-    /// A record, accusation or sighting in it is not sealed by whose word it is.
+    /// A record, accusation or observation in the datagram lacks a valid seal by its author.
     Part,
 }
 
 impl DatagramError {
-    /// Its name in counters.
+    /// Returns the name of the reason in counters.
     pub fn name(self) -> &'static str {
         match self {
             DatagramError::TooLong => "too_long",
@@ -171,15 +173,15 @@
     }
 }
 
-fn put(out: &mut Vec<u8>, part: &[u8]) {
+fn put_with_length(out: &mut Vec<u8>, part: &[u8]) {
     out.extend((part.len() as u64).to_le_bytes());
     out.extend(part);
 }
 
 fn record_content(name: &str, address: &str, incarnation: u64, leaving: bool) -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, name.as_bytes());
-    put(&mut out, address.as_bytes());
+    put_with_length(&mut out, name.as_bytes());
+    put_with_length(&mut out, address.as_bytes());
     out.extend(incarnation.to_le_bytes());
     out.push(u8::from(leaving));
     out
@@ -187,15 +189,15 @@
 
 fn accusation_content(accused: &str, incarnation: u64, by: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, accused.as_bytes());
-    put(&mut out, by.as_bytes());
+    put_with_length(&mut out, accused.as_bytes());
+    put_with_length(&mut out, by.as_bytes());
     out.extend(incarnation.to_le_bytes());
     out
 }
 
-fn sighting_content(origin: &str, at: Micros, seen: &[(WorkerId, Observation)]) -> Vec<u8> {
+fn observation_content(origin: &str, at: Micros, seen: &[(WorkerId, Observation)]) -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, origin.as_bytes());
+    put_with_length(&mut out, origin.as_bytes());
     out.extend(at.to_le_bytes());
     for (w, o) in seen {
         for n in [w.0, o.answered, o.failed, o.silent, o.refused] {
@@ -205,7 +207,7 @@
     out
 }
 
-/// Seals one's own record.
+/// Creates and seals the own record.
 pub fn seal_record(
     keys: &Keys,
     name: &str,
@@ -226,13 +228,13 @@
     }
 }
 
-/// Whether a record, such as one kept on disk, is sealed by its member.
+/// Returns whether a record, such as one stored on disk, has a valid seal by its member.
 pub fn check_record(keys: &Keys, r: &Record) -> bool {
     let content = record_content(&r.name, &r.address.to_string(), r.incarnation, r.leaving);
     keys.check(&r.name, RECORD, &content, &r.seal)
 }
 
-/// Seals an accusation of one's own.
+/// Creates and seals an accusation by this instance.
 pub fn seal_accusation(keys: &Keys, accused: &str, incarnation: u64, by: &str) -> Suspicion {
     let seal = keys.seal(ACCUSATION, &accusation_content(accused, incarnation, by));
     Suspicion {
@@ -243,14 +245,14 @@
     }
 }
 
-/// Seals what one saw.
-pub fn seal_sighting(
+/// Creates and seals the observations by this instance.
+pub fn seal_observation(
     keys: &Keys,
     origin: &str,
     at: Micros,
     seen: Vec<(WorkerId, Observation)>,
 ) -> SealedObservation {
-    let seal = keys.seal(SIGHTING, &sighting_content(origin, at, &seen));
+    let seal = keys.seal(OBSERVATION, &observation_content(origin, at, &seen));
     SealedObservation {
         origin: origin.into(),
         at,
@@ -262,10 +264,10 @@
 fn envelope_content(e: &Envelope) -> Vec<u8> {
     let mut out = Vec::with_capacity(e.body.len() + 96);
     out.extend(e.version.to_le_bytes());
-    put(&mut out, e.from.as_bytes());
+    put_with_length(&mut out, e.from.as_bytes());
     out.extend(e.number.to_le_bytes());
     out.extend(e.sent_us.to_le_bytes());
-    put(&mut out, &e.body);
+    put_with_length(&mut out, &e.body);
     out
 }
 
@@ -279,24 +281,24 @@
     }
 }
 
-/// A datagram of at most `most` bytes; parts that do not fit are left out, the last ones first. `sightings` is asked
-/// for one after the other, with the bytes that are left, until it has none that fits.
+/// Encodes a datagram of at most `max_bytes`, without the items that do not fit. `observations` is
+/// called with the number of bytes left until it returns `None` or an item that does not fit.
 pub fn pack(
     keys: &Keys,
     from: &str,
     number: u64,
     now: Micros,
     message: &Message,
-    most: usize,
-    mut sightings: impl FnMut(usize) -> Option<SealedObservation>,
+    max_bytes: usize,
+    mut observations: impl FnMut(usize) -> Option<SealedObservation>,
 ) -> Option<Vec<u8>> {
-    let (say, asked, name) = match &message.say {
-        Say::Ping(n, name) => (1, *n, name.clone()),
-        Say::Ack(n) => (2, *n, String::new()),
-        Say::PingFor(n, name) => (3, *n, name.clone()),
-        Say::Nack(n) => (4, *n, String::new()),
-        Say::Sync(false) => (5, 0, String::new()),
-        Say::Sync(true) => (6, 0, String::new()),
+    let (say, asked, name) = match &message.kind {
+        MessageKind::Ping(n, name) => (1, *n, name.clone()),
+        MessageKind::Ack(n) => (2, *n, String::new()),
+        MessageKind::PingRequest(n, name) => (3, *n, name.clone()),
+        MessageKind::Nack(n) => (4, *n, String::new()),
+        MessageKind::Sync(false) => (5, 0, String::new()),
+        MessageKind::Sync(true) => (6, 0, String::new()),
     };
     let mut body = Body {
         say,
@@ -304,8 +306,8 @@
         name,
         ..Body::default()
     };
-    // The envelope around a body: its fields, their tags and lengths, and the longest seal.
-    let room = most.checked_sub(from.len() + 64 + 40)?;
+    // Size of the envelope: its fields, their tags and lengths, and the longest seal.
+    let room = max_bytes.checked_sub(from.len() + 64 + 40)?;
     let mut left = room.checked_sub(body.encoded_len())?;
     let mut fits = |size: usize| {
         let whole = size + 4;
@@ -330,15 +332,15 @@
             body.accusations.push(part);
         }
     }
-    while let Some(s) = sightings(left.saturating_sub(4)) {
-        let seen = s.seen.iter().map(|(w, o)| SeenPart {
+    while let Some(s) = observations(left.saturating_sub(4)) {
+        let seen = s.seen.iter().map(|(w, o)| WorkerOutcomesPart {
             worker: w.0,
             answered: o.answered,
             failed: o.failed,
             silent: o.silent,
             refused: o.refused,
         });
-        let part = SightingPart {
+        let part = ObservationPart {
             origin: s.origin,
             at_us: s.at,
             seen: seen.collect(),
@@ -349,7 +351,7 @@
             break;
         }
         left -= whole;
-        body.sightings.push(part);
+        body.observations.push(part);
     }
     let mut e = Envelope {
         version: VERSION,
@@ -361,25 +363,25 @@
     };
     e.seal = keys.seal(ENVELOPE, &envelope_content(&e));
     let bytes = e.encode_to_vec();
-    (bytes.len() <= most).then_some(bytes)
+    (bytes.len() <= max_bytes).then_some(bytes)
 }
 
-/// Bytes that a sighting takes in a datagram.
-pub fn sighting_size(origin: &str, seen: usize) -> usize {
+/// Returns the upper bound of the bytes that a sealed observation takes in a datagram.
+pub fn sealed_observation_size(origin: &str, seen: usize) -> usize {
     origin.len() + 64 + 20 + seen * 27
 }
 
-/// Numbers seen of one sender: those below the window count as seen.
+/// Sequence numbers received from one sender. Numbers below the window count as received.
 #[derive(Clone, Copy, Debug, Default)]
-struct Window {
+struct ReplayWindow {
     highest: u64,
     bits: u128,
     heard: Micros,
 }
 
-impl Window {
-    /// Takes a number; `false` if it was taken before or is too old to tell.
-    fn take(&mut self, number: u64) -> bool {
+impl ReplayWindow {
+    /// Records a number. Returns `false` if it was received before or is below the window.
+    fn accept(&mut self, number: u64) -> bool {
         if number > self.highest {
             let ahead = number - self.highest;
             self.bits = if ahead >= 128 { 0 } else { self.bits << ahead };
@@ -395,32 +397,33 @@
     }
 }
 
-/// What a datagram brought.
+/// Verified contents of a datagram.
 #[derive(Debug)]
 pub struct Opened {
-    /// Who sent it.
+    /// Name of the sender.
     pub from: String,
-    /// Its message, with the parts whose seals hold.
+    /// The message, without known records and items with invalid seals.
     pub message: Message,
-    /// Sightings whose seals hold.
-    pub sightings: Vec<SealedObservation>,
-    /// Parts that were left out, as their seals do not hold.
+    /// Sealed observations with valid seals.
+    pub observations: Vec<SealedObservation>,
+    /// Number of items dropped because of an invalid seal, name, address or length.
     pub refused: u32,
 }
 
-/// Opens datagrams.
+/// Decodes and verifies datagrams.
 #[derive(Clone, Debug, Default)]
-pub struct Opener {
-    windows: BTreeMap<String, Window>,
-    /// How many were refused, by why.
+pub struct Decoder {
+    windows: BTreeMap<String, ReplayWindow>,
+    /// Number of rejected datagrams by reason.
     pub refused: BTreeMap<&'static str, u64>,
 }
 
-/// Senders whose numbers are remembered.
-const MOST_WINDOWS: usize = 4096;
+/// Number of senders with replay windows above which stale windows are removed.
+const MAX_SENDERS: usize = 4096;
 
-impl Opener {
-    /// Opens a datagram. What costs little is looked at first; seals last.
+impl Decoder {
+    /// Decodes and verifies a datagram. Cheap checks come before the seals. `known` returns whether
+    /// a record is already known, so that its seal needs no check.
     pub fn open(
         &mut self,
         keys: &Keys,
@@ -454,7 +457,7 @@
         if e.version != VERSION {
             return Err(DatagramError::Version);
         }
-        if !is_name(&e.from) || !keys.knows(&e.from) {
+        if !is_name(&e.from) || !keys.accepts_name(&e.from) {
             return Err(DatagramError::Stranger);
         }
         if e.sent_us.abs_diff(now) > SKEW {
@@ -463,24 +466,24 @@
         if !keys.check(&e.from, ENVELOPE, &envelope_content(&e), &e.seal) {
             return Err(DatagramError::Seal);
         }
-        let full = self.windows.len() >= MOST_WINDOWS && !self.windows.contains_key(&e.from);
+        let full = self.windows.len() >= MAX_SENDERS && !self.windows.contains_key(&e.from);
         if full {
-            // What is older than the skew is refused by its time alone.
+            // The timestamp check alone rejects replays older than the skew.
             self.windows.retain(|_, w| w.heard + 2 * SKEW > now);
         }
         let window = self.windows.entry(e.from.clone()).or_default();
-        if !window.take(e.number) {
+        if !window.accept(e.number) {
             return Err(DatagramError::Replayed);
         }
         window.heard = now;
         let body = Body::decode(&e.body[..]).map_err(|_| DatagramError::Garbled)?;
         let say = match body.say {
-            1 => Say::Ping(body.number, body.name),
-            2 => Say::Ack(body.number),
-            3 => Say::PingFor(body.number, body.name),
-            4 => Say::Nack(body.number),
-            5 => Say::Sync(false),
-            6 => Say::Sync(true),
+            1 => MessageKind::Ping(body.number, body.name),
+            2 => MessageKind::Ack(body.number),
+            3 => MessageKind::PingRequest(body.number, body.name),
+            4 => MessageKind::Nack(body.number),
+            5 => MessageKind::Sync(false),
+            6 => MessageKind::Sync(true),
             _ => return Err(DatagramError::Garbled),
         };
         let mut refused = 0;
@@ -497,7 +500,7 @@
                 leaving: part.leaving,
                 seal: part.seal,
             };
-            // One that is known already brings no news, and its seal was checked when it was.
+            // A known record is not new, and its seal was verified before.
             if known(&r) {
                 continue;
             }
@@ -527,7 +530,7 @@
             }
         }
         let mut sightings = Vec::new();
-        for part in body.sightings {
+        for part in body.observations {
             let seen: Vec<(WorkerId, Observation)> = part
                 .seen
                 .iter()
@@ -542,9 +545,9 @@
                     (WorkerId(s.worker), o)
                 })
                 .collect();
-            let content = sighting_content(&part.origin, part.at_us, &seen);
+            let content = observation_content(&part.origin, part.at_us, &seen);
             if seen.len() <= MAX_OBSERVATIONS
-                && keys.check(&part.origin, SIGHTING, &content, &part.seal)
+                && keys.check(&part.origin, OBSERVATION, &content, &part.seal)
             {
                 sightings.push(SealedObservation {
                     origin: part.origin,
@@ -559,11 +562,11 @@
         Ok(Opened {
             from: e.from,
             message: Message {
-                say,
+                kind: say,
                 records,
                 accusations,
             },
-            sightings,
+            observations: sightings,
             refused,
         })
     }
--- a/src/membership/wire/tests.rs
+++ b/src/membership/wire/tests.rs
@@ -14,7 +14,7 @@
     let records = vec![seal_record(keys, "a", address(1), 5, false)];
     let accusations = vec![seal_accusation(keys, "b", 3, "a")];
     Message {
-        say: Say::Ping(7, "b".into()),
+        kind: MessageKind::Ping(7, "b".into()),
         records,
         accusations,
     }
@@ -28,7 +28,7 @@
         silent: 3,
         refused: 4,
     };
-    seal_sighting(keys, "a", NOW, vec![(WorkerId(9), o)])
+    seal_observation(keys, "a", NOW, vec![(WorkerId(9), o)])
 }
 
 fn packed(keys: &Keys, number: u64) -> Vec<u8> {
@@ -37,20 +37,23 @@
 }
 
 #[test]
-fn a_datagram_comes_as_it_went_once_and_in_its_time() {
+fn datagram_is_accepted_once_and_while_fresh() {
     let (a, b) = (each(0, 2), each(1, 2));
-    let mut opener = Opener::default();
+    let mut opener = Decoder::default();
     let bytes = packed(&a, 10);
     let opened = opener.open(&b, NOW + 5, &bytes, |_| false).unwrap();
     assert_eq!((opened.from.as_str(), &opened.message), ("a", &ping(&a)));
-    assert_eq!((opened.sightings, opened.refused), (vec![sighting(&a)], 0));
+    assert_eq!(
+        (opened.observations, opened.refused),
+        (vec![sighting(&a)], 0)
+    );
     assert_eq!(
         opener.open(&b, NOW + 6, &bytes, |_| false).unwrap_err(),
         DatagramError::Replayed
     );
     assert!(
         opener.open(&b, NOW, &packed(&a, 9), |_| false).is_ok(),
-        "overtaken by the one before"
+        "delivered out of order"
     );
     assert!(opener.open(&b, NOW, &packed(&a, 500), |_| false).is_ok());
     assert_eq!(
@@ -82,9 +85,9 @@
 }
 
 #[test]
-fn nobody_speaks_for_another() {
+fn forged_items_and_datagrams_are_rejected() {
     let (a, b) = (each(0, 3), each(1, 3));
-    // b forges: a's record, an accusation in a's name, a sighting of a's; and a whole datagram as a.
+    // `b` forges a record, an accusation and an observation by `a`, and a whole datagram from `a`.
     let records = vec![Record {
         name: "a".into(),
         ..seal_record(&b, "b", address(2), 99, false)
@@ -94,7 +97,7 @@
         ..seal_accusation(&b, "c", 1, "b")
     }];
     let message = Message {
-        say: Say::Sync(false),
+        kind: MessageKind::Sync(false),
         records,
         accusations,
     };
@@ -103,16 +106,16 @@
         ..sighting(&b)
     });
     let bytes = pack(&b, "b", 1, NOW, &message, MTU, |_| forged.take()).unwrap();
-    let opened = Opener::default().open(&a, NOW, &bytes, |_| false).unwrap();
+    let opened = Decoder::default().open(&a, NOW, &bytes, |_| false).unwrap();
     assert_eq!(opened.refused, 3);
     assert!(
         opened.message.records.is_empty()
             && opened.message.accusations.is_empty()
-            && opened.sightings.is_empty()
+            && opened.observations.is_empty()
     );
     let bytes = pack(&b, "a", 1, NOW, &message, MTU, |_| None).unwrap();
     assert_eq!(
-        Opener::default()
+        Decoder::default()
             .open(&each(2, 3), NOW, &bytes, |_| false)
             .unwrap_err(),
         DatagramError::Seal
@@ -120,12 +123,12 @@
 }
 
 #[test]
-fn another_version_is_refused_and_unknown_fields_pass() {
+fn other_version_is_rejected_and_unknown_fields_pass() {
     let (a, b) = (each(0, 2), each(1, 2));
     let mut e = Envelope::decode(&packed(&a, 1)[..]).unwrap();
     e.version = 2;
     e.seal = a.seal(ENVELOPE, &envelope_content(&e));
-    let mut opener = Opener::default();
+    let mut opener = Decoder::default();
     assert_eq!(
         opener
             .open(&b, NOW, &e.encode_to_vec(), |_| false)
@@ -140,11 +143,11 @@
 }
 
 proptest! {
-    /// Whatever comes, or however a good one is changed, nothing falls over and nothing changed is taken.
+    /// Random bytes cause no panic, and a datagram with a flipped bit is rejected.
     #[test]
-    fn damage_is_refused(noise in prop::collection::vec(any::<u8>(), 0..1300), at in any::<usize>(), bit in 0u8..8) {
+    fn damaged_datagrams_are_rejected(noise in prop::collection::vec(any::<u8>(), 0..1300), at in any::<usize>(), bit in 0u8..8) {
         let (a, b) = (each(0, 2), each(1, 2));
-        let mut opener = Opener::default();
+        let mut opener = Decoder::default();
         let _ = opener.open(&b, NOW, &noise, |_| false);
         let mut bytes = packed(&a, 1);
         let at = at % bytes.len();
@@ -152,13 +155,13 @@
         prop_assert!(opener.open(&b, NOW, &bytes, |_| false).is_err());
     }
 
-    /// A datagram is never longer than is asked, whatever rides on it.
+    /// A datagram never exceeds the requested size, whatever its contents.
     #[test]
-    fn what_does_not_fit_is_left_out(most in 0usize..MTU, n in 0usize..40) {
+    fn items_that_do_not_fit_are_omitted(max_bytes in 0usize..MTU, n in 0usize..40) {
         let a = each(0, 2);
         let records = (0..n).map(|i| seal_record(&a, &format!("member-{i}"), address(1), 5, false)).collect();
-        let message = Message { say: Say::Sync(true), records, accusations: Vec::new() };
-        let bytes = pack(&a, "a", 1, NOW, &message, most, |left| (left > 200).then(|| sighting(&a)));
-        prop_assert!(bytes.is_none_or(|b| b.len() <= most));
+        let message = Message { kind: MessageKind::Sync(true), records, accusations: Vec::new() };
+        let bytes = pack(&a, "a", 1, NOW, &message, max_bytes, |left| (left > 200).then(|| sighting(&a)));
+        prop_assert!(bytes.is_none_or(|b| b.len() <= max_bytes));
     }
 }
--- a/src/store/tables/attempts.rs
+++ b/src/store/tables/attempts.rs
@@ -1,12 +1,11 @@
-//! Attempts to deliver messages: their start and end, recovery after a crash, and delivery in
-//! order.
+//! Delivery attempts: their start and end, recovery after a crash, and in-order delivery.
 
 use super::messages::enqueue;
 use super::queries::{read_message, write_message};
 use super::Tables;
 use crate::api::Micros;
-use crate::delivery::response::State;
-use crate::delivery::{Seq, Waiting};
+use crate::delivery::response::MessageState;
+use crate::delivery::{PendingMessage, Seq};
 use crate::store::error::StoreError;
 use crate::store::keys::{decode, encode, key, key_part, sequence_key, waiting_key, KEY_END};
 use crate::store::keyspace::{Keyspace, ScanOrder, Table};
@@ -15,12 +14,12 @@
 use crate::store::recovery::settle_attempt;
 use crate::store::shards;
 
-/// The maximum number of attempts that are kept of one message.
+/// The maximum number of finished attempts stored for a message.
 pub(super) const MAX_ATTEMPTS_PER_MESSAGE: usize = 100;
 
 impl Tables {
-    /// Starts an attempt, if the message still waits. A start that is not durable is the primary's
-    /// own.
+    /// Starts an attempt, if the message still waits. A start that does not have to be durable is
+    /// not replicated; only the primary may start such an attempt of a replicated message.
     pub(super) fn begin_attempt(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -28,7 +27,7 @@
     ) -> Result<Reply, StoreError> {
         let seq = begin.message;
         let message = read_message(keyspace, seq)?
-            .filter(|message| message.state == State::Waiting)
+            .filter(|message| message.state == MessageState::Waiting)
             .filter(|_| begin.durable || shards::is_local_or_primary(keyspace, seq));
         let Some(message) = message else {
             return Ok(Reply::Attempt(None));
@@ -46,23 +45,23 @@
         Ok(Reply::Attempt(Some(Box::new((message, body)))))
     }
 
-    /// Sets the state of a message, and returns the message of its order key that waits in its
-    /// place, if there is one.
+    /// Sets the state of a message. If the message is finished, returns the next message of its
+    /// order key, which is now waiting.
     pub(super) fn finish_attempt(
         &mut self,
         keyspace: &mut dyn Keyspace,
         finish: FinishAttempt,
-    ) -> Result<Vec<Waiting>, StoreError> {
+    ) -> Result<Vec<PendingMessage>, StoreError> {
         let (waiting, state) = (*finish.waiting, finish.state);
         let seq = waiting.seq;
         keyspace.remove(Table::StartedAttempts, &sequence_key(seq))?;
-        // The message may have been deleted, or have ended in another way, such as by its
-        // endpoint's removal.
+        // The message may have been deleted, or have ended for another reason, such as the removal
+        // of its endpoint.
         let Some(mut message) = read_message(keyspace, seq)? else {
             return Ok(Vec::new());
         };
         let was_over = message.state.is_over();
-        if was_over && state != State::Delivered {
+        if was_over && state != MessageState::Delivered {
             return Ok(Vec::new());
         }
         keyspace.remove(Table::Waiting, &waiting_key(&message.waiting))?;
@@ -72,7 +71,7 @@
         message.waiting = waiting;
         message.state = state;
         write_message(keyspace, seq, &message)?;
-        if state == State::Waiting {
+        if state == MessageState::Waiting {
             if shards::is_local_or_primary(keyspace, seq) {
                 enqueue(keyspace, &waiting)?;
             }
@@ -90,8 +89,8 @@
     }
 
     /// Settles the attempts that the previous process had started, and returns the number of
-    /// messages of which it is unknown whether they arrived. Those of shards are settled by the
-    /// shard's primary.
+    /// messages that ended because it is unknown whether they arrived. Attempts of replicated
+    /// messages are settled by the primary of their shard.
     pub(super) fn settle_started_attempts(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -106,8 +105,8 @@
             }
             let started_at: Micros = decode(&value, "an attempt's beginning")?;
             keyspace.remove(Table::StartedAttempts, &sequence_key(seq))?;
-            let message =
-                read_message(keyspace, seq)?.filter(|message| message.state == State::Waiting);
+            let message = read_message(keyspace, seq)?
+                .filter(|message| message.state == MessageState::Waiting);
             let Some(message) = message else {
                 continue;
             };
@@ -119,13 +118,13 @@
                 attempt: Some(attempt),
             };
             self.finish_attempt(keyspace, finish)?;
-            unknown_deliveries += u64::from(state != State::Waiting);
+            unknown_deliveries += u64::from(state != MessageState::Waiting);
         }
         Ok(unknown_deliveries)
     }
 }
 
-/// Appends a finished attempt, in place of the oldest one if there are too many.
+/// Appends a finished attempt, and removes the oldest one if the maximum number is exceeded.
 fn append_attempt(
     keyspace: &mut dyn Keyspace,
     seq: Seq,
@@ -144,11 +143,11 @@
         .map(drop)
 }
 
-/// Makes the next message of a finished message's order key wait, and returns it.
+/// Changes the next message of a finished message's order key to waiting, and returns it.
 fn release_next_in_order(
     keyspace: &mut dyn Keyspace,
     finished: &MessageRecord,
-) -> Result<Vec<Waiting>, StoreError> {
+) -> Result<Vec<PendingMessage>, StoreError> {
     let Some(order) = finished.order else {
         return Ok(Vec::new());
     };
@@ -170,11 +169,12 @@
         };
         keyspace.remove(Table::OrderQueue, &row_key)?;
         let seq = Seq(key_part(&row_key, 2));
-        let message = read_message(keyspace, seq)?.filter(|message| message.state == State::Behind);
+        let message =
+            read_message(keyspace, seq)?.filter(|message| message.state == MessageState::Blocked);
         let Some(mut message) = message else {
             continue;
         };
-        message.state = State::Waiting;
+        message.state = MessageState::Waiting;
         keyspace.put(Table::OrderHeads, &head_key, &sequence_key(seq))?;
         if shards::is_local_or_primary(keyspace, seq) {
             enqueue(keyspace, &message.waiting)?;
--- a/src/store/tables/calls.rs
+++ b/src/store/tables/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: acceptance, the time of the first attempt, and completion.
+//! Calls: acceptance, the send time of the first attempt, and completion.
 
 use super::Tables;
 use crate::api::Micros;
@@ -35,17 +35,21 @@
         keyspace.put(Table::IdentityAges, &age_key(valid_until, identity), &[])?;
 
         let state = CallState {
-            taken: call.expires,
+            retention_start: call.expires,
             outcome: None,
             shard,
         };
         let state_key = call_key(call.serial, &call.webhook_id);
-        keyspace.put(Table::CallStateAges, &age_key(state.taken, &state_key), &[])?;
+        keyspace.put(
+            Table::CallStateAges,
+            &age_key(state.retention_start, &state_key),
+            &[],
+        )?;
         keyspace.put(Table::CallStates, &state_key, &encode(&state)?)?;
         Ok(Reply::Done)
     }
 
-    /// Removes a call, its identity and its state.
+    /// Removes a call, its identity and its state, if the call has no outcome yet.
     pub(super) fn revoke_call(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -78,8 +82,8 @@
         Ok(Reply::Done)
     }
 
-    /// Replaces a call by its outcome and its messages. A call that is already complete publishes
-    /// nothing.
+    /// Removes a call, records its outcome if history is kept, and publishes the messages that
+    /// report the outcome. If the call is already complete, publishes no messages.
     pub(super) fn complete_call(
         &mut self,
         keyspace: &mut dyn Keyspace,
@@ -96,7 +100,10 @@
                 keyspace.put(Table::CallStates, &state_key, &encode(&state)?)?;
             } else {
                 keyspace.remove(Table::CallStates, &state_key)?;
-                keyspace.remove(Table::CallStateAges, &age_key(state.taken, &state_key))?;
+                keyspace.remove(
+                    Table::CallStateAges,
+                    &age_key(state.retention_start, &state_key),
+                )?;
             }
         }
         self.publish(keyspace, complete.messages)
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of the store: against a model, on a faulty disk, and for each effect of a call.
+//! Tests of the store: comparison with a model, faulty disks, recovery by effect, and checksums.
 
 use super::operations::{
     AcceptCall, ApplyRetention, BeginAttempt, CompleteCall, FinishAttempt, Op,
 };
 use super::records::{CallRecord, IdentityDigest, MessageRecord};
 use crate::api::{Effect, Micros};
-use crate::delivery::response::State;
-use crate::delivery::{EndpointId, Seq, Waiting};
+use crate::delivery::response::MessageState;
+use crate::delivery::{EndpointId, PendingMessage, Seq};
 
 mod batches;
 mod checksums;
@@ -51,18 +51,18 @@
     effect: Effect,
     order: Option<u64>,
 ) -> (MessageRecord, Vec<u8>) {
-    let waiting = Waiting {
+    let waiting = PendingMessage {
         seq: Seq(seq),
         endpoint: EndpointId(endpoint),
         due: seq,
         effect,
-        ran: None,
+        maybe_received_at: None,
         tries: 0,
         size: 4,
     };
     let record = MessageRecord {
         waiting,
-        state: State::Waiting,
+        state: MessageState::Waiting,
         tenant: "clinic".into(),
         serial: 1,
         id: format!("msg_{seq}"),
@@ -107,7 +107,7 @@
     })
 }
 
-fn finish(waiting: Waiting, state: State) -> Op {
+fn finish(waiting: PendingMessage, state: MessageState) -> Op {
     Op::FinishAttempt(FinishAttempt {
         waiting: Box::new(waiting),
         state,
@@ -115,7 +115,7 @@
     })
 }
 
-/// A pass of retention that deletes by age alone.
+/// Returns a retention pass that deletes records by age only.
 fn retain(now: Micros, max_age: Micros) -> Op {
     Op::ApplyRetention(ApplyRetention {
         now,
--- a/src/store/tests/model.rs
+++ b/src/store/tests/model.rs
@@ -1,4 +1,5 @@
-//! The store against a model: calls become messages, and messages end, with restarts between.
+//! Comparison of the store with a model: calls complete with a message, and messages are delivered
+//! or expire, with restarts in between.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +9,13 @@
     accept, begin_durably, begin_unrecorded, complete, finish, message, retain, MAX_BYTES,
 };
 use crate::api::{Effect, Micros};
-use crate::delivery::response::{DeadLetterReason, State};
-use crate::delivery::{EndpointId, Seq, Waiting};
+use crate::delivery::response::{DeadLetterReason, MessageState};
+use crate::delivery::{EndpointId, PendingMessage, Seq};
 use crate::store::keyspace::MemoryKeyspace;
 use crate::store::operations::{Op, Reply};
 use crate::store::tables::Tables;
 
-/// Bytes of a call's body and of a message's body.
+/// The size in bytes of each call's body and each message's body.
 const BODY_BYTES: u64 = 4;
 
 #[derive(Clone, Debug)]
@@ -40,18 +41,18 @@
 
 /// A message of the model whose delivery is not over.
 #[derive(Clone, Copy, Debug)]
-struct PendingMessage {
+struct ModelMessage {
     order: Option<u64>,
 }
 
-/// The store in memory, and what it has to contain.
+/// The store in memory, and its expected content.
 struct Harness {
     keyspace: MemoryKeyspace,
     tables: Tables,
     now: Micros,
     last_sequence_number: u64,
     calls: BTreeMap<u64, Effect>,
-    pending: BTreeMap<u64, PendingMessage>,
+    pending: BTreeMap<u64, ModelMessage>,
     finished: u64,
     /// The last finished message of each order key.
     last_of_key: BTreeMap<u64, u64>,
@@ -111,13 +112,14 @@
         let seq = self.last_sequence_number;
         let mut message = message(seq, 0, effect, order);
         message.0.created = self.now;
-        self.pending.insert(seq, PendingMessage { order });
+        self.pending.insert(seq, ModelMessage { order });
         self.apply(complete(call, vec![message]));
     }
 
-    /// Returns the messages that may be sent: of each order key the oldest.
+    /// Returns the messages that may be sent: those without an order key, and the oldest of each
+    /// order key.
     fn deliverable(&self) -> Vec<u64> {
-        let is_oldest = |seq: u64, message: &PendingMessage| {
+        let is_oldest = |seq: u64, message: &ModelMessage| {
             let oldest = self
                 .pending
                 .iter()
@@ -147,20 +149,20 @@
         let state = match outcome {
             0 => {
                 waiting.due = self.now + 5;
-                State::Waiting
+                MessageState::Waiting
             }
-            1 => State::Dead(DeadLetterReason::Exhausted),
-            _ => State::Delivered,
+            1 => MessageState::Dead(DeadLetterReason::Exhausted),
+            _ => MessageState::Delivered,
         };
         self.apply(finish(waiting, state));
-        if state != State::Waiting {
+        if state != MessageState::Waiting {
             let previous = self.count_finished(waiting.seq);
             prop_assert!(previous < Some(waiting.seq.0), "out of order");
         }
         Ok(())
     }
 
-    fn begin_attempt(&mut self, waiting: &Waiting) {
+    fn begin_attempt(&mut self, waiting: &PendingMessage) {
         let begin = if waiting.effect == Effect::Idempotent {
             begin_unrecorded(waiting.seq, self.now)
         } else {
@@ -169,8 +171,7 @@
         self.apply(begin);
     }
 
-    /// Notes that a message's delivery is over, and returns the message of its order key that was
-    /// over before.
+    /// Marks a message as finished, and returns the previous finished message of its order key.
     fn count_finished(&mut self, seq: Seq) -> Option<u64> {
         let message = self.pending.remove(&seq.0).unwrap();
         self.finished += 1;
@@ -214,8 +215,8 @@
         };
         let (calls, pending) = (self.calls.len() as u64, self.pending.len() as u64);
         prop_assert_eq!((stats.calls, stats.waiting), (calls, pending));
-        let at_most = stats.waiting + self.finished;
-        prop_assert!(stats.messages >= stats.waiting && stats.messages <= at_most);
+        let max_messages = stats.waiting + self.finished;
+        prop_assert!(stats.messages >= stats.waiting && stats.messages <= max_messages);
         prop_assert_eq!(stats.bytes, BODY_BYTES * (stats.messages + stats.calls));
         Ok(())
     }
@@ -224,8 +225,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
 
-    /// No call or message is lost or ends twice, messages of one order key go out in order, and the
-    /// counts are right.
+    /// No call or message is lost or finished twice, messages of one order key are delivered in
+    /// order, and the counts are correct.
     #[test]
     fn random_steps_lose_and_repeat_nothing(steps in prop::collection::vec(any_step(), 1..120)) {
         let mut harness = Harness::new();
--- a/src/tenancy/endpoint.rs
+++ b/src/tenancy/endpoint.rs
@@ -1,34 +1,35 @@
-//! Endpoints: where a tenant's messages go, which ones, and how fast.
+//! Endpoints: destinations of a tenant's messages, with subscriptions and rate limits.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use super::{Secret, TenantError, MOST_SECRETS};
+use super::{Secret, TenantError, MAX_SECRETS};
 use crate::api::Micros;
 use crate::delivery::schedule::Schedule;
-use crate::delivery::{Enabled, EndpointId, EndpointPlan};
+use crate::delivery::{Enabled, EndpointId, EndpointSettings};
 
-/// The type of event that answers a call; the only one that goes to an endpoint that names none.
+/// Type of the event that answers a call; the only type sent to an endpoint without listed types.
 pub const COMPLETED: &str = "call.completed";
-/// Event types that an endpoint may name.
-const MOST_TYPES: usize = 32;
-/// Attempts out at once where nothing is said.
-const IN_FLIGHT: u32 = 8;
-const MOST_IN_FLIGHT: u32 = 64;
+/// Maximum number of event types per endpoint.
+const MAX_EVENT_TYPES: usize = 32;
+/// Default limit on concurrent attempts.
+const DEFAULT_IN_FLIGHT: u32 = 8;
+/// Upper bound of the configurable limit on concurrent attempts.
+const MAX_IN_FLIGHT: u32 = 64;
 
-/// Where messages go. There is no DNS: the address is numeric.
+/// Destination of messages. The address is numeric, because there is no DNS resolution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Portal {
-    /// The address.
+    /// Address and port.
     pub address: SocketAddr,
-    /// The path.
+    /// Path of the URL.
     pub path: String,
 }
 
 impl Portal {
-    /// Reads `http://ADDRESS:PORT/PATH`.
+    /// Parses `http://ADDRESS:PORT/PATH`.
     pub fn parse(url: &str) -> Result<Portal, TenantError> {
         let rest = url.strip_prefix("http://").ok_or(TenantError::Portal)?;
         let (host, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -51,57 +52,59 @@
     }
 }
 
-/// An endpoint as an operator writes it; what is not given stays.
+/// An endpoint's configuration by the operator. Omitted fields keep their values.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// Its name within the tenant.
+    /// Name of the endpoint within the tenant.
     #[serde(default)]
     pub name: String,
-    /// Where it is.
+    /// URL of the endpoint.
     pub url: Option<String>,
-    /// The types of event it wants; `a.*` stands for all that begin with `a.`. None named: `call.completed`.
+    /// Subscribed event types; `a.*` matches all types that begin with `a.`. An empty list means
+    /// `call.completed`.
     pub types: Option<Vec<String>>,
-    /// Whether it is sent anything.
+    /// Whether the endpoint receives messages.
     pub enabled: Option<bool>,
-    /// Attempts a second at most; 0 for no limit.
+    /// Maximum attempts per second; 0 for no limit.
     pub rate_per_s: Option<f64>,
-    /// Attempts out at once at most.
+    /// Maximum number of concurrent attempts.
     pub in_flight: Option<u32>,
-    /// Pauses between attempts, in seconds; an empty list for the gateway's own schedule.
+    /// Pauses between attempts, in seconds; an empty list selects the gateway's schedule.
     pub schedule_s: Option<Vec<f64>>,
-    /// Whether messages under one order key wait for each other.
+    /// Whether messages with the same order key are delivered one after the other.
     pub ordered: Option<bool>,
-    /// Its own secrets, the current one first; without any the tenant's sign.
+    /// The endpoint's own secrets, the current one first; an empty list selects the tenant's
+    /// secrets.
     pub secrets: Option<Vec<String>>,
 }
 
-/// An endpoint.
+/// A configured endpoint.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Tells it from any other, also of the same name.
+    /// Identifier, unique also among endpoints that reuse a name.
     pub id: EndpointId,
-    /// Where it is.
+    /// Destination of the messages.
     pub portal: Portal,
-    /// The types of event it wants.
+    /// Subscribed event types.
     pub types: Vec<String>,
-    /// Whether it is sent anything.
+    /// Whether the endpoint receives messages, and the reason if not.
     pub enabled: Enabled,
-    /// Attempts a second at most; 0 for no limit.
+    /// Maximum attempts per second; 0 for no limit.
     pub rate_per_s: f64,
-    /// Attempts out at once at most.
+    /// Maximum number of concurrent attempts.
     pub in_flight: u32,
-    /// Its own schedule.
+    /// Retry schedule; the gateway's if absent.
     pub schedule: Option<Schedule>,
-    /// Whether messages under one order key wait for each other.
+    /// Whether messages with the same order key are delivered one after the other.
     pub ordered: bool,
-    /// Counts its changes.
+    /// Number of changes to the endpoint.
     pub version: u64,
     pub(super) secrets: Vec<Secret>,
 }
 
 impl Endpoint {
-    /// A new endpoint; it needs a portal.
+    /// Creates an endpoint; `spec` must contain a URL.
     pub fn new(id: EndpointId, spec: &EndpointSpec) -> Result<Endpoint, TenantError> {
         let portal = Portal::parse(spec.url.as_deref().ok_or(TenantError::Portal)?)?;
         let mut endpoint = Endpoint {
@@ -110,7 +113,7 @@
             types: Vec::new(),
             enabled: Enabled::Yes,
             rate_per_s: 0.0,
-            in_flight: IN_FLIGHT,
+            in_flight: DEFAULT_IN_FLIGHT,
             schedule: None,
             ordered: false,
             version: 0,
@@ -120,7 +123,7 @@
         Ok(endpoint)
     }
 
-    /// Changes what is given; on an error nothing.
+    /// Applies the given fields. On an error nothing changes.
     pub fn change(&mut self, spec: &EndpointSpec) -> Result<(), TenantError> {
         let mut new = self.clone();
         if let Some(url) = &spec.url {
@@ -135,14 +138,14 @@
                         .bytes()
                         .all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b))
             };
-            if types.len() > MOST_TYPES || !types.iter().all(clean) {
+            if types.len() > MAX_EVENT_TYPES || !types.iter().all(clean) {
                 return Err(TenantError::Types);
             }
             new.types.clone_from(types);
         }
         new.enabled = match spec.enabled {
             Some(true) => Enabled::Yes,
-            Some(false) => Enabled::ByHand,
+            Some(false) => Enabled::DisabledByOperator,
             None => new.enabled,
         };
         new.rate_per_s = spec.rate_per_s.unwrap_or(new.rate_per_s);
@@ -151,7 +154,7 @@
         if !rate.is_finite() || rate < 0.0 || (rate > 0.0 && rate < 0.001) {
             return Err(TenantError::Limits);
         }
-        if !(1..=MOST_IN_FLIGHT).contains(&new.in_flight) {
+        if !(1..=MAX_IN_FLIGHT).contains(&new.in_flight) {
             return Err(TenantError::Limits);
         }
         if let Some(pauses) = &spec.schedule_s {
@@ -162,7 +165,7 @@
         }
         new.ordered = spec.ordered.unwrap_or(new.ordered);
         if let Some(secrets) = &spec.secrets {
-            if secrets.len() > MOST_SECRETS {
+            if secrets.len() > MAX_SECRETS {
                 return Err(TenantError::TooMany);
             }
             new.secrets = secrets
@@ -175,7 +178,7 @@
         Ok(())
     }
 
-    /// Whether it wants events of a type.
+    /// Returns whether the endpoint is subscribed to events of a type.
     pub fn wants(&self, kind: &str) -> bool {
         if self.types.is_empty() {
             return kind == COMPLETED;
@@ -186,14 +189,14 @@
         })
     }
 
-    /// Its own secrets that count now.
+    /// Returns the endpoint's own secrets valid at `now`.
     pub fn own_secrets(&self, now: Micros) -> impl Iterator<Item = &Secret> {
         self.secrets.iter().filter(move |s| s.valid(now))
     }
 
-    /// What delivery is told of it.
-    pub fn plan(&self, tenant: u64, schedule: &Schedule) -> EndpointPlan {
-        EndpointPlan {
+    /// Returns the delivery settings of the endpoint.
+    pub fn settings(&self, tenant: u64, schedule: &Schedule) -> EndpointSettings {
+        EndpointSettings {
             tenant,
             enabled: self.enabled,
             per_s: self.rate_per_s,
@@ -202,7 +205,7 @@
         }
     }
 
-    /// What may be shown of it.
+    /// Returns the endpoint without confidential values.
     pub fn view<'a>(&'a self, name: &'a str, now: Micros) -> EndpointView<'a> {
         EndpointView {
             name,
@@ -220,7 +223,7 @@
     }
 }
 
-/// What may be shown of an endpoint.
+/// An endpoint without confidential values.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointView<'a> {
     name: &'a str,
@@ -236,9 +239,9 @@
     version: u64,
 }
 
-/// An endpoint as the state file keeps it, secrets and all.
+/// An endpoint as stored in the state file, including secrets.
 #[derive(Deserialize, Serialize)]
-pub(super) struct KeptEndpoint {
+pub(super) struct StoredEndpoint {
     name: String,
     id: EndpointId,
     url: String,
@@ -252,9 +255,9 @@
     pub(super) secrets: Vec<(String, Option<Micros>)>,
 }
 
-impl KeptEndpoint {
-    pub(super) fn of(name: &str, e: &Endpoint) -> KeptEndpoint {
-        KeptEndpoint {
+impl StoredEndpoint {
+    pub(super) fn of(name: &str, e: &Endpoint) -> StoredEndpoint {
+        StoredEndpoint {
             name: name.to_owned(),
             id: e.id,
             url: e.portal.to_string(),
@@ -265,7 +268,7 @@
             schedule_s: e.schedule.as_ref().map_or(Vec::new(), Schedule::seconds),
             ordered: e.ordered,
             version: e.version,
-            secrets: kept_secrets(&e.secrets),
+            secrets: stored_secrets(&e.secrets),
         }
     }
 
@@ -281,16 +284,16 @@
         };
         let mut endpoint = Endpoint::new(self.id, &spec)?;
         (endpoint.enabled, endpoint.version) = (self.enabled, self.version);
-        endpoint.secrets = read_secrets(&self.secrets)?;
+        endpoint.secrets = parse_secrets(&self.secrets)?;
         Ok((self.name, endpoint))
     }
 }
 
-pub(super) fn kept_secrets(secrets: &[Secret]) -> Vec<(String, Option<Micros>)> {
+pub(super) fn stored_secrets(secrets: &[Secret]) -> Vec<(String, Option<Micros>)> {
     secrets.iter().map(|s| (s.text(), s.until)).collect()
 }
 
-pub(super) fn read_secrets(kept: &[(String, Option<Micros>)]) -> Result<Vec<Secret>, TenantError> {
+pub(super) fn parse_secrets(kept: &[(String, Option<Micros>)]) -> Result<Vec<Secret>, TenantError> {
     kept.iter()
         .map(|(text, until)| Ok(Secret::parse(text)?.until(*until)))
         .collect()
--- a/src/tenancy/replicated/changes.rs
+++ b/src/tenancy/replicated/changes.rs
@@ -1,4 +1,4 @@
-//! One gateway's part in changes of tenants: what it proposed, and what it has taken over.
+//! One gateway's part in changes of tenants: its proposals, and the changes that it adopts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,91 +9,93 @@
 use super::Origin;
 use crate::api::Micros;
 
-/// Changes under way here at most.
-pub const MOST_OPEN: usize = 64;
+/// Maximum number of open changes at this gateway.
+pub const MAX_OPEN_CHANGES: usize = 64;
 
-/// Whose answer a change is.
+/// Identifies the requester that waits for a change.
 pub type Ticket = u64;
 
-/// What the machine goes by.
+/// Settings of [`Changes`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This gateway's name.
+    /// Name of this gateway.
     pub name: Arc<str>,
-    /// This process, unlike any other.
+    /// Unique identifier of this process.
     pub process: u64,
-    /// On how many disks a change has to stand.
-    pub copies: usize,
-    /// How long a change may take to be agreed on.
-    pub ask: Micros,
-    /// A change is told done before it is agreed on: a guard taken out, for tests.
-    pub without_agreed: bool,
+    /// Minimum number of disks that store a change.
+    pub replicas: usize,
+    /// Timeout for agreement on a change.
+    pub agreement_timeout: Micros,
+    /// For tests: reports changes as done before agreement, which disables the safeguard.
+    pub confirm_before_agreement: bool,
 }
 
-/// A change that somebody here wants.
+/// A change requested at this gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeRequest {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The tenant from then on; none if it is to be removed.
-    pub kept: Option<Vec<u8>>,
-    /// Whether the operator's file names it.
+    /// The new contents of the tenant; `None` for a removal.
+    pub encoded: Option<Vec<u8>>,
+    /// Whether the operator's file lists the tenant.
     pub listed: bool,
-    /// The answer to be given again, if the request had a key.
+    /// Answer for repeated requests, if the request had an idempotency key.
     pub answer: Option<Answer>,
 }
 
-/// What happens.
+/// Events that [`Changes`] handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Somebody here wants a change, made on what was taken over so far.
+    /// A change requested here, based on the state adopted so far.
     Change(Ticket, ChangeRequest),
-    /// What is agreed, and how many vote.
-    Agreed(Arc<Tenants>, usize),
-    /// A deadline fell due.
+    /// The agreed state, and the number of voters.
+    StateChanged(Arc<Tenants>, usize),
+    /// The deadline from [`Changes::next_deadline`] has passed.
     Tick,
 }
 
-/// What is to be done.
+/// Actions for the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Have the log agree on this; it may get lost.
+    /// Propose an entry to the log; the proposal may get lost.
     Propose(Entry),
-    /// A tenant is so from here on; none if it was removed.
+    /// Adopt new contents of a tenant; `None` for a removal.
     Adopt(String, Option<Vec<u8>>),
-    /// How many have been removed by all.
+    /// The number of tenants removed by all gateways changed.
     Removals(u64),
-    /// A change is agreed, and taken over here.
+    /// A change is agreed and adopted here.
     Done(Ticket),
-    /// It is not told done.
+    /// A change is not confirmed.
     Refused(Ticket, Refusal),
-    /// Something to be recorded.
-    Noted(HistoryEvent),
+    /// Record an event.
+    RecordEvent(HistoryEvent),
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenChange {
     ticket: Ticket,
     entry: Entry,
-    /// How many changes had been agreed on when it was made.
+    /// Number of agreed changes when the change was requested.
     changes: u64,
+    /// Time at which the change is refused.
     until: Micros,
-    again: Micros,
+    /// Time of the next proposal.
+    next_proposal: Micros,
 }
 
-/// The machine.
+/// State machine for the changes of tenants at one gateway.
 #[derive(Clone, Debug)]
 pub struct Changes {
     settings: Settings,
     agreed: Arc<Tenants>,
     voters: usize,
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenChange>,
     number: u64,
     outputs: VecDeque<Output>,
 }
 
 impl Changes {
-    /// One that has heard of nothing.
+    /// Creates a state machine without any agreed state.
     pub fn new(settings: Settings) -> Changes {
         Changes {
             settings,
@@ -105,37 +107,40 @@
         }
     }
 
-    /// What is agreed, as far as was heard.
+    /// Returns the latest known agreed state.
     pub fn agreed(&self) -> &Tenants {
         &self.agreed
     }
 
-    /// How many vote, as far as was heard.
+    /// Returns the latest known number of voters.
     pub fn voters(&self) -> usize {
         self.voters
     }
 
-    /// The next thing to be done, if any.
+    /// Returns the next pending action, if any.
     pub fn output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When `Tick` is due.
+    /// Returns the time of the next [`Input::Tick`].
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.open.values().map(|o| o.again.min(o.until)).min()
+        self.open
+            .values()
+            .map(|o| o.next_proposal.min(o.until))
+            .min()
     }
 
-    /// Takes what happened.
+    /// Handles an event.
     pub fn handle(&mut self, now: Micros, input: Input) {
         match input {
-            Input::Change(ticket, wanted) => {
-                if let Err(why) = self.change(now, ticket, wanted) {
+            Input::Change(ticket, request) => {
+                if let Err(why) = self.change(now, ticket, request) {
                     self.outputs.push_back(Output::Refused(ticket, why));
                 }
             }
-            Input::Agreed(agreed, voters) => {
+            Input::StateChanged(agreed, voters) => {
                 self.voters = voters;
-                self.heard(now, agreed);
+                self.apply_agreed(now, agreed);
             }
             Input::Tick => {}
         }
@@ -146,31 +151,32 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        wanted: ChangeRequest,
+        request: ChangeRequest,
     ) -> Result<(), Refusal> {
-        // An agreed change stands on the disks of a majority.
+        // An agreed change is stored on the disks of a majority of the voters.
         let have = if self.voters == 0 {
             0
         } else {
             self.voters / 2 + 1
         };
-        let want = self.settings.copies;
+        let want = self.settings.replicas;
         if have < want {
-            return Err(Refusal::Fewer { have, want });
+            return Err(Refusal::TooFewDisks { have, want });
         }
-        if self.open.len() >= MOST_OPEN {
+        if self.open.len() >= MAX_OPEN_CHANGES {
             return Err(Refusal::Busy {
                 open: self.open.len(),
             });
         }
-        self.agreed.room(&wanted.tenant, wanted.kept.as_deref())?;
+        self.agreed
+            .room(&request.tenant, request.encoded.as_deref())?;
         self.number += 1;
         let ChangeRequest {
             tenant,
-            kept,
+            encoded: kept,
             listed,
             answer,
-        } = wanted;
+        } = request;
         let entry = Entry {
             follows: self.agreed.follows(&tenant),
             tenant,
@@ -183,32 +189,33 @@
             listed,
             answer,
         };
-        if self.settings.without_agreed {
+        if self.settings.confirm_before_agreement {
             let version = self.agreed.changes + 1;
-            self.outputs.push_back(Output::Noted(HistoryEvent::Told {
-                tenant: entry.tenant.clone(),
-                version,
-            }));
+            self.outputs
+                .push_back(Output::RecordEvent(HistoryEvent::Told {
+                    tenant: entry.tenant.clone(),
+                    version,
+                }));
             self.outputs.push_back(Output::Propose(entry));
             self.outputs.push_back(Output::Done(ticket));
             return Ok(());
         }
-        let (changes, until) = (self.agreed.changes, now + self.settings.ask);
+        let (changes, until) = (self.agreed.changes, now + self.settings.agreement_timeout);
         self.open.insert(
             self.number,
-            Open {
+            OpenChange {
                 ticket,
                 entry,
                 changes,
                 until,
-                again: now,
+                next_proposal: now,
             },
         );
         Ok(())
     }
 
-    /// What is agreed has changed: what others changed is taken over, and whoever waits is told.
-    fn heard(&mut self, now: Micros, agreed: Arc<Tenants>) {
+    /// Adopts a new agreed state and answers the requesters of decided changes.
+    fn apply_agreed(&mut self, now: Micros, agreed: Arc<Tenants>) {
         let before = std::mem::replace(&mut self.agreed, agreed);
         let agreed = self.agreed.clone();
         if before.removals != agreed.removals {
@@ -225,11 +232,12 @@
             let (tenant, digest) = (name.clone(), kept.as_deref().map(digest));
             let version = version(&agreed, name).unwrap_or(agreed.changes);
             self.outputs.push_back(Output::Adopt(name.clone(), kept));
-            self.outputs.push_back(Output::Noted(HistoryEvent::Adopted {
-                tenant,
-                version,
-                digest,
-            }));
+            self.outputs
+                .push_back(Output::RecordEvent(HistoryEvent::Adopted {
+                    tenant,
+                    version,
+                    digest,
+                }));
         }
         let open: Vec<u64> = self.open.keys().copied().collect();
         for number in open {
@@ -238,11 +246,11 @@
             };
             let tenant = o.entry.tenant.clone();
             let since = agreed.changes.saturating_sub(o.changes);
-            let told = if let Some(version) = agreed.held(o.entry.origin) {
+            let outcome = if let Some(version) = agreed.held(o.entry.origin) {
                 self.outputs
-                    .push_back(Output::Noted(HistoryEvent::Told { tenant, version }));
+                    .push_back(Output::RecordEvent(HistoryEvent::Told { tenant, version }));
                 Output::Done(o.ticket)
-            } else if since > super::MOST_RECENT as u64 {
+            } else if since > super::MAX_RECENT_CHANGES as u64 {
                 Output::Refused(o.ticket, Refusal::Unknown { tenant, since })
             } else if let Err(why) = agreed.room(&tenant, o.entry.kept.as_deref()) {
                 Output::Refused(o.ticket, why)
@@ -251,29 +259,30 @@
             } else if let (Follows::Nothing(_), Follows::Nothing(removals)) =
                 (o.entry.follows, agreed.follows(&tenant))
             {
-                // Others were removed meanwhile, and this one still is not there: what was said before cannot take hold any more.
-                (o.entry.follows, o.again) = (Follows::Nothing(removals), now);
+                // Other tenants were removed meanwhile, and this one still does not exist: the
+                // earlier proposal can no longer take effect, so the change gets a new base.
+                (o.entry.follows, o.next_proposal) = (Follows::Nothing(removals), now);
                 continue;
             } else {
                 Output::Refused(o.ticket, Refusal::Changed { tenant })
             };
             self.open.remove(&number);
-            self.outputs.push_back(told);
+            self.outputs.push_back(outcome);
         }
     }
 
     fn tick(&mut self, now: Micros) {
-        let (ask, mut over) = (self.settings.ask, Vec::new());
+        let (ask, mut expired) = (self.settings.agreement_timeout, Vec::new());
         for (number, o) in &mut self.open {
             if now >= o.until {
-                over.push(*number);
-            } else if now >= o.again {
-                o.again = now + ask / 8;
+                expired.push(*number);
+            } else if now >= o.next_proposal {
+                o.next_proposal = now + ask / 8;
                 self.outputs.push_back(Output::Propose(o.entry.clone()));
             }
         }
-        for o in over.into_iter().filter_map(|n| self.open.remove(&n)) {
-            let why = Refusal::Unreached {
+        for o in expired.into_iter().filter_map(|n| self.open.remove(&n)) {
+            let why = Refusal::AgreementTimeout {
                 tenant: o.entry.tenant,
             };
             self.outputs.push_back(Output::Refused(o.ticket, why));
--- a/src/tenancy/replicated/tests.rs
+++ b/src/tenancy/replicated/tests.rs
@@ -1,4 +1,4 @@
-//! Changes of tenants at several gateways, each entry in the log's order.
+//! Changes of tenants at several gateways with one simulated log.
 
 use std::sync::Arc;
 
@@ -23,37 +23,37 @@
     }
 }
 
-/// Several gateways round one log, which is handed to all after each entry unless a gateway is cut off.
-struct Table {
+/// Several gateways that share one log. The test passes the agreed state to the gateways.
+struct Cluster {
     agreed: Tenants,
     all: Vec<Changes>,
-    told: Vec<(usize, Output)>,
+    outputs: Vec<(usize, Output)>,
     notes: Vec<HistoryEvent>,
-    /// What was proposed; it reaches the log when the test says so.
+    /// Proposals that have not reached the log; the test applies them.
     proposed: Vec<Entry>,
 }
 
-impl Table {
-    fn new(gateways: usize, copies: usize, voters: usize) -> Table {
+impl Cluster {
+    fn new(gateways: usize, copies: usize, voters: usize) -> Cluster {
         let one = |n: usize| {
             let settings = Settings {
                 name: format!("g{n}").into(),
                 process: 100 + n as u64,
-                copies,
-                ask: ASK,
-                without_agreed: false,
+                replicas: copies,
+                agreement_timeout: ASK,
+                confirm_before_agreement: false,
             };
             Changes::new(settings)
         };
-        let mut t = Table {
+        let mut t = Cluster {
             agreed: Tenants::default(),
             all: (0..gateways).map(one).collect(),
-            told: Vec::new(),
+            outputs: Vec::new(),
             notes: Vec::new(),
             proposed: Vec::new(),
         };
         for n in 0..gateways {
-            t.hear(0, n, voters);
+            t.deliver(0, n, voters);
         }
         t
     }
@@ -63,60 +63,60 @@
         while let Some(output) = self.all[n].output() {
             match output {
                 Output::Propose(e) => self.proposed.push(e),
-                Output::Noted(note) => self.notes.push(note),
-                other => self.told.push((n, other)),
+                Output::RecordEvent(note) => self.notes.push(note),
+                other => self.outputs.push((n, other)),
             }
         }
     }
 
-    fn hear(&mut self, now: Micros, n: usize, voters: usize) {
+    fn deliver(&mut self, now: Micros, n: usize, voters: usize) {
         let agreed = Arc::new(self.agreed.clone());
-        self.handle(now, n, Input::Agreed(agreed, voters));
+        self.handle(now, n, Input::StateChanged(agreed, voters));
     }
 
-    fn want(&mut self, now: Micros, n: usize, ticket: u64, tenant: &str, kept: Option<&str>) {
+    fn request(&mut self, now: Micros, n: usize, ticket: u64, tenant: &str, kept: Option<&str>) {
         let kept = kept.map(|k| k.as_bytes().to_vec());
-        let wanted = ChangeRequest {
+        let change = ChangeRequest {
             tenant: tenant.into(),
-            kept,
+            encoded: kept,
             listed: false,
             answer: None,
         };
-        self.handle(now, n, Input::Change(ticket, wanted));
+        self.handle(now, n, Input::Change(ticket, change));
     }
 
-    /// The log takes what was proposed, in this order.
-    fn agree(&mut self) -> Vec<bool> {
+    /// Applies the proposals to the log in order and returns which ones took effect.
+    fn commit(&mut self) -> Vec<bool> {
         std::mem::take(&mut self.proposed)
             .iter()
             .map(|e| self.agreed.apply(e))
             .collect()
     }
 
-    fn told(&mut self, n: usize) -> Vec<Output> {
-        let (own, rest) = std::mem::take(&mut self.told)
+    fn outputs_of(&mut self, n: usize) -> Vec<Output> {
+        let (own, rest) = std::mem::take(&mut self.outputs)
             .into_iter()
             .partition(|(who, _)| *who == n);
-        self.told = rest;
+        self.outputs = rest;
         own.into_iter().map(|(_, o): (usize, Output)| o).collect()
     }
 }
 
 #[test]
-fn a_change_is_told_done_once_it_is_agreed_and_all_take_it_over() {
-    let mut t = Table::new(2, 2, 3);
-    t.want(0, 0, 7, "clinic", Some("one"));
-    assert_eq!(t.told(0), [], "nothing is told before it is agreed");
-    assert_eq!(t.agree(), [true]);
+fn change_is_confirmed_after_agreement_and_adopted_by_all() {
+    let mut t = Cluster::new(2, 2, 3);
+    t.request(0, 0, 7, "clinic", Some("one"));
+    assert_eq!(t.outputs_of(0), [], "nothing is reported before agreement");
+    assert_eq!(t.commit(), [true]);
     for n in 0..2 {
-        t.hear(1, n, 3);
+        t.deliver(1, n, 3);
         let adopt = Output::Adopt("clinic".into(), Some(b"one".to_vec()));
         let expected = if n == 0 {
             vec![adopt, Output::Done(7)]
         } else {
             vec![adopt]
         };
-        assert_eq!(t.told(n), expected);
+        assert_eq!(t.outputs_of(n), expected);
     }
     let adopted = HistoryEvent::Adopted {
         tenant: "clinic".into(),
@@ -131,13 +131,13 @@
 }
 
 #[test]
-fn of_two_changes_at_once_one_takes_hold_and_the_other_is_told() {
-    let mut t = Table::new(2, 2, 3);
-    t.want(0, 0, 1, "clinic", Some("one"));
-    t.want(0, 1, 2, "clinic", Some("two"));
-    assert_eq!(t.agree(), [true, false]);
-    (0..2).for_each(|n| t.hear(1, n, 3));
-    assert!(t.told(0).contains(&Output::Done(1)));
+fn only_one_of_two_concurrent_changes_takes_effect() {
+    let mut t = Cluster::new(2, 2, 3);
+    t.request(0, 0, 1, "clinic", Some("one"));
+    t.request(0, 1, 2, "clinic", Some("two"));
+    assert_eq!(t.commit(), [true, false]);
+    (0..2).for_each(|n| t.deliver(1, n, 3));
+    assert!(t.outputs_of(0).contains(&Output::Done(1)));
     let refused = Output::Refused(
         2,
         Refusal::Changed {
@@ -145,7 +145,7 @@
         },
     );
     assert_eq!(
-        t.told(1),
+        t.outputs_of(1),
         [
             Output::Adopt("clinic".into(), Some(b"one".to_vec())),
             refused
@@ -153,9 +153,10 @@
     );
 }
 
-/// A proposal that is said again, or comes late, after its tenant was changed or removed since, has no effect.
+/// A proposal that is repeated, or arrives after a later change or removal of its tenant, has no
+/// effect.
 #[test]
-fn what_comes_again_or_late_has_no_effect() {
+fn repeated_or_late_entry_has_no_effect() {
     let mut s = Tenants::default();
     let made = entry("t", s.follows("t"), 1, Some("one"));
     assert!(s.apply(&made) && !s.apply(&made));
@@ -164,28 +165,29 @@
     assert!(!s.lines.contains_key("t"));
     assert!(
         !s.apply(&made),
-        "made anew by a word from before its removal"
+        "recreated by an entry from before the removal"
     );
     assert!(s.apply(&entry("t", s.follows("t"), 3, Some("two"))));
     assert!(
         !s.apply(&removed),
-        "removed by a word from before it was made anew"
+        "removed by an entry from before the recreation"
     );
     assert_eq!((s.changes, s.removals), (3, 1));
 }
 
-/// One that the operator's file names is remembered as removed, so that a gateway that starts on the file lets go of it.
+/// The removal of a tenant listed in the operator's file stays recorded, so that a gateway that
+/// starts with the file removes the tenant.
 #[test]
-fn a_removed_tenant_of_the_file_stays_removed() {
-    let mut t = Table::new(2, 1, 1);
+fn removed_tenant_of_the_file_stays_removed() {
+    let mut t = Cluster::new(2, 1, 1);
     let e = Entry {
         listed: true,
         ..entry("filed", t.agreed.follows("filed"), 1, None)
     };
     assert!(t.agreed.apply(&e));
-    t.hear(0, 1, 1);
+    t.deliver(0, 1, 1);
     assert_eq!(
-        t.told(1),
+        t.outputs_of(1),
         [Output::Removals(1), Output::Adopt("filed".into(), None)]
     );
     assert!(
@@ -195,30 +197,32 @@
     );
 }
 
-/// While one waits others are removed: the change is proposed on what stands now, without a word to whoever waits.
+/// If another tenant is removed while a creation waits, the creation is proposed again on the new
+/// base, without an answer to the requester.
 #[test]
-fn a_new_tenant_waits_out_the_removal_of_another() {
-    let mut t = Table::new(2, 1, 1);
+fn creation_survives_removal_of_another_tenant() {
+    let mut t = Cluster::new(2, 1, 1);
     assert!(t
         .agreed
         .apply(&entry("other", Follows::Nothing(0), 1, Some("x"))));
-    (0..2).for_each(|n| t.hear(0, n, 1));
-    t.want(1, 0, 5, "fresh", Some("one"));
+    (0..2).for_each(|n| t.deliver(0, n, 1));
+    t.request(1, 0, 5, "fresh", Some("one"));
     let late = std::mem::take(&mut t.proposed);
-    t.want(1, 1, 6, "other", None);
-    assert_eq!(t.agree(), [true]);
-    (0..2).for_each(|n| t.hear(2, n, 1));
-    assert_eq!(t.agree(), [true], "proposed anew");
+    t.request(1, 1, 6, "other", None);
+    assert_eq!(t.commit(), [true]);
+    (0..2).for_each(|n| t.deliver(2, n, 1));
+    assert_eq!(t.commit(), [true], "proposed again");
     assert!(!t.agreed.apply(&late[0]));
-    t.hear(3, 0, 1);
-    assert!(t.told(0).contains(&Output::Done(5)));
+    t.deliver(3, 0, 1);
+    assert!(t.outputs_of(0).contains(&Output::Done(5)));
 }
 
-/// The wait has an end, and says that the change may still hold; it is proposed again until then.
+/// A change without agreement is proposed again until its deadline; the refusal then says that the
+/// change may still take effect.
 #[test]
-fn a_change_that_nobody_agrees_on_is_refused_in_time() {
-    let mut t = Table::new(1, 1, 1);
-    t.want(0, 0, 9, "t", Some("one"));
+fn change_without_agreement_is_refused_at_deadline() {
+    let mut t = Cluster::new(1, 1, 1);
+    t.request(0, 0, 9, "t", Some("one"));
     let mut now = 0;
     while let Some(at) = t.all[0].next_deadline() {
         now = at;
@@ -230,91 +234,100 @@
         t.proposed.len()
     );
     assert_eq!(
-        t.told(0),
+        t.outputs_of(0),
         [Output::Refused(
             9,
-            Refusal::Unreached { tenant: "t".into() }
+            Refusal::AgreementTimeout { tenant: "t".into() }
         )]
     );
-    // It was agreed on after all: it is taken over like anybody's.
-    assert_eq!(t.agree().iter().filter(|held| **held).count(), 1);
-    t.hear(now + 1, 0, 1);
+    // A late agreement is adopted like a change by any other gateway.
+    assert_eq!(t.commit().iter().filter(|held| **held).count(), 1);
+    t.deliver(now + 1, 0, 1);
     assert_eq!(
-        t.told(0),
+        t.outputs_of(0),
         [Output::Adopt("t".into(), Some(b"one".to_vec()))]
     );
 }
 
 #[test]
-fn what_there_is_no_room_for_is_refused_by_name_before_it_is_proposed() {
-    let mut t = Table::new(1, 3, 3);
-    t.want(0, 0, 1, "t", Some("one"));
+fn changes_over_the_limits_are_refused_before_proposal() {
+    let mut t = Cluster::new(1, 3, 3);
+    t.request(0, 0, 1, "t", Some("one"));
     assert_eq!(
-        t.told(0),
-        [Output::Refused(1, Refusal::Fewer { have: 2, want: 3 })]
+        t.outputs_of(0),
+        [Output::Refused(
+            1,
+            Refusal::TooFewDisks { have: 2, want: 3 }
+        )]
     );
-    t.hear(0, 0, 5);
-    t.want(0, 0, 2, "t", Some(&"x".repeat(LONGEST + 1)));
+    t.deliver(0, 0, 5);
+    t.request(0, 0, 2, "t", Some(&"x".repeat(MAX_TENANT_BYTES + 1)));
     let long = Refusal::TooLong {
         tenant: "t".into(),
-        bytes: LONGEST + 1,
+        bytes: MAX_TENANT_BYTES + 1,
     };
-    assert_eq!(t.told(0), [Output::Refused(2, long)]);
-    let full = "x".repeat(LONGEST);
+    assert_eq!(t.outputs_of(0), [Output::Refused(2, long)]);
+    let full = "x".repeat(MAX_TENANT_BYTES);
     for n in 0.. {
         let e = entry(&format!("t{n}"), Follows::Nothing(0), n, Some(&full));
         if !t.agreed.apply(&e) {
             break;
         }
     }
-    assert!(t.agreed.bytes() <= MOST_BYTES && t.agreed.bytes() > MOST_BYTES - 2 * LONGEST);
-    t.hear(1, 0, 5);
-    t.told.clear();
-    t.want(1, 0, 3, "one-more", Some(&full));
+    assert!(
+        t.agreed.bytes() <= MAX_TOTAL_BYTES
+            && t.agreed.bytes() > MAX_TOTAL_BYTES - 2 * MAX_TENANT_BYTES
+    );
+    t.deliver(1, 0, 5);
+    t.outputs.clear();
+    t.request(1, 0, 3, "one-more", Some(&full));
     assert!(matches!(
-        t.told(0)[..],
+        t.outputs_of(0)[..],
         [Output::Refused(3, Refusal::TooMuch { .. })]
     ));
-    t.want(1, 0, 4, "t0", None);
-    assert_eq!(t.agree(), [true], "a removal has room");
-    for n in 0..=changes::MOST_OPEN as u64 {
-        t.want(2, 0, 10 + n, &format!("s{n}"), Some("x"));
+    t.request(1, 0, 4, "t0", None);
+    assert_eq!(t.commit(), [true], "a removal has room");
+    for n in 0..=changes::MAX_OPEN_CHANGES as u64 {
+        t.request(2, 0, 10 + n, &format!("s{n}"), Some("x"));
     }
     let busy = Refusal::Busy {
-        open: changes::MOST_OPEN,
+        open: changes::MAX_OPEN_CHANGES,
     };
     assert_eq!(
-        t.told(0).last(),
-        Some(&Output::Refused(10 + changes::MOST_OPEN as u64, busy))
+        t.outputs_of(0).last(),
+        Some(&Output::Refused(
+            10 + changes::MAX_OPEN_CHANGES as u64,
+            busy
+        ))
     );
 }
 
-/// One that was away while more was agreed than is remembered says that it does not know.
+/// A gateway that missed more changes than are stored reports that the outcome is unknown.
 #[test]
-fn who_was_away_for_long_says_that_it_does_not_know() {
-    let mut t = Table::new(1, 1, 1);
-    t.want(0, 0, 1, "t", Some("one"));
-    assert_eq!(t.agree(), [true]);
-    for n in 0..=MOST_RECENT as u64 {
+fn outcome_is_unknown_after_a_long_absence() {
+    let mut t = Cluster::new(1, 1, 1);
+    t.request(0, 0, 1, "t", Some("one"));
+    assert_eq!(t.commit(), [true]);
+    for n in 0..=MAX_RECENT_CHANGES as u64 {
         assert!(t
             .agreed
             .apply(&entry("busy", t.agreed.follows("busy"), 50 + n, Some("x"))));
     }
-    t.hear(1, 0, 1);
+    t.deliver(1, 0, 1);
     let unknown = Refusal::Unknown {
         tenant: "t".into(),
-        since: MOST_RECENT as u64 + 2,
+        since: MAX_RECENT_CHANGES as u64 + 2,
     };
-    assert_eq!(t.told(0).last(), Some(&Output::Refused(1, unknown)));
-    assert!(t.agreed.recent.len() == MOST_RECENT);
+    assert_eq!(t.outputs_of(0).last(), Some(&Output::Refused(1, unknown)));
+    assert!(t.agreed.recent.len() == MAX_RECENT_CHANGES);
 }
 
 #[test]
-fn answers_to_keyed_requests_are_agreed_on_and_bounded() {
+fn answers_to_keyed_requests_are_replicated_and_bounded() {
     let mut s = Tenants::default();
-    for n in 0..MOST_ANSWERS as u64 + 5 {
+    for n in 0..MAX_ANSWERS as u64 + 5 {
         let mut e = entry("t", s.follows("t"), n, Some("x"));
-        let bytes = vec![n as u8; if n == 0 { LONGEST_ANSWER + 1 } else { 4 }];
+        let bytes = vec![n as u8; if n == 0 { MAX_ANSWER_BYTES + 1 } else { 4 }];
         e.answer = Some(Answer {
             key: [n as u8; 32],
             request: [1; 32],
@@ -327,24 +340,24 @@
         s.answer(&[132; 32]).map(|a| a.bytes.clone()),
         Some(vec![132; 4])
     );
-    assert_eq!(s.answers.len(), MOST_ANSWERS);
-    // All of it, at its fullest, fits into the frame that carries it.
-    let most = MOST_BYTES + MOST_ANSWERS * (LONGEST_ANSWER + 64) + MOST_RECENT * 20;
+    assert_eq!(s.answers.len(), MAX_ANSWERS);
+    // The state at its maximum size fits into the frame that carries it.
+    let most = MAX_TOTAL_BYTES + MAX_ANSWERS * (MAX_ANSWER_BYTES + 64) + MAX_RECENT_CHANGES * 20;
     assert!(most < crate::consensus::wire::MAX_FRAME_BYTES * 2 / 3);
 }
 
-/// Every refusal says what an operator can do, and none says it twice.
+/// Compares the texts, statuses and remedies of all refusals with the snapshot.
 #[test]
 fn refusals_and_their_remedies() {
     let t = || "clinic".to_owned();
     let all = [
         Refusal::Changed { tenant: t() },
-        Refusal::Unreached { tenant: t() },
+        Refusal::AgreementTimeout { tenant: t() },
         Refusal::Unknown {
             tenant: t(),
             since: 300,
         },
-        Refusal::Fewer { have: 2, want: 3 },
+        Refusal::TooFewDisks { have: 2, want: 3 },
         Refusal::TooMuch { bytes: 400_000 },
         Refusal::TooMany { lines: 4096 },
         Refusal::TooLong {
@@ -352,7 +365,7 @@
             bytes: 30_000,
         },
         Refusal::Busy { open: 64 },
-        Refusal::Unheard,
+        Refusal::NotCaughtUp,
         Refusal::Unreadable {
             tenant: t(),
             why: "the tenants' state cannot be read".into(),
--- a/testbed/src/conformance.rs
+++ b/testbed/src/conformance.rs
@@ -1,4 +1,5 @@
-//! `conformance`: the published specification's cases, from data files, against any implementation.
+//! `conformance`: runs test cases of the published webhook specification against any
+//! implementation.
 
 use std::io::{Error, Read, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,10 +9,10 @@
 use molelug::tenancy::Secret;
 use serde::Deserialize;
 
-use crate::fakes::gateway::{Folder, SAFE, UNSAFE};
+use crate::fakes::gateway::{TempFolder, NON_IDEMPOTENT_CLASS, READ_CLASS};
 use crate::fakes::{
     body, call_body, header, now_s, read_http, secret, secret_text, status, Caller, Gateway,
-    Worker, PATIENCE,
+    Worker, WAIT_TIMEOUT,
 };
 
 #[derive(Debug, Deserialize)]
@@ -63,7 +64,7 @@
     Ok(cases.case)
 }
 
-/// The bytes of a case's request.
+/// Builds the request of a case.
 fn request(case: &Case, path: &str, key: &Secret, id: &str, text: &str) -> Vec<u8> {
     let stamp = now_s().saturating_add_signed(case.stamp);
     let other = secret(99);
@@ -120,7 +121,8 @@
     head.into_bytes()
 }
 
-fn verdicts(rows: &[(String, String, std::result::Result<(), String>)]) -> bool {
+/// Prints the result of each case. Returns `true` if all passed.
+fn print_results(rows: &[(String, String, std::result::Result<(), String>)]) -> bool {
     let failed = rows.iter().filter(|(.., r)| r.is_err()).count();
     for (name, section, result) in rows {
         match result {
@@ -132,32 +134,34 @@
     failed == 0
 }
 
-/// Plays the receiver's cases.
+/// Runs the receiver's cases.
 pub fn receiver(
-    own: bool,
+    self_test: bool,
     target: Option<SocketAddr>,
     path: &str,
     key: Option<&str>,
     text: &str,
 ) -> Result<bool> {
-    if !own {
+    if !self_test {
         let (Some(target), Some(key)) = (target, key) else {
             return Err(Error::other(
-                "--target and --secret tell the receiver, or --self starts one",
+                "--target and --secret are required unless --self starts a receiver",
             ));
         };
         let key = Secret::parse(key).map_err(Error::other)?;
-        return receive(target, path, &key, text);
+        return check_receiver(target, path, &key, text);
     }
-    let folder = Folder::new("receiver")?;
+    let folder = TempFolder::new("receiver")?;
     let workers = [Worker::start(Duration::ZERO, 0)?];
     let portal = TcpListener::bind("127.0.0.1:0")?;
     let mut g = Gateway::start(&folder.0, &workers, &operator(portal.local_addr()?), 900.0)?;
-    let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
-    let text = String::from_utf8(call_body(SAFE, 1, None)).map_err(Error::other)?;
-    let good = receive(to, "/webhooks/t", &secret(1), &text)?;
+    let to = g
+        .webhooks
+        .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
+    let text = String::from_utf8(call_body(READ_CLASS, 1, None)).map_err(Error::other)?;
+    let passed = check_receiver(to, "/webhooks/t", &secret(1), &text)?;
     g.stop()?;
-    Ok(good)
+    Ok(passed)
 }
 
 fn operator(portal: SocketAddr) -> String {
@@ -168,7 +172,7 @@
     )
 }
 
-fn receive(target: SocketAddr, path: &str, key: &Secret, text: &str) -> Result<bool> {
+fn check_receiver(target: SocketAddr, path: &str, key: &Secret, text: &str) -> Result<bool> {
     let mut rows = Vec::new();
     let run = now_s();
     for (n, case) in cases()?.iter().enumerate() {
@@ -184,32 +188,32 @@
         };
         rows.push((case.name.clone(), case.section.clone(), result));
     }
-    Ok(verdicts(&rows))
+    Ok(print_results(&rows))
 }
 
-/// One delivery that a sender made.
-struct Got {
+/// A delivery received from the sender under test.
+struct Delivery {
     bytes: Vec<u8>,
     at: Instant,
-    /// What it was answered.
-    told: u16,
+    /// Status that answered the delivery.
+    response_status: u16,
 }
 
-/// Plays the sender's cases: takes what it sends, answers the first delivery of each message 500, its repeat 301, and
-/// then 204, and looks at what came.
-pub fn sender(own: bool, listen: Option<SocketAddr>, key: Option<&str>) -> Result<bool> {
+/// Runs the sender's cases: answers the first delivery of each message with 500, the second with
+/// 301 and later ones with 204, and checks the received deliveries.
+pub fn sender(self_test: bool, listen: Option<SocketAddr>, key: Option<&str>) -> Result<bool> {
     let listener = TcpListener::bind(listen.unwrap_or_else(|| ([127, 0, 0, 1], 0).into()))?;
     let key = key
         .map_or_else(|| Ok(secret(1)), Secret::parse)
         .map_err(Error::other)?;
-    if !own {
+    if !self_test {
         println!(
             "point the sender at http://{}/ and have it send one message",
             listener.local_addr()?
         );
-        return send(&listener, &key, None);
+        return check_sender(&listener, &key, None);
     }
-    let folder = Folder::new("sender")?;
+    let folder = TempFolder::new("sender")?;
     let workers = [Worker::start(Duration::ZERO, 0)?];
     let mut g = Gateway::start(
         &folder.0,
@@ -217,63 +221,68 @@
         &operator(listener.local_addr()?),
         900.0,
     )?;
-    let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
-    for class in [SAFE, UNSAFE] {
+    let to = g
+        .webhooks
+        .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
+    for class in [READ_CLASS, NON_IDEMPOTENT_CLASS] {
         Caller::new(to).call("t", &secret(1), class, &call_body(class, 1, None))?;
     }
-    let good = send(&listener, &key, Some(UNSAFE))?;
+    let passed = check_sender(&listener, &key, Some(NON_IDEMPOTENT_CLASS))?;
     g.stop()?;
-    Ok(good)
+    Ok(passed)
 }
 
-fn send(listener: &TcpListener, key: &Secret, once: Option<&str>) -> Result<bool> {
+/// Checks deliveries from a sender; `once` is the call whose callback must arrive only once.
+fn check_sender(listener: &TcpListener, key: &Secret, once: Option<&str>) -> Result<bool> {
     listener.set_nonblocking(true)?;
     let elsewhere = TcpListener::bind("127.0.0.1:0")?;
     elsewhere.set_nonblocking(true)?;
-    let mut got: Vec<Got> = Vec::new();
-    let end = Instant::now() + PATIENCE;
-    // Three deliveries of one message end it, and a little longer shows that nothing follows.
+    let mut deliveries: Vec<Delivery> = Vec::new();
+    let end = Instant::now() + WAIT_TIMEOUT;
+    // Three deliveries of one message end the check, after a wait for deliveries that must not
+    // follow.
     let mut quiet = None;
     while Instant::now() < quiet.unwrap_or(end) {
         let Ok((stream, _)) = listener.accept() else {
             std::thread::sleep(Duration::from_millis(2));
             continue;
         };
-        if let Some(fresh) = serve(stream, &got, elsewhere.local_addr()?)? {
-            if fresh.told == 204 {
+        if let Some(fresh) = receive_delivery(stream, &deliveries, elsewhere.local_addr()?)? {
+            if fresh.response_status == 204 {
                 quiet = Some(Instant::now() + Duration::from_millis(1500));
             }
-            got.push(fresh);
+            deliveries.push(fresh);
         }
     }
-    let id = |g: &Got| header(&g.bytes, "webhook-id");
-    let Some(last) = got.iter().find(|g| g.told == 204).map(id) else {
+    let id = |g: &Delivery| header(&g.bytes, "webhook-id");
+    let Some(last) = deliveries.iter().find(|g| g.response_status == 204).map(id) else {
         return Err(Error::other(
             "no message was sent a third time after 500 and 301",
         ));
     };
-    let mine: Vec<&Got> = got.iter().filter(|g| id(g) == last).collect();
-    let stamp = |g: &Got| header(&g.bytes, "webhook-timestamp").parse::<u64>().ok();
-    let holds = |g: &Got| {
+    let same_message: Vec<&Delivery> = deliveries.iter().filter(|g| id(g) == last).collect();
+    let stamp = |g: &Delivery| header(&g.bytes, "webhook-timestamp").parse::<u64>().ok();
+    let is_signed = |g: &Delivery| {
         let signed = header(&g.bytes, "webhook-signature");
         stamp(g).is_some_and(|at| {
             signature::verify(std::iter::once(key), &id(g), at, body(&g.bytes), &signed)
         })
     };
-    let text: serde_json::Value = serde_json::from_slice(body(&mine[0].bytes)).unwrap_or_default();
-    let case = |name: &str, section: &str, good: bool| {
+    let text: serde_json::Value =
+        serde_json::from_slice(body(&same_message[0].bytes)).unwrap_or_default();
+    let case = |name: &str, section: &str, passed: bool| {
         (
             name.to_owned(),
             section.to_owned(),
-            good.then_some(()).ok_or("it does not hold".to_owned()),
+            passed.then_some(()).ok_or("it does not hold".to_owned()),
         )
     };
     let mut rows = vec![
         case(
             "it is a POST of JSON",
             "Webhook structure",
-            mine.iter().all(|g| g.bytes.starts_with(b"POST "))
-                && header(&mine[0].bytes, "content-type").starts_with("application/json"),
+            same_message.iter().all(|g| g.bytes.starts_with(b"POST "))
+                && header(&same_message[0].bytes, "content-type").starts_with("application/json"),
         ),
         case(
             "the body has type, timestamp and data",
@@ -283,12 +292,12 @@
         case(
             "every delivery is signed",
             "Signature scheme",
-            got.iter().all(holds),
+            deliveries.iter().all(is_signed),
         ),
         case(
             "the identity stays over repeats",
             "Webhook headers: webhook-id",
-            mine.len() == 3 && !last.is_empty(),
+            same_message.len() == 3 && !last.is_empty(),
         ),
         case(
             "the identity has no full stop",
@@ -298,18 +307,20 @@
         case(
             "the body stays over repeats",
             "Payload structure",
-            mine.iter().all(|g| body(&g.bytes) == body(&mine[0].bytes)),
+            same_message
+                .iter()
+                .all(|g| body(&g.bytes) == body(&same_message[0].bytes)),
         ),
         case(
             "the stamp is the attempt's own",
             "Webhook headers: webhook-timestamp",
-            mine.windows(2).all(|w| stamp(w[0]) <= stamp(w[1]))
-                && stamp(mine[0]).is_some_and(|s| s.abs_diff(now_s()) < 300),
+            same_message.windows(2).all(|w| stamp(w[0]) <= stamp(w[1]))
+                && stamp(same_message[0]).is_some_and(|s| s.abs_diff(now_s()) < 300),
         ),
         case(
             "500 and 301 are tried again, later",
             "Deliverability and reliability",
-            mine.windows(2).all(|w| w[1].at > w[0].at) && mine.len() == 3,
+            same_message.windows(2).all(|w| w[1].at > w[0].at) && same_message.len() == 3,
         ),
         case(
             "a redirect is not followed",
@@ -319,11 +330,13 @@
         case(
             "nothing follows a 2xx",
             "Deliverability and reliability",
-            mine.last().is_some_and(|g| g.told == 204),
+            same_message
+                .last()
+                .is_some_and(|g| g.response_status == 204),
         ),
     ];
     if let Some(once) = once {
-        let count = got
+        let count = deliveries
             .iter()
             .filter(|g| {
                 String::from_utf8_lossy(body(&g.bytes)).contains(&format!("\"call\":\"{once}\""))
@@ -335,17 +348,22 @@
             count == 1,
         ));
     }
-    Ok(verdicts(&rows))
+    Ok(print_results(&rows))
 }
 
-fn serve(mut stream: TcpStream, before: &[Got], elsewhere: SocketAddr) -> Result<Option<Got>> {
+/// Reads one delivery and answers it by the number of earlier deliveries of the same message.
+fn receive_delivery(
+    mut stream: TcpStream,
+    before: &[Delivery],
+    elsewhere: SocketAddr,
+) -> Result<Option<Delivery>> {
     stream.set_nonblocking(false)?;
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
     let Some(bytes) = read_http(&mut stream, &mut Vec::new()).unwrap_or(None) else {
         return Ok(None);
     };
     let id = header(&bytes, "webhook-id");
-    let told = match before
+    let response_status = match before
         .iter()
         .filter(|g| header(&g.bytes, "webhook-id") == id)
         .count()
@@ -355,12 +373,16 @@
         _ => 204,
     };
     let head = format!(
-        "HTTP/1.1 {told} So\r\nLocation: http://{elsewhere}/\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+        "HTTP/1.1 {response_status} So\r\nLocation: http://{elsewhere}/\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
     );
     let at = Instant::now();
-    // A sender that has gone by now has told what it would.
+    // A sender that has closed the connection has already sent its delivery, so errors are ignored.
     let _ = stream.write_all(head.as_bytes());
     let _ = stream.shutdown(std::net::Shutdown::Write);
     let _ = stream.read(&mut [0; 64]);
-    Ok(Some(Got { bytes, at, told }))
+    Ok(Some(Delivery {
+        bytes,
+        at,
+        response_status,
+    }))
 }
--- a/testbed/src/crash.rs
+++ b/testbed/src/crash.rs
@@ -1,47 +1,48 @@
-//! `crash`: SIGKILL at random moments, restart on the same store, and the books balanced afterwards.
+//! `crash`: kills gateways with SIGKILL at random moments, restarts them on the same store, and
+//! checks afterwards that accepted calls, runs and callbacks match.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Error, Result};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use molelug::delivery::response::{DeadLetterReason, State};
+use molelug::delivery::response::{DeadLetterReason, MessageState};
 use molelug::store::disk::Disk;
 use molelug::store::operations::{Filter, Op, Reply};
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::fakes::gateway::{Folder, KEYED, SAFE, UNSAFE};
+use crate::fakes::gateway::{TempFolder, KEYED_CLASS, NON_IDEMPOTENT_CLASS, READ_CLASS};
 use crate::fakes::{
-    call_body, secret, secret_text, status, Caller, Gateway, Manner, Portal, Worker,
+    call_body, secret, secret_text, status, Caller, Gateway, Portal, PortalBehavior, Worker,
 };
 
-/// What one round did, for its report.
+/// Result of one round.
 #[derive(Debug, Default)]
 struct Round {
     kills: u32,
-    taken: usize,
+    accepted: usize,
     delivered: usize,
     unknown_calls: usize,
     unknown_callbacks: usize,
 }
 
-fn below(random: &mut ChaCha8Rng, n: u64) -> u64 {
+fn random_below(random: &mut ChaCha8Rng, n: u64) -> u64 {
     random.next_u64() % n
 }
 
-/// Plays rounds from a seed; `Err` names what did not balance.
+/// Runs rounds with consecutive seeds and prints their results. Returns `true` if all passed.
 pub fn run(seed: u64, rounds: u64) -> Result<bool> {
     let (mut passed, mut failed) = (0, 0);
     for round in 0..rounds {
         let seed = seed + round;
-        match play(seed) {
+        match run_round(seed) {
             Ok(r) => {
                 passed += 1;
                 println!(
                     "seed {seed}: {} kills, {} calls taken, {} callbacks delivered, {} calls and {} callbacks of \
                      which nobody can tell",
-                    r.kills, r.taken, r.delivered, r.unknown_calls, r.unknown_callbacks
+                    r.kills, r.accepted, r.delivered, r.unknown_calls, r.unknown_callbacks
                 );
             }
             Err(e) => {
@@ -54,18 +55,18 @@
     Ok(failed == 0)
 }
 
-fn play(seed: u64) -> Result<Round> {
+fn run_round(seed: u64) -> Result<Round> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let folder = Folder::new(&format!("crash-{seed}"))?;
-    let delay = |r: &mut ChaCha8Rng| Duration::from_millis(below(r, 12));
+    let folder = TempFolder::new(&format!("crash-{seed}"))?;
+    let delay = |r: &mut ChaCha8Rng| Duration::from_millis(random_below(r, 12));
     let workers: Vec<Worker> = (0..3)
         .map(|n| Worker::start(delay(&mut random), [0, 9, 14][n]))
         .collect::<Result<_>>()?;
     let manners = [
-        Manner::Good,
-        Manner::Cuts(5),
-        Manner::Fails(4),
-        Manner::Slow(15),
+        PortalBehavior::Good,
+        PortalBehavior::Cuts(5),
+        PortalBehavior::Fails(4),
+        PortalBehavior::Slow(15),
     ];
     let portals: Vec<Portal> = manners
         .iter()
@@ -83,25 +84,27 @@
         ));
     }
     let mut round = Round::default();
-    // What got a 202; what was sent and got no answer may or may not have been taken.
-    let taken: Arc<Mutex<BTreeSet<String>>> = Arc::default();
+    // Calls answered with 202. A call without a response may or may not have been accepted.
+    let accepted: Arc<Mutex<BTreeSet<String>>> = Arc::default();
     let mut sent = 0u64;
-    let lives = 2 + below(&mut random, 3);
-    for life in 0..lives {
+    let starts = 2 + random_below(&mut random, 3);
+    for start in 0..starts {
         let mut g = Gateway::start(&folder.0, &workers, &operator, 900.0)?;
-        let to = g.webhooks.ok_or_else(|| Error::other("no webhooks"))?;
+        let to = g
+            .webhooks
+            .ok_or_else(|| Error::other("the gateway has no webhook listener"))?;
         let callers: Vec<_> = (0..4u64)
             .map(|c| {
-                let (from, mine) = (sent + c * 1000, taken.clone());
+                let (from, accepted_here) = (sent + c * 1000, accepted.clone());
                 std::thread::spawn(move || {
                     let (mut caller, secret) = (Caller::new(to), secret(1));
                     for n in from..from + 60 {
-                        let class = [SAFE, UNSAFE, KEYED][n as usize % 3];
+                        let class = [READ_CLASS, NON_IDEMPOTENT_CLASS, KEYED_CLASS][n as usize % 3];
                         let text = call_body(class, n % 7, None);
                         let id = format!("call-{n}");
                         match caller.call(&format!("t{}", n % 4), &secret, &id, &text) {
                             Ok(answer) if status(&answer) == 202 => {
-                                if let Ok(mut t) = mine.lock() {
+                                if let Ok(mut t) = accepted_here.lock() {
                                     t.insert(id);
                                 }
                             }
@@ -113,30 +116,32 @@
             })
             .collect();
         sent += 10_000;
-        if life + 1 < lives {
-            std::thread::sleep(Duration::from_micros(2_000 + below(&mut random, 250_000)));
+        if start + 1 < starts {
+            std::thread::sleep(Duration::from_micros(
+                2_000 + random_below(&mut random, 250_000),
+            ));
             g.kill()?;
             round.kills += 1;
         }
         for caller in callers {
             caller.join().map_err(|_| Error::other("a caller failed"))?;
         }
-        if life + 1 == lives {
-            settle(&folder, g)?;
+        if start + 1 == starts {
+            wait_until_delivered(&folder, g)?;
         }
     }
-    let taken = taken
+    let accepted = accepted
         .lock()
         .map_err(|_| Error::other("a caller failed"))?
         .clone();
-    round.taken = taken.len();
-    balance(&folder, &taken, &workers, &portals, &mut round)?;
+    round.accepted = accepted.len();
+    check_accepted_calls(&folder, &accepted, &workers, &portals, &mut round)?;
     Ok(round)
 }
 
-/// Waits until nothing waits in the store any more: the gateway is stopped in order and looked at, and started
-/// again if it left something.
-fn settle(folder: &Folder, mut g: Gateway) -> Result<()> {
+/// Waits until the store has no open calls and no waiting messages: stops the gateway in order,
+/// inspects the store, and restarts the gateway while anything remains.
+fn wait_until_delivered(folder: &TempFolder, mut g: Gateway) -> Result<()> {
     let end = Instant::now() + Duration::from_secs(60);
     loop {
         std::thread::sleep(Duration::from_millis(1500));
@@ -145,17 +150,19 @@
         let Some(Ok(Reply::Stats(stat))) =
             disk.commit([Op::Stats], now()).map_err(Error::other)?.pop()
         else {
-            return Err(Error::other("the store has no figures"));
+            return Err(Error::other("the store returned no statistics"));
         };
         drop(disk);
         if stat.waiting == 0 && stat.calls == 0 && found == 0 {
             return Ok(());
         }
         if Instant::now() > end {
-            return Err(Error::other(format!("stuck: {stat:?}, {found} calls")));
+            return Err(Error::other(format!(
+                "the store still holds {stat:?} and {found} calls"
+            )));
         }
         let read = |name: &str| std::fs::read_to_string(folder.0.join(name));
-        g = Gateway::again(&folder.0, &read("operator.toml")?)?;
+        g = Gateway::restart(&folder.0, &read("operator.toml")?)?;
     }
 }
 
@@ -163,16 +170,16 @@
     crate::fakes::now_s() * 1_000_000
 }
 
-fn open(folder: &Folder) -> Result<(Disk, usize)> {
+fn open(folder: &TempFolder) -> Result<(Disk, usize)> {
     let (disk, found) =
         Disk::open(&folder.0.join("store"), u64::MAX, now()).map_err(Error::other)?;
     Ok((disk, found.calls.len()))
 }
 
-/// Compares what was taken with what workers ran, portals got and the store tells.
-fn balance(
-    folder: &Folder,
-    taken: &BTreeSet<String>,
+/// Checks the accepted calls against the workers' runs, the portals' callbacks and the store.
+fn check_accepted_calls(
+    folder: &TempFolder,
+    accepted: &BTreeSet<String>,
     workers: &[Worker],
     portals: &[Portal],
     round: &mut Round,
@@ -181,7 +188,10 @@
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for w in workers {
         let all = w.runs.lock().map_err(|_| Error::other("a worker failed"))?;
-        for ((id, class), n) in all.iter().filter(|((_, class), _)| class == UNSAFE) {
+        for ((id, class), n) in all
+            .iter()
+            .filter(|((_, class), _)| class == NON_IDEMPOTENT_CLASS)
+        {
             let n = runs.entry(id.clone()).and_modify(|m| *m += n).or_insert(*n);
             if *n > 1 {
                 return wrong(format!("{class} {id} ran {n} times"));
@@ -189,7 +199,7 @@
         }
     }
     let mut seen: BTreeMap<String, (u32, u32)> = BTreeMap::new();
-    for s in portals.iter().flat_map(Portal::all) {
+    for s in portals.iter().flat_map(Portal::deliveries) {
         if !s.signed {
             return wrong(format!("{} came unsigned", s.id));
         }
@@ -212,11 +222,11 @@
             .map_err(Error::other)?
             .pop();
         let Some(Ok(Reply::Messages(all))) = reply else {
-            return wrong("the store has no list".into());
+            return wrong("the store returned no list of messages".into());
         };
         for m in all {
             let call = m.call.clone().unwrap_or_default();
-            let (came, confirmed) = seen.get(&call).copied().unwrap_or_default();
+            let (deliveries, confirmed) = seen.get(&call).copied().unwrap_or_default();
             if !answered.insert(call.clone()) {
                 return wrong(format!("{call} has two callbacks"));
             }
@@ -225,30 +235,30 @@
                 m.waiting.effect == molelug::api::Effect::NonIdempotent,
             );
             match m.state {
-                State::Delivered if confirmed == 0 => {
+                MessageState::Delivered if confirmed == 0 => {
                     return wrong(format!("{call} was never confirmed"))
                 }
-                State::Delivered => round.delivered += 1,
-                State::Dead(DeadLetterReason::Unknown)
+                MessageState::Delivered => round.delivered += 1,
+                MessageState::Dead(DeadLetterReason::Unknown)
                     if effect != molelug::api::Effect::Idempotent =>
                 {
                     round.unknown_callbacks += 1
                 }
                 other => return wrong(format!("{call} is left {other:?}")),
             }
-            if unsafe_one && came > 1 {
-                return wrong(format!("the callback of {call} came {came} times"));
+            if unsafe_one && deliveries > 1 {
+                return wrong(format!("the callback of {call} came {deliveries} times"));
             }
         }
     }
-    match taken.iter().find(|id| !answered.contains(*id)) {
+    match accepted.iter().find(|id| !answered.contains(*id)) {
         Some(id) => wrong(format!("{id} was taken and has no callback")),
         None => Ok(()),
     }
 }
 
-/// The tenants' numbers, as the gateway gives them to those of an operator's file.
-fn tenants(folder: &Folder) -> Result<Vec<u64>> {
+/// Returns the tenants' serial numbers, as the gateway assigns them to an operator's file.
+fn tenants(folder: &TempFolder) -> Result<Vec<u64>> {
     let operator =
         molelug::config::Operator::read(&folder.0.join("operator.toml")).map_err(Error::other)?;
     let registry = operator.registry(&[]).map_err(Error::other)?;
--- a/testbed/src/fault_proxy/tests.rs
+++ b/testbed/src/fault_proxy/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// One that says a word and then sends back each frame.
+/// Starts a server that sends a challenge and then echoes the bytes it receives.
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -27,9 +27,9 @@
 fn connect(link: &Link) -> TcpStream {
     let mut s = TcpStream::connect(link.address).unwrap();
     s.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    let mut word = [0; CHALLENGE_BYTES];
-    s.read_exact(&mut word).unwrap();
-    assert_eq!(word, [7; CHALLENGE_BYTES]);
+    let mut challenge = [0; CHALLENGE_BYTES];
+    s.read_exact(&mut challenge).unwrap();
+    assert_eq!(challenge, [7; CHALLENGE_BYTES]);
     s
 }
 
@@ -40,33 +40,33 @@
 }
 
 #[test]
-fn whole_frames_are_lost_doubled_and_held_each_way_apart() {
+fn stream_relay_applies_faults_per_direction() {
     let link = Link::stream(echo(), 1).unwrap();
     let mut s = connect(&link);
     s.write_all(&frame(1)).unwrap();
     assert_eq!(read(&mut s), 1);
     link.set(
-        Way::There,
+        Direction::Forward,
         Faults {
-            lost: 100,
+            drop_percent: 100,
             ..Faults::default()
         },
     );
     s.write_all(&frame(2)).unwrap();
     std::thread::sleep(Duration::from_millis(50));
     link.set(
-        Way::There,
+        Direction::Forward,
         Faults {
-            doubled: 100,
+            duplicate_percent: 100,
             ..Faults::default()
         },
     );
     s.write_all(&frame(3)).unwrap();
     assert_eq!((read(&mut s), read(&mut s)), (3, 3));
-    // Held on the way back: it left, and comes once the cut ends.
+    // A cut on the way back holds the frame; it arrives after the cut ends.
     link.set_both(Faults::default());
     link.set(
-        Way::Back,
+        Direction::Reverse,
         Faults {
             cut: true,
             ..Faults::default()
@@ -76,7 +76,7 @@
     s.set_read_timeout(Some(Duration::from_millis(100)))
         .unwrap();
     assert!(s.read(&mut [0; 8]).is_err());
-    link.set(Way::Back, Faults::default());
+    link.set(Direction::Reverse, Faults::default());
     s.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     assert_eq!(read(&mut s), 4);
     link.sever();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn datagrams_come_behind_the_next() {
+fn reordered_datagram_arrives_after_the_next() {
     let (a, b) = (
         UdpSocket::bind("127.0.0.1:0").unwrap(),
         UdpSocket::bind("127.0.0.1:0").unwrap(),
@@ -95,9 +95,9 @@
     b.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let link = Link::datagram(b.local_addr().unwrap(), 1).unwrap();
     link.set(
-        Way::There,
+        Direction::Forward,
         Faults {
-            behind: 100,
+            reorder_percent: 100,
             delay_ms: 100,
             ..Faults::default()
         },
--- a/testbed/src/history/promises/tests.rs
+++ b/testbed/src/history/promises/tests.rs
@@ -30,7 +30,7 @@
     )
 }
 
-fn judged(notes: &[(String, u64, CopyNote)]) -> Vec<Wrong> {
+fn violations(notes: &[(String, u64, CopyNote)]) -> Vec<Violation> {
     check(
         notes,
         &BTreeMap::new(),
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn each_kind_of_wrong_is_found() {
+fn each_violation_is_reported() {
     assert_eq!(
-        judged(&[
+        violations(&[
             led(1, 1, 0),
             promised(1, 1, 7),
             led(2, 2, 1),
@@ -53,45 +53,49 @@
         []
     );
     assert_eq!(
-        judged(&[led(1, 1, 0), led(2, 1, 0)]),
-        [Wrong::TwoLed { shard: 1, epoch: 1 }]
+        violations(&[led(1, 1, 0), led(2, 1, 0)]),
+        [Violation::TwoLed { shard: 1, epoch: 1 }]
     );
     assert_eq!(
-        judged(&[promised(1, 1, 7), promised(2, 1, 8)]),
-        [Wrong::TwoPromised {
+        violations(&[promised(1, 1, 7), promised(2, 1, 8)]),
+        [Violation::TwoPromised {
             shard: 1,
             number: 1
         }]
     );
-    let gone = Wrong::Gone {
+    let gone = Violation::Gone {
         shard: 1,
         number: 2,
         epoch: 2,
     };
     assert_eq!(
-        judged(&[promised(1, 1, 7), promised(1, 2, 8), led(2, 2, 1)]),
+        violations(&[promised(1, 1, 7), promised(1, 2, 8), led(2, 2, 1)]),
         [gone]
     );
-    let told = [("a", SAFE, 202), ("b", UNSAFE, 202), ("c", UNSAFE, 503)];
+    let told = [
+        ("a", READ_CLASS, 202),
+        ("b", NON_IDEMPOTENT_CLASS, 202),
+        ("c", NON_IDEMPOTENT_CLASS, 503),
+    ];
     let told = told
         .map(|(id, class, status)| (id.to_owned(), (class.to_owned(), status)))
         .into();
     let outcomes = [("a".to_owned(), "served".to_owned())].into();
-    let runs = [(("x".to_owned(), UNSAFE.to_owned()), 2)].into();
+    let runs = [(("x".to_owned(), NON_IDEMPOTENT_CLASS.to_owned()), 2)].into();
     let portal = [("c".to_owned(), true), ("c".to_owned(), true)];
-    let (held, wrong) = check(&[], &told, &outcomes, &runs, &portal);
-    assert_eq!((held.calls, held.refused), (2, 1));
+    let (counts, wrong) = check(&[], &told, &outcomes, &runs, &portal);
+    assert_eq!((counts.calls, counts.refused), (2, 1));
     assert_eq!(
         wrong,
         [
-            Wrong::NoCallback { call: "a".into() },
-            Wrong::NoEnd { call: "b".into() },
-            Wrong::CallbackTwice {
+            Violation::NoCallback { call: "a".into() },
+            Violation::NoEnd { call: "b".into() },
+            Violation::CallbackTwice {
                 call: "c".into(),
                 times: 2
             },
-            Wrong::RanTwice {
-                call: format!("{UNSAFE} x"),
+            Violation::RanTwice {
+                call: format!("{NON_IDEMPOTENT_CLASS} x"),
                 times: 2
             },
         ]
--- a/tests/wire_formats/digests.rs
+++ b/tests/wire_formats/digests.rs
@@ -1,9 +1,10 @@
-//! Digests and signatures of fixed inputs: a changed context string or order of parts shows here.
+//! Digests and signatures of fixed inputs. They change with a context string or the order of the
+//! hashed parts.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use molelug::consensus::bootstrap_replica_id;
 use molelug::consensus::wire::challenge;
-use molelug::front::webhook::replay::mark;
+use molelug::front::webhook::replay::identity_digest;
 use molelug::front::webhook::signature::{sign, verify};
 use molelug::replication::placement::{next_replica, replica_order, Host};
 use molelug::replication::{shard_of, LogPosition};
@@ -41,20 +42,20 @@
 
 #[test]
 fn digests_match_their_recorded_bytes() {
-    let place = LogPosition::default()
+    let log_position = LogPosition::default()
         .advance(b"first record")
         .advance(b"second record");
-    let identity = mark("acme", MESSAGE_ID);
+    let identity = identity_digest("acme", MESSAGE_ID);
     let lines = [
         hex_line("session-word", &challenge("alpha", 0x0a0a, 4)),
         hex_line(
             "founder-seat",
             &bootstrap_replica_id(3, "alpha").to_le_bytes(),
         ),
-        hex_line("record-chain", &place.chain),
+        hex_line("record-chain", &log_position.chain),
         hex_line("call-identity", &identity),
         hex_line("tenant-digest", &digest(b"kept tenant").to_le_bytes()),
-        format!("record-number {}", place.number),
+        format!("record-number {}", log_position.number),
         format!("identity-shard {}", shard_of(&identity, 64)),
     ];
     check_lines("wire/digests.txt", &lines);
@@ -66,7 +67,7 @@
     let line = |shard: u16| {
         let order = replica_order(shard, &hosts);
         let have = [order[0].clone(), order[1].clone()].into();
-        let next = next_replica(shard, &hosts, &have, |_| true).expect("five are left");
+        let next = next_replica(shard, &hosts, &have, |_| true).expect("five hosts remain");
         format!("{shard} {} next={next}", order.join(" "))
     };
     let lines: Vec<String> = (1..=16).chain([1024]).map(line).collect();
