--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -19,7 +19,7 @@
 pub enum ClientRequest {
     /// A liveness check.
     Ping,
-    /// A call whose origin the caller of [`take`] fills in.
+    /// A call whose origin the caller of [`parse_request`] fills in.
     Call(Call<()>),
 }
 
